--- a/core/cfbatch/batch.go
+++ b/core/cfbatch/batch.go
@@ -52,9 +52,9 @@
 		Results []cf.Result `json:"results"`
 	}
 
-	// Places is a page of results without the results: the items at its positions,
+	// PageRef is a page of results without the results: the items at its positions,
 	// and the chunks of the store that hold them.
-	Places struct {
+	PageRef struct {
 		Total  int         `cbor:"total"`
 		Next   int         `cbor:"next"`
 		Items  []cf.ItemID `cbor:"items"`
@@ -146,19 +146,19 @@
 // Complete says whether every item is listed.
 func (b *Batch) Complete() bool { return len(b.listed) == len(b.Sub.Items) }
 
-// Carry notes a group that an earlier batch had too, and left unfinished as its
+// CarryOver notes a group that an earlier batch had too, and left unfinished as its
 // submitter saw it: the submitter waits for it, however many others are whole.
-func (b *Batch) Carry(g cf.GroupID) {
+func (b *Batch) CarryOver(g cf.GroupID) {
 	if b.carried == nil {
 		b.carried = map[cf.GroupID]bool{}
 	}
 	b.carried[g] = true
 }
 
-// Enough says whether what is listed is all that the submitter waits for. left
+// EnoughGroups says whether what is listed is all that the submitter waits for. left
 // are the groups with results that are about to be listed, and how many of their
 // items will be missing then.
-func (b *Batch) Enough(left map[cf.GroupID]int) bool {
+func (b *Batch) EnoughGroups(left map[cf.GroupID]int) bool {
 	whole := b.whole
 	for _, n := range left {
 		if n == 0 {
@@ -177,17 +177,17 @@
 	return whole >= b.Sub.TargetGroups
 }
 
-// Carried says whether a group was noted by Carry.
-func (b *Batch) Carried(g cf.GroupID) bool { return b.carried[g] }
+// CarriedOver says whether a group was noted by Carry.
+func (b *Batch) CarriedOver(g cf.GroupID) bool { return b.carried[g] }
 
-// Groups counts the batch's groups.
-func (b *Batch) Groups() int { return len(b.groups) }
+// GroupCount counts the batch's groups.
+func (b *Batch) GroupCount() int { return len(b.groups) }
 
-// WholeGroups counts the groups of which every item is listed.
-func (b *Batch) WholeGroups() int { return b.whole }
+// CompleteGroups counts the groups of which every item is listed.
+func (b *Batch) CompleteGroups() int { return b.whole }
 
-// GroupLeft counts a group's items that are not listed.
-func (b *Batch) GroupLeft(g cf.GroupID) int { return b.groups[g] }
+// GroupRemaining counts a group's items that are not listed.
+func (b *Batch) GroupRemaining(g cf.GroupID) int { return b.groups[g] }
 
 // ListedCount counts the results.
 func (b *Batch) ListedCount() int { return len(b.results) }
@@ -214,10 +214,10 @@
 	return p
 }
 
-// Places says where the results of a page that Page returned for the same position
+// PageRef says where the results of a page that Page returned for the same position
 // lie in the store.
-func (b *Batch) Places(after int, p cf.ResultPage) Places {
-	out := Places{Total: p.Total, Next: p.Next}
+func (b *Batch) PageRef(after int, p cf.ResultPage) PageRef {
+	out := PageRef{Total: p.Total, Next: p.Next}
 	first := max(after, 0)
 	for i, r := range p.Results {
 		out.Items = append(out.Items, r.ID)
@@ -228,9 +228,9 @@
 	return out
 }
 
-// Page puts a page together from the chunks that Places names; false if a result is
+// Resolve puts a page together from the chunks that Places names; false if a result is
 // not in them.
-func (p Places) Page(chunks []Chunk) (cf.ResultPage, bool) {
+func (p PageRef) Resolve(chunks []Chunk) (cf.ResultPage, bool) {
 	found := map[cf.ItemID]cf.Result{}
 	for _, c := range chunks {
 		for _, r := range c.Results {
--- a/core/cfbatch/batch_test.go
+++ b/core/cfbatch/batch_test.go
@@ -155,7 +155,7 @@
 	sub := submission(3, 2)
 	sub.TargetGroups = 2
 	b := cfbatch.New(sub)
-	var p cfbatch.Pending
+	var p cfbatch.PendingResults
 	for i, id := range []cf.ItemID{"0-0", "0-1", "1-0"} {
 		p.Add(done(id), cf.Millis(i))
 		if p.Due(b, 100) {
@@ -166,7 +166,7 @@
 	if !p.Due(b, 100) {
 		t.Fatal("not due although two groups are whole")
 	}
-	results := p.Take(100)
+	results := p.BeginWrite(100)
 	if p.InDoubt(200) || !p.InDoubt(400) {
 		t.Error("a write is in doubt at once, or never")
 	}
@@ -175,7 +175,7 @@
 	}
 	p.Add(done("2-0"), 20)
 	b.Apply(b.NextChunk(), results)
-	p.Wrote(b, 30)
+	p.EndWrite(b, 30)
 	if p.Len() != 1 || p.Due(b, 100) || !p.Due(b, 5000) {
 		t.Errorf("%d left, due early %v, due late %v", p.Len(), p.Due(b, 100), p.Due(b, 5000))
 	}
@@ -190,12 +190,12 @@
 	sub := submission(5, 1)
 	sub.TargetGroups = 3
 	b := cfbatch.New(sub)
-	b.Carry("4")
-	var p cfbatch.Pending
+	b.CarryOver("4")
+	var p cfbatch.PendingResults
 	for i := range 3 {
 		p.Add(done(sub.Items[i].ID), cf.Millis(i))
 	}
-	if p.Due(b, 10) || b.Enough(p.Missing(b)) {
+	if p.Due(b, 10) || b.EnoughGroups(p.Missing(b)) {
 		t.Error("listed without the group that was carried over")
 	}
 	p.Add(done(sub.Items[4].ID), 20)
@@ -213,7 +213,7 @@
 func TestResultsWaitForEachOtherUntilTheDeadlineNears(t *testing.T) {
 	sub := submission(4, 1)
 	b := cfbatch.New(sub)
-	p := cfbatch.Pending{Deadline: 7500}
+	p := cfbatch.PendingResults{Deadline: 7500}
 	p.Add(done(sub.Items[0].ID), 5000)
 	if p.Due(b, 6700) {
 		t.Error("listed before the others, though there is time")
@@ -221,13 +221,13 @@
 	if !p.Due(b, 6850) {
 		t.Error("not listed in time for a read before the deadline")
 	}
-	b.Apply(b.NextChunk(), p.Take(6850))
-	p.Wrote(b, 6860)
+	b.Apply(b.NextChunk(), p.BeginWrite(6850))
+	p.EndWrite(b, 6860)
 	p.Add(done(sub.Items[1].ID), 7600)
 	if p.Due(b, 7700) || !p.Due(b, 7850) {
 		t.Error("after the deadline what is finished is listed a quarter of a second later")
 	}
-	early := cfbatch.Pending{Deadline: 60000}
+	early := cfbatch.PendingResults{Deadline: 60000}
 	early.Add(done(sub.Items[2].ID), 0)
 	if early.Due(b, 2400) || !early.Due(b, 2500) {
 		t.Error("results wait for longer than they may")
@@ -236,11 +236,11 @@
 
 // A chunk stays under the store's limit whatever its texts are made of.
 func TestChunksAreMeasuredAsTheyAreEncoded(t *testing.T) {
-	var p cfbatch.Pending
+	var p cfbatch.PendingResults
 	for i := range 12 {
 		p.Add(cf.Result{ID: cf.ItemID(fmt.Sprint(i)), Output: strings.Repeat("\x01", 60<<10)}, 0)
 	}
-	raw, err := json.Marshal(cfbatch.Chunk{Results: p.Take(0)})
+	raw, err := json.Marshal(cfbatch.Chunk{Results: p.BeginWrite(0)})
 	if err != nil || len(raw) > 1<<20 {
 		t.Errorf("a chunk of %d bytes, %v", len(raw), err)
 	}
@@ -266,7 +266,7 @@
 	}
 	for after := range 7 {
 		want := b.Page(after)
-		places := b.Places(after, want)
+		places := b.PageRef(after, want)
 		var read []cfbatch.Chunk
 		for _, name := range places.Chunks {
 			n, err := strconv.Atoi(name)
@@ -275,10 +275,10 @@
 			}
 			read = append(read, chunks[n])
 		}
-		if got, ok := places.Page(read); !ok || !reflect.DeepEqual(got, want) {
+		if got, ok := places.Resolve(read); !ok || !reflect.DeepEqual(got, want) {
 			t.Errorf("after %d: %+v, want %+v", after, got, want)
 		}
-		if _, ok := places.Page(nil); ok != (len(want.Results) == 0) {
+		if _, ok := places.Resolve(nil); ok != (len(want.Results) == 0) {
 			t.Errorf("after %d: a page without its chunks is taken as whole", after)
 		}
 	}
--- a/core/cfbatch/fuzz_test.go
+++ b/core/cfbatch/fuzz_test.go
@@ -35,6 +35,6 @@
 			seen[res.ID] = true
 		}
 		_ = b.Page(0)
-		_ = b.Enough(nil)
+		_ = b.EnoughGroups(nil)
 	})
 }
--- a/core/cfbatch/pending.go
+++ b/core/cfbatch/pending.go
@@ -25,8 +25,8 @@
 	flushBytes = 640 << 10
 )
 
-// Pending holds the finished items of a batch that are not in the store yet.
-type Pending struct {
+// PendingResults holds the finished items of a batch that are not in the store yet.
+type PendingResults struct {
 	// Deadline is the Uptime at which the submitter needs the results, zero
 	// if that is not known.
 	Deadline cf.Millis
@@ -38,7 +38,7 @@
 }
 
 // Add takes a finished item.
-func (p *Pending) Add(r cf.Result, now cf.Millis) {
+func (p *PendingResults) Add(r cf.Result, now cf.Millis) {
 	if len(p.results) == 0 {
 		p.since = now
 	}
@@ -65,13 +65,13 @@
 const resultOverhead = 200
 
 // Len counts the items that wait.
-func (p *Pending) Len() int { return len(p.results) }
+func (p *PendingResults) Len() int { return len(p.results) }
 
 // Due says whether to write a chunk now: the groups that the submitter waits
 // for are whole, or the oldest result has waited enough. A submitter that has
 // just read something looks again half a second later, so a chunk with the one
 // group of several that it waits for would hold the others up.
-func (p *Pending) Due(b *Batch, now cf.Millis) bool {
+func (p *PendingResults) Due(b *Batch, now cf.Millis) bool {
 	if p.writing || len(p.results) == 0 {
 		return false
 	}
@@ -82,7 +82,7 @@
 }
 
 // patience is how long a result may wait for others now.
-func (p *Pending) patience(now cf.Millis) cf.Millis {
+func (p *PendingResults) patience(now cf.Millis) cf.Millis {
 	switch {
 	case p.Deadline == 0:
 		return flushAge
@@ -93,11 +93,11 @@
 	}
 }
 
-func (p *Pending) completes(b *Batch) bool {
+func (p *PendingResults) completes(b *Batch) bool {
 	missing := p.Missing(b)
 	for _, left := range missing {
 		if left == 0 {
-			return b.Enough(missing)
+			return b.EnoughGroups(missing)
 		}
 	}
 	return false
@@ -105,22 +105,22 @@
 
 // Missing counts, for each group with items that wait here, those of its items
 // that have no result at all.
-func (p *Pending) Missing(b *Batch) map[cf.GroupID]int {
+func (p *PendingResults) Missing(b *Batch) map[cf.GroupID]int {
 	left := map[cf.GroupID]int{}
 	for _, r := range p.results {
 		it, _ := b.Item(r.ID)
 		n, ok := left[it.Group]
 		if !ok {
-			n = b.GroupLeft(it.Group)
+			n = b.GroupRemaining(it.Group)
 		}
 		left[it.Group] = n - 1
 	}
 	return left
 }
 
-// Take returns the results to write as the next chunk and marks a write as
+// BeginWrite returns the results to write as the next chunk and marks a write as
 // under way; the results stay until Wrote.
-func (p *Pending) Take(now cf.Millis) []cf.Result {
+func (p *PendingResults) BeginWrite(now cf.Millis) []cf.Result {
 	p.writing, p.began = true, now
 	size := 0
 	for i, r := range p.results {
@@ -135,22 +135,22 @@
 // the batch in memory does not.
 const inDoubt cf.Millis = 200
 
-// InDoubt says whether the store may have taken a chunk that the batch does not
+// WriteInDoubt says whether the store may have taken a chunk that the batch does not
 // show yet. An instance that reads the store would show it, and a read from
 // memory afterwards would take it back.
-func (p *Pending) InDoubt(now cf.Millis) bool { return p.writing && now-p.began > inDoubt }
+func (p *PendingResults) InDoubt(now cf.Millis) bool { return p.writing && now-p.began > inDoubt }
 
-// Settle drops the results that the batch lists by now, after its chunks were
+// DropListed drops the results that the batch lists by now, after its chunks were
 // read again: they would be listed twice. A write under way does so at its end.
-func (p *Pending) Settle(b *Batch, now cf.Millis) {
+func (p *PendingResults) DropListed(b *Batch, now cf.Millis) {
 	if !p.writing {
-		p.Wrote(b, now)
+		p.EndWrite(b, now)
 	}
 }
 
-// Wrote ends a write, whatever came of it: the results that the batch lists
+// EndWrite ends a write, whatever came of it: the results that the batch lists
 // by now are dropped, the others wait for the next.
-func (p *Pending) Wrote(b *Batch, now cf.Millis) {
+func (p *PendingResults) EndWrite(b *Batch, now cf.Millis) {
 	p.writing = false
 	var rest []cf.Result
 	p.bytes = 0
--- a/core/cfbatch/succession.go
+++ b/core/cfbatch/succession.go
@@ -8,20 +8,20 @@
 // answers of a slow store, and a small part of the time that a step has.
 const successionTimeout cf.Millis = 1000
 
-// Succession decides when a batch begins that asks for items of batches which are not known
+// StartGate decides when a batch begins that asks for items of batches which are not known
 // to have ended. Its submitter has ended them by then, as only then it asks for their items
 // again, but the word of the end may come later than the batch. What was generated for them
 // is handed on when they end, so a batch that began before would generate it again, beside
 // runs of the same items. The zero value has seen nothing.
-type Succession struct {
+type StartGate struct {
 	until cf.Millis // zero before the first wait
 	asked map[cf.BatchID]bool
 	open  map[cf.BatchID]bool
 }
 
-// Next returns whether the batch may begin, and otherwise which batches the store is to be
+// Check returns whether the batch may begin, and otherwise which batches the store is to be
 // asked for now. holders are the batches that are not known to have ended and hold items of it.
-func (s *Succession) Next(holders []cf.BatchID, now cf.Millis) (begin bool, ask []cf.BatchID) {
+func (s *StartGate) Check(holders []cf.BatchID, now cf.Millis) (begin bool, ask []cf.BatchID) {
 	begin = true
 	for _, id := range holders {
 		if s.open[id] {
@@ -47,14 +47,14 @@
 	return false, ask
 }
 
-// Open takes the store's answer that a batch has not ended: it and its successor are asked for
+// MarkOpen takes the store's answer that a batch has not ended: it and its successor are asked for
 // at the same time.
-func (s *Succession) Open(id cf.BatchID) { s.open[id] = true }
+func (s *StartGate) MarkOpen(id cf.BatchID) { s.open[id] = true }
 
-// Shares says whether b has an item of another batch.
-func (b *Batch) Shares(other *Batch) bool {
+// SharesItems says whether b has an item of another batch.
+func (b *Batch) SharesItems(other *Batch) bool {
 	if len(other.index) < len(b.index) {
-		return other.Shares(b)
+		return other.SharesItems(b)
 	}
 	for id := range b.index {
 		if _, ok := other.index[id]; ok {
--- a/core/cfbatch/succession_test.go
+++ b/core/cfbatch/succession_test.go
@@ -24,7 +24,7 @@
 		{"one of each", [2]cf.Millis{90, 0}, [2]cf.Millis{0, 20}, 90},
 		{"the store is away", [2]cf.Millis{50, 0}, [2]cf.Millis{}, 1 + patience},
 	} {
-		var s cfbatch.Succession
+		var s cfbatch.StartGate
 		asked := map[cf.BatchID]int{}
 		ids := []cf.BatchID{"a", "b"}
 		for now := cf.Millis(1); ; now++ {
@@ -34,10 +34,10 @@
 					holders = append(holders, id)
 				}
 				if now == c.open[i] {
-					s.Open(id)
+					s.MarkOpen(id)
 				}
 			}
-			begin, ask := s.Next(holders, now)
+			begin, ask := s.Check(holders, now)
 			for _, id := range ask {
 				asked[id]++
 			}
@@ -62,7 +62,7 @@
 func TestShares(t *testing.T) {
 	a, b := cfbatch.New(submission(3, 2)), cfbatch.New(submission(1, 1))
 	other := cfbatch.New(cf.Submission{Items: []cf.Item{{ID: "x"}}})
-	if !a.Shares(b) || !b.Shares(a) || a.Shares(other) || other.Shares(a) {
+	if !a.SharesItems(b) || !b.SharesItems(a) || a.SharesItems(other) || other.SharesItems(a) {
 		t.Error("batches share items that they don't have, or none that they have")
 	}
 }
--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -30,23 +30,23 @@
 type (
 	// Limits bound what the planner starts.
 	Limits struct {
-		// CallerPart is the part of a target's slots that reward calls leave
+		// CallerShare is the part of a target's slots that reward calls leave
 		// free: someone waits for each caller's request, and for a reward
 		// only with its whole step.
-		CallerPart float64
+		CallerShare float64
 		// HedgeFactor is how many times the usual time of an answer a call
-		// waits before a second target is asked, HedgeLeast the least of it.
-		HedgeFactor float64
-		HedgeLeast  cf.Millis
-		// NoHedges asks no second target.
-		NoHedges bool
-		// RestFirst is the pause of a target that turned a call away, and of
-		// a call that was lost; it doubles with each in a row up to RestMost.
-		RestFirst cf.Millis
-		RestMost  cf.Millis
-		// ErrorsMost is how many failures in a row make a target suspect. A
+		// waits before a second target is asked, MinHedgeDelay the least of it.
+		HedgeFactor   float64
+		MinHedgeDelay cf.Millis
+		// DisableHedging asks no second target.
+		DisableHedging bool
+		// InitialBackoff is the pause of a target that turned a call away, and of
+		// a call that was lost; it doubles with each in a row up to MaxBackoff.
+		InitialBackoff cf.Millis
+		MaxBackoff     cf.Millis
+		// MaxErrors is how many failures in a row make a target suspect. A
 		// single one is its request's own.
-		ErrorsMost int
+		MaxErrors int
 	}
 
 	// Route is where a reward call goes now.
@@ -56,8 +56,8 @@
 		MaxAttempts int
 	}
 
-	// Site is what the planner must see of the site.
-	Site interface {
+	// Environment is what the planner must see of the site.
+	Environment interface {
 		// Route returns false when no route leads to host and path.
 		Route(call *cf.RewardCall) (Route, bool)
 		// Missing counts the items of a group that have no result yet, listed
@@ -84,10 +84,10 @@
 
 	// Attempt is a call as it is sent to one target.
 	Attempt struct {
-		Call   *Call
-		Target cf.Target
-		Began  cf.Millis
-		Hedge  bool // beside an attempt that takes long
+		Call      *Call
+		Target    cf.Target
+		StartedAt cf.Millis
+		Hedge     bool // beside an attempt that takes long
 	}
 
 	// Outcome is what an attempt came to.
@@ -124,20 +124,20 @@
 	Scored Outcome = iota
 	// Failed: the target ran the call and says that it failed.
 	Failed
-	// Full: the target did not run the call.
-	Full
-	// Lost: no answer, or none that counts.
-	Lost
-	// Stopped: the attempt was given up here.
-	Stopped
+	// Rejected: the target did not run the call.
+	Rejected
+	// NoAnswer: no answer, or none that counts.
+	NoAnswer
+	// Cancelled: the attempt was given up here.
+	Cancelled
 )
 
 // Verdicts on a call.
 const (
-	// Again: the call goes on, or is over already.
-	Again Verdict = iota
-	// Take: this answer scores the text.
-	Take
+	// Continue: the call goes on, or is over already.
+	Continue Verdict = iota
+	// Accept: this answer scores the text.
+	Accept
 	// GiveUp: the attempts that its route allows have failed.
 	GiveUp
 )
@@ -145,7 +145,7 @@
 // DefaultLimits suit services whose answers take some hundred milliseconds. An
 // answer of three times the mean is one in fifty, so few are asked for twice.
 var DefaultLimits = Limits{
-	CallerPart: 1.0 / 3, HedgeFactor: 3, HedgeLeast: 400, RestFirst: 50, RestMost: 1600, ErrorsMost: 3,
+	CallerShare: 1.0 / 3, HedgeFactor: 3, MinHedgeDelay: 400, InitialBackoff: 50, MaxBackoff: 1600, MaxErrors: 3,
 }
 
 // underWayMost is how many targets work on one call at once.
@@ -208,8 +208,8 @@
 // Attempts returns the attempts of a call that are under way.
 func (c *Call) Attempts() []*Attempt { return c.under }
 
-// Place returns the attempts to start now.
-func (p *Planner) Place(site Site, now cf.Millis) []*Attempt {
+// Schedule returns the attempts to start now.
+func (p *Planner) Schedule(site Environment, now cf.Millis) []*Attempt {
 	if len(p.calls) == 0 {
 		return nil
 	}
@@ -245,7 +245,7 @@
 // ranked returns the calls in the order in which they are sent: those that wait
 // before second attempts, the batches accepted first before others, the groups
 // that lack least before others.
-func (p *Planner) ranked(site Site) []*Call {
+func (p *Planner) ranked(site Environment) []*Call {
 	type ranked struct {
 		call    *Call
 		missing int
@@ -272,13 +272,13 @@
 
 // overdue says whether a call that is under way should be asked for elsewhere.
 func (p *Planner) overdue(c *Call, now cf.Millis) bool {
-	return !p.limits.NoHedges && len(c.under) < underWayMost && p.late(c.under[0], now)
+	return !p.limits.DisableHedging && len(c.under) < underWayMost && p.late(c.under[0], now)
 }
 
 // late says whether an attempt has taken much longer than usual.
 func (p *Planner) late(a *Attempt, now cf.Millis) bool {
 	usual := p.balancer.Throughput([]cf.Target{a.Target}, now).Work
-	return now-a.Began >= max(cf.Millis(usual*p.limits.HedgeFactor), p.limits.HedgeLeast)
+	return now-a.StartedAt >= max(cf.Millis(usual*p.limits.HedgeFactor), p.limits.MinHedgeDelay)
 }
 
 // findSilent notes the targets that owe an answer: until it comes, or is given
@@ -329,10 +329,10 @@
 
 // most is how many calls a target gets at once, at least one.
 func (p *Planner) most(t cf.Target) int {
-	if p.limits.CallerPart == 0 {
+	if p.limits.CallerShare == 0 {
 		return max(t.Slots, 1)
 	}
-	return max(t.Slots-max(int(float64(t.Slots)*p.limits.CallerPart+0.5), 1), 1)
+	return max(t.Slots-max(int(float64(t.Slots)*p.limits.CallerShare+0.5), 1), 1)
 }
 
 func (p *Planner) of(t cf.Target) *target {
@@ -345,7 +345,7 @@
 }
 
 func (p *Planner) start(c *Call, t cf.Target, hedge bool, now cf.Millis) *Attempt {
-	a := &Attempt{Call: c, Target: t, Began: now, Hedge: hedge}
+	a := &Attempt{Call: c, Target: t, StartedAt: now, Hedge: hedge}
 	c.under = append(c.under, a)
 	c.Sends++
 	p.of(t).underWay++
@@ -359,12 +359,12 @@
 	c := a.Call
 	c.under = slices.DeleteFunc(c.under, func(x *Attempt) bool { return x == a })
 	if c.over {
-		return Again
+		return Continue
 	}
 	switch o {
 	case Scored:
 		p.end(c)
-		return Take
+		return Accept
 	case Failed:
 		c.Failures++
 		c.failedAt[a.Target.ID] = true
@@ -372,11 +372,11 @@
 			p.end(c)
 			return GiveUp
 		}
-	case Lost:
-		c.rest = now + p.limits.RestFirst.Doubled(c.lost, p.limits.RestMost)
+	case NoAnswer:
+		c.rest = now + p.limits.InitialBackoff.Doubled(c.lost, p.limits.MaxBackoff)
 		c.lost++
 	}
-	return Again
+	return Continue
 }
 
 func (p *Planner) end(c *Call) {
@@ -400,27 +400,27 @@
 		if o == Scored {
 			s.errors = 0
 		}
-		if s.errors >= p.limits.ErrorsMost {
+		if s.errors >= p.limits.MaxErrors {
 			s.limit = 1
 			p.pause(s, now)
 			outcome = cfbalance.Failed
 		}
-	case Full:
+	case Rejected:
 		s.limit = max(s.limit/2, 1)
 		p.pause(s, now)
 		outcome = cfbalance.Full
-	case Lost:
+	case NoAnswer:
 		s.limit = 1
 		p.pause(s, now)
 		outcome = cfbalance.Failed
-	case Stopped:
+	case Cancelled:
 		outcome = cfbalance.Abandoned
 	}
-	p.balancer.Done(a.Target.ID, outcome, load, now-a.Began, now)
+	p.balancer.Done(a.Target.ID, outcome, load, now-a.StartedAt, now)
 }
 
 func (p *Planner) pause(s *target, now cf.Millis) {
-	s.rest = now + p.limits.RestFirst.Doubled(s.misses, p.limits.RestMost)
+	s.rest = now + p.limits.InitialBackoff.Doubled(s.misses, p.limits.MaxBackoff)
 	s.misses++
 }
 
--- a/core/cfreward/reward_test.go
+++ b/core/cfreward/reward_test.go
@@ -105,9 +105,9 @@
 	switch {
 	case s.shut[id] || s.running(id, now) >= a.Target.Slots:
 		s.refused++
-		s.ends[a], s.outcomes[a] = now+tick, cfreward.Full
+		s.ends[a], s.outcomes[a] = now+tick, cfreward.Rejected
 	case s.silent[id]:
-		s.ends[a], s.outcomes[a] = now+3000, cfreward.Lost
+		s.ends[a], s.outcomes[a] = now+3000, cfreward.NoAnswer
 	case s.failing[id]:
 		s.ends[a], s.outcomes[a] = now+s.workTime(200), cfreward.Failed
 	default:
@@ -142,15 +142,15 @@
 			case cfreward.GiveUp:
 				givenUp++
 				took = now
-			case cfreward.Take:
+			case cfreward.Accept:
 				took = now
 				for _, other := range a.Call.Attempts() {
-					s.ends[other], s.outcomes[other] = now+1, cfreward.Stopped
+					s.ends[other], s.outcomes[other] = now+1, cfreward.Cancelled
 				}
-			case cfreward.Again:
+			case cfreward.Continue:
 			}
 		}
-		for _, a := range p.Place(s, now) {
+		for _, a := range p.Schedule(s, now) {
 			s.start(a, now)
 		}
 		if now%150 == 0 {
@@ -264,7 +264,7 @@
 	}
 	var order []cf.ItemID
 	for now := cf.Millis(0); p.Len() > 0 && now < 1000; now += 10 {
-		for _, a := range p.Place(s, now) {
+		for _, a := range p.Schedule(s, now) {
 			order = append(order, a.Call.Item.ID)
 			p.Done(a, cfreward.Scored, nil, now)
 		}
@@ -282,16 +282,16 @@
 	p, s := cfreward.New(cfreward.DefaultLimits), fleet(2, 3)
 	first := step("s", 0, 1, 1)
 	p.Add(first, first.Sub.Items[0], 0)
-	a := p.Place(s, 0)[0]
+	a := p.Schedule(s, 0)[0]
 	if dropped := p.DropBatch("s"); len(dropped) != 1 {
 		t.Fatalf("%d calls dropped", len(dropped))
 	}
-	if more := p.Place(s, 100); len(more) > 0 {
+	if more := p.Schedule(s, 100); len(more) > 0 {
 		t.Error("a dropped call is sent")
 	}
 	second := cfbatch.New(cf.Submission{ID: "next", Items: first.Sub.Items})
 	p.Add(second, second.Sub.Items[0], 200)
-	if v := p.Done(a, cfreward.Scored, nil, 210); v != cfreward.Again || p.Len() != 1 {
+	if v := p.Done(a, cfreward.Scored, nil, 210); v != cfreward.Continue || p.Len() != 1 {
 		t.Errorf("verdict %d on a late answer, %d calls left", v, p.Len())
 	}
 }
@@ -305,7 +305,7 @@
 	for _, it := range b.Sub.Items {
 		p.Add(b, it, 0)
 	}
-	if n := len(p.Place(s, 0)); n > 0 {
+	if n := len(p.Schedule(s, 0)); n > 0 {
 		t.Errorf("%d calls sent without a route", n)
 	}
 	limit := func(*cfbatch.Batch) cf.Millis { return 500 }
@@ -332,6 +332,6 @@
 		for _, it := range batch.Sub.Items {
 			p.Add(batch, it, 0)
 		}
-		p.Place(s, 0)
+		p.Schedule(s, 0)
 	}
 }
--- a/core/cfrollout/demand.go
+++ b/core/cfrollout/demand.go
@@ -79,7 +79,7 @@
 func (p *Planner) stepDemand(o *open) StepDemand {
 	sub := &o.batch.Sub
 	s := StepDemand{
-		Batch: sub.ID, Model: sub.Model, Accepted: sub.Accepted, Groups: max(sub.TargetGroups-o.batch.WholeGroups(), 0),
+		Batch: sub.ID, Model: sub.Model, Accepted: sub.Accepted, Groups: max(sub.TargetGroups-o.batch.CompleteGroups(), 0),
 		Waiting: len(o.waiting), Running: len(o.running),
 	}
 	for _, it := range sub.Items {
--- a/core/cfrollout/goodput.go
+++ b/core/cfrollout/goodput.go
@@ -266,7 +266,7 @@
 		if !known {
 			i = len(n.groups)
 			at[w.Item.Group] = i
-			n.groups = append(n.groups, groupNeed{id: w.Item.Group, carried: o.batch.Carried(w.Item.Group)})
+			n.groups = append(n.groups, groupNeed{id: w.Item.Group, carried: o.batch.CarriedOver(w.Item.Group)})
 		}
 		left := p.boundedLeft(w) * pace
 		n.groups[i].work += left
@@ -280,9 +280,9 @@
 	}
 	target := o.batch.Sub.TargetGroups
 	if target == 0 { // not given: all groups are waited for
-		target = o.batch.Groups()
+		target = o.batch.GroupCount()
 	}
-	n.want = max(target-(o.batch.Groups()-len(n.groups)), 0)
+	n.want = max(target-(o.batch.GroupCount()-len(n.groups)), 0)
 	return n
 }
 
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -357,7 +357,7 @@
 	return ready
 }
 
-// SetTerms takes what the configuration now in force says of an open batch. A
+// SetPolicy takes what the configuration now in force says of an open batch. A
 // batch whose route is gone starts nothing more: its items may go nowhere.
 func (p *Planner) SetTerms(id cf.BatchID, terms Terms, routed bool) {
 	o := p.batches[id]
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -18,7 +18,7 @@
 type session struct {
 	planner *cfrollout.Planner
 	batches map[cf.BatchID]*cfbatch.Batch
-	pending map[cf.BatchID]*cfbatch.Pending
+	pending map[cf.BatchID]*cfbatch.PendingResults
 	running map[cf.ItemID]*cfrollout.Work
 	now     cf.Millis
 }
@@ -39,7 +39,7 @@
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &session{
 			planner: cfrollout.New(cfrollout.DefaultLimits), batches: map[cf.BatchID]*cfbatch.Batch{},
-			pending: map[cf.BatchID]*cfbatch.Pending{}, running: map[cf.ItemID]*cfrollout.Work{},
+			pending: map[cf.BatchID]*cfbatch.PendingResults{}, running: map[cf.ItemID]*cfrollout.Work{},
 		}
 		datadriven.RunTest(t, path, s.run)
 	})
@@ -107,7 +107,7 @@
 func (s *session) submit(id cf.BatchID, m cf.ModelName, least cf.WeightVersion, groups, size, want int) string {
 	b := step(id, m, least, groups, size)
 	b.Sub.TargetGroups = want
-	s.batches[id], s.pending[id] = b, &cfbatch.Pending{}
+	s.batches[id], s.pending[id] = b, &cfbatch.PendingResults{}
 	ready := s.planner.AddBatch(b, terms)
 	return fmt.Sprintf("%d items, %d ready\n", len(b.Sub.Items), len(ready))
 }
@@ -146,13 +146,13 @@
 			continue
 		}
 		at, name := b.Page(0).Next, b.NextChunk()
-		results := p.Take(s.now)
+		results := p.BeginWrite(s.now)
 		b.Apply(name, results)
-		p.Wrote(b, s.now)
+		p.EndWrite(b, s.now)
 		for i, r := range results {
 			out = append(out, fmt.Sprintf("%s position %d: %s %s by versions %v\n", id, at+i, r.ID, r.State, r.Versions))
 		}
-		out = append(out, fmt.Sprintf("%s: %d groups whole\n", id, b.WholeGroups()))
+		out = append(out, fmt.Sprintf("%s: %d groups whole\n", id, b.CompleteGroups()))
 	}
 	return sorted(out)
 }
--- a/core/cfscale/cfscale.go
+++ b/core/cfscale/cfscale.go
@@ -83,21 +83,21 @@
 	CauseSteps Cause = "steps"
 	// CauseReclaim: reclaimable engines leave, and steps need others.
 	CauseReclaim Cause = "reclaim"
-	// CauseNone: the platform had none of a pool.
-	CauseNone Cause = "none_available"
+	// CauseUnavailable: the platform had none of a pool.
+	CauseUnavailable Cause = "none_available"
 	// CauseSurplus: steps did not need all for a while.
 	CauseSurplus Cause = "surplus"
-	// CauseKept: a holder before wanted it.
-	CauseKept Cause = "kept"
+	// CauseInherited: a holder before wanted it.
+	CauseInherited Cause = "kept"
 )
 
 type (
-	// Terms bound what may be ordered of a service, and say what it costs.
-	Terms struct {
+	// Policy bound what may be ordered of a service, and say what it costs.
+	Policy struct {
 		Service cf.ServiceName
 		// Min and Max bound the engines of each failure domain, of both kinds together.
 		Min, Max int
-		Boot     cf.Millis
+		BootTime cf.Millis
 		// SpotPrice is the price of a reclaimable engine as a part of a firm one's, zero
 		// where there are none; DomainPrices multiply both.
 		SpotPrice    float64
@@ -110,28 +110,28 @@
 	// Cause is why orders changed.
 	Cause string
 
-	// Why says what decided a look, for the log.
-	Why struct {
+	// Rationale says what decided a look, for the log.
+	Rationale struct {
 		// Cause is empty if nothing changed.
 		Cause Cause
 		// Need is how many engines the open steps need, Recent the most of the last
 		// while, Target how many there should be.
-		Need, Recent float64
-		// Shown is how many they needed as recent steps have shown, zero where too few
+		Need, RecentNeed float64
+		// ObservedNeed is how many they needed as recent steps have shown, zero where too few
 		// have ended.
-		Shown float64
-		// Worst is the longest that a recent step took, as a part of its time.
-		Worst  float64
-		Target int
+		ObservedNeed float64
+		// WorstStep is the longest that a recent step took, as a part of its time.
+		WorstStep float64
+		Desired   int
 		// Serving and Booting are those that are there and that were ordered.
 		Serving, Booting int
-		// Earns and Costs are what one more engine earns and costs in a second.
-		Earns, Costs float64
+		// MarginalValue and Costs are what one more engine earns and costs in a second.
+		MarginalValue, MarginalCost float64
 	}
 
 	// Decider decides for one service. It is not safe for concurrent use.
 	Decider struct {
-		terms Terms
+		terms Policy
 		// follows: a holder before has seen how steps go, and ordered what they needed.
 		follows bool
 		needs   []pastNeed
@@ -171,7 +171,7 @@
 
 // NewDecider returns the decider of a duty that begins at now; follows says that another had
 // it before.
-func NewDecider(terms Terms, now cf.Millis, follows bool) *Decider {
+func NewDecider(terms Policy, now cf.Millis, follows bool) *Decider {
 	return &Decider{
 		terms: terms, follows: follows, found: map[cf.EnginePool]int{}, raised: map[cf.EnginePool]cf.Millis{}, refused: map[cf.EnginePool]cf.Millis{},
 		repeats: map[cf.EnginePool]repeat{}, prior: map[cf.EnginePool]int{}, lower: map[cf.EnginePool]int{},
@@ -179,12 +179,12 @@
 	}
 }
 
-// SetTerms takes what the configuration now in force says.
-func (d *Decider) SetTerms(t Terms) { d.terms = t }
+// SetPolicy takes what the configuration now in force says.
+func (d *Decider) SetPolicy(t Policy) { d.terms = t }
 
-// Missing returns the pools whose order is to be repeated: engines that were ordered have not
+// PoolsToReorder returns the pools whose order is to be repeated: engines that were ordered have not
 // come, or were reclaimed a while ago.
-func (d *Decider) Missing(now cf.Millis, demand Demand, kept Kept) []cf.EnginePool {
+func (d *Decider) PoolsToReorder(now cf.Millis, demand Demand, kept StoredState) []cf.EnginePool {
 	var out []cf.EnginePool
 	for _, o := range kept.Orders {
 		pool := o.EnginePool
@@ -209,11 +209,11 @@
 }
 
 // bootTime is how long an ordered engine counts as coming.
-func (d *Decider) bootTime() cf.Millis { return bootFactor*d.terms.Boot + bootSlack }
+func (d *Decider) bootTime() cf.Millis { return bootFactor*d.terms.BootTime + bootSlack }
 
-// Given notes that an order for a pool was given: its engines come from now on, whether it
+// OrderSent notes that an order for a pool was given: its engines come from now on, whether it
 // was answered or not.
-func (d *Decider) Given(p cf.EnginePool, now cf.Millis) {
+func (d *Decider) OrderSent(p cf.EnginePool, now cf.Millis) {
 	if d.repeats[p].pause == 0 {
 		d.raised[p] = now
 	}
@@ -229,10 +229,10 @@
 	}
 }
 
-// Look returns what should have been ordered of the service's pools, given what was.
-func (d *Decider) Look(now cf.Millis, demand Demand, kept Kept) ([]cf.EngineOrder, Why) {
+// Decide returns what should have been ordered of the service's pools, given what was.
+func (d *Decider) Decide(now cf.Millis, demand Demand, kept StoredState) ([]cf.EngineOrder, Rationale) {
 	p := &plan{Decider: d, now: now, demand: demand, kept: map[cf.EnginePool]int{}, wanted: map[cf.EnginePool]int{}}
-	for _, o := range kept.Found {
+	for _, o := range kept.Preexisting {
 		if o.Service == d.terms.Service && !d.restored {
 			d.found[o.EnginePool] = max(d.found[o.EnginePool], o.Count)
 		}
@@ -257,14 +257,14 @@
 		d.found[pool] = max(d.found[pool], n)
 	}
 	p.domains = p.allDomains()
-	d.history.note(now, demand.Open, p.serving())
+	d.history.note(now, demand.OpenSteps, p.serving())
 	seen := needOf(demand, d.terms.GroupValue)
 	n := seen
 	recent := d.note(now, n)
 	if n.unsure {
 		d.unsure = now
 	}
-	why := Why{Need: n.engines, Recent: recent.engines, Serving: p.serving(), Booting: p.booting(), Worst: d.history.worst(now)}
+	why := Rationale{Need: n.engines, RecentNeed: recent.engines, Serving: p.serving(), Booting: p.booting(), WorstStep: d.history.worst(now)}
 	p.withdraw(&why)
 	p.maximum(&why)
 	p.minimum(&why)
@@ -274,7 +274,7 @@
 	shown, ok := d.history.prompt(now)
 	if ok {
 		n.engines = min(shown, recent.engines)
-		why.Shown = shown
+		why.ObservedNeed = shown
 	}
 	p.grow(n, ok, &why)
 	if why.Cause == "" {
@@ -303,8 +303,8 @@
 	return most
 }
 
-// Found returns the engines that were there before any were ordered.
-func (d *Decider) Found() []cf.EngineOrder {
+// Preexisting returns the engines that were there before any were ordered.
+func (d *Decider) Preexisting() []cf.EngineOrder {
 	out := make([]cf.EngineOrder, 0, len(d.found))
 	for pool, n := range d.found {
 		out = append(out, cf.EngineOrder{EnginePool: pool, Count: n})
--- a/core/cfscale/decider_test.go
+++ b/core/cfscale/decider_test.go
@@ -23,27 +23,27 @@
 		}
 	}
 	for i := range steps {
-		d.Open = append(d.Open, cfscale.OpenStep{StepDemand: cfrollout.StepDemand{Batch: cf.BatchID(fmt.Sprint(i)), Groups: 12, Events: 5400, Left: 2700, Longest: 40}, Due: due})
+		d.OpenSteps = append(d.OpenSteps, cfscale.OpenStep{StepDemand: cfrollout.StepDemand{Batch: cf.BatchID(fmt.Sprint(i)), Groups: 12, Events: 5400, Left: 2700, Longest: 40}, Due: due})
 	}
 	return d
 }
 
 // follow shows a decider one demand for so long, and takes every order but those that react
 // refuses. It returns what is wanted at last.
-func follow(d *cfscale.Decider, from, until cf.Millis, demand cfscale.Demand, kept cfscale.Kept, refuse func(cf.EngineOrder) bool) cfscale.Kept {
+func follow(d *cfscale.Decider, from, until cf.Millis, demand cfscale.Demand, kept cfscale.StoredState, refuse func(cf.EngineOrder) bool) cfscale.StoredState {
 	for now := from; now < until; now += replayLook {
-		orders, _ := d.Look(now, demand, kept)
+		orders, _ := d.Decide(now, demand, kept)
 		for _, o := range orders {
 			if refuse != nil && refuse(o) {
 				d.Refused(o.EnginePool, now)
 			}
 		}
-		kept = cfscale.Kept{Orders: orders, Found: d.Found()}
+		kept = cfscale.StoredState{Orders: orders, Preexisting: d.Preexisting()}
 	}
 	return kept
 }
 
-func counts(k cfscale.Kept) map[cf.EnginePool]int {
+func counts(k cfscale.StoredState) map[cf.EnginePool]int {
 	out := map[cf.EnginePool]int{}
 	for _, o := range k.Orders {
 		out[o.EnginePool] = o.Count
@@ -54,14 +54,14 @@
 // Symptom: an order that counts fewer engines than are there makes the platform take some
 // away; one that can't be carried out keeps others from being ordered.
 func TestOrdersOfOneDemand(t *testing.T) {
-	terms := cfscale.Terms{
-		Service: "s", Min: 1, Max: 20, Boot: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2,
+	terms := cfscale.Policy{
+		Service: "s", Min: 1, Max: 20, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2,
 		DomainPrices: map[cf.FailureDomain]float64{"a": 1, "b": 1, "c": 1},
 	}
-	least := func(n int) cfscale.Terms { t := terms; t.Min = n; return t }
+	least := func(n int) cfscale.Policy { t := terms; t.Min = n; return t }
 	for _, c := range []struct {
 		name   string
-		terms  cfscale.Terms
+		terms  cfscale.Policy
 		demand cfscale.Demand
 		refuse func(cf.EngineOrder) bool
 		check  func(map[cf.EnginePool]int) bool
@@ -87,7 +87,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := cfscale.NewDecider(c.terms, 0, false)
-			kept := follow(d, 0, 1000, asking(0, 0, 5, 5, 5), cfscale.Kept{}, c.refuse)
+			kept := follow(d, 0, 1000, asking(0, 0, 5, 5, 5), cfscale.StoredState{}, c.refuse)
 			kept = follow(d, 1000, 9_000, c.demand, kept, c.refuse)
 			if m := counts(kept); !c.check(m) {
 				t.Errorf("ordered %v", m)
@@ -99,8 +99,8 @@
 // Symptom: after a change of holder engines are given back that the steps of the holder
 // before needed, or those that were there are counted anew.
 func TestSuccessorKeepsWhatIsWanted(t *testing.T) {
-	terms := cfscale.Terms{Service: "s", Max: 32, Boot: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
-	kept := follow(cfscale.NewDecider(terms, 0, false), 0, 3000, asking(2, 7500, 5, 5, 5), cfscale.Kept{}, nil)
+	terms := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
+	kept := follow(cfscale.NewDecider(terms, 0, false), 0, 3000, asking(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
 	after := follow(cfscale.NewDecider(terms, 3000, true), 3000, 30_000, asking(0, 0, 5, 5, 0), kept, nil)
 	if before, now := counts(kept), counts(after); len(before) == 0 || len(now) != len(before) || now[pool("c", true)] != before[pool("c", true)] {
 		t.Errorf("wanted %v, after the change %v", before, now)
@@ -109,10 +109,10 @@
 
 // Symptom: a refused repeat of an order gives back the engines that are in service.
 func TestRefusedRepeatKeepsEnginesInService(t *testing.T) {
-	terms := cfscale.Terms{Service: "s", Max: 32, Boot: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
+	terms := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
 	for _, all := range []bool{true, false} { // whether all ordered engines came before one was missing
 		d := cfscale.NewDecider(terms, 0, false)
-		kept := follow(d, 0, 9000, asking(2, 7500, 5, 5, 5), cfscale.Kept{}, nil)
+		kept := follow(d, 0, 9000, asking(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
 		raised := pool("a", true)
 		ordered := counts(kept)[raised]
 		if ordered < 2 {
@@ -126,7 +126,7 @@
 			kept = follow(d, 9000, 20_000, demand, kept, nil)
 		}
 		demand.Engines[raised] = ordered - 1
-		if missing := d.Missing(20_000, demand, kept); len(missing) != 1 || missing[0] != raised {
+		if missing := d.PoolsToReorder(20_000, demand, kept); len(missing) != 1 || missing[0] != raised {
 			t.Fatalf("missing %v", missing)
 		}
 		d.Refused(raised, 20_000)
--- a/core/cfscale/explore_test.go
+++ b/core/cfscale/explore_test.go
@@ -36,12 +36,12 @@
 	// orders any more, but a write or an order of its may take effect yet.
 	world struct {
 		rev     cf.Revision
-		kept    *Kept
+		kept    *StoredState
 		ever    map[int]bool // counts that were kept
 		writes  []lateWrite
 		orders  []int // orders under way without an answer
 		has     int   // what the platform was last told, -1 for nothing
-		keeper  Keeper
+		keeper  Reconciler
 		wants   int // zero for nothing
 		now     cf.Millis
 		faults  int
@@ -50,7 +50,7 @@
 
 	lateWrite struct {
 		rev  cf.Revision
-		kept Kept
+		kept StoredState
 	}
 )
 
@@ -93,21 +93,21 @@
 	return nil
 }
 
-func (w *world) wanted() Kept {
+func (w *world) wanted() StoredState {
 	if w.wants == 0 {
-		return Kept{}
+		return StoredState{}
 	}
-	return Kept{Orders: []cf.EngineOrder{{EnginePool: explorePool, Count: w.wants}}}
+	return StoredState{Orders: []cf.EngineOrder{{EnginePool: explorePool, Count: w.wants}}}
 }
 
-func (w *world) step() Step {
+func (w *world) step() Action {
 	c := w.clone()
 	return c.keeper.Next(w.now, w.wanted(), func(cf.ServiceName) bool { return true })
 }
 
 // settled checks a world in which nothing is under way and nothing is due.
 func (w *world) settled() error {
-	if len(w.writes)+len(w.orders) > 0 || w.kept == nil || w.step().Kind != Wait {
+	if len(w.writes)+len(w.orders) > 0 || w.kept == nil || w.step().Kind != ActionWait {
 		return nil
 	}
 	if w.now < max(w.keeper.again[explorePool].until, w.keeper.pending[explorePool].until) {
@@ -164,23 +164,23 @@
 		if len(n.orders) == 0 {
 			n.now += exploreTick
 		}
-		n.keeper, n.wants = *NewKeeper(n.keeper.term+1, n.now), 0
+		n.keeper, n.wants = *NewReconciler(n.keeper.term+1, n.now), 0
 		if fault == succeeds {
 			n.keeper.settled = n.now
 		}
 		return nil
 	})
 	switch step := w.step(); step.Kind {
-	case Read:
+	case ActionRead:
 		add(func(n *world) error {
 			if n.kept == nil {
-				n.keeper.FoundNone()
+				n.keeper.LoadedEmpty()
 				return nil
 			}
-			n.keeper.Found(*n.kept, n.rev)
+			n.keeper.Loaded(*n.kept, n.rev)
 			switch fault {
 			case trusts:
-				n.keeper.Given(n.kept.Orders[0], n.now)
+				n.keeper.OrderAccepted(n.kept.Orders[0], n.now)
 			case unclaimed:
 				n.keeper.kept.Term = n.keeper.term
 			case unsettled:
@@ -188,41 +188,41 @@
 			}
 			return nil
 		})
-	case Keep:
-		l := lateWrite{step.Rev, step.Kept}
+	case ActionWrite:
+		l := lateWrite{step.Rev, step.State}
 		doubt := func(n *world) {
-			if n.keeper.InDoubt(); fault == believes {
-				n.keeper.Written(step.Kept, step.Rev+1)
+			if n.keeper.WriteInDoubt(); fault == believes {
+				n.keeper.Written(step.State, step.Rev+1)
 			}
 		}
 		add(func(n *world) error {
 			if n.write(l) {
-				n.keeper.Written(step.Kept, n.rev)
+				n.keeper.Written(step.State, n.rev)
 			} else {
-				n.keeper.InDoubt()
+				n.keeper.WriteInDoubt()
 			}
 			return nil
 		})
 		faulty(func(n *world) error { n.write(l); doubt(n); return nil })                     // its answer is lost
 		faulty(func(n *world) error { n.writes = append(n.writes, l); doubt(n); return nil }) // it takes effect later
 		faulty(func(n *world) error { doubt(n); return nil })                                 // it is lost
-	case Give:
+	case ActionOrder:
 		doubt := func(n *world) {
-			n.keeper.InDoubtGiven(step.Order, n.now)
+			n.keeper.OrderInDoubt(step.Order, n.now)
 			if fault == unconfirmed {
 				clear(n.keeper.pending)
 			}
 		}
-		add(func(n *world) error { n.keeper.Given(step.Order, n.now); return n.order(step.Order.Count) })
+		add(func(n *world) error { n.keeper.OrderAccepted(step.Order, n.now); return n.order(step.Order.Count) })
 		faulty(func(n *world) error { doubt(n); return n.order(step.Order.Count) })
 		faulty(func(n *world) error { n.orders = append(n.orders, step.Order.Count); doubt(n); return nil })
-		faulty(func(n *world) error { n.keeper.NotGiven(step.Order, n.now); return nil }) // refused
+		faulty(func(n *world) error { n.keeper.OrderRejected(step.Order, n.now); return nil }) // refused
 	}
 	return out, err
 }
 
 func explore(fault seeded) (states, settled int, err error) {
-	start := &world{has: -1, ever: map[int]bool{}, keeper: *NewKeeper(1, 0)}
+	start := &world{has: -1, ever: map[int]bool{}, keeper: *NewReconciler(1, 0)}
 	seen := map[string]bool{start.key(): true}
 	level := []*world{start}
 	for range exploreSteps {
@@ -244,7 +244,7 @@
 				if err := n.settled(); err != nil {
 					return len(seen), settled, err
 				}
-				if n.has > 0 && n.step().Kind == Wait {
+				if n.has > 0 && n.step().Kind == ActionWait {
 					settled++
 				}
 			}
--- a/core/cfscale/need.go
+++ b/core/cfscale/need.go
@@ -38,8 +38,8 @@
 		// Engines counts those in service by pool, also those that have not told their
 		// weights yet, as the platform does; one that drains is gone.
 		Engines map[cf.EnginePool]int
-		// Open are its steps, with their times.
-		Open []OpenStep
+		// OpenSteps are its steps, with their times.
+		OpenSteps []OpenStep
 	}
 
 	// need is how many engines the open steps need to be whole in time if their long texts
@@ -59,10 +59,10 @@
 func needOf(d Demand, groupValue float64) need {
 	var n need
 	if d.Slots == 0 || d.Pace == 0 {
-		return need{unsure: len(d.Open) > 0}
+		return need{unsure: len(d.OpenSteps) > 0}
 	}
 	perEngine := float64(d.Slots) * serving
-	for _, s := range d.Open {
+	for _, s := range d.OpenSteps {
 		if s.Due <= 0 || s.Events == 0 {
 			n.unsure = true
 			continue
--- a/core/cfscale/plan.go
+++ b/core/cfscale/plan.go
@@ -187,7 +187,7 @@
 
 // withdraw takes back what can't be had: of reclaimable engines that leave, and of a pool
 // that had none. It would take the room of others below the failure domain's bound.
-func (p *plan) withdraw(why *Why) {
+func (p *plan) withdraw(why *Rationale) {
 	for pool := range p.demand.Reclaimed {
 		have := p.demand.Engines[pool]
 		p.refused[pool], p.reclaimed = p.now+refusedRest, p.now+refusedRest
@@ -201,14 +201,14 @@
 		n = max(n, p.demand.Engines[pool]) // engines in service are not given back by a refusal
 		if n < p.kept[pool] {
 			p.wanted[pool] = n
-			why.Cause = CauseNone
+			why.Cause = CauseUnavailable
 		}
 		delete(p.lower, pool)
 	}
 }
 
 // maximum takes back orders beyond a bound that was lowered.
-func (p *plan) maximum(why *Why) {
+func (p *plan) maximum(why *Rationale) {
 	for _, d := range p.domains {
 		for _, spot := range []bool{true, false} {
 			pool := p.pool(d, spot)
@@ -222,7 +222,7 @@
 }
 
 // minimum orders what the configuration asks for at the least.
-func (p *plan) minimum(why *Why) {
+func (p *plan) minimum(why *Rationale) {
 	if !p.listed() {
 		return
 	}
@@ -270,9 +270,9 @@
 }
 
 // grow orders as many as are missing, at once, while one more earns more than it costs.
-func (p *plan) grow(n need, shown bool, why *Why) {
-	why.Target = p.total()
-	want, urgent := p.missing(n, shown, why.Target)
+func (p *plan) grow(n need, shown bool, why *Rationale) {
+	why.Desired = p.total()
+	want, urgent := p.missing(n, shown, why.Desired)
 	cause := CauseSteps
 	if p.now < p.reclaimed {
 		cause = CauseReclaim
@@ -290,10 +290,10 @@
 		if earns < costs {
 			break
 		}
-		why.Cause, why.Earns, why.Costs = cause, earns, costs
+		why.Cause, why.MarginalValue, why.MarginalCost = cause, earns, costs
 		p.add(pool)
 	}
-	why.Target = p.total()
+	why.Desired = p.total()
 }
 
 // unopened is how many times as much the steps of all models need as those that are open:
@@ -301,7 +301,7 @@
 // engine that is ordered for the last of them is there a step later.
 func (p *plan) unopened() float64 {
 	models := map[cf.ModelName]bool{}
-	for _, s := range p.demand.Open {
+	for _, s := range p.demand.OpenSteps {
 		models[s.Model] = true
 	}
 	if len(p.history.ended) > 0 || len(models) == 0 || p.demand.Models < len(models) {
@@ -311,7 +311,7 @@
 }
 
 // shrink gives some engines back: those that the steps of the last while did not need.
-func (p *plan) shrink(recent need, why *Why) {
+func (p *plan) shrink(recent need, why *Rationale) {
 	needed, shown := p.history.inTime()
 	rests := p.now-p.began < recentSteps || p.now-p.changed < grownRest || p.now-p.shrunk < shrinkRest || p.now < p.reclaimed
 	if rests || !shown || p.history.worst(p.now) >= late || p.unsure > 0 && p.now-p.unsure < remembered || p.booting() > 0 {
@@ -329,7 +329,7 @@
 			return
 		}
 		p.wanted[pool] = p.count(pool) - 1
-		why.Cause, why.Earns, why.Costs, why.Target = CauseSurplus, earns, costs, p.total()-1
+		why.Cause, why.MarginalValue, why.MarginalCost, why.Desired = CauseSurplus, earns, costs, p.total()-1
 	}
 }
 
--- a/core/cfscale/replay_test.go
+++ b/core/cfscale/replay_test.go
@@ -36,7 +36,7 @@
 		random  *rand.Rand
 		now     cf.Millis
 		decider *cfscale.Decider
-		kept    cfscale.Kept
+		kept    cfscale.StoredState
 		off     bool
 		load    float64
 		engines []*replayEngine
@@ -87,8 +87,8 @@
 func newReplay(engines int, load float64, off bool) *replay {
 	r := &replay{
 		random: rand.New(rand.NewPCG(3, 5)), off: off, load: load, wanted: map[cf.EnginePool]int{},
-		decider: cfscale.NewDecider(cfscale.Terms{
-			Service: "s", Min: 1, Max: 32, Boot: replayBoot, SpotPrice: 0.18, DomainPrices: replayPrices,
+		decider: cfscale.NewDecider(cfscale.Policy{
+			Service: "s", Min: 1, Max: 32, BootTime: replayBoot, SpotPrice: 0.18, DomainPrices: replayPrices,
 			EnginePrice: 0.0055, GroupValue: 2,
 		}, 0, false),
 	}
@@ -217,7 +217,7 @@
 			o.Left += max(it.guess-(it.events-it.left), (it.events-it.left)/2)
 			o.Longest = max(o.Longest, it.guess)
 		}
-		d.Open = append(d.Open, o)
+		d.OpenSteps = append(d.OpenSteps, o)
 	}
 	return d
 }
@@ -227,8 +227,8 @@
 	for _, n := range r.wanted {
 		before += n
 	}
-	orders, _ := r.decider.Look(r.now, r.demand(), r.kept)
-	r.kept = cfscale.Kept{Orders: orders, Found: r.decider.Found()}
+	orders, _ := r.decider.Decide(r.now, r.demand(), r.kept)
+	r.kept = cfscale.StoredState{Orders: orders, Preexisting: r.decider.Preexisting()}
 	after := before
 	for _, o := range orders {
 		has := r.wanted[o.EnginePool]
--- a/core/cfusage/keeper.go
+++ b/core/cfusage/keeper.go
@@ -22,7 +22,7 @@
 const keptMost = 120
 
 type (
-	// StepKind is what a keeper does next.
+	// ActionKind is what a keeper does next.
 	StepKind int
 
 	// Step is a keeper's next step.
@@ -67,7 +67,7 @@
 	}
 )
 
-// NewKeeper returns the keeper of a duty that begins.
+// NewReconciler returns the keeper of a duty that begins.
 func NewKeeper(terms Terms) *Keeper {
 	return &Keeper{terms: terms, sent: map[cf.UsageWindow]bool{}, again: map[cf.UsageWindow]cf.Millis{}}
 }
@@ -113,7 +113,7 @@
 // Found takes what was read, or written with an answer.
 func (k *Keeper) Found(kept Kept, rev cf.Revision) { k.known, k.kept, k.rev = true, kept, rev }
 
-// FoundNone notes that nothing lies in the store yet: the first window to be reported is
+// LoadedEmpty notes that nothing lies in the store yet: the first window to be reported is
 // the one of now, or the oldest that was counted.
 func (k *Keeper) FoundNone(now cf.Millis, a *Account) {
 	first := cf.WindowOf(now, k.terms.Length)
@@ -123,7 +123,7 @@
 	k.Found(Kept{Settled: first - 1}, 0)
 }
 
-// InDoubt notes that a write had no answer, or met another: what lies in the store is to
+// WriteInDoubt notes that a write had no answer, or met another: what lies in the store is to
 // be read.
 func (k *Keeper) InDoubt() { k.known = false }
 
--- a/io/cfautoscale/cfautoscale.go
+++ b/io/cfautoscale/cfautoscale.go
@@ -61,7 +61,7 @@
 		// known.
 		Demand func(cf.ServiceName) (cfscale.Demand, bool)
 		// Terms are those of the services whose engines may be ordered.
-		Terms   func() map[cf.ServiceName]cfscale.Terms
+		Terms   func() map[cf.ServiceName]cfscale.Policy
 		Metrics *Metrics
 		Log     *zap.Logger
 	}
@@ -74,10 +74,10 @@
 		wg     cflog.Group
 
 		// What follows is the loop's alone.
-		keeper   *cfscale.Keeper
+		keeper   *cfscale.Reconciler
 		deciders map[cf.ServiceName]*cfscale.Decider
 		// why is what last changed the orders of a service.
-		why map[cf.ServiceName]cfscale.Why
+		why map[cf.ServiceName]cfscale.Rationale
 		// warned is when each warning was last logged, without those whose cause has ended.
 		warned map[string]cf.Millis
 	}
@@ -118,8 +118,8 @@
 func New(o Options) *Duty {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Duty{
-		Options: o, ctx: ctx, cancel: cancel, keeper: cfscale.NewKeeper(o.Act.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
-		why: map[cf.ServiceName]cfscale.Why{}, warned: map[string]cf.Millis{},
+		Options: o, ctx: ctx, cancel: cancel, keeper: cfscale.NewReconciler(o.Act.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
+		why: map[cf.ServiceName]cfscale.Rationale{}, warned: map[string]cf.Millis{},
 	}
 }
 
@@ -153,20 +153,20 @@
 	if len(terms) == 0 {
 		return // nothing may be ordered, and nothing is read
 	}
-	if kept, known := d.keeper.Kept(); known {
+	if kept, known := d.keeper.Stored(); known {
 		d.act(d.decide(terms, kept), terms)
 		return
 	}
 	if d.read() {
-		kept, _ := d.keeper.Kept()
+		kept, _ := d.keeper.Stored()
 		d.act(d.decide(terms, kept), terms)
 	}
 }
 
 // decide returns what is wanted.
-func (d *Duty) decide(terms map[cf.ServiceName]cfscale.Terms, kept cfscale.Kept) cfscale.Kept {
+func (d *Duty) decide(terms map[cf.ServiceName]cfscale.Policy, kept cfscale.StoredState) cfscale.StoredState {
 	now := cf.Uptime()
-	var wanted cfscale.Kept
+	var wanted cfscale.StoredState
 	var target, serving, need float64
 	for service, t := range terms {
 		decider := d.deciders[service]
@@ -174,23 +174,23 @@
 			decider = cfscale.NewDecider(t, now, d.Follows)
 			d.deciders[service] = decider
 		}
-		decider.SetTerms(t)
+		decider.SetPolicy(t)
 		demand, known := d.Demand(service)
 		if !known {
 			continue
 		}
-		orders, why := decider.Look(now, demand, kept)
+		orders, why := decider.Decide(now, demand, kept)
 		if why.Cause != "" || d.why[service].Cause == "" {
 			d.why[service] = why
 		}
-		for _, pool := range decider.Missing(now, demand, kept) {
+		for _, pool := range decider.PoolsToReorder(now, demand, kept) {
 			d.Log.Info("engines_missing", zap.String("service", string(pool.Service)), zap.String("failure_domain", string(pool.Domain)),
 				zap.Bool("spot", pool.Spot), zap.Int("in_service", demand.Engines[pool]))
-			d.keeper.Repeat(pool)
+			d.keeper.RepeatOrder(pool)
 		}
 		wanted.Orders = append(wanted.Orders, orders...)
-		wanted.Found = append(wanted.Found, decider.Found()...)
-		target, serving, need = target+float64(why.Target), serving+float64(why.Serving), need+why.Need
+		wanted.Preexisting = append(wanted.Preexisting, decider.Preexisting()...)
+		target, serving, need = target+float64(why.Desired), serving+float64(why.Serving), need+why.Need
 	}
 	d.Metrics.Wanted.Set(target)
 	d.Metrics.Serving.Set(serving)
@@ -199,20 +199,20 @@
 }
 
 // act does what is due until nothing is.
-func (d *Duty) act(wanted cfscale.Kept, terms map[cf.ServiceName]cfscale.Terms) {
+func (d *Duty) act(wanted cfscale.StoredState, terms map[cf.ServiceName]cfscale.Policy) {
 	may := func(s cf.ServiceName) bool { _, ok := terms[s]; return ok }
 	for d.ctx.Err() == nil && d.MayAct() {
 		step := d.keeper.Next(cf.Uptime(), wanted, may)
 		switch step.Kind {
-		case cfscale.Keep:
+		case cfscale.ActionWrite:
 			if !d.keep(step) {
 				return
 			}
-		case cfscale.Give:
+		case cfscale.ActionOrder:
 			if !d.give(step.Order) {
 				return
 			}
-		case cfscale.Read: // at the next look: what is wanted follows from it
+		case cfscale.ActionRead: // at the next look: what is wanted follows from it
 			return
 		default:
 			return
@@ -223,7 +223,7 @@
 // read reads what lies in the store.
 func (d *Duty) read() bool {
 	r, err := d.Store.Get(d.ctx, cf.KindScaling, wantedName)
-	var kept cfscale.Kept
+	var kept cfscale.StoredState
 	if err == nil {
 		if err = json.Unmarshal(r.Spec, &kept); err != nil {
 			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", wantedName, err)
@@ -231,12 +231,12 @@
 	}
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		d.keeper.FoundNone()
+		d.keeper.LoadedEmpty()
 	case err != nil:
 		d.warn(warnNotRead, err)
 		return false
 	default:
-		d.keeper.Found(kept, r.Rev)
+		d.keeper.Loaded(kept, r.Rev)
 		d.Log.Info("engines_wanted_read", zap.Int64("term", int64(d.Act.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", kept.Orders))
 	}
 	delete(d.warned, warnNotRead)
@@ -254,22 +254,22 @@
 }
 
 // keep writes what is wanted.
-func (d *Duty) keep(step cfscale.Step) bool {
+func (d *Duty) keep(step cfscale.Action) bool {
 	var r cf.Record
 	var err error
 	if step.Rev == 0 {
-		r, err = d.Store.Create(d.ctx, cf.KindScaling, wantedName, step.Kept)
+		r, err = d.Store.Create(d.ctx, cf.KindScaling, wantedName, step.State)
 	} else {
-		r, err = d.Store.Replace(d.ctx, cf.KindScaling, wantedName, step.Rev, step.Kept)
+		r, err = d.Store.Replace(d.ctx, cf.KindScaling, wantedName, step.Rev, step.State)
 	}
 	if err != nil || r.Rev == 0 {
-		d.keeper.InDoubt()
+		d.keeper.WriteInDoubt()
 		d.warn(warnUnconfirmed, err)
 		return false
 	}
 	delete(d.warned, warnUnconfirmed)
-	d.keeper.Written(step.Kept, r.Rev)
-	d.Log.Info("engines_wanted_kept", zap.Int64("term", int64(d.Act.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", step.Kept.Orders))
+	d.keeper.Written(step.State, r.Rev)
+	d.Log.Info("engines_wanted_kept", zap.Int64("term", int64(d.Act.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", step.State.Orders))
 	return true
 }
 
@@ -295,28 +295,28 @@
 	why := d.why[o.Service]
 	cause := why.Cause
 	if cause == "" {
-		cause = cfscale.CauseKept
+		cause = cfscale.CauseInherited
 	}
 	d.Metrics.Orders.WithLabelValues(string(cause), outcome).Inc()
 	d.Log.Info("engines_ordered", zap.String("service", string(o.Service)), zap.String("failure_domain", string(o.Domain)), zap.Bool("spot", o.Spot),
 		zap.Int("count", o.Count), zap.Int64("term", int64(d.Act.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
-		zap.Float64("need", why.Need), zap.Float64("need_recent", why.Recent), zap.Float64("need_shown", why.Shown), zap.Float64("worst_step", why.Worst), zap.Int("target", why.Target), zap.Int("in_service", why.Serving),
-		zap.Int("booting", why.Booting), zap.Float64("earns", why.Earns), zap.Float64("costs", why.Costs),
+		zap.Float64("need", why.Need), zap.Float64("need_recent", why.RecentNeed), zap.Float64("need_shown", why.ObservedNeed), zap.Float64("worst_step", why.WorstStep), zap.Int("target", why.Desired), zap.Int("in_service", why.Serving),
+		zap.Int("booting", why.Booting), zap.Float64("earns", why.MarginalValue), zap.Float64("costs", why.MarginalCost),
 		zap.Int64("took_ms", time.Since(began).Milliseconds()), cflog.Error(err))
 	now, decider := cf.Uptime(), d.deciders[o.Service]
 	if decider != nil && errors.Is(err, cf.ErrConflict) {
 		decider.Refused(o.EnginePool, now)
 	} else if decider != nil {
-		decider.Given(o.EnginePool, now)
+		decider.OrderSent(o.EnginePool, now)
 	}
 	switch {
 	case err == nil:
-		d.keeper.Given(o, now)
+		d.keeper.OrderAccepted(o, now)
 		return true
 	case errors.Is(err, cf.ErrUnavailable):
-		d.keeper.InDoubtGiven(o, now)
+		d.keeper.OrderInDoubt(o, now)
 	default:
-		d.keeper.NotGiven(o, now)
+		d.keeper.OrderRejected(o, now)
 	}
 	// Others may be taken where one was refused; without an answer they would wait for
 	// theirs in vain.
--- a/io/cfautoscale/cfautoscale_test.go
+++ b/io/cfautoscale/cfautoscale_test.go
@@ -45,15 +45,15 @@
 
 func duty(store cf.Store, scaling cf.Scaling, may *bool, scales *bool) *Duty {
 	d := cfscale.Demand{Demand: cfrollout.Demand{Service: "s", Slots: 6, Pace: 50}, Engines: map[cf.EnginePool]int{{Service: "s", Domain: "a"}: 2}}
-	d.Open = []cfscale.OpenStep{{StepDemand: cfrollout.StepDemand{Groups: 12, Events: 5400, Left: 5400, Longest: 40}, Due: 7500}}
+	d.OpenSteps = []cfscale.OpenStep{{StepDemand: cfrollout.StepDemand{Groups: 12, Events: 5400, Left: 5400, Longest: 40}, Due: 7500}}
 	return New(Options{
 		Act: cf.Act{Holder: "e", Fence: 3}, Store: store, Scaling: scaling, MayAct: func() bool { return *may }, Ordered: func() {},
 		Demand: func(cf.ServiceName) (cfscale.Demand, bool) { return d, true },
-		Terms: func() map[cf.ServiceName]cfscale.Terms {
+		Terms: func() map[cf.ServiceName]cfscale.Policy {
 			if !*scales {
 				return nil
 			}
-			return map[cf.ServiceName]cfscale.Terms{"s": {Service: "s", Max: 32, Boot: 4000, SpotPrice: 0.2, EnginePrice: 0.0055, GroupValue: 2}}
+			return map[cf.ServiceName]cfscale.Policy{"s": {Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.2, EnginePrice: 0.0055, GroupValue: 2}}
 		},
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
@@ -76,7 +76,7 @@
 	store.away = false
 	d.look()
 	d.look()
-	kept, _ := d.keeper.Kept()
+	kept, _ := d.keeper.Stored()
 	if len(a.orders) == 0 || !slices.Equal(kept.Orders, a.orders) {
 		t.Errorf("ordered %v, kept %v", a.orders, kept.Orders)
 	}
@@ -130,7 +130,7 @@
 			c.set(true)
 			for range 4 {
 				// Forgets what was read, so that each look reads and writes.
-				store.MemStore, d.keeper = cfstandin.NewMemStore(), cfscale.NewKeeper(3, 0)
+				store.MemStore, d.keeper = cfstandin.NewMemStore(), cfscale.NewReconciler(3, 0)
 				d.look()
 			}
 			c.set(false)
--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -203,11 +203,11 @@
 func (c *Coordinator) mayBegin(st *state) bool {
 	var holders []cf.BatchID
 	for id, other := range c.batches {
-		if other != st && other.added && !other.batch.Ended && other.batch.Sub.Model == st.batch.Sub.Model && st.batch.Shares(other.batch) {
+		if other != st && other.added && !other.batch.Ended && other.batch.Sub.Model == st.batch.Sub.Model && st.batch.SharesItems(other.batch) {
 			holders = append(holders, id)
 		}
 	}
-	begin, ask := st.succession.Next(holders, cf.Uptime())
+	begin, ask := st.succession.Check(holders, cf.Uptime())
 	for _, id := range ask {
 		c.Log.Info("batch_waits_for_end", cflog.Batch(st.batch.Sub.ID), zap.String("of", string(id)))
 		c.wg.Go(func() { c.checkEnd(st, id) })
@@ -225,7 +225,7 @@
 		c.mu.Lock()
 		over := st.added || st.batch.Ended
 		if err == nil && !cfbatch.Ended(r) {
-			st.succession.Open(id)
+			st.succession.MarkOpen(id)
 		}
 		c.mu.Unlock()
 		c.Kick()
@@ -249,7 +249,7 @@
 		}
 	}
 	c.Log.Info("batch_ended", cflog.Batch(st.batch.Sub.ID), zap.Int("stopped", len(stop)),
-		zap.Int("groups_whole", st.batch.WholeGroups()), zap.Bool("complete", st.batch.Complete()),
+		zap.Int("groups_whole", st.batch.CompleteGroups()), zap.Bool("complete", st.batch.Complete()),
 		zap.Int64("took_ms", int64(cf.Now()-st.batch.Sub.Accepted)))
 	c.history.noteEnd(st.batch)
 	c.history.trim(c.batches)
--- a/io/cfcoord/chunks.go
+++ b/io/cfcoord/chunks.go
@@ -12,7 +12,7 @@
 
 // startChunk writes the next chunk of a batch's results.
 func (c *Coordinator) startChunk(st *state) {
-	results := st.pending.Take(cf.Uptime())
+	results := st.pending.BeginWrite(cf.Uptime())
 	name := st.batch.NextChunk()
 	id := st.batch.Sub.ID
 	c.wg.Go(func() {
@@ -33,7 +33,7 @@
 	st.batch.Apply(name, results)
 	c.Metrics.Chunks.WithLabelValues("written").Inc()
 	c.Log.Info("results_listed", cflog.Batch(st.batch.Sub.ID), zap.String("chunk", name),
-		zap.Int("items", len(results)), zap.Int("groups_whole", st.batch.WholeGroups()))
+		zap.Int("items", len(results)), zap.Int("groups_whole", st.batch.CompleteGroups()))
 	c.listed(st)
 }
 
@@ -44,7 +44,7 @@
 			delete(c.finished, id)
 		}
 	}
-	st.pending.Wrote(st.batch, cf.Uptime())
+	st.pending.EndWrite(st.batch, cf.Uptime())
 	c.served(st)
 	st.wake()
 	if st.batch.Ended {
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -167,13 +167,13 @@
 	// state is a batch with what waits to be listed.
 	state struct {
 		batch   *cfbatch.Batch
-		pending cfbatch.Pending
+		pending cfbatch.PendingResults
 		changed chan struct{} // closed when a result was listed
 		added   bool          // the planner has it
 		// unrouted: it was logged that its route is not there.
 		unrouted bool
 		// succession is what it waits for before the planner has it.
-		succession cfbatch.Succession
+		succession cfbatch.StartGate
 		// inherited: it was there before this duty. shared: a coordinator before may have a
 		// chunk of it under way.
 		inherited, shared bool
@@ -470,7 +470,7 @@
 	c.noteDeadline(st, terms)
 	for _, it := range sub.Items {
 		if c.history.carried(it.Group) && !c.Policy.AnyGroups {
-			st.batch.Carry(it.Group)
+			st.batch.CarryOver(it.Group)
 		}
 	}
 	ready := c.planner.AddBatch(st.batch, terms)
--- a/io/cfcoord/demand.go
+++ b/io/cfcoord/demand.go
@@ -26,7 +26,7 @@
 				open.Due = route.ResultsSLO
 			}
 		}
-		d.Open = append(d.Open, open)
+		d.OpenSteps = append(d.OpenSteps, open)
 	}
 	return d, true
 }
--- a/io/cfcoord/reads.go
+++ b/io/cfcoord/reads.go
@@ -43,8 +43,8 @@
 		return err
 	}
 	if st.batch.NextChunk() != before {
-		c.Log.Info("results_inherited", cflog.Batch(st.batch.Sub.ID), zap.Int("groups_whole", st.batch.WholeGroups()))
-		st.pending.Settle(st.batch, cf.Uptime())
+		c.Log.Info("results_inherited", cflog.Batch(st.batch.Sub.ID), zap.Int("groups_whole", st.batch.CompleteGroups()))
+		st.pending.DropListed(st.batch, cf.Uptime())
 		c.served(st)
 		st.wake()
 	}
@@ -96,7 +96,7 @@
 // ReadFor reads a batch for another instance: the page, or where its results lie
 // in the store if this instance's link has no room for them. whole asks for the page
 // in any case, and counts like any other.
-func (c *Coordinator) ReadFor(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, whole bool) (cf.ResultPage, *cfbatch.Places, error) {
+func (c *Coordinator) ReadFor(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, whole bool) (cf.ResultPage, *cfbatch.PageRef, error) {
 	page, err := c.Results(ctx, id, after, wait)
 	if err != nil {
 		return page, nil, err
@@ -114,7 +114,7 @@
 	if st == nil {
 		return page, nil, nil // dropped from memory meanwhile
 	}
-	places := st.batch.Places(after, page)
+	places := st.batch.PageRef(after, page)
 	return cf.ResultPage{}, &places, nil
 }
 
--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -32,9 +32,9 @@
 
 func newRewards(policy Policy) rewards {
 	limits := cfreward.DefaultLimits
-	limits.NoHedges = policy.NoRewardHedges
+	limits.DisableHedging = policy.NoRewardHedges
 	if policy.AllRewardSlots {
-		limits.CallerPart = 0
+		limits.CallerShare = 0
 	}
 	return rewards{
 		planner: cfreward.New(limits), works: map[cf.ItemID]*cfrollout.Work{},
@@ -91,7 +91,7 @@
 	if n, some := missing[g]; some {
 		return n
 	}
-	return b.GroupLeft(g)
+	return b.GroupRemaining(g)
 }
 
 // drawOf returns a number in [0, 1) that an id decides, so that a successor
@@ -108,7 +108,7 @@
 		c.rewards.end(call)
 	}
 	site := &rewardSite{c: c, config: config, missing: map[cf.BatchID]map[cf.GroupID]int{}}
-	for _, a := range c.rewards.planner.Place(site, now) {
+	for _, a := range c.rewards.planner.Schedule(site, now) {
 		c.startReward(a, config.Version)
 	}
 }
@@ -139,8 +139,8 @@
 	key := cfquarantine.KeyOfReward(reward)
 	switch {
 	case outcome == cfreward.Scored || outcome == cfreward.Failed:
-		c.Guard.Answered(key, a.Target, a.Began)
-	case outcome == cfreward.Lost && err != nil && !errors.Is(err, cf.ErrNotRun):
+		c.Guard.Answered(key, a.Target, a.StartedAt)
+	case outcome == cfreward.NoAnswer && err != nil && !errors.Is(err, cf.ErrNotRun):
 		c.Guard.Lost(reward.ID, key, a.Target, heard)
 	default:
 		c.Guard.Dropped(key, a.Target)
@@ -148,7 +148,7 @@
 }
 
 var rewardOutcomes = map[cfreward.Outcome]string{
-	cfreward.Scored: "scored", cfreward.Failed: "failed", cfreward.Full: "not_run", cfreward.Lost: "lost", cfreward.Stopped: "stopped",
+	cfreward.Scored: "scored", cfreward.Failed: "failed", cfreward.Rejected: "not_run", cfreward.NoAnswer: "lost", cfreward.Cancelled: "stopped",
 }
 
 // rewarded takes the end of an attempt at a reward call.
@@ -157,7 +157,7 @@
 	defer c.mu.Unlock()
 	delete(c.rewards.cancels, a)
 	if c.ctx.Err() != nil {
-		c.followReward(a, cfreward.Stopped, false, nil)
+		c.followReward(a, cfreward.Cancelled, false, nil)
 		return // the duty is over; a successor asks again
 	}
 	now := cf.Uptime()
@@ -166,17 +166,17 @@
 	c.followReward(a, outcome, answer.Heard, err)
 	verdict := c.rewards.planner.Done(a, outcome, answer.Load, now)
 	c.Metrics.Rewards.WithLabelValues(rewardOutcomes[outcome]).Inc()
-	c.Metrics.RewardTook.Observe(float64(now-a.Began) / 1000)
+	c.Metrics.RewardTook.Observe(float64(now-a.StartedAt) / 1000)
 	c.Log.Info("reward_ended", zap.String("request_id", string(call.Item.Reward.ID)), zap.String("item_id", string(call.Item.ID.Request())),
 		cflog.Batch(call.Batch.Sub.ID), zap.String("target", string(a.Target.ID)),
 		zap.String("outcome", rewardOutcomes[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
-		zap.Int64("took_ms", int64(now-a.Began)), cflog.Error(err))
+		zap.Int64("took_ms", int64(now-a.StartedAt)), cflog.Error(err))
 	switch verdict {
-	case cfreward.Take:
+	case cfreward.Accept:
 		c.list(c.rewards.end(call), answer.Signature, now)
 	case cfreward.GiveUp:
 		c.giveUp(c.rewards.end(call), "reward call failed", now)
-	case cfreward.Again:
+	case cfreward.Continue:
 	}
 	c.Kick()
 }
@@ -187,13 +187,13 @@
 	case err == nil && answer.Status/100 == 2 && answer.Signature != "":
 		return cfreward.Scored
 	case stopped:
-		return cfreward.Stopped
+		return cfreward.Cancelled
 	case err == nil && answer.NotRun:
-		return cfreward.Full
+		return cfreward.Rejected
 	case err == nil && answer.Status == http.StatusInternalServerError:
 		return cfreward.Failed
 	default:
-		return cfreward.Lost
+		return cfreward.NoAnswer
 	}
 }
 
--- a/io/cfcoord/served.go
+++ b/io/cfcoord/served.go
@@ -60,7 +60,7 @@
 		}
 		c.Metrics.StaleSeconds.WithLabelValues(string(sub.Model)).Observe(float64(age) / 1000)
 	}
-	enough := st.batch.Complete() || sub.TargetGroups > 0 && st.batch.Enough(nil)
+	enough := st.batch.Complete() || sub.TargetGroups > 0 && st.batch.EnoughGroups(nil)
 	if st.served || !enough {
 		return
 	}
@@ -68,6 +68,6 @@
 	waited := cf.Now() - sub.Accepted
 	c.Metrics.StepWait.WithLabelValues(string(sub.Model)).Observe(float64(waited) / 1000)
 	c.Log.Info("step_served", cflog.Batch(sub.ID), zap.String("model", string(sub.Model)),
-		zap.Int64("step", sub.Step), zap.Int64("waited_ms", int64(waited)), zap.Int("groups_whole", st.batch.WholeGroups()),
+		zap.Int64("step", sub.Step), zap.Int64("waited_ms", int64(waited)), zap.Int("groups_whole", st.batch.CompleteGroups()),
 		zap.Int64("stalest_versions", int64(st.stalest)))
 }
--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -49,8 +49,8 @@
 
 // terms returns what the configuration in force says of the services whose engines may be
 // ordered.
-func (a *autoscale) terms() map[cf.ServiceName]cfscale.Terms {
-	out := map[cf.ServiceName]cfscale.Terms{}
+func (a *autoscale) terms() map[cf.ServiceName]cfscale.Policy {
+	out := map[cf.ServiceName]cfscale.Policy{}
 	config := a.node.site.Config()
 	if config == nil {
 		return out
@@ -59,8 +59,8 @@
 		if s.Scaling == nil || len(s.Models) == 0 {
 			continue
 		}
-		out[s.Name] = cfscale.Terms{
-			Service: s.Name, Min: s.Scaling.Min, Max: s.Scaling.Max, Boot: s.Scaling.Boot, SpotPrice: s.Scaling.SpotPrice,
+		out[s.Name] = cfscale.Policy{
+			Service: s.Name, Min: s.Scaling.Min, Max: s.Scaling.Max, BootTime: s.Scaling.Boot, SpotPrice: s.Scaling.SpotPrice,
 			DomainPrices: s.Scaling.DomainPrices,
 			EnginePrice:  a.node.settings.Scaling.EnginePrice, GroupValue: a.node.settings.Scaling.GroupValue,
 		}
--- a/io/cfnode/reads.go
+++ b/io/cfnode/reads.go
@@ -30,8 +30,8 @@
 
 	// resultsAnswer is a page, or where its results lie in the store.
 	resultsAnswer struct {
-		Page   cf.ResultPage   `cbor:"page"`
-		Places *cfbatch.Places `cbor:"places,omitempty"`
+		Page   cf.ResultPage    `cbor:"page"`
+		Places *cfbatch.PageRef `cbor:"places,omitempty"`
 	}
 
 	itemCall struct {
@@ -81,7 +81,7 @@
 }
 
 // readPlaces reads a page of results from the store.
-func (n *Node) readPlaces(ctx context.Context, id cf.BatchID, places cfbatch.Places) (cf.ResultPage, error) {
+func (n *Node) readPlaces(ctx context.Context, id cf.BatchID, places cfbatch.PageRef) (cf.ResultPage, error) {
 	chunks := make([]cfbatch.Chunk, len(places.Chunks))
 	errs := make([]error, len(places.Chunks))
 	var wg sync.WaitGroup
@@ -98,7 +98,7 @@
 	if err := errors.Join(errs...); err != nil {
 		return cf.ResultPage{}, err
 	}
-	page, ok := places.Page(chunks)
+	page, ok := places.Resolve(chunks)
 	if !ok {
 		return page, eris.Wrapf(cf.ErrInvalid, "chunks %v of batch %s lack a listed item", places.Chunks, id)
 	}
--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -50,7 +50,7 @@
 
 // wantedEngines returns what the store holds of wanted engines.
 func (s *site) wantedEngines() map[bool]int {
-	var kept cfscale.Kept
+	var kept cfscale.StoredState
 	out := map[bool]int{}
 	if raw := s.store.Spec("currantford-scaling", "engines"); raw != nil {
 		_ = json.Unmarshal(raw, &kept)
--- a/testbed/cfreplay/trainer.go
+++ b/testbed/cfreplay/trainer.go
@@ -116,7 +116,7 @@
 	}
 	t.batch, t.accepted, t.read = cfbatch.New(sub), now, map[cf.GroupID]bool{}
 	for _, g := range groups[:carried] {
-		t.batch.Carry(g)
+		t.batch.CarryOver(g)
 	}
 	terms := cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 5 * End, Due: now + Due, Span: Due}
 	for _, w := range r.planner.AddBatch(t.batch, terms) {
@@ -196,13 +196,13 @@
 			continue
 		}
 		last = it.Group
-		if t.batch.GroupLeft(last) == 0 {
+		if t.batch.GroupRemaining(last) == 0 {
 			whole++
 			t.count(last, now-t.accepted)
 			continue
 		}
 		unwhole = append(unwhole, last)
-		missing = missing || t.batch.Carried(last)
+		missing = missing || t.batch.CarriedOver(last)
 	}
 	if whole >= t.batch.Sub.TargetGroups && !missing || given {
 		t.unwhole = unwhole
