--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -29,14 +29,14 @@
 )
 
 type (
-	// Ask is a request that looks for a target.
-	Ask struct {
+	// Request is a request that looks for a target.
+	Request struct {
 		Service cf.ServiceName
 		Class   Class
-		// Candidates are the service's targets; the slice is not changed afterwards.
+		// Targets are the service's targets; the slice is not changed afterwards.
 		// Tried are those that get the request no more.
-		Candidates []cf.Target
-		Tried      map[cf.InstanceID]bool
+		Targets []cf.Target
+		Tried   map[cf.InstanceID]bool
 		// Instances is how many share the targets.
 		Instances int
 		// Objective is the time in which an answer is worth most, Spent what the caller had
@@ -45,9 +45,9 @@
 		Arrived          cf.Millis
 		// Deadline is the Uptime by which it must be answered.
 		Deadline cf.Millis
-		// Again: the caller was told to come back. Retry: a target has had the request already,
+		// Resubmitted: the caller was told to come back. Retry: a target has had the request already,
 		// so that sending it, as a retry or a hedge, spends from the retry budget.
-		Again, Retry bool
+		Resubmitted, Retry bool
 		// MayHaveRun: it may have run, so that it can't be refused any more.
 		MayHaveRun bool
 		// NoWait: it is refused where it would have to wait, as a hedge is.
@@ -57,8 +57,8 @@
 	// State is what a request is to do.
 	State int
 
-	// Verdict is what was decided, and what decided it.
-	Verdict struct {
+	// Decision is what was decided, and what decided it.
+	Decision struct {
 		State State
 		// Until is when to ask again, for State Wait.
 		Until  cf.Millis
@@ -66,10 +66,10 @@
 		// Limited says that the limits act; Waiting is how many requests wait here.
 		Limited bool
 		Waiting int
-		// PerS is what this instance sends to the service per second, AskedPerS what the
+		// SendPerS is what this instance sends to the service per second, DemandPerS what the
 		// request's organisation asks for, and SharePerS what it is allowed of that, zero
 		// while it may have all.
-		PerS, AskedPerS, SharePerS float64
+		SendPerS, DemandPerS, SharePerS float64
 	}
 
 	// Reason is why a request was refused.
@@ -77,7 +77,7 @@
 
 	// Ticket is a request's place in the queue.
 	Ticket struct {
-		ask     Ask
+		ask     Request
 		service *service
 		share   *share
 		n       int64
@@ -123,8 +123,8 @@
 
 // Reasons of a refusal.
 const (
-	// NoRoom: it can't be sent early enough to be in time.
-	NoRoom Reason = "the service is full"
+	// NoCapacity: it can't be sent early enough to be in time.
+	NoCapacity Reason = "the service is full"
 	// OverShare is the same for an organisation over its share.
 	OverShare Reason = "the service is full, and the organisation over its share"
 	// TooLate: its objective has passed already, and there is no room to spare.
@@ -133,8 +133,8 @@
 	QueueFull Reason = "the service and the queue before it are full"
 	// TargetsRefused: each target has refused it.
 	TargetsRefused Reason = "no target has room"
-	// NoBudget: a target did not run it, and it may not be sent to another.
-	NoBudget Reason = "the service is full, and the retry budget spent"
+	// NoRetryBudget: a target did not run it, and it may not be sent to another.
+	NoRetryBudget Reason = "the service is full, and the retry budget spent"
 )
 
 const (
@@ -207,7 +207,7 @@
 }
 
 // take notes the targets and the objective of an ask.
-func (s *service) take(a Ask, now cf.Millis) {
+func (s *service) take(a Request, now cf.Millis) {
 	if s.objective == 0 || a.Objective < s.objective || now-s.objectiveAt > objectiveSpan {
 		s.objective = a.Objective
 	}
@@ -219,12 +219,12 @@
 		s.objectiveAt = now
 	}
 	s.instances = max(a.Instances, 1)
-	if len(a.Candidates) == len(s.candidates) && (len(a.Candidates) == 0 || &a.Candidates[0] == &s.candidates[0]) {
+	if len(a.Targets) == len(s.candidates) && (len(a.Targets) == 0 || &a.Targets[0] == &s.candidates[0]) {
 		return
 	}
-	s.candidates, s.ordered = a.Candidates, make([]*limit, len(a.Candidates))
+	s.candidates, s.ordered = a.Targets, make([]*limit, len(a.Targets))
 	s.lists++
-	for i, t := range a.Candidates {
+	for i, t := range a.Targets {
 		l := s.limit(t.ID, t.Slots)
 		if t.Slots > 0 {
 			l.slots = t.Slots // a send to a target that is not listed creates its limit without them
@@ -243,33 +243,33 @@
 }
 
 // Enter takes a request that looks for a target. Leave or Sent ends its ticket.
-func (c *Controller) Enter(a Ask, now cf.Millis) *Ticket {
+func (c *Controller) Enter(a Request, now cf.Millis) *Ticket {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.of(a.Service)
 	s.take(a, now)
 	c.n++
 	x := s.shares.of(a.Class, now)
-	if !a.Again && !a.Retry {
+	if !a.Resubmitted && !a.Retry {
 		x.ask(now)
 	}
 	return &Ticket{ask: a, service: s, share: x, n: c.n}
 }
 
 // Poll decides what a ticket's request is to do now.
-func (c *Controller) Poll(t *Ticket, now cf.Millis) Verdict {
+func (c *Controller) Poll(t *Ticket, now cf.Millis) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := t.service
 	if t.held != nil {
-		return Verdict{State: Send, Limited: true}
+		return Decision{State: Send, Limited: true}
 	}
 	if now >= s.until {
 		s.drop(t)
-		return Verdict{State: Send}
+		return Decision{State: Send}
 	}
 	v := s.poll(t, now)
-	v.Limited, v.Waiting, v.AskedPerS = true, len(s.queue), t.share.asked*1000
+	v.Limited, v.Waiting, v.DemandPerS = true, len(s.queue), t.share.asked*1000
 	if s.shares.contended && t.share.even {
 		v.SharePerS = t.share.level * 1000
 	}
@@ -360,16 +360,16 @@
 }
 
 // poll decides while the service is limited.
-func (s *service) poll(t *Ticket, now cf.Millis) Verdict {
+func (s *service) poll(t *Ticket, now cf.Millis) Decision {
 	k := s.look(t, now)
 	perS := k.total * 1000
 	switch {
 	case k.open:
-		return Verdict{State: Send}
+		return Decision{State: Send}
 	case k.candidates == 0:
-		return Verdict{State: Refuse, Reason: TargetsRefused, PerS: perS}
+		return Decision{State: Refuse, Reason: TargetsRefused, SendPerS: perS}
 	case k.total == 0:
-		return Verdict{State: Send} // all are lost: a try is better than a refusal
+		return Decision{State: Send} // all are lost: a try is better than a refusal
 	}
 	s.shares.divide(k.total, now)
 	wanted := t.need(now)
@@ -377,30 +377,30 @@
 	if k.best != nil && k.best.tokens >= wanted && !blocked && !t.evicted {
 		k.best.tokens--
 		t.held = k.best
-		return Verdict{State: Send, PerS: perS}
+		return Decision{State: Send, SendPerS: perS}
 	}
 	at := now + max(cf.Millis(min(s.soonest(t, wanted, now)+float64(ahead)/k.total, mostWait)), minPoll)
 	last := t.last(now)
 	if t.ask.MayHaveRun {
 		if now >= last {
-			return Verdict{State: Send} // a try is better than a failure
+			return Decision{State: Send} // a try is better than a failure
 		}
 		at = min(at, now+mustPoll, last)
 	}
 	if t.evicted || at > last {
-		return Verdict{State: Refuse, Reason: t.reason(now), PerS: perS}
+		return Decision{State: Refuse, Reason: t.reason(now), SendPerS: perS}
 	}
 	if t.ask.NoWait {
-		return Verdict{State: Refuse, Reason: NoRoom, PerS: perS}
+		return Decision{State: Refuse, Reason: NoCapacity, SendPerS: perS}
 	}
 	if !t.queued {
 		s.push(t, now)
 	}
-	return Verdict{State: Wait, Until: min(at, last), PerS: perS}
+	return Decision{State: Wait, Until: min(at, last), SendPerS: perS}
 }
 
-// Closed says whether a request that may be sent can't go to a target now.
-func (c *Controller) Closed(t *Ticket, id cf.InstanceID, now cf.Millis) bool {
+// Excluded says whether a request that may be sent can't go to a target now.
+func (c *Controller) Excluded(t *Ticket, id cf.InstanceID, now cf.Millis) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := t.service.limits[id]
@@ -439,8 +439,8 @@
 	}
 }
 
-// Leave ends a ticket whose request is not sent.
-func (c *Controller) Leave(t *Ticket) {
+// Cancel ends a ticket whose request is not sent.
+func (c *Controller) Cancel(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t.held != nil {
@@ -451,7 +451,7 @@
 }
 
 // Done takes the end of a send; acts says that the service's limits begin to act with it.
-func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, e End, now cf.Millis) (acts bool) {
+func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, e Result, now cf.Millis) (acts bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.of(name)
--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -164,7 +164,7 @@
 // Where callers give themselves less time than the route does, all of them counted as having
 // come back, and too late.
 func TestCallersThatComeBackAreToldByOthers(t *testing.T) {
-	c := cfadmission.NewCallers()
+	c := cfadmission.NewDeadlineTracker()
 	for i, want := range []struct{ deadline, spent, at cf.Millis }{{800, 0, 0}, {800, 0, 10}, {540, 260, 20}, {0, 0, 30}, {500, 0, 40000}} {
 		if got := c.Spent("r", want.deadline, want.at); got != want.spent {
 			t.Errorf("request %d: %d ms spent, want %d", i, got, want.spent)
@@ -185,7 +185,7 @@
 			for i := range classes {
 				classes[i].Organisation = cf.Organisation(fmt.Sprintf("o%03d", i))
 			}
-			a := cfadmission.Ask{Service: "s", Candidates: candidates, Instances: 50, Objective: objective, Arrived: 1000, Deadline: 1800}
+			a := cfadmission.Request{Service: "s", Targets: candidates, Instances: 50, Objective: objective, Arrived: 1000, Deadline: 1800}
 			now := cf.Millis(1000)
 			for n := 0; b.Loop(); n++ {
 				if n%100 == 0 {
@@ -196,9 +196,9 @@
 				if c.Poll(t, now).State == cfadmission.Send {
 					id := candidates[n%64].ID
 					c.Sent(t, id, now)
-					c.Done("s", id, cfadmission.End{Load: &cf.TargetLoad{Running: 6, Waiting: 20, Slots: 6}, Took: 100}, now)
+					c.Done("s", id, cfadmission.Result{Load: &cf.TargetLoad{Running: 6, Waiting: 20, Slots: 6}, Took: 100}, now)
 				} else {
-					c.Leave(t)
+					c.Cancel(t)
 				}
 			}
 		})
--- a/core/cfadmission/callers.go
+++ b/core/cfadmission/callers.go
@@ -7,12 +7,12 @@
 )
 
 type (
-	// Callers tells from the deadlines that requests bear what their callers have used of
+	// DeadlineTracker tells from the deadlines that requests bear what their callers have used of
 	// their time before: one that has been refused and comes back bears what it still has.
 	// The most that a route's requests bore lately is what a caller has that has just begun.
 	// One that gives itself less time than others looks like one that has come back. It is
 	// safe for concurrent use.
-	Callers struct {
+	DeadlineTracker struct {
 		mu     sync.Mutex
 		routes map[string]*bearing
 	}
@@ -28,12 +28,12 @@
 // a request of a route every few seconds.
 const bearingSpan cf.Millis = 15000
 
-// NewCallers returns one that has seen no request.
-func NewCallers() *Callers { return &Callers{routes: map[string]*bearing{}} }
+// NewDeadlineTracker returns one that has seen no request.
+func NewDeadlineTracker() *DeadlineTracker { return &DeadlineTracker{routes: map[string]*bearing{}} }
 
 // Spent returns what a caller had used before a request on a route with a deadline, zero if
 // it bears none.
-func (c *Callers) Spent(route string, deadline, now cf.Millis) cf.Millis {
+func (c *DeadlineTracker) Spent(route string, deadline, now cf.Millis) cf.Millis {
 	if deadline <= 0 {
 		return 0
 	}
@@ -54,9 +54,9 @@
 	return max(b.last, b.before) - deadline
 }
 
-// Readmit lets a request that may have run, and so can't be refused, go once more to the
+// ReopenTargets lets a request that may have run, and so can't be refused, go once more to the
 // targets that did not run it, if it has been to all others.
-func Readmit(candidates []cf.Target, tried, notRun map[cf.InstanceID]bool) {
+func ReopenTargets(candidates []cf.Target, tried, notRun map[cf.InstanceID]bool) {
 	for _, t := range candidates {
 		if !tried[t.ID] {
 			return
--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -11,8 +11,8 @@
 	// Outcome is what a send came to.
 	Outcome int
 
-	// End is the end of one send.
-	End struct {
+	// Result is the end of one send.
+	Result struct {
 		Outcome Outcome
 		// Load is the target's load header, nil where there was none.
 		Load *cf.TargetLoad
@@ -245,7 +245,7 @@
 }
 
 // ended takes the end of a send. heldBack says that requests were kept back here lately.
-func (l *limit) ended(e End, objective cf.Millis, instances int, heldBack bool, now cf.Millis) {
+func (l *limit) ended(e Result, objective cf.Millis, instances int, heldBack bool, now cf.Millis) {
 	l.sent--
 	l.fill(now)
 	acted := l.limited(now)
@@ -286,7 +286,7 @@
 
 // learn takes an answer's load, and its time unless it is a failure: one that fails at once
 // says nothing of how long work takes.
-func (l *limit) learn(e End, now cf.Millis) {
+func (l *limit) learn(e Result, now cf.Millis) {
 	took, before := float64(max(e.Took-targetTime, 1)), l.waiting
 	if e.Load != nil {
 		l.waiting, l.reportedAt = float64(max(e.Load.Waiting, 0)), now
@@ -351,9 +351,9 @@
 		return Abandoned
 	case err != nil, status == statusMisdirected:
 		return Lost
-	case o == cfbalance.Full && (status == statusFull || status == statusTooMany):
+	case o == cfbalance.NotRun && (status == statusFull || status == statusTooMany):
 		return Refused
-	case o == cfbalance.Full:
+	case o == cfbalance.NotRun:
 		return Abandoned
 	}
 	return Answered
--- a/core/cfadmission/limits_test.go
+++ b/core/cfadmission/limits_test.go
@@ -17,24 +17,24 @@
 }
 
 // request returns a request of an instance alone that has just arrived.
-func request(list []cf.Target, now cf.Millis) cfadmission.Ask {
-	return cfadmission.Ask{Service: "s", Candidates: list, Instances: 1, Objective: 1000, Arrived: now, Deadline: now + 2000}
+func request(list []cf.Target, now cf.Millis) cfadmission.Request {
+	return cfadmission.Request{Service: "s", Targets: list, Instances: 1, Objective: 1000, Arrived: now, Deadline: now + 2000}
 }
 
 // refuse lets a target refuse a request, so that limits act.
 func refuse(c *cfadmission.Controller, list []cf.Target, id cf.InstanceID, now cf.Millis) {
 	c.Sent(c.Enter(request(list, now), now), id, now)
-	c.Done("s", id, cfadmission.End{Outcome: cfadmission.Refused}, now)
+	c.Done("s", id, cfadmission.Result{Outcome: cfadmission.Refused}, now)
 }
 
 // refuseWith does the same at target a, at which few requests wait.
 func refuseWith(c *cfadmission.Controller, list []cf.Target, now cf.Millis) {
 	c.Sent(c.Enter(request(list, now), now), "a", now)
-	c.Done("s", "a", cfadmission.End{Outcome: cfadmission.Refused, Load: &cf.TargetLoad{Running: slots, Waiting: 5, Slots: slots}}, now)
+	c.Done("s", "a", cfadmission.Result{Outcome: cfadmission.Refused, Load: &cf.TargetLoad{Running: slots, Waiting: 5, Slots: slots}}, now)
 }
 
 // hedge returns a request that is sent only where it need not wait.
-func hedge(list []cf.Target, now cf.Millis) cfadmission.Ask {
+func hedge(list []cf.Target, now cf.Millis) cfadmission.Request {
 	a := request(list, now)
 	a.Retry, a.NoWait = true, true
 	return a
@@ -56,12 +56,12 @@
 			limited = now
 		}
 		if v.State != cfadmission.Send {
-			c.Leave(ticket)
+			c.Cancel(ticket)
 			continue
 		}
 		id := list[random.IntN(len(list))].ID
 		c.Sent(ticket, id, now)
-		c.Done("s", id, cfadmission.End{Load: &cf.TargetLoad{Running: 1, Slots: slots}, Took: 25}, now+25)
+		c.Done("s", id, cfadmission.Result{Load: &cf.TargetLoad{Running: 1, Slots: slots}, Took: 25}, now+25)
 	}
 	if limited > 10000 {
 		t.Errorf("limits act at %d ms, the last sign of fullness was at 2900 ms", limited)
@@ -89,7 +89,7 @@
 func TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget(t *testing.T) {
 	c, list := cfadmission.New(), listOf("a")
 	c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
-	c.Done("s", "a", cfadmission.End{Load: &cf.TargetLoad{Running: slots, Waiting: 23, Slots: slots}, Took: 168}, 1000)
+	c.Done("s", "a", cfadmission.Result{Load: &cf.TargetLoad{Running: slots, Waiting: 23, Slots: slots}, Took: 168}, 1000)
 	must := request(list, 1035)
 	must.MayHaveRun = true
 	if v := c.Poll(c.Enter(must, 1035), 1035); v.State != cfadmission.Wait {
@@ -110,7 +110,7 @@
 		if !c.MayRetry("s", false, 1000) {
 			t.Fatalf("refused after %d retries that were not sent", n)
 		}
-		c.Leave(c.Enter(retry, 1000))
+		c.Cancel(c.Enter(retry, 1000))
 	}
 	for range 30 {
 		c.Sent(c.Enter(retry, 1000), "b", 1000)
@@ -132,7 +132,7 @@
 		}
 		waiting = append(waiting, ticket)
 	}
-	if v := c.Poll(c.Enter(hedge(list, 1000), 1000), 1000); v.State != cfadmission.Refuse || v.Reason != cfadmission.NoRoom || v.Waiting != len(waiting) {
+	if v := c.Poll(c.Enter(hedge(list, 1000), 1000), 1000); v.State != cfadmission.Refuse || v.Reason != cfadmission.NoCapacity || v.Waiting != len(waiting) {
 		t.Errorf("%+v with %d waiting", v, len(waiting))
 	}
 	for n, ticket := range waiting {
@@ -152,7 +152,7 @@
 		if refuseWith(c, list, 2000); hedges {
 			c.Poll(c.Enter(hedge(list, 2000), 2000), 2000)
 		}
-		c.Done("s", "a", cfadmission.End{Load: &cf.TargetLoad{Slots: slots}, Took: 100}, 2100)
+		c.Done("s", "a", cfadmission.Result{Load: &cf.TargetLoad{Slots: slots}, Took: 100}, 2100)
 		perMs, _ := c.Throughput("s", 2100)
 		return perMs
 	}
@@ -166,7 +166,7 @@
 	c, list := cfadmission.New(), listOf("a")
 	answer := func(status int, took cf.Millis) {
 		c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
-		c.Done("s", "a", cfadmission.End{Status: status, Load: &cf.TargetLoad{Running: 1, Slots: slots}, Took: took}, 1000)
+		c.Done("s", "a", cfadmission.Result{Status: status, Load: &cf.TargetLoad{Running: 1, Slots: slots}, Took: took}, 1000)
 	}
 	for range 50 {
 		answer(200, 50)
--- a/core/cfadmission/queue.go
+++ b/core/cfadmission/queue.go
@@ -51,7 +51,7 @@
 		return need[withinShare] - againLevel
 	case t.late(now):
 		return t.service.lateNeed(now)
-	case t.ask.Again || t.ask.Retry:
+	case t.ask.Resubmitted || t.ask.Retry:
 		return n - againLevel
 	}
 	return n
@@ -66,7 +66,7 @@
 	case t.service.shares.stand(t.share, now) == overShare:
 		return OverShare
 	}
-	return NoRoom
+	return NoCapacity
 }
 
 // before says whether t goes before u: by priority, then by how each organisation stands
@@ -84,7 +84,7 @@
 	if ts, us := t.service.shares.stand(t.share, now), u.service.shares.stand(u.share, now); ts != us {
 		return ts < us
 	}
-	if ta, ua := t.ask.Again || t.ask.Retry, u.ask.Again || u.ask.Retry; ta != ua {
+	if ta, ua := t.ask.Resubmitted || t.ask.Retry, u.ask.Resubmitted || u.ask.Retry; ta != ua {
 		return ta
 	}
 	if t.share != u.share {
--- a/core/cfadmission/replay_test.go
+++ b/core/cfadmission/replay_test.go
@@ -74,7 +74,7 @@
 	instance struct {
 		admission *cfadmission.Controller
 		balancer  *cfbalance.Balancer
-		returns   *cfbalance.Returns
+		returns   *cfbalance.RetryScheduler
 	}
 
 	replay struct {
@@ -124,7 +124,7 @@
 		r.listed = append(r.listed, cf.Target{ID: cf.InstanceID(rune('a' + i)), Service: "s", Slots: slots})
 	}
 	for range l.instances {
-		r.instances = append(r.instances, &instance{cfadmission.New(), cfbalance.New(), cfbalance.NewReturns()})
+		r.instances = append(r.instances, &instance{cfadmission.New(), cfbalance.New(), cfbalance.NewRetryScheduler()})
 	}
 	begin := 0.0
 	for n, p := range l.phases {
@@ -222,16 +222,16 @@
 	}
 	must := c.attempts.MayHaveRun()
 	if must && !hedge {
-		cfadmission.Readmit(r.listed, c.tried, c.full)
+		cfadmission.ReopenTargets(r.listed, c.tried, c.full)
 	}
 	if hedge && !c.in.admission.MayHedge("s", now) || !hedge && len(c.tried) > 0 && !c.in.admission.MayRetry("s", must, now) {
 		c.end()
 		return
 	}
-	t := c.in.admission.Enter(cfadmission.Ask{
-		Service: "s", Class: cfadmission.Class{Organisation: cf.Organisation(rune('A' + c.org)), Priority: c.org % max(r.ranks, 1)}, Candidates: r.listed, Tried: c.tried,
-		Instances: len(r.instances), Objective: objective, Spent: r.deadline - (c.attempts.Left(now) + now - c.received), Arrived: c.received,
-		Deadline: now + c.attempts.Left(now), Again: c.again, Retry: len(c.tried) > 0, MayHaveRun: must, NoWait: hedge,
+	t := c.in.admission.Enter(cfadmission.Request{
+		Service: "s", Class: cfadmission.Class{Organisation: cf.Organisation(rune('A' + c.org)), Priority: c.org % max(r.ranks, 1)}, Targets: r.listed, Tried: c.tried,
+		Instances: len(r.instances), Objective: objective, Spent: r.deadline - (c.attempts.Remaining(now) + now - c.received), Arrived: c.received,
+		Deadline: now + c.attempts.Remaining(now), Resubmitted: c.again, Retry: len(c.tried) > 0, MayHaveRun: must, NoWait: hedge,
 	}, now)
 	c.poll(t, hedge)
 }
@@ -245,7 +245,7 @@
 	case v.State == cfadmission.Wait && !hedge:
 		r.after(max(float64(v.Until-now), 0.5), func() { c.poll(t, hedge) })
 	default:
-		c.in.admission.Leave(t)
+		c.in.admission.Cancel(t)
 		c.end()
 	}
 }
@@ -254,14 +254,14 @@
 	r, now := c.r, c.r.clock()
 	avoid := map[cf.InstanceID]bool{}
 	for _, x := range r.listed {
-		if c.tried[x.ID] || t != nil && c.in.admission.Closed(t, x.ID, now) {
+		if c.tried[x.ID] || t != nil && c.in.admission.Excluded(t, x.ID, now) {
 			avoid[x.ID] = true
 		}
 	}
 	to, ok := c.in.balancer.Choose(r.listed, avoid, r.random.Float64(), now)
 	if !ok {
 		if t != nil {
-			c.in.admission.Leave(t)
+			c.in.admission.Cancel(t)
 		}
 		c.end()
 		return
@@ -342,15 +342,15 @@
 func (c *call) take(id cf.InstanceID, a cf.TargetAnswer, err error, took cf.Millis) {
 	now := c.r.clock()
 	c.pending--
-	outcome, good := c.attempts.Judge(a, err)
+	outcome, good := c.attempts.Classify(a, err)
 	if c.over {
 		outcome = cfbalance.Abandoned
 	}
 	c.in.balancer.Done(id, outcome, a.Load, took, now)
 	if !c.r.off {
-		c.in.admission.Done("s", id, cfadmission.End{Outcome: cfadmission.OutcomeOf(outcome, a.Status, err), Load: a.Load, Took: took, Status: a.Status}, now)
+		c.in.admission.Done("s", id, cfadmission.Result{Outcome: cfadmission.OutcomeOf(outcome, a.Status, err), Load: a.Load, Took: took, Status: a.Status}, now)
 	}
-	if outcome == cfbalance.Full || outcome == cfbalance.Unreached {
+	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
 		c.full[id] = true
 	}
 	switch {
@@ -391,8 +391,8 @@
 	}
 	tp := c.in.balancer.Throughput(r.listed, now)
 	if perMs, w := c.in.admission.Throughput("s", now); perMs > 0 {
-		tp = cfbalance.Throughput{PerMs: perMs, Work: w}
+		tp = cfbalance.Throughput{PerMs: perMs, ServiceTime: w}
 	}
-	after := float64(c.in.returns.After("s", tp, len(r.instances), c.attempts.Left(now), now))
-	r.after(callerWay+min(after, float64(c.attempts.Left(now))/3), func() { r.call(c.org, c.phase, c.first, true) })
+	after := float64(c.in.returns.RetryAfter("s", tp, len(r.instances), c.attempts.Remaining(now), now))
+	r.after(callerWay+min(after, float64(c.attempts.Remaining(now))/3), func() { r.call(c.org, c.phase, c.first, true) })
 }
--- a/core/cfbalance/attempts.go
+++ b/core/cfbalance/attempts.go
@@ -28,12 +28,12 @@
 	return &Attempts{route: route, deadline: deadline}
 }
 
-// Left returns how long the request may still take.
-func (a *Attempts) Left(now cf.Millis) cf.Millis { return a.deadline - now }
+// Remaining returns how long the request may still take.
+func (a *Attempts) Remaining(now cf.Millis) cf.Millis { return a.deadline - now }
 
 // MaySend says whether the request may go to one more target.
 func (a *Attempts) MaySend(now cf.Millis) bool {
-	if a.sends >= max(a.route.MaxAttempts, 1) || a.Left(now) <= 0 {
+	if a.sends >= max(a.route.MaxAttempts, 1) || a.Remaining(now) <= 0 {
 		return false
 	}
 	return !a.ran || a.route.Idempotent()
@@ -42,10 +42,10 @@
 // Sent counts a send that reached a target.
 func (a *Attempts) Sent() { a.sends++ }
 
-// Judge takes the end of an attempt; good says that its answer is the caller's.
+// Classify takes the end of an attempt; good says that its answer is the caller's.
 // Whatever is not surely unrun counts as run: a bid sent once more, or refused
 // as not run, could be recorded twice.
-func (a *Attempts) Judge(answer cf.TargetAnswer, err error) (o Outcome, good bool) {
+func (a *Attempts) Classify(answer cf.TargetAnswer, err error) (o Outcome, good bool) {
 	switch {
 	case errors.Is(err, cf.ErrNotRun):
 		return Unreached, false
@@ -53,7 +53,7 @@
 		a.ran = true
 		return Failed, false
 	case answer.NotRun:
-		return Full, false
+		return NotRun, false
 	case answer.Failed():
 		a.ran = true
 		return Failed, false
--- a/core/cfbalance/balance.go
+++ b/core/cfbalance/balance.go
@@ -59,8 +59,8 @@
 const (
 	// Answered: a whole answer came.
 	Answered Outcome = iota
-	// Full: the target did not run the request.
-	Full
+	// NotRun: the target did not run the request.
+	NotRun
 	// Failed: the target or the connection failed, and may have run it.
 	Failed
 	// Unreached: no connection could be had.
@@ -237,7 +237,7 @@
 			}
 			s.work += smooth * (float64(took) - s.work)
 		}
-	case Full:
+	case NotRun:
 		s.avoid = now + avoidFull
 	case Failed, Unreached:
 		s.avoid = now + avoidFailed.Doubled(s.failures, avoidMost)
@@ -267,8 +267,8 @@
 	}
 }
 
-// Kept records that a connection to a target is kept until then.
-func (b *Balancer) Kept(id cf.InstanceID, until cf.Millis) {
+// ConnectionKept records that a connection to a target is kept until then.
+func (b *Balancer) ConnectionKept(id cf.InstanceID, until cf.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(id).warm = until
--- a/core/cfbalance/balance_test.go
+++ b/core/cfbalance/balance_test.go
@@ -108,7 +108,7 @@
 			a.Sent()
 		}
 		if c.ran {
-			a.Judge(cf.TargetAnswer{}, cf.ErrMaybeRan)
+			a.Classify(cf.TargetAnswer{}, cf.ErrMaybeRan)
 		}
 		if got := a.MaySend(10); got != c.again {
 			t.Errorf("%s: may be sent again %t, want %t", c.name, got, c.again)
@@ -181,7 +181,7 @@
 		warm[target.ID] = now + 8000
 		b.Sent(target.ID)
 		b.Done(target.ID, cfbalance.Answered, &cf.TargetLoad{Slots: 6}, took, now+took)
-		b.Kept(target.ID, now+8000)
+		b.ConnectionKept(target.ID, now+8000)
 	}
 	if opened > 60 {
 		t.Errorf("%d connections for 300 requests", opened)
--- a/core/cfbalance/explore_test.go
+++ b/core/cfbalance/explore_test.go
@@ -207,7 +207,7 @@
 		next := w.clone()
 		t := &next.tries[i]
 		t.sends[j].pending, t.sends[j].transit, t.sends[j].ran = false, way.transit, way.ran
-		if _, good := t.attempts.Judge(way.answer, way.err); good {
+		if _, good := t.attempts.Classify(way.answer, way.err); good {
 			t.told = answered
 			for k := range t.sends {
 				t.sends[k].pending = false // given up
--- a/core/cfbalance/returns.go
+++ b/core/cfbalance/retryscheduler.go
@@ -24,36 +24,36 @@
 type (
 	// Throughput is how a service frees places, as its answers have shown.
 	Throughput struct {
-		// Work is the mean time of an answer at a target without a queue,
+		// ServiceTime is the mean time of an answer at a target without a queue,
 		// PerMs the places that free a millisecond over all targets.
-		Work, PerMs float64
+		ServiceTime, PerMs float64
 	}
 
-	// Returns tells refused callers when to come back, each at a time of its
+	// RetryScheduler tells refused callers when to come back, each at a time of its
 	// own: a caller tries again once or twice only, and one that comes back
 	// before a place is free, or with all others at once, is lost.
 	//
 	// The load it answers: a burst of several times what a service takes,
 	// refused within a fraction of the time of an answer. It is safe for
 	// concurrent use.
-	Returns struct {
+	RetryScheduler struct {
 		mu   sync.Mutex
 		next map[cf.ServiceName]float64 // Uptime of the next free place
 	}
 )
 
-// NewReturns returns a plan without promises.
-func NewReturns() *Returns { return &Returns{next: map[cf.ServiceName]float64{}} }
+// NewRetryScheduler returns a plan without promises.
+func NewRetryScheduler() *RetryScheduler { return &RetryScheduler{next: map[cf.ServiceName]float64{}} }
 
-// After returns when a caller with so much time left should come back to a full
+// RetryAfter returns when a caller with so much time left should come back to a full
 // service. instances is how many share the service's places.
-func (r *Returns) After(service cf.ServiceName, t Throughput, instances int, left, now cf.Millis) cf.Millis {
+func (r *RetryScheduler) RetryAfter(service cf.ServiceName, t Throughput, instances int, left, now cf.Millis) cf.Millis {
 	if t.PerMs <= 0 {
 		return leastReturn
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := max(r.next[service], float64(now)+freeAfter*t.Work)
+	at := max(r.next[service], float64(now)+freeAfter*t.ServiceTime)
 	r.next[service] = at + float64(max(instances, 1))/t.PerMs
 	after := cf.Millis(at) - now
 	if most := min(mostReturn, left/heedPart); after > most {
@@ -78,13 +78,13 @@
 			continue
 		}
 		known++
-		t.Work += s.work
+		t.ServiceTime += s.work
 		if s.failures == 0 {
 			t.PerMs += float64(max(c.Slots, 1)) / s.work
 		}
 	}
 	if known > 0 {
-		t.Work /= float64(known)
+		t.ServiceTime /= float64(known)
 	}
 	return t
 }
--- a/core/cfbalance/returns_test.go
+++ b/core/cfbalance/returns_test.go
@@ -56,14 +56,14 @@
 // told a time each of their own, most are answered.
 func TestRefusedCallersComeBackToFreePlaces(t *testing.T) {
 	const requests, instances = 60, 4
-	throughput := cfbalance.Throughput{Work: 400, PerMs: 8.0 / 400}
-	var plans []*cfbalance.Returns
+	throughput := cfbalance.Throughput{ServiceTime: 400, PerMs: 8.0 / 400}
+	var plans []*cfbalance.RetryScheduler
 	for range instances {
-		plans = append(plans, cfbalance.NewReturns())
+		plans = append(plans, cfbalance.NewRetryScheduler())
 	}
 	fixed := burst(requests, instances, func(int, cf.Millis, cf.Millis) cf.Millis { return 100 })
 	planned := burst(requests, instances, func(instance int, left, now cf.Millis) cf.Millis {
-		return plans[instance].After("s", throughput, instances, left, now)
+		return plans[instance].RetryAfter("s", throughput, instances, left, now)
 	})
 	t.Logf("answered of %d: %d when told 100 ms, %d when told a time of their own", requests, fixed, planned)
 	if planned < fixed*5/4 {
@@ -73,12 +73,12 @@
 
 // What callers don't heed is not promised, and what is not known is not made up.
 func TestReturnsAreWithinWhatCallersHeed(t *testing.T) {
-	r := cfbalance.NewReturns()
-	slow := cfbalance.Throughput{Work: 5000, PerMs: 1.0 / 5000}
-	if after := r.After("s", slow, 8, 900, 0); after != 300 {
+	r := cfbalance.NewRetryScheduler()
+	slow := cfbalance.Throughput{ServiceTime: 5000, PerMs: 1.0 / 5000}
+	if after := r.RetryAfter("s", slow, 8, 900, 0); after != 300 {
 		t.Errorf("told %d ms with 900 left, want 300", after)
 	}
-	if after := r.After("other", cfbalance.Throughput{}, 8, 900, 0); after <= 0 || after > 100 {
+	if after := r.RetryAfter("other", cfbalance.Throughput{}, 8, 900, 0); after <= 0 || after > 100 {
 		t.Errorf("told %d ms by a service that has answered nothing yet", after)
 	}
 }
@@ -93,7 +93,7 @@
 		b.Done(x.ID, cfbalance.Answered, &cf.TargetLoad{Running: 4, Waiting: 9, Slots: 4}, 900, 10)
 	}
 	got := b.Throughput(targets(2), 20)
-	if got.Work != 100 || got.PerMs != 8.0/100 {
+	if got.ServiceTime != 100 || got.PerMs != 8.0/100 {
 		t.Errorf("throughput %+v, want 100 ms and 0.08 a ms", got)
 	}
 }
--- a/core/cfchange/cfchange.go
+++ b/core/cfchange/cfchange.go
@@ -33,9 +33,9 @@
 	}
 )
 
-// Note records that a key changes with the change that is counted as at, which is not
+// Append records that a key changes with the change that is counted as at, which is not
 // lower than those before.
-func (l *Log[K]) Note(at int64, key K) {
+func (l *Log[K]) Append(at int64, key K) {
 	l.entries = append(l.entries, entry[K]{at, key})
 	if len(l.entries) > loggedMost {
 		half := len(l.entries) / 2
--- a/core/cfhold/cfhold.go
+++ b/core/cfhold/cfhold.go
@@ -8,7 +8,7 @@
 //
 // Usage:
 //
-//	l := cfhold.New(cfhold.BoundsOf(memory), cfhold.Policy{})
+//	l := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{})
 //	h := l.Open(caller, cfhold.Answer)
 //	verdict := l.Take(h, n, now)       // before n bytes are read
 //	l.Look(h, write, acknowledged, now) // while a write to the caller is under way
@@ -45,31 +45,31 @@
 	// read while answers to plain requests take all the room.
 	reservePart = 8
 
-	// StallAfter is how long a caller may read nothing while bytes wait for it, where half
+	// StallTimeout is how long a caller may read nothing while bytes wait for it, where half
 	// of the bound is taken or there is none. What a caller reads shows only when its
 	// machine announces room again, after 64 to 128 KB of a usual buffer: 20 s are a
 	// caller that reads less than 6 KB a second.
-	StallAfter cf.Millis = 20000
+	StallTimeout cf.Millis = 20000
 	// stallMost is the same up to a quarter of the bound, and falls from there: while
 	// there is room waiting costs nobody anything, and at a kilobyte a second those 128 KB
 	// take 128 s.
 	stallMost cf.Millis = 150000
-	// StreamAfter is how long one write of a stream may wait for its caller. The
+	// StreamWriteTimeout is how long one write of a stream may wait for its caller. The
 	// connection's buffers are full then, with more than a whole text, and what waits
-	// is held up at the target. With LookEvery it ends within a second, before the stream
+	// is held up at the target. With CheckInterval it ends within a second, before the stream
 	// counts as stalled at its target (1.2 s).
-	StreamAfter cf.Millis = 400
-	// SlowAfter is how long a write must have waited before its caller's pace is judged,
+	StreamWriteTimeout cf.Millis = 400
+	// SlowWriteAfter is how long a write must have waited before its caller's pace is judged,
 	// where others wait for room: far over a round trip (16 ms), and so short that twenty
 	// slow answers of 2 MB a second take no more than the room of large ones.
-	SlowAfter cf.Millis = 300
-	// LookEvery is how often connections with a write under way are looked at, LookSoon
+	SlowWriteAfter cf.Millis = 300
+	// CheckInterval is how often connections with a write under way are looked at, PressureCheckInterval
 	// the same while answers wait for room.
-	LookEvery cf.Millis = 500
-	LookSoon  cf.Millis = 100
-	// WaitMost is how long an answer may wait for room; targets cut off what is unread
+	CheckInterval         cf.Millis = 500
+	PressureCheckInterval cf.Millis = 100
+	// MaxWait is how long an answer may wait for room; targets cut off what is unread
 	// for longer. It leaves time to tell the slowest, and to cut them.
-	WaitMost cf.Millis = 2000
+	MaxWait cf.Millis = 2000
 )
 
 // Kinds of holds.
@@ -88,13 +88,13 @@
 	Granted Verdict = iota
 	// Wait: there is no room at present.
 	Wait
-	// Never: it is over the bound by itself.
-	Never
+	// TooLarge: it is over the bound by itself.
+	TooLarge
 )
 
 // Reasons of cuts.
 const (
-	// Stalled: the caller has read nothing for StallAfter, or longer where there is room.
+	// Stalled: the caller has read nothing for StallTimeout, or longer where there is room.
 	Stalled Reason = "stalled"
 	// Slowest: others need the room, and this one would be in the way for longer than
 	// they can wait.
@@ -119,21 +119,21 @@
 		// PerCaller is what one caller may take where no more than as much is left for
 		// others.
 		PerCaller int64
-		// Small is up to which size an answer may take the last Spare of Total.
-		Small, Spare int64
-		// Unsure is what answers that may have no end take at most.
-		Unsure int64
-		// Reserve is what pages may take beyond Total.
-		Reserve int64
+		// SmallAnswer is up to which size an answer may take the last Spare of Total.
+		SmallAnswer, Spare int64
+		// Unbounded is what answers that may have no end take at most.
+		Unbounded int64
+		// PageReserve is what pages may take beyond Total.
+		PageReserve int64
 	}
 
 	// Policy turns the decision off, to measure what it brings.
 	Policy struct {
-		Off bool
+		Disabled bool
 	}
 
-	// Hold is one answer, from before it is read until its caller has it.
-	Hold struct {
+	// Reservation is one answer, from before it is read until its caller has it.
+	Reservation struct {
 		id     uint64
 		caller Caller
 		kind   Kind
@@ -157,10 +157,10 @@
 
 	// Cut is an answer that is to be cut off.
 	Cut struct {
-		Hold   *Hold
-		Reason Reason
-		Caller Caller
-		Bytes  int64
+		Reservation *Reservation
+		Reason      Reason
+		Caller      Caller
+		Bytes       int64
 		// Rate is how much its caller read, in bytes a second, in the time Blocked.
 		Rate    int64
 		Blocked cf.Millis
@@ -176,7 +176,7 @@
 		callers map[Caller]int64
 		// blocked and waiting are those holds of which it is so; both are empty while
 		// callers read at a usual pace.
-		blocked, waiting map[*Hold]bool
+		blocked, waiting map[*Reservation]bool
 	}
 
 	// plan is what is held as it will be after some cuts.
@@ -187,21 +187,21 @@
 	}
 )
 
-// BoundsOf returns the bounds of a process with a memory limit in bytes, zero if it has none.
-func BoundsOf(memory int64) Bounds {
+// BoundsFor returns the bounds of a process with a memory limit in bytes, zero if it has none.
+func BoundsFor(memory int64) Bounds {
 	total := memory / heldPart
-	return Bounds{Total: total, PerCaller: total / callerPart, Small: total / smallPart, Spare: total / largePart, Unsure: total / unsurePart, Reserve: total / reservePart}
+	return Bounds{Total: total, PerCaller: total / callerPart, SmallAnswer: total / smallPart, Spare: total / largePart, Unbounded: total / unsurePart, PageReserve: total / reservePart}
 }
 
 // New returns a ledger that holds nothing.
 func New(b Bounds, p Policy) *Ledger {
-	return &Ledger{bounds: b, policy: p, callers: map[Caller]int64{}, blocked: map[*Hold]bool{}, waiting: map[*Hold]bool{}}
+	return &Ledger{bounds: b, policy: p, callers: map[Caller]int64{}, blocked: map[*Reservation]bool{}, waiting: map[*Reservation]bool{}}
 }
 
 // Open begins an answer.
-func (l *Ledger) Open(c Caller, k Kind) *Hold {
+func (l *Ledger) Open(c Caller, k Kind) *Reservation {
 	l.last++
-	return &Hold{id: l.last, caller: c, kind: k}
+	return &Reservation{id: l.last, caller: c, kind: k}
 }
 
 // Held returns how many bytes are held.
@@ -225,13 +225,13 @@
 
 // Take takes n more bytes for an answer. One that must wait counts as waiting until it is
 // granted or closed.
-func (l *Ledger) Take(h *Hold, n int64) Verdict {
+func (l *Ledger) Take(h *Reservation, n int64) Verdict {
 	_, v := l.TakeUpTo(h, n, n)
 	return v
 }
 
 // TakeUpTo takes between least and most bytes, as many as there is room for.
-func (l *Ledger) TakeUpTo(h *Hold, least, most int64) (int64, Verdict) {
+func (l *Ledger) TakeUpTo(h *Reservation, least, most int64) (int64, Verdict) {
 	now := plan{l, l.total, l.callers}
 	var n int64
 	switch {
@@ -240,8 +240,8 @@
 	case now.fits(h, most):
 		n = most
 	case h.bytes+least > l.bounds.Total:
-		l.GiveUp(h)
-		return 0, Never
+		l.StopWaiting(h)
+		return 0, TooLarge
 	case !now.fits(h, least):
 		h.wants = least
 		l.waiting[h] = true
@@ -249,19 +249,19 @@
 	default:
 		n = max(least, min(most, l.limit(h, least)-l.total, max(l.bounds.PerCaller-l.callers[h.caller], l.limit(h, least)-l.bounds.PerCaller-l.total)))
 	}
-	l.GiveUp(h)
+	l.StopWaiting(h)
 	h.bytes += n
 	l.total += n
 	l.callers[h.caller] += n
 	return n, Granted
 }
 
-// TakeUnsure takes n more bytes for an answer that may have no end; false if they are too
+// TakeUnbounded takes n more bytes for an answer that may have no end; false if they are too
 // many. It may become as large as what is left of its part of the room (a dynamic threshold),
 // so that a target that sends without end leaves room for answers of others.
-func (l *Ledger) TakeUnsure(h *Hold, n int64) bool {
+func (l *Ledger) TakeUnbounded(h *Reservation, n int64) bool {
 	now := plan{l, l.total, l.callers}
-	if l.bounded() && (h.unsure+n > l.bounds.Unsure-l.unsure || !now.fits(h, n)) {
+	if l.bounded() && (h.unsure+n > l.bounds.Unbounded-l.unsure || !now.fits(h, n)) {
 		return false
 	}
 	h.bytes += n
@@ -272,8 +272,8 @@
 	return true
 }
 
-// Give gives n bytes of an answer back, those first that may have had no end.
-func (l *Ledger) Give(h *Hold, n int64) {
+// Release gives n bytes of an answer back, those first that may have had no end.
+func (l *Ledger) Release(h *Reservation, n int64) {
 	n = min(n, h.bytes) // the first bytes of an answer are not counted
 	unsure := min(n, h.unsure)
 	h.unsure -= unsure
@@ -285,22 +285,22 @@
 	}
 }
 
-// GiveUp notes that an answer waits for room no longer.
-func (l *Ledger) GiveUp(h *Hold) {
+// StopWaiting notes that an answer waits for room no longer.
+func (l *Ledger) StopWaiting(h *Reservation) {
 	h.wants = 0
 	delete(l.waiting, h)
 }
 
 // Close gives an answer's bytes back.
-func (l *Ledger) Close(h *Hold) {
-	l.GiveUp(h)
+func (l *Ledger) Close(h *Reservation) {
+	l.StopWaiting(h)
 	delete(l.blocked, h)
-	l.Give(h, h.bytes)
+	l.Release(h, h.bytes)
 }
 
-// Look notes that a write to an answer's caller is under way, and how many bytes the caller's
+// ObserveWrite notes that a write to an answer's caller is under way, and how many bytes the caller's
 // machine has acknowledged on the connection.
-func (l *Ledger) Look(h *Hold, write uint64, acked int64, now cf.Millis) {
+func (l *Ledger) ObserveWrite(h *Reservation, write uint64, acked int64, now cf.Millis) {
 	if h.blocked == 0 || h.write != write {
 		h.write, h.blocked, h.moved, h.first, h.acked = write, now, now, acked, acked
 	}
@@ -311,35 +311,35 @@
 	l.blocked[h] = true
 }
 
-// Rest notes that no write to an answer's caller is under way.
-func (l *Ledger) Rest(h *Hold) {
+// WriteDone notes that no write to an answer's caller is under way.
+func (l *Ledger) WriteDone(h *Reservation) {
 	h.blocked = 0
 	delete(l.blocked, h)
 }
 
 // Cuts returns the answers to be cut off, each once. Their bytes count until they are closed.
 func (l *Ledger) Cuts(now cf.Millis) []Cut {
-	if l.policy.Off || len(l.blocked) == 0 {
+	if l.policy.Disabled || len(l.blocked) == 0 {
 		return nil
 	}
 	var cuts []Cut
-	var slow []*Hold
+	var slow []*Reservation
 	after := plan{l, l.total, map[Caller]int64{}}
 	for c, n := range l.callers {
 		after.callers[c] = n
 	}
-	cut := func(h *Hold, r Reason) {
+	cut := func(h *Reservation, r Reason) {
 		h.cut = true
 		after.free(h)
-		cuts = append(cuts, Cut{Hold: h, Reason: r, Caller: h.caller, Bytes: h.bytes, Rate: h.rate(), Blocked: now - h.blocked})
+		cuts = append(cuts, Cut{Reservation: h, Reason: r, Caller: h.caller, Bytes: h.bytes, Rate: h.rate(), Blocked: now - h.blocked})
 	}
 	for _, h := range l.sorted(l.blocked) {
 		switch {
-		case now-h.looked > 2*LookEvery:
-			l.Rest(h) // its connection has ended
+		case now-h.looked > 2*CheckInterval:
+			l.WriteDone(h) // its connection has ended
 		case h.cut:
 			after.free(h) // it ends at any moment
-		case h.kind == Stream && now-h.blocked >= StreamAfter:
+		case h.kind == Stream && now-h.blocked >= StreamWriteTimeout:
 			cut(h, SlowStream)
 		case now-h.moved >= l.stallAfter():
 			cut(h, Stalled)
@@ -353,7 +353,7 @@
 	slices.SortStableFunc(slow, l.before)
 	for _, w := range l.sorted(l.waiting) {
 		for !after.fits(w, w.wants) {
-			i := slices.IndexFunc(slow, func(h *Hold) bool { return !h.cut && after.freesRoomFor(w, h) })
+			i := slices.IndexFunc(slow, func(h *Reservation) bool { return !h.cut && after.freesRoomFor(w, h) })
 			if i < 0 {
 				break
 			}
@@ -369,15 +369,15 @@
 func (l *Ledger) stallAfter() cf.Millis {
 	quarter := l.bounds.Total / 4
 	if l.total >= 2*quarter {
-		return StallAfter
+		return StallTimeout
 	}
-	return StallAfter + (stallMost-StallAfter)*cf.Millis(min(quarter, 2*quarter-l.total))/cf.Millis(quarter)
+	return StallTimeout + (stallMost-StallTimeout)*cf.Millis(min(quarter, 2*quarter-l.total))/cf.Millis(quarter)
 }
 
 // before orders those that may be cut: callers over their part first, then by pace, and
 // of those that show none yet the one that has shown none for longest.
-func (l *Ledger) before(a, b *Hold) int {
-	over := func(h *Hold) int {
+func (l *Ledger) before(a, b *Reservation) int {
+	over := func(h *Reservation) int {
 		if l.callers[h.caller] > l.bounds.PerCaller {
 			return 0
 		}
@@ -387,23 +387,23 @@
 }
 
 // sorted returns holds by age.
-func (l *Ledger) sorted(holds map[*Hold]bool) []*Hold {
-	out := make([]*Hold, 0, len(holds))
+func (l *Ledger) sorted(holds map[*Reservation]bool) []*Reservation {
+	out := make([]*Reservation, 0, len(holds))
 	for h := range holds {
 		out = append(out, h)
 	}
-	slices.SortFunc(out, func(a, b *Hold) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(out, func(a, b *Reservation) int { return cmp.Compare(a.id, b.id) })
 	return out
 }
 
-func (l *Ledger) bounded() bool { return !l.policy.Off && l.bounds.Total > 0 }
+func (l *Ledger) bounded() bool { return !l.policy.Disabled && l.bounds.Total > 0 }
 
 // limit returns what may be held in all with n more bytes of an answer.
-func (l *Ledger) limit(h *Hold, n int64) int64 {
+func (l *Ledger) limit(h *Reservation, n int64) int64 {
 	switch {
 	case h.kind == Page:
-		return l.bounds.Total + l.bounds.Reserve
-	case h.bytes+n > l.bounds.Small:
+		return l.bounds.Total + l.bounds.PageReserve
+	case h.bytes+n > l.bounds.SmallAnswer:
 		return l.bounds.Total - l.bounds.Spare
 	default:
 		return l.bounds.Total
@@ -412,15 +412,15 @@
 
 // blocksWaiters says whether an answer's caller will not have it within the time for which others
 // can wait.
-func (h *Hold) blocksWaiters(now cf.Millis) bool {
-	if now-h.blocked < SlowAfter || h.looked == h.blocked {
+func (h *Reservation) blocksWaiters(now cf.Millis) bool {
+	if now-h.blocked < SlowWriteAfter || h.looked == h.blocked {
 		return false
 	}
-	return h.bytes-(h.acked-h.first) > h.rate()*int64(WaitMost)/1000
+	return h.bytes-(h.acked-h.first) > h.rate()*int64(MaxWait)/1000
 }
 
 // rate returns the pace of an answer's caller in bytes a second.
-func (h *Hold) rate() int64 {
+func (h *Reservation) rate() int64 {
 	if h.looked <= h.blocked {
 		return 0
 	}
@@ -429,7 +429,7 @@
 
 // fits says whether n more bytes may be taken for an answer: by what is held in all, and by
 // the part of its caller, or as much is left for another one. One that is alone may take all.
-func (p *plan) fits(h *Hold, n int64) bool {
+func (p *plan) fits(h *Reservation, n int64) bool {
 	limit := p.l.limit(h, n)
 	switch {
 	case !p.l.bounded():
@@ -442,11 +442,11 @@
 }
 
 // freesRoomFor says whether a cut brings an answer that waits nearer to its room.
-func (p *plan) freesRoomFor(w, h *Hold) bool {
+func (p *plan) freesRoomFor(w, h *Reservation) bool {
 	return h.bytes > 0 && (p.total+w.wants > p.l.limit(w, w.wants) || h.caller == w.caller)
 }
 
-func (p *plan) free(h *Hold) {
+func (p *plan) free(h *Reservation) {
 	p.total -= h.bytes
 	p.callers[h.caller] -= h.bytes
 }
--- a/core/cfhold/cfhold_test.go
+++ b/core/cfhold/cfhold_test.go
@@ -19,7 +19,7 @@
 type (
 	// answer is one on its way to a caller, in the replay.
 	answer struct {
-		hold    *cfhold.Hold
+		hold    *cfhold.Reservation
 		size    int64
 		rate    int64 // bytes a second
 		read    int64
@@ -37,7 +37,7 @@
 // play replays an instance before which some callers read a kilobyte a second, each of an
 // answer of its own, and others 4 MB a second.
 func play(p cfhold.Policy, slowEvery cf.Millis, until cf.Millis) outcome {
-	l := cfhold.New(cfhold.BoundsOf(memory), p)
+	l := cfhold.New(cfhold.BoundsFor(memory), p)
 	var under []*answer
 	var out outcome
 	for now := cf.Millis(0); now < until; now += tick {
@@ -55,7 +55,7 @@
 			}
 		}
 		under = kept
-		if now%cfhold.LookEvery == 0 {
+		if now%cfhold.CheckInterval == 0 {
 			under = look(l, under, now, &out)
 		}
 		out.most = max(out.most, l.Held())
@@ -67,7 +67,7 @@
 // step goes on with an answer; false when it has ended.
 func (a *answer) step(l *cfhold.Ledger, now cf.Millis, out *outcome) bool {
 	if !a.granted {
-		if a.granted = l.Take(a.hold, a.size) == cfhold.Granted; !a.granted && now-a.since > cfhold.WaitMost {
+		if a.granted = l.Take(a.hold, a.size) == cfhold.Granted; !a.granted && now-a.since > cfhold.MaxWait {
 			l.Close(a.hold)
 			if !a.slow {
 				out.failed++
@@ -87,23 +87,23 @@
 	return false
 }
 
-// look does what an instance does each LookEvery.
+// look does what an instance does each CheckInterval.
 func look(l *cfhold.Ledger, under []*answer, now cf.Millis, out *outcome) []*answer {
-	byHold := map[*cfhold.Hold]*answer{}
+	byHold := map[*cfhold.Reservation]*answer{}
 	for _, a := range under {
 		byHold[a.hold] = a
 		if a.granted {
-			l.Look(a.hold, 1, a.read/lump*lump, now)
+			l.ObserveWrite(a.hold, 1, a.read/lump*lump, now)
 		}
 	}
 	for _, c := range l.Cuts(now) {
-		if byHold[c.Hold].slow {
+		if byHold[c.Reservation].slow {
 			out.slowCut++
 		} else {
 			out.failed++
 		}
-		l.Close(c.Hold)
-		delete(byHold, c.Hold)
+		l.Close(c.Reservation)
+		delete(byHold, c.Reservation)
 	}
 	kept := under[:0]
 	for _, a := range under {
@@ -118,13 +118,13 @@
 // Load: five such callers a second, for a minute, beside others. Without the decision the
 // bound is passed.
 func TestSlowReadersLeaveRoomForOthers(t *testing.T) {
-	bounds := cfhold.BoundsOf(memory)
+	bounds := cfhold.BoundsFor(memory)
 	got := play(cfhold.Policy{}, 200, 60000)
 	t.Logf("%+v", got)
 	if got.failed > 0 || got.served < 590 || got.most > bounds.Total || got.slowCut == 0 {
 		t.Errorf("%+v; want all others served and at most %d bytes held", got, bounds.Total)
 	}
-	if off := play(cfhold.Policy{Off: true}, 200, 60000); off.most <= bounds.Total {
+	if off := play(cfhold.Policy{Disabled: true}, 200, 60000); off.most <= bounds.Total {
 		t.Errorf("without the decision %+v: the load does not call for it", off)
 	}
 }
@@ -139,7 +139,7 @@
 // Each decision by itself: who is cut, and what is granted.
 func TestDecisions(t *testing.T) {
 	const mb = 1 << 20
-	open := func(l *cfhold.Ledger, c cfhold.Caller, k cfhold.Kind, n int64) *cfhold.Hold {
+	open := func(l *cfhold.Ledger, c cfhold.Caller, k cfhold.Kind, n int64) *cfhold.Reservation {
 		h := l.Open(c, k)
 		if v := l.Take(h, n); v != cfhold.Granted {
 			t.Errorf("%d bytes: %v", n, v)
@@ -150,8 +150,8 @@
 	l := cfhold.New(cfhold.Bounds{}, cfhold.Policy{})
 	h := open(l, "a", cfhold.Answer, 999*mb)
 	cuts := 0
-	for now := cf.Millis(0); now <= 2*cfhold.StallAfter; now += cfhold.LookEvery {
-		l.Look(h, 1, 5000, now)
+	for now := cf.Millis(0); now <= 2*cfhold.StallTimeout; now += cfhold.CheckInterval {
+		l.ObserveWrite(h, 1, 5000, now)
 		cuts += len(l.Cuts(now))
 	}
 	if cuts != 1 {
@@ -159,20 +159,20 @@
 	}
 	// A write that has ended starts anew.
 	h = open(l, "a", cfhold.Stream, 0)
-	for now := cf.Millis(0); now < 5000; now += cfhold.LookEvery {
-		l.Look(h, uint64(now), 5000, now)
+	for now := cf.Millis(0); now < 5000; now += cfhold.CheckInterval {
+		l.ObserveWrite(h, uint64(now), 5000, now)
 		if len(l.Cuts(now)) > 0 {
 			t.Error("a stream whose writes end was cut")
 		}
 	}
 	// One caller leaves a part for others.
-	l = cfhold.New(cfhold.Bounds{Total: 16 * mb, PerCaller: 4 * mb, Reserve: 2 * mb}, cfhold.Policy{})
+	l = cfhold.New(cfhold.Bounds{Total: 16 * mb, PerCaller: 4 * mb, PageReserve: 2 * mb}, cfhold.Policy{})
 	open(l, "a", cfhold.Answer, 12*mb)
 	waits := l.Open("a", cfhold.Answer)
 	if l.Refuses("a") || l.Take(waits, 2*mb) != cfhold.Wait || !l.Refuses("a") || l.Refuses("b") {
 		t.Errorf("a caller over its part: refused %t, another %t", l.Refuses("a"), l.Refuses("b"))
 	}
-	l.GiveUp(waits)
+	l.StopWaiting(waits)
 	l.Close(open(l, "a", cfhold.Page, 2*mb)) // it can still read its results
 	open(l, "b", cfhold.Answer, 2*mb)
 	open(l, "c", cfhold.Answer, 2*mb)
@@ -181,7 +181,7 @@
 		t.Errorf("a page got %d bytes, %v", n, v)
 	}
 	open(l, "d", cfhold.Answer, 4000) // a refusal goes on
-	if v := l.Take(l.Open("d", cfhold.Answer), 17*mb); v != cfhold.Never {
+	if v := l.Take(l.Open("d", cfhold.Answer), 17*mb); v != cfhold.TooLarge {
 		t.Errorf("an answer over the bound: %v", v)
 	}
 }
--- a/core/cfhold/pool.go
+++ b/core/cfhold/pool.go
@@ -39,8 +39,8 @@
 // Free gives back what an answer holds.
 func (p *Pool) Free(n int64) { p.taken -= poolShare(n) }
 
-// Taken returns how much of the pool is taken.
-func (p *Pool) Taken() int64 { return p.taken }
+// Used returns how much of the pool is taken.
+func (p *Pool) Used() int64 { return p.taken }
 
 // poolShare returns what an answer of n bytes takes of a pool.
 func poolShare(n int64) int64 {
--- a/core/cfhold/pool_test.go
+++ b/core/cfhold/pool_test.go
@@ -22,7 +22,7 @@
 				p.Free(n)
 				endless[i] = 0
 			}
-			most = max(most, p.Taken())
+			most = max(most, p.Used())
 		}
 		if p.Grow(0, 12<<10) {
 			sound++
@@ -36,7 +36,7 @@
 	for _, n := range endless {
 		p.Free(n)
 	}
-	if p.Taken() != 0 || !p.Grow(0, 200<<10) {
-		t.Errorf("%d bytes are taken in the end", p.Taken())
+	if p.Used() != 0 || !p.Grow(0, 200<<10) {
+		t.Errorf("%d bytes are taken in the end", p.Used())
 	}
 }
--- a/core/cfhold/usual_test.go
+++ b/core/cfhold/usual_test.go
@@ -13,14 +13,14 @@
 // beside them an answer of 300 KB each time from another target, which its caller has after two.
 func TestAnswersWithoutEndLeaveRoomForOthers(t *testing.T) {
 	for _, sure := range []bool{false, true} {
-		l, u := cfhold.New(cfhold.BoundsOf(memory), cfhold.Policy{}), cfhold.NewUsual()
+		l, u := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
 		type endless struct {
-			hold       *cfhold.Hold
+			hold       *cfhold.Reservation
 			read, room int64
 			waits      cf.Millis
 		}
 		under := make([]*endless, 150)
-		var sound []*cfhold.Hold
+		var sound []*cfhold.Reservation
 		served, waited := 0, 0
 		for range 400 {
 			if len(sound) == 2 {
@@ -34,13 +34,13 @@
 				}
 				for e.read += 60 << 10; e.room < e.read; {
 					more := max(e.room, 4<<10)
-					unsure := !sure && u.Unsure("endless", e.room+more)
-					if unsure && l.TakeUnsure(e.hold, more) || !unsure && l.Take(e.hold, more) == cfhold.Granted {
+					unsure := !sure && u.MayBeUnbounded("endless", e.room+more)
+					if unsure && l.TakeUnbounded(e.hold, more) || !unsure && l.Take(e.hold, more) == cfhold.Granted {
 						e.room += more
 						continue
 					}
 					e.read = e.room // no more is read while it waits
-					if e.waits += 100; unsure || e.waits > cfhold.WaitMost {
+					if e.waits += 100; unsure || e.waits > cfhold.MaxWait {
 						l.Close(e.hold)
 						under[i] = nil
 					}
@@ -55,7 +55,7 @@
 			}
 			served++
 			sound = append(sound, h)
-			u.Note("sound", 300<<10)
+			u.Observe("sound", 300<<10)
 		}
 		t.Logf("decision off %t: %d served, %d found no room", sure, served, waited)
 		if (waited > 0) != sure {
@@ -67,14 +67,14 @@
 // Guards against a service whose answers do not tell their length, and are larger than is usual:
 // those that fit are read, and from then on larger ones too.
 func TestLargeAnswersWithoutALengthAreRead(t *testing.T) {
-	l, u := cfhold.New(cfhold.BoundsOf(memory), cfhold.Policy{}), cfhold.NewUsual()
+	l, u := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
 	read := func(size int64) (unsure bool) {
 		h := l.Open("caller", cfhold.Answer)
 		defer l.Close(h)
 		for n := int64(4 << 10); n < size; n *= 2 {
-			if u.Unsure("s", 2*n) {
+			if u.MayBeUnbounded("s", 2*n) {
 				unsure = true
-				if !l.TakeUnsure(h, n) {
+				if !l.TakeUnbounded(h, n) {
 					t.Errorf("an answer of %d bytes finds no room beyond %d", size, n)
 					return
 				}
@@ -83,7 +83,7 @@
 				return
 			}
 		}
-		u.Note("s", size)
+		u.Observe("s", size)
 		return unsure
 	}
 	if !read(1<<20) || !read(8<<20) {
--- a/core/cfmember/roster.go
+++ b/core/cfmember/roster.go
@@ -66,14 +66,14 @@
 	}
 	r.sum ^= sumOf(e)
 	r.entries[e.ID] = e
-	r.log.Note(r.count+1, e.ID)
+	r.log.Append(r.count+1, e.ID)
 	return true
 }
 
 func (r *Roster) drop(id cf.EntryID) {
 	r.sum ^= sumOf(r.entries[id])
 	delete(r.entries, id)
-	r.log.Note(r.count+1, id)
+	r.log.Append(r.count+1, id)
 }
 
 func (r *Roster) counted(changed bool) {
--- a/core/cfpatch/cfpatch.go
+++ b/core/cfpatch/cfpatch.go
@@ -15,8 +15,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrDamaged: what was packed can't be read, or not with this base.
-var ErrDamaged = errors.New("packed document can't be read")
+// ErrCorrupt: what was packed can't be read, or not with this base.
+var ErrCorrupt = errors.New("packed document can't be read")
 
 const (
 	// baseID names the base within a packed document. Which base it is, sender and recipient
@@ -44,7 +44,7 @@
 }
 
 // Unpack returns the document of at most most bytes that was packed with base. It is
-// ErrDamaged if it differs from what was packed.
+// ErrCorrupt if it differs from what was packed.
 func Unpack(base, packed []byte, most int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(max(most, 1))),
@@ -59,7 +59,7 @@
 	defer dec.Close()
 	document, err := dec.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, eris.Wrapf(ErrDamaged, "%d bytes: %v", len(packed), err)
+		return nil, eris.Wrapf(ErrCorrupt, "%d bytes: %v", len(packed), err)
 	}
 	return document, nil
 }
--- a/core/cfpatch/cfpatch_test.go
+++ b/core/cfpatch/cfpatch_test.go
@@ -69,7 +69,7 @@
 		"damaged":      {base, damaged, 1 << 20},
 		"too large":    {base, packed, len(next) - 1},
 	} {
-		if got, err := cfpatch.Unpack(c.base, c.packed, c.most); !errors.Is(err, cfpatch.ErrDamaged) {
+		if got, err := cfpatch.Unpack(c.base, c.packed, c.most); !errors.Is(err, cfpatch.ErrCorrupt) {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
 	}
--- a/core/cfpeak/cfpeak.go
+++ b/core/cfpeak/cfpeak.go
@@ -20,14 +20,14 @@
 	since       cf.Millis
 }
 
-// Note takes the number as of at.
-func (p *Peak) Note(n int, at cf.Millis) {
-	p.Of(at)
+// Observe takes the number as of at.
+func (p *Peak) Observe(n int, at cf.Millis) {
+	p.Max(at)
 	p.now = max(p.now, n)
 }
 
-// Of returns the most, as of at.
-func (p *Peak) Of(at cf.Millis) int {
+// Max returns the most, as of at.
+func (p *Peak) Max(at cf.Millis) int {
 	if at-p.since > span {
 		p.before, p.now, p.since = p.now, 0, at
 	}
--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -138,7 +138,7 @@
 	Continue Verdict = iota
 	// Accept: this answer scores the text.
 	Accept
-	// GiveUp: the attempts that its route allows have failed.
+	// StopWaiting: the attempts that its route allows have failed.
 	GiveUp
 )
 
@@ -277,7 +277,7 @@
 
 // late says whether an attempt has taken much longer than usual.
 func (p *Planner) late(a *Attempt, now cf.Millis) bool {
-	usual := p.balancer.Throughput([]cf.Target{a.Target}, now).Work
+	usual := p.balancer.Throughput([]cf.Target{a.Target}, now).ServiceTime
 	return now-a.StartedAt >= max(cf.Millis(usual*p.limits.HedgeFactor), p.limits.MinHedgeDelay)
 }
 
@@ -408,7 +408,7 @@
 	case Rejected:
 		s.limit = max(s.limit/2, 1)
 		p.pause(s, now)
-		outcome = cfbalance.Full
+		outcome = cfbalance.NotRun
 	case NoAnswer:
 		s.limit = 1
 		p.pause(s, now)
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -166,7 +166,7 @@
 	clear(e.versions)
 	p.setLoading(e, 0)
 	e.loadBegan, e.pace, e.usual, e.avoid, e.rest, e.failed, e.kept = 0, 0, 0, 0, 0, 0, nil
-	e.state = cfslow.State{}
+	e.state = cfslow.EngineState{}
 }
 
 // hold records that an engine has a version. Versions of one start of an
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -32,13 +32,13 @@
 // ShowPeriods lets the planner have observed periods of slowness, and the runs under way show
 // the pace of their engines until now: 40 ms, and 100 ms for the last 250 ms at slow ones.
 func (p *Planner) ShowPeriods(slow func(cf.InstanceID) bool, now cf.Millis) {
-	s := &cfslow.State{}
+	s := &cfslow.EngineState{}
 	for at := now - 8000; at < now; at += 50 {
 		pace := 40.0
 		if at%800 < 300 {
 			pace = 100
 		}
-		s.Note(&p.periods, pace, 40, at)
+		s.Observe(&p.periods, pace, 40, at)
 	}
 	for at := now - 1000; at <= now; at += 10 {
 		p.eachRunning(func(w *Work) {
--- a/core/cfrollout/need.go
+++ b/core/cfrollout/need.go
@@ -80,7 +80,7 @@
 		peak = &cfpeak.Peak{}
 		p.peaks[m] = peak
 	}
-	peak.Note(n+p.openItems(m), p.now)
+	peak.Observe(n+p.openItems(m), p.now)
 }
 
 // perEngine is how many runs an engine with so many slots should have at once.
@@ -96,7 +96,7 @@
 	service := p.serviceOf(m)
 	peak := p.peaks[m]
 	switch {
-	case peak != nil && peak.Of(p.now) > 0:
+	case peak != nil && peak.Max(p.now) > 0:
 	case p.Named(m) > 1: // it is trained, and its steps are not known yet
 		if _, assumed := f.assumed[m]; !assumed {
 			f.assumed[m] = min(f.following(m)/shifts, len(f.usable)/len(p.models[service]))
@@ -113,7 +113,7 @@
 	for _, e := range p.shares[shareKey{service, m}] {
 		domains[e.Domain] = true
 	}
-	n := math.Ceil(float64(peak.Of(p.now)) / float64(p.perEngine(slots)))
+	n := math.Ceil(float64(peak.Max(p.now)) / float64(p.perEngine(slots)))
 	if d := float64(len(domains)); d > 1 {
 		n = math.Ceil(n * d / (d - 1))
 	}
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -119,7 +119,7 @@
 	p.notePeriods(shown)
 	byPeriods := p.byPeriods(now)
 	for e, n := range count {
-		if usual := e.state.Usual(); byPeriods && e.pace > 0 && usual > 0 {
+		if usual := e.state.BaselinePace(); byPeriods && e.pace > 0 && usual > 0 {
 			e.pace = min(max(e.pace, usual/lastingFactor), usual)
 			if !e.state.Quiet(minNormalTime, now) {
 				continue // it shows a period or a load, not the engine or what its runs cost
--- a/core/cfrollout/periods.go
+++ b/core/cfrollout/periods.go
@@ -85,7 +85,7 @@
 
 // byPeriods says whether periods of slowness were observed, and count.
 func (p *Planner) byPeriods(now cf.Millis) bool {
-	return !p.limits.NoSlowPeriods && p.periods.Known(now)
+	return !p.limits.NoSlowPeriods && p.periods.Reliable(now)
 }
 
 // latestPace returns what the latest event took, or what the one under way has taken if that
@@ -133,11 +133,11 @@
 // add adds what a run shows of its engine.
 func (s *paceSamples) add(w *Work, e *Engine) {
 	if first := cf.Millis(w.Progress.first.Load()); w.movedAt > 0 && w.Started >= w.movedAt && first > 0 {
-		s.planner.moveCost.Note(float64(first-w.movedAt) - s.planner.expected(e, s.planner.typical()))
+		s.planner.moveCost.Observe(float64(first-w.movedAt) - s.planner.expected(e, s.planner.typical()))
 		w.movedAt = 0
 	}
 	if e.loading > 0 {
-		e.state.Forget(&s.planner.periods, s.now)
+		e.state.DiscardPeriod(&s.planner.periods, s.now)
 		e.loadSeen = s.now
 		return
 	}
@@ -162,15 +162,15 @@
 	slow := 0
 	for e, x := range s.engines {
 		slices.Sort(x.paces)
-		if pace := x.paces[len(x.paces)/2]; e.state.Shows(pace) || e.state.Slow(s.now) {
+		if pace := x.paces[len(x.paces)/2]; e.state.IndicatesSlow(pace) || e.state.Slow(s.now) {
 			slow++
 		}
 	}
 	suspect := len(s.engines) >= suspectFrom && 2*slow > len(s.engines)
 	for e, x := range s.engines {
-		e.state.Note(&p.periods, x.paces[len(x.paces)/2], usual, x.at)
+		e.state.Observe(&p.periods, x.paces[len(x.paces)/2], usual, x.at)
 		if suspect {
-			e.state.Forget(&p.periods, s.now)
+			e.state.DiscardPeriod(&p.periods, s.now)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 func (p *Planner) usualNow() float64 {
 	var paces []float64
 	for _, e := range p.busy {
-		if usual := e.state.Usual(); usual > 0 {
+		if usual := e.state.BaselinePace(); usual > 0 {
 			paces = append(paces, usual)
 		}
 	}
@@ -219,7 +219,7 @@
 		}
 		own, _, shown := w.Progress.latestPace(now)
 		slow := e.state.Slow(now)
-		if !shown || slow && own < ownSlower*e.state.Usual() || !slow && now-w.Started < moveRest {
+		if !shown || slow && own < ownSlower*e.state.BaselinePace() || !slow && now-w.Started < moveRest {
 			continue
 		}
 		if !listed {
@@ -234,8 +234,8 @@
 		}
 		// What more runs cost is learned within some percent, of which a long text would make
 		// half a second: only a lasting pace that is clearly lower counts.
-		pace, least := e.state.Usual(), periodGain+periodGainMore*float64(w.moves)
-		if usual := to.state.Usual(); usual > 0 && lastingFactor*usual < pace {
+		pace, least := e.state.BaselinePace(), periodGain+periodGainMore*float64(w.moves)
+		if usual := to.state.BaselinePace(); usual > 0 && lastingFactor*usual < pace {
 			pace = usual
 		} else if !slow {
 			continue
@@ -243,15 +243,15 @@
 		if !slow {
 			least = w.moveGain()
 		}
-		run := cfslow.Run{Left: p.left(w), Under: w.Progress.under(now)}
-		place := cfslow.Place{Pace: pace, Delay: p.delay(to, run.Left, now)}
-		saved := p.periods.Saves(run, &e.state, place, p.moveCost.Ms(), now)
+		run := cfslow.Run{EventsLeft: p.left(w), EventElapsed: w.Progress.under(now)}
+		place := cfslow.Destination{Pace: pace, Delay: p.delay(to, run.EventsLeft, now)}
+		saved := p.periods.TimeSaved(run, &e.state, place, p.moveCost.Ms(), now)
 		if saved < least {
 			continue
 		}
 		w.moved = Moved{Period: slow, To: to.ID, Saves: saved, Cost: p.moveCost.Ms()}
 		if slow {
-			w.moved.SlowLeft = p.periods.Left(now - e.state.Since())
+			w.moved.SlowLeft = p.periods.Remaining(now - e.state.Since())
 		}
 		p.reserve(w, to, now)
 		out = append(out, w)
@@ -342,5 +342,5 @@
 	if !p.byPeriods(now) {
 		return SlowPeriods{}
 	}
-	return SlowPeriods{true, p.periods.Mean(), p.periods.Share(), p.periods.Slowdown(), p.moveCost.Ms()}
+	return SlowPeriods{true, p.periods.Mean(), p.periods.SlowFraction(), p.periods.Slowdown(), p.moveCost.Ms()}
 }
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -115,7 +115,7 @@
 		// loadSeen is when it was last seen loading under a run.
 		loadSeen cf.Millis
 		// state is what its events show of periods of slowness.
-		state cfslow.State
+		state cfslow.EngineState
 		// kept are until when connections to it are kept that nobody uses, the first to
 		// end first.
 		kept []cf.Millis
@@ -258,7 +258,7 @@
 		// periods is what was observed of engines that are slow for a while, moveCost
 		// what it costs to move a run.
 		periods  cfslow.Periods
-		moveCost cfslow.Cost
+		moveCost cfslow.MoveCost
 		// stalledUntil is when the process was last found to have done nothing for a while.
 		stalledUntil cf.Millis
 		reservations []*Work
--- a/core/cfsite/relay.go
+++ b/core/cfsite/relay.go
@@ -66,7 +66,7 @@
 // note records that a target changes with the change that is notified next.
 func (r *relay) note(service cf.ServiceName, id cf.InstanceID) {
 	if r.tells(service) {
-		r.log.Note(r.count+1, id)
+		r.log.Append(r.count+1, id)
 		r.pending = true
 	}
 }
--- a/core/cfsite/site.go
+++ b/core/cfsite/site.go
@@ -105,7 +105,7 @@
 	if known && old.sum == e.sum && reflect.DeepEqual(old.target, e.target) {
 		return
 	}
-	s.log.Note(s.changes+1, id)
+	s.log.Append(s.changes+1, id)
 	if known && old.sum == e.sum {
 		return // its weights alone
 	}
@@ -126,7 +126,7 @@
 	old := s.targets[id]
 	delete(s.targets, id)
 	s.leave(old)
-	s.log.Note(s.changes+1, id)
+	s.log.Append(s.changes+1, id)
 }
 
 // leave takes a target out of its service.
--- a/core/cfslow/cfslow.go
+++ b/core/cfslow/cfslow.go
@@ -67,20 +67,20 @@
 	ends, leftOf   int               // how many ended, and for how many left holds
 }
 
-// Known says whether enough periods were observed for decisions to go by them.
-func (p *Periods) Known(now cf.Millis) bool {
+// Reliable says whether enough periods were observed for decisions to go by them.
+func (p *Periods) Reliable(now cf.Millis) bool {
 	// It is asked for each engine of a choice.
 	if p.recent < knownPeriods {
 		return false
 	}
 	if now != p.knownAt {
-		p.knownAt, p.known = now, p.Recent(now) >= knownPeriods && p.Mean() >= float64(longEnough)
+		p.knownAt, p.known = now, p.RecentCount(now) >= knownPeriods && p.Mean() >= float64(longEnough)
 	}
 	return p.known
 }
 
-// Recent returns about how many periods ended within the last half minute.
-func (p *Periods) Recent(now cf.Millis) float64 {
+// RecentCount returns about how many periods ended within the last half minute.
+func (p *Periods) RecentCount(now cf.Millis) float64 {
 	return p.recent * math.Exp(-float64(now-p.recentAt)/float64(knownSpan))
 }
 
@@ -101,14 +101,14 @@
 		p.ended[last]++
 	}
 	if whole && last < int(ages) && span >= longEnough {
-		p.recent = p.Recent(now) + 1
+		p.recent = p.RecentCount(now) + 1
 		p.recentAt = now
 	}
 }
 
-// Left returns how much longer an engine is expected to be slow that has been for a
+// Remaining returns how much longer an engine is expected to be slow that has been for a
 // while, in ms.
-func (p *Periods) Left(been cf.Millis) float64 {
+func (p *Periods) Remaining(been cf.Millis) float64 {
 	if p.leftOf != p.ends || p.left[ages] == 0 {
 		p.leftOf = p.ends
 		p.left[ages] = float64(lastingLeft)
@@ -129,7 +129,7 @@
 }
 
 // Mean returns how long a period lasts, in ms.
-func (p *Periods) Mean() float64 { return p.Left(0) }
+func (p *Periods) Mean() float64 { return p.Remaining(0) }
 
 // Slowdown returns how many times slower an engine is in a period.
 func (p *Periods) Slowdown() float64 {
@@ -139,9 +139,9 @@
 	return p.slowdown
 }
 
-// Share returns the part of the time that engines are slow. It goes by how often periods
+// SlowFraction returns the part of the time that engines are slow. It goes by how often periods
 // begin: runs leave slow engines, so that those are seen for less than they are slow.
-func (p *Periods) Share() float64 { return p.Mean() / (p.Mean() + p.between()) }
+func (p *Periods) SlowFraction() float64 { return p.Mean() / (p.Mean() + p.between()) }
 
 // between returns how long an engine is quiet between two periods, in ms.
 func (p *Periods) between() float64 { return (p.quiet + quietPrior) / (p.begun + 1) }
@@ -149,10 +149,10 @@
 // Delay returns how much longer, in ms, a run at an engine takes than at its lasting pace
 // because of the period that the engine is in, or may have come into since it was last
 // observed. most is what the run has to do there at most, in ms at the lasting pace.
-func (p *Periods) Delay(s *State, most float64, now cf.Millis) float64 {
+func (p *Periods) Delay(s *EngineState, most float64, now cf.Millis) float64 {
 	lost := 1 - 1/p.Slowdown()
 	if s.Slow(now) {
-		return min(p.Left(now-s.since)*lost, most*(s.ratio-1))
+		return min(p.Remaining(now-s.since)*lost, most*(s.ratio-1))
 	}
 	mean := p.Mean()
 	unseen := 1.0
@@ -160,5 +160,5 @@
 		// The state is one of two, and forgets what it was within the mean of both.
 		unseen = 1 - math.Exp(-float64(max(now-s.seen, 0))*(1/p.between()+1/mean))
 	}
-	return p.Share() * unseen * min(mean*lost, most*(p.Slowdown()-1))
+	return p.SlowFraction() * unseen * min(mean*lost, most*(p.Slowdown()-1))
 }
--- a/core/cfslow/cfslow_test.go
+++ b/core/cfslow/cfslow_test.go
@@ -14,16 +14,16 @@
 // watch shows twelve engines until an end, every 20 ms, each slow for 600 ms and quiet for 3,400,
 // one after the other, with an error of their paces. It returns the first, which has just
 // turned slow.
-func watch(p *cfslow.Periods, to cf.Millis, noise float64) *cfslow.State {
+func watch(p *cfslow.Periods, to cf.Millis, noise float64) *cfslow.EngineState {
 	random := rand.New(rand.NewPCG(2, 3))
-	var engines [12]cfslow.State
+	var engines [12]cfslow.EngineState
 	for now := cf.Millis(20); now <= to; now += 20 {
 		for i := range engines {
 			pace := quietPace * (1 + noise*random.NormFloat64())
 			if (now+cf.Millis(i)*320)%4000 < 600 {
 				pace *= 2.5
 			}
-			engines[i].Note(p, pace, quietPace, now)
+			engines[i].Observe(p, pace, quietPace, now)
 		}
 	}
 	return &engines[0]
@@ -34,10 +34,10 @@
 	for _, noise := range []float64{0, 0.08} {
 		p := &cfslow.Periods{}
 		s := watch(p, 120000, noise)
-		if !p.Known(120000) || math.Abs(p.Mean()-600) > 120 || math.Abs(p.Share()-0.15) > 0.03 || math.Abs(p.Slowdown()-2.5) > 0.3 || math.Abs(s.Usual()-quietPace) > 3 {
-			t.Errorf("noise %.2f: known %t, mean %.0f, share %.3f, slowdown %.2f, lasting pace %.1f", noise, p.Known(120000), p.Mean(), p.Share(), p.Slowdown(), s.Usual())
+		if !p.Reliable(120000) || math.Abs(p.Mean()-600) > 120 || math.Abs(p.SlowFraction()-0.15) > 0.03 || math.Abs(p.Slowdown()-2.5) > 0.3 || math.Abs(s.BaselinePace()-quietPace) > 3 {
+			t.Errorf("noise %.2f: known %t, mean %.0f, share %.3f, slowdown %.2f, lasting pace %.1f", noise, p.Reliable(120000), p.Mean(), p.SlowFraction(), p.Slowdown(), s.BaselinePace())
 		}
-		if late := p.Left(500); late > 250 {
+		if late := p.Remaining(500); late > 250 {
 			t.Errorf("a period of 600 ms that has lasted 500 is expected to go on for %.0f", late)
 		}
 	}
@@ -46,7 +46,7 @@
 // Guards against a lasting pace that bursts and late events pull down until every engine looks
 // slow.
 func TestBurstsLeaveTheLastingPace(t *testing.T) {
-	p, s := &cfslow.Periods{}, &cfslow.State{}
+	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(0); now < 60000; now += 20 {
 		pace := float64(quietPace)
 		switch now % 200 {
@@ -55,25 +55,25 @@
 		case 20, 40:
 			pace = 2
 		}
-		s.Note(p, pace, quietPace, now)
+		s.Observe(p, pace, quietPace, now)
 	}
-	if math.Abs(s.Usual()-quietPace) > 5 || p.Mean() > 2100 {
-		t.Errorf("lasting pace %.1f, periods of %.0f ms", s.Usual(), p.Mean())
+	if math.Abs(s.BaselinePace()-quietPace) > 5 || p.Mean() > 2100 {
+		t.Errorf("lasting pace %.1f, periods of %.0f ms", s.BaselinePace(), p.Mean())
 	}
 }
 
 // Guards against an engine that is slow for good being taken for one that will be fast again.
 func TestLastingSlownessBecomesThePace(t *testing.T) {
-	p, s := &cfslow.Periods{}, &cfslow.State{}
+	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(20); now < 20000; now += 20 {
 		pace := float64(quietPace)
 		if now > 10000 {
 			pace *= 2
 		}
-		s.Note(p, pace, 0, now)
+		s.Observe(p, pace, 0, now)
 	}
-	if s.Slow(20000) || math.Abs(s.Usual()-2*quietPace) > 5 || p.Known(20000) {
-		t.Errorf("slow %t, lasting pace %.1f, known %t", s.Slow(20000), s.Usual(), p.Known(20000))
+	if s.Slow(20000) || math.Abs(s.BaselinePace()-2*quietPace) > 5 || p.Reliable(20000) {
+		t.Errorf("slow %t, lasting pace %.1f, known %t", s.Slow(20000), s.BaselinePace(), p.Reliable(20000))
 	}
 }
 
@@ -82,9 +82,9 @@
 	p := &cfslow.Periods{}
 	now := cf.Millis(120100)
 	s := watch(p, now, 0)
-	place := cfslow.Place{Pace: s.Usual()} // as the planner takes it, unless it is clearly lower
-	saves := func(left float64, to cfslow.Place, now cf.Millis) float64 {
-		return p.Saves(cfslow.Run{Left: left}, s, to, 80, now)
+	place := cfslow.Destination{Pace: s.BaselinePace()} // as the planner takes it, unless it is clearly lower
+	saves := func(left float64, to cfslow.Destination, now cf.Millis) float64 {
+		return p.TimeSaved(cfslow.Run{EventsLeft: left}, s, to, 80, now)
 	}
 	if early := saves(100, place, now); early < 80 || early > 280 {
 		t.Errorf("a long text saves %.0f ms at the start of a period", early)
@@ -95,7 +95,7 @@
 	if short := saves(1, place, now); short > 0 {
 		t.Errorf("a text with one event left saves %.0f ms", short)
 	}
-	if bad := saves(100, cfslow.Place{Pace: s.Usual(), Delay: p.Delay(s, 100*quietPace, now)}, now); bad > 0 {
+	if bad := saves(100, cfslow.Destination{Pace: s.BaselinePace(), Delay: p.Delay(s, 100*quietPace, now)}, now); bad > 0 {
 		t.Errorf("a long text saves %.0f ms at an engine that is as slow", bad)
 	}
 }
--- a/core/cfslow/state.go
+++ b/core/cfslow/state.go
@@ -34,9 +34,9 @@
 	ratioWeight = 0.3
 )
 
-// State is what the events of an engine's runs show of it. The zero value is an engine
+// EngineState is what the events of an engine's runs show of it. The zero value is an engine
 // that has shown nothing.
-type State struct {
+type EngineState struct {
 	usual float64 // the lasting pace
 	ratio float64 // how much slower it is in the period under way
 	noise float64 // the mean error of the pace of a quiet engine, as a part of it
@@ -46,28 +46,28 @@
 	seen  cf.Millis
 }
 
-// Usual returns an engine's lasting pace, zero where it has not shown.
-func (s *State) Usual() float64 { return s.usual }
+// BaselinePace returns an engine's lasting pace, zero where it has not shown.
+func (s *EngineState) BaselinePace() float64 { return s.usual }
 
 // Slow says whether the engine is in a period of slowness.
-func (s *State) Slow(now cf.Millis) bool { return s.slow && now-s.seen <= lost }
+func (s *EngineState) Slow(now cf.Millis) bool { return s.slow && now-s.seen <= lost }
 
 // Quiet says whether the engine was seen quiet just now, and has been for a span.
-func (s *State) Quiet(span, now cf.Millis) bool {
+func (s *EngineState) Quiet(span, now cf.Millis) bool {
 	return !s.slow && s.usual > 0 && now-s.seen <= lost && now-s.quiet >= span
 }
 
 // Since returns when the period of slowness began that the engine is in.
-func (s *State) Since() cf.Millis { return s.since }
+func (s *EngineState) Since() cf.Millis { return s.since }
 
-// Shows says whether a pace would begin a period of slowness.
-func (s *State) Shows(pace float64) bool {
+// IndicatesSlow says whether a pace would begin a period of slowness.
+func (s *EngineState) IndicatesSlow(pace float64) bool {
 	return s.usual > 0 && pace > s.usual*max(slowFrom, 1+noiseSlow*min(s.noise, noiseMost))
 }
 
-// Note takes the pace of an engine's events as they show it at seen, in ms per event. usual is
+// Observe takes the pace of an engine's events as they show it at seen, in ms per event. usual is
 // that of engines like it, for one that has shown nothing yet, zero if that is not known.
-func (s *State) Note(p *Periods, pace, usual float64, seen cf.Millis) {
+func (s *EngineState) Observe(p *Periods, pace, usual float64, seen cf.Millis) {
 	if s.usual == 0 {
 		s.usual, s.seen, s.quiet = pace, seen, seen
 		if usual > 0 {
@@ -100,7 +100,7 @@
 		if seen-s.since > age {
 			p.noteSlowdown(s.ratio)
 		}
-	case s.Shows(pace):
+	case s.IndicatesSlow(pace):
 		s.slow, s.ratio = true, ratio
 		s.since = seen - cf.Millis(min(pace, float64(passed))) // it began within an event
 		p.begun++
@@ -112,22 +112,22 @@
 }
 
 // follow moves the lasting pace towards one that was seen.
-func (s *State) follow(pace, rate float64, passed cf.Millis) {
+func (s *EngineState) follow(pace, rate float64, passed cf.Millis) {
 	most := rate * s.usual * float64(passed) / 1000
 	s.usual += min(max(usualNear*(pace-s.usual), -most), most)
 }
 
 // lose ends a period that was lost sight of at a moment.
-func (s *State) lose(p *Periods, at cf.Millis) {
+func (s *EngineState) lose(p *Periods, at cf.Millis) {
 	if s.slow {
 		s.slow, s.quiet = false, at
 		p.end(max(at-s.since, 0), false, at)
 	}
 }
 
-// Forget drops a period that is under way: what the engine shows at now is not its pace, as it
+// DiscardPeriod drops a period that is under way: what the engine shows at now is not its pace, as it
 // loads weights, or as most others look slow too. It counts as none.
-func (s *State) Forget(p *Periods, now cf.Millis) {
+func (s *EngineState) DiscardPeriod(p *Periods, now cf.Millis) {
 	if s.slow {
 		p.begun = max(p.begun-1, 0)
 	}
--- a/io/cfingress/forward.go
+++ b/io/cfingress/forward.go
@@ -69,7 +69,7 @@
 	// spent is what the caller had used of its time before the request came here.
 	spent cf.Millis
 	// refusal is why the request may not be sent, empty if it was not refused here.
-	refusal cfadmission.Verdict
+	refusal cfadmission.Decision
 }
 
 // Forward answers a request by sending it to a target of its route.
@@ -96,7 +96,7 @@
 		attempts: cfbalance.NewAttempts(route, deadline), tried: map[cf.InstanceID]bool{}, full: map[cf.InstanceID]bool{}, results: make(chan attempt, 8),
 		use: use{count: in.Count, of: access.Organisation}, spent: in.callers.Spent(route.Name, req.Deadline, req.Received),
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.attempts.Left(cf.Uptime()).Duration())
+	ctx, cancel := context.WithTimeout(ctx, f.attempts.Remaining(cf.Uptime()).Duration())
 	defer cancel()
 	if f.room, ok = f.openRoom(ctx, w); !ok {
 		return
@@ -194,7 +194,7 @@
 	now := cf.Uptime()
 	f.in.Log.Info("request_sent", zap.String("request_id", string(f.req.ID)), zap.Stringer("request_digest", f.key.Content),
 		zap.Stringer("caller_digest", f.key.Caller), zap.String("organisation", string(f.access.Organisation)), zap.String("route", f.route.Name),
-		zap.String("target", string(target.ID)), zap.Int("tried", len(f.tried)), zap.Int64("left_ms", int64(f.attempts.Left(now))),
+		zap.String("target", string(target.ID)), zap.Int("tried", len(f.tried)), zap.Int64("left_ms", int64(f.attempts.Remaining(now))),
 		zap.Int64("config_version", int64(f.version)), zap.Int64("config_age_ms", int64(f.in.belief().Age)),
 		zap.Int64("targets_revision", int64(f.in.Site.TargetsAt())))
 	call := f.call(now)
@@ -252,28 +252,28 @@
 func (f *forwarding) call(now cf.Millis) cf.TargetCall {
 	return cf.TargetCall{
 		ID: f.req.ID, Method: f.req.Method, Host: f.req.Host, Path: f.req.Path, Header: f.req.Header, Body: f.req.Body,
-		Timeout: f.attempts.Left(now), FreshConnection: !f.route.Idempotent(), Room: f.room,
+		Timeout: f.attempts.Remaining(now), FreshConnection: !f.route.Idempotent(), Room: f.room,
 		Organisation: f.access.Organisation, Ranked: f.access.Ranked, Urgency: cfaccess.Urgency(f.access, cfaccess.Live),
 	}
 }
 
 // take judges an attempt; true when its answer is the caller's.
 func (f *forwarding) take(a attempt) bool {
-	outcome, good := f.attempts.Judge(a.answer, a.err)
+	outcome, good := f.attempts.Classify(a.answer, a.err)
 	if outcome == cfbalance.Failed && a.err == nil {
 		f.last = &a
 	}
 	f.use.ended(a.target.ID, outcome, a.answer.Wrote)
-	if outcome == cfbalance.Full || outcome == cfbalance.Unreached {
+	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
 		f.full[a.target.ID] = true
 	}
 	now := cf.Uptime()
 	f.done(a, outcome, now)
-	f.in.balancer.Kept(a.target.ID, now+a.answer.Kept)
+	f.in.balancer.ConnectionKept(a.target.ID, now+a.answer.Kept)
 	f.follow(a)
 	if !good {
 		f.in.Log.Warn("attempt_failed", zap.String("request_id", string(f.req.ID)), zap.String("target", string(a.target.ID)),
-			zap.Int("status", a.answer.Status), zap.Bool("not_run", outcome == cfbalance.Full || outcome == cfbalance.Unreached),
+			zap.Int("status", a.answer.Status), zap.Bool("not_run", outcome == cfbalance.NotRun || outcome == cfbalance.Unreached),
 			zap.Int64("took_ms", int64(a.took)), cflog.Error(a.err))
 	}
 	return good
@@ -304,7 +304,7 @@
 			a := <-f.results
 			outcome := cfbalance.Abandoned
 			if a.answer.NotRun || errors.Is(a.err, cf.ErrNotRun) {
-				outcome = cfbalance.Full
+				outcome = cfbalance.NotRun
 			}
 			f.use.ended(a.target.ID, outcome, a.answer.Wrote)
 			f.done(a, cfbalance.Abandoned, cf.Uptime())
@@ -393,7 +393,7 @@
 	}
 	now := cf.Uptime()
 	throughput := f.in.throughput(f.service, now)
-	return f.in.returns.After(f.service, throughput, len(f.in.Members.Live()), f.attempts.Left(now), now)
+	return f.in.returns.RetryAfter(f.service, throughput, len(f.in.Members.Live()), f.attempts.Remaining(now), now)
 }
 
 // refuse turns away a request that surely has not run.
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -6,7 +6,7 @@
 // Usage:
 //
 //	in := cfingress.New(options)
-//	handler := platform.NewCallers(in, log)
+//	handler := platform.NewDeadlineTracker(in, log)
 package cfingress
 
 import (
@@ -94,9 +94,9 @@
 	Ingress struct {
 		Options
 		balancer  *cfbalance.Balancer
-		returns   *cfbalance.Returns
+		returns   *cfbalance.RetryScheduler
 		admission *cfadmission.Controller
-		callers   *cfadmission.Callers
+		callers   *cfadmission.DeadlineTracker
 		bodies    bodies
 		stopping  atomic.Bool
 	}
@@ -135,7 +135,7 @@
 
 // New returns an ingress.
 func New(o Options) *Ingress {
-	in := &Ingress{Options: o, balancer: cfbalance.New(), returns: cfbalance.NewReturns(), admission: cfadmission.New(), callers: cfadmission.NewCallers(), bodies: bodies{most: o.MemoryBytes / bodyPart}}
+	in := &Ingress{Options: o, balancer: cfbalance.New(), returns: cfbalance.NewRetryScheduler(), admission: cfadmission.New(), callers: cfadmission.NewDeadlineTracker(), bodies: bodies{most: o.MemoryBytes / bodyPart}}
 	in.balancer.IgnorePace = o.IgnorePace
 	return in
 }
--- a/io/cfingress/queue.go
+++ b/io/cfingress/queue.go
@@ -24,13 +24,13 @@
 	}
 
 	// verdict writes what decided a refusal to a log line.
-	verdict cfadmission.Verdict
+	verdict cfadmission.Decision
 )
 
 // Outcomes of the metric.
 var admissionOutcomes = map[cfadmission.Reason]string{
-	cfadmission.NoRoom: "no_room", cfadmission.OverShare: "over_share", cfadmission.TooLate: "too_late",
-	cfadmission.QueueFull: "queue_full", cfadmission.TargetsRefused: "targets_refused", cfadmission.NoBudget: "no_budget",
+	cfadmission.NoCapacity: "no_room", cfadmission.OverShare: "over_share", cfadmission.TooLate: "too_late",
+	cfadmission.QueueFull: "queue_full", cfadmission.TargetsRefused: "targets_refused", cfadmission.NoRetryBudget: "no_budget",
 }
 
 // MarshalLogObject writes nothing where no limit has acted.
@@ -39,8 +39,8 @@
 		return nil
 	}
 	enc.AddInt("waiting", v.Waiting)
-	enc.AddFloat64("limit_per_s", v.PerS)
-	enc.AddFloat64("organisation_asks_per_s", v.AskedPerS)
+	enc.AddFloat64("limit_per_s", v.SendPerS)
+	enc.AddFloat64("organisation_asks_per_s", v.DemandPerS)
 	enc.AddFloat64("organisation_share_per_s", v.SharePerS)
 	return nil
 }
@@ -64,18 +64,18 @@
 	}
 	now, must, retry := cf.Uptime(), f.attempts.MayHaveRun(), len(f.tried) > 0
 	if retry && !f.in.admission.MayRetry(f.service, must && wait, now) {
-		f.refused(cfadmission.Verdict{Reason: cfadmission.NoBudget}, wait)
+		f.refused(cfadmission.Decision{Reason: cfadmission.NoRetryBudget}, wait)
 		return place{}, false
 	}
 	if must && wait {
-		cfadmission.Readmit(candidates, f.tried, f.full)
+		cfadmission.ReopenTargets(candidates, f.tried, f.full)
 		clear(avoid)
 		maps.Copy(avoid, f.tried)
 	}
-	p := place{in: f.in, ticket: f.in.admission.Enter(cfadmission.Ask{
+	p := place{in: f.in, ticket: f.in.admission.Enter(cfadmission.Request{
 		Service: f.service, Class: cfadmission.Class{Organisation: f.access.Organisation, Priority: f.access.Priority},
-		Candidates: candidates, Tried: avoid, Instances: len(f.in.Members.Live()), Objective: objective, Spent: f.spent,
-		Arrived: f.req.Received, Deadline: now + f.attempts.Left(now), Again: f.spent > 0, Retry: retry, MayHaveRun: must && wait, NoWait: !wait,
+		Targets: candidates, Tried: avoid, Instances: len(f.in.Members.Live()), Objective: objective, Spent: f.spent,
+		Arrived: f.req.Received, Deadline: now + f.attempts.Remaining(now), Resubmitted: f.spent > 0, Retry: retry, MayHaveRun: must && wait, NoWait: !wait,
 	}, now)}
 	for began := now; ; now = cf.Uptime() {
 		v := f.in.admission.Poll(p.ticket, now)
@@ -83,7 +83,7 @@
 		case v.State == cfadmission.Send:
 			f.admitted(v, now-began)
 			for _, t := range candidates {
-				if !avoid[t.ID] && f.in.admission.Closed(p.ticket, t.ID, now) {
+				if !avoid[t.ID] && f.in.admission.Excluded(p.ticket, t.ID, now) {
 					avoid[t.ID] = true
 				}
 			}
@@ -99,8 +99,8 @@
 	}
 }
 
-func (f *forwarding) admitted(v cfadmission.Verdict, waited cf.Millis) {
-	f.refusal = cfadmission.Verdict{}
+func (f *forwarding) admitted(v cfadmission.Decision, waited cf.Millis) {
+	f.refusal = cfadmission.Decision{}
 	if !v.Limited {
 		return
 	}
@@ -113,7 +113,7 @@
 }
 
 // refused notes why the request, or a hedge beside it, was not sent.
-func (f *forwarding) refused(v cfadmission.Verdict, request bool) {
+func (f *forwarding) refused(v cfadmission.Decision, request bool) {
 	if !request {
 		f.in.Metrics.Admissions.WithLabelValues("no_hedge").Inc()
 		return
@@ -133,7 +133,7 @@
 // leave gives the place up if the request was not sent.
 func (p *place) leave() {
 	if p.ticket != nil && !p.taken {
-		p.in.admission.Leave(p.ticket)
+		p.in.admission.Cancel(p.ticket)
 	}
 }
 
@@ -143,14 +143,14 @@
 	if f.in.NoAdmission || f.objective() <= 0 {
 		return
 	}
-	end := cfadmission.End{Outcome: cfadmission.OutcomeOf(outcome, a.answer.Status, a.err), Load: a.answer.Load, Took: a.took, Status: a.answer.Status}
+	end := cfadmission.Result{Outcome: cfadmission.OutcomeOf(outcome, a.answer.Status, a.err), Load: a.answer.Load, Took: a.took, Status: a.answer.Status}
 	if f.in.admission.Done(f.service, a.target.ID, end, now) {
 		waiting := -1
 		if a.answer.Load != nil {
 			waiting = a.answer.Load.Waiting
 		}
 		f.in.Log.Info("admission_limited", zap.String("service", string(f.service)), zap.String("target", string(a.target.ID)),
-			zap.Int("waiting_there", waiting), zap.Bool("not_run", outcome == cfbalance.Full), zap.Int("instances", len(f.in.Members.Live())))
+			zap.Int("waiting_there", waiting), zap.Bool("not_run", outcome == cfbalance.NotRun), zap.Int("instances", len(f.in.Members.Live())))
 	}
 }
 
@@ -159,7 +159,7 @@
 func (in *Ingress) throughput(service cf.ServiceName, now cf.Millis) cfbalance.Throughput {
 	if !in.NoAdmission {
 		if perMs, work := in.admission.Throughput(service, now); perMs > 0 {
-			return cfbalance.Throughput{Work: work, PerMs: perMs}
+			return cfbalance.Throughput{ServiceTime: work, PerMs: perMs}
 		}
 	}
 	return in.balancer.Throughput(in.Site.Usable(service), now)
--- a/io/cfingress/stream.go
+++ b/io/cfingress/stream.go
@@ -132,7 +132,7 @@
 	call.ResumeAfter = sink.last
 	f.in.Log.Info("stream_sent", zap.String("request_id", string(f.req.ID)), zap.Stringer("request_digest", f.key.Content),
 		zap.Stringer("caller_digest", f.key.Caller), zap.String("organisation", string(f.access.Organisation)), zap.String("target", string(target.ID)),
-		zap.Int64("resume_after", int64(sink.last)), zap.Int64("left_ms", int64(f.attempts.Left(now))),
+		zap.Int64("resume_after", int64(sink.last)), zap.Int64("left_ms", int64(f.attempts.Remaining(now))),
 		zap.Int64("config_version", int64(f.version)))
 	f.use.sent(target.ID, now)
 	answer, err := f.in.Targets.Stream(ctx, target, call, sink)
--- a/io/cfingress/use.go
+++ b/io/cfingress/use.go
@@ -37,7 +37,7 @@
 		if u.tries[i].target != t {
 			continue
 		}
-		if outcome == cfbalance.Full || outcome == cfbalance.Unreached {
+		if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
 			u.tries = append(u.tries[:i], u.tries[i+1:]...)
 		} else if wrote > 0 {
 			u.tries[i].began = wrote
--- a/io/cfnode/process.go
+++ b/io/cfnode/process.go
@@ -107,7 +107,7 @@
 // newRooms returns what bounds the answers that a process holds.
 func newRooms(s Settings, reg prometheus.Registerer, log *zap.Logger) *cfroom.Rooms {
 	return cfroom.New(cfroom.Options{
-		MemoryBytes: s.Memory.LimitMB << 20, Policy: cfhold.Policy{Off: s.Policy.NoHoldBounds}, Metrics: cfroom.NewMetrics(reg), Log: log,
+		MemoryBytes: s.Memory.LimitMB << 20, Policy: cfhold.Policy{Disabled: s.Policy.NoHoldBounds}, Metrics: cfroom.NewMetrics(reg), Log: log,
 	})
 }
 
--- a/io/cfnode/server.go
+++ b/io/cfnode/server.go
@@ -298,14 +298,14 @@
 func (s *Server) look() {
 	var busy []*cfroom.Conn
 	var last cf.Millis
-	timer := time.NewTimer(cfhold.LookEvery.Duration())
+	timer := time.NewTimer(cfhold.CheckInterval.Duration())
 	defer timer.Stop()
 	for {
 		select {
 		case <-s.stop:
 			return
 		case <-s.rooms.Pressed():
-			if soon := last + cfhold.LookSoon - cf.Uptime(); soon > 0 {
+			if soon := last + cfhold.PressureCheckInterval - cf.Uptime(); soon > 0 {
 				timer.Reset(soon.Duration())
 				continue
 			}
--- a/io/cfnode/slow_test.go
+++ b/io/cfnode/slow_test.go
@@ -173,7 +173,7 @@
 	wg.Wait()
 	cut := testutil.ToFloat64(s.metrics.Cut.WithLabelValues(string(cfhold.Slowest)))
 	t.Logf("%d others served, %.0f bytes held at most, %.0f slow ones cut off", served, most, cut)
-	if bound := cfhold.BoundsOf(slowLimit).Total; most > float64(bound) || cut == 0 {
+	if bound := cfhold.BoundsFor(slowLimit).Total; most > float64(bound) || cut == 0 {
 		t.Errorf("%.0f bytes were held, want at most %d; %.0f cut off", most, bound, cut)
 	}
 	for deadline := time.Now().Add(5 * time.Second); testutil.ToFloat64(s.metrics.Held) > 0; time.Sleep(10 * time.Millisecond) {
--- a/io/cfroom/cfroom.go
+++ b/io/cfroom/cfroom.go
@@ -77,7 +77,7 @@
 		mu     sync.Mutex
 		ledger *cfhold.Ledger
 		// blocked are those rooms whose callers were seen to be waited for.
-		blocked map[*cfhold.Hold]*Room
+		blocked map[*cfhold.Reservation]*Room
 		// freed is closed when room may have come free, where waiters wait for it.
 		freed   chan struct{}
 		waiters int
@@ -94,7 +94,7 @@
 		conn  *Conn
 		// answer is its number on the connection.
 		answer uint64
-		hold   *cfhold.Hold // of rooms.mu
+		hold   *cfhold.Reservation // of rooms.mu
 		// seen: its caller was waited for at the last look. Only Look uses it.
 		seen bool
 		// closed: nothing is taken any more.
@@ -134,13 +134,13 @@
 // New returns rooms that hold nothing.
 func New(o Options) *Rooms {
 	return &Rooms{
-		options: o, log: o.Log, ledger: cfhold.New(cfhold.BoundsOf(o.MemoryBytes), o.Policy),
-		blocked: map[*cfhold.Hold]*Room{}, freed: make(chan struct{}), pressed: make(chan struct{}, 1),
+		options: o, log: o.Log, ledger: cfhold.New(cfhold.BoundsFor(o.MemoryBytes), o.Policy),
+		blocked: map[*cfhold.Reservation]*Room{}, freed: make(chan struct{}), pressed: make(chan struct{}, 1),
 	}
 }
 
 // On says whether anything is bounded.
-func (r *Rooms) On() bool { return r != nil && !r.options.Policy.Off }
+func (r *Rooms) On() bool { return r != nil && !r.options.Policy.Disabled }
 
 // WithConn adds a caller's connection to the context of its requests.
 func WithConn(ctx context.Context, c *Conn) context.Context {
@@ -221,9 +221,9 @@
 	r.mu.Lock()
 	cuts := r.cuts(now)
 	r.wake() // two attempts of one request may wait, of which the ledger knows one
-	wait := cfhold.LookEvery
+	wait := cfhold.CheckInterval
 	if r.waiters > 0 {
-		wait = cfhold.LookSoon
+		wait = cfhold.PressureCheckInterval
 	}
 	r.mu.Unlock()
 	r.cut(cuts)
@@ -234,7 +234,7 @@
 func (r *Rooms) cuts(now cf.Millis) []pendingCut {
 	var out []pendingCut
 	for _, c := range r.ledger.Cuts(now) {
-		if room := r.blocked[c.Hold]; room != nil {
+		if room := r.blocked[c.Reservation]; room != nil {
 			out = append(out, pendingCut{c, room, r.ledger.Held(), r.allowLine(now)})
 		}
 	}
@@ -288,14 +288,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !room.closed {
-		r.ledger.Look(room.hold, write, acked, now)
+		r.ledger.ObserveWrite(room.hold, write, acked, now)
 		r.blocked[room.hold] = room
 	}
 }
 
 // rest notes that a room's caller is not waited for. r.mu is held.
 func (r *Rooms) rest(m *Room) {
-	r.ledger.Rest(m.hold)
+	r.ledger.WriteDone(m.hold)
 	delete(r.blocked, m.hold)
 }
 
@@ -323,10 +323,10 @@
 	if verdict == cfhold.Granted {
 		return n, nil
 	}
-	late := time.NewTimer(cfhold.WaitMost.Duration())
+	late := time.NewTimer(cfhold.MaxWait.Duration())
 	defer late.Stop()
 	for ; verdict != cfhold.Granted; n, verdict, freed = m.try(least, most, -1) {
-		if verdict == cfhold.Never {
+		if verdict == cfhold.TooLarge {
 			return 0, m.noRoom("over_bound", least)
 		}
 		select {
@@ -341,14 +341,14 @@
 	return n, nil
 }
 
-// TakeUnsure implements currantford.Room.
+// TakeUnbounded implements currantford.Room.
 func (m *Room) TakeUnsure(n int64) error {
 	if m == nil {
 		return nil
 	}
 	r := m.rooms
 	r.mu.Lock()
-	granted := !m.closed && r.ledger.TakeUnsure(m.hold, n)
+	granted := !m.closed && r.ledger.TakeUnbounded(m.hold, n)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.mu.Unlock()
 	if !granted {
@@ -368,7 +368,7 @@
 	if m.closed {
 		return
 	}
-	r.ledger.Give(m.hold, n)
+	r.ledger.Release(m.hold, n)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.wake()
 }
@@ -380,7 +380,7 @@
 	r.waiters += waiters
 	if m.closed {
 		r.mu.Unlock()
-		return 0, cfhold.Never, nil
+		return 0, cfhold.TooLarge, nil
 	}
 	n, v := r.ledger.TakeUpTo(m.hold, least, most)
 	if v != cfhold.Wait {
@@ -409,7 +409,7 @@
 	m.rooms.mu.Lock()
 	defer m.rooms.mu.Unlock()
 	m.rooms.waiters--
-	m.rooms.ledger.GiveUp(m.hold)
+	m.rooms.ledger.StopWaiting(m.hold)
 }
 
 // wake lets those that wait for room try again. r.mu is held.
--- a/io/cfroom/waiters_test.go
+++ b/io/cfroom/waiters_test.go
@@ -31,8 +31,8 @@
 		now := cf.Uptime()
 		rooms.mu.Lock()
 		defer rooms.mu.Unlock()
-		rooms.ledger.Look(room.hold, 1, 0, now-cfhold.StreamAfter)
-		rooms.ledger.Look(room.hold, 1, 0, now)
+		rooms.ledger.ObserveWrite(room.hold, 1, 0, now-cfhold.StreamWriteTimeout)
+		rooms.ledger.ObserveWrite(room.hold, 1, 0, now)
 		rooms.blocked[room.hold] = room
 		return conn, s
 	}
--- a/io/cfrunner/pool.go
+++ b/io/cfrunner/pool.go
@@ -124,7 +124,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running += n
-	p.peak.Note(p.running, cf.Uptime())
+	p.peak.Observe(p.running, cf.Uptime())
 	if len(p.plan) == 0 && !holdsAll(p.load(p.running), p.Self) {
 		p.planned = 0 // a step begins all its runs within a moment
 	}
@@ -182,7 +182,7 @@
 	}
 	slices.SortFunc(engines, func(a, b cf.Target) int { return cmp.Compare(a.ID, b.ID) })
 	before := len(p.plan)
-	p.plan = Assign(engines, p.load(p.peak.Of(now)), members, p.Self, p.plan)
+	p.plan = Assign(engines, p.load(p.peak.Max(now)), members, p.Self, p.plan)
 	if (before == 0) != (len(p.plan) == 0) {
 		hosts := map[cf.EntryID]bool{}
 		for _, e := range p.plan {
--- a/room.go
+++ b/room.go
@@ -14,7 +14,7 @@
 	// TakeUpTo takes between least and most bytes, as many as there is room for, and
 	// returns how many. It may use what is kept free for pages of results.
 	TakeUpTo(ctx context.Context, least, most int64) (int64, error)
-	// TakeUnsure takes n more bytes for an answer that may have no end. It does not wait:
+	// TakeUnbounded takes n more bytes for an answer that may have no end. It does not wait:
 	// such answers share a part of the memory, and one that finds no room there is given
 	// up with an ErrNoRoom.
 	TakeUnsure(n int64) error
