--- a/core/cfbatch/batch.go
+++ b/core/cfbatch/batch.go
@@ -38,13 +38,13 @@
 		listed  map[cf.ItemID]bool
 		results []cf.Result
 		// chunkOf is the number of the chunk that holds each result.
-		chunkOf []int
-		chunks  int
-		size    int
-		groups  map[cf.GroupID]int // items not yet listed
-		whole   int                // groups with all items listed
-		// carried are the groups that an earlier batch left unfinished.
-		carried map[cf.GroupID]bool
+		chunkOf     []int
+		chunkCount  int
+		outputBytes int
+		remaining   map[cf.GroupID]int // items not yet listed
+		complete    int                // groups with all items listed
+		// carriedOver are the groups that an earlier batch left unfinished.
+		carriedOver map[cf.GroupID]bool
 	}
 
 	// Chunk is the spec of a chunk's object.
@@ -66,11 +66,11 @@
 func New(sub cf.Submission) *Batch {
 	b := &Batch{
 		Sub: sub, index: make(map[cf.ItemID]int, len(sub.Items)), listed: map[cf.ItemID]bool{},
-		groups: map[cf.GroupID]int{},
+		remaining: map[cf.GroupID]int{},
 	}
 	for i, it := range sub.Items {
 		b.index[it.ID] = i
-		b.groups[it.Group]++
+		b.remaining[it.Group]++
 	}
 	return b
 }
@@ -102,32 +102,32 @@
 	if name != b.NextChunk() {
 		return false
 	}
-	b.chunks++
+	b.chunkCount++
 	for _, r := range results {
-		b.list(r)
+		b.appendResult(r)
 	}
 	return true
 }
 
-// list gives a result the next position. One of no item, or of an item that has
+// appendResult gives a result the next position. One of no item, or of an item that has
 // its position, gets none: whoever reads the chunk decides the same.
-func (b *Batch) list(r cf.Result) {
+func (b *Batch) appendResult(r cf.Result) {
 	i, known := b.index[r.ID]
 	if !known || b.listed[r.ID] {
 		return
 	}
 	b.results = append(b.results, r)
-	b.chunkOf = append(b.chunkOf, b.chunks-1)
-	b.size += len(r.Output)
+	b.chunkOf = append(b.chunkOf, b.chunkCount-1)
+	b.outputBytes += len(r.Output)
 	b.listed[r.ID] = true
 	g := b.Sub.Items[i].Group
-	if b.groups[g]--; b.groups[g] == 0 {
-		b.whole++
+	if b.remaining[g]--; b.remaining[g] == 0 {
+		b.complete++
 	}
 }
 
 // NextChunk is the name of the chunk to create next.
-func (b *Batch) NextChunk() string { return chunkName(b.chunks) }
+func (b *Batch) NextChunk() string { return chunkName(b.chunkCount) }
 
 func chunkName(n int) string { return fmt.Sprintf("%06d", n) }
 
@@ -149,45 +149,45 @@
 // CarryOver notes a group that an earlier batch had too, and left unfinished as its
 // submitter saw it: the submitter waits for it, however many others are whole.
 func (b *Batch) CarryOver(g cf.GroupID) {
-	if b.carried == nil {
-		b.carried = map[cf.GroupID]bool{}
+	if b.carriedOver == nil {
+		b.carriedOver = map[cf.GroupID]bool{}
 	}
-	b.carried[g] = true
+	b.carriedOver[g] = true
 }
 
 // EnoughGroups says whether what is listed is all that the submitter waits for. left
 // are the groups with results that are about to be listed, and how many of their
 // items will be missing then.
-func (b *Batch) EnoughGroups(left map[cf.GroupID]int) bool {
-	whole := b.whole
-	for _, n := range left {
+func (b *Batch) EnoughGroups(missing map[cf.GroupID]int) bool {
+	complete := b.complete
+	for _, n := range missing {
 		if n == 0 {
-			whole++
+			complete++
 		}
 	}
-	for g := range b.carried {
-		n, known := left[g]
+	for g := range b.carriedOver {
+		n, known := missing[g]
 		if !known {
-			n = b.groups[g]
+			n = b.remaining[g]
 		}
 		if n > 0 {
 			return false
 		}
 	}
-	return whole >= b.Sub.TargetGroups
+	return complete >= b.Sub.TargetGroups
 }
 
 // CarriedOver says whether a group was noted by Carry.
-func (b *Batch) CarriedOver(g cf.GroupID) bool { return b.carried[g] }
+func (b *Batch) CarriedOver(g cf.GroupID) bool { return b.carriedOver[g] }
 
 // GroupCount counts the batch's groups.
-func (b *Batch) GroupCount() int { return len(b.groups) }
+func (b *Batch) GroupCount() int { return len(b.remaining) }
 
 // CompleteGroups counts the groups of which every item is listed.
-func (b *Batch) CompleteGroups() int { return b.whole }
+func (b *Batch) CompleteGroups() int { return b.complete }
 
 // GroupRemaining counts a group's items that are not listed.
-func (b *Batch) GroupRemaining(g cf.GroupID) int { return b.groups[g] }
+func (b *Batch) GroupRemaining(g cf.GroupID) int { return b.remaining[g] }
 
 // ListedCount counts the results.
 func (b *Batch) ListedCount() int { return len(b.results) }
@@ -196,7 +196,7 @@
 func (b *Batch) ListedFrom(n int) []cf.Result { return b.results[min(n, len(b.results)):] }
 
 // Size is the bytes of text that the batch holds.
-func (b *Batch) Size() int { return b.size }
+func (b *Batch) Size() int { return b.outputBytes }
 
 // Page returns the results from position after on, at most about 700 KB, and
 // at least one if there is one.
--- a/core/cfbatch/batch_test.go
+++ b/core/cfbatch/batch_test.go
@@ -23,7 +23,7 @@
 	return sub
 }
 
-func done(id cf.ItemID) cf.Result {
+func doneResult(id cf.ItemID) cf.Result {
 	return cf.Result{ID: id, State: cf.ItemDone, Output: "text of " + string(id)}
 }
 
@@ -71,7 +71,7 @@
 			var fresh []cf.Result
 			for _, it := range sub.Items {
 				if !b.Listed(it.ID) && random.IntN(4) == 0 {
-					fresh = append(fresh, done(it.ID))
+					fresh = append(fresh, doneResult(it.ID))
 				}
 			}
 			switch random.IntN(4) {
@@ -91,14 +91,14 @@
 					b.Apply(b.NextChunk(), fresh)
 				}
 			}
-			checkPrefix(t, seen, store)
+			checkListedPrefix(t, seen, store)
 		}
 	}
 }
 
-// checkPrefix reads the store as any instance would, and checks that what was
+// checkListedPrefix reads the store as any instance would, and checks that what was
 // read before is still there and no item stands twice.
-func checkPrefix(t *testing.T, seen *cfbatch.Batch, store chunkStore) {
+func checkListedPrefix(t *testing.T, seen *cfbatch.Batch, store chunkStore) {
 	t.Helper()
 	now := cfbatch.New(seen.Sub)
 	if err := now.ApplyAll(store.records()); err != nil {
@@ -123,11 +123,11 @@
 	}
 }
 
-func TestPagesGoOnWhereTheLastEnded(t *testing.T) {
+func TestPagesAreContiguous(t *testing.T) {
 	b := cfbatch.New(submission(3, 2))
 	var all []cf.Result
 	for _, it := range b.Sub.Items {
-		r := done(it.ID)
+		r := doneResult(it.ID)
 		r.Output = string(make([]byte, 300<<10))
 		all = append(all, r)
 	}
@@ -151,18 +151,18 @@
 
 // A chunk is written at once when the groups that the trainer waits for are
 // whole, else when its oldest result has waited.
-func TestChunksAreWrittenWhenTheStepIsWhole(t *testing.T) {
+func TestChunkIsDueWhenTargetGroupsAreComplete(t *testing.T) {
 	sub := submission(3, 2)
 	sub.TargetGroups = 2
 	b := cfbatch.New(sub)
 	var p cfbatch.PendingResults
 	for i, id := range []cf.ItemID{"0-0", "0-1", "1-0"} {
-		p.Add(done(id), cf.Millis(i))
+		p.Add(doneResult(id), cf.Millis(i))
 		if p.Due(b, 100) {
 			t.Errorf("due after %s, before two groups are whole", id)
 		}
 	}
-	p.Add(done("1-1"), 10)
+	p.Add(doneResult("1-1"), 10)
 	if !p.Due(b, 100) {
 		t.Fatal("not due although two groups are whole")
 	}
@@ -173,7 +173,7 @@
 	if p.Due(b, 5000) {
 		t.Error("due while a chunk is being written")
 	}
-	p.Add(done("2-0"), 20)
+	p.Add(doneResult("2-0"), 20)
 	b.Apply(b.NextChunk(), results)
 	p.EndWrite(b, 30)
 	if p.Len() != 1 || p.Due(b, 100) || !p.Due(b, 5000) {
@@ -186,19 +186,19 @@
 // last step left, which it waits for too; each further group is listed by itself,
 // and the trainer, which has just read one, is not looking when the last comes.
 // Cause: taking any groups for those that the trainer waits for.
-func TestStepIsListedAtOnceWhenTheCarriedGroupIsWhole(t *testing.T) {
+func TestChunkIsDueWhenCarriedOverGroupIsComplete(t *testing.T) {
 	sub := submission(5, 1)
 	sub.TargetGroups = 3
 	b := cfbatch.New(sub)
 	b.CarryOver("4")
 	var p cfbatch.PendingResults
 	for i := range 3 {
-		p.Add(done(sub.Items[i].ID), cf.Millis(i))
+		p.Add(doneResult(sub.Items[i].ID), cf.Millis(i))
 	}
 	if p.Due(b, 10) || b.EnoughGroups(p.Missing(b)) {
 		t.Error("listed without the group that was carried over")
 	}
-	p.Add(done(sub.Items[4].ID), 20)
+	p.Add(doneResult(sub.Items[4].ID), 20)
 	if !p.Due(b, 20) {
 		t.Error("not listed once all groups are whole that the trainer waits for")
 	}
@@ -210,11 +210,11 @@
 // second later.
 // Cause: results were listed 1.5 s after each other whatever was to come. Where the
 // deadline is known they wait for each other, until shortly before it.
-func TestResultsWaitForEachOtherUntilTheDeadlineNears(t *testing.T) {
+func TestResultsAreCollectedUntilNearDeadline(t *testing.T) {
 	sub := submission(4, 1)
 	b := cfbatch.New(sub)
 	p := cfbatch.PendingResults{Deadline: 7500}
-	p.Add(done(sub.Items[0].ID), 5000)
+	p.Add(doneResult(sub.Items[0].ID), 5000)
 	if p.Due(b, 6700) {
 		t.Error("listed before the others, though there is time")
 	}
@@ -223,19 +223,19 @@
 	}
 	b.Apply(b.NextChunk(), p.BeginWrite(6850))
 	p.EndWrite(b, 6860)
-	p.Add(done(sub.Items[1].ID), 7600)
+	p.Add(doneResult(sub.Items[1].ID), 7600)
 	if p.Due(b, 7700) || !p.Due(b, 7850) {
 		t.Error("after the deadline what is finished is listed a quarter of a second later")
 	}
 	early := cfbatch.PendingResults{Deadline: 60000}
-	early.Add(done(sub.Items[2].ID), 0)
+	early.Add(doneResult(sub.Items[2].ID), 0)
 	if early.Due(b, 2400) || !early.Due(b, 2500) {
 		t.Error("results wait for longer than they may")
 	}
 }
 
 // A chunk stays under the store's limit whatever its texts are made of.
-func TestChunksAreMeasuredAsTheyAreEncoded(t *testing.T) {
+func TestChunkSizeCountsJSONEscapes(t *testing.T) {
 	var p cfbatch.PendingResults
 	for i := range 12 {
 		p.Add(cf.Result{ID: cf.ItemID(fmt.Sprint(i)), Output: strings.Repeat("\x01", 60<<10)}, 0)
@@ -250,14 +250,14 @@
 // coordinator gave.
 // Sequence: two executors list the same item; the second position counts for
 // nothing; a page begins in the middle of a chunk.
-func TestPagesFromChunksAreThoseOfTheBatch(t *testing.T) {
+func TestPageRefResolvesToSamePage(t *testing.T) {
 	sub := submission(6, 1)
 	b := cfbatch.New(sub)
 	var chunks []cfbatch.Chunk
 	for _, items := range [][]int{{0, 1}, {1, 2}, {3, 4, 5}} {
 		var c cfbatch.Chunk
 		for n, i := range items {
-			r := done(sub.Items[i].ID)
+			r := doneResult(sub.Items[i].ID)
 			r.Output = fmt.Sprintf("%d listed as number %d of its chunk", i, n)
 			c.Results = append(c.Results, r)
 		}
@@ -266,19 +266,19 @@
 	}
 	for after := range 7 {
 		want := b.Page(after)
-		places := b.PageRef(after, want)
+		ref := b.PageRef(after, want)
 		var read []cfbatch.Chunk
-		for _, name := range places.Chunks {
+		for _, name := range ref.Chunks {
 			n, err := strconv.Atoi(name)
 			if err != nil {
 				t.Fatal(err)
 			}
 			read = append(read, chunks[n])
 		}
-		if got, ok := places.Resolve(read); !ok || !reflect.DeepEqual(got, want) {
+		if got, ok := ref.Resolve(read); !ok || !reflect.DeepEqual(got, want) {
 			t.Errorf("after %d: %+v, want %+v", after, got, want)
 		}
-		if _, ok := places.Resolve(nil); ok != (len(want.Results) == 0) {
+		if _, ok := ref.Resolve(nil); ok != (len(want.Results) == 0) {
 			t.Errorf("after %d: a page without its chunks is taken as whole", after)
 		}
 	}
--- a/core/cfbatch/history_test.go
+++ b/core/cfbatch/history_test.go
@@ -22,28 +22,28 @@
 )
 
 type (
-	// listOp is one operation on a batch's results: the creation of a chunk,
+	// logOp is one operation on a batch's results: the creation of a chunk,
 	// or a read of all chunks.
-	listOp struct {
+	logOp struct {
 		read  bool
 		chunk int
 		text  string // the chunk's items
 	}
 
-	// listAnswer is what it came to. Unknown: no answer came, so it may have
+	// logResult is what it came to. Unknown: no answer came, so it may have
 	// taken effect, may yet, or never will.
-	listAnswer struct {
+	logResult struct {
 		ok, unknown bool
 		chunks      string
 	}
 )
 
-// listModel is the specification: chunks are appended one by one, each only at
+// logModel is the specification: chunks are appended one by one, each only at
 // the end, and a read shows all of them. A state is the chunks, joined.
-var listModel = porcupine.NondeterministicModel{
+var logModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		chunks, op, answer := split(state.(string)), input.(listOp), output.(listAnswer)
+		chunks, op, answer := splitChunks(state.(string)), input.(logOp), output.(logResult)
 		if op.read {
 			if answer.unknown || answer.chunks == state.(string) {
 				return []any{state}
@@ -63,7 +63,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func split(state string) []string {
+func splitChunks(state string) []string {
 	if state == "" {
 		return nil
 	}
@@ -75,14 +75,14 @@
 // chunk.
 func recordHistory(t *testing.T, seed uint64, create func(context.Context, *platform.Store, *standin.Store, string, cfbatch.Chunk) error) []porcupine.Operation {
 	t.Helper()
-	stand := standin.NewStore()
-	srv := httptest.NewServer(stand)
+	fake := standin.NewStore()
+	srv := httptest.NewServer(fake)
 	defer srv.Close()
-	stand.SetFaults(standin.StoreFaults{LoseAnswers: 3, Late: 15 * time.Millisecond})
+	fake.SetFaults(standin.StoreFaults{LoseAnswers: 3, Late: 15 * time.Millisecond})
 	start := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	record := func(client int, op listOp, call func() listAnswer) listAnswer {
+	record := func(client int, op logOp, call func() logResult) logResult {
 		began := time.Since(start).Nanoseconds()
 		answer := call()
 		ended := time.Since(start).Nanoseconds()
@@ -103,17 +103,17 @@
 			known := 0
 			for n := range 6 {
 				if random.IntN(2) == 0 {
-					answer := record(client, listOp{read: true}, func() listAnswer { return readChunks(store) })
+					answer := record(client, logOp{read: true}, func() logResult { return readChunks(store) })
 					if !answer.unknown {
-						known = len(split(answer.chunks))
+						known = len(splitChunks(answer.chunks))
 					}
 					continue
 				}
-				op := listOp{chunk: known, text: fmt.Sprintf("%d-%d", client, n)}
-				answer := record(client, op, func() listAnswer {
+				op := logOp{chunk: known, text: fmt.Sprintf("%d-%d", client, n)}
+				answer := record(client, op, func() logResult {
 					chunk := cfbatch.Chunk{Results: []cf.Result{{ID: cf.ItemID(op.text)}}}
-					err := create(context.Background(), store, stand, fmt.Sprintf("%06d", op.chunk), chunk)
-					return listAnswer{ok: err == nil, unknown: err != nil && !errors.Is(err, cf.ErrConflict)}
+					err := create(context.Background(), store, fake, fmt.Sprintf("%06d", op.chunk), chunk)
+					return logResult{ok: err == nil, unknown: err != nil && !errors.Is(err, cf.ErrConflict)}
 				})
 				if answer.ok {
 					known++
@@ -125,23 +125,23 @@
 	return history
 }
 
-func readChunks(store *platform.Store) listAnswer {
+func readChunks(store *platform.Store) logResult {
 	list, err := store.List(context.Background(), cf.KindResults("b"))
 	if err != nil {
-		return listAnswer{unknown: true}
+		return logResult{unknown: true}
 	}
 	var texts []string
 	for _, r := range list.Items {
 		var c cfbatch.Chunk
 		if err := json.Unmarshal(r.Spec, &c); err != nil || len(c.Results) != 1 {
-			return listAnswer{chunks: "unreadable chunk " + r.Name}
+			return logResult{chunks: "unreadable chunk " + r.Name}
 		}
 		texts = append(texts, string(c.Results[0].ID))
 	}
-	return listAnswer{chunks: strings.Join(texts, ";")}
+	return logResult{chunks: strings.Join(texts, ";")}
 }
 
-func createOnly(ctx context.Context, store *platform.Store, _ *standin.Store, name string, c cfbatch.Chunk) error {
+func createIfAbsent(ctx context.Context, store *platform.Store, _ *standin.Store, name string, c cfbatch.Chunk) error {
 	_, err := store.Create(ctx, cf.KindResults("b"), name, c)
 	return err
 }
@@ -150,8 +150,8 @@
 // writes late fit the specification of the listing.
 func TestListingHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(15) {
-		history := recordHistory(t, seed, createOnly)
-		if !porcupine.CheckOperations(listModel.ToModel(), history) {
+		history := recordHistory(t, seed, createIfAbsent)
+		if !porcupine.CheckOperations(logModel.ToModel(), history) {
 			t.Errorf("seed %d: the history does not fit", seed)
 			for _, op := range history {
 				t.Logf("%+v -> %+v", op.Input, op.Output)
@@ -161,13 +161,13 @@
 }
 
 // A chunk written whether it exists or not does not fit: the check finds it.
-func TestListingHistoriesShowOverwrites(t *testing.T) {
-	overwrite := func(_ context.Context, _ *platform.Store, stand *standin.Store, name string, c cfbatch.Chunk) error {
-		stand.Put(cf.KindResults("b"), name, c)
+func TestOverwritesAreNotLinearizable(t *testing.T) {
+	overwrite := func(_ context.Context, _ *platform.Store, fake *standin.Store, name string, c cfbatch.Chunk) error {
+		fake.Put(cf.KindResults("b"), name, c)
 		return nil
 	}
 	for seed := range uint64(15) {
-		if !porcupine.CheckOperations(listModel.ToModel(), recordHistory(t, seed, overwrite)) {
+		if !porcupine.CheckOperations(logModel.ToModel(), recordHistory(t, seed, overwrite)) {
 			return
 		}
 	}
--- a/core/cfbatch/parts.go
+++ b/core/cfbatch/parts.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// headroom is left of the store's value limit for an object's own fields.
-	headroom = 64 << 10
-	// headMost is the largest batch that is kept in its head. A coordinator
+	// objectOverhead is left of the store's value limit for an object's own fields.
+	objectOverhead = 64 << 10
+	// maxHeadBytes is the largest batch that is kept in its head. A coordinator
 	// that takes over lists all heads, those of ended batches too.
-	headMost = 16 << 10
+	maxHeadBytes = 16 << 10
 )
 
 // Part is the spec of an object that holds some of a batch's items.
@@ -28,9 +28,9 @@
 // batches fit into their head. The division depends on the submission
 // alone, so that one that is handed in again finds its own parts.
 func Split(sub cf.Submission, limit int64) (head cf.Submission, parts []Part, err error) {
-	limit -= headroom
-	sizes, whole, err := sizes(sub.Items)
-	if err != nil || whole <= min(limit, headMost) {
+	limit -= objectOverhead
+	sizes, total, err := encodedSizes(sub.Items)
+	if err != nil || total <= min(limit, maxHeadBytes) {
 		return sub, nil, err
 	}
 	var part Part
@@ -53,8 +53,8 @@
 	return head, append(parts, part), nil
 }
 
-// sizes returns the bytes that each item has in the store, and all of them.
-func sizes(items []cf.Item) (each []int64, all int64, err error) {
+// encodedSizes returns the bytes that each item has in the store, and all of them.
+func encodedSizes(items []cf.Item) (each []int64, total int64, err error) {
 	each = make([]int64, 0, len(items))
 	for _, it := range items {
 		raw, err := json.Marshal(it)
@@ -62,9 +62,9 @@
 			return nil, 0, eris.Wrapf(err, "encode item %s", it.ID)
 		}
 		each = append(each, int64(len(raw)))
-		all += int64(len(raw))
+		total += int64(len(raw))
 	}
-	return each, all, nil
+	return each, total, nil
 }
 
 // PartName is the name of a part's object.
--- a/core/cfbatch/parts_test.go
+++ b/core/cfbatch/parts_test.go
@@ -15,7 +15,7 @@
 // ever.
 // Sequence: a step of 4,096 samples is handed in; the store takes values of
 // 1 MB. Handed in twice, it is one batch.
-func TestLargeBatchIsKeptInParts(t *testing.T) {
+func TestLargeBatchIsSplitIntoParts(t *testing.T) {
 	sub := submission(1024, 4)
 	for i := range sub.Items {
 		sub.Items[i].Body = make([]byte, 600)
@@ -38,7 +38,7 @@
 			t.Errorf("object %s has %d bytes", r.Name, len(r.Spec))
 		}
 	}
-	if _, err := store.Create(ctx, cf.KindResults("b"), "000000", cfbatch.Chunk{Results: []cf.Result{done("0-0")}}); err != nil {
+	if _, err := store.Create(ctx, cf.KindResults("b"), "000000", cfbatch.Chunk{Results: []cf.Result{doneResult("0-0")}}); err != nil {
 		t.Fatal(err)
 	}
 	b, err := cfbatch.Fetch(ctx, store, object, true)
--- a/core/cfbatch/pending.go
+++ b/core/cfbatch/pending.go
@@ -5,42 +5,42 @@
 )
 
 const (
-	// flushAge is the longest that a finished item waits for others to be
+	// maxAge is the longest that a finished item waits for others to be
 	// written with it. Each write is paid for, and a step is worth nothing
 	// more before its last group is whole; a coordinator that dies loses the
 	// work of this span.
-	flushAge cf.Millis = 1500
-	// patientAge is the same where it is known when the submitter needs the
+	maxAge cf.Millis = 1500
+	// maxAgeBeforeDeadline is the same where it is known when the submitter needs the
 	// results. One that has read something looks again half a second after it
 	// began to, so a chunk just before the last one costs the whole step that.
-	patientAge cf.Millis = 2500
-	// lastAge is the same shortly before and after that time: by then what is
+	maxAgeBeforeDeadline cf.Millis = 2500
+	// maxAgeNearDeadline is the same shortly before and after that time: by then what is
 	// whole earns more than the step's end.
-	lastAge cf.Millis = 250
-	// lastSpan is how long before the deadline that begins: a read under way
+	maxAgeNearDeadline cf.Millis = 250
+	// nearDeadline is how long before the deadline that begins: a read under way
 	// ends, and another is made.
-	lastSpan cf.Millis = 700
-	// flushBytes keeps a chunk under the store's value limit of 1 MB, and has
+	nearDeadline cf.Millis = 700
+	// maxChunkBytes keeps a chunk under the store's value limit of 1 MB, and has
 	// room for the long texts of a step's last groups.
-	flushBytes = 640 << 10
+	maxChunkBytes = 640 << 10
 )
 
 // PendingResults holds the finished items of a batch that are not in the store yet.
 type PendingResults struct {
 	// Deadline is the Uptime at which the submitter needs the results, zero
 	// if that is not known.
-	Deadline cf.Millis
-	results  []cf.Result
-	since    cf.Millis
-	bytes    int
-	writing  bool
-	began    cf.Millis // of the write under way
+	Deadline     cf.Millis
+	results      []cf.Result
+	waitingSince cf.Millis
+	bytes        int
+	writing      bool
+	writeStarted cf.Millis // of the write under way
 }
 
 // Add takes a finished item.
 func (p *PendingResults) Add(r cf.Result, now cf.Millis) {
 	if len(p.results) == 0 {
-		p.since = now
+		p.waitingSince = now
 	}
 	p.results = append(p.results, r)
 	p.bytes += encodedSize(r)
@@ -75,25 +75,25 @@
 	if p.writing || len(p.results) == 0 {
 		return false
 	}
-	if now-p.since >= p.patience(now) || p.bytes >= flushBytes {
+	if now-p.waitingSince >= p.maxWait(now) || p.bytes >= maxChunkBytes {
 		return true
 	}
-	return p.completes(b)
+	return p.completesTarget(b)
 }
 
-// patience is how long a result may wait for others now.
-func (p *PendingResults) patience(now cf.Millis) cf.Millis {
+// maxWait is how long a result may wait for others now.
+func (p *PendingResults) maxWait(now cf.Millis) cf.Millis {
 	switch {
 	case p.Deadline == 0:
-		return flushAge
-	case now < p.Deadline-lastSpan:
-		return min(patientAge, p.Deadline-lastSpan-p.since)
+		return maxAge
+	case now < p.Deadline-nearDeadline:
+		return min(maxAgeBeforeDeadline, p.Deadline-nearDeadline-p.waitingSince)
 	default:
-		return lastAge
+		return maxAgeNearDeadline
 	}
 }
 
-func (p *PendingResults) completes(b *Batch) bool {
+func (p *PendingResults) completesTarget(b *Batch) bool {
 	missing := p.Missing(b)
 	for _, left := range missing {
 		if left == 0 {
@@ -121,24 +121,26 @@
 // BeginWrite returns the results to write as the next chunk and marks a write as
 // under way; the results stay until Wrote.
 func (p *PendingResults) BeginWrite(now cf.Millis) []cf.Result {
-	p.writing, p.began = true, now
+	p.writing, p.writeStarted = true, now
 	size := 0
 	for i, r := range p.results {
-		if size += encodedSize(r); i > 0 && size > flushBytes {
+		if size += encodedSize(r); i > 0 && size > maxChunkBytes {
 			return p.results[:i]
 		}
 	}
 	return p.results
 }
 
-// inDoubt is how long a write may be under way before the store may hold what
+// inDoubtAfter is how long a write may be under way before the store may hold what
 // the batch in memory does not.
-const inDoubt cf.Millis = 200
+const inDoubtAfter cf.Millis = 200
 
 // WriteInDoubt says whether the store may have taken a chunk that the batch does not
 // show yet. An instance that reads the store would show it, and a read from
 // memory afterwards would take it back.
-func (p *PendingResults) InDoubt(now cf.Millis) bool { return p.writing && now-p.began > inDoubt }
+func (p *PendingResults) InDoubt(now cf.Millis) bool {
+	return p.writing && now-p.writeStarted > inDoubtAfter
+}
 
 // DropListed drops the results that the batch lists by now, after its chunks were
 // read again: they would be listed twice. A write under way does so at its end.
@@ -161,5 +163,5 @@
 		rest = append(rest, r)
 		p.bytes += encodedSize(r)
 	}
-	p.results, p.since = rest, now
+	p.results, p.waitingSince = rest, now
 }
--- a/core/cfbatch/succession.go
+++ b/core/cfbatch/succession.go
@@ -4,9 +4,9 @@
 	cf "currantford"
 )
 
-// successionTimeout is the longest that a batch waits for word of the batches before it: some
+// startTimeout is the longest that a batch waits for word of the batches before it: some
 // answers of a slow store, and a small part of the time that a step has.
-const successionTimeout cf.Millis = 1000
+const startTimeout cf.Millis = 1000
 
 // StartGate decides when a batch begins that asks for items of batches which are not known
 // to have ended. Its submitter has ended them by then, as only then it asks for their items
@@ -14,42 +14,42 @@
 // is handed on when they end, so a batch that began before would generate it again, beside
 // runs of the same items. The zero value has seen nothing.
 type StartGate struct {
-	until cf.Millis // zero before the first wait
-	asked map[cf.BatchID]bool
-	open  map[cf.BatchID]bool
+	deadline cf.Millis // zero before the first wait
+	queried  map[cf.BatchID]bool
+	notEnded map[cf.BatchID]bool
 }
 
 // Check returns whether the batch may begin, and otherwise which batches the store is to be
 // asked for now. holders are the batches that are not known to have ended and hold items of it.
-func (s *StartGate) Check(holders []cf.BatchID, now cf.Millis) (begin bool, ask []cf.BatchID) {
+func (s *StartGate) Check(predecessors []cf.BatchID, now cf.Millis) (begin bool, query []cf.BatchID) {
 	begin = true
-	for _, id := range holders {
-		if s.open[id] {
+	for _, id := range predecessors {
+		if s.notEnded[id] {
 			continue
 		}
 		begin = false
-		if !s.asked[id] {
-			ask = append(ask, id)
+		if !s.queried[id] {
+			query = append(query, id)
 		}
 	}
 	switch {
 	case begin:
 		return true, nil
-	case s.until == 0:
-		s.until = now + successionTimeout
-		s.asked, s.open = map[cf.BatchID]bool{}, map[cf.BatchID]bool{}
-	case now >= s.until:
+	case s.deadline == 0:
+		s.deadline = now + startTimeout
+		s.queried, s.notEnded = map[cf.BatchID]bool{}, map[cf.BatchID]bool{}
+	case now >= s.deadline:
 		return true, nil
 	}
-	for _, id := range ask {
-		s.asked[id] = true
+	for _, id := range query {
+		s.queried[id] = true
 	}
-	return false, ask
+	return false, query
 }
 
 // MarkOpen takes the store's answer that a batch has not ended: it and its successor are asked for
 // at the same time.
-func (s *StartGate) MarkOpen(id cf.BatchID) { s.open[id] = true }
+func (s *StartGate) MarkOpen(id cf.BatchID) { s.notEnded[id] = true }
 
 // SharesItems says whether b has an item of another batch.
 func (b *Batch) SharesItems(other *Batch) bool {
--- a/core/cfbatch/succession_test.go
+++ b/core/cfbatch/succession_test.go
@@ -8,50 +8,50 @@
 )
 
 // Guards against: a batch that begins beside one that has ended, whose word of the end is late.
-func TestBatchWaitsForTheEndOfThoseBefore(t *testing.T) {
-	const patience cf.Millis = 1000
+func TestStartGateWaitsForPredecessors(t *testing.T) {
+	const startTimeout cf.Millis = 1000
 	for _, c := range []struct {
 		name string
-		// ended and open are when the end of each batch before is known, and when the store
+		// endKnownAt and open are when the end of each batch before is known, and when the store
 		// says that it is open; zero is never.
-		ended, open [2]cf.Millis
-		begins      cf.Millis
+		endKnownAt, notEndedAt [2]cf.Millis
+		startsAt               cf.Millis
 	}{
 		{"none before", [2]cf.Millis{1, 1}, [2]cf.Millis{}, 1},
 		{"word comes", [2]cf.Millis{1, 30}, [2]cf.Millis{}, 30},
 		{"both words come", [2]cf.Millis{70, 30}, [2]cf.Millis{}, 70},
 		{"one has not ended", [2]cf.Millis{}, [2]cf.Millis{20, 40}, 40},
 		{"one of each", [2]cf.Millis{90, 0}, [2]cf.Millis{0, 20}, 90},
-		{"the store is away", [2]cf.Millis{50, 0}, [2]cf.Millis{}, 1 + patience},
+		{"the store is away", [2]cf.Millis{50, 0}, [2]cf.Millis{}, 1 + startTimeout},
 	} {
 		var s cfbatch.StartGate
-		asked := map[cf.BatchID]int{}
+		queries := map[cf.BatchID]int{}
 		ids := []cf.BatchID{"a", "b"}
 		for now := cf.Millis(1); ; now++ {
-			var holders []cf.BatchID
+			var predecessors []cf.BatchID
 			for i, id := range ids {
-				if c.ended[i] == 0 || now < c.ended[i] {
-					holders = append(holders, id)
+				if c.endKnownAt[i] == 0 || now < c.endKnownAt[i] {
+					predecessors = append(predecessors, id)
 				}
-				if now == c.open[i] {
+				if now == c.notEndedAt[i] {
 					s.MarkOpen(id)
 				}
 			}
-			begin, ask := s.Check(holders, now)
-			for _, id := range ask {
-				asked[id]++
+			begin, query := s.Check(predecessors, now)
+			for _, id := range query {
+				queries[id]++
 			}
 			if begin {
-				if now != c.begins {
-					t.Errorf("%s: begins at %d, want %d", c.name, now, c.begins)
+				if now != c.startsAt {
+					t.Errorf("%s: begins at %d, want %d", c.name, now, c.startsAt)
 				}
 				break
 			}
-			if now > 2*patience {
+			if now > 2*startTimeout {
 				t.Fatalf("%s: never begins", c.name)
 			}
 		}
-		for id, n := range asked {
+		for id, n := range queries {
 			if n != 1 {
 				t.Errorf("%s: the store is asked for %s %d times", c.name, id, n)
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestSharesItems(t *testing.T) {
 	a, b := cfbatch.New(submission(3, 2)), cfbatch.New(submission(1, 1))
 	other := cfbatch.New(cf.Submission{Items: []cf.Item{{ID: "x"}}})
 	if !a.SharesItems(b) || !b.SharesItems(a) || a.SharesItems(other) || other.SharesItems(a) {
--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -69,17 +69,17 @@
 
 	// Call is the reward call of one text.
 	Call struct {
-		Batch    *cfbatch.Batch
-		Item     cf.Item
-		Failures int // answers that count as failed attempts
-		Sends    int
-		since    cf.Millis
-		rest     cf.Millis
-		lost     int // attempts in a row that came to nothing
-		most     int // failed attempts that its route allows
-		under    []*Attempt
-		failedAt map[cf.InstanceID]bool
-		over     bool
+		Batch       *cfbatch.Batch
+		Item        cf.Item
+		Failures    int // answers that count as failed attempts
+		Sends       int
+		addedAt     cf.Millis
+		retryAt     cf.Millis
+		unanswered  int // attempts in a row that came to nothing
+		maxFailures int // failed attempts that its route allows
+		inFlight    []*Attempt
+		failedAt    map[cf.InstanceID]bool
+		finished    bool
 	}
 
 	// Attempt is a call as it is sent to one target.
@@ -101,20 +101,20 @@
 		limits   Limits
 		balancer *cfbalance.Balancer
 		calls    map[cf.ItemID]*Call
-		targets  map[cf.InstanceID]*target
+		targets  map[cf.InstanceID]*targetState
 		draws    uint32
 	}
 
-	// target is what is known of one target.
-	target struct {
-		underWay int
+	// targetState is what is known of one target.
+	targetState struct {
+		inFlight int
 		limit    float64 // calls that it has shown to take at once
-		rest     cf.Millis
+		retryAt  cf.Millis
 		misses   int // refusals and losses in a row
 		errors   int // failures in a row
-		// silent: an answer of it is overdue, so it may be gone.
-		silent bool
-		seen   cf.Millis
+		// unresponsive: an answer of it is overdue, so it may be gone.
+		unresponsive bool
+		lastSeen     cf.Millis
 	}
 )
 
@@ -148,25 +148,25 @@
 	CallerShare: 1.0 / 3, HedgeFactor: 3, MinHedgeDelay: 400, InitialBackoff: 50, MaxBackoff: 1600, MaxErrors: 3,
 }
 
-// underWayMost is how many targets work on one call at once.
-const underWayMost = 2
+// maxInFlight is how many targets work on one call at once.
+const maxInFlight = 2
 
-// forget drops what is known of targets that are not heard of any more.
-const forget cf.Millis = 60000
+// forgetAfter drops what is known of targets that are not heard of any more.
+const forgetAfter cf.Millis = 60000
 
 // New returns a planner without calls.
 func New(limits Limits) *Planner {
 	return &Planner{
-		limits: limits, balancer: cfbalance.New(), calls: map[cf.ItemID]*Call{}, targets: map[cf.InstanceID]*target{},
+		limits: limits, balancer: cfbalance.New(), calls: map[cf.ItemID]*Call{}, targets: map[cf.InstanceID]*targetState{},
 	}
 }
 
 // Add takes the reward call of an item whose text is complete.
 func (p *Planner) Add(b *cfbatch.Batch, item cf.Item, now cf.Millis) {
 	if old := p.calls[item.ID]; old != nil {
-		old.over = true // its batch was ended, and another asks for the item
+		old.finished = true // its batch was ended, and another asks for the item
 	}
-	p.calls[item.ID] = &Call{Batch: b, Item: item, since: now, failedAt: map[cf.InstanceID]bool{}}
+	p.calls[item.ID] = &Call{Batch: b, Item: item, addedAt: now, failedAt: map[cf.InstanceID]bool{}}
 }
 
 // Len counts the calls that are not over.
@@ -187,16 +187,16 @@
 // allows, as of the wall clock, and returns them.
 func (p *Planner) Expire(maxWait func(*cfbatch.Batch) cf.Millis, wall cf.Millis) []*Call {
 	return p.drop(func(c *Call) bool {
-		most := maxWait(c.Batch)
-		return most > 0 && wall-c.Batch.Sub.Accepted >= most
+		limit := maxWait(c.Batch)
+		return limit > 0 && wall-c.Batch.Sub.Accepted >= limit
 	})
 }
 
-func (p *Planner) drop(is func(*Call) bool) []*Call {
+func (p *Planner) drop(match func(*Call) bool) []*Call {
 	var out []*Call
 	for id, c := range p.calls {
-		if is(c) {
-			c.over = true
+		if match(c) {
+			c.finished = true
 			delete(p.calls, id)
 			out = append(out, c)
 		}
@@ -206,26 +206,26 @@
 }
 
 // Attempts returns the attempts of a call that are under way.
-func (c *Call) Attempts() []*Attempt { return c.under }
+func (c *Call) Attempts() []*Attempt { return c.inFlight }
 
 // Schedule returns the attempts to start now.
-func (p *Planner) Schedule(site Environment, now cf.Millis) []*Attempt {
+func (p *Planner) Schedule(env Environment, now cf.Millis) []*Attempt {
 	if len(p.calls) == 0 {
 		return nil
 	}
-	p.findSilent(now)
+	p.markUnresponsive(now)
 	var out []*Attempt
 	full := map[cf.ServiceName]bool{}
-	for _, c := range p.ranked(site) {
-		hedge := len(c.under) > 0
-		if hedge && !p.overdue(c, now) || now < c.rest {
+	for _, c := range p.prioritized(env) {
+		hedge := len(c.inFlight) > 0
+		if hedge && !p.needsHedge(c, now) || now < c.retryAt {
 			continue
 		}
-		route, ok := site.Route(c.Item.Reward)
+		route, ok := env.Route(c.Item.Reward)
 		if !ok || full[route.Service] {
 			continue
 		}
-		c.most = route.MaxAttempts
+		c.maxFailures = route.MaxAttempts
 		t, ok := p.choose(c, route, now)
 		if !ok {
 			// Calls that were sent before may not go everywhere; of the
@@ -233,7 +233,7 @@
 			full[route.Service] = len(c.failedAt) == 0 && !hedge
 			continue
 		}
-		if !site.Admit(c.Item.Reward, t) {
+		if !env.Admit(c.Item.Reward, t) {
 			continue
 		}
 		out = append(out, p.start(c, t, hedge, now))
@@ -242,24 +242,24 @@
 	return out
 }
 
-// ranked returns the calls in the order in which they are sent: those that wait
+// prioritized returns the calls in the order in which they are sent: those that wait
 // before second attempts, the batches accepted first before others, the groups
 // that lack least before others.
-func (p *Planner) ranked(site Environment) []*Call {
+func (p *Planner) prioritized(env Environment) []*Call {
 	type ranked struct {
 		call    *Call
 		missing int
 	}
 	calls := make([]ranked, 0, len(p.calls))
 	for _, c := range p.calls {
-		calls = append(calls, ranked{c, site.Missing(c.Batch, c.Item.Group)})
+		calls = append(calls, ranked{c, env.Missing(c.Batch, c.Item.Group)})
 	}
 	slices.SortFunc(calls, func(a, b ranked) int {
 		return cmp.Or(
-			cmp.Compare(len(a.call.under), len(b.call.under)),
+			cmp.Compare(len(a.call.inFlight), len(b.call.inFlight)),
 			cmp.Compare(a.call.Batch.Sub.Accepted, b.call.Batch.Sub.Accepted),
 			cmp.Compare(a.missing, b.missing),
-			cmp.Compare(a.call.since, b.call.since),
+			cmp.Compare(a.call.addedAt, b.call.addedAt),
 			cmp.Compare(a.call.Item.ID, b.call.Item.ID),
 		)
 	})
@@ -270,9 +270,9 @@
 	return out
 }
 
-// overdue says whether a call that is under way should be asked for elsewhere.
-func (p *Planner) overdue(c *Call, now cf.Millis) bool {
-	return !p.limits.DisableHedging && len(c.under) < underWayMost && p.late(c.under[0], now)
+// needsHedge says whether a call that is under way should be asked for elsewhere.
+func (p *Planner) needsHedge(c *Call, now cf.Millis) bool {
+	return !p.limits.DisableHedging && len(c.inFlight) < maxInFlight && p.late(c.inFlight[0], now)
 }
 
 // late says whether an attempt has taken much longer than usual.
@@ -281,17 +281,17 @@
 	return now-a.StartedAt >= max(cf.Millis(usual*p.limits.HedgeFactor), p.limits.MinHedgeDelay)
 }
 
-// findSilent notes the targets that owe an answer: until it comes, or is given
+// markUnresponsive notes the targets that owe an answer: until it comes, or is given
 // up, they get nothing more. A target that takes calls and says nothing would
 // otherwise take all of its slots' worth of them.
-func (p *Planner) findSilent(now cf.Millis) {
+func (p *Planner) markUnresponsive(now cf.Millis) {
 	for _, s := range p.targets {
-		s.silent = false
+		s.unresponsive = false
 	}
 	for _, c := range p.calls {
-		for _, a := range c.under {
+		for _, a := range c.inFlight {
 			if p.late(a, now) {
-				p.of(a.Target).silent = true
+				p.state(a.Target).unresponsive = true
 			}
 		}
 	}
@@ -302,43 +302,43 @@
 func (p *Planner) choose(c *Call, route Route, now cf.Millis) (cf.Target, bool) {
 	room := make([]cf.Target, 0, len(route.Targets))
 	for _, t := range route.Targets {
-		if p.hasRoom(t, now) && !c.at(t.ID) {
+		if p.hasRoom(t, now) && !c.sentTo(t.ID) {
 			room = append(room, t)
 		}
 	}
 	p.draws++
-	if t, ok := p.balancer.Choose(room, c.failedAt, draw(p.draws), now); ok || len(c.failedAt) < len(route.Targets) {
+	if t, ok := p.balancer.Choose(room, c.failedAt, goldenRatioFraction(p.draws), now); ok || len(c.failedAt) < len(route.Targets) {
 		return t, ok
 	}
-	return p.balancer.Choose(room, nil, draw(p.draws), now) // it failed everywhere
+	return p.balancer.Choose(room, nil, goldenRatioFraction(p.draws), now) // it failed everywhere
 }
 
-// draw spreads successive numbers evenly over [0, 1), by the golden ratio.
-func draw(n uint32) float64 { return float64(n*2654435769) / (1 << 32) }
+// goldenRatioFraction spreads successive numbers evenly over [0, 1), by the golden ratio.
+func goldenRatioFraction(n uint32) float64 { return float64(n*2654435769) / (1 << 32) }
 
-// at says whether a target works on the call.
-func (c *Call) at(id cf.InstanceID) bool {
-	return slices.ContainsFunc(c.under, func(a *Attempt) bool { return a.Target.ID == id })
+// sentTo says whether a target works on the call.
+func (c *Call) sentTo(id cf.InstanceID) bool {
+	return slices.ContainsFunc(c.inFlight, func(a *Attempt) bool { return a.Target.ID == id })
 }
 
 func (p *Planner) hasRoom(t cf.Target, now cf.Millis) bool {
-	s := p.of(t)
-	s.seen = now
-	return !s.silent && now >= s.rest && s.underWay < min(int(s.limit), p.most(t))
+	s := p.state(t)
+	s.lastSeen = now
+	return !s.unresponsive && now >= s.retryAt && s.inFlight < min(int(s.limit), p.maxCalls(t))
 }
 
-// most is how many calls a target gets at once, at least one.
-func (p *Planner) most(t cf.Target) int {
+// maxCalls is how many calls a target gets at once, at least one.
+func (p *Planner) maxCalls(t cf.Target) int {
 	if p.limits.CallerShare == 0 {
 		return max(t.Slots, 1)
 	}
 	return max(t.Slots-max(int(float64(t.Slots)*p.limits.CallerShare+0.5), 1), 1)
 }
 
-func (p *Planner) of(t cf.Target) *target {
+func (p *Planner) state(t cf.Target) *targetState {
 	s := p.targets[t.ID]
 	if s == nil {
-		s = &target{limit: float64(p.most(t))}
+		s = &targetState{limit: float64(p.maxCalls(t))}
 		p.targets[t.ID] = s
 	}
 	return s
@@ -346,55 +346,55 @@
 
 func (p *Planner) start(c *Call, t cf.Target, hedge bool, now cf.Millis) *Attempt {
 	a := &Attempt{Call: c, Target: t, StartedAt: now, Hedge: hedge}
-	c.under = append(c.under, a)
+	c.inFlight = append(c.inFlight, a)
 	c.Sends++
-	p.of(t).underWay++
+	p.state(t).inFlight++
 	p.balancer.Sent(t.ID)
 	return a
 }
 
 // Done takes the end of an attempt.
 func (p *Planner) Done(a *Attempt, o Outcome, load *cf.TargetLoad, now cf.Millis) Verdict {
-	p.judge(a, o, load, now)
+	p.updateTarget(a, o, load, now)
 	c := a.Call
-	c.under = slices.DeleteFunc(c.under, func(x *Attempt) bool { return x == a })
-	if c.over {
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(x *Attempt) bool { return x == a })
+	if c.finished {
 		return Continue
 	}
 	switch o {
 	case Scored:
-		p.end(c)
+		p.finish(c)
 		return Accept
 	case Failed:
 		c.Failures++
 		c.failedAt[a.Target.ID] = true
-		if c.Failures >= max(c.most, 1) {
-			p.end(c)
+		if c.Failures >= max(c.maxFailures, 1) {
+			p.finish(c)
 			return GiveUp
 		}
 	case NoAnswer:
-		c.rest = now + p.limits.InitialBackoff.Doubled(c.lost, p.limits.MaxBackoff)
-		c.lost++
+		c.retryAt = now + p.limits.InitialBackoff.Doubled(c.unanswered, p.limits.MaxBackoff)
+		c.unanswered++
 	}
 	return Continue
 }
 
-func (p *Planner) end(c *Call) {
-	c.over = true
+func (p *Planner) finish(c *Call) {
+	c.finished = true
 	delete(p.calls, c.Item.ID)
 }
 
-// judge learns from the end of an attempt what its target takes: a call more at
+// updateTarget learns from the end of an attempt what its target takes: a call more at
 // a time for each round of answers, half as many after a refusal, and one to
 // try with after a loss.
-func (p *Planner) judge(a *Attempt, o Outcome, load *cf.TargetLoad, now cf.Millis) {
-	s := p.of(a.Target)
-	s.underWay--
-	s.seen = now
+func (p *Planner) updateTarget(a *Attempt, o Outcome, load *cf.TargetLoad, now cf.Millis) {
+	s := p.state(a.Target)
+	s.inFlight--
+	s.lastSeen = now
 	outcome := cfbalance.Answered
 	switch o {
 	case Scored, Failed:
-		s.limit = min(s.limit+1/max(s.limit, 1), float64(p.most(a.Target)))
+		s.limit = min(s.limit+1/max(s.limit, 1), float64(p.maxCalls(a.Target)))
 		s.misses = 0
 		s.errors++
 		if o == Scored {
@@ -402,16 +402,16 @@
 		}
 		if s.errors >= p.limits.MaxErrors {
 			s.limit = 1
-			p.pause(s, now)
+			p.backOff(s, now)
 			outcome = cfbalance.Failed
 		}
 	case Rejected:
 		s.limit = max(s.limit/2, 1)
-		p.pause(s, now)
+		p.backOff(s, now)
 		outcome = cfbalance.NotRun
 	case NoAnswer:
 		s.limit = 1
-		p.pause(s, now)
+		p.backOff(s, now)
 		outcome = cfbalance.Failed
 	case Cancelled:
 		outcome = cfbalance.Abandoned
@@ -419,14 +419,14 @@
 	p.balancer.Done(a.Target.ID, outcome, load, now-a.StartedAt, now)
 }
 
-func (p *Planner) pause(s *target, now cf.Millis) {
-	s.rest = now + p.limits.InitialBackoff.Doubled(s.misses, p.limits.MaxBackoff)
+func (p *Planner) backOff(s *targetState, now cf.Millis) {
+	s.retryAt = now + p.limits.InitialBackoff.Doubled(s.misses, p.limits.MaxBackoff)
 	s.misses++
 }
 
 func (p *Planner) prune(now cf.Millis) {
 	for id, s := range p.targets {
-		if s.underWay <= 0 && now-s.seen > forget {
+		if s.inFlight <= 0 && now-s.lastSeen > forgetAfter {
 			delete(p.targets, id)
 		}
 	}
--- a/core/cfreward/reward_test.go
+++ b/core/cfreward/reward_test.go
@@ -17,33 +17,33 @@
 	tick cf.Millis = 5
 )
 
-// site shows a fixed set of targets.
-type site struct {
-	targets []cf.Target
-	most    int
-	gone    bool
-	missing map[cf.GroupID]int
-	held    map[cf.RequestID]bool
+// fakeEnv shows a fixed set of targets.
+type fakeEnv struct {
+	targets     []cf.Target
+	maxAttempts int
+	noRoute     bool
+	missing     map[cf.GroupID]int
+	notAdmitted map[cf.RequestID]bool
 }
 
-func (s *site) Route(*cf.RewardCall) (cfreward.Route, bool) {
-	return cfreward.Route{Service: service, Targets: s.targets, MaxAttempts: s.most}, !s.gone
+func (s *fakeEnv) Route(*cf.RewardCall) (cfreward.Route, bool) {
+	return cfreward.Route{Service: service, Targets: s.targets, MaxAttempts: s.maxAttempts}, !s.noRoute
 }
 
-func (s *site) Missing(_ *cfbatch.Batch, g cf.GroupID) int { return s.missing[g] }
+func (s *fakeEnv) Missing(_ *cfbatch.Batch, g cf.GroupID) int { return s.missing[g] }
 
-func (s *site) Admit(call *cf.RewardCall, _ cf.Target) bool { return !s.held[call.ID] }
+func (s *fakeEnv) Admit(call *cf.RewardCall, _ cf.Target) bool { return !s.notAdmitted[call.ID] }
 
-func fleet(n, slots int) *site {
-	s := &site{most: 4, missing: map[cf.GroupID]int{}}
+func newEnv(n, slots int) *fakeEnv {
+	s := &fakeEnv{maxAttempts: 4, missing: map[cf.GroupID]int{}}
 	for i := range n {
 		s.targets = append(s.targets, cf.Target{ID: cf.InstanceID(fmt.Sprintf("t%02d", i)), Service: service, Slots: slots})
 	}
 	return s
 }
 
-// step returns a batch of groups of size items with reward calls.
-func step(id cf.BatchID, accepted cf.Millis, groups, size int) *cfbatch.Batch {
+// newBatch returns a batch of groups of size items with reward calls.
+func newBatch(id cf.BatchID, accepted cf.Millis, groups, size int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, TargetGroups: groups, Accepted: accepted}
 	for g := range groups {
 		for i := range size {
@@ -58,24 +58,24 @@
 
 // service in simulated time: what each target works on, and until when.
 type fakeService struct {
-	*site
-	random *rand.Rand
-	works  map[cf.InstanceID][]cf.Millis // ends of the requests under way
-	// silent targets take calls and answer none; failing ones say that each
+	*fakeEnv
+	random    *rand.Rand
+	busyUntil map[cf.InstanceID][]cf.Millis // ends of the requests under way
+	// unresponsive targets take calls and answer none; failing ones say that each
 	// call failed; shut ones turn all away.
-	silent, failing, shut map[cf.InstanceID]bool
-	ends                  map[*cfreward.Attempt]cf.Millis
-	outcomes              map[*cfreward.Attempt]cfreward.Outcome
+	unresponsive, failing, rejecting map[cf.InstanceID]bool
+	endsAt                           map[*cfreward.Attempt]cf.Millis
+	outcomes                         map[*cfreward.Attempt]cfreward.Outcome
 
-	refused, sends, mostAtOnce int
-	lookups, lookupsLost       int
+	rejected, sends, maxConcurrent int
+	lookups, lookupsRejected       int
 }
 
-func newService(s *site, seed uint64) *fakeService {
+func newService(s *fakeEnv, seed uint64) *fakeService {
 	return &fakeService{
-		site: s, random: rand.New(rand.NewPCG(seed, 1)), works: map[cf.InstanceID][]cf.Millis{},
-		silent: map[cf.InstanceID]bool{}, failing: map[cf.InstanceID]bool{}, shut: map[cf.InstanceID]bool{},
-		ends: map[*cfreward.Attempt]cf.Millis{}, outcomes: map[*cfreward.Attempt]cfreward.Outcome{},
+		fakeEnv: s, random: rand.New(rand.NewPCG(seed, 1)), busyUntil: map[cf.InstanceID][]cf.Millis{},
+		unresponsive: map[cf.InstanceID]bool{}, failing: map[cf.InstanceID]bool{}, rejecting: map[cf.InstanceID]bool{},
+		endsAt: map[*cfreward.Attempt]cf.Millis{}, outcomes: map[*cfreward.Attempt]cfreward.Outcome{},
 	}
 }
 
@@ -91,7 +91,7 @@
 
 func (s *fakeService) running(id cf.InstanceID, now cf.Millis) int {
 	n := 0
-	for _, end := range s.works[id] {
+	for _, end := range s.busyUntil[id] {
 		if end > now {
 			n++
 		}
@@ -103,17 +103,17 @@
 	s.sends++
 	id := a.Target.ID
 	switch {
-	case s.shut[id] || s.running(id, now) >= a.Target.Slots:
-		s.refused++
-		s.ends[a], s.outcomes[a] = now+tick, cfreward.Rejected
-	case s.silent[id]:
-		s.ends[a], s.outcomes[a] = now+3000, cfreward.NoAnswer
+	case s.rejecting[id] || s.running(id, now) >= a.Target.Slots:
+		s.rejected++
+		s.endsAt[a], s.outcomes[a] = now+tick, cfreward.Rejected
+	case s.unresponsive[id]:
+		s.endsAt[a], s.outcomes[a] = now+3000, cfreward.NoAnswer
 	case s.failing[id]:
-		s.ends[a], s.outcomes[a] = now+s.workTime(200), cfreward.Failed
+		s.endsAt[a], s.outcomes[a] = now+s.workTime(200), cfreward.Failed
 	default:
-		s.ends[a], s.outcomes[a] = now+s.workTime(200), cfreward.Scored
-		s.works[id] = append(s.works[id], s.ends[a])
-		s.mostAtOnce = max(s.mostAtOnce, s.running(id, now))
+		s.endsAt[a], s.outcomes[a] = now+s.workTime(200), cfreward.Scored
+		s.busyUntil[id] = append(s.busyUntil[id], s.endsAt[a])
+		s.maxConcurrent = max(s.maxConcurrent, s.running(id, now))
 	}
 }
 
@@ -122,21 +122,21 @@
 	s.lookups++
 	t := s.targets[s.random.IntN(len(s.targets))]
 	if s.running(t.ID, now) >= t.Slots {
-		s.lookupsLost++
+		s.lookupsRejected++
 		return
 	}
-	s.works[t.ID] = append(s.works[t.ID], now+s.workTime(25))
+	s.busyUntil[t.ID] = append(s.busyUntil[t.ID], now+s.workTime(25))
 }
 
-// play runs the planner until no call is left or the time is up; it returns when
+// run runs the planner until no call is left or the time is up; it returns when
 // the last call ended, and how many were given up.
-func (s *fakeService) play(p *cfreward.Planner, until cf.Millis) (took cf.Millis, givenUp int) {
+func (s *fakeService) run(p *cfreward.Planner, until cf.Millis) (took cf.Millis, givenUp int) {
 	for now := cf.Millis(0); now < until; now += tick {
-		for a, end := range s.ends {
+		for a, end := range s.endsAt {
 			if now < end {
 				continue
 			}
-			delete(s.ends, a)
+			delete(s.endsAt, a)
 			load := &cf.TargetLoad{Running: s.running(a.Target.ID, now), Slots: a.Target.Slots}
 			switch p.Done(a, s.outcomes[a], load, now) {
 			case cfreward.GiveUp:
@@ -145,7 +145,7 @@
 			case cfreward.Accept:
 				took = now
 				for _, other := range a.Call.Attempts() {
-					s.ends[other], s.outcomes[other] = now+1, cfreward.Cancelled
+					s.endsAt[other], s.outcomes[other] = now+1, cfreward.Cancelled
 				}
 			case cfreward.Continue:
 			}
@@ -169,16 +169,16 @@
 // The load pattern: 208 texts end at once before 14 targets of 6 slots. No call is
 // refused, callers find room at every moment, and the burst takes little longer
 // than its work divided by the slots that it may use (208 x 200 ms / 56 = 0.74 s).
-func TestBurstOfRewardsLeavesRoomForCallers(t *testing.T) {
+func TestBurstLeavesSlotsForCallers(t *testing.T) {
 	for seed := range uint64(20) {
-		p, s := cfreward.New(cfreward.DefaultLimits), newService(fleet(14, 6), seed)
-		s.addAll(p, step("s", 0, 26, 8))
-		took, _ := s.play(p, 6000)
+		p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), seed)
+		s.addAll(p, newBatch("s", 0, 26, 8))
+		took, _ := s.run(p, 6000)
 		if p.Len() > 0 {
 			t.Fatalf("seed %d: %d calls unanswered", seed, p.Len())
 		}
-		if s.refused > 0 || s.lookupsLost > 0 || s.mostAtOnce > 5 {
-			t.Errorf("seed %d: %d refused tries, %d of %d lookups without a slot, %d at once", seed, s.refused, s.lookupsLost, s.lookups, s.mostAtOnce)
+		if s.rejected > 0 || s.lookupsRejected > 0 || s.maxConcurrent > 5 {
+			t.Errorf("seed %d: %d refused tries, %d of %d lookups without a slot, %d at once", seed, s.rejected, s.lookupsRejected, s.lookups, s.maxConcurrent)
 		}
 		if took > 2500 {
 			t.Errorf("seed %d: the burst took %d ms", seed, took)
@@ -190,18 +190,18 @@
 // seconds, and the callers' own are among those that it turns away when it is back.
 // Sequence: all targets refuse for 4 s while 208 calls wait, then serve.
 // Cause guarded against: trying again at once wherever a call was refused.
-func TestServiceThatIsFullIsNotPressed(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), newService(fleet(14, 6), 1)
+func TestRejectingServiceIsNotFlooded(t *testing.T) {
+	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), 1)
 	for _, x := range s.targets {
-		s.shut[x.ID] = true
+		s.rejecting[x.ID] = true
 	}
-	s.addAll(p, step("s", 0, 26, 8))
-	s.play(p, 4000)
+	s.addAll(p, newBatch("s", 0, 26, 8))
+	s.run(p, 4000)
 	if s.sends > 14*8 {
 		t.Errorf("%d tries in 4 s at 14 targets that turn all away", s.sends)
 	}
-	clear(s.shut)
-	if s.play(p, 8000); p.Len() > 0 {
+	clear(s.rejecting)
+	if s.run(p, 8000); p.Len() > 0 {
 		t.Errorf("%d calls unanswered 8 s after the service came back", p.Len())
 	}
 }
@@ -211,14 +211,14 @@
 // Sequence: 3 of 14 targets take calls and say nothing.
 // Cause guarded against: waiting for a try's whole deadline, and sending a silent
 // target more.
-func TestSilentTargetsAreAskedAround(t *testing.T) {
+func TestUnresponsiveTargetsAreHedged(t *testing.T) {
 	for seed := range uint64(10) {
-		p, s := cfreward.New(cfreward.DefaultLimits), newService(fleet(14, 6), seed)
+		p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), seed)
 		for _, x := range s.targets[:3] {
-			s.silent[x.ID] = true
+			s.unresponsive[x.ID] = true
 		}
-		s.addAll(p, step("s", 0, 26, 8))
-		took, givenUp := s.play(p, 6000)
+		s.addAll(p, newBatch("s", 0, 26, 8))
+		took, givenUp := s.run(p, 6000)
 		if p.Len() > 0 || givenUp > 0 || took > 2800 {
 			t.Errorf("seed %d: %d calls unanswered, %d given up, the last answer after %d ms", seed, p.Len(), givenUp, took)
 		}
@@ -230,32 +230,32 @@
 // Cause guarded against: spending all attempts of a call at the target that
 // seems the least loaded.
 func TestFailingTargetCostsNoSample(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), newService(fleet(14, 6), 3)
+	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), 3)
 	s.failing["t00"], s.failing["t07"] = true, true
-	s.addAll(p, step("s", 0, 26, 8))
-	if _, givenUp := s.play(p, 6000); givenUp > 0 || p.Len() > 0 {
+	s.addAll(p, newBatch("s", 0, 26, 8))
+	if _, givenUp := s.run(p, 6000); givenUp > 0 || p.Len() > 0 {
 		t.Errorf("%d calls given up, %d unanswered", givenUp, p.Len())
 	}
 }
 
 // Symptom: a call that fails at every target is repeated for ever.
-func TestFailingCallIsGivenUpAfterItsRoutesAttempts(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), newService(fleet(3, 6), 1)
+func TestFailingCallIsGivenUpAfterMaxAttempts(t *testing.T) {
+	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(3, 6), 1)
 	for _, x := range s.targets {
 		s.failing[x.ID] = true
 	}
-	b := step("s", 0, 1, 1)
+	b := newBatch("s", 0, 1, 1)
 	s.addAll(p, b)
-	if _, givenUp := s.play(p, 20000); givenUp != 1 || s.sends != 4 {
+	if _, givenUp := s.run(p, 20000); givenUp != 1 || s.sends != 4 {
 		t.Errorf("%d given up after %d sends, want 1 after 4", givenUp, s.sends)
 	}
 }
 
 // The calls that make a group whole go before others, and those of an older batch
 // before those of a newer one.
-func TestNearlyWholeGroupsGoFirst(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), fleet(1, 3) // two at once
-	newer, older := step("newer", 2000, 1, 2), step("older", 1000, 3, 1)
+func TestNearlyCompleteGroupsGoFirst(t *testing.T) {
+	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(1, 3) // two at once
+	newer, older := newBatch("newer", 2000, 1, 2), newBatch("older", 1000, 3, 1)
 	s.missing = map[cf.GroupID]int{"newer-00": 1, "older-00": 5, "older-01": 2, "older-02": 7}
 	for _, b := range []*cfbatch.Batch{newer, older} {
 		for _, it := range b.Sub.Items {
@@ -279,8 +279,8 @@
 // Sequence: a call is under way when its batch is ended; a later batch asks for
 // the same item; the answer to the first call comes.
 func TestLateAnswerOfAnEndedBatchScoresNothing(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), fleet(2, 3)
-	first := step("s", 0, 1, 1)
+	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(2, 3)
+	first := newBatch("s", 0, 1, 1)
 	p.Add(first, first.Sub.Items[0], 0)
 	a := p.Schedule(s, 0)[0]
 	if dropped := p.DropBatch("s"); len(dropped) != 1 {
@@ -299,9 +299,9 @@
 // Symptom: a call without a route, or of a batch whose time is over, stays for
 // ever.
 func TestCallsExpire(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), fleet(2, 3)
-	s.gone = true
-	b := step("s", 1000, 1, 2)
+	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(2, 3)
+	s.noRoute = true
+	b := newBatch("s", 1000, 1, 2)
 	for _, it := range b.Sub.Items {
 		p.Add(b, it, 0)
 	}
@@ -325,10 +325,10 @@
 }
 
 func BenchmarkPlaceBurst(b *testing.B) {
-	s := fleet(14, 6)
+	s := newEnv(14, 6)
 	for b.Loop() {
 		p := cfreward.New(cfreward.DefaultLimits)
-		batch := step("s", 0, 26, 8)
+		batch := newBatch("s", 0, 26, 8)
 		for _, it := range batch.Sub.Items {
 			p.Add(batch, it, 0)
 		}
--- a/core/cfscale/cfscale.go
+++ b/core/cfscale/cfscale.go
@@ -25,52 +25,52 @@
 )
 
 const (
-	// remembered is for how long a need counts, ten steps of a trainer: engines are not
+	// needWindow is for how long a need counts, ten steps of a trainer: engines are not
 	// given back below it. With half as long a replay gave some back that were ordered again
 	// three steps later.
-	remembered cf.Millis = 40_000
-	// grownRest is the time from an order of more engines to the first that gives some
+	needWindow cf.Millis = 40_000
+	// growToShrinkDelay is the time from an order of more engines to the first that gives some
 	// back: ten steps of a trainer.
-	grownRest cf.Millis = 40_000
-	// shrinkRest is the time between two orders that give engines back, shrinkMost how
+	growToShrinkDelay cf.Millis = 40_000
+	// shrinkInterval is the time between two orders that give engines back, shrinkMost how
 	// many of a failure domain go by one of them: the platform chooses which go, and runs
 	// there begin anew elsewhere.
-	shrinkRest cf.Millis = 10_000
-	shrinkMost int       = 2
-	// shrinkSlack is by how much what is there must exceed what was needed, beside the reserve
+	shrinkInterval     cf.Millis = 10_000
+	maxShrinkPerDomain int       = 2
+	// shrinkMargin is by how much what is there must exceed what was needed, beside the reserve
 	// for a failure domain: a group that is late costs what an engine does in minutes.
-	shrinkSlack = 1.2
-	// startShare is the part of the need below which engines are ordered before steps have
+	shrinkMargin = 1.2
+	// estimateGrowThreshold is the part of the need below which engines are ordered before steps have
 	// shown how many they need: the estimate is of the unlucky case.
-	startShare = 0.8
-	// severe is the part of the need of all models below which engines are ordered by the
+	estimateGrowThreshold = 0.8
+	// severeShortage is the part of the need of all models below which engines are ordered by the
 	// first look that shows it.
-	severe = 0.5
-	// growMore is by how much more is ordered than is missing: the need swings with each
+	severeShortage = 0.5
+	// growMargin is by how much more is ordered than is missing: the need swings with each
 	// step, and each order is a call to the store and some to the API.
-	growMore = 1.1
-	// shownMore is the same where steps are in time and few are missing: half of the reserve
+	growMargin = 1.1
+	// promptGrowMargin is the same where steps are in time and few are missing: half of the reserve
 	// for one of three failure domains.
-	shownMore = 1.25
-	// growSlack is how far what is there may fall short, where steps are late, before more
+	promptGrowMargin = 1.25
+	// lateGrowThreshold is how far what is there may fall short, where steps are late, before more
 	// is ordered: the need swings with each step.
-	growSlack = 0.92
+	lateGrowThreshold = 0.92
 	// bootFactor and bootSlack are how long an ordered engine counts as coming.
 	bootFactor           = 2
 	bootSlack  cf.Millis = 2000
-	// refusedRest is how long a pool that had none is left out, and a failure domain's
+	// unavailableCooldown is how long a pool that had none is left out, and a failure domain's
 	// reclaimable engines after it was reclaimed.
-	refusedRest cf.Millis = 20_000
-	// listedWithin is how long after the first engine was seen all that were there before
+	unavailableCooldown cf.Millis = 20_000
+	// discoveryTime is how long after the first engine was seen all that were there before
 	// are in the list: one is listed by its heartbeat of 1.2 s, and seen 0.8 s later.
 	// noneWithin is how long after the duty's begin none is there if none was seen.
-	listedWithin cf.Millis = 4_000
-	noneWithin   cf.Millis = 15_000
+	discoveryTime  cf.Millis = 4_000
+	noEnginesAfter cf.Millis = 15_000
 	// countInService stands for as many of a pool as are in service.
 	countInService = -1
-	// repeatMost is the longest pause between repeats of an order whose engines are
+	// maxReorderPause is the longest pause between repeats of an order whose engines are
 	// missing.
-	repeatMost cf.Millis = 60_000
+	maxReorderPause cf.Millis = 60_000
 )
 
 // Causes of changes.
@@ -131,39 +131,39 @@
 
 	// Decider decides for one service. It is not safe for concurrent use.
 	Decider struct {
-		terms Policy
-		// follows: a holder before has seen how steps go, and ordered what they needed.
-		follows bool
-		needs   []pastNeed
-		history stepHistory
-		// last is the need at the look before.
-		last need
-		// found is the most engines seen of each pool: nobody here ordered them.
-		found map[cf.EnginePool]int
-		// restored: what a holder before has found is among them.
-		restored bool
-		// raised is when a pool's order was last raised or begun to be followed.
-		raised map[cf.EnginePool]cf.Millis
-		// refused and reclaimed are until when a pool is left out.
-		refused   map[cf.EnginePool]cf.Millis
-		reclaimed cf.Millis
-		// prior is what was wanted of a pool before it was last raised, lower what is
+		policy Policy
+		// successor: a holder before has seen how steps go, and ordered what they needed.
+		successor   bool
+		recentNeeds []needSample
+		history     stepHistory
+		// lastNeed is the need at the look before.
+		lastNeed need
+		// preexisting is the most engines seen of each pool: nobody here ordered them.
+		preexisting map[cf.EnginePool]int
+		// preexistingLoaded: what a holder before has found is among them.
+		preexistingLoaded bool
+		// raisedAt is when a pool's order was last raised or begun to be followed.
+		raisedAt map[cf.EnginePool]cf.Millis
+		// refusedUntil and reclaimed are until when a pool is left out.
+		refusedUntil   map[cf.EnginePool]cf.Millis
+		reclaimedUntil cf.Millis
+		// beforeRaise is what was wanted of a pool before it was last raised, lower what is
 		// wanted of one that refused that.
-		prior, lower map[cf.EnginePool]int
-		// repeats are the orders whose engines are missing.
-		repeats map[cf.EnginePool]repeat
-		// unsure is when the need of open steps was last not known.
-		unsure cf.Millis
-		began  cf.Millis
-		// listed is when the first engine was seen, zero if none was.
-		listed  cf.Millis
-		changed cf.Millis
-		shrunk  cf.Millis
+		beforeRaise, lowerTo map[cf.EnginePool]int
+		// reorders are the orders whose engines are missing.
+		reorders map[cf.EnginePool]reorderPause
+		// needUnknownAt is when the need of open steps was last not known.
+		needUnknownAt cf.Millis
+		startedAt     cf.Millis
+		// firstListedAt is when the first engine was seen, zero if none was.
+		firstListedAt cf.Millis
+		grownAt       cf.Millis
+		shrunkAt      cf.Millis
 	}
 
-	repeat struct{ next, pause cf.Millis }
+	reorderPause struct{ next, pause cf.Millis }
 
-	pastNeed struct {
+	needSample struct {
 		at cf.Millis
 		need
 	}
@@ -171,142 +171,142 @@
 
 // NewDecider returns the decider of a duty that begins at now; follows says that another had
 // it before.
-func NewDecider(terms Policy, now cf.Millis, follows bool) *Decider {
+func NewDecider(policy Policy, now cf.Millis, successor bool) *Decider {
 	return &Decider{
-		terms: terms, follows: follows, found: map[cf.EnginePool]int{}, raised: map[cf.EnginePool]cf.Millis{}, refused: map[cf.EnginePool]cf.Millis{},
-		repeats: map[cf.EnginePool]repeat{}, prior: map[cf.EnginePool]int{}, lower: map[cf.EnginePool]int{},
-		began: now, changed: now - grownRest, shrunk: now,
+		policy: policy, successor: successor, preexisting: map[cf.EnginePool]int{}, raisedAt: map[cf.EnginePool]cf.Millis{}, refusedUntil: map[cf.EnginePool]cf.Millis{},
+		reorders: map[cf.EnginePool]reorderPause{}, beforeRaise: map[cf.EnginePool]int{}, lowerTo: map[cf.EnginePool]int{},
+		startedAt: now, grownAt: now - growToShrinkDelay, shrunkAt: now,
 	}
 }
 
 // SetPolicy takes what the configuration now in force says.
-func (d *Decider) SetPolicy(t Policy) { d.terms = t }
+func (d *Decider) SetPolicy(policy Policy) { d.policy = policy }
 
 // PoolsToReorder returns the pools whose order is to be repeated: engines that were ordered have not
 // come, or were reclaimed a while ago.
-func (d *Decider) PoolsToReorder(now cf.Millis, demand Demand, kept StoredState) []cf.EnginePool {
+func (d *Decider) PoolsToReorder(now cf.Millis, demand Demand, stored StoredState) []cf.EnginePool {
 	var out []cf.EnginePool
-	for _, o := range kept.Orders {
+	for _, o := range stored.Orders {
 		pool := o.EnginePool
-		raised, followed := d.raised[pool]
-		if o.Service != d.terms.Service || !followed {
+		raisedAt, followed := d.raisedAt[pool]
+		if o.Service != d.policy.Service || !followed {
 			continue
 		}
 		if demand.Engines[pool] >= o.Count {
-			delete(d.repeats, pool)
+			delete(d.reorders, pool)
 			continue
 		}
-		r := d.repeats[pool]
-		if now < max(raised+d.bootTime(), d.refused[pool], r.next) {
+		r := d.reorders[pool]
+		if now < max(raisedAt+d.bootTimeout(), d.refusedUntil[pool], r.next) {
 			continue
 		}
-		r.pause = min(max(2*r.pause, d.bootTime()), repeatMost)
+		r.pause = min(max(2*r.pause, d.bootTimeout()), maxReorderPause)
 		r.next = now + r.pause
-		d.repeats[pool] = r
+		d.reorders[pool] = r
 		out = append(out, pool)
 	}
 	return out
 }
 
-// bootTime is how long an ordered engine counts as coming.
-func (d *Decider) bootTime() cf.Millis { return bootFactor*d.terms.BootTime + bootSlack }
+// bootTimeout is how long an ordered engine counts as coming.
+func (d *Decider) bootTimeout() cf.Millis { return bootFactor*d.policy.BootTime + bootSlack }
 
 // OrderSent notes that an order for a pool was given: its engines come from now on, whether it
 // was answered or not.
 func (d *Decider) OrderSent(p cf.EnginePool, now cf.Millis) {
-	if d.repeats[p].pause == 0 {
-		d.raised[p] = now
+	if d.reorders[p].pause == 0 {
+		d.raisedAt[p] = now
 	}
 }
 
 // Refused notes that the platform had none of a pool.
 func (d *Decider) Refused(p cf.EnginePool, now cf.Millis) {
-	d.refused[p] = now + refusedRest
-	if n, raised := d.prior[p]; raised {
-		d.lower[p] = n
+	d.refusedUntil[p] = now + unavailableCooldown
+	if n, raised := d.beforeRaise[p]; raised {
+		d.lowerTo[p] = n
 	} else if p.Spot {
-		d.lower[p] = countInService // a holder before has raised it
+		d.lowerTo[p] = countInService // a holder before has raised it
 	}
 }
 
 // Decide returns what should have been ordered of the service's pools, given what was.
-func (d *Decider) Decide(now cf.Millis, demand Demand, kept StoredState) ([]cf.EngineOrder, Rationale) {
-	p := &plan{Decider: d, now: now, demand: demand, kept: map[cf.EnginePool]int{}, wanted: map[cf.EnginePool]int{}}
-	for _, o := range kept.Preexisting {
-		if o.Service == d.terms.Service && !d.restored {
-			d.found[o.EnginePool] = max(d.found[o.EnginePool], o.Count)
+func (d *Decider) Decide(now cf.Millis, demand Demand, stored StoredState) ([]cf.EngineOrder, Rationale) {
+	p := &plan{Decider: d, now: now, demand: demand, stored: map[cf.EnginePool]int{}, wanted: map[cf.EnginePool]int{}}
+	for _, o := range stored.Preexisting {
+		if o.Service == d.policy.Service && !d.preexistingLoaded {
+			d.preexisting[o.EnginePool] = max(d.preexisting[o.EnginePool], o.Count)
 		}
 	}
-	d.restored = true
-	for _, o := range kept.Orders {
-		if o.Service != d.terms.Service {
+	d.preexistingLoaded = true
+	for _, o := range stored.Orders {
+		if o.Service != d.policy.Service {
 			continue
 		}
-		p.kept[o.EnginePool], p.wanted[o.EnginePool] = o.Count, o.Count
-		if _, followed := d.raised[o.EnginePool]; !followed {
-			d.raised[o.EnginePool] = now
+		p.stored[o.EnginePool], p.wanted[o.EnginePool] = o.Count, o.Count
+		if _, followed := d.raisedAt[o.EnginePool]; !followed {
+			d.raisedAt[o.EnginePool] = now
 		}
 		if demand.Engines[o.EnginePool] >= o.Count {
-			delete(d.prior, o.EnginePool) // all have come: a later refusal is not of the raise
+			delete(d.beforeRaise, o.EnginePool) // all have come: a later refusal is not of the raise
 		}
 	}
-	if len(demand.Engines) > 0 && d.listed == 0 {
-		d.listed = max(now, 1)
+	if len(demand.Engines) > 0 && d.firstListedAt == 0 {
+		d.firstListedAt = max(now, 1)
 	}
 	for pool, n := range demand.Engines {
-		d.found[pool] = max(d.found[pool], n)
+		d.preexisting[pool] = max(d.preexisting[pool], n)
 	}
 	p.domains = p.allDomains()
-	d.history.note(now, demand.OpenSteps, p.serving())
-	seen := needOf(demand, d.terms.GroupValue)
-	n := seen
-	recent := d.note(now, n)
-	if n.unsure {
-		d.unsure = now
+	d.history.update(now, demand.OpenSteps, p.inService())
+	current := estimateNeed(demand, d.policy.GroupValue)
+	n := current
+	recent := d.recordNeed(now, n)
+	if n.unknown {
+		d.needUnknownAt = now
 	}
-	why := Rationale{Need: n.engines, RecentNeed: recent.engines, Serving: p.serving(), Booting: p.booting(), WorstStep: d.history.worst(now)}
-	p.withdraw(&why)
-	p.maximum(&why)
-	p.minimum(&why)
-	if float64(p.total()) >= severe*n.engines*p.unopened() {
-		n = d.steady(n)
+	rationale := Rationale{Need: n.engines, RecentNeed: recent.engines, Serving: p.inService(), Booting: p.booting(), WorstStep: d.history.worstTimeShare(now)}
+	p.withdrawUnavailable(&rationale)
+	p.enforceMax(&rationale)
+	p.enforceMin(&rationale)
+	if float64(p.expectedTotal()) >= severeShortage*n.engines*p.unopenedFactor() {
+		n = d.confirmedNeed(n)
 	}
-	shown, ok := d.history.prompt(now)
+	observed, ok := d.history.enginesForPrompt(now)
 	if ok {
-		n.engines = min(shown, recent.engines)
-		why.ObservedNeed = shown
+		n.engines = min(observed, recent.engines)
+		rationale.ObservedNeed = observed
 	}
-	p.grow(n, ok, &why)
-	if why.Cause == "" {
-		p.shrink(recent, &why)
+	p.grow(n, ok, &rationale)
+	if rationale.Cause == "" {
+		p.shrink(recent, &rationale)
 	}
-	d.last = seen
-	return p.orders(), why
+	d.lastNeed = current
+	return p.recordOrders(), rationale
 }
 
-// steady is the need that two looks agree on.
-func (d *Decider) steady(n need) need {
-	if d.last.engines < n.engines {
-		return d.last
+// confirmedNeed is the need that two looks agree on.
+func (d *Decider) confirmedNeed(n need) need {
+	if d.lastNeed.engines < n.engines {
+		return d.lastNeed
 	}
 	return n
 }
 
-// note remembers a need and returns the most of the last while.
-func (d *Decider) note(now cf.Millis, n need) need {
-	d.needs = slices.DeleteFunc(d.needs, func(p pastNeed) bool { return now-p.at > remembered })
-	d.needs = append(d.needs, pastNeed{now, n})
+// recordNeed remembers a need and returns the most of the last while.
+func (d *Decider) recordNeed(now cf.Millis, n need) need {
+	d.recentNeeds = slices.DeleteFunc(d.recentNeeds, func(p needSample) bool { return now-p.at > needWindow })
+	d.recentNeeds = append(d.recentNeeds, needSample{now, n})
 	var most need
-	for _, p := range d.needs {
-		most.engines, most.least, most.earns = max(most.engines, p.engines), max(most.least, p.least), max(most.earns, p.earns)
+	for _, p := range d.recentNeeds {
+		most.engines, most.minEngines, most.valueRate = max(most.engines, p.engines), max(most.minEngines, p.minEngines), max(most.valueRate, p.valueRate)
 	}
 	return most
 }
 
 // Preexisting returns the engines that were there before any were ordered.
 func (d *Decider) Preexisting() []cf.EngineOrder {
-	out := make([]cf.EngineOrder, 0, len(d.found))
-	for pool, n := range d.found {
+	out := make([]cf.EngineOrder, 0, len(d.preexisting))
+	for pool, n := range d.preexisting {
 		out = append(out, cf.EngineOrder{EnginePool: pool, Count: n})
 	}
 	sortOrders(out)
--- a/core/cfscale/decider_test.go
+++ b/core/cfscale/decider_test.go
@@ -13,13 +13,13 @@
 	return cf.EnginePool{Service: "s", Domain: d, Spot: spot}
 }
 
-// asking is the demand of so many steps, each of which needs some 15 engines, before so many
+// demandOf is the demand of so many steps, each of which needs some 15 engines, before so many
 // firm engines in each failure domain.
-func asking(steps int, due cf.Millis, engines ...int) cfscale.Demand {
+func demandOf(steps int, due cf.Millis, engines ...int) cfscale.Demand {
 	d := cfscale.Demand{Demand: cfrollout.Demand{Service: "s", Slots: 6, Pace: 50}, Engines: map[cf.EnginePool]int{}}
 	for i, n := range engines {
 		if n > 0 {
-			d.Engines[pool(replayDomains[i], false)] = n
+			d.Engines[pool(simDomains[i], false)] = n
 		}
 	}
 	for i := range steps {
@@ -28,19 +28,19 @@
 	return d
 }
 
-// follow shows a decider one demand for so long, and takes every order but those that react
+// runDecider shows a decider one demand for so long, and takes every order but those that react
 // refuses. It returns what is wanted at last.
-func follow(d *cfscale.Decider, from, until cf.Millis, demand cfscale.Demand, kept cfscale.StoredState, refuse func(cf.EngineOrder) bool) cfscale.StoredState {
-	for now := from; now < until; now += replayLook {
-		orders, _ := d.Decide(now, demand, kept)
+func runDecider(d *cfscale.Decider, from, until cf.Millis, demand cfscale.Demand, stored cfscale.StoredState, refuse func(cf.EngineOrder) bool) cfscale.StoredState {
+	for now := from; now < until; now += simDecideInterval {
+		orders, _ := d.Decide(now, demand, stored)
 		for _, o := range orders {
 			if refuse != nil && refuse(o) {
 				d.Refused(o.EnginePool, now)
 			}
 		}
-		kept = cfscale.StoredState{Orders: orders, Preexisting: d.Preexisting()}
+		stored = cfscale.StoredState{Orders: orders, Preexisting: d.Preexisting()}
 	}
-	return kept
+	return stored
 }
 
 func counts(k cfscale.StoredState) map[cf.EnginePool]int {
@@ -53,43 +53,43 @@
 
 // Symptom: an order that counts fewer engines than are there makes the platform take some
 // away; one that can't be carried out keeps others from being ordered.
-func TestOrdersOfOneDemand(t *testing.T) {
-	terms := cfscale.Policy{
+func TestOrdersForDemand(t *testing.T) {
+	policy := cfscale.Policy{
 		Service: "s", Min: 1, Max: 20, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2,
 		DomainPrices: map[cf.FailureDomain]float64{"a": 1, "b": 1, "c": 1},
 	}
-	least := func(n int) cfscale.Policy { t := terms; t.Min = n; return t }
+	withMin := func(n int) cfscale.Policy { p := policy; p.Min = n; return p }
 	for _, c := range []struct {
 		name   string
-		terms  cfscale.Policy
+		policy cfscale.Policy
 		demand cfscale.Demand
 		refuse func(cf.EngineOrder) bool
 		check  func(map[cf.EnginePool]int) bool
 	}{
-		{"nothing open", terms, asking(0, 0, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool { return len(m) == 0 }},
-		{"no time named", terms, asking(4, 0, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool { return len(m) == 0 }},
-		{"reclaimable ones first", terms, asking(2, 7500, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool {
+		{"nothing open", policy, demandOf(0, 0, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool { return len(m) == 0 }},
+		{"no time named", policy, demandOf(4, 0, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool { return len(m) == 0 }},
+		{"reclaimable ones first", policy, demandOf(2, 7500, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool {
 			return m[pool("a", true)] > 0 && m[pool("b", true)] > 0 && m[pool("c", true)] > 0 && len(m) == 3
 		}},
-		{"none reclaimable", terms, asking(2, 7500, 5, 5, 5), func(o cf.EngineOrder) bool { return o.Spot && o.Count > 0 }, func(m map[cf.EnginePool]int) bool {
+		{"none reclaimable", policy, demandOf(2, 7500, 5, 5, 5), func(o cf.EngineOrder) bool { return o.Spot && o.Count > 0 }, func(m map[cf.EnginePool]int) bool {
 			return m[pool("a", false)] > 5 && m[pool("a", true)] == 0
 		}},
-		{"a failure domain out of sight", terms, asking(1, 7500, 5, 5, 0), nil, func(m map[cf.EnginePool]int) bool {
+		{"a failure domain out of sight", policy, demandOf(1, 7500, 5, 5, 0), nil, func(m map[cf.EnginePool]int) bool {
 			_, firm := m[pool("c", false)]
 			return !firm && m[pool("a", true)] > 0
 		}},
-		{"bound above the need", least(7), asking(0, 0, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool {
+		{"bound above the need", withMin(7), demandOf(0, 0, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool {
 			return m[pool("a", true)] == 2 && m[pool("b", true)] == 2 && m[pool("c", true)] == 2
 		}},
-		{"bound below the need", terms, asking(9, 7500, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool {
+		{"bound below the need", policy, demandOf(9, 7500, 5, 5, 5), nil, func(m map[cf.EnginePool]int) bool {
 			return m[pool("a", true)] == 15 && m[pool("b", true)] == 15
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := cfscale.NewDecider(c.terms, 0, false)
-			kept := follow(d, 0, 1000, asking(0, 0, 5, 5, 5), cfscale.StoredState{}, c.refuse)
-			kept = follow(d, 1000, 9_000, c.demand, kept, c.refuse)
-			if m := counts(kept); !c.check(m) {
+			d := cfscale.NewDecider(c.policy, 0, false)
+			stored := runDecider(d, 0, 1000, demandOf(0, 0, 5, 5, 5), cfscale.StoredState{}, c.refuse)
+			stored = runDecider(d, 1000, 9_000, c.demand, stored, c.refuse)
+			if m := counts(stored); !c.check(m) {
 				t.Errorf("ordered %v", m)
 			}
 		})
@@ -98,41 +98,41 @@
 
 // Symptom: after a change of holder engines are given back that the steps of the holder
 // before needed, or those that were there are counted anew.
-func TestSuccessorKeepsWhatIsWanted(t *testing.T) {
-	terms := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
-	kept := follow(cfscale.NewDecider(terms, 0, false), 0, 3000, asking(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
-	after := follow(cfscale.NewDecider(terms, 3000, true), 3000, 30_000, asking(0, 0, 5, 5, 0), kept, nil)
-	if before, now := counts(kept), counts(after); len(before) == 0 || len(now) != len(before) || now[pool("c", true)] != before[pool("c", true)] {
+func TestSuccessorKeepsOrders(t *testing.T) {
+	policy := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
+	stored := runDecider(cfscale.NewDecider(policy, 0, false), 0, 3000, demandOf(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
+	after := runDecider(cfscale.NewDecider(policy, 3000, true), 3000, 30_000, demandOf(0, 0, 5, 5, 0), stored, nil)
+	if before, now := counts(stored), counts(after); len(before) == 0 || len(now) != len(before) || now[pool("c", true)] != before[pool("c", true)] {
 		t.Errorf("wanted %v, after the change %v", before, now)
 	}
 }
 
 // Symptom: a refused repeat of an order gives back the engines that are in service.
 func TestRefusedRepeatKeepsEnginesInService(t *testing.T) {
-	terms := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
-	for _, all := range []bool{true, false} { // whether all ordered engines came before one was missing
-		d := cfscale.NewDecider(terms, 0, false)
-		kept := follow(d, 0, 9000, asking(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
-		raised := pool("a", true)
-		ordered := counts(kept)[raised]
+	policy := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
+	for _, allArrived := range []bool{true, false} { // whether all ordered engines came before one was missing
+		d := cfscale.NewDecider(policy, 0, false)
+		stored := runDecider(d, 0, 9000, demandOf(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
+		grown := pool("a", true)
+		ordered := counts(stored)[grown]
 		if ordered < 2 {
 			t.Fatalf("ordered %d", ordered)
 		}
-		demand := asking(0, 0, 5, 5, 5)
-		for p, n := range counts(kept) {
+		demand := demandOf(0, 0, 5, 5, 5)
+		for p, n := range counts(stored) {
 			demand.Engines[p] = n
 		}
-		if all {
-			kept = follow(d, 9000, 20_000, demand, kept, nil)
+		if allArrived {
+			stored = runDecider(d, 9000, 20_000, demand, stored, nil)
 		}
-		demand.Engines[raised] = ordered - 1
-		if missing := d.PoolsToReorder(20_000, demand, kept); len(missing) != 1 || missing[0] != raised {
+		demand.Engines[grown] = ordered - 1
+		if missing := d.PoolsToReorder(20_000, demand, stored); len(missing) != 1 || missing[0] != grown {
 			t.Fatalf("missing %v", missing)
 		}
-		d.Refused(raised, 20_000)
-		kept = follow(d, 20_000, 20_500, demand, kept, nil)
-		if n := counts(kept)[raised]; n != ordered-1 {
-			t.Errorf("all came %v: %d are wanted after the refusal, %d are in service", all, n, ordered-1)
+		d.Refused(grown, 20_000)
+		stored = runDecider(d, 20_000, 20_500, demand, stored, nil)
+		if n := counts(stored)[grown]; n != ordered-1 {
+			t.Errorf("all came %v: %d are wanted after the refusal, %d are in service", allArrived, n, ordered-1)
 		}
 	}
 }
--- a/core/cfscale/explore_test.go
+++ b/core/cfscale/explore_test.go
@@ -11,247 +11,254 @@
 )
 
 const (
-	exploreFaults  = 3
-	exploreChanges = 3
-	exploreSteps   = 20
-	// exploreTick is longer than an order without an answer may take effect.
-	exploreTick = lateMost + retryMost
+	maxFaults  = 3
+	maxChanges = 3
+	maxDepth   = 20
+	// clockTick is longer than an order without an answer may take effect.
+	clockTick = maxOrderDelay + maxRetryPause
 )
 
-// seeded is a fault of the protocol that the exploration must find.
-type seeded int
+// injectedFault is a fault of the protocol that the exploration must find.
+type injectedFault int
 
 const (
-	sound       seeded = iota
-	believes           // a holder takes a write without an answer for one that took effect
-	trusts             // a successor takes what it reads for ordered
-	unclaimed          // a successor does not write its term
-	unconfirmed        // an order that had no answer is forgotten once another is taken
-	succeeds           // a successor does not expect a late order of the holder before
-	unsettled          // a write that had no answer is forgotten once the store is read
+	noFault                 injectedFault = iota
+	assumeWritten                         // a holder takes a write without an answer for one that took effect
+	assumeOrdered                         // a successor takes what it reads for ordered
+	skipTermWrite                         // a successor does not write its term
+	forgetUnconfirmedOrder                // an order that had no answer is forgotten once another is taken
+	ignorePredecessorOrders               // a successor does not expect a late order of the holder before
+	forgetUnconfirmedWrite                // a write that had no answer is forgotten once the store is read
 )
 
 type (
-	// world is a store, the platform, and the holder of the lease. A holder before gives no
+	// modelState is a store, the platform, and the holder of the lease. A holder before gives no
 	// orders any more, but a write or an order of its may take effect yet.
-	world struct {
-		rev     cf.Revision
-		kept    *StoredState
-		ever    map[int]bool // counts that were kept
-		writes  []lateWrite
-		orders  []int // orders under way without an answer
-		has     int   // what the platform was last told, -1 for nothing
-		keeper  Reconciler
-		wants   int // zero for nothing
-		now     cf.Millis
-		faults  int
-		changes int
+	modelState struct {
+		rev           cf.Revision
+		stored        *StoredState
+		everStored    map[int]bool // counts that were kept
+		lateWrites    []lateWrite
+		lateOrders    []int // orders under way without an answer
+		platformCount int   // what the platform was last told, -1 for nothing
+		reconciler    Reconciler
+		wantedCount   int // zero for nothing
+		now           cf.Millis
+		faults        int
+		changes       int
 	}
 
 	lateWrite struct {
-		rev  cf.Revision
-		kept StoredState
+		rev   cf.Revision
+		state StoredState
 	}
 )
 
-var explorePool = cf.EnginePool{Service: "s", Domain: "a", Spot: true}
+var modelPool = cf.EnginePool{Service: "s", Domain: "a", Spot: true}
 
-func (w *world) clone() *world {
+func (w *modelState) clone() *modelState {
 	c := *w
-	c.ever, c.writes, c.orders = maps.Clone(w.ever), slices.Clone(w.writes), slices.Clone(w.orders)
-	c.keeper.given, c.keeper.again, c.keeper.pending = maps.Clone(w.keeper.given), maps.Clone(w.keeper.again), maps.Clone(w.keeper.pending)
+	c.everStored, c.lateWrites, c.lateOrders = maps.Clone(w.everStored), slices.Clone(w.lateWrites), slices.Clone(w.lateOrders)
+	c.reconciler.accepted, c.reconciler.retries, c.reconciler.unconfirmed = maps.Clone(w.reconciler.accepted), maps.Clone(w.reconciler.retries), maps.Clone(w.reconciler.unconfirmed)
 	return &c
 }
 
-func (w *world) key() string {
-	out := fmt.Sprint(w.rev, w.ever, w.writes, w.orders, w.has, w.wants, w.now, w.faults, w.changes, w.keeper)
-	if w.kept != nil {
-		out += fmt.Sprint(*w.kept)
+func (w *modelState) key() string {
+	out := fmt.Sprint(w.rev, w.everStored, w.lateWrites, w.lateOrders, w.platformCount, w.wantedCount, w.now, w.faults, w.changes, w.reconciler)
+	if w.stored != nil {
+		out += fmt.Sprint(*w.stored)
 	}
 	return out
 }
 
 // write takes effect if its condition holds.
-func (w *world) write(l lateWrite) bool {
+func (w *modelState) write(l lateWrite) bool {
 	if l.rev != w.rev {
 		return false
 	}
 	w.rev++
-	kept := l.kept
-	w.kept = &kept
-	w.ever[kept.Orders[0].Count] = true
+	state := l.state
+	w.stored = &state
+	w.everStored[state.Orders[0].Count] = true
 	return true
 }
 
-var errNotKept = errors.New("an order was given that was never kept")
+var errNotStored = errors.New("an order was given that was never kept")
 
-func (w *world) order(count int) error {
-	w.has = count
-	if !w.ever[count] {
-		return fmt.Errorf("%w: %d", errNotKept, count)
+func (w *modelState) order(count int) error {
+	w.platformCount = count
+	if !w.everStored[count] {
+		return fmt.Errorf("%w: %d", errNotStored, count)
 	}
 	return nil
 }
 
-func (w *world) wanted() StoredState {
-	if w.wants == 0 {
+func (w *modelState) wanted() StoredState {
+	if w.wantedCount == 0 {
 		return StoredState{}
 	}
-	return StoredState{Orders: []cf.EngineOrder{{EnginePool: explorePool, Count: w.wants}}}
+	return StoredState{Orders: []cf.EngineOrder{{EnginePool: modelPool, Count: w.wantedCount}}}
 }
 
-func (w *world) step() Action {
+func (w *modelState) action() Action {
 	c := w.clone()
-	return c.keeper.Next(w.now, w.wanted(), func(cf.ServiceName) bool { return true })
+	return c.reconciler.Next(w.now, w.wanted(), func(cf.ServiceName) bool { return true })
 }
 
-// settled checks a world in which nothing is under way and nothing is due.
-func (w *world) settled() error {
-	if len(w.writes)+len(w.orders) > 0 || w.kept == nil || w.step().Kind != ActionWait {
+// checkSettled checks a world in which nothing is under way and nothing is due.
+func (w *modelState) checkSettled() error {
+	if len(w.lateWrites)+len(w.lateOrders) > 0 || w.stored == nil || w.action().Kind != ActionWait {
 		return nil
 	}
-	if w.now < max(w.keeper.again[explorePool].until, w.keeper.pending[explorePool].until) {
+	if w.now < max(w.reconciler.retries[modelPool].until, w.reconciler.unconfirmed[modelPool].until) {
 		return nil
 	}
-	kept := w.kept.Orders[0].Count
-	if len(w.keeper.kept.Orders) > 0 && w.has != kept {
-		return fmt.Errorf("%d are kept, the platform was told %d", kept, w.has)
+	count := w.stored.Orders[0].Count
+	if len(w.reconciler.count.Orders) > 0 && w.platformCount != count {
+		return fmt.Errorf("%d are kept, the platform was told %d", count, w.platformCount)
 	}
 	return nil
 }
 
-// next returns what may come next of a world.
-func (w *world) next(fault seeded) (out []*world, err error) {
-	add := func(f func(n *world) error) {
+// successors returns what may come next of a world.
+func (w *modelState) successors(fault injectedFault) (out []*modelState, err error) {
+	add := func(f func(n *modelState) error) {
 		n := w.clone()
 		if e := f(n); e != nil {
 			err = e
 		}
 		out = append(out, n)
 	}
-	faulty := func(f func(n *world) error) {
-		if w.faults < exploreFaults {
-			add(func(n *world) error { n.faults++; return f(n) })
+	faulty := func(f func(n *modelState) error) {
+		if w.faults < maxFaults {
+			add(func(n *modelState) error { n.faults++; return f(n) })
 		}
 	}
-	for i := range w.writes {
-		add(func(n *world) error {
-			l := n.writes[i]
-			n.writes = slices.Delete(n.writes, i, i+1)
+	for i := range w.lateWrites {
+		add(func(n *modelState) error {
+			l := n.lateWrites[i]
+			n.lateWrites = slices.Delete(n.lateWrites, i, i+1)
 			n.write(l)
 			return nil
 		})
 	}
-	for i := range w.orders {
-		add(func(n *world) error {
-			count := n.orders[i]
-			n.orders = slices.Delete(n.orders, i, i+1)
+	for i := range w.lateOrders {
+		add(func(n *modelState) error {
+			count := n.lateOrders[i]
+			n.lateOrders = slices.Delete(n.lateOrders, i, i+1)
 			return n.order(count)
 		})
 	}
-	if w.changes < exploreChanges {
-		for wants := 1; wants <= 2; wants++ {
-			if wants != w.wants {
-				add(func(n *world) error { n.changes++; n.wants = wants; return nil })
+	if w.changes < maxChanges {
+		for count := 1; count <= 2; count++ {
+			if count != w.wantedCount {
+				add(func(n *modelState) error { n.changes++; n.wantedCount = count; return nil })
 			}
 		}
 	}
-	if len(w.orders) == 0 {
-		add(func(n *world) error { n.now += exploreTick; return nil })
+	if len(w.lateOrders) == 0 {
+		add(func(n *modelState) error { n.now += clockTick; return nil })
 	}
 	// The holder is lost and another takes over. An order of the one before may be under way.
-	faulty(func(n *world) error {
-		if len(n.orders) == 0 {
-			n.now += exploreTick
+	faulty(func(n *modelState) error {
+		if len(n.lateOrders) == 0 {
+			n.now += clockTick
 		}
-		n.keeper, n.wants = *NewReconciler(n.keeper.term+1, n.now), 0
-		if fault == succeeds {
-			n.keeper.settled = n.now
+		n.reconciler, n.wantedCount = *NewReconciler(n.reconciler.term+1, n.now), 0
+		if fault == ignorePredecessorOrders {
+			n.reconciler.settledAt = n.now
 		}
 		return nil
 	})
-	switch step := w.step(); step.Kind {
+	switch action := w.action(); action.Kind {
 	case ActionRead:
-		add(func(n *world) error {
-			if n.kept == nil {
-				n.keeper.LoadedEmpty()
+		add(func(n *modelState) error {
+			if n.stored == nil {
+				n.reconciler.LoadedEmpty()
 				return nil
 			}
-			n.keeper.Loaded(*n.kept, n.rev)
+			n.reconciler.Loaded(*n.stored, n.rev)
 			switch fault {
-			case trusts:
-				n.keeper.OrderAccepted(n.kept.Orders[0], n.now)
-			case unclaimed:
-				n.keeper.kept.Term = n.keeper.term
-			case unsettled:
-				n.keeper.unsettled = false
+			case assumeOrdered:
+				n.reconciler.OrderAccepted(n.stored.Orders[0], n.now)
+			case skipTermWrite:
+				n.reconciler.count.Term = n.reconciler.term
+			case forgetUnconfirmedWrite:
+				n.reconciler.unconfirmedWrite = false
 			}
 			return nil
 		})
 	case ActionWrite:
-		l := lateWrite{step.Rev, step.State}
-		doubt := func(n *world) {
-			if n.keeper.WriteInDoubt(); fault == believes {
-				n.keeper.Written(step.State, step.Rev+1)
+		l := lateWrite{action.Rev, action.State}
+		inDoubt := func(n *modelState) {
+			if n.reconciler.WriteInDoubt(); fault == assumeWritten {
+				n.reconciler.Written(action.State, action.Rev+1)
 			}
 		}
-		add(func(n *world) error {
+		add(func(n *modelState) error {
 			if n.write(l) {
-				n.keeper.Written(step.State, n.rev)
+				n.reconciler.Written(action.State, n.rev)
 			} else {
-				n.keeper.WriteInDoubt()
+				n.reconciler.WriteInDoubt()
 			}
 			return nil
 		})
-		faulty(func(n *world) error { n.write(l); doubt(n); return nil })                     // its answer is lost
-		faulty(func(n *world) error { n.writes = append(n.writes, l); doubt(n); return nil }) // it takes effect later
-		faulty(func(n *world) error { doubt(n); return nil })                                 // it is lost
+		faulty(func(n *modelState) error { n.write(l); inDoubt(n); return nil })                             // its answer is lost
+		faulty(func(n *modelState) error { n.lateWrites = append(n.lateWrites, l); inDoubt(n); return nil }) // it takes effect later
+		faulty(func(n *modelState) error { inDoubt(n); return nil })                                         // it is lost
 	case ActionOrder:
-		doubt := func(n *world) {
-			n.keeper.OrderInDoubt(step.Order, n.now)
-			if fault == unconfirmed {
-				clear(n.keeper.pending)
+		inDoubt := func(n *modelState) {
+			n.reconciler.OrderInDoubt(action.Order, n.now)
+			if fault == forgetUnconfirmedOrder {
+				clear(n.reconciler.unconfirmed)
 			}
 		}
-		add(func(n *world) error { n.keeper.OrderAccepted(step.Order, n.now); return n.order(step.Order.Count) })
-		faulty(func(n *world) error { doubt(n); return n.order(step.Order.Count) })
-		faulty(func(n *world) error { n.orders = append(n.orders, step.Order.Count); doubt(n); return nil })
-		faulty(func(n *world) error { n.keeper.OrderRejected(step.Order, n.now); return nil }) // refused
+		add(func(n *modelState) error {
+			n.reconciler.OrderAccepted(action.Order, n.now)
+			return n.order(action.Order.Count)
+		})
+		faulty(func(n *modelState) error { inDoubt(n); return n.order(action.Order.Count) })
+		faulty(func(n *modelState) error {
+			n.lateOrders = append(n.lateOrders, action.Order.Count)
+			inDoubt(n)
+			return nil
+		})
+		faulty(func(n *modelState) error { n.reconciler.OrderRejected(action.Order, n.now); return nil }) // refused
 	}
 	return out, err
 }
 
-func explore(fault seeded) (states, settled int, err error) {
-	start := &world{has: -1, ever: map[int]bool{}, keeper: *NewReconciler(1, 0)}
+func explore(fault injectedFault) (states, atRest int, err error) {
+	start := &modelState{platformCount: -1, everStored: map[int]bool{}, reconciler: *NewReconciler(1, 0)}
 	seen := map[string]bool{start.key(): true}
-	level := []*world{start}
-	for range exploreSteps {
-		var after []*world
-		for _, w := range level {
-			next, err := w.next(fault)
+	frontier := []*modelState{start}
+	for range maxDepth {
+		var nextFrontier []*modelState
+		for _, w := range frontier {
+			next, err := w.successors(fault)
 			if err != nil {
-				return len(seen), settled, err
+				return len(seen), atRest, err
 			}
 			for _, n := range next {
-				if n.now > 4*exploreTick {
+				if n.now > 4*clockTick {
 					continue
 				}
 				k := n.key()
 				if seen[k] {
 					continue
 				}
-				seen[k], after = true, append(after, n)
-				if err := n.settled(); err != nil {
-					return len(seen), settled, err
+				seen[k], nextFrontier = true, append(nextFrontier, n)
+				if err := n.checkSettled(); err != nil {
+					return len(seen), atRest, err
 				}
-				if n.has > 0 && n.step().Kind == ActionWait {
-					settled++
+				if n.platformCount > 0 && n.action().Kind == ActionWait {
+					atRest++
 				}
 			}
 		}
-		level = after
+		frontier = nextFrontier
 	}
-	return len(seen), settled, nil
+	return len(seen), atRest, nil
 }
 
 // Symptom: the platform has another number of engines than what is kept, or was told a number
@@ -259,16 +266,16 @@
 // Sequence: every order of reading, keeping, ordering, changing what is wanted, losing the
 // lease and taking it over, with writes and orders that are lost, answered in vain or take
 // effect late, three faults in all.
-func TestWhatIsOrderedIsKept(t *testing.T) {
-	states, settled, err := explore(sound)
+func TestPlatformCountMatchesStore(t *testing.T) {
+	states, atRest, err := explore(noFault)
 	if err != nil {
 		t.Error(err)
 	}
-	if settled == 0 {
+	if atRest == 0 {
 		t.Error("no run came to rest")
 	}
-	t.Logf("%d states, %d at rest", states, settled)
-	for name, fault := range map[string]seeded{"believes": believes, "trusts": trusts, "unclaimed": unclaimed, "unconfirmed": unconfirmed, "unsettled": unsettled, "succeeds": succeeds} {
+	t.Logf("%d states, %d at rest", states, atRest)
+	for name, fault := range map[string]injectedFault{"believes": assumeWritten, "trusts": assumeOrdered, "unclaimed": skipTermWrite, "unconfirmed": forgetUnconfirmedOrder, "unsettled": forgetUnconfirmedWrite, "succeeds": ignorePredecessorOrders} {
 		if states, _, err := explore(fault); err == nil {
 			t.Errorf("%s: not found in %d states", name, states)
 		} else {
--- a/core/cfscale/need.go
+++ b/core/cfscale/need.go
@@ -11,16 +11,16 @@
 	// dueShare is the part of a step's time by which it should be whole: listing its
 	// results and what a loss repeats take the rest.
 	dueShare = 0.8
-	// leastSpan is the least part of that time in which the items are to be run. Below it
+	// minRunShare is the least part of that time in which the items are to be run. Below it
 	// the longest text decides, and more engines bring nothing.
-	leastSpan = 0.25
-	// serving is the part of its time in which an engine runs items. It loads a version
+	minRunShare = 0.25
+	// runningShare is the part of its time in which an engine runs items. It loads a version
 	// for each step, 0.9 s of 4 s.
-	serving = 0.75
-	// needSpread is how steeply the chance falls that more engines than the need are of
+	runningShare = 0.75
+	// valueFalloff is how steeply the chance falls that more engines than the need are of
 	// use: steps of one trainer differ by a sixth in groups and by half in items, and
 	// those of four trainers together by some 15%.
-	needSpread = 16
+	valueFalloff = 16
 )
 
 type (
@@ -46,52 +46,52 @@
 	// begin last, and what they earn then in a second.
 	need struct {
 		engines float64
-		// least is the same if the long texts begin first, as far as they are known.
-		least float64
-		earns float64
-		// unsure: there are steps whose need is not known.
-		unsure bool
+		// minEngines is the same if the long texts begin first, as far as they are known.
+		minEngines float64
+		valueRate  float64
+		// unknown: there are steps whose need is not known.
+		unknown bool
 	}
 )
 
-// needOf returns what the open steps need. Of a step whose route names no time that is not
+// estimateNeed returns what the open steps need. Of a step whose route names no time that is not
 // known.
-func needOf(d Demand, groupValue float64) need {
+func estimateNeed(d Demand, groupValue float64) need {
 	var n need
 	if d.Slots == 0 || d.Pace == 0 {
-		return need{unsure: len(d.OpenSteps) > 0}
+		return need{unknown: len(d.OpenSteps) > 0}
 	}
-	perEngine := float64(d.Slots) * serving
+	perEngine := float64(d.Slots) * runningShare
 	for _, s := range d.OpenSteps {
 		if s.Due <= 0 || s.Events == 0 {
-			n.unsure = true
+			n.unknown = true
 			continue
 		}
 		due := float64(s.Due)
 		longest := s.Longest * d.Pace
 		// What it needs from its acceptance on, and what is left now: a step that is
 		// behind needs more than it did.
-		fresh := s.Events * d.Pace / max(dueShare*due-longest, leastSpan*due)
-		now := s.Left * d.Pace / max(dueShare*due-float64(s.Age), leastSpan*due)
-		least := s.Events * d.Pace / max(dueShare*due-longest/2, leastSpan*due)
-		n.engines += max(fresh, now) / perEngine
-		n.least += max(least, now) / perEngine
-		n.earns += float64(s.Groups) * groupValue / (due / 1000)
+		fromStart := s.Events * d.Pace / max(dueShare*due-longest, minRunShare*due)
+		fromNow := s.Left * d.Pace / max(dueShare*due-float64(s.Age), minRunShare*due)
+		minimum := s.Events * d.Pace / max(dueShare*due-longest/2, minRunShare*due)
+		n.engines += max(fromStart, fromNow) / perEngine
+		n.minEngines += max(minimum, fromNow) / perEngine
+		n.valueRate += float64(s.Groups) * groupValue / (due / 1000)
 	}
 	return n
 }
 
-// another returns what one more engine beside so many earns in a second: its part of what
+// marginalValue returns what one more engine beside so many earns in a second: its part of what
 // the steps earn, as far as it is likely to be of use.
-func (n need) another(engines int) float64 {
+func (n need) marginalValue(engines int) float64 {
 	if n.engines == 0 {
 		return 0
 	}
-	return n.earns / n.engines / (1 + math.Pow(float64(engines)/n.engines, needSpread))
+	return n.valueRate / n.engines / (1 + math.Pow(float64(engines)/n.engines, valueFalloff))
 }
 
-// spread returns how many engines leave so many if one of the failure domains is lost.
-func spread(engines float64, domains int) int {
+// withDomainReserve returns how many engines leave so many if one of the failure domains is lost.
+func withDomainReserve(engines float64, domains int) int {
 	if domains > 1 {
 		engines *= float64(domains) / float64(domains-1)
 	}
--- a/core/cfscale/plan.go
+++ b/core/cfscale/plan.go
@@ -15,7 +15,7 @@
 		*Decider
 		now     cf.Millis
 		demand  Demand
-		kept    map[cf.EnginePool]int
+		stored  map[cf.EnginePool]int
 		wanted  map[cf.EnginePool]int
 		domains []cf.FailureDomain
 	}
@@ -23,72 +23,72 @@
 
 func (p *plan) allDomains() []cf.FailureDomain {
 	seen := map[cf.FailureDomain]bool{}
-	for d := range p.terms.DomainPrices {
+	for d := range p.policy.DomainPrices {
 		seen[d] = true
 	}
-	for pool := range p.found {
+	for pool := range p.preexisting {
 		seen[pool.Domain] = true
 	}
 	return slices.Sorted(maps.Keys(seen))
 }
 
 func (p *plan) pool(d cf.FailureDomain, spot bool) cf.EnginePool {
-	return cf.EnginePool{Service: p.terms.Service, Domain: d, Spot: spot}
+	return cf.EnginePool{Service: p.policy.Service, Domain: d, Spot: spot}
 }
 
-// count is how many of a pool the platform is to have: as ordered, or as found.
-func (p *plan) count(pool cf.EnginePool) int {
+// desired is how many of a pool the platform is to have: as ordered, or as found.
+func (p *plan) desired(pool cf.EnginePool) int {
 	if n, ordered := p.wanted[pool]; ordered {
 		return n
 	}
-	return p.found[pool]
+	return p.preexisting[pool]
 }
 
-// before is how many of a pool the platform was to have before this look.
-func (p *plan) before(pool cf.EnginePool) int {
-	if n, ordered := p.kept[pool]; ordered {
+// previous is how many of a pool the platform was to have before this look.
+func (p *plan) previous(pool cf.EnginePool) int {
+	if n, ordered := p.stored[pool]; ordered {
 		return n
 	}
-	return p.found[pool]
+	return p.preexisting[pool]
 }
 
-// coming is how many of a pool are in service, or will be soon, with what this look
+// expected is how many of a pool are in service, or will be soon, with what this look
 // changes.
-func (p *plan) coming(pool cf.EnginePool) int {
+func (p *plan) expected(pool cf.EnginePool) int {
 	n := p.demand.Engines[pool]
-	if kept, ordered := p.kept[pool]; ordered && !p.overdue(pool) {
-		n = max(n, kept)
+	if stored, ordered := p.stored[pool]; ordered && !p.overdue(pool) {
+		n = max(n, stored)
 	}
-	if changed := p.count(pool) - p.before(pool); changed >= 0 {
+	if changed := p.desired(pool) - p.previous(pool); changed >= 0 {
 		return n + changed
 	}
-	return min(n, p.count(pool))
+	return min(n, p.desired(pool))
 }
 
 // overdue says whether engines of a pool that were ordered and are not there can't be
 // counted on: they had the time to come, were refused, or were reclaimed.
 func (p *plan) overdue(pool cf.EnginePool) bool {
-	return p.now-p.raised[pool] >= p.bootTime() || p.now < p.refused[pool]
+	return p.now-p.raisedAt[pool] >= p.bootTimeout() || p.now < p.refusedUntil[pool]
 }
 
-// short says whether ordered engines of a pool have not come, or were lost.
-func (p *plan) short(pool cf.EnginePool) bool {
-	return p.demand.Engines[pool] < p.kept[pool] && p.overdue(pool)
+// incomplete says whether ordered engines of a pool have not come, or were lost.
+func (p *plan) incomplete(pool cf.EnginePool) bool {
+	return p.demand.Engines[pool] < p.stored[pool] && p.overdue(pool)
 }
 
-func (p *plan) domain(d cf.FailureDomain) int {
-	return p.coming(p.pool(d, false)) + p.coming(p.pool(d, true))
+func (p *plan) expectedInDomain(d cf.FailureDomain) int {
+	return p.expected(p.pool(d, false)) + p.expected(p.pool(d, true))
 }
 
-func (p *plan) total() int {
+func (p *plan) expectedTotal() int {
 	n := 0
 	for _, d := range p.domains {
-		n += p.domain(d)
+		n += p.expectedInDomain(d)
 	}
 	return n
 }
 
-func (p *plan) serving() int {
+func (p *plan) inService() int {
 	n := 0
 	for _, count := range p.demand.Engines {
 		n += count
@@ -96,43 +96,43 @@
 	return n
 }
 
-func (p *plan) booting() int { return max(p.total()-p.serving(), 0) }
+func (p *plan) booting() int { return max(p.expectedTotal()-p.inService(), 0) }
 
 // price is what an engine of a pool costs in a second.
 func (p *plan) price(pool cf.EnginePool) float64 {
-	price := p.terms.EnginePrice
-	if domain, set := p.terms.DomainPrices[pool.Domain]; set {
+	price := p.policy.EnginePrice
+	if domain, set := p.policy.DomainPrices[pool.Domain]; set {
 		price *= domain
 	}
 	if pool.Spot {
-		price *= p.terms.SpotPrice
+		price *= p.policy.SpotPrice
 	}
 	return price
 }
 
 // add asks for one more engine of a pool.
-func (p *plan) add(pool cf.EnginePool) { p.wanted[pool] = p.count(pool) + 1 }
+func (p *plan) add(pool cf.EnginePool) { p.wanted[pool] = p.desired(pool) + 1 }
 
-// counted says whether it is known how many of a pool the platform has. An order that names
+// countKnown says whether it is known how many of a pool the platform has. An order that names
 // fewer takes some away, and those that were there first are listed one after the other
 // when a deployment starts.
-func (p *plan) counted(pool cf.EnginePool) bool {
+func (p *plan) countKnown(pool cf.EnginePool) bool {
 	if _, ordered := p.wanted[pool]; ordered {
 		return true
 	}
-	shown := false // any such engines: a failure domain without may be out of sight
+	kindSeen := false // any such engines: a failure domain without may be out of sight
 	for other, n := range p.demand.Engines {
-		shown = shown || other.Spot == pool.Spot && n > 0
+		kindSeen = kindSeen || other.Spot == pool.Spot && n > 0
 	}
-	return p.listed() && (p.demand.Engines[pool] > 0 || !shown)
+	return p.discovered() && (p.demand.Engines[pool] > 0 || !kindSeen)
 }
 
-// listed says whether the list shows all engines that were there before.
-func (p *plan) listed() bool {
-	if p.Decider.listed == 0 {
-		return p.now-p.began >= noneWithin
+// discovered says whether the list shows all engines that were there before.
+func (p *plan) discovered() bool {
+	if p.Decider.firstListedAt == 0 {
+		return p.now-p.startedAt >= noEnginesAfter
 	}
-	return p.now-p.Decider.listed >= listedWithin
+	return p.now-p.Decider.firstListedAt >= discoveryTime
 }
 
 // domainLost says whether a failure domain had engines and shows none: more that are ordered
@@ -144,32 +144,32 @@
 		if p.demand.Engines[pool] > 0 {
 			return false
 		}
-		_, ordered := p.kept[pool]
-		had = had || p.found[pool] > 0 && (!ordered || p.overdue(pool))
+		_, ordered := p.stored[pool]
+		had = had || p.preexisting[pool] > 0 && (!ordered || p.overdue(pool))
 	}
 	return had
 }
 
-// mayAdd says whether one more of a pool may be ordered.
-func (p *plan) mayAdd(pool cf.EnginePool) bool {
-	if p.now < p.refused[pool] || p.short(pool) || pool.Spot && p.terms.SpotPrice <= 0 {
+// canAdd says whether one more of a pool may be ordered.
+func (p *plan) canAdd(pool cf.EnginePool) bool {
+	if p.now < p.refusedUntil[pool] || p.incomplete(pool) || pool.Spot && p.policy.SpotPrice <= 0 {
 		return false
 	}
-	if p.domainLost(pool.Domain) || !pool.Spot && !p.counted(pool) {
+	if p.domainLost(pool.Domain) || !pool.Spot && !p.countKnown(pool) {
 		return false
 	}
-	return p.count(p.pool(pool.Domain, false))+p.count(p.pool(pool.Domain, true)) < p.terms.Max
+	return p.desired(p.pool(pool.Domain, false))+p.desired(p.pool(pool.Domain, true)) < p.policy.Max
 }
 
-// cheapest returns the pool for one more engine: of the failure domain that has the fewest,
+// poolToGrow returns the pool for one more engine: of the failure domain that has the fewest,
 // reclaimable where there are such ones, firm while some were just reclaimed.
-func (p *plan) cheapest() (cf.EnginePool, bool) {
+func (p *plan) poolToGrow() (cf.EnginePool, bool) {
 	var best cf.EnginePool
 	found := false
 	for _, d := range p.domains {
 		for _, spot := range []bool{true, false} {
 			pool := p.pool(d, spot)
-			if p.mayAdd(pool) && (!found || p.preferred(pool, best)) {
+			if p.canAdd(pool) && (!found || p.preferred(pool, best)) {
 				best, found = pool, true
 			}
 		}
@@ -179,127 +179,127 @@
 
 // preferred says whether a is to be ordered before b.
 func (p *plan) preferred(a, b cf.EnginePool) bool {
-	if p.now < p.reclaimed && a.Spot != b.Spot {
+	if p.now < p.reclaimedUntil && a.Spot != b.Spot {
 		return b.Spot
 	}
-	return cmp.Or(cmp.Compare(p.domain(a.Domain), p.domain(b.Domain)), cmp.Compare(p.price(a), p.price(b))) < 0
+	return cmp.Or(cmp.Compare(p.expectedInDomain(a.Domain), p.expectedInDomain(b.Domain)), cmp.Compare(p.price(a), p.price(b))) < 0
 }
 
-// withdraw takes back what can't be had: of reclaimable engines that leave, and of a pool
+// withdrawUnavailable takes back what can't be had: of reclaimable engines that leave, and of a pool
 // that had none. It would take the room of others below the failure domain's bound.
-func (p *plan) withdraw(why *Rationale) {
+func (p *plan) withdrawUnavailable(rationale *Rationale) {
 	for pool := range p.demand.Reclaimed {
-		have := p.demand.Engines[pool]
-		p.refused[pool], p.reclaimed = p.now+refusedRest, p.now+refusedRest
-		p.found[pool] = min(p.found[pool], have)
-		if p.kept[pool] > have {
-			p.wanted[pool] = have
-			why.Cause = CauseReclaim
+		inService := p.demand.Engines[pool]
+		p.refusedUntil[pool], p.reclaimedUntil = p.now+unavailableCooldown, p.now+unavailableCooldown
+		p.preexisting[pool] = min(p.preexisting[pool], inService)
+		if p.stored[pool] > inService {
+			p.wanted[pool] = inService
+			rationale.Cause = CauseReclaim
 		}
 	}
-	for pool, n := range p.lower {
+	for pool, n := range p.lowerTo {
 		n = max(n, p.demand.Engines[pool]) // engines in service are not given back by a refusal
-		if n < p.kept[pool] {
+		if n < p.stored[pool] {
 			p.wanted[pool] = n
-			why.Cause = CauseUnavailable
+			rationale.Cause = CauseUnavailable
 		}
-		delete(p.lower, pool)
+		delete(p.lowerTo, pool)
 	}
 }
 
-// maximum takes back orders beyond a bound that was lowered.
-func (p *plan) maximum(why *Rationale) {
+// enforceMax takes back orders beyond a bound that was lowered.
+func (p *plan) enforceMax(rationale *Rationale) {
 	for _, d := range p.domains {
 		for _, spot := range []bool{true, false} {
 			pool := p.pool(d, spot)
-			over := p.count(p.pool(d, false)) + p.count(p.pool(d, true)) - p.terms.Max
+			over := p.desired(p.pool(d, false)) + p.desired(p.pool(d, true)) - p.policy.Max
 			if n, ordered := p.wanted[pool]; ordered && over > 0 && n > 0 {
 				p.wanted[pool] = max(n-over, 0)
-				why.Cause = CauseMaximum
+				rationale.Cause = CauseMaximum
 			}
 		}
 	}
 }
 
-// minimum orders what the configuration asks for at the least.
-func (p *plan) minimum(why *Rationale) {
-	if !p.listed() {
+// enforceMin orders what the configuration asks for at the least.
+func (p *plan) enforceMin(rationale *Rationale) {
+	if !p.discovered() {
 		return
 	}
 	for _, d := range p.domains {
-		for p.count(p.pool(d, false))+p.count(p.pool(d, true)) < min(p.terms.Min, p.terms.Max) {
+		for p.desired(p.pool(d, false))+p.desired(p.pool(d, true)) < min(p.policy.Min, p.policy.Max) {
 			pool := p.pool(d, true)
-			if !p.mayAdd(pool) {
+			if !p.canAdd(pool) {
 				pool = p.pool(d, false)
 			}
-			if !p.mayAdd(pool) {
+			if !p.canAdd(pool) {
 				break
 			}
 			p.add(pool)
-			why.Cause = CauseMinimum
+			rationale.Cause = CauseMinimum
 		}
 	}
 }
 
-// missing returns how many engines there should be where open steps will come late with so
+// shortage returns how many engines there should be where open steps will come late with so
 // many, by what recent ones have shown, or by the estimate before; zero where enough are there.
 // urgent says that steps can't be in time at all.
-func (p *plan) missing(n need, shown bool, engines int) (want float64, urgent bool) {
-	worst, reserve := p.history.worst(p.now), growMore*float64(spread(n.engines, len(p.domains)))
-	least := startShare * n.engines
+func (p *plan) shortage(n need, observed bool, engines int) (want float64, urgent bool) {
+	worstStep, reserve := p.history.worstTimeShare(p.now), growMargin*float64(withDomainReserve(n.engines, len(p.domains)))
+	threshold := estimateGrowThreshold * n.engines
 	switch {
-	case shown && worst >= late:
-		least, want = growSlack*reserve/growMore, reserve
-	case p.now < p.reclaimed:
-		least, want = n.engines, shownMore*n.engines // what recent steps took says nothing of what is left
-	case shown && worst < prompt:
+	case observed && worstStep >= lateShare:
+		threshold, want = lateGrowThreshold*reserve/growMargin, reserve
+	case p.now < p.reclaimedUntil:
+		threshold, want = n.engines, promptGrowMargin*n.engines // what recent steps took says nothing of what is left
+	case observed && worstStep < promptShare:
 		return 0, false
-	case shown:
-		least, want = n.engines, shownMore*n.engines
-	case p.follows:
-		least, want = n.least, shownMore*n.engines // the holder before had ordered what it saw to be needed
+	case observed:
+		threshold, want = n.engines, promptGrowMargin*n.engines
+	case p.successor:
+		threshold, want = n.minEngines, promptGrowMargin*n.engines // the holder before had ordered what it saw to be needed
 	default:
-		all := p.unopened()
-		urgent = float64(engines) < severe*n.engines*all
-		least, want = max(least, severe*n.engines*all), reserve*all
+		factor := p.unopenedFactor()
+		urgent = float64(engines) < severeShortage*n.engines*factor
+		threshold, want = max(threshold, severeShortage*n.engines*factor), reserve*factor
 	}
-	if float64(engines) >= least {
+	if float64(engines) >= threshold {
 		return 0, false
 	}
 	return want, urgent
 }
 
 // grow orders as many as are missing, at once, while one more earns more than it costs.
-func (p *plan) grow(n need, shown bool, why *Rationale) {
-	why.Desired = p.total()
-	want, urgent := p.missing(n, shown, why.Desired)
+func (p *plan) grow(n need, observed bool, rationale *Rationale) {
+	rationale.Desired = p.expectedTotal()
+	want, urgent := p.shortage(n, observed, rationale.Desired)
 	cause := CauseSteps
-	if p.now < p.reclaimed {
+	if p.now < p.reclaimedUntil {
 		cause = CauseReclaim
 	}
-	for float64(p.total()) < want {
-		pool, ok := p.cheapest()
+	for float64(p.expectedTotal()) < want {
+		pool, ok := p.poolToGrow()
 		if !ok {
 			break
 		}
-		worth := p.total()
+		counted := p.expectedTotal()
 		if urgent {
-			worth = 0 // the estimate grows with the first steps
+			counted = 0 // the estimate grows with the first steps
 		}
-		earns, costs := n.another(worth), p.price(pool)
-		if earns < costs {
+		value, cost := n.marginalValue(counted), p.price(pool)
+		if value < cost {
 			break
 		}
-		why.Cause, why.MarginalValue, why.MarginalCost = cause, earns, costs
+		rationale.Cause, rationale.MarginalValue, rationale.MarginalCost = cause, value, cost
 		p.add(pool)
 	}
-	why.Desired = p.total()
+	rationale.Desired = p.expectedTotal()
 }
 
-// unopened is how many times as much the steps of all models need as those that are open:
+// unopenedFactor is how many times as much the steps of all models need as those that are open:
 // where engines are far too few from the start, all trainers begin at about one time, and an
 // engine that is ordered for the last of them is there a step later.
-func (p *plan) unopened() float64 {
+func (p *plan) unopenedFactor() float64 {
 	models := map[cf.ModelName]bool{}
 	for _, s := range p.demand.OpenSteps {
 		models[s.Model] = true
@@ -311,49 +311,49 @@
 }
 
 // shrink gives some engines back: those that the steps of the last while did not need.
-func (p *plan) shrink(recent need, why *Rationale) {
-	needed, shown := p.history.inTime()
-	rests := p.now-p.began < recentSteps || p.now-p.changed < grownRest || p.now-p.shrunk < shrinkRest || p.now < p.reclaimed
-	if rests || !shown || p.history.worst(p.now) >= late || p.unsure > 0 && p.now-p.unsure < remembered || p.booting() > 0 {
+func (p *plan) shrink(recent need, rationale *Rationale) {
+	needed, observed := p.history.enginesForInTime()
+	tooEarly := p.now-p.startedAt < recentStepWindow || p.now-p.grownAt < growToShrinkDelay || p.now-p.shrunkAt < shrinkInterval || p.now < p.reclaimedUntil
+	if tooEarly || !observed || p.history.worstTimeShare(p.now) >= lateShare || p.needUnknownAt > 0 && p.now-p.needUnknownAt < needWindow || p.booting() > 0 {
 		return
 	}
 	recent.engines = min(recent.engines, needed)
-	keep := int(math.Ceil(shrinkSlack * float64(spread(recent.engines, len(p.domains)))))
-	for range shrinkMost * len(p.domains) {
-		pool, ok := p.mostExpensive(recent)
-		if !ok || p.total()-1 < keep {
+	keep := int(math.Ceil(shrinkMargin * float64(withDomainReserve(recent.engines, len(p.domains)))))
+	for range maxShrinkPerDomain * len(p.domains) {
+		pool, ok := p.poolToShrink(recent)
+		if !ok || p.expectedTotal()-1 < keep {
 			return
 		}
-		earns, costs := recent.another(p.total()-1), p.price(pool)
-		if earns >= costs {
+		value, cost := recent.marginalValue(p.expectedTotal()-1), p.price(pool)
+		if value >= cost {
 			return
 		}
-		p.wanted[pool] = p.count(pool) - 1
-		why.Cause, why.MarginalValue, why.MarginalCost, why.Desired = CauseSurplus, earns, costs, p.total()-1
+		p.wanted[pool] = p.desired(pool) - 1
+		rationale.Cause, rationale.MarginalValue, rationale.MarginalCost, rationale.Desired = CauseSurplus, value, cost, p.expectedTotal()-1
 	}
 }
 
-// mostExpensive returns the pool to give an engine back from: the failure domain that has the
+// poolToShrink returns the pool to give an engine back from: the failure domain that has the
 // most, of which none went by this look, and its more expensive kind. Firm ones stay for half of
 // what was needed: what is reclaimed may be so in two failure domains one after the other.
-func (p *plan) mostExpensive(recent need) (cf.EnginePool, bool) {
+func (p *plan) poolToShrink(recent need) (cf.EnginePool, bool) {
 	firm := 0
 	for _, d := range p.domains {
-		firm += p.count(p.pool(d, false))
+		firm += p.desired(p.pool(d, false))
 	}
 	var best cf.EnginePool
 	found := false
 	for _, d := range p.domains {
-		if p.lowered(d) >= shrinkMost {
+		if p.removedFromDomain(d) >= maxShrinkPerDomain {
 			continue
 		}
 		for _, spot := range []bool{false, true} {
 			pool := p.pool(d, spot)
-			n := p.count(pool)
-			if n == 0 || p.demand.Engines[pool] < n || p.domain(d)-1 < p.terms.Min || !spot && float64(firm-1) < recent.engines/2 {
+			n := p.desired(pool)
+			if n == 0 || p.demand.Engines[pool] < n || p.expectedInDomain(d)-1 < p.policy.Min || !spot && float64(firm-1) < recent.engines/2 {
 				continue
 			}
-			if !found || cmp.Or(cmp.Compare(p.domain(best.Domain), p.domain(d)), cmp.Compare(p.price(best), p.price(pool))) < 0 {
+			if !found || cmp.Or(cmp.Compare(p.expectedInDomain(best.Domain), p.expectedInDomain(d)), cmp.Compare(p.price(best), p.price(pool))) < 0 {
 				best, found = pool, true
 			}
 		}
@@ -361,26 +361,26 @@
 	return best, found
 }
 
-// lowered is how many engines of a failure domain this look gives back.
-func (p *plan) lowered(d cf.FailureDomain) int {
+// removedFromDomain is how many engines of a failure domain this look gives back.
+func (p *plan) removedFromDomain(d cf.FailureDomain) int {
 	n := 0
 	for _, spot := range []bool{false, true} {
 		pool := p.pool(d, spot)
-		n += max(p.before(pool)-p.count(pool), 0)
+		n += max(p.previous(pool)-p.desired(pool), 0)
 	}
 	return n
 }
 
-// orders returns what is wanted, and notes when it changed.
-func (p *plan) orders() []cf.EngineOrder {
+// recordOrders returns what is wanted, and notes when it changed.
+func (p *plan) recordOrders() []cf.EngineOrder {
 	var out []cf.EngineOrder
 	for pool, n := range p.wanted {
 		out = append(out, cf.EngineOrder{EnginePool: pool, Count: n})
-		switch before := p.before(pool); {
-		case n > before:
-			p.changed, p.raised[pool], p.prior[pool] = p.now, p.now, before
-		case n < before:
-			p.shrunk = p.now
+		switch previous := p.previous(pool); {
+		case n > previous:
+			p.grownAt, p.raisedAt[pool], p.beforeRaise[pool] = p.now, p.now, previous
+		case n < previous:
+			p.shrunkAt = p.now
 		}
 	}
 	sortOrders(out)
--- a/core/cfscale/replay_test.go
+++ b/core/cfscale/replay_test.go
@@ -12,296 +12,298 @@
 )
 
 const (
-	replayTick  cf.Millis = 50
-	replayLook  cf.Millis = 500
-	replayBoot  cf.Millis = 4000
-	replayDue   cf.Millis = 7500
-	replayCount cf.Millis = 8200
-	replaySlots           = 6
-	// replayEvent is what an event takes at a full engine that loads a version for each
+	simTick           cf.Millis = 50
+	simDecideInterval cf.Millis = 500
+	simBootTime       cf.Millis = 4000
+	simDue            cf.Millis = 7500
+	simDeadline       cf.Millis = 8200
+	simSlots                    = 6
+	// simEventTime is what an event takes at a full engine that loads a version for each
 	// step.
-	replayEvent = 52.0 / 0.75
+	simEventTime = 52.0 / 0.75
 )
 
 var (
-	replayDomains = []cf.FailureDomain{"a", "b", "c"}
-	replayPrices  = map[cf.FailureDomain]float64{"a": 1, "b": 1.1, "c": 0.9}
+	simDomains = []cf.FailureDomain{"a", "b", "c"}
+	simPrices  = map[cf.FailureDomain]float64{"a": 1, "b": 1.1, "c": 0.9}
 )
 
 type (
-	// replay is a platform with engines and four trainers, each with a quarter of them. A
+	// simulation is a platform with engines and four trainers, each with a quarter of them. A
 	// trainer hands in a step each
 	// 4 s, or when the one before has nine tenths of its groups whole.
-	replay struct {
-		random  *rand.Rand
-		now     cf.Millis
-		decider *cfscale.Decider
-		kept    cfscale.StoredState
-		off     bool
-		load    float64
-		engines []*replayEngine
-		wanted  map[cf.EnginePool]int
-		steps   []*replayStep
-		next    [4]cf.Millis
-		// owed and whole count groups, spent is the price of the engines.
-		owed, whole int
-		spent       float64
-		// orders are the totals that were wanted, each time they changed.
-		orders []replayOrder
+	simulation struct {
+		random       *rand.Rand
+		now          cf.Millis
+		decider      *cfscale.Decider
+		stored       cfscale.StoredState
+		disabled     bool
+		lengthFactor float64
+		engines      []*simEngine
+		wanted       map[cf.EnginePool]int
+		steps        []*simStep
+		nextSubmit   [4]cf.Millis
+		// targetGroups and whole count groups, spent is the price of the engines.
+		targetGroups, groupsInTime int
+		cost                       float64
+		// totals are the totals that were wanted, each time they changed.
+		totals []simTotal
 	}
 
-	replayOrder struct {
+	simTotal struct {
 		at    cf.Millis
 		total int
 	}
 
-	replayEngine struct {
-		pool   cf.EnginePool
-		from   cf.Millis // in service since
-		leaves cf.Millis // zero while it stays
+	simEngine struct {
+		pool        cf.EnginePool
+		inServiceAt cf.Millis // in service since
+		leavesAt    cf.Millis // zero while it stays
 		// reclaimed: it leaves by the platform's choice.
 		reclaimed bool
-		runs      []*replayItem
+		items     []*simItem
 	}
 
-	replayItem struct {
-		step   *replayStep
-		group  int
-		left   float64
-		events float64
-		guess  float64
+	simItem struct {
+		step     *simStep
+		group    int
+		left     float64
+		events   float64
+		estimate float64
 	}
 
-	replayStep struct {
-		id      cf.BatchID
-		trainer int
-		at      cf.Millis
-		waiting []*replayItem
-		groups  []int // items left of each
-		// wants are the groups that the trainer waits for, inTime those whole in time.
-		wants, whole, inTime int
-		over                 bool
+	simStep struct {
+		id          cf.BatchID
+		trainer     int
+		submittedAt cf.Millis
+		waiting     []*simItem
+		itemsLeft   []int // items left of each
+		// target are the groups that the trainer waits for, inTime those whole in time.
+		target, complete, inTime int
+		done                     bool
 	}
 )
 
-func newReplay(engines int, load float64, off bool) *replay {
-	r := &replay{
-		random: rand.New(rand.NewPCG(3, 5)), off: off, load: load, wanted: map[cf.EnginePool]int{},
+func newSimulation(engines int, lengthFactor float64, disabled bool) *simulation {
+	r := &simulation{
+		random: rand.New(rand.NewPCG(3, 5)), disabled: disabled, lengthFactor: lengthFactor, wanted: map[cf.EnginePool]int{},
 		decider: cfscale.NewDecider(cfscale.Policy{
-			Service: "s", Min: 1, Max: 32, BootTime: replayBoot, SpotPrice: 0.18, DomainPrices: replayPrices,
+			Service: "s", Min: 1, Max: 32, BootTime: simBootTime, SpotPrice: 0.18, DomainPrices: simPrices,
 			EnginePrice: 0.0055, GroupValue: 2,
 		}, 0, false),
 	}
-	for _, d := range replayDomains {
+	for _, d := range simDomains {
 		for range engines {
-			r.engines = append(r.engines, &replayEngine{pool: pool(d, false)})
+			r.engines = append(r.engines, &simEngine{pool: pool(d, false)})
 		}
 		r.wanted[pool(d, false)] = engines
 	}
-	for i := range r.next {
-		r.next[i] = cf.Millis(i) * 700
+	for i := range r.nextSubmit {
+		r.nextSubmit[i] = cf.Millis(i) * 700
 	}
 	return r
 }
 
-// play goes on until a moment.
-func (r *replay) play(until cf.Millis) {
-	for ; r.now < until; r.now += replayTick {
-		r.submit()
-		r.run()
-		if r.now%replayLook == 0 && !r.off {
-			r.look()
+// runUntil goes on until a moment.
+func (r *simulation) runUntil(until cf.Millis) {
+	for ; r.now < until; r.now += simTick {
+		r.submitSteps()
+		r.runEngines()
+		if r.now%simDecideInterval == 0 && !r.disabled {
+			r.decide()
 		}
 	}
 }
 
-func (r *replay) submit() {
-	for i := range r.next {
-		open := slices.ContainsFunc(r.steps, func(s *replayStep) bool { return s.trainer == i && !s.over })
-		if open || r.now < r.next[i] {
+func (r *simulation) submitSteps() {
+	for i := range r.nextSubmit {
+		open := slices.ContainsFunc(r.steps, func(s *simStep) bool { return s.trainer == i && !s.done })
+		if open || r.now < r.nextSubmit[i] {
 			continue
 		}
-		r.next[i] = max(r.next[i]+4000, r.now)
-		s := &replayStep{id: cf.BatchID(fmt.Sprint(i, r.now)), trainer: i, at: r.now}
+		r.nextSubmit[i] = max(r.nextSubmit[i]+4000, r.now)
+		s := &simStep{id: cf.BatchID(fmt.Sprint(i, r.now)), trainer: i, submittedAt: r.now}
 		groups, items := 10+r.random.IntN(5), 8+8*r.random.IntN(2)
 		for g := range groups {
-			s.groups = append(s.groups, items)
+			s.itemsLeft = append(s.itemsLeft, items)
 			for range items {
-				events := r.load * (4 + 10*r.random.Float64())
+				events := r.lengthFactor * (4 + 10*r.random.Float64())
 				if r.random.Float64() < 0.08 {
 					events *= 5
 				}
-				s.waiting = append(s.waiting, &replayItem{step: s, group: g, left: events, events: events, guess: events * (0.6 + r.random.Float64())})
+				s.waiting = append(s.waiting, &simItem{step: s, group: g, left: events, events: events, estimate: events * (0.6 + r.random.Float64())})
 			}
 		}
-		slices.SortFunc(s.waiting, func(a, b *replayItem) int { return int(b.guess - a.guess) })
-		s.wants = (9*groups + 9) / 10
-		r.owed += s.wants
+		slices.SortFunc(s.waiting, func(a, b *simItem) int { return int(b.estimate - a.estimate) })
+		s.target = (9*groups + 9) / 10
+		r.targetGroups += s.target
 		r.steps = append(r.steps, s)
 	}
 }
 
-func (r *replay) run() {
+func (r *simulation) runEngines() {
 	for i, e := range r.engines {
-		if r.now < e.from || e.leaves > 0 && r.now >= e.leaves {
-			for _, it := range e.runs {
-				it.step.waiting = append([]*replayItem{it}, it.step.waiting...)
+		if r.now < e.inServiceAt || e.leavesAt > 0 && r.now >= e.leavesAt {
+			for _, it := range e.items {
+				it.step.waiting = append([]*simItem{it}, it.step.waiting...)
 			}
-			e.runs = nil
+			e.items = nil
 			continue
 		}
-		price := 0.0055 * replayPrices[e.pool.Domain] * float64(replayTick) / 1000
+		price := 0.0055 * simPrices[e.pool.Domain] * float64(simTick) / 1000
 		if e.pool.Spot {
 			price *= 0.18
 		}
-		r.spent += price
-		e.runs = slices.DeleteFunc(e.runs, func(it *replayItem) bool {
-			if it.left -= float64(replayTick) / replayEvent; it.left > 0 {
+		r.cost += price
+		e.items = slices.DeleteFunc(e.items, func(it *simItem) bool {
+			if it.left -= float64(simTick) / simEventTime; it.left > 0 {
 				return false
 			}
-			it.step.done(it.group, r.now)
+			it.step.itemDone(it.group, r.now)
 			return true
 		})
 		for _, s := range r.steps {
-			for s.trainer == i%len(r.next) && e.leaves == 0 && len(e.runs) < replaySlots && len(s.waiting) > 0 {
-				e.runs = append(e.runs, s.waiting[0])
+			for s.trainer == i%len(r.nextSubmit) && e.leavesAt == 0 && len(e.items) < simSlots && len(s.waiting) > 0 {
+				e.items = append(e.items, s.waiting[0])
 				s.waiting = s.waiting[1:]
 			}
 		}
 	}
 	for _, s := range r.steps {
-		if s.over = s.whole >= s.wants; s.over {
-			r.next[s.trainer] = max(r.next[s.trainer], r.now+750)
-			r.whole += min(s.inTime, s.wants)
+		if s.done = s.complete >= s.target; s.done {
+			r.nextSubmit[s.trainer] = max(r.nextSubmit[s.trainer], r.now+750)
+			r.groupsInTime += min(s.inTime, s.target)
 			for _, e := range r.engines {
-				e.runs = slices.DeleteFunc(e.runs, func(it *replayItem) bool { return it.step == s })
+				e.items = slices.DeleteFunc(e.items, func(it *simItem) bool { return it.step == s })
 			}
 		}
 	}
-	r.steps = slices.DeleteFunc(r.steps, func(s *replayStep) bool { return s.over })
-	r.engines = slices.DeleteFunc(r.engines, func(e *replayEngine) bool { return e.leaves > 0 && r.now >= e.leaves })
+	r.steps = slices.DeleteFunc(r.steps, func(s *simStep) bool { return s.done })
+	r.engines = slices.DeleteFunc(r.engines, func(e *simEngine) bool { return e.leavesAt > 0 && r.now >= e.leavesAt })
 }
 
-func (s *replayStep) done(group int, now cf.Millis) {
-	if s.groups[group]--; s.groups[group] > 0 {
+func (s *simStep) itemDone(group int, now cf.Millis) {
+	if s.itemsLeft[group]--; s.itemsLeft[group] > 0 {
 		return
 	}
-	s.whole++
-	if now-s.at <= replayCount {
+	s.complete++
+	if now-s.submittedAt <= simDeadline {
 		s.inTime++
 	}
 }
 
-func (r *replay) demand() cfscale.Demand {
+func (r *simulation) demand() cfscale.Demand {
 	d := cfscale.Demand{
-		Demand:  cfrollout.Demand{Service: "s", Models: 4, Slots: replaySlots, Pace: 52, Reclaimed: map[cf.EnginePool]int{}},
+		Demand:  cfrollout.Demand{Service: "s", Models: 4, Slots: simSlots, Pace: 52, Reclaimed: map[cf.EnginePool]int{}},
 		Engines: map[cf.EnginePool]int{},
 	}
-	running := map[*replayStep][]*replayItem{}
+	running := map[*simStep][]*simItem{}
 	for _, e := range r.engines {
 		switch {
 		case e.reclaimed:
 			d.Reclaimed[e.pool]++
-		case e.leaves == 0 && r.now >= e.from:
+		case e.leavesAt == 0 && r.now >= e.inServiceAt:
 			d.Engines[e.pool]++
 		}
-		for _, it := range e.runs {
+		for _, it := range e.items {
 			running[it.step] = append(running[it.step], it)
 		}
 	}
 	for _, s := range r.steps {
-		o := cfscale.OpenStep{Age: r.now - s.at, Due: replayDue}
-		o.Batch, o.Model, o.Groups, o.Waiting = s.id, cf.ModelName(fmt.Sprint(s.trainer)), s.wants-s.whole, len(s.waiting)
+		o := cfscale.OpenStep{Age: r.now - s.submittedAt, Due: simDue}
+		o.Batch, o.Model, o.Groups, o.Waiting = s.id, cf.ModelName(fmt.Sprint(s.trainer)), s.target-s.complete, len(s.waiting)
 		for _, it := range slices.Concat(s.waiting, running[s]) {
-			o.Events += it.guess
-			o.Left += max(it.guess-(it.events-it.left), (it.events-it.left)/2)
-			o.Longest = max(o.Longest, it.guess)
+			o.Events += it.estimate
+			o.Left += max(it.estimate-(it.events-it.left), (it.events-it.left)/2)
+			o.Longest = max(o.Longest, it.estimate)
 		}
 		d.OpenSteps = append(d.OpenSteps, o)
 	}
 	return d
 }
 
-func (r *replay) look() {
+func (r *simulation) decide() {
 	before := 0
 	for _, n := range r.wanted {
 		before += n
 	}
-	orders, _ := r.decider.Decide(r.now, r.demand(), r.kept)
-	r.kept = cfscale.StoredState{Orders: orders, Preexisting: r.decider.Preexisting()}
+	orders, _ := r.decider.Decide(r.now, r.demand(), r.stored)
+	r.stored = cfscale.StoredState{Orders: orders, Preexisting: r.decider.Preexisting()}
 	after := before
 	for _, o := range orders {
 		has := r.wanted[o.EnginePool]
 		after += o.Count - has
 		r.wanted[o.EnginePool] = o.Count
 		for ; has < o.Count; has++ {
-			r.engines = append(r.engines, &replayEngine{pool: o.EnginePool, from: r.now + replayBoot})
+			r.engines = append(r.engines, &simEngine{pool: o.EnginePool, inServiceAt: r.now + simBootTime})
 		}
 		for _, e := range r.engines {
-			if has > o.Count && e.pool == o.EnginePool && e.leaves == 0 {
-				e.leaves = r.now + 2000
+			if has > o.Count && e.pool == o.EnginePool && e.leavesAt == 0 {
+				e.leavesAt = r.now + 2000
 				has--
 			}
 		}
 	}
 	if after != before {
-		r.orders = append(r.orders, replayOrder{r.now, after})
+		r.totals = append(r.totals, simTotal{r.now, after})
 	}
 }
 
 // reclaim takes a failure domain's reclaimable engines back.
-func (r *replay) reclaim(d cf.FailureDomain) {
+func (r *simulation) reclaim(d cf.FailureDomain) {
 	for _, e := range r.engines {
-		if e.pool.Spot && e.pool.Domain == d && e.leaves == 0 {
-			e.leaves, e.reclaimed = r.now+2000, true
+		if e.pool.Spot && e.pool.Domain == d && e.leavesAt == 0 {
+			e.leavesAt, e.reclaimed = r.now+2000, true
 		}
 	}
 }
 
-func (r *replay) served() float64 { return float64(r.whole) / float64(max(r.owed, 1)) }
+func (r *simulation) servedShare() float64 {
+	return float64(r.groupsInTime) / float64(max(r.targetGroups, 1))
+}
 
 // Symptom: with too few engines almost no group is whole in time, for the whole day.
-func TestTooFewEnginesAreMore(t *testing.T) {
+func TestTooFewEnginesGrow(t *testing.T) {
 	for _, engines := range []int{5, 8} {
-		off, on := newReplay(engines, 1, true), newReplay(engines, 1, false)
-		ample := newReplay(30, 1, true)
-		for _, r := range []*replay{off, on, ample} {
-			r.play(80_000)
+		disabled, enabled := newSimulation(engines, 1, true), newSimulation(engines, 1, false)
+		ample := newSimulation(30, 1, true)
+		for _, r := range []*simulation{disabled, enabled, ample} {
+			r.runUntil(80_000)
 		}
 		t.Logf("%d a domain: %d groups whole, switched off %d, with ample engines %d; %d engines, orders %v, spent %.1f against %.1f",
-			engines, on.whole, off.whole, ample.whole, len(on.engines), on.orders, on.spent, off.spent)
-		if on.whole < ample.whole*3/4 || on.whole <= off.whole {
-			t.Errorf("%d a domain: %d groups, %d with ample engines, %d with the decision switched off", engines, on.whole, ample.whole, off.whole)
+			engines, enabled.groupsInTime, disabled.groupsInTime, ample.groupsInTime, len(enabled.engines), enabled.totals, enabled.cost, disabled.cost)
+		if enabled.groupsInTime < ample.groupsInTime*3/4 || enabled.groupsInTime <= disabled.groupsInTime {
+			t.Errorf("%d a domain: %d groups, %d with ample engines, %d with the decision switched off", engines, enabled.groupsInTime, ample.groupsInTime, disabled.groupsInTime)
 		}
 	}
 }
 
 // Symptom: a quiet day is paid for engines that no step needs, or steps come late because
 // they went.
-func TestTooManyEnginesAreFewer(t *testing.T) {
-	off, on := newReplay(30, 0.8, true), newReplay(30, 0.8, false)
-	off.play(300_000)
-	on.play(300_000)
-	t.Logf("served %.3f, switched off %.3f; %d engines, spent %.1f against %.1f", on.served(), off.served(), len(on.engines), on.spent, off.spent)
-	if on.spent > 0.8*off.spent {
-		t.Errorf("spent %.1f, switched off %.1f", on.spent, off.spent)
+func TestTooManyEnginesShrink(t *testing.T) {
+	disabled, enabled := newSimulation(30, 0.8, true), newSimulation(30, 0.8, false)
+	disabled.runUntil(300_000)
+	enabled.runUntil(300_000)
+	t.Logf("served %.3f, switched off %.3f; %d engines, spent %.1f against %.1f", enabled.servedShare(), disabled.servedShare(), len(enabled.engines), enabled.cost, disabled.cost)
+	if enabled.cost > 0.8*disabled.cost {
+		t.Errorf("spent %.1f, switched off %.1f", enabled.cost, disabled.cost)
 	}
-	if on.whole < off.whole*99/100 {
-		t.Errorf("served %.3f, switched off %.3f", on.served(), off.served())
+	if enabled.groupsInTime < disabled.groupsInTime*99/100 {
+		t.Errorf("served %.3f, switched off %.3f", enabled.servedShare(), disabled.servedShare())
 	}
 }
 
 // Symptom: engines are ordered and given back in turn, as steps come and end.
-func TestStepsEveryFourSecondsDoNotSwing(t *testing.T) {
+func TestPeriodicStepsDoNotOscillate(t *testing.T) {
 	for _, engines := range []int{5, 12, 16} {
-		r := newReplay(engines, 1, false)
-		r.play(300_000)
-		t.Logf("%d a domain: served %.3f, %d engines: %v", engines, r.served(), len(r.engines), r.orders)
-		if r.served() < 0.97 {
-			t.Errorf("%d a domain: served %.3f", engines, r.served())
+		r := newSimulation(engines, 1, false)
+		r.runUntil(300_000)
+		t.Logf("%d a domain: served %.3f, %d engines: %v", engines, r.servedShare(), len(r.engines), r.totals)
+		if r.servedShare() < 0.97 {
+			t.Errorf("%d a domain: served %.3f", engines, r.servedShare())
 		}
 		total, rose, turned := 3*engines, false, cf.Millis(0)
-		for i, o := range r.orders {
+		for i, o := range r.totals {
 			if rises := o.total > total; i == 0 || rises != rose {
 				if i > 0 && o.at-turned < 8*4000 {
 					t.Errorf("%d a domain: turns at %d and at %d ms", engines, turned, o.at)
@@ -316,23 +318,23 @@
 // Symptom: a failure domain's reclaimable engines are taken back in the middle of a step,
 // and the steps after it come late.
 func TestReclaimedEnginesAreReplaced(t *testing.T) {
-	off, on := newReplay(3, 1, false), newReplay(3, 1, false)
-	for _, r := range []*replay{off, on} {
-		r.play(41_500)
-		r.owed, r.whole = 0, 0
+	disabled, enabled := newSimulation(3, 1, false), newSimulation(3, 1, false)
+	for _, r := range []*simulation{disabled, enabled} {
+		r.runUntil(41_500)
+		r.targetGroups, r.groupsInTime = 0, 0
 		r.reclaim("a")
-		r.play(44_500)
+		r.runUntil(44_500)
 		r.reclaim("b")
 	}
-	before := len(on.engines)
-	off.off = true
-	off.play(90_000)
-	on.play(90_000)
-	t.Logf("%d groups whole, switched off %d; %d engines of %d, switched off %d", on.whole, off.whole, len(on.engines), before, len(off.engines))
-	if len(on.engines) <= len(off.engines) || on.whole < off.whole {
-		t.Errorf("%d engines of %d, switched off %d", len(on.engines), before, len(off.engines))
+	before := len(enabled.engines)
+	disabled.disabled = true
+	disabled.runUntil(90_000)
+	enabled.runUntil(90_000)
+	t.Logf("%d groups whole, switched off %d; %d engines of %d, switched off %d", enabled.groupsInTime, disabled.groupsInTime, len(enabled.engines), before, len(disabled.engines))
+	if len(enabled.engines) <= len(disabled.engines) || enabled.groupsInTime < disabled.groupsInTime {
+		t.Errorf("%d engines of %d, switched off %d", len(enabled.engines), before, len(disabled.engines))
 	}
-	if firm := slices.DeleteFunc(on.engines, func(e *replayEngine) bool { return e.pool.Spot }); len(firm) <= 9 {
+	if firm := slices.DeleteFunc(enabled.engines, func(e *simEngine) bool { return e.pool.Spot }); len(firm) <= 9 {
 		t.Errorf("%d firm engines, as before", len(firm))
 	}
 }
--- a/core/cfscale/stephistory.go
+++ b/core/cfscale/stephistory.go
@@ -7,92 +7,92 @@
 )
 
 const (
-	// recentSteps is for how long a step that has ended decides about more engines, five
+	// recentStepWindow is for how long a step that has ended decides about more engines, five
 	// steps of a trainer; for fewer it counts as long as an estimate.
-	recentSteps cf.Millis = 20_000
-	// shownBy is how many steps must have ended to show what they need.
-	shownBy = 4
-	// late is the part of its time in which a step is late, or will be by any trouble. By
+	recentStepWindow cf.Millis = 20_000
+	// minStepsObserved is how many steps must have ended to show what they need.
+	minStepsObserved = 4
+	// lateShare is the part of its time in which a step is late, or will be by any trouble. By
 	// inTime it ends in time, and engines may go; by prompt it does not hold its trainer up,
 	// which hands in the next only then: engines are ordered for that.
-	late   = 0.8
-	inTime = 0.85
-	prompt = 0.7
-	// leastWait is the least part of its time that a step is taken to have for its items to
+	lateShare   = 0.8
+	inTimeShare = 0.85
+	promptShare = 0.7
+	// minStartShare is the least part of its time that a step is taken to have for its items to
 	// begin: beyond that it is late for other reasons than too few engines.
-	leastWait = 0.25
-	// waitsMost is by which part of its time an open step should have no item that waits.
-	waitsMost = 0.5
+	minStartShare = 0.25
+	// maxWaitShare is by which part of its time an open step should have no item that waits.
+	maxWaitShare = 0.5
 )
 
 type (
 	// stepHistory follows how steps go. The time of a step is until its last item has begun, which
 	// shrinks with more engines, and from then on, which its longest texts take on any.
 	stepHistory struct {
-		open  map[cf.BatchID]*openCourse
-		ended []endedCourse
+		open  map[cf.BatchID]*trackedStep
+		ended []endedStep
 	}
 
-	openCourse struct {
+	trackedStep struct {
 		age, due cf.Millis
-		at       cf.Millis
-		// waited is until when items waited, waits that some do.
-		waited cf.Millis
-		waits  bool
+		seenAt   cf.Millis
+		// waitedUntil is until when items waited, waits that some do.
+		waitedUntil cf.Millis
+		hasWaiting  bool
 		// engines are those that were there when it began.
 		engines int
 	}
 
-	endedCourse struct {
-		at cf.Millis
-		// took is its time as a part of that in which it was due, inTime and prompt the
+	endedStep struct {
+		endedAt cf.Millis
+		// timeShare is its time as a part of that in which it was due, inTime and prompt the
 		// engines with which it would just have ended by those parts.
-		took, inTime, prompt float64
+		timeShare, enginesInTime, enginesPrompt float64
 	}
 )
 
-// note takes the open steps of a look; one that is not among them any more has ended.
-func (c *stepHistory) note(now cf.Millis, steps []OpenStep, engines int) {
+// update takes the open steps of a look; one that is not among them any more has ended.
+func (c *stepHistory) update(now cf.Millis, steps []OpenStep, engines int) {
 	before := c.open
-	c.open = map[cf.BatchID]*openCourse{}
+	c.open = map[cf.BatchID]*trackedStep{}
 	for _, s := range steps {
 		if s.Due <= 0 {
 			continue
 		}
 		o := before[s.Batch]
 		if o == nil {
-			o = &openCourse{due: s.Due, engines: engines, waits: true}
+			o = &trackedStep{due: s.Due, engines: engines, hasWaiting: true}
 		}
 		delete(before, s.Batch)
-		o.age, o.at = s.Age, now
-		if o.waits {
-			o.waited, o.waits = s.Age, s.Waiting > 0
+		o.age, o.seenAt = s.Age, now
+		if o.hasWaiting {
+			o.waitedUntil, o.hasWaiting = s.Age, s.Waiting > 0
 		}
 		c.open[s.Batch] = o
 	}
 	for _, o := range before {
 		c.ended = append(c.ended, o.end(now))
 	}
-	c.ended = slices.DeleteFunc(c.ended, func(e endedCourse) bool { return now-e.at > remembered })
+	c.ended = slices.DeleteFunc(c.ended, func(e endedStep) bool { return now-e.endedAt > needWindow })
 }
 
 // end returns how a step has gone that ended since the look before.
-func (o *openCourse) end(now cf.Millis) endedCourse {
-	took, due := float64(o.age)+float64(now-o.at)/2, float64(o.due)
-	waited := float64(o.waited)
-	by := func(part float64) float64 { // the items have to begin in what the rest leaves of it
-		return float64(o.engines) * waited / max(part*due-took+waited, leastWait*due)
+func (o *trackedStep) end(now cf.Millis) endedStep {
+	duration, due := float64(o.age)+float64(now-o.seenAt)/2, float64(o.due)
+	waited := float64(o.waitedUntil)
+	enginesFor := func(share float64) float64 { // the items have to begin in what the rest leaves of it
+		return float64(o.engines) * waited / max(share*due-duration+waited, minStartShare*due)
 	}
-	return endedCourse{at: now, took: took / due, inTime: by(inTime), prompt: by(prompt)}
+	return endedStep{endedAt: now, timeShare: duration / due, enginesInTime: enginesFor(inTimeShare), enginesPrompt: enginesFor(promptShare)}
 }
 
-// worst returns the longest that a recent step took, or an open one has taken, as a part of
+// worstTimeShare returns the longest that a recent step took, or an open one has taken, as a part of
 // the time in which it was due.
-func (c *stepHistory) worst(now cf.Millis) float64 {
+func (c *stepHistory) worstTimeShare(now cf.Millis) float64 {
 	worst := 0.0
 	for _, e := range c.ended {
-		if now-e.at <= recentSteps {
-			worst = max(worst, e.took)
+		if now-e.endedAt <= recentStepWindow {
+			worst = max(worst, e.timeShare)
 		}
 	}
 	for _, o := range c.open {
@@ -101,29 +101,29 @@
 	return worst
 }
 
-// prompt returns how many engines recent steps needed to end promptly, open ones with them,
+// enginesForPrompt returns how many engines recent steps needed to end promptly, open ones with them,
 // false if too few have ended to show it.
-func (c *stepHistory) prompt(now cf.Millis) (float64, bool) {
+func (c *stepHistory) enginesForPrompt(now cf.Millis) (float64, bool) {
 	needed, steps := 0.0, 0
 	for _, e := range c.ended {
-		if now-e.at <= recentSteps {
-			needed, steps = max(needed, e.prompt), steps+1
+		if now-e.endedAt <= recentStepWindow {
+			needed, steps = max(needed, e.enginesPrompt), steps+1
 		}
 	}
 	for _, o := range c.open {
-		if o.waits {
-			needed = max(needed, float64(o.engines)*float64(o.age)/(waitsMost*float64(o.due)))
+		if o.hasWaiting {
+			needed = max(needed, float64(o.engines)*float64(o.age)/(maxWaitShare*float64(o.due)))
 		}
 	}
-	return needed, steps >= shownBy
+	return needed, steps >= minStepsObserved
 }
 
-// inTime returns how many engines the steps that are remembered needed to end in time, false
+// enginesForInTime returns how many engines the steps that are remembered needed to end in time, false
 // if too few have ended to show it.
-func (c *stepHistory) inTime() (float64, bool) {
+func (c *stepHistory) enginesForInTime() (float64, bool) {
 	needed := 0.0
 	for _, e := range c.ended {
-		needed = max(needed, e.inTime)
+		needed = max(needed, e.enginesInTime)
 	}
-	return needed, len(c.ended) >= shownBy
+	return needed, len(c.ended) >= minStepsObserved
 }
