--- a/core/cfbatch/batch.go
+++ b/core/cfbatch/batch.go
@@ -1,18 +1,20 @@
-// Package cfbatch keeps one batch's results: which items are listed, at which
-// position, and what the next chunk of results in the store is. It makes no
-// calls itself.
+// Package cfbatch holds an accepted batch and its results in memory: which items have a result, the
+// position of each result, and the name of the next chunk of results to write to the store. Only
+// Create and Fetch make calls, to the store that they are given.
 //
-// Results are kept as numbered chunks, one object each, created only if the
-// object does not exist. Whoever creates chunk n has read chunks 0 to n-1 and
-// lists no item that they hold. So two executors of one batch, or a write
-// that takes effect seconds late, can't list an item twice or change a
-// position, without any lease.
+// Results are stored as numbered chunks, one object per chunk, and a chunk is created only if no
+// object of that name exists. The writer of chunk n has read chunks 0 to n-1 and includes no item
+// that they contain. Therefore neither two coordinators that run the same batch nor a write that
+// takes effect seconds late can list an item twice or change a position, and no lease is needed.
+//
+// A batch holds the requests of one training step; its submitter is the trainer. An item is listed
+// once its result has a position. A group is complete once all its items are listed.
 //
 // Usage:
 //
 //	b := cfbatch.New(submission)
-//	err := b.Apply(chunk.Name, chunk.Results)
-//	name, results := b.Unlisted(finished)
+//	applied := b.Apply(chunkName, chunk.Results)
+//	page := b.Page(0)
 package cfbatch
 
 import (
@@ -26,7 +28,8 @@
 	cf "currantford"
 )
 
-// maxPageBytes bounds one read of results; the callers' protocol allows 1 MB.
+// maxPageBytes limits the output text of one page of results, because the callers' protocol allows
+// 1 MB per response.
 const maxPageBytes = 700 << 10
 
 type (
@@ -37,23 +40,23 @@
 		index   map[cf.ItemID]int
 		listed  map[cf.ItemID]bool
 		results []cf.Result
-		// chunkOf is the number of the chunk that holds each result.
-		chunkOf     []int
-		chunkCount  int
-		outputBytes int
-		remaining   map[cf.GroupID]int // items not yet listed
-		complete    int                // groups with all items listed
-		// carriedOver are the groups that an earlier batch left unfinished.
+		// chunkOf holds, for each result, the number of the chunk that contains it.
+		chunkOf        []int
+		chunkCount     int
+		outputBytes    int
+		remaining      map[cf.GroupID]int // items not yet listed, by group
+		completeGroups int                // groups of which all items are listed
+		// carriedOver holds the groups that an earlier batch left incomplete.
 		carriedOver map[cf.GroupID]bool
 	}
 
-	// Chunk is the spec of a chunk's object.
+	// Chunk is the spec of the object that stores a chunk of results.
 	Chunk struct {
 		Results []cf.Result `json:"results"`
 	}
 
-	// PageRef is a page of results without the results: the items at its positions,
-	// and the chunks of the store that hold them.
+	// PageRef describes a page of results without their content: the item at each position and the
+	// names of the stored chunks that contain the results.
 	PageRef struct {
 		Total  int         `cbor:"total"`
 		Next   int         `cbor:"next"`
@@ -75,16 +78,16 @@
 	return b
 }
 
-// Ended says whether a batch's object says that it was ended.
+// Ended reports whether the status of a batch's object says that the batch was ended.
 func Ended(object cf.Record) bool {
 	var st cf.BatchStatus
 	if len(object.Status) == 0 || json.Unmarshal(object.Status, &st) != nil {
-		return false // no status was written yet
+		return false // no status has been written yet
 	}
 	return st.Ended
 }
 
-// ApplyAll takes chunks in any order; those already known are passed over.
+// ApplyAll applies chunks, given in any order, and ignores those that were applied before.
 func (b *Batch) ApplyAll(chunks []cf.Record) error {
 	sort.Slice(chunks, func(i, j int) bool { return chunks[i].Name < chunks[j].Name })
 	for _, r := range chunks {
@@ -97,7 +100,8 @@
 	return nil
 }
 
-// Apply takes the chunk called name if it is the next one.
+// Apply adds the results of the chunk called name if it is the next chunk, and reports whether it
+// did.
 func (b *Batch) Apply(name string, results []cf.Result) bool {
 	if name != b.NextChunk() {
 		return false
@@ -109,8 +113,9 @@
 	return true
 }
 
-// appendResult gives a result the next position. One of no item, or of an item that has
-// its position, gets none: whoever reads the chunk decides the same.
+// appendResult gives a result the next position. It ignores a result of an unknown item or of an
+// item that is already listed. Every reader of the chunk ignores the same results, so all agree on
+// the positions.
 func (b *Batch) appendResult(r cf.Result) {
 	i, known := b.index[r.ID]
 	if !known || b.listed[r.ID] {
@@ -122,19 +127,19 @@
 	b.listed[r.ID] = true
 	g := b.Sub.Items[i].Group
 	if b.remaining[g]--; b.remaining[g] == 0 {
-		b.complete++
+		b.completeGroups++
 	}
 }
 
-// NextChunk is the name of the chunk to create next.
+// NextChunk returns the name of the chunk to create next.
 func (b *Batch) NextChunk() string { return chunkName(b.chunkCount) }
 
 func chunkName(n int) string { return fmt.Sprintf("%06d", n) }
 
-// Listed says whether an item has its position.
+// Listed reports whether an item has a result with a position.
 func (b *Batch) Listed(id cf.ItemID) bool { return b.listed[id] }
 
-// Item returns an item of the batch.
+// Item returns an item of the batch, and false if the batch has no such item.
 func (b *Batch) Item(id cf.ItemID) (cf.Item, bool) {
 	i, ok := b.index[id]
 	if !ok {
@@ -143,11 +148,11 @@
 	return b.Sub.Items[i], true
 }
 
-// Complete says whether every item is listed.
+// Complete reports whether every item is listed.
 func (b *Batch) Complete() bool { return len(b.listed) == len(b.Sub.Items) }
 
-// CarryOver notes a group that an earlier batch had too, and left unfinished as its
-// submitter saw it: the submitter waits for it, however many others are whole.
+// CarryOver marks a group that was also in an earlier batch and was incomplete in the results that
+// the submitter read. The submitter waits for this group, however many other groups are complete.
 func (b *Batch) CarryOver(g cf.GroupID) {
 	if b.carriedOver == nil {
 		b.carriedOver = map[cf.GroupID]bool{}
@@ -155,11 +160,12 @@
 	b.carriedOver[g] = true
 }
 
-// EnoughGroups says whether what is listed is all that the submitter waits for. left
-// are the groups with results that are about to be listed, and how many of their
-// items will be missing then.
+// EnoughGroups reports whether the listed results are all that the submitter waits for: the target
+// number of complete groups, and every group that was carried over. The argument missing covers the
+// groups with results that are about to be listed, and counts the items of each that will have no
+// result even then.
 func (b *Batch) EnoughGroups(missing map[cf.GroupID]int) bool {
-	complete := b.complete
+	complete := b.completeGroups
 	for _, n := range missing {
 		if n == 0 {
 			complete++
@@ -177,29 +183,29 @@
 	return complete >= b.Sub.TargetGroups
 }
 
-// CarriedOver says whether a group was noted by Carry.
+// CarriedOver reports whether a group was marked by CarryOver.
 func (b *Batch) CarriedOver(g cf.GroupID) bool { return b.carriedOver[g] }
 
-// GroupCount counts the batch's groups.
+// GroupCount returns the number of groups in the batch.
 func (b *Batch) GroupCount() int { return len(b.remaining) }
 
-// CompleteGroups counts the groups of which every item is listed.
-func (b *Batch) CompleteGroups() int { return b.complete }
+// CompleteGroups returns the number of groups of which every item is listed.
+func (b *Batch) CompleteGroups() int { return b.completeGroups }
 
-// GroupRemaining counts a group's items that are not listed.
+// GroupRemaining returns the number of items of a group that are not listed.
 func (b *Batch) GroupRemaining(g cf.GroupID) int { return b.remaining[g] }
 
-// ListedCount counts the results.
+// ListedCount returns the number of results.
 func (b *Batch) ListedCount() int { return len(b.results) }
 
 // ListedFrom returns the results from position n on.
 func (b *Batch) ListedFrom(n int) []cf.Result { return b.results[min(n, len(b.results)):] }
 
-// Size is the bytes of text that the batch holds.
+// Size returns the bytes of output text that the batch holds.
 func (b *Batch) Size() int { return b.outputBytes }
 
-// Page returns the results from position after on, at most about 700 KB, and
-// at least one if there is one.
+// Page returns the results from position after on: at most about 700 KB of them, and at least one
+// if there is one.
 func (b *Batch) Page(after int) cf.ResultPage {
 	p := cf.ResultPage{Total: len(b.Sub.Items), Next: max(after, 0)}
 	size := 0
@@ -214,8 +220,8 @@
 	return p
 }
 
-// PageRef says where the results of a page that Page returned for the same position
-// lie in the store.
+// PageRef returns where the store holds the results of page p. The page must have been returned by
+// Page for the same position.
 func (b *Batch) PageRef(after int, p cf.ResultPage) PageRef {
 	out := PageRef{Total: p.Total, Next: p.Next}
 	first := max(after, 0)
@@ -228,13 +234,13 @@
 	return out
 }
 
-// Resolve puts a page together from the chunks that Places names; false if a result is
-// not in them.
+// Resolve builds the page from the chunks that p.Chunks names. It returns false if the chunks lack
+// one of the results.
 func (p PageRef) Resolve(chunks []Chunk) (cf.ResultPage, bool) {
 	found := map[cf.ItemID]cf.Result{}
 	for _, c := range chunks {
 		for _, r := range c.Results {
-			if _, known := found[r.ID]; !known { // the first one has the position
+			if _, known := found[r.ID]; !known { // only the first result of an item has a position
 				found[r.ID] = r
 			}
 		}
--- a/core/cfbatch/batch_test.go
+++ b/core/cfbatch/batch_test.go
@@ -27,7 +27,7 @@
 	return cf.Result{ID: id, State: cf.ItemDone, Output: "text of " + string(id)}
 }
 
-// chunkStore holds chunk objects, created only if they do not exist.
+// chunkStore holds chunk objects by name. A chunk is created only if none of that name exists.
 type chunkStore map[string]cf.Record
 
 func (s chunkStore) create(name string, results []cf.Result) bool {
@@ -50,10 +50,10 @@
 	return out
 }
 
-// Symptom: an item stands at two positions, or a position changes.
-// Sequence: two executors finish the same items and write chunks, each knowing
-// more or less of what the other has written; some writes take effect late.
-// Cause guarded against: a chunk written without having read those before it.
+// Guards against an item that is listed at two positions, and against a position that changes.
+// Either happens if a chunk is written without having read the chunks before it. Two coordinators
+// finish the same items and write chunks, each having read more or less of the other's, and some
+// writes take effect late.
 func TestTwoExecutorsListEachItemOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 60 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// checkListedPrefix reads the store as any instance would, and checks that what was
-// read before is still there and no item stands twice.
+// checkListedPrefix reads the store as any instance would, and checks that the results read before
+// are still at their positions and that no item is listed twice.
 func checkListedPrefix(t *testing.T, seen *cfbatch.Batch, store chunkStore) {
 	t.Helper()
 	now := cfbatch.New(seen.Sub)
@@ -106,16 +106,16 @@
 	}
 	before, after := seen.Page(0).Results, now.Page(0).Results
 	if len(after) < len(before) {
-		t.Fatalf("%d results, %d before", len(after), len(before))
+		t.Fatalf("%d results read, %d were read before", len(after), len(before))
 	}
 	ids := map[cf.ItemID]bool{}
 	for i, r := range after {
 		if ids[r.ID] {
-			t.Fatalf("item %s stands twice", r.ID)
+			t.Fatalf("item %s is listed twice", r.ID)
 		}
 		ids[r.ID] = true
 		if i < len(before) && before[i].ID != r.ID {
-			t.Fatalf("position %d held %s, now %s", i, before[i].ID, r.ID)
+			t.Fatalf("position %d held item %s and now holds %s", i, before[i].ID, r.ID)
 		}
 	}
 	if err := seen.ApplyAll(store.records()); err != nil {
@@ -142,15 +142,15 @@
 		n++
 	}
 	if n < 2 {
-		t.Error("1.8 MB in one page")
+		t.Error("one page has all 1.8 MB of results")
 	}
 	if p := b.Page(99); len(p.Results) != 0 {
-		t.Error("results beyond the end")
+		t.Error("a page after the last result is not empty")
 	}
 }
 
-// A chunk is written at once when the groups that the trainer waits for are
-// whole, else when its oldest result has waited.
+// A chunk is due at once when the groups that the trainer waits for are complete, and otherwise
+// when its oldest result has waited for the maximum time.
 func TestChunkIsDueWhenTargetGroupsAreComplete(t *testing.T) {
 	sub := submission(3, 2)
 	sub.TargetGroups = 2
@@ -159,33 +159,33 @@
 	for i, id := range []cf.ItemID{"0-0", "0-1", "1-0"} {
 		p.Add(doneResult(id), cf.Millis(i))
 		if p.Due(b, 100) {
-			t.Errorf("due after %s, before two groups are whole", id)
+			t.Errorf("chunk is due after item %s, before two groups are complete", id)
 		}
 	}
 	p.Add(doneResult("1-1"), 10)
 	if !p.Due(b, 100) {
-		t.Fatal("not due although two groups are whole")
+		t.Fatal("chunk is not due although two groups are complete")
 	}
 	results := p.BeginWrite(100)
 	if p.InDoubt(200) || !p.InDoubt(400) {
-		t.Error("a write is in doubt at once, or never")
+		t.Error("a write is in doubt after 100 ms, or is not after 300 ms")
 	}
 	if p.Due(b, 5000) {
-		t.Error("due while a chunk is being written")
+		t.Error("chunk is due while another is being written")
 	}
 	p.Add(doneResult("2-0"), 20)
 	b.Apply(b.NextChunk(), results)
 	p.EndWrite(b, 30)
 	if p.Len() != 1 || p.Due(b, 100) || !p.Due(b, 5000) {
-		t.Errorf("%d left, due early %v, due late %v", p.Len(), p.Due(b, 100), p.Due(b, 5000))
+		t.Errorf("%d results pending, due after 70 ms: %v, due after 4970 ms: %v", p.Len(), p.Due(b, 100), p.Due(b, 5000))
 	}
 }
 
-// Symptom: a trainer learns half a second late that its step is whole.
-// Sequence: as many groups are whole as it asked for, but not the one that its
-// last step left, which it waits for too; each further group is listed by itself,
-// and the trainer, which has just read one, is not looking when the last comes.
-// Cause: taking any groups for those that the trainer waits for.
+// Guards against a trainer that learns half a second late that its step is complete, because any
+// groups were counted as those that it waits for. As many groups are complete as it requested, but
+// not the one carried over from its previous step, which it also waits for. If each further group
+// were listed on its own, the trainer would just have read one, and would not be polling when the
+// last group is listed.
 func TestChunkIsDueWhenCarriedOverGroupIsComplete(t *testing.T) {
 	sub := submission(5, 1)
 	sub.TargetGroups = 3
@@ -196,45 +196,44 @@
 		p.Add(doneResult(sub.Items[i].ID), cf.Millis(i))
 	}
 	if p.Due(b, 10) || b.EnoughGroups(p.Missing(b)) {
-		t.Error("listed without the group that was carried over")
+		t.Error("chunk is due although the carried-over group is incomplete")
 	}
 	p.Add(doneResult(sub.Items[4].ID), 20)
 	if !p.Due(b, 20) {
-		t.Error("not listed once all groups are whole that the trainer waits for")
+		t.Error("chunk is not due although all groups that the trainer waits for are complete")
 	}
 }
 
-// Symptom: a trainer learns half a second late that its step is whole.
-// Load: a step's last groups become whole one after the other, shortly before the
-// trainer needs them; it reads whatever there is, and then looks again half a
-// second later.
-// Cause: results were listed 1.5 s after each other whatever was to come. Where the
-// deadline is known they wait for each other, until shortly before it.
+// Guards against a trainer that learns half a second late that its step is complete, because
+// results were listed every 1.5 s without regard to those still to come. The last groups of a step
+// complete one after the other, shortly before the trainer needs them; it reads whatever is listed
+// and polls again half a second later. If the deadline is known, results are collected until
+// shortly before it.
 func TestResultsAreCollectedUntilNearDeadline(t *testing.T) {
 	sub := submission(4, 1)
 	b := cfbatch.New(sub)
 	p := cfbatch.PendingResults{Deadline: 7500}
 	p.Add(doneResult(sub.Items[0].ID), 5000)
 	if p.Due(b, 6700) {
-		t.Error("listed before the others, though there is time")
+		t.Error("chunk is due although there is time for more results before the deadline")
 	}
 	if !p.Due(b, 6850) {
-		t.Error("not listed in time for a read before the deadline")
+		t.Error("chunk is not due in time for a read before the deadline")
 	}
 	b.Apply(b.NextChunk(), p.BeginWrite(6850))
 	p.EndWrite(b, 6860)
 	p.Add(doneResult(sub.Items[1].ID), 7600)
 	if p.Due(b, 7700) || !p.Due(b, 7850) {
-		t.Error("after the deadline what is finished is listed a quarter of a second later")
+		t.Error("after the deadline a chunk is due after less or more than 250 ms")
 	}
 	early := cfbatch.PendingResults{Deadline: 60000}
 	early.Add(doneResult(sub.Items[2].ID), 0)
 	if early.Due(b, 2400) || !early.Due(b, 2500) {
-		t.Error("results wait for longer than they may")
+		t.Error("chunk with a distant deadline is due after less or more than 2500 ms")
 	}
 }
 
-// A chunk stays under the store's limit whatever its texts are made of.
+// A chunk stays below the store's size limit whatever characters its texts contain.
 func TestChunkSizeCountsJSONEscapes(t *testing.T) {
 	var p cfbatch.PendingResults
 	for i := range 12 {
@@ -242,14 +241,13 @@
 	}
 	raw, err := json.Marshal(cfbatch.Chunk{Results: p.BeginWrite(0)})
 	if err != nil || len(raw) > 1<<20 {
-		t.Errorf("a chunk of %d bytes, %v", len(raw), err)
+		t.Errorf("chunk has %d bytes, over the limit of 1 MB (error %v)", len(raw), err)
 	}
 }
 
-// Symptom: a page that was read from the chunks differs from one that the
-// coordinator gave.
-// Sequence: two executors list the same item; the second position counts for
-// nothing; a page begins in the middle of a chunk.
+// Guards against a page resolved from chunks that differs from the page that the coordinator
+// returned. Two coordinators list the same item, whose second result has no position, and pages
+// begin in the middle of a chunk.
 func TestPageRefResolvesToSamePage(t *testing.T) {
 	sub := submission(6, 1)
 	b := cfbatch.New(sub)
@@ -276,10 +274,10 @@
 			read = append(read, chunks[n])
 		}
 		if got, ok := ref.Resolve(read); !ok || !reflect.DeepEqual(got, want) {
-			t.Errorf("after %d: %+v, want %+v", after, got, want)
+			t.Errorf("page after %d: got %+v, want %+v", after, got, want)
 		}
 		if _, ok := ref.Resolve(nil); ok != (len(want.Results) == 0) {
-			t.Errorf("after %d: a page without its chunks is taken as whole", after)
+			t.Errorf("page after %d resolved without its chunks", after)
 		}
 	}
 }
--- a/core/cfbatch/explore_test.go
+++ b/core/cfbatch/explore_test.go
@@ -5,30 +5,29 @@
 	"testing"
 )
 
-// modelState is a small specification of how results are listed: two executors,
-// each of which has finished all items, a log of chunks in the store, and one
-// write that may take effect late. Items are bits. All of it is comparable, so
-// that a state is explored once.
+// modelState is a state of a small model of how results are listed: two coordinators that have
+// finished all items, the sequence of chunks in the store, and one write that may take effect late.
+// Sets of items are bit masks. The type is comparable, so that each state is visited once.
 type modelState struct {
-	log        [4]uint8 // chunks in the store, zero where there is none
-	chunksRead [2]int   // chunks that each executor has read
+	log        [4]uint8 // items of each chunk in the store; zero if the chunk does not exist
+	chunksRead [2]int   // number of chunks that each coordinator has read
 	delayed    struct {
 		chunk int
 		items uint8
 	}
 }
 
-// protocolRules are the protocol's two rules, which can be turned off to see that the
-// exploration finds what breaks then.
+// protocolRules are the two rules of the protocol. Turning one off shows that the exploration finds
+// the violation that follows.
 type protocolRules struct {
 	createOnly bool // a chunk is written only if it does not exist
-	readFirst  bool // an executor lists only what the chunks before do not hold
+	readFirst  bool // a coordinator lists only items that the earlier chunks lack
 }
 
 const modelItems = 3
 
-// exploreStates plays every schedule and returns the first state in which an
-// item stands twice or a chunk has changed.
+// exploreStates visits every reachable state. It returns the number of states and a description of
+// the first violation: an item that is listed twice, or a chunk that changed.
 func exploreStates(r protocolRules) (states int, violation string) {
 	seen := map[modelState]bool{}
 	var visit func(s modelState)
@@ -52,7 +51,7 @@
 					now.chunksRead[executor] = s.chunksRead[executor] + 1
 					visit(now)
 					lost := now
-					lost.chunksRead[executor] = s.chunksRead[executor] // its answer was lost
+					lost.chunksRead[executor] = s.chunksRead[executor] // the store's response was lost
 					visit(lost)
 				}
 				if s.delayed.items == 0 {
@@ -103,7 +102,7 @@
 	return s, true
 }
 
-// check returns what is wrong with a state.
+// check describes what is wrong with a state, or returns "".
 func (s *modelState) check() string {
 	seen := uint8(0)
 	for i, c := range s.log {
@@ -115,8 +114,8 @@
 	return ""
 }
 
-// Every schedule of two executors, with lost answers and a late write, lists
-// each item once and changes no chunk.
+// Every schedule of two coordinators, with lost responses and a late write, lists each item once
+// and changes no chunk.
 func TestEveryScheduleListsItemsOnce(t *testing.T) {
 	states, violation := exploreStates(protocolRules{createOnly: true, readFirst: true})
 	t.Logf("%d states", states)
@@ -125,14 +124,14 @@
 	}
 }
 
-// Without either rule the exploration finds a schedule that breaks.
+// Without either rule, the exploration finds a violation.
 func TestListingNeedsBothRules(t *testing.T) {
 	for name, r := range map[string]protocolRules{
-		"chunks may be overwritten": {readFirst: true},
-		"chunks before not read":    {createOnly: true},
+		"chunks may be overwritten":   {readFirst: true},
+		"earlier chunks are not read": {createOnly: true},
 	} {
 		if _, violation := exploreStates(r); violation == "" {
-			t.Errorf("%s: nothing found", name)
+			t.Errorf("%s: no violation found", name)
 		} else {
 			t.Logf("%s: %s", name, violation)
 		}
--- a/core/cfbatch/fuzz_test.go
+++ b/core/cfbatch/fuzz_test.go
@@ -7,8 +7,8 @@
 	"currantford/core/cfbatch"
 )
 
-// FuzzStoredBatch feeds the decoders of what the store holds of a batch. None may
-// panic, and no item may stand at two positions.
+// FuzzStoredBatch decodes arbitrary stored objects of a batch. No decoder may panic, and no item
+// may be listed at two positions.
 func FuzzStoredBatch(f *testing.F) {
 	head := `{"id":"b","target_groups":1,"items":[{"id":"1","group":"g"},{"id":"2","group":"g","reward":{"id":"r"}}]}`
 	f.Add([]byte(head), []byte(`{"results":[{"id":"1","state":"done","output":"x","versions":[1],"score":"s"}]}`), []byte(`{"ended":true}`))
@@ -30,7 +30,7 @@
 		seen := map[cf.ItemID]bool{}
 		for _, res := range b.ListedFrom(0) {
 			if _, known := b.Item(res.ID); !known || seen[res.ID] {
-				t.Errorf("item %q is listed", res.ID)
+				t.Errorf("item %q is unknown or listed twice", res.ID)
 			}
 			seen[res.ID] = true
 		}
--- a/core/cfbatch/history_test.go
+++ b/core/cfbatch/history_test.go
@@ -22,24 +22,23 @@
 )
 
 type (
-	// logOp is one operation on a batch's results: the creation of a chunk,
-	// or a read of all chunks.
+	// logOp is one operation on the results of a batch: it creates a chunk or reads all chunks.
 	logOp struct {
 		read  bool
 		chunk int
-		text  string // the chunk's items
+		text  string // the item in the chunk
 	}
 
-	// logResult is what it came to. Unknown: no answer came, so it may have
-	// taken effect, may yet, or never will.
+	// logResult is the outcome of an operation. If unknown is set, no response was received, and
+	// the operation may have taken effect, may still do so, or may never.
 	logResult struct {
 		ok, unknown bool
 		chunks      string
 	}
 )
 
-// logModel is the specification: chunks are appended one by one, each only at
-// the end, and a read shows all of them. A state is the chunks, joined.
+// logModel is the specification: chunks are appended one at a time, each only at the end, and a
+// read returns all of them. A state is the chunks' texts joined by semicolons.
 var logModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -70,8 +69,8 @@
 	return strings.Split(state, ";")
 }
 
-// recordHistory lets executors list items at one batch of a store that loses
-// answers and executes writes late, and records what they saw. create makes a
+// recordHistory lets three clients create and read chunks of one batch, in a store that loses
+// responses and applies writes late, and records what they observed. The create function writes a
 // chunk.
 func recordHistory(t *testing.T, seed uint64, create func(context.Context, *platform.Store, *standin.Store, string, cfbatch.Chunk) error) []porcupine.Operation {
 	t.Helper()
@@ -87,7 +86,7 @@
 		answer := call()
 		ended := time.Since(start).Nanoseconds()
 		if answer.unknown {
-			ended = 1 << 60 // it may take effect at any later time
+			ended = 1 << 60 // the operation may take effect at any later time
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -146,13 +145,13 @@
 	return err
 }
 
-// Histories of three executors on a store that loses answers and executes
-// writes late fit the specification of the listing.
+// Histories of three clients of a store that loses responses and applies writes late are
+// linearizable.
 func TestListingHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(15) {
 		history := recordHistory(t, seed, createIfAbsent)
 		if !porcupine.CheckOperations(logModel.ToModel(), history) {
-			t.Errorf("seed %d: the history does not fit", seed)
+			t.Errorf("seed %d: the history is not linearizable", seed)
 			for _, op := range history {
 				t.Logf("%+v -> %+v", op.Input, op.Output)
 			}
@@ -160,7 +159,8 @@
 	}
 }
 
-// A chunk written whether it exists or not does not fit: the check finds it.
+// Histories in which an existing chunk may be overwritten are not linearizable, and the check finds
+// one.
 func TestOverwritesAreNotLinearizable(t *testing.T) {
 	overwrite := func(_ context.Context, _ *platform.Store, fake *standin.Store, name string, c cfbatch.Chunk) error {
 		fake.Put(cf.KindResults("b"), name, c)
@@ -171,5 +171,5 @@
 			return
 		}
 	}
-	t.Error("no history with overwritten chunks was found not to fit")
+	t.Error("every history with overwritten chunks was linearizable")
 }
--- a/core/cfbatch/parts.go
+++ b/core/cfbatch/parts.go
@@ -11,10 +11,12 @@
 )
 
 const (
-	// objectOverhead is left of the store's value limit for an object's own fields.
+	// objectOverhead is the part of the store's value limit that is reserved for the fields of an
+	// object other than the items.
 	objectOverhead = 64 << 10
-	// maxHeadBytes is the largest batch that is kept in its head. A coordinator
-	// that takes over lists all heads, those of ended batches too.
+	// maxHeadBytes is the largest total size of the items that are stored in the head itself. The
+	// limit is small because a coordinator that takes over lists all heads, including those of
+	// ended batches.
 	maxHeadBytes = 16 << 10
 )
 
@@ -23,10 +25,10 @@
 	Items []cf.Item `json:"items"`
 }
 
-// Split divides a submission for a store whose values are limited: the head,
-// which is the batch's object, and the parts, which are written before it. Small
-// batches fit into their head. The division depends on the submission
-// alone, so that one that is handed in again finds its own parts.
+// Split divides a submission for a store that limits the size of a value. The head is the batch's
+// own object; the parts are objects with its items, and are written before it. The head of a small
+// batch holds the items itself, and there are no parts. The division depends on the submission
+// alone, so a batch that is submitted again has the same parts as before.
 func Split(sub cf.Submission, limit int64) (head cf.Submission, parts []Part, err error) {
 	limit -= objectOverhead
 	sizes, total, err := encodedSizes(sub.Items)
@@ -53,7 +55,7 @@
 	return head, append(parts, part), nil
 }
 
-// encodedSizes returns the bytes that each item has in the store, and all of them.
+// encodedSizes returns the size of each item as stored, and the total.
 func encodedSizes(items []cf.Item) (each []int64, total int64, err error) {
 	each = make([]int64, 0, len(items))
 	for _, it := range items {
@@ -67,10 +69,10 @@
 	return each, total, nil
 }
 
-// PartName is the name of a part's object.
+// PartName returns the name of the object of part i.
 func PartName(i int) string { return fmt.Sprintf("%06d", i) }
 
-// DecodeHead reads a batch's object.
+// DecodeHead decodes a batch's own object.
 func DecodeHead(object cf.Record) (cf.Submission, error) {
 	var sub cf.Submission
 	if err := json.Unmarshal(object.Spec, &sub); err != nil {
@@ -82,7 +84,7 @@
 	return sub, nil
 }
 
-// Join adds the items of the parts' objects to a head.
+// Join adds the items of the part objects to a head.
 func Join(head cf.Submission, parts []cf.Record) (cf.Submission, error) {
 	sort.Slice(parts, func(i, j int) bool { return parts[i].Name < parts[j].Name })
 	if len(parts) < head.Parts {
--- a/core/cfbatch/parts_test.go
+++ b/core/cfbatch/parts_test.go
@@ -11,10 +11,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Symptom: a batch that is larger than one object of the store is refused for
-// ever.
-// Sequence: a step of 4,096 samples is handed in; the store takes values of
-// 1 MB. Handed in twice, it is one batch.
+// Guards against a batch that is refused for good because it is larger than an object in the store
+// may be: a step of 4,096 samples, while the store accepts values of up to 1 MB. Submitted twice,
+// it is still one batch.
 func TestLargeBatchIsSplitIntoParts(t *testing.T) {
 	sub := submission(1024, 4)
 	for i := range sub.Items {
@@ -26,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if err := cfbatch.Create(ctx, store, sub, 1<<20); !errors.Is(err, cf.ErrConflict) {
-		t.Errorf("handed in again: %v, want a conflict", err)
+		t.Errorf("second submission: got error %v, want a conflict", err)
 	}
 	object, err := store.Get(ctx, cf.KindBatch, "b")
 	if err != nil {
@@ -35,7 +34,7 @@
 	parts, _ := store.List(ctx, cf.KindParts("b"))
 	for _, r := range append(parts.Items, object) {
 		if len(r.Spec) > 1<<20 {
-			t.Errorf("object %s has %d bytes", r.Name, len(r.Spec))
+			t.Errorf("object %s has %d bytes, over the limit of 1 MB", r.Name, len(r.Spec))
 		}
 	}
 	if _, err := store.Create(ctx, cf.KindResults("b"), "000000", cfbatch.Chunk{Results: []cf.Result{doneResult("0-0")}}); err != nil {
@@ -46,13 +45,13 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(b.Sub.Items, sub.Items) || !b.Listed("0-0") {
-		t.Errorf("%d items fetched of %d, first listed %v", len(b.Sub.Items), len(sub.Items), b.Listed("0-0"))
+		t.Errorf("fetched %d of %d items, item 0-0 listed: %v", len(b.Sub.Items), len(sub.Items), b.Listed("0-0"))
 	}
 	if err := store.Delete(ctx, cf.KindParts("b"), cfbatch.PartName(1)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := cfbatch.Fetch(ctx, store, object, false); err == nil {
-		t.Error("a batch without one of its parts was taken for whole")
+		t.Error("a batch that lacks one of its parts was fetched without an error")
 	}
 }
 
--- a/core/cfbatch/pending.go
+++ b/core/cfbatch/pending.go
@@ -5,39 +5,38 @@
 )
 
 const (
-	// maxAge is the longest that a finished item waits for others to be
-	// written with it. Each write is paid for, and a step is worth nothing
-	// more before its last group is whole; a coordinator that dies loses the
-	// work of this span.
+	// maxAge is the longest time that a finished item waits to be written together with others.
+	// Waiting saves writes, each of which has a cost, and a step gains nothing from results before
+	// its last group is complete. But if the coordinator dies, the results of this time are lost.
 	maxAge cf.Millis = 1500
-	// maxAgeBeforeDeadline is the same where it is known when the submitter needs the
-	// results. One that has read something looks again half a second after it
-	// began to, so a chunk just before the last one costs the whole step that.
+	// maxAgeBeforeDeadline replaces maxAge if it is known when the submitter needs the results. A
+	// submitter that has received results polls again half a second after that read began, so a
+	// chunk that is written just before the last one delays the whole step by that time.
 	maxAgeBeforeDeadline cf.Millis = 2500
-	// maxAgeNearDeadline is the same shortly before and after that time: by then what is
-	// whole earns more than the step's end.
+	// maxAgeNearDeadline replaces maxAge shortly before the deadline and after it: at this point
+	// the groups that are already complete are worth more than the end of the step.
 	maxAgeNearDeadline cf.Millis = 250
-	// nearDeadline is how long before the deadline that begins: a read under way
-	// ends, and another is made.
+	// nearDeadline is how long before the deadline maxAgeNearDeadline applies: long enough for a
+	// read in progress to end and for another one to be made.
 	nearDeadline cf.Millis = 700
-	// maxChunkBytes keeps a chunk under the store's value limit of 1 MB, and has
-	// room for the long texts of a step's last groups.
+	// maxChunkBytes keeps a chunk below the store's value limit of 1 MB, and is large enough for
+	// the long texts of the last groups of a step.
 	maxChunkBytes = 640 << 10
 )
 
-// PendingResults holds the finished items of a batch that are not in the store yet.
+// PendingResults holds the results of a batch that are not in the store yet.
 type PendingResults struct {
-	// Deadline is the Uptime at which the submitter needs the results, zero
-	// if that is not known.
+	// Deadline is the cf.Uptime at which the submitter needs the results, or zero if it is not
+	// known.
 	Deadline     cf.Millis
 	results      []cf.Result
 	waitingSince cf.Millis
 	bytes        int
 	writing      bool
-	writeStarted cf.Millis // of the write under way
+	startedAt    cf.Millis // start of the write in progress
 }
 
-// Add takes a finished item.
+// Add adds the result of a finished item.
 func (p *PendingResults) Add(r cf.Result, now cf.Millis) {
 	if len(p.results) == 0 {
 		p.waitingSince = now
@@ -46,7 +45,7 @@
 	p.bytes += encodedSize(r)
 }
 
-// encodedSize returns the bytes that a result takes in the store, at most.
+// encodedSize returns an upper bound of the bytes that a result takes in the store.
 func encodedSize(r cf.Result) int {
 	n := resultOverhead + len(r.Output) + len(r.Score)
 	for i := range len(r.Output) {
@@ -60,17 +59,17 @@
 	return n
 }
 
-// resultOverhead is what the names of a result's fields, its ids and its versions
-// take.
+// resultOverhead covers the field names of an encoded result, its ids and its versions.
 const resultOverhead = 200
 
-// Len counts the items that wait.
+// Len returns the number of pending results.
 func (p *PendingResults) Len() int { return len(p.results) }
 
-// Due says whether to write a chunk now: the groups that the submitter waits
-// for are whole, or the oldest result has waited enough. A submitter that has
-// just read something looks again half a second later, so a chunk with the one
-// group of several that it waits for would hold the others up.
+// Due reports whether a chunk should be written now: the groups that the submitter waits for are
+// complete, the oldest result has waited for the maximum time, or the chunk is full. One complete
+// group of several that the submitter waits for is no reason to write: a submitter that has just
+// received results polls again only half a second later, so that chunk would delay the other
+// groups.
 func (p *PendingResults) Due(b *Batch, now cf.Millis) bool {
 	if p.writing || len(p.results) == 0 {
 		return false
@@ -81,7 +80,7 @@
 	return p.completesTarget(b)
 }
 
-// maxWait is how long a result may wait for others now.
+// maxWait returns how long a result may currently wait for others.
 func (p *PendingResults) maxWait(now cf.Millis) cf.Millis {
 	switch {
 	case p.Deadline == 0:
@@ -103,8 +102,8 @@
 	return false
 }
 
-// Missing counts, for each group with items that wait here, those of its items
-// that have no result at all.
+// Missing returns, for each group with pending results, how many of its items have neither a listed
+// nor a pending result.
 func (p *PendingResults) Missing(b *Batch) map[cf.GroupID]int {
 	left := map[cf.GroupID]int{}
 	for _, r := range p.results {
@@ -118,10 +117,10 @@
 	return left
 }
 
-// BeginWrite returns the results to write as the next chunk and marks a write as
-// under way; the results stay until Wrote.
+// BeginWrite marks a write as in progress and returns the results to write as the next chunk. They
+// stay pending until EndWrite is called.
 func (p *PendingResults) BeginWrite(now cf.Millis) []cf.Result {
-	p.writing, p.writeStarted = true, now
+	p.writing, p.startedAt = true, now
 	size := 0
 	for i, r := range p.results {
 		if size += encodedSize(r); i > 0 && size > maxChunkBytes {
@@ -131,27 +130,26 @@
 	return p.results
 }
 
-// inDoubtAfter is how long a write may be under way before the store may hold what
-// the batch in memory does not.
-const inDoubtAfter cf.Millis = 200
+// slowWrite is the duration of a write after which the store may hold results that the batch in
+// memory lacks.
+const slowWrite cf.Millis = 200
 
-// WriteInDoubt says whether the store may have taken a chunk that the batch does not
-// show yet. An instance that reads the store would show it, and a read from
-// memory afterwards would take it back.
-func (p *PendingResults) InDoubt(now cf.Millis) bool {
-	return p.writing && now-p.writeStarted > inDoubtAfter
-}
+// InDoubt reports whether the store may have accepted a chunk that is not yet applied to the batch.
+// An instance that reads the store would return its results, and a later read from memory would
+// then return fewer.
+func (p *PendingResults) InDoubt(now cf.Millis) bool { return p.writing && now-p.startedAt > slowWrite }
 
-// DropListed drops the results that the batch lists by now, after its chunks were
-// read again: they would be listed twice. A write under way does so at its end.
+// DropListed drops the results that are listed after the chunks were read from the store again,
+// since they would be listed twice. While a write is in progress it does nothing, as EndWrite drops
+// them.
 func (p *PendingResults) DropListed(b *Batch, now cf.Millis) {
 	if !p.writing {
 		p.EndWrite(b, now)
 	}
 }
 
-// EndWrite ends a write, whatever came of it: the results that the batch lists
-// by now are dropped, the others wait for the next.
+// EndWrite ends a write, whether it succeeded or not. Results that are listed by now are dropped,
+// and the others stay pending for the next write.
 func (p *PendingResults) EndWrite(b *Batch, now cf.Millis) {
 	p.writing = false
 	var rest []cf.Result
--- a/core/cfbatch/store.go
+++ b/core/cfbatch/store.go
@@ -7,10 +7,10 @@
 	cf "currantford"
 )
 
-// Create writes a batch to the store; once it returns nil the batch is kept.
-// The parts come first: a head without them would be a batch that can't be
-// run. A conflict is the batch itself, written before. valueBytes is the
-// store's limit for one object.
+// Create writes a batch to the store. Once it returns nil, the batch is durable. The parts are
+// written before the head, because a head without its parts would be a batch that can't be run.
+// cf.ErrConflict means that the same batch was written before. valueBytes is the store's limit for
+// the size of one object.
 func Create(ctx context.Context, store cf.Store, sub cf.Submission, valueBytes int64) error {
 	head, parts, err := Split(sub, valueBytes)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return err
 }
 
-// Fetch completes a batch from its object, and from the store where its items
-// or results lie in other objects. Without results only the items are read.
+// Fetch builds a batch from its object, and reads items and results that are in other objects from
+// the store. If results is false, it reads only the items.
 func Fetch(ctx context.Context, store cf.Store, object cf.Record, results bool) (*Batch, error) {
 	head, err := DecodeHead(object)
 	if err != nil {
--- a/core/cfbatch/succession.go
+++ b/core/cfbatch/succession.go
@@ -4,23 +4,24 @@
 	cf "currantford"
 )
 
-// startTimeout is the longest that a batch waits for word of the batches before it: some
-// answers of a slow store, and a small part of the time that a step has.
+// startTimeout is the longest time that a batch waits to learn whether its predecessors have ended.
+// It covers several responses of a slow store, and is a small part of the time that a step has.
 const startTimeout cf.Millis = 1000
 
-// StartGate decides when a batch begins that asks for items of batches which are not known
-// to have ended. Its submitter has ended them by then, as only then it asks for their items
-// again, but the word of the end may come later than the batch. What was generated for them
-// is handed on when they end, so a batch that began before would generate it again, beside
-// runs of the same items. The zero value has seen nothing.
+// StartGate decides when a batch may start whose items are also in earlier batches, its
+// predecessors, that are not known to have ended. A submitter requests the same items again only
+// after it has ended the predecessors, but the coordinator may learn of that end later than of the
+// new batch. When a predecessor ends, the texts generated for it are passed on to the new batch. A
+// batch that started earlier would generate them again, while the predecessor's items are still
+// running. The zero value is ready for use.
 type StartGate struct {
 	deadline cf.Millis // zero before the first wait
 	queried  map[cf.BatchID]bool
 	notEnded map[cf.BatchID]bool
 }
 
-// Check returns whether the batch may begin, and otherwise which batches the store is to be
-// asked for now. holders are the batches that are not known to have ended and hold items of it.
+// Check reports whether the batch may start, and if not, which batches to query in the store now.
+// predecessors are the batches that share items with it and are not known to have ended.
 func (s *StartGate) Check(predecessors []cf.BatchID, now cf.Millis) (begin bool, query []cf.BatchID) {
 	begin = true
 	for _, id := range predecessors {
@@ -47,11 +48,11 @@
 	return false, query
 }
 
-// MarkOpen takes the store's answer that a batch has not ended: it and its successor are asked for
-// at the same time.
+// MarkOpen records the store's answer that a predecessor has not ended. The submitter then wants
+// both batches at the same time, and the new one does not wait for it.
 func (s *StartGate) MarkOpen(id cf.BatchID) { s.notEnded[id] = true }
 
-// SharesItems says whether b has an item of another batch.
+// SharesItems reports whether b and other have an item in common.
 func (b *Batch) SharesItems(other *Batch) bool {
 	if len(other.index) < len(b.index) {
 		return other.SharesItems(b)
--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -300,17 +300,17 @@
 // choose returns the target that should answer a call soonest, of those that
 // have room for it.
 func (p *Planner) choose(c *Call, route Route, now cf.Millis) (cf.Target, bool) {
-	room := make([]cf.Target, 0, len(route.Targets))
+	candidates := make([]cf.Target, 0, len(route.Targets))
 	for _, t := range route.Targets {
 		if p.hasRoom(t, now) && !c.sentTo(t.ID) {
-			room = append(room, t)
+			candidates = append(candidates, t)
 		}
 	}
 	p.draws++
-	if t, ok := p.balancer.Choose(room, c.failedAt, goldenRatioFraction(p.draws), now); ok || len(c.failedAt) < len(route.Targets) {
+	if t, ok := p.balancer.Choose(candidates, c.failedAt, goldenRatioFraction(p.draws), now); ok || len(c.failedAt) < len(route.Targets) {
 		return t, ok
 	}
-	return p.balancer.Choose(room, nil, goldenRatioFraction(p.draws), now) // it failed everywhere
+	return p.balancer.Choose(candidates, nil, goldenRatioFraction(p.draws), now) // it failed everywhere
 }
 
 // goldenRatioFraction spreads successive numbers evenly over [0, 1), by the golden ratio.
--- a/core/cfreward/reward_test.go
+++ b/core/cfreward/reward_test.go
@@ -324,7 +324,7 @@
 	}
 }
 
-func BenchmarkPlaceBurst(b *testing.B) {
+func BenchmarkScheduleBurst(b *testing.B) {
 	s := newEnv(14, 6)
 	for b.Loop() {
 		p := cfreward.New(cfreward.DefaultLimits)
--- a/core/cfscale/cfscale.go
+++ b/core/cfscale/cfscale.go
@@ -268,7 +268,7 @@
 	p.withdrawUnavailable(&rationale)
 	p.enforceMax(&rationale)
 	p.enforceMin(&rationale)
-	if float64(p.expectedTotal()) >= severeShortage*n.engines*p.unopenedFactor() {
+	if float64(p.expectedTotal()) >= severeShortage*n.engines*p.allModelsFactor() {
 		n = d.confirmedNeed(n)
 	}
 	observed, ok := d.history.enginesForPrompt(now)
--- a/core/cfscale/decider_test.go
+++ b/core/cfscale/decider_test.go
@@ -43,9 +43,9 @@
 	return stored
 }
 
-func counts(k cfscale.StoredState) map[cf.EnginePool]int {
+func counts(state cfscale.StoredState) map[cf.EnginePool]int {
 	out := map[cf.EnginePool]int{}
-	for _, o := range k.Orders {
+	for _, o := range state.Orders {
 		out[o.EnginePool] = o.Count
 	}
 	return out
--- a/core/cfscale/explore_test.go
+++ b/core/cfscale/explore_test.go
@@ -32,16 +32,16 @@
 )
 
 type (
-	// modelState is a store, the platform, and the holder of the lease. A holder before gives no
+	// model is a store, the platform, and the holder of the lease. A holder before gives no
 	// orders any more, but a write or an order of its may take effect yet.
-	modelState struct {
+	model struct {
 		rev           cf.Revision
 		stored        *StoredState
 		everStored    map[int]bool // counts that were kept
 		lateWrites    []lateWrite
 		lateOrders    []int // orders under way without an answer
 		platformCount int   // what the platform was last told, -1 for nothing
-		reconciler    Reconciler
+		rec           Reconciler
 		wantedCount   int // zero for nothing
 		now           cf.Millis
 		faults        int
@@ -56,184 +56,177 @@
 
 var modelPool = cf.EnginePool{Service: "s", Domain: "a", Spot: true}
 
-func (w *modelState) clone() *modelState {
-	c := *w
-	c.everStored, c.lateWrites, c.lateOrders = maps.Clone(w.everStored), slices.Clone(w.lateWrites), slices.Clone(w.lateOrders)
-	c.reconciler.accepted, c.reconciler.retries, c.reconciler.unconfirmed = maps.Clone(w.reconciler.accepted), maps.Clone(w.reconciler.retries), maps.Clone(w.reconciler.unconfirmed)
+func (s *model) clone() *model {
+	c := *s
+	c.everStored, c.lateWrites, c.lateOrders = maps.Clone(s.everStored), slices.Clone(s.lateWrites), slices.Clone(s.lateOrders)
+	c.rec.accepted, c.rec.retries, c.rec.unconfirmed = maps.Clone(s.rec.accepted), maps.Clone(s.rec.retries), maps.Clone(s.rec.unconfirmed)
 	return &c
 }
 
-func (w *modelState) key() string {
-	out := fmt.Sprint(w.rev, w.everStored, w.lateWrites, w.lateOrders, w.platformCount, w.wantedCount, w.now, w.faults, w.changes, w.reconciler)
-	if w.stored != nil {
-		out += fmt.Sprint(*w.stored)
+func (s *model) key() string {
+	out := fmt.Sprint(s.rev, s.everStored, s.lateWrites, s.lateOrders, s.platformCount, s.wantedCount, s.now, s.faults, s.changes, s.rec)
+	if s.stored != nil {
+		out += fmt.Sprint(*s.stored)
 	}
 	return out
 }
 
 // write takes effect if its condition holds.
-func (w *modelState) write(l lateWrite) bool {
-	if l.rev != w.rev {
+func (s *model) write(l lateWrite) bool {
+	if l.rev != s.rev {
 		return false
 	}
-	w.rev++
+	s.rev++
 	state := l.state
-	w.stored = &state
-	w.everStored[state.Orders[0].Count] = true
+	s.stored = &state
+	s.everStored[state.Orders[0].Count] = true
 	return true
 }
 
 var errNotStored = errors.New("an order was given that was never kept")
 
-func (w *modelState) order(count int) error {
-	w.platformCount = count
-	if !w.everStored[count] {
+func (s *model) order(count int) error {
+	s.platformCount = count
+	if !s.everStored[count] {
 		return fmt.Errorf("%w: %d", errNotStored, count)
 	}
 	return nil
 }
 
-func (w *modelState) wanted() StoredState {
-	if w.wantedCount == 0 {
+func (s *model) wanted() StoredState {
+	if s.wantedCount == 0 {
 		return StoredState{}
 	}
-	return StoredState{Orders: []cf.EngineOrder{{EnginePool: modelPool, Count: w.wantedCount}}}
+	return StoredState{Orders: []cf.EngineOrder{{EnginePool: modelPool, Count: s.wantedCount}}}
 }
 
-func (w *modelState) action() Action {
-	c := w.clone()
-	return c.reconciler.Next(w.now, w.wanted(), func(cf.ServiceName) bool { return true })
+func (s *model) action() Action {
+	c := s.clone()
+	return c.rec.Next(s.now, s.wanted(), func(cf.ServiceName) bool { return true })
 }
 
 // checkSettled checks a world in which nothing is under way and nothing is due.
-func (w *modelState) checkSettled() error {
-	if len(w.lateWrites)+len(w.lateOrders) > 0 || w.stored == nil || w.action().Kind != ActionWait {
+func (s *model) checkSettled() error {
+	if len(s.lateWrites)+len(s.lateOrders) > 0 || s.stored == nil || s.action().Kind != ActionWait {
 		return nil
 	}
-	if w.now < max(w.reconciler.retries[modelPool].until, w.reconciler.unconfirmed[modelPool].until) {
+	if s.now < max(s.rec.retries[modelPool].until, s.rec.unconfirmed[modelPool].until) {
 		return nil
 	}
-	count := w.stored.Orders[0].Count
-	if len(w.reconciler.count.Orders) > 0 && w.platformCount != count {
-		return fmt.Errorf("%d are kept, the platform was told %d", count, w.platformCount)
+	count := s.stored.Orders[0].Count
+	if len(s.rec.stored.Orders) > 0 && s.platformCount != count {
+		return fmt.Errorf("%d are kept, the platform was told %d", count, s.platformCount)
 	}
 	return nil
 }
 
 // successors returns what may come next of a world.
-func (w *modelState) successors(fault injectedFault) (out []*modelState, err error) {
-	add := func(f func(n *modelState) error) {
-		n := w.clone()
+func (s *model) successors(fault injectedFault) (out []*model, err error) {
+	add := func(f func(n *model) error) {
+		n := s.clone()
 		if e := f(n); e != nil {
 			err = e
 		}
 		out = append(out, n)
 	}
-	faulty := func(f func(n *modelState) error) {
-		if w.faults < maxFaults {
-			add(func(n *modelState) error { n.faults++; return f(n) })
+	faulty := func(f func(n *model) error) {
+		if s.faults < maxFaults {
+			add(func(n *model) error { n.faults++; return f(n) })
 		}
 	}
-	for i := range w.lateWrites {
-		add(func(n *modelState) error {
+	for i := range s.lateWrites {
+		add(func(n *model) error {
 			l := n.lateWrites[i]
 			n.lateWrites = slices.Delete(n.lateWrites, i, i+1)
 			n.write(l)
 			return nil
 		})
 	}
-	for i := range w.lateOrders {
-		add(func(n *modelState) error {
+	for i := range s.lateOrders {
+		add(func(n *model) error {
 			count := n.lateOrders[i]
 			n.lateOrders = slices.Delete(n.lateOrders, i, i+1)
 			return n.order(count)
 		})
 	}
-	if w.changes < maxChanges {
+	if s.changes < maxChanges {
 		for count := 1; count <= 2; count++ {
-			if count != w.wantedCount {
-				add(func(n *modelState) error { n.changes++; n.wantedCount = count; return nil })
+			if count != s.wantedCount {
+				add(func(n *model) error { n.changes++; n.wantedCount = count; return nil })
 			}
 		}
 	}
-	if len(w.lateOrders) == 0 {
-		add(func(n *modelState) error { n.now += clockTick; return nil })
+	if len(s.lateOrders) == 0 {
+		add(func(n *model) error { n.now += clockTick; return nil })
 	}
 	// The holder is lost and another takes over. An order of the one before may be under way.
-	faulty(func(n *modelState) error {
+	faulty(func(n *model) error {
 		if len(n.lateOrders) == 0 {
 			n.now += clockTick
 		}
-		n.reconciler, n.wantedCount = *NewReconciler(n.reconciler.term+1, n.now), 0
+		n.rec, n.wantedCount = *NewReconciler(n.rec.term+1, n.now), 0
 		if fault == ignorePredecessorOrders {
-			n.reconciler.settledAt = n.now
+			n.rec.settledAt = n.now
 		}
 		return nil
 	})
-	switch action := w.action(); action.Kind {
+	switch action := s.action(); action.Kind {
 	case ActionRead:
-		add(func(n *modelState) error {
+		add(func(n *model) error {
 			if n.stored == nil {
-				n.reconciler.LoadedEmpty()
+				n.rec.LoadedEmpty()
 				return nil
 			}
-			n.reconciler.Loaded(*n.stored, n.rev)
+			n.rec.Loaded(*n.stored, n.rev)
 			switch fault {
 			case assumeOrdered:
-				n.reconciler.OrderAccepted(n.stored.Orders[0], n.now)
+				n.rec.OrderAccepted(n.stored.Orders[0], n.now)
 			case skipTermWrite:
-				n.reconciler.count.Term = n.reconciler.term
+				n.rec.stored.Term = n.rec.term
 			case forgetUnconfirmedWrite:
-				n.reconciler.unconfirmedWrite = false
+				n.rec.unconfirmedWrite = false
 			}
 			return nil
 		})
 	case ActionWrite:
 		l := lateWrite{action.Rev, action.State}
-		inDoubt := func(n *modelState) {
-			if n.reconciler.WriteInDoubt(); fault == assumeWritten {
-				n.reconciler.Written(action.State, action.Rev+1)
+		inDoubt := func(n *model) {
+			if n.rec.WriteInDoubt(); fault == assumeWritten {
+				n.rec.Written(action.State, action.Rev+1)
 			}
 		}
-		add(func(n *modelState) error {
+		add(func(n *model) error {
 			if n.write(l) {
-				n.reconciler.Written(action.State, n.rev)
+				n.rec.Written(action.State, n.rev)
 			} else {
-				n.reconciler.WriteInDoubt()
+				n.rec.WriteInDoubt()
 			}
 			return nil
 		})
-		faulty(func(n *modelState) error { n.write(l); inDoubt(n); return nil })                             // its answer is lost
-		faulty(func(n *modelState) error { n.lateWrites = append(n.lateWrites, l); inDoubt(n); return nil }) // it takes effect later
-		faulty(func(n *modelState) error { inDoubt(n); return nil })                                         // it is lost
+		faulty(func(n *model) error { n.write(l); inDoubt(n); return nil })                             // its answer is lost
+		faulty(func(n *model) error { n.lateWrites = append(n.lateWrites, l); inDoubt(n); return nil }) // it takes effect later
+		faulty(func(n *model) error { inDoubt(n); return nil })                                         // it is lost
 	case ActionOrder:
-		inDoubt := func(n *modelState) {
-			n.reconciler.OrderInDoubt(action.Order, n.now)
+		inDoubt := func(n *model) {
+			n.rec.OrderInDoubt(action.Order, n.now)
 			if fault == forgetUnconfirmedOrder {
-				clear(n.reconciler.unconfirmed)
+				clear(n.rec.unconfirmed)
 			}
 		}
-		add(func(n *modelState) error {
-			n.reconciler.OrderAccepted(action.Order, n.now)
-			return n.order(action.Order.Count)
-		})
-		faulty(func(n *modelState) error { inDoubt(n); return n.order(action.Order.Count) })
-		faulty(func(n *modelState) error {
-			n.lateOrders = append(n.lateOrders, action.Order.Count)
-			inDoubt(n)
-			return nil
-		})
-		faulty(func(n *modelState) error { n.reconciler.OrderRejected(action.Order, n.now); return nil }) // refused
+		add(func(n *model) error { n.rec.OrderAccepted(action.Order, n.now); return n.order(action.Order.Count) })
+		faulty(func(n *model) error { inDoubt(n); return n.order(action.Order.Count) })
+		faulty(func(n *model) error { n.lateOrders = append(n.lateOrders, action.Order.Count); inDoubt(n); return nil })
+		faulty(func(n *model) error { n.rec.OrderRejected(action.Order, n.now); return nil }) // refused
 	}
 	return out, err
 }
 
 func explore(fault injectedFault) (states, atRest int, err error) {
-	start := &modelState{platformCount: -1, everStored: map[int]bool{}, reconciler: *NewReconciler(1, 0)}
+	start := &model{platformCount: -1, everStored: map[int]bool{}, rec: *NewReconciler(1, 0)}
 	seen := map[string]bool{start.key(): true}
-	frontier := []*modelState{start}
+	frontier := []*model{start}
 	for range maxDepth {
-		var nextFrontier []*modelState
+		var nextFrontier []*model
 		for _, w := range frontier {
 			next, err := w.successors(fault)
 			if err != nil {
--- a/core/cfscale/keeper.go
+++ b/core/cfscale/keeper.go
@@ -64,9 +64,9 @@
 		// is shorter than lateMost.
 		settledAt cf.Millis
 		// known says that kept, at rev, is what lies in the store.
-		known bool
-		count StoredState
-		rev   cf.Revision
+		known  bool
+		stored StoredState
+		rev    cf.Revision
 		// unconfirmedWrite: a write without an answer may take effect yet, until another has one.
 		unconfirmedWrite bool
 		// accepted are the counts that the platform has taken from this holder.
@@ -94,20 +94,20 @@
 }
 
 // Stored returns what lies in the store, false while that is not known.
-func (k *Reconciler) Stored() (StoredState, bool) { return k.count, k.known }
+func (r *Reconciler) Stored() (StoredState, bool) { return r.stored, r.known }
 
 // Next returns what is to be done, given what is wanted; may says for which services
 // orders may be given.
-func (k *Reconciler) Next(now cf.Millis, wanted StoredState, mayOrder func(cf.ServiceName) bool) Action {
-	if !k.known {
+func (r *Reconciler) Next(now cf.Millis, wanted StoredState, mayOrder func(cf.ServiceName) bool) Action {
+	if !r.known {
 		return Action{Kind: ActionRead}
 	}
-	next := k.count.merged(wanted.Orders)
-	if k.unconfirmedWrite || len(next) > 0 && k.count.Term != k.term || !slices.Equal(next, k.count.Orders) {
-		return Action{Kind: ActionWrite, State: StoredState{Term: k.term, Orders: next, Preexisting: wanted.Preexisting}, Rev: k.rev}
+	next := r.stored.merged(wanted.Orders)
+	if r.unconfirmedWrite || len(next) > 0 && r.stored.Term != r.term || !slices.Equal(next, r.stored.Orders) {
+		return Action{Kind: ActionWrite, State: StoredState{Term: r.term, Orders: next, Preexisting: wanted.Preexisting}, Rev: r.rev}
 	}
-	for _, o := range k.count.Orders {
-		if k.due(o, now) && mayOrder(o.Service) {
+	for _, o := range r.stored.Orders {
+		if r.due(o, now) && mayOrder(o.Service) {
 			return Action{Kind: ActionOrder, Order: o}
 		}
 	}
@@ -116,21 +116,21 @@
 
 // due says whether an order is to be given: the platform has not taken it from this holder,
 // or one without an answer may have taken effect after it.
-func (k *Reconciler) due(o cf.EngineOrder, now cf.Millis) bool {
-	if now < k.retries[o.EnginePool].until {
+func (r *Reconciler) due(o cf.EngineOrder, now cf.Millis) bool {
+	if now < r.retries[o.EnginePool].until {
 		return false
 	}
-	if count, accepted := k.accepted[o.EnginePool]; !accepted || count != o.Count {
+	if count, accepted := r.accepted[o.EnginePool]; !accepted || count != o.Count {
 		return true
 	}
-	d, unconfirmed := k.unconfirmed[o.EnginePool]
+	d, unconfirmed := r.unconfirmed[o.EnginePool]
 	return unconfirmed && d.count != o.Count && now >= d.until
 }
 
 // merged returns the orders with others in the place of those of the same pools.
-func (k StoredState) merged(others []cf.EngineOrder) []cf.EngineOrder {
+func (s StoredState) merged(others []cf.EngineOrder) []cf.EngineOrder {
 	byPool := map[cf.EnginePool]cf.EngineOrder{}
-	for _, o := range slices.Concat(k.Orders, others) {
+	for _, o := range slices.Concat(s.Orders, others) {
 		byPool[o.EnginePool] = o
 	}
 	out := slices.Collect(maps.Values(byPool))
@@ -139,61 +139,61 @@
 }
 
 // Loaded takes what was read.
-func (k *Reconciler) Loaded(state StoredState, rev cf.Revision) {
+func (r *Reconciler) Loaded(state StoredState, rev cf.Revision) {
 	for _, o := range state.Orders {
-		if !slices.Contains(k.count.Orders, o) {
-			delete(k.retries, o.EnginePool) // another order than the one that was refused
+		if !slices.Contains(r.stored.Orders, o) {
+			delete(r.retries, o.EnginePool) // another order than the one that was refused
 		}
 	}
-	k.known, k.count, k.rev = true, state, rev
+	r.known, r.stored, r.rev = true, state, rev
 }
 
 // Written takes what was written with an answer. The new revision makes every write before it
 // fail.
-func (k *Reconciler) Written(state StoredState, rev cf.Revision) {
-	k.unconfirmedWrite = false
-	k.Loaded(state, rev)
+func (r *Reconciler) Written(state StoredState, rev cf.Revision) {
+	r.unconfirmedWrite = false
+	r.Loaded(state, rev)
 }
 
 // LoadedEmpty notes that nothing lies in the store yet.
-func (k *Reconciler) LoadedEmpty() { k.Loaded(StoredState{}, 0) }
+func (r *Reconciler) LoadedEmpty() { r.Loaded(StoredState{}, 0) }
 
 // WriteInDoubt notes that a write had no answer, or met another: what lies in the store is to
 // be read, and written once more: the write may take effect after the read.
-func (k *Reconciler) WriteInDoubt() { k.known, k.unconfirmedWrite = false, true }
+func (r *Reconciler) WriteInDoubt() { r.known, r.unconfirmedWrite = false, true }
 
 // OrderAccepted notes that the platform has taken an order. One of a holder before may take effect
 // after it until settled, so it is given once more then.
-func (k *Reconciler) OrderAccepted(o cf.EngineOrder, now cf.Millis) {
-	_, accepted := k.accepted[o.EnginePool]
-	if _, unconfirmed := k.unconfirmed[o.EnginePool]; !accepted && !unconfirmed && now < k.settledAt {
-		k.unconfirmed[o.EnginePool] = unconfirmedOrder{mixedCounts, k.settledAt}
+func (r *Reconciler) OrderAccepted(o cf.EngineOrder, now cf.Millis) {
+	_, accepted := r.accepted[o.EnginePool]
+	if _, unconfirmed := r.unconfirmed[o.EnginePool]; !accepted && !unconfirmed && now < r.settledAt {
+		r.unconfirmed[o.EnginePool] = unconfirmedOrder{mixedCounts, r.settledAt}
 	}
-	k.accepted[o.EnginePool] = o.Count
-	delete(k.retries, o.EnginePool)
-	if now >= k.unconfirmed[o.EnginePool].until {
-		delete(k.unconfirmed, o.EnginePool)
+	r.accepted[o.EnginePool] = o.Count
+	delete(r.retries, o.EnginePool)
+	if now >= r.unconfirmed[o.EnginePool].until {
+		delete(r.unconfirmed, o.EnginePool)
 	}
 }
 
 // OrderInDoubt notes that an order had no answer: it may have been taken, or may be yet.
-func (k *Reconciler) OrderInDoubt(o cf.EngineOrder, now cf.Millis) {
+func (r *Reconciler) OrderInDoubt(o cf.EngineOrder, now cf.Millis) {
 	d := unconfirmedOrder{o.Count, now + maxOrderDelay}
-	previous, unconfirmed := k.unconfirmed[o.EnginePool]
-	if now < k.settledAt || unconfirmed && previous.count != o.Count && now < previous.until {
+	previous, unconfirmed := r.unconfirmed[o.EnginePool]
+	if now < r.settledAt || unconfirmed && previous.count != o.Count && now < previous.until {
 		d.count = mixedCounts
 	}
-	k.unconfirmed[o.EnginePool] = d
-	delete(k.accepted, o.EnginePool)
-	k.OrderRejected(o, now)
+	r.unconfirmed[o.EnginePool] = d
+	delete(r.accepted, o.EnginePool)
+	r.OrderRejected(o, now)
 }
 
 // OrderRejected notes that an order was not taken: what was taken before holds. It is given again,
 // each time after a longer pause.
-func (k *Reconciler) OrderRejected(o cf.EngineOrder, now cf.Millis) {
-	length := min(max(2*k.retries[o.EnginePool].length, initialRetryPause), maxRetryPause)
-	k.retries[o.EnginePool] = retryPause{now + length, length}
+func (r *Reconciler) OrderRejected(o cf.EngineOrder, now cf.Millis) {
+	length := min(max(2*r.retries[o.EnginePool].length, initialRetryPause), maxRetryPause)
+	r.retries[o.EnginePool] = retryPause{now + length, length}
 }
 
 // RepeatOrder makes the order of a pool be given once more.
-func (k *Reconciler) RepeatOrder(p cf.EnginePool) { delete(k.accepted, p) }
+func (r *Reconciler) RepeatOrder(p cf.EnginePool) { delete(r.accepted, p) }
--- a/core/cfscale/plan.go
+++ b/core/cfscale/plan.go
@@ -241,10 +241,10 @@
 	}
 }
 
-// shortage returns how many engines there should be where open steps will come late with so
+// wantedTotal returns how many engines there should be where open steps will come late with so
 // many, by what recent ones have shown, or by the estimate before; zero where enough are there.
 // urgent says that steps can't be in time at all.
-func (p *plan) shortage(n need, observed bool, engines int) (want float64, urgent bool) {
+func (p *plan) wantedTotal(n need, observed bool, engines int) (want float64, urgent bool) {
 	worstStep, reserve := p.history.worstTimeShare(p.now), growMargin*float64(withDomainReserve(n.engines, len(p.domains)))
 	threshold := estimateGrowThreshold * n.engines
 	switch {
@@ -259,7 +259,7 @@
 	case p.successor:
 		threshold, want = n.minEngines, promptGrowMargin*n.engines // the holder before had ordered what it saw to be needed
 	default:
-		factor := p.unopenedFactor()
+		factor := p.allModelsFactor()
 		urgent = float64(engines) < severeShortage*n.engines*factor
 		threshold, want = max(threshold, severeShortage*n.engines*factor), reserve*factor
 	}
@@ -272,7 +272,7 @@
 // grow orders as many as are missing, at once, while one more earns more than it costs.
 func (p *plan) grow(n need, observed bool, rationale *Rationale) {
 	rationale.Desired = p.expectedTotal()
-	want, urgent := p.shortage(n, observed, rationale.Desired)
+	want, urgent := p.wantedTotal(n, observed, rationale.Desired)
 	cause := CauseSteps
 	if p.now < p.reclaimedUntil {
 		cause = CauseReclaim
@@ -296,10 +296,10 @@
 	rationale.Desired = p.expectedTotal()
 }
 
-// unopenedFactor is how many times as much the steps of all models need as those that are open:
+// allModelsFactor is how many times as much the steps of all models need as those that are open:
 // where engines are far too few from the start, all trainers begin at about one time, and an
 // engine that is ordered for the last of them is there a step later.
-func (p *plan) unopenedFactor() float64 {
+func (p *plan) allModelsFactor() float64 {
 	models := map[cf.ModelName]bool{}
 	for _, s := range p.demand.OpenSteps {
 		models[s.Model] = true
--- a/core/cfscale/replay_test.go
+++ b/core/cfscale/replay_test.go
@@ -29,10 +29,10 @@
 )
 
 type (
-	// simulation is a platform with engines and four trainers, each with a quarter of them. A
+	// sim is a platform with engines and four trainers, each with a quarter of them. A
 	// trainer hands in a step each
 	// 4 s, or when the one before has nine tenths of its groups whole.
-	simulation struct {
+	sim struct {
 		random       *rand.Rand
 		now          cf.Millis
 		decider      *cfscale.Decider
@@ -84,8 +84,8 @@
 	}
 )
 
-func newSimulation(engines int, lengthFactor float64, disabled bool) *simulation {
-	r := &simulation{
+func newSim(engines int, lengthFactor float64, disabled bool) *sim {
+	r := &sim{
 		random: rand.New(rand.NewPCG(3, 5)), disabled: disabled, lengthFactor: lengthFactor, wanted: map[cf.EnginePool]int{},
 		decider: cfscale.NewDecider(cfscale.Policy{
 			Service: "s", Min: 1, Max: 32, BootTime: simBootTime, SpotPrice: 0.18, DomainPrices: simPrices,
@@ -105,7 +105,7 @@
 }
 
 // runUntil goes on until a moment.
-func (r *simulation) runUntil(until cf.Millis) {
+func (r *sim) runUntil(until cf.Millis) {
 	for ; r.now < until; r.now += simTick {
 		r.submitSteps()
 		r.runEngines()
@@ -115,7 +115,7 @@
 	}
 }
 
-func (r *simulation) submitSteps() {
+func (r *sim) submitSteps() {
 	for i := range r.nextSubmit {
 		open := slices.ContainsFunc(r.steps, func(s *simStep) bool { return s.trainer == i && !s.done })
 		if open || r.now < r.nextSubmit[i] {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (r *simulation) runEngines() {
+func (r *sim) runEngines() {
 	for i, e := range r.engines {
 		if r.now < e.inServiceAt || e.leavesAt > 0 && r.now >= e.leavesAt {
 			for _, it := range e.items {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (r *simulation) demand() cfscale.Demand {
+func (r *sim) demand() cfscale.Demand {
 	d := cfscale.Demand{
 		Demand:  cfrollout.Demand{Service: "s", Models: 4, Slots: simSlots, Pace: 52, Reclaimed: map[cf.EnginePool]int{}},
 		Engines: map[cf.EnginePool]int{},
@@ -222,7 +222,7 @@
 	return d
 }
 
-func (r *simulation) decide() {
+func (r *sim) decide() {
 	before := 0
 	for _, n := range r.wanted {
 		before += n
@@ -250,7 +250,7 @@
 }
 
 // reclaim takes a failure domain's reclaimable engines back.
-func (r *simulation) reclaim(d cf.FailureDomain) {
+func (r *sim) reclaim(d cf.FailureDomain) {
 	for _, e := range r.engines {
 		if e.pool.Spot && e.pool.Domain == d && e.leavesAt == 0 {
 			e.leavesAt, e.reclaimed = r.now+2000, true
@@ -258,16 +258,14 @@
 	}
 }
 
-func (r *simulation) servedShare() float64 {
-	return float64(r.groupsInTime) / float64(max(r.targetGroups, 1))
-}
+func (r *sim) servedShare() float64 { return float64(r.groupsInTime) / float64(max(r.targetGroups, 1)) }
 
 // Symptom: with too few engines almost no group is whole in time, for the whole day.
 func TestTooFewEnginesGrow(t *testing.T) {
 	for _, engines := range []int{5, 8} {
-		disabled, enabled := newSimulation(engines, 1, true), newSimulation(engines, 1, false)
-		ample := newSimulation(30, 1, true)
-		for _, r := range []*simulation{disabled, enabled, ample} {
+		disabled, enabled := newSim(engines, 1, true), newSim(engines, 1, false)
+		ample := newSim(30, 1, true)
+		for _, r := range []*sim{disabled, enabled, ample} {
 			r.runUntil(80_000)
 		}
 		t.Logf("%d a domain: %d groups whole, switched off %d, with ample engines %d; %d engines, orders %v, spent %.1f against %.1f",
@@ -281,7 +279,7 @@
 // Symptom: a quiet day is paid for engines that no step needs, or steps come late because
 // they went.
 func TestTooManyEnginesShrink(t *testing.T) {
-	disabled, enabled := newSimulation(30, 0.8, true), newSimulation(30, 0.8, false)
+	disabled, enabled := newSim(30, 0.8, true), newSim(30, 0.8, false)
 	disabled.runUntil(300_000)
 	enabled.runUntil(300_000)
 	t.Logf("served %.3f, switched off %.3f; %d engines, spent %.1f against %.1f", enabled.servedShare(), disabled.servedShare(), len(enabled.engines), enabled.cost, disabled.cost)
@@ -296,7 +294,7 @@
 // Symptom: engines are ordered and given back in turn, as steps come and end.
 func TestPeriodicStepsDoNotOscillate(t *testing.T) {
 	for _, engines := range []int{5, 12, 16} {
-		r := newSimulation(engines, 1, false)
+		r := newSim(engines, 1, false)
 		r.runUntil(300_000)
 		t.Logf("%d a domain: served %.3f, %d engines: %v", engines, r.servedShare(), len(r.engines), r.totals)
 		if r.servedShare() < 0.97 {
@@ -318,8 +316,8 @@
 // Symptom: a failure domain's reclaimable engines are taken back in the middle of a step,
 // and the steps after it come late.
 func TestReclaimedEnginesAreReplaced(t *testing.T) {
-	disabled, enabled := newSimulation(3, 1, false), newSimulation(3, 1, false)
-	for _, r := range []*simulation{disabled, enabled} {
+	disabled, enabled := newSim(3, 1, false), newSim(3, 1, false)
+	for _, r := range []*sim{disabled, enabled} {
 		r.runUntil(41_500)
 		r.targetGroups, r.groupsInTime = 0, 0
 		r.reclaim("a")
--- a/core/cfscale/stephistory.go
+++ b/core/cfscale/stephistory.go
@@ -52,9 +52,9 @@
 )
 
 // update takes the open steps of a look; one that is not among them any more has ended.
-func (c *stepHistory) update(now cf.Millis, steps []OpenStep, engines int) {
-	before := c.open
-	c.open = map[cf.BatchID]*trackedStep{}
+func (h *stepHistory) update(now cf.Millis, steps []OpenStep, engines int) {
+	before := h.open
+	h.open = map[cf.BatchID]*trackedStep{}
 	for _, s := range steps {
 		if s.Due <= 0 {
 			continue
@@ -68,12 +68,12 @@
 		if o.hasWaiting {
 			o.waitedUntil, o.hasWaiting = s.Age, s.Waiting > 0
 		}
-		c.open[s.Batch] = o
+		h.open[s.Batch] = o
 	}
 	for _, o := range before {
-		c.ended = append(c.ended, o.end(now))
+		h.ended = append(h.ended, o.end(now))
 	}
-	c.ended = slices.DeleteFunc(c.ended, func(e endedStep) bool { return now-e.endedAt > needWindow })
+	h.ended = slices.DeleteFunc(h.ended, func(e endedStep) bool { return now-e.endedAt > needWindow })
 }
 
 // end returns how a step has gone that ended since the look before.
@@ -88,14 +88,14 @@
 
 // worstTimeShare returns the longest that a recent step took, or an open one has taken, as a part of
 // the time in which it was due.
-func (c *stepHistory) worstTimeShare(now cf.Millis) float64 {
+func (h *stepHistory) worstTimeShare(now cf.Millis) float64 {
 	worst := 0.0
-	for _, e := range c.ended {
+	for _, e := range h.ended {
 		if now-e.endedAt <= recentStepWindow {
 			worst = max(worst, e.timeShare)
 		}
 	}
-	for _, o := range c.open {
+	for _, o := range h.open {
 		worst = max(worst, float64(o.age)/float64(o.due))
 	}
 	return worst
@@ -103,14 +103,14 @@
 
 // enginesForPrompt returns how many engines recent steps needed to end promptly, open ones with them,
 // false if too few have ended to show it.
-func (c *stepHistory) enginesForPrompt(now cf.Millis) (float64, bool) {
+func (h *stepHistory) enginesForPrompt(now cf.Millis) (float64, bool) {
 	needed, steps := 0.0, 0
-	for _, e := range c.ended {
+	for _, e := range h.ended {
 		if now-e.endedAt <= recentStepWindow {
 			needed, steps = max(needed, e.enginesPrompt), steps+1
 		}
 	}
-	for _, o := range c.open {
+	for _, o := range h.open {
 		if o.hasWaiting {
 			needed = max(needed, float64(o.engines)*float64(o.age)/(maxWaitShare*float64(o.due)))
 		}
@@ -120,10 +120,10 @@
 
 // enginesForInTime returns how many engines the steps that are remembered needed to end in time, false
 // if too few have ended to show it.
-func (c *stepHistory) enginesForInTime() (float64, bool) {
+func (h *stepHistory) enginesForInTime() (float64, bool) {
 	needed := 0.0
-	for _, e := range c.ended {
+	for _, e := range h.ended {
 		needed = max(needed, e.enginesInTime)
 	}
-	return needed, len(c.ended) >= minStepsObserved
+	return needed, len(h.ended) >= minStepsObserved
 }
