--- a/core/cfscale/cfscale.go
+++ b/core/cfscale/cfscale.go
@@ -1,20 +1,24 @@
-// Package cfscale decides how many engines of each kind each failure domain should have.
+// Package cfscale decides how many inference engines of each kind each failure domain should have.
 //
-// The load it answers: four trainers hand in a step every 4 s each, whose groups count only
-// if they are whole within some 8 s, before engines that may be too few for a whole day. An
-// engine is in service 4 s after its order and costs a thousandth of what a step earns, so
-// one that is missing costs far more than one that idles: engines are ordered as soon as the
-// open steps need them, and given back slowly. Reclaimable engines cost a fifth of firm
-// ones, and a failure domain of them may be taken back at once.
+// It is designed for this load: each of four trainers submits a training step every 4 s, and the
+// groups of a step count only if they are complete within about 8 s. The engines may be too few for
+// a whole day. An engine is in service 4 s after it is ordered, and costs a thousandth of what a
+// step earns, so a missing engine costs far more than an idle one. Engines are therefore ordered as
+// soon as the open steps need them, and released slowly. Reclaimable (spot) engines cost a fifth of
+// the others, which are called firm, but the platform may reclaim all those of a failure domain at
+// once.
 //
-// Decider says what is wanted, Keeper when it is written and ordered, so that a successor
-// finds it. Neither has a clock or connections.
+// One instance at a time holds the lease of this duty. Decider computes how many engines are
+// wanted. Reconciler decides when that is written to the store and when it is ordered from the
+// platform, so that the next holder of the lease finds it. Neither has a clock or makes calls.
 //
 // Usage:
 //
-//	d := cfscale.NewDecider(terms)
-//	wanted := d.Look(now, demand, keeper.Kept())
-//	step := keeper.Next(now, wanted)
+//	d := cfscale.NewDecider(policy, now, successor)
+//	stored, _ := reconciler.Stored()
+//	orders, rationale := d.Decide(now, demand, stored)
+//	wanted := cfscale.StoredState{Orders: orders, Preexisting: d.Preexisting()}
+//	action := reconciler.Next(now, wanted, mayOrder)
 package cfscale
 
 import (
@@ -25,140 +29,155 @@
 )
 
 const (
-	// needWindow is for how long a need counts, ten steps of a trainer: engines are not
-	// given back below it. With half as long a replay gave some back that were ordered again
-	// three steps later.
+	// needWindow is how long a need is remembered, ten steps of a trainer: engines that it required
+	// are not released. With half of this time, a simulation released engines that were ordered
+	// again three steps later.
 	needWindow cf.Millis = 40_000
-	// growToShrinkDelay is the time from an order of more engines to the first that gives some
-	// back: ten steps of a trainer.
+	// growToShrinkDelay is the shortest time between an order for more engines and the first one
+	// that releases some: ten steps of a trainer.
 	growToShrinkDelay cf.Millis = 40_000
-	// shrinkInterval is the time between two orders that give engines back, shrinkMost how
-	// many of a failure domain go by one of them: the platform chooses which go, and runs
-	// there begin anew elsewhere.
+	// shrinkInterval is the shortest time between two orders that release engines, and
+	// maxShrinkPerDomain is how many of a failure domain one such order may release. Both are
+	// limited because the platform chooses which engines leave, and the items that run there start
+	// again elsewhere.
 	shrinkInterval     cf.Millis = 10_000
 	maxShrinkPerDomain int       = 2
-	// shrinkMargin is by how much what is there must exceed what was needed, beside the reserve
-	// for a failure domain: a group that is late costs what an engine does in minutes.
+	// shrinkMargin is the factor by which the remaining engines must exceed the need, in addition
+	// to the reserve for the loss of a failure domain: a late group costs as much as an engine does
+	// in minutes.
 	shrinkMargin = 1.2
-	// estimateGrowThreshold is the part of the need below which engines are ordered before steps have
-	// shown how many they need: the estimate is of the unlucky case.
+	// estimateGrowThreshold is the fraction of the estimated need below which engines are ordered
+	// while too few steps have ended to show the real need. It is below 1 because the estimate
+	// assumes an unfavourable order of the items.
 	estimateGrowThreshold = 0.8
-	// severeShortage is the part of the need of all models below which engines are ordered by the
-	// first look that shows it.
+	// severeShortage is the fraction of the need of all models below which engines are ordered by
+	// the first decision that finds it, without a second one to confirm it.
 	severeShortage = 0.5
-	// growMargin is by how much more is ordered than is missing: the need swings with each
-	// step, and each order is a call to the store and some to the API.
+	// growMargin is the factor by which an order exceeds the need. The need varies with each step,
+	// and each order takes one call to the store and several to the platform's API.
 	growMargin = 1.1
-	// promptGrowMargin is the same where steps are in time and few are missing: half of the reserve
-	// for one of three failure domains.
+	// promptGrowMargin replaces growMargin if steps end in time and few engines are missing. It is
+	// half of the reserve for the loss of one of three failure domains.
 	promptGrowMargin = 1.25
-	// lateGrowThreshold is how far what is there may fall short, where steps are late, before more
-	// is ordered: the need swings with each step.
+	// lateGrowThreshold is the fraction of the need, with its reserve, below which engines are
+	// ordered while steps are late. It is below 1 because the need varies with each step.
 	lateGrowThreshold = 0.92
-	// bootFactor and bootSlack are how long an ordered engine counts as coming.
+	// bootFactor and bootSlack determine how long an ordered engine is counted as booting:
+	// bootFactor times the boot time, plus bootSlack.
 	bootFactor           = 2
 	bootSlack  cf.Millis = 2000
-	// unavailableCooldown is how long a pool that had none is left out, and a failure domain's
-	// reclaimable engines after it was reclaimed.
+	// unavailableCooldown is how long nothing is ordered from a pool for which the platform had no
+	// engine, or whose engines it reclaimed. For the same time after a reclaim, firm engines are
+	// preferred to reclaimable ones.
 	unavailableCooldown cf.Millis = 20_000
-	// discoveryTime is how long after the first engine was seen all that were there before
-	// are in the list: one is listed by its heartbeat of 1.2 s, and seen 0.8 s later.
-	// noneWithin is how long after the duty's begin none is there if none was seen.
+	// discoveryTime is how long after the first engine was seen the list contains all engines that
+	// existed before the first order: an engine is listed with its heartbeat, every 1.2 s, and seen
+	// 0.8 s later. noEnginesAfter is the time since the start of the duty after which no such
+	// engine is expected if none was seen.
 	discoveryTime  cf.Millis = 4_000
 	noEnginesAfter cf.Millis = 15_000
-	// countInService stands for as many of a pool as are in service.
+	// countInService is a count that stands for the number of engines of the pool that are in
+	// service.
 	countInService = -1
-	// maxReorderPause is the longest pause between repeats of an order whose engines are
-	// missing.
+	// maxReorderPause is the longest pause between repeats of an order whose engines are missing.
 	maxReorderPause cf.Millis = 60_000
 )
 
-// Causes of changes.
+// Causes of a change of orders.
 const (
-	// CauseMinimum: the configuration asks for more.
+	// CauseMinimum means that the configuration requires more engines.
 	CauseMinimum Cause = "minimum"
-	// CauseMaximum: the configuration allows fewer.
+	// CauseMaximum means that the configuration allows fewer engines.
 	CauseMaximum Cause = "maximum"
-	// CauseSteps: open steps need more to be whole in time.
+	// CauseSteps means that open steps need more engines to be complete in time.
 	CauseSteps Cause = "steps"
-	// CauseReclaim: reclaimable engines leave, and steps need others.
+	// CauseReclaim means that reclaimable engines are leaving and that steps need others.
 	CauseReclaim Cause = "reclaim"
-	// CauseUnavailable: the platform had none of a pool.
+	// CauseUnavailable means that the platform had no engine for a pool.
 	CauseUnavailable Cause = "none_available"
-	// CauseSurplus: steps did not need all for a while.
+	// CauseSurplus means that for some time the steps did not need all engines.
 	CauseSurplus Cause = "surplus"
-	// CauseInherited: a holder before wanted it.
+	// CauseInherited means that a previous holder of the lease wanted the engines.
 	CauseInherited Cause = "kept"
 )
 
 type (
-	// Policy bound what may be ordered of a service, and say what it costs.
+	// Policy limits what may be ordered for a service, and holds the prices.
 	Policy struct {
 		Service cf.ServiceName
-		// Min and Max bound the engines of each failure domain, of both kinds together.
+		// Min and Max limit the engines of each failure domain, firm and reclaimable together.
 		Min, Max int
 		BootTime cf.Millis
-		// SpotPrice is the price of a reclaimable engine as a part of a firm one's, zero
-		// where there are none; DomainPrices multiply both.
+		// SpotPrice is the price of a reclaimable engine as a fraction of the price of a firm one,
+		// or zero if there are no reclaimable engines. DomainPrices are factors on the price of
+		// both kinds.
 		SpotPrice    float64
 		DomainPrices map[cf.FailureDomain]float64
-		// EnginePrice is that of a firm engine for a second, GroupValue what a group
-		// earns that is whole in time.
+		// EnginePrice is the price of a firm engine per second. GroupValue is what a group earns
+		// that is complete in time.
 		EnginePrice, GroupValue float64
 	}
 
-	// Cause is why orders changed.
+	// Cause is the reason for a change of orders.
 	Cause string
 
-	// Rationale says what decided a look, for the log.
+	// Rationale explains a decision, for the log.
 	Rationale struct {
 		// Cause is empty if nothing changed.
 		Cause Cause
-		// Need is how many engines the open steps need, Recent the most of the last
-		// while, Target how many there should be.
+		// Need is how many engines the open steps need, and RecentNeed is the largest need within
+		// needWindow.
 		Need, RecentNeed float64
-		// ObservedNeed is how many they needed as recent steps have shown, zero where too few
-		// have ended.
+		// ObservedNeed is the need that recently ended steps have shown, or zero if too few have
+		// ended.
 		ObservedNeed float64
-		// WorstStep is the longest that a recent step took, as a part of its time.
+		// WorstStep is the longest duration of a recent step, as a fraction of the time that it
+		// had.
 		WorstStep float64
 		Desired   int
-		// Serving and Booting are those that are there and that were ordered.
+		// Serving counts the engines in service, and Booting those that were ordered and are not in
+		// service yet.
 		Serving, Booting int
-		// MarginalValue and Costs are what one more engine earns and costs in a second.
+		// MarginalValue and MarginalCost are what one more engine earns and costs per second.
 		MarginalValue, MarginalCost float64
 	}
 
 	// Decider decides for one service. It is not safe for concurrent use.
 	Decider struct {
 		policy Policy
-		// successor: a holder before has seen how steps go, and ordered what they needed.
+		// successor says that a previous holder of the lease has observed steps and ordered what
+		// they needed.
 		successor   bool
 		recentNeeds []needSample
 		history     stepHistory
-		// lastNeed is the need at the look before.
+		// lastNeed is the need found by the previous decision.
 		lastNeed need
-		// preexisting is the most engines seen of each pool: nobody here ordered them.
+		// preexisting is, for each pool, the largest number of engines seen. It is used for pools
+		// for which nothing was ordered.
 		preexisting map[cf.EnginePool]int
-		// preexistingLoaded: what a holder before has found is among them.
+		// preexistingLoaded says that preexisting includes the counts that a previous holder
+		// stored.
 		preexistingLoaded bool
-		// raisedAt is when a pool's order was last raised or begun to be followed.
+		// raisedAt is when the order for a pool was last raised or sent, or was first seen by this
+		// decider.
 		raisedAt map[cf.EnginePool]cf.Millis
-		// refusedUntil and reclaimed are until when a pool is left out.
+		// refusedUntil and reclaimedUntil are the ends of the cooldowns of a pool that had no
+		// engines and after engines were reclaimed.
 		refusedUntil   map[cf.EnginePool]cf.Millis
 		reclaimedUntil cf.Millis
-		// beforeRaise is what was wanted of a pool before it was last raised, lower what is
-		// wanted of one that refused that.
+		// beforeRaise is the count wanted of a pool before it was last raised. lowerTo is the count
+		// to return to in a pool for which the platform had no engine.
 		beforeRaise, lowerTo map[cf.EnginePool]int
-		// reorders are the orders whose engines are missing.
+		// reorders holds the pauses between repeated orders for pools whose engines are missing.
 		reorders map[cf.EnginePool]reorderPause
-		// needUnknownAt is when the need of open steps was last not known.
+		// needUnknownAt is when the need of some open step was last unknown.
 		needUnknownAt cf.Millis
 		startedAt     cf.Millis
-		// firstListedAt is when the first engine was seen, zero if none was.
-		firstListedAt cf.Millis
-		grownAt       cf.Millis
-		shrunkAt      cf.Millis
+		// discovered is when the first engine was seen, or zero if none was. See also
+		// plan.discovered.
+		discovered cf.Millis
+		grownAt    cf.Millis
+		shrunkAt   cf.Millis
 	}
 
 	reorderPause struct{ next, pause cf.Millis }
@@ -169,8 +188,8 @@
 	}
 )
 
-// NewDecider returns the decider of a duty that begins at now; follows says that another had
-// it before.
+// NewDecider returns the decider of a duty that starts at now. successor says that another instance
+// held the duty before.
 func NewDecider(policy Policy, now cf.Millis, successor bool) *Decider {
 	return &Decider{
 		policy: policy, successor: successor, preexisting: map[cf.EnginePool]int{}, raisedAt: map[cf.EnginePool]cf.Millis{}, refusedUntil: map[cf.EnginePool]cf.Millis{},
@@ -179,11 +198,11 @@
 	}
 }
 
-// SetPolicy takes what the configuration now in force says.
+// SetPolicy replaces the policy, after a change of the configuration.
 func (d *Decider) SetPolicy(policy Policy) { d.policy = policy }
 
-// PoolsToReorder returns the pools whose order is to be repeated: engines that were ordered have not
-// come, or were reclaimed a while ago.
+// PoolsToReorder returns the pools whose order has to be repeated, because engines that were
+// ordered have not arrived or were reclaimed some time ago.
 func (d *Decider) PoolsToReorder(now cf.Millis, demand Demand, stored StoredState) []cf.EnginePool {
 	var out []cf.EnginePool
 	for _, o := range stored.Orders {
@@ -208,28 +227,29 @@
 	return out
 }
 
-// bootTimeout is how long an ordered engine counts as coming.
+// bootTimeout returns how long an ordered engine is counted as booting.
 func (d *Decider) bootTimeout() cf.Millis { return bootFactor*d.policy.BootTime + bootSlack }
 
-// OrderSent notes that an order for a pool was given: its engines come from now on, whether it
-// was answered or not.
+// OrderSent records that an order for a pool was sent. Its engines are expected from now on, even
+// if the order was not answered.
 func (d *Decider) OrderSent(p cf.EnginePool, now cf.Millis) {
 	if d.reorders[p].pause == 0 {
 		d.raisedAt[p] = now
 	}
 }
 
-// Refused notes that the platform had none of a pool.
+// Refused records that the platform had no engine for a pool.
 func (d *Decider) Refused(p cf.EnginePool, now cf.Millis) {
 	d.refusedUntil[p] = now + unavailableCooldown
 	if n, raised := d.beforeRaise[p]; raised {
 		d.lowerTo[p] = n
 	} else if p.Spot {
-		d.lowerTo[p] = countInService // a holder before has raised it
+		d.lowerTo[p] = countInService // a previous holder raised the order
 	}
 }
 
-// Decide returns what should have been ordered of the service's pools, given what was.
+// Decide returns the orders that should be in force for the service's pools, given those that are
+// stored.
 func (d *Decider) Decide(now cf.Millis, demand Demand, stored StoredState) ([]cf.EngineOrder, Rationale) {
 	p := &plan{Decider: d, now: now, demand: demand, stored: map[cf.EnginePool]int{}, wanted: map[cf.EnginePool]int{}}
 	for _, o := range stored.Preexisting {
@@ -247,11 +267,11 @@
 			d.raisedAt[o.EnginePool] = now
 		}
 		if demand.Engines[o.EnginePool] >= o.Count {
-			delete(d.beforeRaise, o.EnginePool) // all have come: a later refusal is not of the raise
+			delete(d.beforeRaise, o.EnginePool) // all engines have arrived, so a later refusal does not concern the raise
 		}
 	}
-	if len(demand.Engines) > 0 && d.firstListedAt == 0 {
-		d.firstListedAt = max(now, 1)
+	if len(demand.Engines) > 0 && d.discovered == 0 {
+		d.discovered = max(now, 1)
 	}
 	for pool, n := range demand.Engines {
 		d.preexisting[pool] = max(d.preexisting[pool], n)
@@ -284,7 +304,7 @@
 	return p.recordOrders(), rationale
 }
 
-// confirmedNeed is the need that two looks agree on.
+// confirmedNeed returns the smaller of the current need and that of the previous decision.
 func (d *Decider) confirmedNeed(n need) need {
 	if d.lastNeed.engines < n.engines {
 		return d.lastNeed
@@ -292,7 +312,7 @@
 	return n
 }
 
-// recordNeed remembers a need and returns the most of the last while.
+// recordNeed stores a need and returns the largest values of those within needWindow.
 func (d *Decider) recordNeed(now cf.Millis, n need) need {
 	d.recentNeeds = slices.DeleteFunc(d.recentNeeds, func(p needSample) bool { return now-p.at > needWindow })
 	d.recentNeeds = append(d.recentNeeds, needSample{now, n})
@@ -303,7 +323,7 @@
 	return most
 }
 
-// Preexisting returns the engines that were there before any were ordered.
+// Preexisting returns the largest number of engines seen in each pool, ordered or not.
 func (d *Decider) Preexisting() []cf.EngineOrder {
 	out := make([]cf.EngineOrder, 0, len(d.preexisting))
 	for pool, n := range d.preexisting {
--- a/core/cfscale/explore_test.go
+++ b/core/cfscale/explore_test.go
@@ -14,35 +14,35 @@
 	maxFaults  = 3
 	maxChanges = 3
 	maxDepth   = 20
-	// clockTick is longer than an order without an answer may take effect.
+	// clockTick is longer than the time in which an unanswered order may take effect.
 	clockTick = maxOrderDelay + maxRetryPause
 )
 
-// injectedFault is a fault of the protocol that the exploration must find.
+// injectedFault is a fault in the protocol that the exploration must detect.
 type injectedFault int
 
 const (
 	noFault                 injectedFault = iota
-	assumeWritten                         // a holder takes a write without an answer for one that took effect
-	assumeOrdered                         // a successor takes what it reads for ordered
+	assumeWritten                         // the holder assumes that an unanswered write took effect
+	assumeOrdered                         // a successor assumes that the orders it reads were sent
 	skipTermWrite                         // a successor does not write its term
-	forgetUnconfirmedOrder                // an order that had no answer is forgotten once another is taken
-	ignorePredecessorOrders               // a successor does not expect a late order of the holder before
-	forgetUnconfirmedWrite                // a write that had no answer is forgotten once the store is read
+	forgetUnconfirmedOrder                // an unanswered order is forgotten once another is accepted
+	ignorePredecessorOrders               // a successor does not expect a late order of the previous holder
+	forgetUnconfirmedWrite                // an unanswered write is forgotten once the store is read
 )
 
 type (
-	// model is a store, the platform, and the holder of the lease. A holder before gives no
-	// orders any more, but a write or an order of its may take effect yet.
+	// model is a state of the store, the platform and the holder of the lease. A previous holder
+	// sends no more orders, but a write or an order that it sent may still take effect.
 	model struct {
 		rev           cf.Revision
 		stored        *StoredState
-		everStored    map[int]bool // counts that were kept
+		everStored    map[int]bool // counts that were stored at some time
 		lateWrites    []lateWrite
-		lateOrders    []int // orders under way without an answer
-		platformCount int   // what the platform was last told, -1 for nothing
+		lateOrders    []int // unanswered orders that may still take effect
+		platformCount int   // count of the last order that the platform received, -1 if none
 		rec           Reconciler
-		wantedCount   int // zero for nothing
+		wantedCount   int // zero if nothing is wanted
 		now           cf.Millis
 		faults        int
 		changes       int
@@ -71,7 +71,7 @@
 	return out
 }
 
-// write takes effect if its condition holds.
+// write applies a write if its condition holds.
 func (s *model) write(l lateWrite) bool {
 	if l.rev != s.rev {
 		return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-var errNotStored = errors.New("an order was given that was never kept")
+var errNotStored = errors.New("an order was sent that was never stored")
 
 func (s *model) order(count int) error {
 	s.platformCount = count
@@ -105,7 +105,7 @@
 	return c.rec.Next(s.now, s.wanted(), func(cf.ServiceName) bool { return true })
 }
 
-// checkSettled checks a world in which nothing is under way and nothing is due.
+// checkSettled checks a state in which nothing is in progress and nothing is due.
 func (s *model) checkSettled() error {
 	if len(s.lateWrites)+len(s.lateOrders) > 0 || s.stored == nil || s.action().Kind != ActionWait {
 		return nil
@@ -115,12 +115,12 @@
 	}
 	count := s.stored.Orders[0].Count
 	if len(s.rec.stored.Orders) > 0 && s.platformCount != count {
-		return fmt.Errorf("%d are kept, the platform was told %d", count, s.platformCount)
+		return fmt.Errorf("stored count is %d, the platform received %d", count, s.platformCount)
 	}
 	return nil
 }
 
-// successors returns what may come next of a world.
+// successors returns the states that may follow.
 func (s *model) successors(fault injectedFault) (out []*model, err error) {
 	add := func(f func(n *model) error) {
 		n := s.clone()
@@ -159,7 +159,8 @@
 	if len(s.lateOrders) == 0 {
 		add(func(n *model) error { n.now += clockTick; return nil })
 	}
-	// The holder is lost and another takes over. An order of the one before may be under way.
+	// The holder is lost and another instance takes over. An order of the previous holder may be in
+	// progress.
 	faulty(func(n *model) error {
 		if len(n.lateOrders) == 0 {
 			n.now += clockTick
@@ -203,9 +204,9 @@
 			}
 			return nil
 		})
-		faulty(func(n *model) error { n.write(l); inDoubt(n); return nil })                             // its answer is lost
-		faulty(func(n *model) error { n.lateWrites = append(n.lateWrites, l); inDoubt(n); return nil }) // it takes effect later
-		faulty(func(n *model) error { inDoubt(n); return nil })                                         // it is lost
+		faulty(func(n *model) error { n.write(l); inDoubt(n); return nil })                             // the answer is lost
+		faulty(func(n *model) error { n.lateWrites = append(n.lateWrites, l); inDoubt(n); return nil }) // the write takes effect later
+		faulty(func(n *model) error { inDoubt(n); return nil })                                         // the write is lost
 	case ActionOrder:
 		inDoubt := func(n *model) {
 			n.rec.OrderInDoubt(action.Order, n.now)
@@ -254,25 +255,25 @@
 	return len(seen), atRest, nil
 }
 
-// Symptom: the platform has another number of engines than what is kept, or was told a number
-// that nobody kept, and a successor can't know.
-// Sequence: every order of reading, keeping, ordering, changing what is wanted, losing the
-// lease and taking it over, with writes and orders that are lost, answered in vain or take
-// effect late, three faults in all.
+// Guards against a platform that has a different number of engines than is stored, or that received
+// a number which was never stored, so that a successor can't know it. The exploration covers every
+// sequence of reading, writing, ordering, changing the wanted count, losing the lease and taking it
+// over, with up to three faults: writes and orders that are lost, whose answer is lost, or that
+// take effect late.
 func TestPlatformCountMatchesStore(t *testing.T) {
 	states, atRest, err := explore(noFault)
 	if err != nil {
 		t.Error(err)
 	}
 	if atRest == 0 {
-		t.Error("no run came to rest")
+		t.Error("no state was reached in which nothing is due")
 	}
-	t.Logf("%d states, %d at rest", states, atRest)
+	t.Logf("%d states, nothing due in %d of them", states, atRest)
 	for name, fault := range map[string]injectedFault{"believes": assumeWritten, "trusts": assumeOrdered, "unclaimed": skipTermWrite, "unconfirmed": forgetUnconfirmedOrder, "unsettled": forgetUnconfirmedWrite, "succeeds": ignorePredecessorOrders} {
 		if states, _, err := explore(fault); err == nil {
-			t.Errorf("%s: not found in %d states", name, states)
+			t.Errorf("fault %s: not detected in %d states", name, states)
 		} else {
-			t.Logf("%s: %v, after %d states", name, err, states)
+			t.Logf("fault %s: %v, after %d states", name, err, states)
 		}
 	}
 }
--- a/core/cfscale/keeper.go
+++ b/core/cfscale/keeper.go
@@ -7,36 +7,38 @@
 	cf "currantford"
 )
 
-// Steps of a keeper.
+// Kinds of actions.
 const (
-	// ActionWait: nothing is due.
+	// ActionWait means that nothing is due.
 	ActionWait ActionKind = iota
-	// ActionRead what lies in the store.
+	// ActionRead reads the state from the store.
 	ActionRead
-	// ActionWrite writes Step.Kept on condition of Step.Rev, or creates it where that is zero.
+	// ActionWrite writes Action.State to the store if it is still at revision Action.Rev, or
+	// creates it if that is zero.
 	ActionWrite
-	// ActionOrder gives Step.Order.
+	// ActionOrder sends Action.Order to the platform.
 	ActionOrder
 )
 
 const (
-	// initialRetryPause is the pause after an order that had no answer or was refused; each
-	// further one doubles it, up to retryMost.
+	// initialRetryPause is the pause after an order that was not answered or was refused. Each
+	// further failure doubles it, up to maxRetryPause.
 	initialRetryPause cf.Millis = 500
 	maxRetryPause     cf.Millis = 8_000
-	// maxOrderDelay is how long after it was given an order without an answer may take effect: an
-	// API that is slow for seconds may carry it out after the next.
+	// maxOrderDelay is how long after it was sent an unanswered order may still take effect. If the
+	// platform's API is slow for seconds, it may carry the order out after a later one.
 	maxOrderDelay cf.Millis = 6_000
 )
 
-// mixedCounts is the count of no order.
+// mixedCounts is used where unconfirmed orders have different or unknown counts. It equals the
+// count of no order.
 const mixedCounts = -1
 
 type (
-	// ActionKind is what a keeper does next.
+	// ActionKind is the kind of an action.
 	ActionKind int
 
-	// Action is a keeper's next step.
+	// Action is what the caller of a reconciler has to do next.
 	Action struct {
 		Kind  ActionKind
 		State StoredState
@@ -44,41 +46,42 @@
 		Order cf.EngineOrder
 	}
 
-	// StoredState is what lies in the store: what is wanted of each pool for which something was
-	// ever ordered, and of the others how many engines were found.
+	// StoredState is the state in the store: the number of engines wanted of each pool for which
+	// something was ever ordered, and the number of engines that were found in each pool.
 	StoredState struct {
-		// Term is that of the holder that wrote it.
+		// Term is the term of the lease holder that wrote the state.
 		Term        cf.Revision      `json:"term"`
 		Orders      []cf.EngineOrder `json:"orders"`
 		Preexisting []cf.EngineOrder `json:"found,omitempty"`
 	}
 
-	// Reconciler decides what a holder writes and orders. An order is given only as it was
-	// read from the store, or written there with an answer, and each holder gives all of
-	// them once: one that the holder before had kept may not have been given. Its first
-	// write sets its term, so that none of a holder before takes effect after it. It is not
-	// safe for concurrent use.
+	// Reconciler decides what the holder of the duty's lease writes to the store and orders from
+	// the platform. It orders only what it has read from the store, or has written there with an
+	// answer. Each holder sends every order once, since one that a previous holder stored may not
+	// have been sent. Its first write sets its term, so that no write of a previous holder takes
+	// effect afterwards. It is not safe for concurrent use.
 	Reconciler struct {
 		term cf.Revision
-		// settledAt is from when on no order of a holder before may take effect: the handover
-		// is shorter than lateMost.
+		// settledAt is the time from which no order of a previous holder can take effect any more.
+		// It is needed because a handover is shorter than maxOrderDelay.
 		settledAt cf.Millis
-		// known says that kept, at rev, is what lies in the store.
+		// known says that the store contains the state in stored, at revision rev.
 		known  bool
 		stored StoredState
 		rev    cf.Revision
-		// unconfirmedWrite: a write without an answer may take effect yet, until another has one.
+		// unconfirmedWrite says that an unanswered write may still take effect, until a later write
+		// has an answer.
 		unconfirmedWrite bool
-		// accepted are the counts that the platform has taken from this holder.
+		// accepted holds the counts that the platform has accepted from this holder.
 		accepted map[cf.EnginePool]int
 		retries  map[cf.EnginePool]retryPause
-		// unconfirmed are orders that may take effect yet, and until when: the last without an
-		// answer, and those of a holder before.
+		// unconfirmed holds the orders that may still take effect: the last unanswered one, and
+		// those of previous holders.
 		unconfirmed map[cf.EnginePool]unconfirmedOrder
 	}
 
 	unconfirmedOrder struct {
-		// count is that of the orders, severalCounts where they differ or are not known.
+		// count is the count of the orders, or mixedCounts if they differ or are not known.
 		count int
 		until cf.Millis
 	}
@@ -88,16 +91,16 @@
 	}
 )
 
-// NewReconciler returns the keeper of a duty that begins at now under a term.
+// NewReconciler returns the reconciler of a duty that starts at now under the given term.
 func NewReconciler(term cf.Revision, now cf.Millis) *Reconciler {
 	return &Reconciler{term: term, settledAt: now + maxOrderDelay, accepted: map[cf.EnginePool]int{}, retries: map[cf.EnginePool]retryPause{}, unconfirmed: map[cf.EnginePool]unconfirmedOrder{}}
 }
 
-// Stored returns what lies in the store, false while that is not known.
+// Stored returns the state in the store, and false if it is not known.
 func (r *Reconciler) Stored() (StoredState, bool) { return r.stored, r.known }
 
-// Next returns what is to be done, given what is wanted; may says for which services
-// orders may be given.
+// Next returns what to do next, given the wanted state. mayOrder reports whether orders may be sent
+// for a service.
 func (r *Reconciler) Next(now cf.Millis, wanted StoredState, mayOrder func(cf.ServiceName) bool) Action {
 	if !r.known {
 		return Action{Kind: ActionRead}
@@ -114,8 +117,8 @@
 	return Action{Kind: ActionWait}
 }
 
-// due says whether an order is to be given: the platform has not taken it from this holder,
-// or one without an answer may have taken effect after it.
+// due reports whether an order has to be sent: the platform has not accepted it from this holder,
+// or an unanswered order with another count may have taken effect after it.
 func (r *Reconciler) due(o cf.EngineOrder, now cf.Millis) bool {
 	if now < r.retries[o.EnginePool].until {
 		return false
@@ -127,7 +130,8 @@
 	return unconfirmed && d.count != o.Count && now >= d.until
 }
 
-// merged returns the orders with others in the place of those of the same pools.
+// merged returns the state's orders, replaced by others for the same pools and extended by those
+// for new pools.
 func (s StoredState) merged(others []cf.EngineOrder) []cf.EngineOrder {
 	byPool := map[cf.EnginePool]cf.EngineOrder{}
 	for _, o := range slices.Concat(s.Orders, others) {
@@ -138,32 +142,32 @@
 	return out
 }
 
-// Loaded takes what was read.
+// Loaded records the state that was read from the store.
 func (r *Reconciler) Loaded(state StoredState, rev cf.Revision) {
 	for _, o := range state.Orders {
 		if !slices.Contains(r.stored.Orders, o) {
-			delete(r.retries, o.EnginePool) // another order than the one that was refused
+			delete(r.retries, o.EnginePool) // this order is not the one that was refused
 		}
 	}
 	r.known, r.stored, r.rev = true, state, rev
 }
 
-// Written takes what was written with an answer. The new revision makes every write before it
-// fail.
+// Written records a state that was written and confirmed by an answer. The new revision makes every
+// earlier write fail.
 func (r *Reconciler) Written(state StoredState, rev cf.Revision) {
 	r.unconfirmedWrite = false
 	r.Loaded(state, rev)
 }
 
-// LoadedEmpty notes that nothing lies in the store yet.
+// LoadedEmpty records that the store contains no state yet.
 func (r *Reconciler) LoadedEmpty() { r.Loaded(StoredState{}, 0) }
 
-// WriteInDoubt notes that a write had no answer, or met another: what lies in the store is to
-// be read, and written once more: the write may take effect after the read.
+// WriteInDoubt records that a write was not answered, or conflicted with another. The state has to
+// be read and written once more, since the write may take effect after the read.
 func (r *Reconciler) WriteInDoubt() { r.known, r.unconfirmedWrite = false, true }
 
-// OrderAccepted notes that the platform has taken an order. One of a holder before may take effect
-// after it until settled, so it is given once more then.
+// OrderAccepted records that the platform has accepted an order. Until settledAt, an order of a
+// previous holder may still take effect after it, so the order is sent once more at that time.
 func (r *Reconciler) OrderAccepted(o cf.EngineOrder, now cf.Millis) {
 	_, accepted := r.accepted[o.EnginePool]
 	if _, unconfirmed := r.unconfirmed[o.EnginePool]; !accepted && !unconfirmed && now < r.settledAt {
@@ -176,7 +180,8 @@
 	}
 }
 
-// OrderInDoubt notes that an order had no answer: it may have been taken, or may be yet.
+// OrderInDoubt records that an order was not answered: the platform may have accepted it, or may do
+// so later.
 func (r *Reconciler) OrderInDoubt(o cf.EngineOrder, now cf.Millis) {
 	d := unconfirmedOrder{o.Count, now + maxOrderDelay}
 	previous, unconfirmed := r.unconfirmed[o.EnginePool]
@@ -188,12 +193,12 @@
 	r.OrderRejected(o, now)
 }
 
-// OrderRejected notes that an order was not taken: what was taken before holds. It is given again,
-// each time after a longer pause.
+// OrderRejected records that an order was refused and that the order accepted before remains in
+// force. The order is sent again, each time after a longer pause.
 func (r *Reconciler) OrderRejected(o cf.EngineOrder, now cf.Millis) {
 	length := min(max(2*r.retries[o.EnginePool].length, initialRetryPause), maxRetryPause)
 	r.retries[o.EnginePool] = retryPause{now + length, length}
 }
 
-// RepeatOrder makes the order of a pool be given once more.
+// RepeatOrder makes Next send the order for a pool once more.
 func (r *Reconciler) RepeatOrder(p cf.EnginePool) { delete(r.accepted, p) }
--- a/core/cfscale/keeper_test.go
+++ b/core/cfscale/keeper_test.go
@@ -6,8 +6,9 @@
 	cf "currantford"
 )
 
-// Symptom: an order of the holder before takes effect after the repeat of a successor's that
-// had no answer, and the platform keeps the old count. The exploration has no repeat so soon.
+// Guards against a platform that keeps an old count, because an order of the previous holder takes
+// effect after its successor has repeated an order that was not answered. The state exploration of
+// TestPlatformCountMatchesStore contains no repeat as early as this one.
 func TestRepeatedFirstOrderIsConfirmed(t *testing.T) {
 	r := NewReconciler(2, 0)
 	order := cf.EngineOrder{EnginePool: modelPool, Count: 2}
@@ -18,13 +19,13 @@
 	r.OrderInDoubt(order, 0)
 	r.OrderAccepted(order, initialRetryPause)
 	if next(initialRetryPause) != ActionWait {
-		t.Error("given again at once")
+		t.Error("order sent again at once")
 	}
 	if next(maxOrderDelay) != ActionOrder {
-		t.Error("not given again once no order of the holder before may take effect")
+		t.Error("order not sent again once no order of the previous holder can take effect")
 	}
 	r.OrderAccepted(order, maxOrderDelay)
 	if next(maxOrderDelay+maxRetryPause) != ActionWait {
-		t.Error("given without end")
+		t.Error("order sent again after it was confirmed")
 	}
 }
--- a/core/cfscale/need.go
+++ b/core/cfscale/need.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// dueShare is the part of a step's time by which it should be whole: listing its
-	// results and what a loss repeats take the rest.
+	// dueShare is the fraction of a step's time within which it should be complete. The rest is for
+	// listing its results and for repeating work that was lost.
 	dueShare = 0.8
-	// minRunShare is the least part of that time in which the items are to be run. Below it
-	// the longest text decides, and more engines bring nothing.
+	// minRunShare is the smallest fraction of a step's time that is assumed to be available for
+	// running its items. With less than that, the longest text determines the duration, and more
+	// engines do not help.
 	minRunShare = 0.25
-	// runningShare is the part of its time in which an engine runs items. It loads a version
-	// for each step, 0.9 s of 4 s.
+	// runningShare is the fraction of its time in which an engine runs items. It loads new weights
+	// for each step, which takes 0.9 s of 4 s.
 	runningShare = 0.75
-	// valueFalloff is how steeply the chance falls that more engines than the need are of
-	// use: steps of one trainer differ by a sixth in groups and by half in items, and
-	// those of four trainers together by some 15%.
+	// valueFalloff determines how steeply the probability falls that engines beyond the need are
+	// useful. Steps of one trainer differ by a sixth in groups and by half in items, and those of
+	// four trainers together by about 15%.
 	valueFalloff = 16
 )
 
@@ -27,35 +28,36 @@
 	// OpenStep is an open step with its times.
 	OpenStep struct {
 		cfrollout.StepDemand
-		// Age is how long ago it was accepted, Due how long after that its results are
-		// needed, zero where the route does not say.
+		// Age is the time since the step was accepted. Due is the time from then until its results
+		// are needed, or zero if the route does not specify it.
 		Age, Due cf.Millis
 	}
 
-	// Demand is what the open steps of a service ask of its engines.
+	// Demand is the demand of a service's open steps for engines.
 	Demand struct {
 		cfrollout.Demand
-		// Engines counts those in service by pool, also those that have not told their
-		// weights yet, as the platform does; one that drains is gone.
+		// Engines counts the engines in service by pool, as the platform does: engines that have
+		// not reported their weights yet are included, and draining ones are not.
 		Engines map[cf.EnginePool]int
-		// OpenSteps are its steps, with their times.
+		// OpenSteps holds the open steps of the service, with their times.
 		OpenSteps []OpenStep
 	}
 
-	// need is how many engines the open steps need to be whole in time if their long texts
-	// begin last, and what they earn then in a second.
+	// need is the number of engines that the open steps need to be complete in time if their
+	// longest texts start last, and the value that they then earn per second.
 	need struct {
 		engines float64
-		// minEngines is the same if the long texts begin first, as far as they are known.
+		// minEngines is the number needed if the longest texts start first, as far as their lengths
+		// are known.
 		minEngines float64
 		valueRate  float64
-		// unknown: there are steps whose need is not known.
+		// unknown says that there are steps whose need is not known.
 		unknown bool
 	}
 )
 
-// estimateNeed returns what the open steps need. Of a step whose route names no time that is not
-// known.
+// estimateNeed returns the need of the open steps. The need of a step is unknown if its route does
+// not specify when the results are due, or if no lengths are known.
 func estimateNeed(d Demand, groupValue float64) need {
 	var n need
 	if d.Slots == 0 || d.Pace == 0 {
@@ -69,8 +71,8 @@
 		}
 		due := float64(s.Due)
 		longest := s.Longest * d.Pace
-		// What it needs from its acceptance on, and what is left now: a step that is
-		// behind needs more than it did.
+		// The need counted from the acceptance of the step, and from now for the remaining work: a
+		// step that is behind schedule needs more engines than it did at first.
 		fromStart := s.Events * d.Pace / max(dueShare*due-longest, minRunShare*due)
 		fromNow := s.Left * d.Pace / max(dueShare*due-float64(s.Age), minRunShare*due)
 		minimum := s.Events * d.Pace / max(dueShare*due-longest/2, minRunShare*due)
@@ -81,8 +83,8 @@
 	return n
 }
 
-// marginalValue returns what one more engine beside so many earns in a second: its part of what
-// the steps earn, as far as it is likely to be of use.
+// marginalValue returns what one more engine, in addition to the given number, earns per second:
+// its share of the steps' value, times the probability that it is useful.
 func (n need) marginalValue(engines int) float64 {
 	if n.engines == 0 {
 		return 0
@@ -90,7 +92,8 @@
 	return n.valueRate / n.engines / (1 + math.Pow(float64(engines)/n.engines, valueFalloff))
 }
 
-// withDomainReserve returns how many engines leave so many if one of the failure domains is lost.
+// withDomainReserve returns how many engines are required for the given number to remain after the
+// loss of one failure domain.
 func withDomainReserve(engines float64, domains int) int {
 	if domains > 1 {
 		engines *= float64(domains) / float64(domains-1)
--- a/core/cfscale/plan.go
+++ b/core/cfscale/plan.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// plan is a look under way.
+	// plan is the state of one decision while it is made.
 	plan struct {
 		*Decider
 		now     cf.Millis
@@ -36,7 +36,8 @@
 	return cf.EnginePool{Service: p.policy.Service, Domain: d, Spot: spot}
 }
 
-// desired is how many of a pool the platform is to have: as ordered, or as found.
+// desired returns how many engines of a pool the platform should have after this decision: the
+// ordered number, or the number found if nothing was ordered.
 func (p *plan) desired(pool cf.EnginePool) int {
 	if n, ordered := p.wanted[pool]; ordered {
 		return n
@@ -44,7 +45,7 @@
 	return p.preexisting[pool]
 }
 
-// previous is how many of a pool the platform was to have before this look.
+// previous returns the same number as it was before this decision.
 func (p *plan) previous(pool cf.EnginePool) int {
 	if n, ordered := p.stored[pool]; ordered {
 		return n
@@ -52,8 +53,8 @@
 	return p.preexisting[pool]
 }
 
-// expected is how many of a pool are in service, or will be soon, with what this look
-// changes.
+// expected returns how many engines of a pool are in service or will be soon, including the changes
+// of this decision.
 func (p *plan) expected(pool cf.EnginePool) int {
 	n := p.demand.Engines[pool]
 	if stored, ordered := p.stored[pool]; ordered && !p.overdue(pool) {
@@ -65,13 +66,14 @@
 	return min(n, p.desired(pool))
 }
 
-// overdue says whether engines of a pool that were ordered and are not there can't be
-// counted on: they had the time to come, were refused, or were reclaimed.
+// overdue reports whether engines of a pool that were ordered and are not in service can't be
+// relied on: the boot timeout has passed, or the pool is in a cooldown after a refusal or a
+// reclaim.
 func (p *plan) overdue(pool cf.EnginePool) bool {
 	return p.now-p.raisedAt[pool] >= p.bootTimeout() || p.now < p.refusedUntil[pool]
 }
 
-// incomplete says whether ordered engines of a pool have not come, or were lost.
+// incomplete reports whether ordered engines of a pool have not arrived or were lost.
 func (p *plan) incomplete(pool cf.EnginePool) bool {
 	return p.demand.Engines[pool] < p.stored[pool] && p.overdue(pool)
 }
@@ -98,7 +100,7 @@
 
 func (p *plan) booting() int { return max(p.expectedTotal()-p.inService(), 0) }
 
-// price is what an engine of a pool costs in a second.
+// price returns the cost of an engine of a pool per second.
 func (p *plan) price(pool cf.EnginePool) float64 {
 	price := p.policy.EnginePrice
 	if domain, set := p.policy.DomainPrices[pool.Domain]; set {
@@ -110,32 +112,32 @@
 	return price
 }
 
-// add asks for one more engine of a pool.
+// add orders one more engine of a pool.
 func (p *plan) add(pool cf.EnginePool) { p.wanted[pool] = p.desired(pool) + 1 }
 
-// countKnown says whether it is known how many of a pool the platform has. An order that names
-// fewer takes some away, and those that were there first are listed one after the other
-// when a deployment starts.
+// countKnown reports whether the number of engines that the platform has in a pool is known. An
+// order for a smaller number would take engines away, and when a deployment starts, the existing
+// engines are listed one after the other.
 func (p *plan) countKnown(pool cf.EnginePool) bool {
 	if _, ordered := p.wanted[pool]; ordered {
 		return true
 	}
-	kindSeen := false // any such engines: a failure domain without may be out of sight
+	kindSeen := false // if true, a failure domain in which none are seen may be out of sight
 	for other, n := range p.demand.Engines {
 		kindSeen = kindSeen || other.Spot == pool.Spot && n > 0
 	}
 	return p.discovered() && (p.demand.Engines[pool] > 0 || !kindSeen)
 }
 
-// discovered says whether the list shows all engines that were there before.
+// discovered reports whether the list shows all engines that existed before the first order.
 func (p *plan) discovered() bool {
-	if p.Decider.firstListedAt == 0 {
+	if p.Decider.discovered == 0 {
 		return p.now-p.startedAt >= noEnginesAfter
 	}
-	return p.now-p.Decider.firstListedAt >= discoveryTime
+	return p.now-p.Decider.discovered >= discoveryTime
 }
 
-// domainLost says whether a failure domain had engines and shows none: more that are ordered
+// domainLost reports whether a failure domain had engines and none is seen now. Engines ordered
 // there would not be seen either.
 func (p *plan) domainLost(d cf.FailureDomain) bool {
 	had := false
@@ -150,7 +152,7 @@
 	return had
 }
 
-// canAdd says whether one more of a pool may be ordered.
+// canAdd reports whether one more engine of a pool may be ordered.
 func (p *plan) canAdd(pool cf.EnginePool) bool {
 	if p.now < p.refusedUntil[pool] || p.incomplete(pool) || pool.Spot && p.policy.SpotPrice <= 0 {
 		return false
@@ -161,8 +163,9 @@
 	return p.desired(p.pool(pool.Domain, false))+p.desired(p.pool(pool.Domain, true)) < p.policy.Max
 }
 
-// poolToGrow returns the pool for one more engine: of the failure domain that has the fewest,
-// reclaimable where there are such ones, firm while some were just reclaimed.
+// poolToGrow returns the pool from which to order one more engine. It prefers the failure domain
+// with the fewest engines and then the lower price, which is that of reclaimable engines, but firm
+// engines for some time after a reclaim.
 func (p *plan) poolToGrow() (cf.EnginePool, bool) {
 	var best cf.EnginePool
 	found := false
@@ -177,7 +180,7 @@
 	return best, found
 }
 
-// preferred says whether a is to be ordered before b.
+// preferred reports whether to order from a rather than from b.
 func (p *plan) preferred(a, b cf.EnginePool) bool {
 	if p.now < p.reclaimedUntil && a.Spot != b.Spot {
 		return b.Spot
@@ -185,8 +188,9 @@
 	return cmp.Or(cmp.Compare(p.expectedInDomain(a.Domain), p.expectedInDomain(b.Domain)), cmp.Compare(p.price(a), p.price(b))) < 0
 }
 
-// withdrawUnavailable takes back what can't be had: of reclaimable engines that leave, and of a pool
-// that had none. It would take the room of others below the failure domain's bound.
+// withdrawUnavailable withdraws orders that can't be fulfilled: for reclaimable engines that are
+// leaving, and for a pool of which the platform had none. They would count towards the failure
+// domain's maximum and exclude other engines.
 func (p *plan) withdrawUnavailable(rationale *Rationale) {
 	for pool := range p.demand.Reclaimed {
 		inService := p.demand.Engines[pool]
@@ -198,7 +202,7 @@
 		}
 	}
 	for pool, n := range p.lowerTo {
-		n = max(n, p.demand.Engines[pool]) // engines in service are not given back by a refusal
+		n = max(n, p.demand.Engines[pool]) // a refusal releases no engines that are in service
 		if n < p.stored[pool] {
 			p.wanted[pool] = n
 			rationale.Cause = CauseUnavailable
@@ -207,7 +211,7 @@
 	}
 }
 
-// enforceMax takes back orders beyond a bound that was lowered.
+// enforceMax withdraws orders beyond a maximum that was lowered.
 func (p *plan) enforceMax(rationale *Rationale) {
 	for _, d := range p.domains {
 		for _, spot := range []bool{true, false} {
@@ -221,7 +225,7 @@
 	}
 }
 
-// enforceMin orders what the configuration asks for at the least.
+// enforceMin orders the minimum that the configuration requires.
 func (p *plan) enforceMin(rationale *Rationale) {
 	if !p.discovered() {
 		return
@@ -241,9 +245,9 @@
 	}
 }
 
-// wantedTotal returns how many engines there should be where open steps will come late with so
-// many, by what recent ones have shown, or by the estimate before; zero where enough are there.
-// urgent says that steps can't be in time at all.
+// wantedTotal returns how many engines there should be if open steps will be late with the given
+// number, according to recent steps or, before any have ended, to the estimate. It returns zero if
+// the given number is enough. urgent says that it is far too small for the steps to be in time.
 func (p *plan) wantedTotal(n need, observed bool, engines int) (want float64, urgent bool) {
 	worstStep, reserve := p.history.worstTimeShare(p.now), growMargin*float64(withDomainReserve(n.engines, len(p.domains)))
 	threshold := estimateGrowThreshold * n.engines
@@ -251,13 +255,13 @@
 	case observed && worstStep >= lateShare:
 		threshold, want = lateGrowThreshold*reserve/growMargin, reserve
 	case p.now < p.reclaimedUntil:
-		threshold, want = n.engines, promptGrowMargin*n.engines // what recent steps took says nothing of what is left
+		threshold, want = n.engines, promptGrowMargin*n.engines // the duration of recent steps does not show what the remaining engines can do
 	case observed && worstStep < promptShare:
 		return 0, false
 	case observed:
 		threshold, want = n.engines, promptGrowMargin*n.engines
 	case p.successor:
-		threshold, want = n.minEngines, promptGrowMargin*n.engines // the holder before had ordered what it saw to be needed
+		threshold, want = n.minEngines, promptGrowMargin*n.engines // the previous holder has ordered what it observed to be needed
 	default:
 		factor := p.allModelsFactor()
 		urgent = float64(engines) < severeShortage*n.engines*factor
@@ -269,7 +273,7 @@
 	return want, urgent
 }
 
-// grow orders as many as are missing, at once, while one more earns more than it costs.
+// grow orders all missing engines at once, as long as one more engine earns more than it costs.
 func (p *plan) grow(n need, observed bool, rationale *Rationale) {
 	rationale.Desired = p.expectedTotal()
 	want, urgent := p.wantedTotal(n, observed, rationale.Desired)
@@ -284,7 +288,7 @@
 		}
 		counted := p.expectedTotal()
 		if urgent {
-			counted = 0 // the estimate grows with the first steps
+			counted = 0 // the estimate is still incomplete and grows with the first steps
 		}
 		value, cost := n.marginalValue(counted), p.price(pool)
 		if value < cost {
@@ -296,9 +300,10 @@
 	rationale.Desired = p.expectedTotal()
 }
 
-// allModelsFactor is how many times as much the steps of all models need as those that are open:
-// where engines are far too few from the start, all trainers begin at about one time, and an
-// engine that is ordered for the last of them is there a step later.
+// allModelsFactor returns the ratio of the number of models to the number of models with open
+// steps. It scales the estimate for the open steps to all steps. If there are far too few engines
+// from the start, all trainers begin at about the same time, and an engine that is ordered only for
+// the last of them arrives one step later.
 func (p *plan) allModelsFactor() float64 {
 	models := map[cf.ModelName]bool{}
 	for _, s := range p.demand.OpenSteps {
@@ -310,7 +315,7 @@
 	return float64(p.demand.Models) / float64(len(models))
 }
 
-// shrink gives some engines back: those that the steps of the last while did not need.
+// shrink releases some engines that recent steps did not need.
 func (p *plan) shrink(recent need, rationale *Rationale) {
 	needed, observed := p.history.enginesForInTime()
 	tooEarly := p.now-p.startedAt < recentStepWindow || p.now-p.grownAt < growToShrinkDelay || p.now-p.shrunkAt < shrinkInterval || p.now < p.reclaimedUntil
@@ -333,9 +338,10 @@
 	}
 }
 
-// poolToShrink returns the pool to give an engine back from: the failure domain that has the
-// most, of which none went by this look, and its more expensive kind. Firm ones stay for half of
-// what was needed: what is reclaimed may be so in two failure domains one after the other.
+// poolToShrink returns the pool from which to release one engine: of the failure domains from which
+// this decision has released fewer than maxShrinkPerDomain, the one with the most engines, and its
+// more expensive kind. Firm engines are kept for half of the need, because reclaimable engines may
+// be reclaimed in two failure domains one after the other.
 func (p *plan) poolToShrink(recent need) (cf.EnginePool, bool) {
 	firm := 0
 	for _, d := range p.domains {
@@ -361,7 +367,7 @@
 	return best, found
 }
 
-// removedFromDomain is how many engines of a failure domain this look gives back.
+// removedFromDomain returns how many engines of a failure domain this decision releases.
 func (p *plan) removedFromDomain(d cf.FailureDomain) int {
 	n := 0
 	for _, spot := range []bool{false, true} {
@@ -371,7 +377,7 @@
 	return n
 }
 
-// recordOrders returns what is wanted, and notes when it changed.
+// recordOrders returns the wanted orders and records when they changed.
 func (p *plan) recordOrders() []cf.EngineOrder {
 	var out []cf.EngineOrder
 	for pool, n := range p.wanted {
--- a/core/cfscale/replay_test.go
+++ b/core/cfscale/replay_test.go
@@ -15,11 +15,11 @@
 	simTick           cf.Millis = 50
 	simDecideInterval cf.Millis = 500
 	simBootTime       cf.Millis = 4000
-	simDue            cf.Millis = 7500
-	simDeadline       cf.Millis = 8200
+	simDue            cf.Millis = 7500 // when results are due, as the decider sees it
+	simDeadline       cf.Millis = 8200 // until when a complete group counts
 	simSlots                    = 6
-	// simEventTime is what an event takes at a full engine that loads a version for each
-	// step.
+	// simEventTime is the time per event at an engine that is fully used and loads new weights for
+	// each step.
 	simEventTime = 52.0 / 0.75
 )
 
@@ -29,9 +29,9 @@
 )
 
 type (
-	// sim is a platform with engines and four trainers, each with a quarter of them. A
-	// trainer hands in a step each
-	// 4 s, or when the one before has nine tenths of its groups whole.
+	// sim simulates a platform with engines and four trainers, each of which uses a quarter of the
+	// engines. A trainer submits a step every 4 s, or as soon as nine tenths of the groups of its
+	// previous step are complete if that is later.
 	sim struct {
 		random       *rand.Rand
 		now          cf.Millis
@@ -43,10 +43,11 @@
 		wanted       map[cf.EnginePool]int
 		steps        []*simStep
 		nextSubmit   [4]cf.Millis
-		// targetGroups and whole count groups, spent is the price of the engines.
+		// targetGroups counts the groups that trainers wait for, groupsInTime those of them that
+		// were complete in time. cost is the price of the engines.
 		targetGroups, groupsInTime int
 		cost                       float64
-		// totals are the totals that were wanted, each time they changed.
+		// totals holds the total number of wanted engines, each time it changed.
 		totals []simTotal
 	}
 
@@ -57,9 +58,9 @@
 
 	simEngine struct {
 		pool        cf.EnginePool
-		inServiceAt cf.Millis // in service since
+		inServiceAt cf.Millis // time from which the engine is in service
 		leavesAt    cf.Millis // zero while it stays
-		// reclaimed: it leaves by the platform's choice.
+		// reclaimed says that the platform takes the engine back.
 		reclaimed bool
 		items     []*simItem
 	}
@@ -77,8 +78,9 @@
 		trainer     int
 		submittedAt cf.Millis
 		waiting     []*simItem
-		itemsLeft   []int // items left of each
-		// target are the groups that the trainer waits for, inTime those whole in time.
+		itemsLeft   []int // items left of each group
+		// target is the number of groups that the trainer waits for, complete and inTime how many
+		// are complete, at all and in time.
 		target, complete, inTime int
 		done                     bool
 	}
@@ -104,7 +106,7 @@
 	return r
 }
 
-// runUntil goes on until a moment.
+// runUntil advances the simulation to the given time.
 func (r *sim) runUntil(until cf.Millis) {
 	for ; r.now < until; r.now += simTick {
 		r.submitSteps()
@@ -249,7 +251,7 @@
 	}
 }
 
-// reclaim takes a failure domain's reclaimable engines back.
+// reclaim takes back the reclaimable engines of a failure domain.
 func (r *sim) reclaim(d cf.FailureDomain) {
 	for _, e := range r.engines {
 		if e.pool.Spot && e.pool.Domain == d && e.leavesAt == 0 {
@@ -260,7 +262,7 @@
 
 func (r *sim) servedShare() float64 { return float64(r.groupsInTime) / float64(max(r.targetGroups, 1)) }
 
-// Symptom: with too few engines almost no group is whole in time, for the whole day.
+// Guards against too few engines for the whole day, with which almost no group is complete in time.
 func TestTooFewEnginesGrow(t *testing.T) {
 	for _, engines := range []int{5, 8} {
 		disabled, enabled := newSim(engines, 1, true), newSim(engines, 1, false)
@@ -268,43 +270,43 @@
 		for _, r := range []*sim{disabled, enabled, ample} {
 			r.runUntil(80_000)
 		}
-		t.Logf("%d a domain: %d groups whole, switched off %d, with ample engines %d; %d engines, orders %v, spent %.1f against %.1f",
+		t.Logf("%d engines per domain: %d groups in time, %d without scaling, %d with ample engines; %d engines at the end, totals %v, cost %.1f, without scaling %.1f",
 			engines, enabled.groupsInTime, disabled.groupsInTime, ample.groupsInTime, len(enabled.engines), enabled.totals, enabled.cost, disabled.cost)
 		if enabled.groupsInTime < ample.groupsInTime*3/4 || enabled.groupsInTime <= disabled.groupsInTime {
-			t.Errorf("%d a domain: %d groups, %d with ample engines, %d with the decision switched off", engines, enabled.groupsInTime, ample.groupsInTime, disabled.groupsInTime)
+			t.Errorf("%d engines per domain: %d groups in time, %d with ample engines, %d without scaling", engines, enabled.groupsInTime, ample.groupsInTime, disabled.groupsInTime)
 		}
 	}
 }
 
-// Symptom: a quiet day is paid for engines that no step needs, or steps come late because
-// they went.
+// Guards against paying for engines that no step needs on a quiet day, and against steps that are
+// late because engines were released.
 func TestTooManyEnginesShrink(t *testing.T) {
 	disabled, enabled := newSim(30, 0.8, true), newSim(30, 0.8, false)
 	disabled.runUntil(300_000)
 	enabled.runUntil(300_000)
-	t.Logf("served %.3f, switched off %.3f; %d engines, spent %.1f against %.1f", enabled.servedShare(), disabled.servedShare(), len(enabled.engines), enabled.cost, disabled.cost)
+	t.Logf("served share %.3f, without scaling %.3f; %d engines at the end, cost %.1f, without scaling %.1f", enabled.servedShare(), disabled.servedShare(), len(enabled.engines), enabled.cost, disabled.cost)
 	if enabled.cost > 0.8*disabled.cost {
-		t.Errorf("spent %.1f, switched off %.1f", enabled.cost, disabled.cost)
+		t.Errorf("cost %.1f, want at most 0.8 of the cost without scaling, %.1f", enabled.cost, disabled.cost)
 	}
 	if enabled.groupsInTime < disabled.groupsInTime*99/100 {
-		t.Errorf("served %.3f, switched off %.3f", enabled.servedShare(), disabled.servedShare())
+		t.Errorf("served share %.3f, without scaling %.3f", enabled.servedShare(), disabled.servedShare())
 	}
 }
 
-// Symptom: engines are ordered and given back in turn, as steps come and end.
+// Guards against engines that are ordered and released in turn, as steps begin and end.
 func TestPeriodicStepsDoNotOscillate(t *testing.T) {
 	for _, engines := range []int{5, 12, 16} {
 		r := newSim(engines, 1, false)
 		r.runUntil(300_000)
-		t.Logf("%d a domain: served %.3f, %d engines: %v", engines, r.servedShare(), len(r.engines), r.totals)
+		t.Logf("%d engines per domain: served share %.3f, %d engines at the end, totals %v", engines, r.servedShare(), len(r.engines), r.totals)
 		if r.servedShare() < 0.97 {
-			t.Errorf("%d a domain: served %.3f", engines, r.servedShare())
+			t.Errorf("%d engines per domain: served share %.3f, want at least 0.97", engines, r.servedShare())
 		}
 		total, rose, turned := 3*engines, false, cf.Millis(0)
 		for i, o := range r.totals {
 			if rises := o.total > total; i == 0 || rises != rose {
 				if i > 0 && o.at-turned < 8*4000 {
-					t.Errorf("%d a domain: turns at %d and at %d ms", engines, turned, o.at)
+					t.Errorf("%d engines per domain: the total changes direction at %d ms and again at %d ms", engines, turned, o.at)
 				}
 				rose, turned = rises, o.at
 			}
@@ -313,8 +315,8 @@
 	}
 }
 
-// Symptom: a failure domain's reclaimable engines are taken back in the middle of a step,
-// and the steps after it come late.
+// Guards against late steps after a failure domain's reclaimable engines are reclaimed in the
+// middle of a step.
 func TestReclaimedEnginesAreReplaced(t *testing.T) {
 	disabled, enabled := newSim(3, 1, false), newSim(3, 1, false)
 	for _, r := range []*sim{disabled, enabled} {
@@ -328,11 +330,11 @@
 	disabled.disabled = true
 	disabled.runUntil(90_000)
 	enabled.runUntil(90_000)
-	t.Logf("%d groups whole, switched off %d; %d engines of %d, switched off %d", enabled.groupsInTime, disabled.groupsInTime, len(enabled.engines), before, len(disabled.engines))
+	t.Logf("%d groups in time, without scaling %d; %d engines after %d before, without scaling %d", enabled.groupsInTime, disabled.groupsInTime, len(enabled.engines), before, len(disabled.engines))
 	if len(enabled.engines) <= len(disabled.engines) || enabled.groupsInTime < disabled.groupsInTime {
-		t.Errorf("%d engines of %d, switched off %d", len(enabled.engines), before, len(disabled.engines))
+		t.Errorf("%d engines after %d before, without scaling %d", len(enabled.engines), before, len(disabled.engines))
 	}
 	if firm := slices.DeleteFunc(enabled.engines, func(e *simEngine) bool { return e.pool.Spot }); len(firm) <= 9 {
-		t.Errorf("%d firm engines, as before", len(firm))
+		t.Errorf("%d firm engines, want more than the initial 9", len(firm))
 	}
 }
--- a/core/cfscale/stephistory.go
+++ b/core/cfscale/stephistory.go
@@ -7,27 +7,31 @@
 )
 
 const (
-	// recentStepWindow is for how long a step that has ended decides about more engines, five
-	// steps of a trainer; for fewer it counts as long as an estimate.
+	// recentStepWindow is how long a step that has ended counts in decisions to order more engines,
+	// five steps of a trainer. In decisions to release engines it counts as long as an estimate,
+	// for needWindow.
 	recentStepWindow cf.Millis = 20_000
-	// minStepsObserved is how many steps must have ended to show what they need.
+	// minStepsObserved is the number of steps that must have ended to show how many engines steps
+	// need.
 	minStepsObserved = 4
-	// lateShare is the part of its time in which a step is late, or will be by any trouble. By
-	// inTime it ends in time, and engines may go; by prompt it does not hold its trainer up,
-	// which hands in the next only then: engines are ordered for that.
+	// lateShare, inTimeShare and promptShare are fractions of the time that a step has. After
+	// lateShare a step is late, or will be if anything goes wrong. If it ends by inTimeShare, it is
+	// in time, and engines may be released. If it ends by promptShare, it does not delay its
+	// trainer, which submits the next step only then; engines are ordered to achieve this.
 	lateShare   = 0.8
 	inTimeShare = 0.85
 	promptShare = 0.7
-	// minStartShare is the least part of its time that a step is taken to have for its items to
-	// begin: beyond that it is late for other reasons than too few engines.
+	// minStartShare is the smallest fraction of a step's time that is assumed to be available for
+	// starting its items. A step that has less is late for other reasons than too few engines.
 	minStartShare = 0.25
-	// maxWaitShare is by which part of its time an open step should have no item that waits.
+	// maxWaitShare is the fraction of an open step's time after which no item should be waiting.
 	maxWaitShare = 0.5
 )
 
 type (
-	// stepHistory follows how steps go. The time of a step is until its last item has begun, which
-	// shrinks with more engines, and from then on, which its longest texts take on any.
+	// stepHistory records how long steps take. A step's duration has two parts: the time until its
+	// last item has started, which decreases with more engines, and the time after that, which its
+	// longest texts take with any number of engines.
 	stepHistory struct {
 		open  map[cf.BatchID]*trackedStep
 		ended []endedStep
@@ -36,22 +40,24 @@
 	trackedStep struct {
 		age, due cf.Millis
 		seenAt   cf.Millis
-		// waitedUntil is until when items waited, waits that some do.
+		// waitedUntil is the age of the step until which items waited. hasWaiting says that some
+		// are still waiting.
 		waitedUntil cf.Millis
 		hasWaiting  bool
-		// engines are those that were there when it began.
+		// engines is the number of engines in service when the step began.
 		engines int
 	}
 
 	endedStep struct {
 		endedAt cf.Millis
-		// timeShare is its time as a part of that in which it was due, inTime and prompt the
-		// engines with which it would just have ended by those parts.
+		// timeShare is the duration as a fraction of the time that the step had. enginesInTime and
+		// enginesPrompt are the numbers of engines with which it would just have ended by
+		// inTimeShare and by promptShare.
 		timeShare, enginesInTime, enginesPrompt float64
 	}
 )
 
-// update takes the open steps of a look; one that is not among them any more has ended.
+// update takes the steps that are open now. A step that is no longer among them has ended.
 func (h *stepHistory) update(now cf.Millis, steps []OpenStep, engines int) {
 	before := h.open
 	h.open = map[cf.BatchID]*trackedStep{}
@@ -76,18 +82,18 @@
 	h.ended = slices.DeleteFunc(h.ended, func(e endedStep) bool { return now-e.endedAt > needWindow })
 }
 
-// end returns how a step has gone that ended since the look before.
+// end returns the result of a step that has ended since the last update.
 func (o *trackedStep) end(now cf.Millis) endedStep {
 	duration, due := float64(o.age)+float64(now-o.seenAt)/2, float64(o.due)
 	waited := float64(o.waitedUntil)
-	enginesFor := func(share float64) float64 { // the items have to begin in what the rest leaves of it
+	enginesFor := func(share float64) float64 { // all items must have started in the time that the rest of the duration leaves
 		return float64(o.engines) * waited / max(share*due-duration+waited, minStartShare*due)
 	}
 	return endedStep{endedAt: now, timeShare: duration / due, enginesInTime: enginesFor(inTimeShare), enginesPrompt: enginesFor(promptShare)}
 }
 
-// worstTimeShare returns the longest that a recent step took, or an open one has taken, as a part of
-// the time in which it was due.
+// worstTimeShare returns the longest duration of a recent step, or the age of an open one, as a
+// fraction of the time that the step had.
 func (h *stepHistory) worstTimeShare(now cf.Millis) float64 {
 	worst := 0.0
 	for _, e := range h.ended {
@@ -101,8 +107,8 @@
 	return worst
 }
 
-// enginesForPrompt returns how many engines recent steps needed to end promptly, open ones with them,
-// false if too few have ended to show it.
+// enginesForPrompt returns how many engines recent and open steps needed to end promptly, and false
+// if too few steps have ended to show it.
 func (h *stepHistory) enginesForPrompt(now cf.Millis) (float64, bool) {
 	needed, steps := 0.0, 0
 	for _, e := range h.ended {
@@ -118,8 +124,8 @@
 	return needed, steps >= minStepsObserved
 }
 
-// enginesForInTime returns how many engines the steps that are remembered needed to end in time, false
-// if too few have ended to show it.
+// enginesForInTime returns how many engines the steps within needWindow needed to end in time, and
+// false if too few have ended to show it.
 func (h *stepHistory) enginesForInTime() (float64, bool) {
 	needed := 0.0
 	for _, e := range h.ended {
