--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -1,21 +1,19 @@
-// Package cfreward decides when the reward calls of finished texts go out, to
-// which target, and what a failed one allows. It makes no calls and has no clock
-// of its own.
+// Package cfreward decides when the reward calls of finished texts are sent, to which target, and
+// what follows a failed one. It makes no calls and has no clock of its own.
 //
-// The load it answers: a step's texts end in bursts, so that two hundred calls
-// of 200 ms each are due within a second at a service whose targets have six
-// slots, turn away what does not fit, and answer callers' lookups of 25 ms at
-// the same time. Each target therefore gets as many reward calls as it has shown
-// to take, and never its last slots; what does not fit waits here, where it costs
-// nobody a refused try. The calls that make a group whole go first. A target that
-// loses or holds an answer up costs a call the usual time of an answer, after
-// which a second target is asked.
+// It is designed for this load: the texts of a step finish in bursts, so that two hundred calls of
+// 200 ms each are due within a second. They go to a service whose targets have six slots, reject
+// what does not fit, and at the same time answer callers' lookups of 25 ms. Each target therefore
+// gets as many reward calls as it has shown to accept, and its last slots stay free. The other
+// calls wait in the planner, where no attempt is spent on a rejection. The calls that complete a
+// group are sent first. If a target loses or delays an answer, the call waits for a multiple of the
+// usual response time, and is then also sent to a second target.
 //
 // Usage:
 //
 //	p := cfreward.New(cfreward.DefaultLimits)
 //	p.Add(batch, item, now)
-//	for _, a := range p.Place(site, now) { ... verdict := p.Done(a, outcome, load, now) }
+//	for _, a := range p.Schedule(env, now) { ... verdict := p.Done(a, outcome, load, now) }
 package cfreward
 
 import (
@@ -28,46 +26,46 @@
 )
 
 type (
-	// Limits bound what the planner starts.
+	// Limits limit what the planner starts.
 	Limits struct {
-		// CallerShare is the part of a target's slots that reward calls leave
-		// free: someone waits for each caller's request, and for a reward
-		// only with its whole step.
+		// CallerShare is the fraction of a target's slots that reward calls leave free for callers'
+		// requests: a caller waits for each of its requests, but for a reward only as part of a
+		// whole step.
 		CallerShare float64
-		// HedgeFactor is how many times the usual time of an answer a call
-		// waits before a second target is asked, MinHedgeDelay the least of it.
+		// HedgeFactor is the multiple of the usual response time after which a call is also sent to
+		// a second target, and MinHedgeDelay is the shortest such time.
 		HedgeFactor   float64
 		MinHedgeDelay cf.Millis
-		// DisableHedging asks no second target.
+		// DisableHedging sends no call to a second target while the first may still answer.
 		DisableHedging bool
-		// InitialBackoff is the pause of a target that turned a call away, and of
-		// a call that was lost; it doubles with each in a row up to MaxBackoff.
+		// InitialBackoff is the pause of a target after it rejected a call, and of a call after it
+		// received no answer. Each further one in a row doubles it, up to MaxBackoff.
 		InitialBackoff cf.Millis
 		MaxBackoff     cf.Millis
-		// MaxErrors is how many failures in a row make a target suspect. A
-		// single one is its request's own.
+		// MaxErrors is the number of failures in a row after which a target is considered faulty. A
+		// single failure may be caused by its request.
 		MaxErrors int
 	}
 
-	// Route is where a reward call goes now.
+	// Route says where a reward call may currently be sent.
 	Route struct {
 		Service     cf.ServiceName
 		Targets     []cf.Target
 		MaxAttempts int
 	}
 
-	// Environment is what the planner must see of the site.
+	// Environment provides the planner with the state of its surroundings.
 	Environment interface {
-		// Route returns false when no route leads to host and path.
+		// Route returns the route for the call's host and path, and false if there is none.
 		Route(call *cf.RewardCall) (Route, bool)
-		// Missing counts the items of a group that have no result yet, listed
-		// or about to be.
+		// Missing returns the number of items of a group that have no result, neither listed nor
+		// pending.
 		Missing(b *cfbatch.Batch, g cf.GroupID) int
-		// Admit says whether a call may be sent to a target now.
+		// Admit reports whether a call may be sent to a target now.
 		Admit(call *cf.RewardCall, target cf.Target) bool
 	}
 
-	// Call is the reward call of one text.
+	// Call is the reward call for one text.
 	Call struct {
 		Batch       *cfbatch.Batch
 		Item        cf.Item
@@ -75,28 +73,28 @@
 		Sends       int
 		addedAt     cf.Millis
 		retryAt     cf.Millis
-		unanswered  int // attempts in a row that came to nothing
-		maxFailures int // failed attempts that its route allows
+		unanswered  int // attempts in a row without an answer
+		maxFailures int // number of failed attempts that the route allows
 		inFlight    []*Attempt
 		failedAt    map[cf.InstanceID]bool
 		finished    bool
 	}
 
-	// Attempt is a call as it is sent to one target.
+	// Attempt is one sending of a call to a target.
 	Attempt struct {
 		Call      *Call
 		Target    cf.Target
 		StartedAt cf.Millis
-		Hedge     bool // beside an attempt that takes long
+		Hedge     bool // sent while an earlier attempt is still in flight
 	}
 
-	// Outcome is what an attempt came to.
+	// Outcome is the result of an attempt.
 	Outcome int
 
-	// Verdict is what is to be done with a call.
+	// Verdict says what follows for a call.
 	Verdict int
 
-	// Planner holds the state. It is not safe for concurrent use.
+	// Planner schedules reward calls. It is not safe for concurrent use.
 	Planner struct {
 		limits   Limits
 		balancer *cfbalance.Balancer
@@ -108,11 +106,11 @@
 	// targetState is what is known of one target.
 	targetState struct {
 		inFlight int
-		limit    float64 // calls that it has shown to take at once
+		limit    float64 // number of concurrent calls that the target has shown to accept
 		retryAt  cf.Millis
-		misses   int // refusals and losses in a row
+		misses   int // rejections and unanswered attempts in a row
 		errors   int // failures in a row
-		// unresponsive: an answer of it is overdue, so it may be gone.
+		// unresponsive says that an answer is overdue, so the target may be down.
 		unresponsive bool
 		lastSeen     cf.Millis
 	}
@@ -120,38 +118,38 @@
 
 // Outcomes of an attempt.
 const (
-	// Scored: the answer is the reward.
+	// Scored means that the answer is the reward.
 	Scored Outcome = iota
-	// Failed: the target ran the call and says that it failed.
+	// Failed means that the target ran the call and reported a failure.
 	Failed
-	// Rejected: the target did not run the call.
+	// Rejected means that the target did not run the call.
 	Rejected
-	// NoAnswer: no answer, or none that counts.
+	// NoAnswer means that there was no answer, or none that is valid.
 	NoAnswer
-	// Cancelled: the attempt was given up here.
+	// Cancelled means that the attempt was cancelled on this side.
 	Cancelled
 )
 
 // Verdicts on a call.
 const (
-	// Continue: the call goes on, or is over already.
+	// Continue means that the call goes on, or is already finished.
 	Continue Verdict = iota
-	// Accept: this answer scores the text.
+	// Accept means that the answer scores the text.
 	Accept
-	// StopWaiting: the attempts that its route allows have failed.
+	// GiveUp means that as many attempts have failed as the route allows.
 	GiveUp
 )
 
-// DefaultLimits suit services whose answers take some hundred milliseconds. An
-// answer of three times the mean is one in fifty, so few are asked for twice.
+// DefaultLimits are suitable for services that answer within a few hundred milliseconds. One
+// response in fifty takes three times the mean or longer, so few calls are sent twice.
 var DefaultLimits = Limits{
 	CallerShare: 1.0 / 3, HedgeFactor: 3, MinHedgeDelay: 400, InitialBackoff: 50, MaxBackoff: 1600, MaxErrors: 3,
 }
 
-// maxInFlight is how many targets work on one call at once.
+// maxInFlight is the number of targets that may work on one call at once.
 const maxInFlight = 2
 
-// forgetAfter drops what is known of targets that are not heard of any more.
+// forgetAfter is how long the state of a target is kept after it was last used or offered.
 const forgetAfter cf.Millis = 60000
 
 // New returns a planner without calls.
@@ -161,30 +159,30 @@
 	}
 }
 
-// Add takes the reward call of an item whose text is complete.
+// Add adds the reward call of an item whose text is complete.
 func (p *Planner) Add(b *cfbatch.Batch, item cf.Item, now cf.Millis) {
 	if old := p.calls[item.ID]; old != nil {
-		old.finished = true // its batch was ended, and another asks for the item
+		old.finished = true // its batch was ended, and another batch contains the same item
 	}
 	p.calls[item.ID] = &Call{Batch: b, Item: item, addedAt: now, failedAt: map[cf.InstanceID]bool{}}
 }
 
-// Len counts the calls that are not over.
+// Len returns the number of unfinished calls.
 func (p *Planner) Len() int { return len(p.calls) }
 
-// DropBatch ends the calls of a batch and returns them.
+// DropBatch drops the calls of a batch and returns them.
 func (p *Planner) DropBatch(id cf.BatchID) []*Call {
 	return p.drop(func(c *Call) bool { return c.Batch.Sub.ID == id })
 }
 
-// DropListed ends the calls whose items are listed by now, by another
-// coordinator, and returns them.
+// DropListed drops the calls whose items were listed in the meantime by another coordinator, and
+// returns them.
 func (p *Planner) DropListed() []*Call {
 	return p.drop(func(c *Call) bool { return c.Batch.Listed(c.Item.ID) })
 }
 
-// Expire ends the calls of batches that have waited for longer than their route
-// allows, as of the wall clock, and returns them.
+// Expire drops the calls of batches that were accepted longer ago than maxWait allows, by the wall
+// clock, and returns them. If maxWait returns zero, the batch has no limit.
 func (p *Planner) Expire(maxWait func(*cfbatch.Batch) cf.Millis, wall cf.Millis) []*Call {
 	return p.drop(func(c *Call) bool {
 		limit := maxWait(c.Batch)
@@ -205,7 +203,7 @@
 	return out
 }
 
-// Attempts returns the attempts of a call that are under way.
+// Attempts returns the attempts of a call that are in flight.
 func (c *Call) Attempts() []*Attempt { return c.inFlight }
 
 // Schedule returns the attempts to start now.
@@ -228,8 +226,8 @@
 		c.maxFailures = route.MaxAttempts
 		t, ok := p.choose(c, route, now)
 		if !ok {
-			// Calls that were sent before may not go everywhere; of the
-			// others, if one finds no target, none does.
+			// Calls that were sent before may not go to every target. If a call without such
+			// restrictions finds no target, no other call of the service finds one either.
 			full[route.Service] = len(c.failedAt) == 0 && !hedge
 			continue
 		}
@@ -242,9 +240,9 @@
 	return out
 }
 
-// prioritized returns the calls in the order in which they are sent: those that wait
-// before second attempts, the batches accepted first before others, the groups
-// that lack least before others.
+// prioritized returns the calls in the order in which to send them: calls that are not in flight
+// before second attempts, then calls of the batch that was accepted first, then those of the group
+// that lacks the fewest items.
 func (p *Planner) prioritized(env Environment) []*Call {
 	type ranked struct {
 		call    *Call
@@ -270,20 +268,20 @@
 	return out
 }
 
-// needsHedge says whether a call that is under way should be asked for elsewhere.
+// needsHedge reports whether a call in flight should also be sent to a second target.
 func (p *Planner) needsHedge(c *Call, now cf.Millis) bool {
 	return !p.limits.DisableHedging && len(c.inFlight) < maxInFlight && p.late(c.inFlight[0], now)
 }
 
-// late says whether an attempt has taken much longer than usual.
+// late reports whether an attempt has taken much longer than usual.
 func (p *Planner) late(a *Attempt, now cf.Millis) bool {
 	usual := p.balancer.Throughput([]cf.Target{a.Target}, now).ServiceTime
 	return now-a.StartedAt >= max(cf.Millis(usual*p.limits.HedgeFactor), p.limits.MinHedgeDelay)
 }
 
-// markUnresponsive notes the targets that owe an answer: until it comes, or is given
-// up, they get nothing more. A target that takes calls and says nothing would
-// otherwise take all of its slots' worth of them.
+// markUnresponsive marks the targets from which an answer is overdue. They get no more calls until
+// the answer arrives or the attempt ends. Otherwise a target that accepts calls and does not answer
+// would take as many calls as it has slots.
 func (p *Planner) markUnresponsive(now cf.Millis) {
 	for _, s := range p.targets {
 		s.unresponsive = false
@@ -297,8 +295,7 @@
 	}
 }
 
-// choose returns the target that should answer a call soonest, of those that
-// have room for it.
+// choose returns the target that should answer a call soonest, among those with a free slot for it.
 func (p *Planner) choose(c *Call, route Route, now cf.Millis) (cf.Target, bool) {
 	candidates := make([]cf.Target, 0, len(route.Targets))
 	for _, t := range route.Targets {
@@ -310,13 +307,14 @@
 	if t, ok := p.balancer.Choose(candidates, c.failedAt, goldenRatioFraction(p.draws), now); ok || len(c.failedAt) < len(route.Targets) {
 		return t, ok
 	}
-	return p.balancer.Choose(candidates, nil, goldenRatioFraction(p.draws), now) // it failed everywhere
+	return p.balancer.Choose(candidates, nil, goldenRatioFraction(p.draws), now) // the call has failed at every target
 }
 
-// goldenRatioFraction spreads successive numbers evenly over [0, 1), by the golden ratio.
+// goldenRatioFraction maps successive numbers to values that are evenly spread over [0, 1), using
+// the golden ratio.
 func goldenRatioFraction(n uint32) float64 { return float64(n*2654435769) / (1 << 32) }
 
-// sentTo says whether a target works on the call.
+// sentTo reports whether an attempt of the call is in flight to a target.
 func (c *Call) sentTo(id cf.InstanceID) bool {
 	return slices.ContainsFunc(c.inFlight, func(a *Attempt) bool { return a.Target.ID == id })
 }
@@ -327,7 +325,7 @@
 	return !s.unresponsive && now >= s.retryAt && s.inFlight < min(int(s.limit), p.maxCalls(t))
 }
 
-// maxCalls is how many calls a target gets at once, at least one.
+// maxCalls returns how many calls a target gets at once, at least one.
 func (p *Planner) maxCalls(t cf.Target) int {
 	if p.limits.CallerShare == 0 {
 		return max(t.Slots, 1)
@@ -353,7 +351,7 @@
 	return a
 }
 
-// Done takes the end of an attempt.
+// Done records the end of an attempt and returns what follows for its call.
 func (p *Planner) Done(a *Attempt, o Outcome, load *cf.TargetLoad, now cf.Millis) Verdict {
 	p.updateTarget(a, o, load, now)
 	c := a.Call
@@ -384,9 +382,9 @@
 	delete(p.calls, c.Item.ID)
 }
 
-// updateTarget learns from the end of an attempt what its target takes: a call more at
-// a time for each round of answers, half as many after a refusal, and one to
-// try with after a loss.
+// updateTarget adapts the number of calls that a target gets at once to the outcome of an attempt:
+// one more after a full round of answers, half as many after a rejection, and a single one after an
+// attempt without an answer or after repeated failures.
 func (p *Planner) updateTarget(a *Attempt, o Outcome, load *cf.TargetLoad, now cf.Millis) {
 	s := p.state(a.Target)
 	s.inFlight--
--- a/core/cfreward/reward_test.go
+++ b/core/cfreward/reward_test.go
@@ -13,11 +13,11 @@
 
 const (
 	service cf.ServiceName = "rewards"
-	// tick is how often the simulated coordinator looks.
+	// tick is the interval at which the simulated coordinator calls the planner.
 	tick cf.Millis = 5
 )
 
-// fakeEnv shows a fixed set of targets.
+// fakeEnv is an environment with a fixed set of targets.
 type fakeEnv struct {
 	targets     []cf.Target
 	maxAttempts int
@@ -42,7 +42,7 @@
 	return s
 }
 
-// newBatch returns a batch of groups of size items with reward calls.
+// newBatch returns a batch with the given number of groups of size items, all with reward calls.
 func newBatch(id cf.BatchID, accepted cf.Millis, groups, size int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, TargetGroups: groups, Accepted: accepted}
 	for g := range groups {
@@ -56,13 +56,13 @@
 	return cfbatch.New(sub)
 }
 
-// service in simulated time: what each target works on, and until when.
+// fakeService is a service in simulated time.
 type fakeService struct {
 	*fakeEnv
 	random    *rand.Rand
-	busyUntil map[cf.InstanceID][]cf.Millis // ends of the requests under way
-	// unresponsive targets take calls and answer none; failing ones say that each
-	// call failed; shut ones turn all away.
+	busyUntil map[cf.InstanceID][]cf.Millis // ends of the requests in flight, by target
+	// An unresponsive target accepts calls and does not answer them, a failing one answers that
+	// each call failed, and a rejecting one rejects all calls.
 	unresponsive, failing, rejecting map[cf.InstanceID]bool
 	endsAt                           map[*cfreward.Attempt]cf.Millis
 	outcomes                         map[*cfreward.Attempt]cfreward.Outcome
@@ -79,8 +79,9 @@
 	}
 }
 
-// workTime draws the time of an answer with mean 200 ms, as the service's users
-// see it: a logarithmic deviation of a half, one in a hundred five times as long.
+// workTime draws a response time as users of the service observe it, with the given mean (200 ms
+// for reward calls, 25 ms for lookups): log-normal with a standard deviation of 0.5 of the
+// logarithm, and five times as long for one response in a hundred.
 func (s *fakeService) workTime(mean float64) cf.Millis {
 	ms := mean * math.Exp(s.random.NormFloat64()*0.5-0.125)
 	if s.random.IntN(100) == 0 {
@@ -117,7 +118,7 @@
 	}
 }
 
-// lookup is a caller's request of 25 ms; it fits nowhere if its target is full.
+// lookup simulates a caller's request of 25 ms. It is rejected if its target has no free slot.
 func (s *fakeService) lookup(now cf.Millis) {
 	s.lookups++
 	t := s.targets[s.random.IntN(len(s.targets))]
@@ -128,8 +129,8 @@
 	s.busyUntil[t.ID] = append(s.busyUntil[t.ID], now+s.workTime(25))
 }
 
-// run runs the planner until no call is left or the time is up; it returns when
-// the last call ended, and how many were given up.
+// run calls the planner until the given time. It returns when the last call ended, and how many
+// calls were given up.
 func (s *fakeService) run(p *cfreward.Planner, until cf.Millis) (took cf.Millis, givenUp int) {
 	for now := cf.Millis(0); now < until; now += tick {
 		for a, end := range s.endsAt {
@@ -166,9 +167,10 @@
 	}
 }
 
-// The load pattern: 208 texts end at once before 14 targets of 6 slots. No call is
-// refused, callers find room at every moment, and the burst takes little longer
-// than its work divided by the slots that it may use (208 x 200 ms / 56 = 0.74 s).
+// Checks the load that the package is designed for: 208 texts finish at once, and the service has
+// 14 targets of 6 slots. No call is rejected, a slot is free for callers at every moment, and the
+// burst takes little longer than its work divided by the slots that reward calls may use (208 x 200
+// ms / 56 = 0.74 s).
 func TestBurstLeavesSlotsForCallers(t *testing.T) {
 	for seed := range uint64(20) {
 		p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), seed)
@@ -178,7 +180,7 @@
 			t.Fatalf("seed %d: %d calls unanswered", seed, p.Len())
 		}
 		if s.rejected > 0 || s.lookupsRejected > 0 || s.maxConcurrent > 5 {
-			t.Errorf("seed %d: %d refused tries, %d of %d lookups without a slot, %d at once", seed, s.rejected, s.lookupsRejected, s.lookups, s.maxConcurrent)
+			t.Errorf("seed %d: %d rejected calls, %d of %d lookups rejected, at most %d calls at once at a target", seed, s.rejected, s.lookupsRejected, s.lookups, s.maxConcurrent)
 		}
 		if took > 2500 {
 			t.Errorf("seed %d: the burst took %d ms", seed, took)
@@ -186,10 +188,9 @@
 	}
 }
 
-// Symptom: a service that turns everything away gets thousands of tries in a few
-// seconds, and the callers' own are among those that it turns away when it is back.
-// Sequence: all targets refuse for 4 s while 208 calls wait, then serve.
-// Cause guarded against: trying again at once wherever a call was refused.
+// Guards against thousands of attempts within seconds at a service that rejects everything, so that
+// it also rejects callers' requests when it has recovered. This happens if rejected calls are
+// repeated at once. All targets reject for 4 s while 208 calls wait, and then serve.
 func TestRejectingServiceIsNotFlooded(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), 1)
 	for _, x := range s.targets {
@@ -198,19 +199,17 @@
 	s.addAll(p, newBatch("s", 0, 26, 8))
 	s.run(p, 4000)
 	if s.sends > 14*8 {
-		t.Errorf("%d tries in 4 s at 14 targets that turn all away", s.sends)
+		t.Errorf("%d attempts in 4 s at 14 targets that reject all calls", s.sends)
 	}
 	clear(s.rejecting)
 	if s.run(p, 8000); p.Len() > 0 {
-		t.Errorf("%d calls unanswered 8 s after the service came back", p.Len())
+		t.Errorf("%d calls unanswered 8 s after the service recovered", p.Len())
 	}
 }
 
-// Symptom: a step waits 3 s for rewards that lie at targets which took the calls
-// and died.
-// Sequence: 3 of 14 targets take calls and say nothing.
-// Cause guarded against: waiting for a try's whole deadline, and sending a silent
-// target more.
+// Guards against a step that waits 3 s for rewards from targets that accepted the calls and died.
+// This happens if a call waits for the whole timeout of an attempt, and if an unresponsive target
+// gets more calls. Here 3 of 14 targets accept calls and do not answer.
 func TestUnresponsiveTargetsAreHedged(t *testing.T) {
 	for seed := range uint64(10) {
 		p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), seed)
@@ -220,15 +219,14 @@
 		s.addAll(p, newBatch("s", 0, 26, 8))
 		took, givenUp := s.run(p, 6000)
 		if p.Len() > 0 || givenUp > 0 || took > 2800 {
-			t.Errorf("seed %d: %d calls unanswered, %d given up, the last answer after %d ms", seed, p.Len(), givenUp, took)
+			t.Errorf("seed %d: %d calls unanswered, %d given up, last answer after %d ms", seed, p.Len(), givenUp, took)
 		}
 	}
 }
 
-// Symptom: samples are given up because one target fails all that it is asked.
-// Sequence: 2 of 14 targets answer each call as failed, and answer at once.
-// Cause guarded against: spending all attempts of a call at the target that
-// seems the least loaded.
+// Guards against samples that are given up because one target fails every call. This happens if all
+// attempts of a call go to the target that seems least loaded. Here 2 of 14 targets answer that
+// each call failed, and do so as fast as the others.
 func TestFailingTargetCostsNoSample(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), 3)
 	s.failing["t00"], s.failing["t07"] = true, true
@@ -238,7 +236,7 @@
 	}
 }
 
-// Symptom: a call that fails at every target is repeated for ever.
+// Guards against a call that fails at every target and is repeated without end.
 func TestFailingCallIsGivenUpAfterMaxAttempts(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(3, 6), 1)
 	for _, x := range s.targets {
@@ -247,14 +245,14 @@
 	b := newBatch("s", 0, 1, 1)
 	s.addAll(p, b)
 	if _, givenUp := s.run(p, 20000); givenUp != 1 || s.sends != 4 {
-		t.Errorf("%d given up after %d sends, want 1 after 4", givenUp, s.sends)
+		t.Errorf("%d calls given up after %d attempts, want 1 after 4", givenUp, s.sends)
 	}
 }
 
-// The calls that make a group whole go before others, and those of an older batch
-// before those of a newer one.
+// The calls that complete a group are sent before others, and those of an older batch before those
+// of a newer one.
 func TestNearlyCompleteGroupsGoFirst(t *testing.T) {
-	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(1, 3) // two at once
+	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(1, 3) // reward calls may use 2 of the 3 slots
 	newer, older := newBatch("newer", 2000, 1, 2), newBatch("older", 1000, 3, 1)
 	s.missing = map[cf.GroupID]int{"newer-00": 1, "older-00": 5, "older-01": 2, "older-02": 7}
 	for _, b := range []*cfbatch.Batch{newer, older} {
@@ -274,10 +272,9 @@
 	}
 }
 
-// Symptom: a reward call of an ended batch goes out, or its late answer scores an
-// item of another batch.
-// Sequence: a call is under way when its batch is ended; a later batch asks for
-// the same item; the answer to the first call comes.
+// Guards against a reward call of an ended batch that is sent, and against its late answer, which
+// must not score the item in another batch. A call is in flight when its batch is ended, a later
+// batch contains the same item, and then the answer to the first call arrives.
 func TestLateAnswerOfAnEndedBatchScoresNothing(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(2, 3)
 	first := newBatch("s", 0, 1, 1)
@@ -287,17 +284,17 @@
 		t.Fatalf("%d calls dropped", len(dropped))
 	}
 	if more := p.Schedule(s, 100); len(more) > 0 {
-		t.Error("a dropped call is sent")
+		t.Error("a dropped call was sent")
 	}
 	second := cfbatch.New(cf.Submission{ID: "next", Items: first.Sub.Items})
 	p.Add(second, second.Sub.Items[0], 200)
 	if v := p.Done(a, cfreward.Scored, nil, 210); v != cfreward.Continue || p.Len() != 1 {
-		t.Errorf("verdict %d on a late answer, %d calls left", v, p.Len())
+		t.Errorf("late answer: verdict %d, %d calls left; want verdict Continue and 1 call", v, p.Len())
 	}
 }
 
-// Symptom: a call without a route, or of a batch whose time is over, stays for
-// ever.
+// Guards against a call that is kept without end although it has no route, or although the time of
+// its batch is over.
 func TestCallsExpire(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(2, 3)
 	s.noRoute = true
@@ -310,17 +307,17 @@
 	}
 	limit := func(*cfbatch.Batch) cf.Millis { return 500 }
 	if n := len(p.Expire(limit, 1499)); n > 0 {
-		t.Errorf("%d calls given up too early", n)
+		t.Errorf("%d calls expired too early", n)
 	}
 	if n := len(p.Expire(limit, 1500)); n != 2 || p.Len() != 0 {
-		t.Errorf("%d calls given up, %d left", n, p.Len())
+		t.Errorf("%d calls expired, %d left; want 2 and 0", n, p.Len())
 	}
 	b.Apply("000000", []cf.Result{{ID: b.Sub.Items[0].ID}})
 	for _, it := range b.Sub.Items {
 		p.Add(b, it, 0)
 	}
 	if n := len(p.DropListed()); n != 1 || p.Len() != 1 {
-		t.Errorf("%d listed calls dropped, %d left", n, p.Len())
+		t.Errorf("%d listed calls dropped, %d left; want 1 and 1", n, p.Len())
 	}
 }
 
