--- a/core/cfbatch/batch_test.go
+++ b/core/cfbatch/batch_test.go
@@ -54,12 +54,12 @@
 // Either happens if a chunk is written without having read the chunks before it. Two coordinators
 // finish the same items and write chunks, each having read more or less of the other's, and some
 // writes take effect late.
-func TestTwoExecutorsListEachItemOnce(t *testing.T) {
+func TestTwoCoordinatorsListEachItemOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 60 {
 		sub := submission(5, 4)
 		store := chunkStore{}
-		executors := []*cfbatch.Batch{cfbatch.New(sub), cfbatch.New(sub)}
+		coordinators := []*cfbatch.Batch{cfbatch.New(sub), cfbatch.New(sub)}
 		type write struct {
 			name    string
 			results []cf.Result
@@ -67,7 +67,7 @@
 		var lateWrites []write
 		seen := cfbatch.New(sub)
 		for range 120 {
-			b := executors[random.IntN(2)]
+			b := coordinators[random.IntN(2)]
 			var fresh []cf.Result
 			for _, it := range sub.Items {
 				if !b.Listed(it.ID) && random.IntN(4) == 0 {
--- a/core/cfbatch/explore_test.go
+++ b/core/cfbatch/explore_test.go
@@ -39,24 +39,24 @@
 		if violation = s.check(); violation != "" {
 			return
 		}
-		for executor := range 2 {
+		for coordinator := range 2 {
 			next := s
-			next.chunksRead[executor] = next.chunkCount()
+			next.chunksRead[coordinator] = next.chunkCount()
 			visit(next)
 			for items := uint8(1); items < 1<<modelItems; items++ {
-				if r.readFirst && items&s.itemsBefore(s.chunksRead[executor]) != 0 || s.chunksRead[executor] == len(s.log) {
+				if r.readFirst && items&s.itemsBefore(s.chunksRead[coordinator]) != 0 || s.chunksRead[coordinator] == len(s.log) {
 					continue
 				}
-				if now, ok := s.write(r, s.chunksRead[executor], items, &violation); ok {
-					now.chunksRead[executor] = s.chunksRead[executor] + 1
+				if now, ok := s.write(r, s.chunksRead[coordinator], items, &violation); ok {
+					now.chunksRead[coordinator] = s.chunksRead[coordinator] + 1
 					visit(now)
 					lost := now
-					lost.chunksRead[executor] = s.chunksRead[executor] // the store's response was lost
+					lost.chunksRead[coordinator] = s.chunksRead[coordinator] // the store's response was lost
 					visit(lost)
 				}
 				if s.delayed.items == 0 {
 					later := s
-					later.delayed.chunk, later.delayed.items = s.chunksRead[executor], items
+					later.delayed.chunk, later.delayed.items = s.chunksRead[coordinator], items
 					visit(later)
 				}
 			}
