--- a/core/cfrollout/apart.go
+++ b/core/cfrollout/apart.go
@@ -12,14 +12,14 @@
 
 // Admission says whether an item may be sent to an engine now.
 type Admission struct {
-	Pass bool
-	// Elsewhere: it may be to another.
-	Elsewhere bool
-	// Until is when an item that pauses is tried again, zero if it does not.
-	Until cf.Millis
-	// Most is how many runs an engine may have with the item, zero for no bound: engines
+	Allowed bool
+	// TryOthers: it may be to another.
+	TryOthers bool
+	// RetryAt is when an item that pauses is tried again, zero if it does not.
+	RetryAt cf.Millis
+	// MaxRuns is how many runs an engine may have with the item, zero for no bound: engines
 	// crashed under it, so it is to be set apart.
-	Most int
+	MaxRuns int
 }
 
 // admitted returns the engine to which an item may be sent: e, the one that was chosen,
@@ -31,13 +31,13 @@
 	}
 	for e != nil {
 		a := p.limits.Admit(w, e.Target, false)
-		w.most = a.Most
+		w.most = a.MaxRuns
 		switch {
-		case a.Pass:
+		case a.Allowed:
 			return e
-		case a.Until > now || !a.Elsewhere && a.Most == 0:
+		case a.RetryAt > now || !a.TryOthers && a.MaxRuns == 0:
 			return nil
-		case !a.Elsewhere:
+		case !a.TryOthers:
 			return p.setApart(engines, q, w, typical, now)
 		}
 		// What this item may not meet there others may not either: each engine is found so
@@ -93,7 +93,7 @@
 		return nil
 	}
 	a := p.limits.Admit(w, e.Target, true)
-	if w.most = a.Most; !a.Pass {
+	if w.most = a.MaxRuns; !a.Allowed {
 		return nil
 	}
 	w.apart = alone && w.most > 0
@@ -121,11 +121,11 @@
 	}
 }
 
-// WaitsSince returns when the item's last run ended, or since when it waits for its first.
-func (w *Work) WaitsSince() cf.Millis { return w.waitsSince }
+// WaitingSince returns when the item's last run ended, or since when it waits for its first.
+func (w *Work) WaitingSince() cf.Millis { return w.waitsSince }
 
-// Apart returns how many runs an engine may have with the item while it runs, zero for no bound.
-func (w *Work) Apart() int {
+// IsolationLimit returns how many runs an engine may have with the item while it runs, zero for no bound.
+func (w *Work) IsolationLimit() int {
 	if w.apart {
 		return w.most
 	}
--- a/core/cfrollout/apart_test.go
+++ b/core/cfrollout/apart_test.go
@@ -15,9 +15,9 @@
 	limits := cfrollout.DefaultLimits
 	limits.Admit = func(w *cfrollout.Work, _ cf.Target, apart bool) cfrollout.Admission {
 		if !suspect(w.Item.ID) {
-			return cfrollout.Admission{Pass: true}
+			return cfrollout.Admission{Allowed: true}
 		}
-		return cfrollout.Admission{Pass: apart, Most: 1}
+		return cfrollout.Admission{Allowed: apart, MaxRuns: 1}
 	}
 	p := cfrollout.New(limits)
 	targets := fleet(engines, cf.ModelState{Name: "a", Version: 1})
@@ -34,7 +34,7 @@
 		return func(p *cfrollout.Planner, w *cfrollout.Work, _ []cf.Target) { p.Finished(w, o, 100) }
 	}
 	for name, end := range map[string]func(*cfrollout.Planner, *cfrollout.Work, []cf.Target){
-		"done": ended(cfrollout.OutcomeDone), "failed": ended(cfrollout.OutcomeFailed), "never": ended(cfrollout.OutcomeNever),
+		"done": ended(cfrollout.OutcomeDone), "failed": ended(cfrollout.OutcomeFailed), "never": ended(cfrollout.OutcomePermanentFailure),
 		"not run": ended(cfrollout.OutcomeNotRun), "broken": ended(cfrollout.OutcomeBroken), "stopped": ended(cfrollout.OutcomeStopped),
 		"batch ended": func(p *cfrollout.Planner, w *cfrollout.Work, _ []cf.Target) {
 			p.EndBatch("s")
@@ -58,8 +58,8 @@
 			p, targets := suspecting(2, func(id cf.ItemID) bool { return suspected && id == "s-0-0" })
 			p.AddBatch(step("s", "a", 1, 1, 1), terms)
 			w := p.Place(0)[0]
-			if w.Apart() != 1 {
-				t.Fatalf("the suspect may have %d runs beside it, want none", w.Apart())
+			if w.IsolationLimit() != 1 {
+				t.Fatalf("the suspect may have %d runs beside it, want none", w.IsolationLimit())
 			}
 			p.AddBatch(step("t", "a", 1, 2, 4), terms)
 			if others := p.Place(10); len(others) != targets[0].Slots {
@@ -93,7 +93,7 @@
 				t.Errorf("%d of %d suspects placed in empty engines", len(placed), 2*engines)
 			}
 			for _, w := range placed {
-				if w.Apart() > 0 {
+				if w.IsolationLimit() > 0 {
 					apart[w.Engine]++
 				}
 			}
@@ -102,7 +102,7 @@
 				t.Errorf("%d engines are set apart, want %d", len(apart), most)
 			}
 			for _, w := range placed {
-				if apart[w.Engine] > 1 || apart[w.Engine] > 0 && w.Apart() == 0 {
+				if apart[w.Engine] > 1 || apart[w.Engine] > 0 && w.IsolationLimit() == 0 {
 					t.Errorf("%s runs beside another at %s", w.Item.ID, w.Engine)
 				}
 			}
@@ -124,10 +124,10 @@
 	limits.Admit = func(_ *cfrollout.Work, e cf.Target, _ bool) cfrollout.Admission {
 		admissions++
 		if meet && at[e.ID] {
-			return cfrollout.Admission{Elsewhere: true}
+			return cfrollout.Admission{TryOthers: true}
 		}
 		at[e.ID] = true
-		return cfrollout.Admission{Pass: true}
+		return cfrollout.Admission{Allowed: true}
 	}
 	p := cfrollout.New(limits)
 	p.SetEngines(fleet(engines, cf.ModelState{Name: "a", Version: 1}), models("a"))
--- a/core/cfrollout/bench_test.go
+++ b/core/cfrollout/bench_test.go
@@ -69,7 +69,7 @@
 				p.Place(now)
 				p.Swaps(now)
 				p.Moves(now)
-				p.Unknown(now)
+				p.EnginesToQuery(now)
 			}
 		})
 		b.Run(fmt.Sprint("change/", n, "_engines"), func(b *testing.B) {
--- a/core/cfrollout/demand.go
+++ b/core/cfrollout/demand.go
@@ -35,9 +35,9 @@
 		// Events are those that all its items are expected to have, Left those that are
 		// to come, Longest the most that one item is expected to have. They are zero
 		// while no lengths are known.
-		Events  float64
-		Left    float64
-		Longest float64
+		Events    float64
+		Remaining float64
+		Longest   float64
 	}
 )
 
@@ -88,10 +88,10 @@
 		s.Longest = max(s.Longest, n)
 	}
 	for _, w := range o.waiting {
-		s.Left += p.left(w)
+		s.Remaining += p.left(w)
 	}
 	for _, w := range o.running {
-		s.Left += p.left(w)
+		s.Remaining += p.left(w)
 	}
 	return s
 }
--- a/core/cfrollout/life_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -95,7 +95,7 @@
 			default:
 				for w, at := range under {
 					avoid, kept := judged(p, at.ID)
-					p.Kept(w, now+500)
+					p.ConnectionKept(w, now+500)
 					p.Finished(w, []Outcome{OutcomeDone, OutcomeBroken, OutcomeNotRun, OutcomeStopped}[random.IntN(4)], now)
 					delete(under, w)
 					e := p.engines[at.ID]
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Same says whether a target is listed, and has not started again since it was as t shows it.
-func (p *Planner) Same(t cf.Target) bool {
+// IsCurrent says whether a target is listed, and has not started again since it was as t shows it.
+func (p *Planner) IsCurrent(t cf.Target) bool {
 	e := p.engines[t.ID]
 	return e != nil && e.Service == t.Service && (t.Born == 0 || t.Born >= e.Born)
 }
@@ -140,7 +140,7 @@
 	p.setLoading(e, 0)
 	delete(p.busy, id)
 	p.unlist(e)
-	e.Share = ""
+	e.Model = ""
 	if e.Running > 0 {
 		p.unlisted[unlistedKey{id, e.Service}] = e
 	}
@@ -176,10 +176,10 @@
 	if v > e.versions[m] {
 		e.versions[m] = v
 	}
-	if m == e.Share && e.versions[m] >= e.failed {
+	if m == e.Model && e.versions[m] >= e.failed {
 		e.failed = 0
 	}
-	if m == e.Share && e.loading > 0 && e.versions[m] >= e.loading {
+	if m == e.Model && e.loading > 0 && e.versions[m] >= e.loading {
 		p.setLoading(e, 0)
 	}
 }
@@ -189,14 +189,14 @@
 	var shares []share
 	newest := p.newest(f)
 	for id, e := range f.usable {
-		if e.Share == "" {
+		if e.Model == "" {
 			p.setShare(e, closest(e, models, newest))
 		}
 		cost := e.Running
-		if e.loading > 0 || e.versions[e.Share] >= p.Named(e.Share) {
+		if e.loading > 0 || e.versions[e.Model] >= p.LatestVersion(e.Model) {
 			cost += e.Slots
 		}
-		shares = append(shares, share{id: id, model: e.Share, moveCost: cost})
+		shares = append(shares, share{id: id, model: e.Model, moveCost: cost})
 	}
 	timed := p.timed(models)
 	if len(shares) < len(models) {
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -17,7 +17,7 @@
 // KeptAt records that a connection to an engine is kept until then.
 func (p *Planner) KeptAt(id cf.InstanceID, until cf.Millis) {
 	if e := p.engines[id]; e != nil {
-		p.Kept(&Work{engine: e, born: e.Born}, until)
+		p.ConnectionKept(&Work{engine: e, born: e.Born}, until)
 	}
 }
 
@@ -58,6 +58,6 @@
 func (p *Planner) UndoMoves(works []*Work) {
 	for _, w := range works {
 		p.releaseSlot(w)
-		w.moving, w.moves, w.Avoid = false, 0, ""
+		w.moving, w.moves, w.AvoidEngine = false, 0, ""
 	}
 }
--- a/core/cfrollout/leaving_test.go
+++ b/core/cfrollout/leaving_test.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		delete(x.loads, id)
-		x.p.SwapTook(id, x.now)
+		x.p.LoadEnded(id, x.now)
 		x.p.SwapDone(id, s.Model, s.Version)
 		for i := range x.targets {
 			if x.targets[i].ID == id {
--- a/core/cfrollout/loads.go
+++ b/core/cfrollout/loads.go
@@ -74,9 +74,9 @@
 // allowed is how many may load at once.
 func (l *loadPace) allowed() int { return min(l.limit, l.most) }
 
-// ProvedLoads returns how many engines may load weights at once, as far as it was
+// LearnedLoads returns how many engines may load weights at once, as far as it was
 // seen.
-func (p *Planner) ProvedLoads() int { return p.loads.proved }
+func (p *Planner) LearnedLoads() int { return p.loads.proved }
 
 // took takes the time of a load that ran beside others, itself counted. More
 // than the limit run at once while work waits for them.
--- a/core/cfrollout/loads_test.go
+++ b/core/cfrollout/loads_test.go
@@ -88,7 +88,7 @@
 // one before has seen that nine may load at once.
 func TestLearnedLoadsAreAllowedAtOnce(t *testing.T) {
 	limits := DefaultLimits
-	limits.Learned = 9
+	limits.LearnedLoads = 9
 	p := New(limits)
 	var engines []cf.Target
 	for i := range 20 {
@@ -122,8 +122,8 @@
 		}
 	}
 	limits := DefaultLimits
-	limits.Learned = 5000
-	if n := New(limits).ProvedLoads(); n > loadsMost {
+	limits.LearnedLoads = 5000
+	if n := New(limits).LearnedLoads(); n > loadsMost {
 		t.Errorf("%d loads at once are taken over from a coordinator before", n)
 	}
 }
--- a/core/cfrollout/memory.go
+++ b/core/cfrollout/memory.go
@@ -140,9 +140,9 @@
 	return memory == 0 || p.memory.perEvent == 0 || e.used+p.size(w) <= float64(memory)
 }
 
-// Long says whether an item's text is, or is expected to be, one of those that its
+// IsLong says whether an item's text is, or is expected to be, one of those that its
 // step waits for.
-func (p *Planner) Long(w *Work) bool {
+func (p *Planner) IsLong(w *Work) bool {
 	if !p.lengths.started {
 		return w.guess >= longText
 	}
@@ -169,9 +169,9 @@
 // tokens of events, and of the memory of engines that are alike, spares the others theirs.
 const askMost = 2 * alikeFrom
 
-// Unknown returns the engines to ask for their memory, askMost at a time: those with runs of
+// EnginesToQuery returns the engines to ask for their memory, askMost at a time: those with runs of
 // which it is not known, and any while nothing is known of the tokens of events.
-func (p *Planner) Unknown(now cf.Millis) []cf.Target {
+func (p *Planner) EnginesToQuery(now cf.Millis) []cf.Target {
 	if now-p.memory.askedAt >= askEvery {
 		p.memory.askedAt, p.memory.askedNow = now, 0
 	}
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -57,7 +57,7 @@
 	long := map[cf.InstanceID]int{}
 	placed := p.Place(0)
 	for _, w := range placed {
-		if p.Long(w) {
+		if p.IsLong(w) {
 			long[w.Engine]++
 		}
 	}
@@ -126,7 +126,7 @@
 	p.AddBatch(memoryBatch(0, 2), Terms{Service: "s"})
 	works := p.Place(0)
 	const now = 10 * askEvery
-	if len(p.Unknown(now)) != 1 || len(p.Unknown(now+askEvery-1)) != 0 {
+	if len(p.EnginesToQuery(now)) != 1 || len(p.EnginesToQuery(now+askEvery-1)) != 0 {
 		t.Error("an engine is not asked while nothing is known, or too often")
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 23000, Runs: []cf.TargetRun{
@@ -137,7 +137,7 @@
 	if got := p.memory.perEvent; got != 41 {
 		t.Errorf("%.1f tokens an event, want 41", got)
 	}
-	if n := len(p.Unknown(2 * now)); n != 0 {
+	if n := len(p.EnginesToQuery(2 * now)); n != 0 {
 		t.Errorf("%d engines are asked for what is known", n)
 	}
 }
@@ -154,7 +154,7 @@
 	p.Place(0)
 	asked := func(now cf.Millis, memory cf.Tokens) int {
 		n := 0
-		for _, target := range p.Unknown(now) {
+		for _, target := range p.EnginesToQuery(now) {
 			if n++; n <= alikeFrom {
 				p.Reported(target.ID, cf.TargetReport{Memory: memory})
 			}
--- a/core/cfrollout/need.go
+++ b/core/cfrollout/need.go
@@ -97,7 +97,7 @@
 	peak := p.peaks[m]
 	switch {
 	case peak != nil && peak.Max(p.now) > 0:
-	case p.Named(m) > 1: // it is trained, and its steps are not known yet
+	case p.LatestVersion(m) > 1: // it is trained, and its steps are not known yet
 		if _, assumed := f.assumed[m]; !assumed {
 			f.assumed[m] = min(f.following(m)/shifts, len(f.usable)/len(p.models[service]))
 		}
@@ -203,7 +203,7 @@
 // that hold the version before go on serving, so that a step which comes just now finds
 // them, and no run stands still for a load.
 func (p *Planner) dueByNeed(f *fleet, k shareKey, share []*Engine, d *demand, now cf.Millis) []swapCandidate {
-	newest := p.Named(k.model)
+	newest := p.LatestVersion(k.model)
 	ready, useful, active := 0, 0, 0
 	var idle []idleEngine
 	for _, e := range share {
@@ -261,11 +261,11 @@
 
 // setShare gives an engine to a model, or to none.
 func (p *Planner) setShare(e *Engine, m cf.ModelName) {
-	if e.Share == m && m != "" {
+	if e.Model == m && m != "" {
 		return
 	}
 	p.unlist(e)
-	e.Share = m
+	e.Model = m
 	p.setLoading(e, 0)
 	if m == "" {
 		p.noteSpare(e)
@@ -281,7 +281,7 @@
 
 // unlist takes an engine out of the list of its share.
 func (p *Planner) unlist(e *Engine) {
-	k := shareKey{e.Service, e.Share}
+	k := shareKey{e.Service, e.Model}
 	if at, found := slices.BinarySearchFunc(p.shares[k], e.ID, byID); found {
 		p.shares[k] = slices.Delete(p.shares[k], at, at+1)
 	}
@@ -294,7 +294,7 @@
 
 // noteSpare lists an engine among the spare ones, if it is one.
 func (p *Planner) noteSpare(e *Engine) {
-	if f := p.fleets[e.Service]; f != nil && e.Share == "" && !e.Draining {
+	if f := p.fleets[e.Service]; f != nil && e.Model == "" && !e.Draining {
 		f.spare[e.ID] = e
 	}
 }
--- a/core/cfrollout/need_test.go
+++ b/core/cfrollout/need_test.go
@@ -79,7 +79,7 @@
 func (w *needWorld) takeOver() {
 	limits := cfrollout.DefaultLimits
 	if w.p != nil {
-		limits.Learned = w.p.ProvedLoads()
+		limits.LearnedLoads = w.p.LearnedLoads()
 	}
 	w.p = cfrollout.New(limits)
 	clear(w.running)
@@ -175,7 +175,7 @@
 			}
 			w.p.ChangeEngines(w.targets[i:i+1], nil)
 		}
-		w.p.SwapTook(id, w.now)
+		w.p.LoadEnded(id, w.now)
 	}
 	for run, r := range w.running {
 		if w.now < r.next {
@@ -222,7 +222,7 @@
 func (w *needWorld) serving() int {
 	n := 0
 	for _, t := range w.targets {
-		if e, _ := w.p.Engine(t.ID); e.Share != "" {
+		if e, _ := w.p.Engine(t.ID); e.Model != "" {
 			n++
 		}
 	}
@@ -314,7 +314,7 @@
 	w.play(5*worldEvery, 13)
 	before := map[cf.InstanceID]bool{}
 	for _, target := range w.targets {
-		if e, _ := w.p.Engine(target.ID); e.Share != "" {
+		if e, _ := w.p.Engine(target.ID); e.Model != "" {
 			before[target.ID] = true
 		}
 	}
@@ -325,7 +325,7 @@
 	w.play(2*worldEvery, 13)
 	others := 0
 	for _, target := range w.targets {
-		if e, _ := w.p.Engine(target.ID); e.Share != "" && !before[target.ID] {
+		if e, _ := w.p.Engine(target.ID); e.Model != "" && !before[target.ID] {
 			others++
 		}
 	}
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -70,9 +70,9 @@
 	p.events.Add(1)
 }
 
-// Seen records that all events until at are known. An engine that merely has not
+// SeenUntil records that all events until at are known. An engine that merely has not
 // been heard of for a while is not taken for one that has stopped sending.
-func (p *Progress) Seen(at cf.Millis) { p.seen.Store(int64(at)) }
+func (p *Progress) SeenUntil(at cf.Millis) { p.seen.Store(int64(at)) }
 
 // reset forgets the run before.
 func (p *Progress) reset() {
@@ -188,9 +188,9 @@
 	return p.usual
 }
 
-// Pace returns the milliseconds that an event takes with one run at a usual engine, zero
+// TypicalPace returns the milliseconds that an event takes with one run at a usual engine, zero
 // while none has shown it.
-func (p *Planner) Pace() float64 {
+func (p *Planner) TypicalPace() float64 {
 	if pace := p.typical(); p.usualAt >= 0 {
 		return pace
 	}
@@ -219,7 +219,7 @@
 			moves = p.movesToRoom(o, typical, now)
 		}
 		for _, w := range moves {
-			w.moving, w.Avoid, w.avoidUntil = true, w.Engine, now+moveRest
+			w.moving, w.AvoidEngine, w.avoidUntil = true, w.Engine, now+moveRest
 			w.movedAt = now
 			w.moves++
 		}
@@ -283,7 +283,7 @@
 // queueOf returns how a batch's items are served.
 func (p *Planner) queueOf(o *open) queue {
 	return p.queueAt(p.share(o), func(e *Engine) bool {
-		return !e.Draining && e.versions[e.Share] >= o.batch.Sub.MinVersion
+		return !e.Draining && e.versions[e.Model] >= o.batch.Sub.MinVersion
 	})
 }
 
--- a/core/cfrollout/place.go
+++ b/core/cfrollout/place.go
@@ -15,8 +15,8 @@
 	OutcomeDone Outcome = iota
 	// OutcomeFailed: the engine answered that the attempt failed.
 	OutcomeFailed
-	// OutcomeNever: the item can never be done.
-	OutcomeNever
+	// OutcomePermanentFailure: the item can never be done.
+	OutcomePermanentFailure
 	// OutcomeNotRun: the engine was full or loading.
 	OutcomeNotRun
 	// OutcomeBroken: the stream broke off or stalled; it can be resumed.
@@ -62,7 +62,7 @@
 				w.idle = now
 			}
 			var e *Engine
-			if fresh := w.Text.Last == 0 && w.Avoid == ""; !fresh || !full {
+			if fresh := w.Text.Last == 0 && w.AvoidEngine == ""; !fresh || !full {
 				e = p.choose(engines, w, typical, now)
 				full = full || fresh && e == nil
 			}
@@ -99,7 +99,7 @@
 		return
 	}
 	for _, e := range engines {
-		if !e.Draining && e.versions[e.Share] == w.Text.Versions[0] {
+		if !e.Draining && e.versions[e.Model] == w.Text.Versions[0] {
 			return
 		}
 	}
@@ -109,11 +109,11 @@
 func (p *Planner) start(o *open, w *Work, e *Engine, now cf.Millis) {
 	w.Engine, w.engine, w.born = e.ID, e, e.Born
 	w.Version, w.Started = e.versions[w.Batch.Sub.Model], now
-	w.Oldest = w.Version
+	w.OldestVersion = w.Version
 	w.moving, w.from = false, w.Text.Last
 	w.Progress.reset()
 	for _, v := range w.Text.Versions {
-		w.Oldest = min(w.Oldest, v)
+		w.OldestVersion = min(w.OldestVersion, v)
 	}
 	e.Running++
 	if e.warm(now) {
@@ -144,7 +144,7 @@
 	}
 	var best, roomiest, emptiest *Engine
 	bestPace, bestDelay := math.Inf(1), math.Inf(1)
-	long, left := p.Long(w), p.left(w)
+	long, left := p.IsLong(w), p.left(w)
 	fitting := p.fitting[:0]
 	for _, e := range engines {
 		switch {
@@ -159,7 +159,7 @@
 		delay := p.delay(e, left, now)
 		pace := p.expected(e, typical) + delay/max(left, 1)
 		if !long && e.groups[w.Item.Group] > 0 {
-			pace *= p.limits.Affinity
+			pace *= p.limits.GroupAffinity
 		}
 		if !long && e.warm(now) {
 			pace *= warmPace
@@ -207,9 +207,9 @@
 	return len(e.kept) > 0
 }
 
-// Kept records that the connection of a run, which has not been noted as finished, is kept
+// ConnectionKept records that the connection of a run, which has not been noted as finished, is kept
 // until then.
-func (p *Planner) Kept(w *Work, until cf.Millis) {
+func (p *Planner) ConnectionKept(w *Work, until cf.Millis) {
 	if e := p.at(w); e != nil && len(e.kept) < e.Slots {
 		e.kept = append(e.kept, until)
 	}
@@ -232,7 +232,7 @@
 // worth nothing before its last.
 func (p *Planner) betterWait(q queue, w *Work, slow *Engine, nth int) bool {
 	if p.byPeriods(p.now) && p.full(slow) <= slowPace*q.pace { // it is slow for now
-		return q.slots > 0 && p.Long(w) && p.periods.Delay(&slow.state, p.left(w)*q.pace, p.now) > q.wait(nth)
+		return q.slots > 0 && p.IsLong(w) && p.periods.Delay(&slow.state, p.left(w)*q.pace, p.now) > q.wait(nth)
 	}
 	return p.left(w)*(p.full(slow)-q.pace) > q.wait(nth)
 }
@@ -242,7 +242,7 @@
 
 // open says whether an engine can start an item now, if it has room.
 func (e *Engine) open(w *Work, now cf.Millis) bool {
-	if e.ID == w.Avoid && now < w.avoidUntil {
+	if e.ID == w.AvoidEngine && now < w.avoidUntil {
 		return false
 	}
 	return now >= e.avoid && e.loading == 0 && e.serves(w)
@@ -257,10 +257,10 @@
 
 // serves says whether an engine is of the item's share and its weights fit.
 func (e *Engine) serves(w *Work) bool {
-	if e.Draining || e.Service != w.Terms.Service || e.Share != w.Batch.Sub.Model {
+	if e.Draining || e.Service != w.Terms.Service || e.Model != w.Batch.Sub.Model {
 		return false
 	}
-	v := e.versions[e.Share]
+	v := e.versions[e.Model]
 	if v < w.Batch.Sub.MinVersion {
 		return false
 	}
@@ -301,11 +301,11 @@
 	}
 	if o == nil {
 		delete(p.orphans, w.Item.ID)
-		p.Keep(w)
+		p.KeepText(w)
 		return false
 	}
 	switch {
-	case outcome == OutcomeDone, outcome == OutcomeNever, w.Failures >= max(w.Terms.MaxAttempts, 1):
+	case outcome == OutcomeDone, outcome == OutcomePermanentFailure, w.Failures >= max(w.Terms.MaxAttempts, 1):
 		return true
 	}
 	// First in line: others of its group have run, and the step waits for it.
@@ -321,9 +321,9 @@
 func (p *Planner) judge(e *Engine, outcome Outcome, now cf.Millis) {
 	switch outcome {
 	case OutcomeNotRun:
-		e.avoid = now + p.limits.FullPenalty
+		e.avoid = now + p.limits.BusyPenalty
 	case OutcomeFailed, OutcomeBroken:
-		e.avoid = now + p.limits.Penalty
+		e.avoid = now + p.limits.FailurePenalty
 	}
 }
 
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -33,23 +33,23 @@
 type (
 	// Limits bound what the planner starts.
 	Limits struct {
-		// Loads is how many engines load weights at once until it is known
+		// MinLoads is how many engines load weights at once until it is known
 		// how many may, and at the least.
-		Loads int
-		// Learned is the same as a planner before has learned, zero if none has.
-		Learned int
+		MinLoads int
+		// LearnedLoads is the same as a planner before has learned, zero if none has.
+		LearnedLoads int
 		// UrgentLoads is the bound while work waits for a version that no
 		// engine of its share holds.
 		UrgentLoads int
-		// Penalty keeps new items off an engine that failed one.
-		Penalty cf.Millis
-		// OrderRest is the pause after an order that was not taken.
-		OrderRest cf.Millis
-		// FullPenalty keeps them off one that was full or loading.
-		FullPenalty cf.Millis
-		// Affinity makes an engine that has read a group's prompt count as
+		// FailurePenalty keeps new items off an engine that failed one.
+		FailurePenalty cf.Millis
+		// OrderBackoff is the pause after an order that was not taken.
+		OrderBackoff cf.Millis
+		// BusyPenalty keeps them off one that was full or loading.
+		BusyPenalty cf.Millis
+		// GroupAffinity makes an engine that has read a group's prompt count as
 		// so much faster for the group's other items.
-		Affinity float64
+		GroupAffinity float64
 		// Admit says whether an item may be sent to an engine now; apart says that the
 		// engine is set apart, or that none can be. nil lets all.
 		Admit func(w *Work, engine cf.Target, apart bool) Admission
@@ -81,8 +81,8 @@
 	// Engine is a model target with what is known of it.
 	Engine struct {
 		cf.Target
-		// Share is the model that it serves.
-		Share   cf.ModelName
+		// Model is the model that it serves.
+		Model   cf.ModelName
 		Running int
 		loading cf.WeightVersion // zero when it loads nothing
 		// loadBegan is when, beside how many at most, and undelayed that no
@@ -153,9 +153,9 @@
 		engine  *Engine
 		born    cf.Millis
 		Version cf.WeightVersion
-		// Oldest is the oldest version of the text, as of the run's start.
-		Oldest  cf.WeightVersion
-		Started cf.Millis
+		// OldestVersion is the oldest version of the text, as of the run's start.
+		OldestVersion cf.WeightVersion
+		Started       cf.Millis
 		// guess is its submitter's guess of its length against the mean of its
 		// batch, zero without one.
 		guess float64
@@ -171,14 +171,14 @@
 		// movedAt is when it was last decided to move it, until its first event
 		// elsewhere.
 		movedAt cf.Millis
-		moved   Moved
+		moved   Move
 		// to is the engine that keeps a slot for it until toUntil.
 		to      *Engine
 		toUntil cf.Millis
-		// Avoid is an engine that the run was moved away from.
-		Avoid      cf.InstanceID
-		avoidUntil cf.Millis
-		order      int
+		// AvoidEngine is an engine that the run was moved away from.
+		AvoidEngine cf.InstanceID
+		avoidUntil  cf.Millis
+		order       int
 		// most is how many runs an engine may have with it, as the last admission said;
 		// apart: it runs at an engine that is set apart for it.
 		most  int
@@ -291,7 +291,7 @@
 )
 
 // DefaultLimits suit engines that answer refusals at once.
-var DefaultLimits = Limits{Loads: 2, UrgentLoads: 3, Penalty: 1500, OrderRest: 400, FullPenalty: 150, Affinity: 0.94}
+var DefaultLimits = Limits{MinLoads: 2, UrgentLoads: 3, FailurePenalty: 1500, OrderBackoff: 400, BusyPenalty: 150, GroupAffinity: 0.94}
 
 // New returns a planner that knows no engines.
 func New(limits Limits) *Planner {
@@ -299,16 +299,16 @@
 		limits: limits, engines: map[cf.InstanceID]*Engine{}, named: map[cf.ModelName]cf.WeightVersion{},
 		models: map[cf.ServiceName][]cf.ModelName{}, need: map[cf.ModelName]stepWork{}, batches: map[cf.BatchID]*open{},
 		fleets: map[cf.ServiceName]*fleet{}, shares: map[shareKey][]*Engine{}, loadings: map[cf.InstanceID]*Engine{}, busy: map[cf.InstanceID]*Engine{}, conflicts: map[*Engine]bool{}, proved: map[cf.ModelName]cf.WeightVersion{}, peaks: map[cf.ModelName]*cfpeak.Peak{}, usualAt: -1,
-		carry: map[cf.ItemID]*Work{}, orphans: map[cf.ItemID]*Work{}, unlisted: map[unlistedKey]*Engine{}, single: map[cf.ModelName]bool{}, loads: newLoadPace(limits.Loads, limits.Learned), trials: trials{models: map[cf.ModelName]*trial{}}, slots: slotCost{cost: slotPrior}, memory: memory{asked: map[cf.InstanceID]cf.Millis{}, told: map[cf.ServiceName]*toldMemory{}},
+		carry: map[cf.ItemID]*Work{}, orphans: map[cf.ItemID]*Work{}, unlisted: map[unlistedKey]*Engine{}, single: map[cf.ModelName]bool{}, loads: newLoadPace(limits.MinLoads, limits.LearnedLoads), trials: trials{models: map[cf.ModelName]*trial{}}, slots: slotCost{cost: slotPrior}, memory: memory{asked: map[cf.InstanceID]cf.Millis{}, told: map[cf.ServiceName]*toldMemory{}},
 	}
 }
 
-// Named returns the newest version named for a model.
-func (p *Planner) Named(m cf.ModelName) cf.WeightVersion { return max(p.named[m], 1) }
+// LatestVersion returns the newest version named for a model.
+func (p *Planner) LatestVersion(m cf.ModelName) cf.WeightVersion { return max(p.named[m], 1) }
 
 // SetVersion takes a version that a trainer has named.
 func (p *Planner) SetVersion(m cf.ModelName, v cf.WeightVersion) {
-	p.undivided = p.undivided || p.Named(m) == 1 && v > 1
+	p.undivided = p.undivided || p.LatestVersion(m) == 1 && v > 1
 	p.named[m] = max(p.named[m], v)
 }
 
@@ -388,7 +388,7 @@
 // adopt lets a run go on for a batch that asks for its item again.
 func (p *Planner) adopt(o *open, it cf.Item) bool {
 	w := p.orphans[it.ID]
-	if w == nil || w.Oldest < o.batch.Sub.MinVersion {
+	if w == nil || w.OldestVersion < o.batch.Sub.MinVersion {
 		return false
 	}
 	delete(p.orphans, it.ID)
@@ -429,12 +429,12 @@
 		p.need[o.batch.Sub.Model] = work
 	}
 	for _, w := range o.waiting {
-		p.Keep(w)
+		p.KeepText(w)
 	}
 	var stop []*Work
 	for _, w := range o.running {
 		// The next step asks for newer weights than this one did.
-		if w.Oldest <= o.batch.Sub.MinVersion {
+		if w.OldestVersion <= o.batch.Sub.MinVersion {
 			stop = append(stop, w)
 			p.keepStopped(w)
 			continue
@@ -444,8 +444,8 @@
 	return stop
 }
 
-// Busy says whether any work waits or runs.
-func (p *Planner) Busy() bool {
+// HasWork says whether any work waits or runs.
+func (p *Planner) HasWork() bool {
 	for _, o := range p.batches {
 		if len(o.waiting)+len(o.running) > 0 {
 			return true
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -56,7 +56,7 @@
 	out := map[cf.InstanceID]cf.ModelName{}
 	for _, t := range targets {
 		e, _ := p.Engine(t.ID)
-		out[t.ID] = e.Share
+		out[t.ID] = e.Model
 	}
 	return out
 }
@@ -154,7 +154,7 @@
 
 // Engines load when nothing waits for them, one at least serving all the time.
 func TestSwapsLeaveOneEngineServing(t *testing.T) {
-	p := cfrollout.New(cfrollout.Limits{Loads: 10, UrgentLoads: 10, Affinity: 1})
+	p := cfrollout.New(cfrollout.Limits{MinLoads: 10, UrgentLoads: 10, GroupAffinity: 1})
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	p.SetVersion("a", 2)
 	first := p.Swaps(0)
--- a/core/cfrollout/recruits.go
+++ b/core/cfrollout/recruits.go
@@ -115,7 +115,7 @@
 		}
 		var slow []*Engine
 		for _, e := range es {
-			if !e.Draining && e.Running == 0 && e.loading == 0 && e.versions[k.model] < p.Named(k.model)-1 && p.slowerThanUsual(e) {
+			if !e.Draining && e.Running == 0 && e.loading == 0 && e.versions[k.model] < p.LatestVersion(k.model)-1 && p.slowerThanUsual(e) {
 				slow = append(slow, e)
 			}
 		}
--- a/core/cfrollout/refusal.go
+++ b/core/cfrollout/refusal.go
@@ -22,9 +22,9 @@
 	// Infeasible: not one of its groups could be whole by its due time, even with all of its
 	// model's engines.
 	Infeasible bool
-	// Quickest is when the first of its groups could be whole, Left the time until it is
+	// FirstGroup is when the first of its groups could be whole, Left the time until it is
 	// due, and Retry when to come back.
-	Quickest, Left, Retry cf.Millis
+	FirstGroup, TimeLeft, RetryAfter cf.Millis
 }
 
 // EstimateStep returns what is expected of a step. Where lengths or paces are not known it is
@@ -55,9 +55,9 @@
 	// The due time is taken from the accepting machine's wall clock, which may be behind: a
 	// step that is just being accepted has all of its time left.
 	left := max(terms.Due-now, terms.Span)
-	est := Estimate{Infeasible: quickest > infeasibleFactor*float64(max(left, 0)), Quickest: cf.Millis(quickest), Left: left}
+	est := Estimate{Infeasible: quickest > infeasibleFactor*float64(max(left, 0)), FirstGroup: cf.Millis(quickest), TimeLeft: left}
 	if est.Infeasible {
-		est.Retry = min(max(p.openFor(o), retryLeast), retryMost)
+		est.RetryAfter = min(max(p.openFor(o), retryLeast), retryMost)
 	}
 	return est
 }
@@ -77,14 +77,14 @@
 // Selection is what was decided for the groups of an open step.
 type Selection struct {
 	Batch cf.BatchID
-	// Beyond: groups are put off so that others are whole in time.
-	Beyond bool
-	// Whole is how long all that the trainer waits for takes from the last ranking on, Left
+	// Deferring: groups are put off so that others are whole in time.
+	Deferring bool
+	// Duration is how long all that the trainer waits for takes from the last ranking on, Left
 	// the time until it is due.
-	Whole, Left cf.Millis
+	Duration, TimeLeft cf.Millis
 	// InTime, Late and Last are groups that are waited for, by when they can be whole: by
 	// the due time, soon after it, or later. Spare ones are not waited for.
-	InTime, Late, Last, Spare int
+	InTime, Late, TooLate, Optional int
 }
 
 // Selections returns what was decided for the open steps whose groups are ranked.
@@ -96,8 +96,8 @@
 		}
 		n := o.selected.counts
 		out = append(out, Selection{
-			Batch: id, Beyond: o.selected.beyond, Whole: cf.Millis(o.selected.whole), Left: o.terms.Due - now,
-			InTime: n[groupInTime], Late: n[groupLate], Last: n[groupLast], Spare: n[groupOptional],
+			Batch: id, Deferring: o.selected.beyond, Duration: cf.Millis(o.selected.whole), TimeLeft: o.terms.Due - now,
+			InTime: n[groupInTime], Late: n[groupLate], TooLate: n[groupLast], Optional: n[groupOptional],
 		})
 	}
 	return out
--- a/core/cfrollout/refusal_test.go
+++ b/core/cfrollout/refusal_test.go
@@ -36,7 +36,7 @@
 		due := terms
 		due.Due, due.Span = c.due, c.span
 		h := p.EstimateStep(c.sub, due, 5000)
-		if h.Infeasible != c.infeasible || h.Infeasible && h.Retry < 2000 {
+		if h.Infeasible != c.infeasible || h.Infeasible && h.RetryAfter < 2000 {
 			t.Errorf("%s: %+v", c.name, h)
 		}
 	}
--- a/core/cfrollout/selection_test.go
+++ b/core/cfrollout/selection_test.go
@@ -88,7 +88,7 @@
 	sub := cf.Submission{ID: "s", Model: "m"}
 	o := &open{batch: cfbatch.New(sub), terms: Terms{Service: "x"}}
 	engine := func(id cf.InstanceID, used float64) *Engine {
-		e := &Engine{Target: cf.Target{ID: id, Service: "x", Slots: 1}, Share: "m", used: used, versions: map[cf.ModelName]cf.WeightVersion{"m": 1}}
+		e := &Engine{Target: cf.Target{ID: id, Service: "x", Slots: 1}, Model: "m", used: used, versions: map[cf.ModelName]cf.WeightVersion{"m": 1}}
 		p.shares[shareKey{"x", "m"}] = append(p.shares[shareKey{"x", "m"}], e)
 		return e
 	}
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -124,7 +124,7 @@
 func (s *session) finish(id cf.ItemID, outcome string) string {
 	w := s.running[id]
 	outcomes := map[string]cfrollout.Outcome{
-		"done": cfrollout.OutcomeDone, "failed": cfrollout.OutcomeFailed, "never": cfrollout.OutcomeNever,
+		"done": cfrollout.OutcomeDone, "failed": cfrollout.OutcomeFailed, "never": cfrollout.OutcomePermanentFailure,
 		"not_run": cfrollout.OutcomeNotRun, "broken": cfrollout.OutcomeBroken,
 	}
 	if !s.planner.Finished(w, outcomes[outcome], s.now) {
--- a/core/cfrollout/shares.go
+++ b/core/cfrollout/shares.go
@@ -29,9 +29,9 @@
 		moveCost int
 	}
 
-	// Need is a model's weight in the division of the engines: the work of
+	// modelNeeds is a model's weight in the division of the engines: the work of
 	// its latest step.
-	Need map[cf.ModelName]float64
+	modelNeeds map[cf.ModelName]float64
 
 	// stepWork is the work of a step, in tokens of its items at the most and as their
 	// submitter guesses the lengths, zero where it does not.
@@ -81,7 +81,7 @@
 }
 
 // keepsShares says whether the division is near enough to what the models need.
-func keepsShares(engines []share, models []cf.ModelName, need Need) bool {
+func keepsShares(engines []share, models []cf.ModelName, need modelNeeds) bool {
 	have, total := map[cf.ModelName]int{}, 0.0
 	for _, e := range engines {
 		have[e.model]++
@@ -103,14 +103,14 @@
 // needOf returns the models' needs. For timed steps these are the guessed lengths of their
 // texts where all tell them, since the tokens of an item are a bound and not its length, else
 // the bounds, as means of their steps. For others they are the bounds of the latest step.
-func (p *Planner) needOf(models []cf.ModelName, timed bool) Need {
+func (p *Planner) needOf(models []cf.ModelName, timed bool) modelNeeds {
 	hinted := timed
 	for _, m := range models {
 		if w, known := p.need[m]; known && w.hints == 0 {
 			hinted = false
 		}
 	}
-	out := Need{}
+	out := modelNeeds{}
 	for _, m := range models {
 		w, known := p.need[m]
 		if !known {
@@ -135,7 +135,7 @@
 // assign divides engines among models in proportion to need, at least one
 // each while there are enough, and changes as few as it can: an engine that
 // changes hands must load weights before it is of use.
-func assign(engines []share, models []cf.ModelName, need Need) map[cf.InstanceID]cf.ModelName {
+func assign(engines []share, models []cf.ModelName, need modelNeeds) map[cf.InstanceID]cf.ModelName {
 	out := make(map[cf.InstanceID]cf.ModelName, len(engines))
 	if len(models) == 0 {
 		return out
@@ -168,7 +168,7 @@
 }
 
 // quotas rounds each model's part of n engines by largest remainder.
-func quotas(n int, models []cf.ModelName, need Need) map[cf.ModelName]int {
+func quotas(n int, models []cf.ModelName, need modelNeeds) map[cf.ModelName]int {
 	total := 0.0
 	for _, m := range models {
 		total += weight(need, m)
@@ -206,7 +206,7 @@
 	return quota
 }
 
-func weight(need Need, m cf.ModelName) float64 {
+func weight(need modelNeeds, m cf.ModelName) float64 {
 	if w := need[m]; w > 0 {
 		return w
 	}
--- a/core/cfrollout/periods.go
+++ b/core/cfrollout/slowperiods.go
@@ -47,16 +47,16 @@
 )
 
 type (
-	// Moved is why a run was last moved, for logs and metrics.
-	Moved struct {
-		// Period says that its engine had turned slow for a while; else the other engine
+	// Move is why a run was last moved, for logs and metrics.
+	Move struct {
+		// FromSlowPeriod says that its engine had turned slow for a while; else the other engine
 		// is faster for good.
-		Period bool
+		FromSlowPeriod bool
 		// To is the engine that keeps a slot for it.
 		To cf.InstanceID
-		// Saves is what the move was expected to save, Cost what one costs as observed,
-		// and SlowLeft how much longer its engine was expected to be slow, in ms.
-		Saves, Cost, SlowLeft float64
+		// Saving is what the move was expected to save, Cost what one costs as observed,
+		// and SlowTimeLeft how much longer its engine was expected to be slow, in ms.
+		Saving, Cost, SlowTimeLeft float64
 	}
 
 	// SlowPeriods is what was observed of the periods in which engines are slow.
@@ -111,9 +111,9 @@
 	return max(now-last, 0)
 }
 
-// Stalled records that the process did nothing until an Uptime: the events of its own streams
+// ProcessStalled records that the process did nothing until an Uptime: the events of its own streams
 // came late, and those after it in bursts.
-func (p *Planner) Stalled(until cf.Millis) { p.stalledUntil = until }
+func (p *Planner) ProcessStalled(until cf.Millis) { p.stalledUntil = until }
 
 // stalled says whether the process was stalled within what a run's latest pace is made of.
 func (p *Planner) stalled(r *Progress) bool {
@@ -214,7 +214,7 @@
 	listed := false
 	for _, w := range o.running {
 		e := p.at(w)
-		if e == nil || w.moving || w.moves >= periodMovesMost || now-w.Started < minRunTime || !p.Long(w) || p.left(w) < periodPart*longest {
+		if e == nil || w.moving || w.moves >= periodMovesMost || now-w.Started < minRunTime || !p.IsLong(w) || p.left(w) < periodPart*longest {
 			continue
 		}
 		own, _, shown := w.Progress.latestPace(now)
@@ -249,9 +249,9 @@
 		if saved < least {
 			continue
 		}
-		w.moved = Moved{Period: slow, To: to.ID, Saves: saved, Cost: p.moveCost.Ms()}
+		w.moved = Move{FromSlowPeriod: slow, To: to.ID, Saving: saved, Cost: p.moveCost.Ms()}
 		if slow {
-			w.moved.SlowLeft = p.periods.Remaining(now - e.state.Since())
+			w.moved.SlowTimeLeft = p.periods.Remaining(now - e.state.Since())
 		}
 		p.reserve(w, to, now)
 		out = append(out, w)
@@ -270,7 +270,7 @@
 	var out []pacedEngine
 	least := math.Inf(1)
 	for _, e := range p.share(o) {
-		if !e.hasSlot() || now < e.avoid || e.loading > 0 || e.Draining || e.state.Slow(now) || e.versions[e.Share] < p.Named(e.Share) {
+		if !e.hasSlot() || now < e.avoid || e.loading > 0 || e.Draining || e.state.Slow(now) || e.versions[e.Model] < p.LatestVersion(e.Model) {
 			continue
 		}
 		delay := p.delay(e, left, now)
@@ -334,8 +334,8 @@
 	return e
 }
 
-// Moved returns why the run was moved last.
-func (w *Work) Moved() Moved { return w.moved }
+// LastMove returns why the run was moved last.
+func (w *Work) LastMove() Move { return w.moved }
 
 // SlowPeriods returns what was observed of slow periods.
 func (p *Planner) SlowPeriods(now cf.Millis) SlowPeriods {
--- a/core/cfrollout/uneven_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -145,7 +145,7 @@
 			}
 		}
 		if w.now >= w.stalled && w.stall > 0 {
-			w.p.Stalled(w.now)
+			w.p.ProcessStalled(w.now)
 			w.stall = 0
 		}
 		if w.now >= w.stalled && (w.lag == 0 || w.now%w.lag == 0) {
@@ -235,7 +235,7 @@
 func (w *unevenWorld) look() {
 	for _, run := range w.p.Place(w.now) {
 		w.runs[run] = &unevenRun{w: run, engine: run.Engine, ready: w.now + unevenReread}
-		if w.p.Long(run) {
+		if w.p.IsLong(run) {
 			w.long++
 			if w.slow[run.Engine] {
 				w.slowRuns++
@@ -249,7 +249,7 @@
 		if w.now >= l.at {
 			delete(w.loading, id)
 			w.p.SwapDone(id, l.model, l.version)
-			w.p.SwapTook(id, w.now)
+			w.p.LoadEnded(id, w.now)
 		}
 	}
 	if w.never {
--- a/core/cfrollout/swap.go
+++ b/core/cfrollout/swap.go
@@ -101,21 +101,21 @@
 			break // those after it are not more urgent
 		}
 		e := c.engine
-		if p.proved[e.Share] < p.Named(e.Share) && unproved[e.Share] >= unprovedMost {
+		if p.proved[e.Model] < p.LatestVersion(e.Model) && unproved[e.Model] >= unprovedMost {
 			continue
 		}
-		if !p.spared(e) || !p.trials.allows(e.Share, p.Named(e.Share), onTrial[e.Share], now) {
+		if !p.spared(e) || !p.trials.allows(e.Model, p.LatestVersion(e.Model), onTrial[e.Model], now) {
 			continue
 		}
 		loading++
-		unproved[e.Share]++
-		p.setLoading(e, p.Named(e.Share))
+		unproved[e.Model]++
+		p.setLoading(e, p.LatestVersion(e.Model))
 		if onTrial != nil {
-			onTrial[e.Share]++
+			onTrial[e.Model]++
 		}
-		single := p.single[e.Share]
+		single := p.single[e.Model]
 		e.failed, e.loadBegan, e.beside, e.undelayed = 0, now, 0, !single || e.Running == 0
-		out = append(out, Swap{Target: e.Target, Model: e.Share, Version: e.loading, KeepRuns: !single})
+		out = append(out, Swap{Target: e.Target, Model: e.Model, Version: e.loading, KeepRuns: !single})
 	}
 	if len(out) > 0 {
 		p.noteBeside(loading)
@@ -127,8 +127,8 @@
 func (p *Planner) unproved() map[cf.ModelName]int {
 	out := map[cf.ModelName]int{}
 	for _, e := range p.loadings {
-		if e.loading > p.proved[e.Share] {
-			out[e.Share]++
+		if e.loading > p.proved[e.Model] {
+			out[e.Model]++
 		}
 	}
 	return out
@@ -146,8 +146,8 @@
 			continue
 		}
 		for _, e := range es {
-			if p.due(e, d, now) && (!awaited[e] || d.blocked(e.versions[e.Share])) {
-				due = append(due, swapCandidate{e, d.blocked(e.versions[e.Share])})
+			if p.due(e, d, now) && (!awaited[e] || d.blocked(e.versions[e.Model])) {
+				due = append(due, swapCandidate{e, d.blocked(e.versions[e.Model])})
 			}
 		}
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-// SwapTook learns from a load that has just been seen to end.
-func (p *Planner) SwapTook(id cf.InstanceID, now cf.Millis) (limit int) {
+// LoadEnded learns from a load that has just been seen to end.
+func (p *Planner) LoadEnded(id cf.InstanceID, now cf.Millis) (limit int) {
 	e := p.engines[id]
 	if e == nil || e.loadBegan == 0 {
 		return p.loads.allowed()
@@ -196,10 +196,10 @@
 
 // due says whether an engine should load its share's newest version.
 func (p *Planner) due(e *Engine, d *demand, now cf.Millis) bool {
-	if e.Draining || e.Share == "" || e.loading > 0 || now < e.rest || e.versions[e.Share] >= p.Named(e.Share) {
+	if e.Draining || e.Model == "" || e.loading > 0 || now < e.rest || e.versions[e.Model] >= p.LatestVersion(e.Model) {
 		return false
 	}
-	v := e.versions[e.Share]
+	v := e.versions[e.Model]
 	// A step that no engine may run is not made to wait for another's queue:
 	// engines that load keep their runs, and serve both afterwards.
 	return !d.served(v) || !p.limits.SwapWhenIdle && d.blocked(v)
@@ -209,16 +209,16 @@
 // loads: without one, a step that arrives now would wait for a whole load.
 // An engine whose version no step will ask for again is not held back.
 func (p *Planner) spared(e *Engine) bool {
-	oldest := p.Named(e.Share) - 1
-	if e.versions[e.Share] < oldest {
+	oldest := p.LatestVersion(e.Model) - 1
+	if e.versions[e.Model] < oldest {
 		return true
 	}
 	alone := true
-	for _, x := range p.shares[shareKey{e.Service, e.Share}] {
+	for _, x := range p.shares[shareKey{e.Service, e.Model}] {
 		if x == e || x.Draining {
 			continue
 		}
-		if x.loading == 0 && x.versions[x.Share] >= oldest {
+		if x.loading == 0 && x.versions[x.Model] >= oldest {
 			return true
 		}
 		alone = false
@@ -262,12 +262,12 @@
 			e.failed, e.failedAt = e.loading, now
 		}
 		p.setLoading(e, 0)
-		e.rest = now + p.limits.OrderRest
+		e.rest = now + p.limits.OrderBackoff
 	}
 }
 
-// Loading says whether an engine loads weights.
-func (p *Planner) Loading(id cf.InstanceID) bool {
+// IsLoading says whether an engine loads weights.
+func (p *Planner) IsLoading(id cf.InstanceID) bool {
 	e := p.engines[id]
 	return e != nil && e.loading > 0
 }
--- a/core/cfrollout/text.go
+++ b/core/cfrollout/text.go
@@ -78,9 +78,9 @@
 // carryMost bounds the texts kept for a later step.
 const carryMost = 2000
 
-// Keep stores the text of an item that is not listed for a later batch with the
+// KeepText stores the text of an item that is not listed for a later batch with the
 // item.
-func (p *Planner) Keep(w *Work) {
+func (p *Planner) KeepText(w *Work) {
 	if w.Text.Last == 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 	w.Mu.Lock()
 	text := w.Text.Clone()
 	w.Mu.Unlock()
-	p.Keep(&Work{Batch: w.Batch, Item: w.Item, Text: text})
+	p.KeepText(&Work{Batch: w.Batch, Item: w.Item, Text: text})
 }
 
 // Texts returns what has been generated of items that are not listed. It is
@@ -120,9 +120,9 @@
 	return out
 }
 
-// Adopt takes the texts of a planner before, for batches added from now on; of
+// AdoptTexts takes the texts of a planner before, for batches added from now on; of
 // each the longer one is kept.
-func (p *Planner) Adopt(texts map[cf.ItemID]Text) {
+func (p *Planner) AdoptTexts(texts map[cf.ItemID]Text) {
 	for id, t := range texts {
 		if old := p.carry[id]; !t.FromStart() || old != nil && old.Text.Last >= t.Last {
 			continue
--- a/core/cfrollout/trial.go
+++ b/core/cfrollout/trial.go
@@ -19,17 +19,17 @@
 )
 
 type (
-	// LoadLoss is an engine that ended while it loaded a version that no engine is
+	// LoadCrash is an engine that ended while it loaded a version that no engine is
 	// known to hold.
-	LoadLoss struct {
+	LoadCrash struct {
 		Engine  cf.InstanceID
 		Model   cf.ModelName
 		Version cf.WeightVersion
-		// Losses counts the ends of loads that began after the end before: engines of
+		// Crashes counts the ends of loads that began after the end before: engines of
 		// a failure domain end together, whatever they load. Rest is how long the
 		// version is left alone.
-		Losses int
-		Rest   cf.Millis
+		Crashes int
+		Backoff cf.Millis
 	}
 
 	// trial is a version under which engines ended, and that none is known to hold.
@@ -50,7 +50,7 @@
 		// ended are engines that ended and were not judged yet, news what their
 		// ends have changed.
 		ended []endedLoad
-		news  []LoadLoss
+		news  []LoadCrash
 	}
 
 	endedLoad struct {
@@ -68,9 +68,9 @@
 	switch {
 	case e.Draining:
 	case e.loading > 0:
-		t.ended = append(t.ended, endedLoad{e.ID, e.Share, e.loading, e.loadBegan, 0})
+		t.ended = append(t.ended, endedLoad{e.ID, e.Model, e.loading, e.loadBegan, 0})
 	case e.failed > 0:
-		t.ended = append(t.ended, endedLoad{e.ID, e.Share, e.failed, e.loadBegan, e.failedAt})
+		t.ended = append(t.ended, endedLoad{e.ID, e.Model, e.failed, e.loadBegan, e.failedAt})
 	}
 }
 
@@ -107,7 +107,7 @@
 			}
 		}
 		tr.until = now + rest
-		t.news = append(t.news, LoadLoss{e.engine, e.model, e.version, tr.losses, rest})
+		t.news = append(t.news, LoadCrash{e.engine, e.model, e.version, tr.losses, rest})
 	}
 	t.ended = t.ended[:0]
 }
@@ -122,8 +122,8 @@
 	return loading == 0 && (tr.version < v || now >= tr.until)
 }
 
-// LoadLosses returns the ends of engines that were judged since the last call.
-func (p *Planner) LoadLosses() []LoadLoss {
+// LoadCrashes returns the ends of engines that were judged since the last call.
+func (p *Planner) LoadCrashes() []LoadCrash {
 	news := p.trials.news
 	p.trials.news = nil
 	return news
@@ -145,8 +145,8 @@
 	}
 	out := map[cf.ModelName]int{}
 	for _, e := range p.loadings {
-		if e.loading > 0 && p.trials.models[e.Share] != nil {
-			out[e.Share]++
+		if e.loading > 0 && p.trials.models[e.Model] != nil {
+			out[e.Model]++
 		}
 	}
 	return out
--- a/core/cfrollout/waiting.go
+++ b/core/cfrollout/waiting.go
@@ -23,24 +23,24 @@
 
 // Reasons, in the order in which they are looked for.
 const (
-	// WaitSilent: it was given to an engine, from which no event has come.
-	WaitSilent WaitReason = "run_silent"
-	// WaitRoute: its batch has no route.
-	WaitRoute WaitReason = "no_route"
-	// WaitEngines: its model has no engine that stays.
-	WaitEngines WaitReason = "no_engines"
-	// WaitWeights: none of them holds weights that it may run on.
-	WaitWeights WaitReason = "no_weights"
+	// WaitRunSilent: it was given to an engine, from which no event has come.
+	WaitRunSilent WaitReason = "run_silent"
+	// WaitNoRoute: its batch has no route.
+	WaitNoRoute WaitReason = "no_route"
+	// WaitNoEngines: its model has no engine that stays.
+	WaitNoEngines WaitReason = "no_engines"
+	// WaitNoWeights: none of them holds weights that it may run on.
+	WaitNoWeights WaitReason = "no_weights"
 	// WaitLoading: all that do are loading others.
 	WaitLoading WaitReason = "loading"
-	// WaitAvoided: new items are kept off the others for a while.
-	WaitAvoided WaitReason = "engines_avoided"
-	// WaitSlots: all slots of the others are taken.
-	WaitSlots WaitReason = "no_slots"
+	// WaitEnginesAvoided: new items are kept off the others for a while.
+	WaitEnginesAvoided WaitReason = "engines_avoided"
+	// WaitNoSlots: all slots of the others are taken.
+	WaitNoSlots WaitReason = "no_slots"
 	// WaitRefused: it may be sent to none of them.
 	WaitRefused WaitReason = "refused"
-	// WaitSlow: they are slow, and others are expected to end it sooner.
-	WaitSlow WaitReason = "slow_engines"
+	// WaitSlowEngines: they are slow, and others are expected to end it sooner.
+	WaitSlowEngines WaitReason = "slow_engines"
 )
 
 type (
@@ -77,7 +77,7 @@
 		}
 		for _, w := range o.running {
 			if w.Progress.events.Load() == 0 && now-w.Started >= silentFrom {
-				out.add(w, WaitSilent, now)
+				out.add(w, WaitRunSilent, now)
 			}
 		}
 		fresh := WaitReason("") // of the items that have not begun, which differ in nothing here
@@ -86,7 +86,7 @@
 				continue
 			}
 			reason := fresh
-			if begun := w.Text.Last > 0 || w.Avoid != "" || w.refused; begun || fresh == "" {
+			if begun := w.Text.Last > 0 || w.AvoidEngine != "" || w.refused; begun || fresh == "" {
 				if reason = p.whyWaiting(o, w, now); !begun {
 					fresh = reason
 				}
@@ -128,31 +128,31 @@
 // whyWaiting returns what keeps an item from running.
 func (p *Planner) whyWaiting(o *open, w *Work, now cf.Millis) WaitReason {
 	if o.paused {
-		return WaitRoute
+		return WaitNoRoute
 	}
-	reason := WaitEngines
+	reason := WaitNoEngines
 	for _, e := range p.share(o) {
 		switch {
 		case e.Draining:
 		case !e.serves(w):
-			reason = later(reason, WaitWeights)
+			reason = later(reason, WaitNoWeights)
 		case e.loading > 0:
 			reason = later(reason, WaitLoading)
-		case now < e.avoid || e.ID == w.Avoid && now < w.avoidUntil:
-			reason = later(reason, WaitAvoided)
+		case now < e.avoid || e.ID == w.AvoidEngine && now < w.avoidUntil:
+			reason = later(reason, WaitEnginesAvoided)
 		case !e.hasSlot():
-			reason = later(reason, WaitSlots)
+			reason = later(reason, WaitNoSlots)
 		case w.refused:
 			return WaitRefused
 		default:
-			return WaitSlow
+			return WaitSlowEngines
 		}
 	}
 	return reason
 }
 
 // waitOrder ranks reasons by how near an engine is to taking an item.
-var waitOrder = map[WaitReason]int{WaitEngines: 0, WaitWeights: 1, WaitLoading: 2, WaitAvoided: 3, WaitSlots: 4}
+var waitOrder = map[WaitReason]int{WaitNoEngines: 0, WaitNoWeights: 1, WaitLoading: 2, WaitEnginesAvoided: 3, WaitNoSlots: 4}
 
 func later(a, b WaitReason) WaitReason {
 	if waitOrder[b] > waitOrder[a] {
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -21,22 +21,22 @@
 		}
 	}
 	plays := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, sent *bool){
-		cfrollout.WaitSilent:  func(*cfrollout.Planner, []cf.Target, *bool) {},
-		cfrollout.WaitRoute:   func(p *cfrollout.Planner, _ []cf.Target, _ *bool) { p.SetTerms("b", cfrollout.Terms{}, false) },
-		cfrollout.WaitRefused: func(_ *cfrollout.Planner, _ []cf.Target, sent *bool) { *sent = false },
-		cfrollout.WaitEngines: func(p *cfrollout.Planner, targets []cf.Target, _ *bool) {
+		cfrollout.WaitRunSilent: func(*cfrollout.Planner, []cf.Target, *bool) {},
+		cfrollout.WaitNoRoute:   func(p *cfrollout.Planner, _ []cf.Target, _ *bool) { p.SetTerms("b", cfrollout.Terms{}, false) },
+		cfrollout.WaitRefused:   func(_ *cfrollout.Planner, _ []cf.Target, sent *bool) { *sent = false },
+		cfrollout.WaitNoEngines: func(p *cfrollout.Planner, targets []cf.Target, _ *bool) {
 			other := fleet(4, cf.ModelState{Name: "other", Version: 1})
 			for i := range other {
 				other[i].ID += "-new"
 			}
 			p.SetEngines(other, models("other"))
 		},
-		cfrollout.WaitWeights: relist(func(t *cf.Target) { t.Born, t.Models = t.Born+1000, []cf.ModelState{{Name: "m"}} }),
+		cfrollout.WaitNoWeights: relist(func(t *cf.Target) { t.Born, t.Models = t.Born+1000, []cf.ModelState{{Name: "m"}} }),
 	}
 	for reason, play := range plays {
 		t.Run(string(reason), func(t *testing.T) {
 			sent, limits := true, cfrollout.DefaultLimits
-			limits.Admit = func(*cfrollout.Work, cf.Target, bool) cfrollout.Admission { return cfrollout.Admission{Pass: sent} }
+			limits.Admit = func(*cfrollout.Work, cf.Target, bool) cfrollout.Admission { return cfrollout.Admission{Allowed: sent} }
 			p := cfrollout.New(limits)
 			targets := fleet(4, held)
 			for i := range targets {
@@ -51,14 +51,14 @@
 			for _, w := range begun[1:] {
 				p.Finished(w, cfrollout.OutcomeDone, 1500)
 			}
-			if reason != cfrollout.WaitSilent {
+			if reason != cfrollout.WaitRunSilent {
 				begun[0].Progress.Note(1400)
 				p.Finished(begun[0], cfrollout.OutcomeStopped, 1500)
 			}
 			play(p, targets, &sent)
 			var at []cf.Millis
 			for now := cf.Millis(2000); now <= 14_000; now += 1000 {
-				if reason != cfrollout.WaitSilent {
+				if reason != cfrollout.WaitRunSilent {
 					p.Place(now)
 				}
 				x := p.WaitingItems(now)
--- a/core/cfscale/decider_test.go
+++ b/core/cfscale/decider_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for i := range steps {
-		d.OpenSteps = append(d.OpenSteps, cfscale.OpenStep{StepDemand: cfrollout.StepDemand{Batch: cf.BatchID(fmt.Sprint(i)), Groups: 12, Events: 5400, Left: 2700, Longest: 40}, Due: due})
+		d.OpenSteps = append(d.OpenSteps, cfscale.OpenStep{StepDemand: cfrollout.StepDemand{Batch: cf.BatchID(fmt.Sprint(i)), Groups: 12, Events: 5400, Remaining: 2700, Longest: 40}, Due: due})
 	}
 	return d
 }
--- a/core/cfscale/need.go
+++ b/core/cfscale/need.go
@@ -72,7 +72,7 @@
 		// What it needs from its acceptance on, and what is left now: a step that is
 		// behind needs more than it did.
 		fresh := s.Events * d.Pace / max(dueShare*due-longest, leastSpan*due)
-		now := s.Left * d.Pace / max(dueShare*due-float64(s.Age), leastSpan*due)
+		now := s.Remaining * d.Pace / max(dueShare*due-float64(s.Age), leastSpan*due)
 		least := s.Events * d.Pace / max(dueShare*due-longest/2, leastSpan*due)
 		n.engines += max(fresh, now) / perEngine
 		n.least += max(least, now) / perEngine
--- a/core/cfscale/replay_test.go
+++ b/core/cfscale/replay_test.go
@@ -214,7 +214,7 @@
 		o.Batch, o.Model, o.Groups, o.Waiting = s.id, cf.ModelName(fmt.Sprint(s.trainer)), s.wants-s.whole, len(s.waiting)
 		for _, it := range slices.Concat(s.waiting, running[s]) {
 			o.Events += it.guess
-			o.Left += max(it.guess-(it.events-it.left), (it.events-it.left)/2)
+			o.Remaining += max(it.guess-(it.events-it.left), (it.events-it.left)/2)
 			o.Longest = max(o.Longest, it.guess)
 		}
 		d.OpenSteps = append(d.OpenSteps, o)
--- a/io/cfautoscale/cfautoscale_test.go
+++ b/io/cfautoscale/cfautoscale_test.go
@@ -45,7 +45,7 @@
 
 func duty(store cf.Store, scaling cf.Scaling, may *bool, scales *bool) *Duty {
 	d := cfscale.Demand{Demand: cfrollout.Demand{Service: "s", Slots: 6, Pace: 50}, Engines: map[cf.EnginePool]int{{Service: "s", Domain: "a"}: 2}}
-	d.OpenSteps = []cfscale.OpenStep{{StepDemand: cfrollout.StepDemand{Groups: 12, Events: 5400, Left: 5400, Longest: 40}, Due: 7500}}
+	d.OpenSteps = []cfscale.OpenStep{{StepDemand: cfrollout.StepDemand{Groups: 12, Events: 5400, Remaining: 5400, Longest: 40}, Due: 7500}}
 	return New(Options{
 		Act: cf.Act{Holder: "e", Fence: 3}, Store: store, Scaling: scaling, MayAct: func() bool { return *may }, Ordered: func() {},
 		Demand: func(cf.ServiceName) (cfscale.Demand, bool) { return d, true },
--- a/io/cfcoord/checkpoint.go
+++ b/io/cfcoord/checkpoint.go
@@ -106,7 +106,7 @@
 	c.Log.Info("stored_texts_read", zap.Int("batches", len(batches)), zap.Int("items", len(texts)), zap.Int64("took_ms", int64(cf.Uptime()-started)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.planner.Adopt(texts)
+	c.planner.AdoptTexts(texts)
 	c.takeover.takeStored()
 	c.checkLoaded()
 }
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -196,7 +196,7 @@
 	if o.Streams == nil {
 		o.Streams = ownStreams{o.Targets, o.Self}
 	}
-	limits.Learned = o.Loads
+	limits.LearnedLoads = o.Loads
 	limits.LongOnSlow, limits.SwapWhenIdle = o.Policy.LongOnSlow, o.Policy.SwapWhenIdle
 	limits.AllGroups, limits.LeastLeft, limits.LoadUnderRuns = o.Policy.AllGroups, o.Policy.LeastLeft, o.Policy.LoadUnderRuns
 	limits.NoSlowPeriods = o.Policy.NoSlowPeriods
@@ -263,7 +263,7 @@
 func (c *Coordinator) adopt(texts map[cf.ItemID]cfrollout.Text) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.planner.Adopt(texts)
+	c.planner.AdoptTexts(texts)
 	c.takeover.take(len(texts))
 	c.checkLoaded()
 }
@@ -323,9 +323,9 @@
 			c.startSwap(s, term)
 		}
 	}
-	for _, l := range c.planner.LoadLosses() {
+	for _, l := range c.planner.LoadCrashes() {
 		c.Log.Warn("weights_suspected", zap.String("target", string(l.Engine)), zap.String("model", string(l.Model)),
-			zap.Int64("version", int64(l.Version)), zap.Int("losses", l.Losses), zap.Int64("rest_ms", int64(l.Rest)))
+			zap.Int64("version", int64(l.Version)), zap.Int("losses", l.Crashes), zap.Int64("rest_ms", int64(l.Backoff)))
 	}
 	if !c.Policy.KeepSlowRuns {
 		for _, w := range c.planner.Moves(now) {
@@ -333,10 +333,10 @@
 		}
 		c.noteSlowPeriods(now)
 	}
-	for _, t := range c.planner.Unknown(now) {
+	for _, t := range c.planner.EnginesToQuery(now) {
 		c.checkReport(t)
 	}
-	c.pace.Store(math.Float64bits(c.planner.Pace()))
+	c.pace.Store(math.Float64bits(c.planner.TypicalPace()))
 	c.placeRewards(config, now)
 	c.expire(now)
 	for _, st := range c.batches {
@@ -344,7 +344,7 @@
 			c.startChunk(st)
 		}
 	}
-	c.active.Store(c.planner.Busy())
+	c.active.Store(c.planner.HasWork())
 	if c.active.Load() || c.rewards.planner.Len() > 0 {
 		return tick
 	}
@@ -360,11 +360,11 @@
 	c.expireRewards(now, wall)
 }
 
-// ProvedLoads returns how many engines may load weights at once, as it has learned.
-func (c *Coordinator) ProvedLoads() int {
+// LearnedLoads returns how many engines may load weights at once, as it has learned.
+func (c *Coordinator) LearnedLoads() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.planner.ProvedLoads()
+	return c.planner.LearnedLoads()
 }
 
 // Pace returns how long an event takes at a usual engine, in ms, zero while that is not
@@ -375,7 +375,7 @@
 func (c *Coordinator) Busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.planner.Busy() || c.rewards.planner.Len() > 0
+	return c.planner.HasWork() || c.rewards.planner.Len() > 0
 }
 
 // refresh brings the planner up to what the site shows.
@@ -437,7 +437,7 @@
 		}
 		for _, m := range s.Models {
 			c.planner.SetVersion(m, c.Site.Version(m))
-			c.named.note(m, c.planner.Named(m), cf.Uptime())
+			c.named.note(m, c.planner.LatestVersion(m), cf.Uptime())
 		}
 	}
 	if all {
--- a/io/cfcoord/mirror_test.go
+++ b/io/cfcoord/mirror_test.go
@@ -105,7 +105,7 @@
 	m.Take(part(1, "a", text(10, 14)))
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	resumed := m.Snapshot()["a"]
-	p.Adopt(map[cf.ItemID]cfrollout.Text{"a": resumed})
+	p.AdoptTexts(map[cf.ItemID]cfrollout.Text{"a": resumed})
 	if err := resumed.Append(cf.StreamEvent{ID: 15, Data: "new run", Version: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/io/cfcoord/refusal.go
+++ b/io/cfcoord/refusal.go
@@ -47,8 +47,8 @@
 		return 0, false
 	}
 	c.Log.Info("step_infeasible", cflog.Batch(sub.ID), zap.String("model", string(sub.Model)), zap.Int("items", len(sub.Items)),
-		zap.Int64("quickest_group_ms", int64(est.Quickest)), zap.Int64("left_ms", int64(est.Left)), zap.Int64("retry_ms", int64(est.Retry)))
-	return est.Retry, true
+		zap.Int64("quickest_group_ms", int64(est.FirstGroup)), zap.Int64("left_ms", int64(est.TimeLeft)), zap.Int64("retry_ms", int64(est.RetryAfter)))
+	return est.RetryAfter, true
 }
 
 // checkedRecently notes a check of a step, and says whether there was one shortly before.
@@ -80,16 +80,16 @@
 func (c *Coordinator) noteSelections(now cf.Millis) {
 	var sum cfrollout.Selection
 	for _, s := range c.planner.Selections(now) {
-		sum.InTime, sum.Late, sum.Last, sum.Spare = sum.InTime+s.InTime, sum.Late+s.Late, sum.Last+s.Last, sum.Spare+s.Spare
+		sum.InTime, sum.Late, sum.TooLate, sum.Optional = sum.InTime+s.InTime, sum.Late+s.Late, sum.TooLate+s.TooLate, sum.Optional+s.Optional
 		st := c.batches[s.Batch]
-		if st == nil || st.selection.beyond == s.Beyond || now-st.selection.at < selectionRest && st.selection.at > 0 {
+		if st == nil || st.selection.beyond == s.Deferring || now-st.selection.at < selectionRest && st.selection.at > 0 {
 			continue
 		}
-		st.selection = selectionLog{s.Beyond, now}
-		c.Log.Info("groups_selected", cflog.Batch(s.Batch), zap.Bool("beyond_capacity", s.Beyond), zap.Int64("whole_in_ms", int64(s.Whole)),
-			zap.Int64("left_ms", int64(s.Left)), zap.Int("in_time", s.InTime), zap.Int("late", s.Late), zap.Int("last", s.Last), zap.Int("spare", s.Spare))
+		st.selection = selectionLog{s.Deferring, now}
+		c.Log.Info("groups_selected", cflog.Batch(s.Batch), zap.Bool("beyond_capacity", s.Deferring), zap.Int64("whole_in_ms", int64(s.Duration)),
+			zap.Int64("left_ms", int64(s.TimeLeft)), zap.Int("in_time", s.InTime), zap.Int("late", s.Late), zap.Int("last", s.TooLate), zap.Int("spare", s.Optional))
 	}
-	for class, n := range map[string]int{"in_time": sum.InTime, "late": sum.Late, "last": sum.Last, "spare": sum.Spare} {
+	for class, n := range map[string]int{"in_time": sum.InTime, "late": sum.Late, "last": sum.TooLate, "spare": sum.Optional} {
 		c.Metrics.Groups.WithLabelValues(class).Set(float64(n))
 	}
 }
--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -203,7 +203,7 @@
 	for _, call := range c.rewards.planner.DropBatch(id) {
 		w := c.rewards.end(call)
 		delete(c.finished, w.Item.ID)
-		c.planner.Keep(w)
+		c.planner.KeepText(w)
 	}
 }
 
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -36,7 +36,7 @@
 )
 
 var outcomeNames = map[cfrollout.Outcome]string{
-	cfrollout.OutcomeDone: "done", cfrollout.OutcomeFailed: "failed", cfrollout.OutcomeNever: "never",
+	cfrollout.OutcomeDone: "done", cfrollout.OutcomeFailed: "failed", cfrollout.OutcomePermanentFailure: "never",
 	cfrollout.OutcomeNotRun: "not_run", cfrollout.OutcomeBroken: "broken", cfrollout.OutcomeStopped: "stopped",
 }
 
@@ -51,13 +51,13 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	c.runs[w] = cancel
 	item, host, version, class := w.Item, w.Batch.Sub.Host, w.Version, cfaccess.ShortItem
-	if c.planner.Long(w) {
+	if c.planner.IsLong(w) {
 		class = cfaccess.LongItem
 	}
 	route := c.Streams.Route(e.Target)
 	c.Log.Info("item_placed", zap.String("request_id", string(item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("group_id", string(item.Group)), zap.String("target", string(e.ID)), zap.String("via", string(route.Via)), zap.Int64("version", int64(version)), zap.Int64("resume_after", int64(w.Text.Last)),
-		zap.Int("failures", w.Failures), zap.Int("running_there", e.Running), zap.Int("apart", w.Apart()), zap.Float64("event_ms_there", e.Pace()))
+		zap.Int("failures", w.Failures), zap.Int("running_there", e.Running), zap.Int("apart", w.IsolationLimit()), zap.Float64("event_ms_there", e.Pace()))
 	call := cf.TargetCall{
 		ID: item.ID.Request(), Method: http.MethodPost, Host: host, Path: item.Path, Header: itemHeader(item), Body: item.Body,
 		Urgency: cfaccess.Urgency(w.Terms.Access, class), Ranked: true, Organisation: w.Batch.Sub.ID.Organisation(),
@@ -100,11 +100,11 @@
 		zap.String("target", string(t.ID)), zap.String("outcome", outcomeNames[outcome]), zap.String("reason", end.reason),
 		zap.Int64("version", int64(w.Version)), zap.Int64("events", int64(w.Text.Last)),
 		zap.Int64("took_ms", int64(now-w.Started)))
-	if outcome == cfrollout.OutcomeNotRun && !c.planner.Loading(t.ID) {
+	if outcome == cfrollout.OutcomeNotRun && !c.planner.IsLoading(t.ID) {
 		c.checkReport(t)
 	}
 	if end.kept > 0 {
-		c.planner.Kept(w, now+end.kept)
+		c.planner.ConnectionKept(w, now+end.kept)
 	}
 	switch ended := c.planner.Finished(w, outcome, now); {
 	case ended && outcome == cfrollout.OutcomeDone:
@@ -118,8 +118,8 @@
 // admit asks the guard whether an item may be sent to an engine; its end is then due to
 // the guard.
 func (c *Coordinator) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := c.admitOwed(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.Owed{Apart: apart, Since: w.WaitsSince()})
-	return cfrollout.Admission{Pass: v.Pass, Elsewhere: v.Elsewhere, Until: v.Until, Most: v.Most}
+	v := c.admitOwed(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.Owed{Apart: apart, Since: w.WaitingSince()})
+	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.Elsewhere, RetryAt: v.Until, MaxRuns: v.Most}
 }
 
 // admitOwed asks the guard whether an item or a reward call may be sent. The planners ask again
@@ -143,7 +143,7 @@
 func (c *Coordinator) follow(w *cfrollout.Work, t cf.Target, end runEnd) {
 	key := cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item)
 	switch {
-	case end.outcome == cfrollout.OutcomeDone || end.outcome == cfrollout.OutcomeFailed || end.outcome == cfrollout.OutcomeNever:
+	case end.outcome == cfrollout.OutcomeDone || end.outcome == cfrollout.OutcomeFailed || end.outcome == cfrollout.OutcomePermanentFailure:
 		c.Guard.Answered(key, t, w.Started)
 	case end.outcome == cfrollout.OutcomeBroken && !end.unsent:
 		c.Guard.Lost(w.Item.ID.Request(), key, t, end.heard)
@@ -166,7 +166,7 @@
 func (k *collector) Start(cf.TargetAnswer) error { return nil }
 
 // Seen implements cf.SeenSink.
-func (k *collector) Seen(at cf.Millis) { k.work.Progress.Seen(at) }
+func (k *collector) Seen(at cf.Millis) { k.work.Progress.SeenUntil(at) }
 
 func (k *collector) Event(ev cf.StreamEvent) error {
 	k.watchdog.Reset(stall)
@@ -221,7 +221,7 @@
 	case answer.Status/100 == 2:
 		return cfrollout.OutcomeDone, ""
 	case answer.Status == http.StatusUnprocessableEntity:
-		return cfrollout.OutcomeNever, "target says never"
+		return cfrollout.OutcomePermanentFailure, "target says never"
 	case answer.Status == http.StatusInternalServerError:
 		return cfrollout.OutcomeFailed, "target failed"
 	default:
--- a/io/cfcoord/served.go
+++ b/io/cfcoord/served.go
@@ -48,7 +48,7 @@
 		for _, v := range r.Versions {
 			oldest = min(oldest, v)
 		}
-		behind := c.planner.Named(sub.Model) - oldest
+		behind := c.planner.LatestVersion(sub.Model) - oldest
 		st.stalest = max(st.stalest, behind)
 		c.Metrics.StaleVersions.WithLabelValues(string(sub.Model)).Observe(float64(behind))
 		age := cf.Millis(0)
--- a/io/cfcoord/stalls.go
+++ b/io/cfcoord/stalls.go
@@ -26,7 +26,7 @@
 		if now := cf.Uptime(); now-began >= cf.MillisOf(pause)+stallFrom {
 			c.Metrics.Stalls.Inc()
 			c.mu.Lock()
-			c.planner.Stalled(now)
+			c.planner.ProcessStalled(now)
 			c.mu.Unlock()
 		}
 	}
--- a/io/cfcoord/succession_test.go
+++ b/io/cfcoord/succession_test.go
@@ -84,7 +84,7 @@
 	}
 	accept("b")
 	await("next step", func() bool { return c.batches["b"] != nil && c.batches["b"].added })
-	await("texts of the next step", func() bool { return len(c.finished) == 2 && !c.planner.Busy() })
+	await("texts of the next step", func() bool { return len(c.finished) == 2 && !c.planner.HasWork() })
 	if n := targets.runs.Load(); n != 2 {
 		t.Errorf("%d runs of 2 items", n)
 	}
--- a/io/cfcoord/weights.go
+++ b/io/cfcoord/weights.go
@@ -22,12 +22,12 @@
 			outcome = err.Error()
 		}
 		switch {
-		case !c.planner.Same(s.Target):
+		case !c.planner.IsCurrent(s.Target):
 			outcome += ", of an earlier start" // the order says nothing of what is listed now
 		case err != nil:
 			c.planner.SwapFailed(s.Target.ID, cf.Uptime())
 		default:
-			limit = c.planner.SwapTook(s.Target.ID, cf.Uptime())
+			limit = c.planner.LoadEnded(s.Target.ID, cf.Uptime())
 			c.planner.SwapDone(s.Target.ID, s.Model, s.Version)
 		}
 		c.Metrics.Orders.WithLabelValues(orderLabel(err)).Inc()
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -392,7 +392,7 @@
 // heard of use.
 func (n *Node) dutyState() (loads int, copies string, left json.RawMessage) {
 	if c := n.coord.Load(); c != nil {
-		loads = c.ProvedLoads()
+		loads = c.LearnedLoads()
 	}
 	n.mirrors.mu.Lock()
 	defer n.mirrors.mu.Unlock()
--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -73,8 +73,8 @@
 // admit asks the quarantine whether an item may be sent to an engine.
 func (r *Replay) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
 	v := r.options.Crashes.Quarantine.AdmitOwed(r.Key(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
-		cfquarantine.Owed{Apart: apart, Since: w.WaitsSince()}, r.now)
-	return cfrollout.Admission{Pass: v.Pass, Elsewhere: v.Elsewhere, Until: v.Until, Most: v.Most}
+		cfquarantine.Owed{Apart: apart, Since: w.WaitingSince()}, r.now)
+	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.Elsewhere, RetryAt: v.Until, MaxRuns: v.Most}
 }
 
 // follow tells the quarantine how a run ended at an engine; lost says that the engine ended.
--- a/testbed/cfreplay/replay.go
+++ b/testbed/cfreplay/replay.go
@@ -198,7 +198,7 @@
 	out := map[cf.ModelName]int{}
 	for _, e := range r.engines {
 		if known, ok := r.planner.Engine(e.target.ID); ok {
-			out[known.Share]++
+			out[known.Model]++
 		}
 	}
 	return out
@@ -287,7 +287,7 @@
 	if e.loading != "" {
 		if e.left -= float64(tick) / r.loadFactor(); e.left <= 0 {
 			e.held[e.loading] = e.version
-			r.planner.SwapTook(e.target.ID, r.now)
+			r.planner.LoadEnded(e.target.ID, r.now)
 			r.planner.SwapDone(e.target.ID, e.loading, e.version)
 			e.loading = ""
 		}
