--- a/core/cfaccess/cfaccess.go
+++ b/core/cfaccess/cfaccess.go
@@ -29,43 +29,43 @@
 		Priority int
 	}
 
-	// View is how far an instance can rely on its configuration.
-	View struct {
+	// ConfigFreshness is how far an instance can rely on its configuration.
+	ConfigFreshness struct {
 		// Current: the configuration was known to be the newest a moment ago.
 		Current bool
-		// Trusted: keys that it knows are believed.
-		Trusted bool
+		// KeysTrusted: keys that it knows are believed.
+		KeysTrusted bool
 	}
 )
 
 // Verdicts.
 const (
-	// Known: the request is its organisation's, or needs none.
-	Known Verdict = iota
-	// Unknown: no key, or one that is not in force.
-	Unknown
-	// Unsure: this instance can't tell; another may.
-	Unsure
+	// Accepted: the request is its organisation's, or needs none.
+	Accepted Verdict = iota
+	// Rejected: no key, or one that is not in force.
+	Rejected
+	// Undetermined: this instance can't tell; another may.
+	Undetermined
 )
 
-// Judge says who a request comes from. A request that needs a key and bears two has
+// Authenticate says who a request comes from. A request that needs a key and bears two has
 // none: which one counts would be a guess. An instance that can't tell whether its
 // configuration is current refuses no key for good, since the key may have been added
 // meanwhile; and it believes those that it knows only as long as View says.
-func (d *Directory) Judge(keys []cf.APIKey, use Use, view View) (Verdict, cf.Access) {
+func (d *Directory) Authenticate(keys []cf.APIKey, use Use, view ConfigFreshness) (Verdict, cf.Access) {
 	if d == nil {
-		return Known, cf.Access{} // the deployment keeps no organisations
+		return Accepted, cf.Access{} // the deployment keeps no organisations
 	}
 	o, found := d.lookUp(keys)
 	switch {
-	case found && (view.Trusted || use.Public):
-		return Known, cf.Access{Organisation: o.Name, Priority: rank(o, use), Ranked: true}
+	case found && (view.KeysTrusted || use.Public):
+		return Accepted, cf.Access{Organisation: o.Name, Priority: rank(o, use), Ranked: true}
 	case use.Public:
-		return Known, cf.Access{Priority: rank(entry{}, use), Ranked: true}
+		return Accepted, cf.Access{Priority: rank(entry{}, use), Ranked: true}
 	case found || !view.Current:
-		return Unsure, cf.Access{}
+		return Undetermined, cf.Access{}
 	default:
-		return Unknown, cf.Access{}
+		return Rejected, cf.Access{}
 	}
 }
 
--- a/core/cfaccess/cfaccess_test.go
+++ b/core/cfaccess/cfaccess_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	sure = View{Current: true, Trusted: true}
-	cut  = View{Trusted: true} // cut off, and its keys are believed still
-	lost = View{}              // cut off for too long
+	sure = ConfigFreshness{Current: true, KeysTrusted: true}
+	cut  = ConfigFreshness{KeysTrusted: true} // cut off, and its keys are believed still
+	lost = ConfigFreshness{}                  // cut off for too long
 )
 
 func org(name string, keys ...cf.APIKey) Organisation {
@@ -38,45 +38,45 @@
 		name    string
 		keys    []cf.APIKey
 		public  bool
-		view    View
+		view    ConfigFreshness
 		verdict Verdict
 		who     cf.Organisation
 	}{
-		{"a key", []cf.APIKey{"a1"}, false, sure, Known, "a"},
-		{"another of its keys", []cf.APIKey{"a2"}, false, sure, Known, "a"},
-		{"none", nil, false, sure, Unknown, ""},
-		{"an empty one", []cf.APIKey{""}, false, sure, Unknown, ""},
-		{"not in force", []cf.APIKey{"a3"}, false, sure, Unknown, ""},
-		{"part of one", []cf.APIKey{"a"}, false, sure, Unknown, ""},
-		{"an organisation's name", []cf.APIKey{"none"}, false, sure, Unknown, ""},
-		{"doubled", []cf.APIKey{"a1", "a1"}, false, sure, Unknown, ""},
-		{"two organisations' keys", []cf.APIKey{"a1", "b1"}, false, sure, Unknown, ""},
-		{"public, none", nil, true, sure, Known, ""},
-		{"public, a key", []cf.APIKey{"b1"}, true, sure, Known, "b"},
-		{"public, not in force", []cf.APIKey{"a3"}, true, sure, Known, ""},
-		{"public, doubled", []cf.APIKey{"a1", "b1"}, true, sure, Known, ""},
-		{"cut off, a key", []cf.APIKey{"a1"}, false, cut, Known, "a"},
-		{"cut off, not known here", []cf.APIKey{"a3"}, false, cut, Unsure, ""},
-		{"cut off, none", nil, false, cut, Unsure, ""},
-		{"cut off for long, a key", []cf.APIKey{"a1"}, false, lost, Unsure, ""},
-		{"cut off for long, public", nil, true, lost, Known, ""},
+		{"a key", []cf.APIKey{"a1"}, false, sure, Accepted, "a"},
+		{"another of its keys", []cf.APIKey{"a2"}, false, sure, Accepted, "a"},
+		{"none", nil, false, sure, Rejected, ""},
+		{"an empty one", []cf.APIKey{""}, false, sure, Rejected, ""},
+		{"not in force", []cf.APIKey{"a3"}, false, sure, Rejected, ""},
+		{"part of one", []cf.APIKey{"a"}, false, sure, Rejected, ""},
+		{"an organisation's name", []cf.APIKey{"none"}, false, sure, Rejected, ""},
+		{"doubled", []cf.APIKey{"a1", "a1"}, false, sure, Rejected, ""},
+		{"two organisations' keys", []cf.APIKey{"a1", "b1"}, false, sure, Rejected, ""},
+		{"public, none", nil, true, sure, Accepted, ""},
+		{"public, a key", []cf.APIKey{"b1"}, true, sure, Accepted, "b"},
+		{"public, not in force", []cf.APIKey{"a3"}, true, sure, Accepted, ""},
+		{"public, doubled", []cf.APIKey{"a1", "b1"}, true, sure, Accepted, ""},
+		{"cut off, a key", []cf.APIKey{"a1"}, false, cut, Accepted, "a"},
+		{"cut off, not known here", []cf.APIKey{"a3"}, false, cut, Undetermined, ""},
+		{"cut off, none", nil, false, cut, Undetermined, ""},
+		{"cut off for long, a key", []cf.APIKey{"a1"}, false, lost, Undetermined, ""},
+		{"cut off for long, public", nil, true, lost, Accepted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			verdict, access := d.Judge(c.keys, Use{Public: c.public}, c.view)
+			verdict, access := d.Authenticate(c.keys, Use{Public: c.public}, c.view)
 			if verdict != c.verdict || access.Organisation != c.who {
 				t.Errorf("verdict %d for %q, want %d for %q", verdict, access.Organisation, c.verdict, c.who)
 			}
 		})
 	}
 	var none *Directory
-	if verdict, access := none.Judge([]cf.APIKey{"a1"}, Use{}, sure); verdict != Known || access != (cf.Access{}) {
+	if verdict, access := none.Authenticate([]cf.APIKey{"a1"}, Use{}, sure); verdict != Accepted || access != (cf.Access{}) {
 		t.Errorf("without organisations: verdict %d, %+v", verdict, access)
 	}
 }
 
 func TestAnOrganisationsPriorityGoesFirst(t *testing.T) {
 	first := org("first", "k")
-	first.Ranked = true
+	first.HasPriority = true
 	d := directory(t, first, org("other", "l"))
 	for _, c := range []struct {
 		key     cf.APIKey
@@ -84,9 +84,9 @@
 		class   Class
 		urgency int
 	}{
-		{"k", 2, Live, 0}, {"k", 2, ShortItem, 2}, {"l", 2, Live, 6}, {"l", 0, LongItem, 1}, {"l", 1, Live, 3}, {"l", 9, ShortItem, 8}, {"l", -1, Live, 0},
+		{"k", 2, Interactive, 0}, {"k", 2, ShortItem, 2}, {"l", 2, Interactive, 6}, {"l", 0, LongItem, 1}, {"l", 1, Interactive, 3}, {"l", 9, ShortItem, 8}, {"l", -1, Interactive, 0},
 	} {
-		_, access := d.Judge([]cf.APIKey{c.key}, Use{Priority: c.route}, sure)
+		_, access := d.Authenticate([]cf.APIKey{c.key}, Use{Priority: c.route}, sure)
 		if got := Urgency(access, c.class); got != c.urgency {
 			t.Errorf("key %q on a route of priority %d, class %d: %d, want %d", string(c.key), c.route, c.class, got, c.urgency)
 		}
@@ -94,7 +94,7 @@
 			t.Errorf("its batch ranks as %+v, a request as %+v", batch, access)
 		}
 	}
-	if got := Urgency(cf.Access{}, Live); got != 5 {
+	if got := Urgency(cf.Access{}, Interactive); got != 5 {
 		t.Errorf("nothing is ranked: %d", got)
 	}
 }
@@ -116,7 +116,7 @@
 			free := slices.Clone(keys)
 			r.Shuffle(len(free), func(i, j int) { free[i], free[j] = free[j], free[i] })
 			for n := range 1 + r.IntN(8) {
-				o := Organisation{Name: cf.Organisation(fmt.Sprint("o", (n + r.IntN(2)*10))), Priority: r.IntN(2), Ranked: r.IntN(2) == 0}
+				o := Organisation{Name: cf.Organisation(fmt.Sprint("o", (n + r.IntN(2)*10))), Priority: r.IntN(2), HasPriority: r.IntN(2) == 0}
 				take := r.IntN(4)
 				o.Keys, free = free[:take:take], free[take:]
 				list = append(list, o)
@@ -222,7 +222,7 @@
 			keys := [][]cf.APIKey{d.listed[n/2].Keys[:1]}
 			b.ReportAllocs()
 			for b.Loop() {
-				if verdict, _ := d.Judge(keys[0], Use{}, sure); verdict != Known {
+				if verdict, _ := d.Authenticate(keys[0], Use{}, sure); verdict != Accepted {
 					b.Fatal(verdict)
 				}
 			}
--- a/core/cfaccess/directory.go
+++ b/core/cfaccess/directory.go
@@ -17,8 +17,8 @@
 		Name cf.Organisation
 		Keys []cf.APIKey
 		// Priority goes before the route's, where Ranked says that there is one.
-		Priority int
-		Ranked   bool
+		Priority    int
+		HasPriority bool
 	}
 
 	// Directory is the organisations of one configuration. It does not change: the
@@ -79,7 +79,7 @@
 		if o.Name == "" {
 			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %d has no name", i)
 		}
-		if _, twice := names.add(shardOfName(o.Name), o.Name, entry{o.Name, o.Priority, o.Ranked}); twice {
+		if _, twice := names.add(shardOfName(o.Name), o.Name, entry{o.Name, o.Priority, o.HasPriority}); twice {
 			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %s stands twice", o.Name)
 		}
 		for j, key := range o.Keys {
@@ -111,7 +111,7 @@
 }
 
 func same(a, b Organisation) bool {
-	return a.Name == b.Name && a.Priority == b.Priority && a.Ranked == b.Ranked && slices.Equal(a.Keys, b.Keys)
+	return a.Name == b.Name && a.Priority == b.Priority && a.HasPriority == b.HasPriority && slices.Equal(a.Keys, b.Keys)
 }
 
 // Size returns the number of organisations.
--- a/core/cfaccess/urgency.go
+++ b/core/cfaccess/urgency.go
@@ -7,8 +7,8 @@
 
 // Classes of requests, the most urgent first.
 const (
-	// Live requests have somebody waiting for each.
-	Live Class = iota
+	// Interactive requests have somebody waiting for each.
+	Interactive Class = iota
 	// LongItem: a step is never whole before its longest texts.
 	LongItem
 	// ShortItem: a text that costs least when an engine whose memory is full puts it
--- a/core/cfquarantine/evidence.go
+++ b/core/cfquarantine/evidence.go
@@ -16,11 +16,11 @@
 	var news []Strike
 	if s := t.suspects[k.Content]; s != nil {
 		s.answered = now
-		news = t.raise(s, now, func(st *strike) Standing {
+		news = t.raise(s, now, func(st *strike) Scope {
 			if st.Caller == k.Caller {
 				return Void
 			}
-			return CountsForCaller
+			return SameCaller
 		})
 	}
 	t.alive(target, sent, now)
@@ -44,19 +44,19 @@
 
 // raise raises the standings of a suspect's strikes, and returns those that others must
 // hear of. t.mu is held.
-func (t *Table) raise(s *suspect, now cf.Millis, standing func(*strike) Standing) []Strike {
+func (t *Table) raise(s *suspect, now cf.Millis, standing func(*strike) Scope) []Strike {
 	var news []Strike
 	changed := false
 	for i := range s.strikes {
 		st := &s.strikes[i]
 		to := standing(st)
-		if to <= st.Standing {
+		if to <= st.Scope {
 			continue
 		}
 		if to == Void {
 			t.unstrike(st.Target)
 		}
-		st.Standing, changed = to, true
+		st.Scope, changed = to, true
 		if st.shared() {
 			news = append(news, st.export(now))
 		}
@@ -76,7 +76,7 @@
 // refresh takes a changed suspect into the sums and wakes who waits. t.mu is held.
 func (t *Table) refresh(s *suspect) {
 	t.sums.toggle(s.part)
-	s.part = Sums{}
+	s.part = Checksums{}
 	for i := range s.strikes {
 		if s.strikes[i].shared() {
 			s.part.All ^= s.strikes[i].sum()
@@ -89,7 +89,7 @@
 	t.notify()
 }
 
-func (s *Sums) toggle(part Sums) {
+func (s *Checksums) toggle(part Checksums) {
 	s.Held ^= part.Held
 	s.All ^= part.All
 }
@@ -99,7 +99,7 @@
 func (s *suspect) held() bool {
 	n := 0
 	for i := range s.strikes {
-		if s.strikes[i].shared() && s.strikes[i].Standing < Void {
+		if s.strikes[i].shared() && s.strikes[i].Scope < Void {
 			n++
 		}
 	}
@@ -144,7 +144,7 @@
 		return 1
 	})
 	s.strikes = slices.Insert(s.strikes, at, st)
-	if st.Standing < Void {
+	if st.Scope < Void {
 		t.struck[st.Target]++
 	}
 	t.refresh(s)
@@ -155,8 +155,8 @@
 // decide how long owed work pauses. Instances see the times of one moment in different orders,
 // so those do not displace each other. t.mu is held.
 func (t *Table) displace(s *suspect, st *strike) bool {
-	i := slices.IndexFunc(s.strikes, func(x strike) bool { return x.Standing == Void || x.doubt >= reached })
-	if st.Standing == Void || i < 0 && st.at <= s.strikes[0].at+moment {
+	i := slices.IndexFunc(s.strikes, func(x strike) bool { return x.Scope == Void || x.doubt >= reached })
+	if st.Scope == Void || i < 0 && st.at <= s.strikes[0].at+moment {
 		return false
 	}
 	t.forget(s, max(i, 0))
@@ -169,7 +169,7 @@
 
 // forget drops a strike. t.mu is held.
 func (t *Table) forget(s *suspect, i int) {
-	if s.strikes[i].Standing < Void {
+	if s.strikes[i].Scope < Void {
 		t.unstrike(s.strikes[i].Target)
 	}
 	s.strikes = slices.Delete(s.strikes, i, i+1)
@@ -184,7 +184,7 @@
 		switch {
 		case st.doubt != unchecked:
 			return false
-		case loss == LossSilent && !st.alive:
+		case loss == LossUnreachable && !st.alive:
 			// Its machine may have been lost before the request was sent, on a
 			// connection that was kept.
 			st.doubt = moot
@@ -224,7 +224,7 @@
 		changed := false
 		for i := range s.strikes {
 			st := &s.strikes[i]
-			if st.Target != target || st.Standing == Void || !learn(st) {
+			if st.Target != target || st.Scope == Void || !learn(st) {
 				continue
 			}
 			changed = true
@@ -239,8 +239,8 @@
 	return news
 }
 
-// Unchecked says whether strikes wait for a check of their target.
-func (t *Table) Unchecked(target Incarnation) bool {
+// NeedsCheck says whether strikes wait for a check of their target.
+func (t *Table) NeedsCheck(target Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.struck[target] == 0 {
@@ -248,7 +248,7 @@
 	}
 	for _, s := range t.suspects {
 		if slices.ContainsFunc(s.strikes, func(st strike) bool {
-			return st.Target == target && st.doubt == unchecked && st.Standing < Void
+			return st.Target == target && st.doubt == unchecked && st.Scope < Void
 		}) {
 			return true
 		}
@@ -266,7 +266,7 @@
 			continue
 		}
 		for i := range s.strikes {
-			if s.strikes[i].shared() && s.strikes[i].Standing < Void {
+			if s.strikes[i].shared() && s.strikes[i].Scope < Void {
 				explained[s.strikes[i].Target] = true
 			}
 		}
@@ -279,23 +279,23 @@
 		if s.held() {
 			continue
 		}
-		news = append(news, t.raise(s, now, func(st *strike) Standing {
+		news = append(news, t.raise(s, now, func(st *strike) Scope {
 			if explained[st.Target] && st.doubt != unchecked {
 				return Void
 			}
-			return st.Standing
+			return st.Scope
 		})...)
 	}
 	return news
 }
 
-// Free voids all strikes against a content, by hand.
-func (t *Table) Free(content Digest, now cf.Millis) []Strike {
+// Release voids all strikes against a content, by hand.
+func (t *Table) Release(content Digest, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[content]
 	if s == nil {
 		return nil
 	}
-	return t.raise(s, now, func(*strike) Standing { return Void })
+	return t.raise(s, now, func(*strike) Scope { return Void })
 }
--- a/core/cfquarantine/owed.go
+++ b/core/cfquarantine/owed.go
@@ -22,44 +22,44 @@
 	apartFor cf.Millis = 1000
 )
 
-// Owed is what AdmitOwed must know of a piece of work.
-type Owed struct {
-	// Apart: the target is set apart for it, or none can be.
-	Apart bool
-	// Since is when it was last at a target, or came.
-	Since cf.Millis
+// DeferredWork is what AdmitDeferred must know of a piece of work.
+type DeferredWork struct {
+	// Isolated: the target is set apart for it, or none can be.
+	Isolated bool
+	// WaitingSince is when it was last at a target, or came.
+	WaitingSince cf.Millis
 }
 
-// AdmitOwed judges work that was handed in for later, as the items of batches and their
+// AdmitDeferred judges work that was handed in for later, as the items of batches and their
 // reward calls are. It is not held: after crashesMost crashes it pauses, and is then tried
 // again at a target that it has to itself or with a few others. Work that passes counts as
 // under way there until Answered, Lost or Dropped.
 //
 // The load it answers: several targets end in a burst, each with all that it runs, and some
 // sound items meet them all. To hold these as a caller's request is held would lose them.
-func (t *Table) AdmitOwed(k Key, target Incarnation, w Owed, now cf.Millis) Verdict {
+func (t *Table) AdmitDeferred(k Key, target Incarnation, w DeferredWork, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.judgeOwed(k, w, now)
 	switch {
 	case !v.Pass:
 		return v
-	case v.Most > 0 && !w.Apart:
+	case v.MaxRuns > 0 && !w.Isolated:
 		v.Pass = false
 		return v
-	case v.Most == 0 && now-t.lastAt(k.Content) < apartFor && t.meets(k, target):
-		return Verdict{Elsewhere: true}
+	case v.MaxRuns == 0 && now-t.lastAt(k.Content) < apartFor && t.meets(k, target):
+		return Verdict{OtherTarget: true}
 	}
 	t.begin(k, target, now)
 	return v
 }
 
-// judgeOwed is AdmitOwed for any target. The pause follows from the strikes, so that another
+// judgeOwed is AdmitDeferred for any target. The pause follows from the strikes, so that another
 // instance which knows them goes on with it; crashes under equal work do not prolong it beyond
 // pauseMost after the work's own last run. t.mu is held.
-func (t *Table) judgeOwed(k Key, w Owed, now cf.Millis) Verdict {
+func (t *Table) judgeOwed(k Key, w DeferredWork, now cf.Millis) Verdict {
 	if !t.informed {
-		return Verdict{Uninformed: true}
+		return Verdict{Unsynced: true}
 	}
 	s := t.suspects[k.Content]
 	if s == nil {
@@ -68,12 +68,12 @@
 	served := t.good.knows(k, now) || s.servedFor(k.Caller)
 	crashes, last := s.crashes(k.Caller, served, false)
 	if crashes >= crashesMost {
-		until := max(min(last+pauseFor(crashes), w.Since+pauseMost), last+pauseFirst)
+		until := max(min(last+pauseFor(crashes), w.WaitingSince+pauseMost), last+pauseFirst)
 		if now < until {
-			return Verdict{Until: until, Strikes: s.against(k.Caller, now)}
+			return Verdict{RetryAt: until, Strikes: s.against(k.Caller, now)}
 		}
 		tried := t.unproved(k.Content, now) == 0
-		return Verdict{Pass: tried, Wait: !tried, Most: companyFor(crashes)}
+		return Verdict{Pass: tried, Wait: !tried, MaxRuns: companyFor(crashes)}
 	}
 	if crashes == 0 || served || t.unproved(k.Content, now) < crashesMost-crashes {
 		return Verdict{Pass: true}
--- a/core/cfquarantine/owed_test.go
+++ b/core/cfquarantine/owed_test.go
@@ -9,7 +9,7 @@
 // loseOwed sends owed work that passes, and loses its target.
 func loseOwed(t *testing.T, table *Table, k Key, at Incarnation, now cf.Millis) {
 	t.Helper()
-	if v := table.AdmitOwed(k, at, Owed{Apart: true, Since: now}, now); !v.Pass {
+	if v := table.AdmitDeferred(k, at, DeferredWork{Isolated: true, WaitingSince: now}, now); !v.Pass {
 		t.Fatalf("not sent to %s at %d: %+v", at.ID, now, v)
 	}
 	table.Lost(k, at, true, now)
@@ -27,30 +27,30 @@
 	}
 	for n := crashesMost; n < 3*strikesMost; n++ {
 		pause, most := []cf.Millis{1000, 2000, 4000}[min(n-crashesMost, 2)], []int{4, 2, 1}[min(n-crashesMost, 2)]
-		if v := table.AdmitOwed(k, anywhere, Owed{Apart: true, Since: now}, now+pause-1); v.Pass || v.Until != now+pause || len(v.Strikes) < crashesMost {
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < crashesMost {
 			t.Fatalf("before its pause after %d crashes is over: %+v", n, v)
 		}
 		began := now
 		now += pause
-		if v := table.AdmitOwed(k, anywhere, Owed{Since: began}, now); v.Pass || v.Most != most {
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: began}, now); v.Pass || v.MaxRuns != most {
 			t.Fatalf("after %d crashes, at any target: %+v, want to be set apart with %d at most", n, v, most)
 		}
 		if v := table.Admit(k, anywhere, now); v.Pass {
 			t.Fatalf("a caller's request of the same content passes after %d crashes: %+v", n, v)
 		}
-		if v := table.AdmitOwed(k, target(n), Owed{Apart: true, Since: began}, now); !v.Pass {
+		if v := table.AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: began}, now); !v.Pass {
 			t.Fatalf("not tried after %d crashes: %+v", n, v)
 		}
-		if v := table.AdmitOwed(k, anywhere, Owed{Apart: true, Since: began}, now); !v.Wait {
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: began}, now); !v.Wait {
 			t.Fatalf("two tries at once after %d crashes: %+v", n, v)
 		}
 		table.Lost(k, target(n), true, now)
 		table.Checked(target(n), now, LossRefused, now)
 	}
 	now += pauseMost
-	table.AdmitOwed(k, target(99), Owed{Apart: true, Since: now}, now)
+	table.AdmitDeferred(k, target(99), DeferredWork{Isolated: true, WaitingSince: now}, now)
 	table.Answered(k, target(99), now, now+30)
-	if v := table.AdmitOwed(k, anywhere, Owed{Since: now}, now+40); !v.Pass || v.Most != 0 {
+	if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: now}, now+40); !v.Pass || v.MaxRuns != 0 {
 		t.Errorf("after it was run to its end: %+v", v)
 	}
 }
@@ -65,7 +65,7 @@
 	n, ended := 0, cf.Millis(0)
 	for now := cf.Millis(0); now < 60*second; now += 10 {
 		at := n % len(tables)
-		if v := tables[at].AdmitOwed(k, target(n), Owed{Apart: true, Since: ended}, now); !v.Pass {
+		if v := tables[at].AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: ended}, now); !v.Pass {
 			continue
 		}
 		now += took
@@ -103,14 +103,14 @@
 	for n := range crashesMost - 1 {
 		loseOwed(t, table, k, target(n), 0)
 	}
-	if v := table.AdmitOwed(k, target(5), Owed{}, 10); !v.Pass {
+	if v := table.AdmitDeferred(k, target(5), DeferredWork{}, 10); !v.Pass {
 		t.Fatalf("none is sent: %+v", v)
 	}
-	if v := table.AdmitOwed(k, target(6), Owed{}, 20); !v.Wait {
+	if v := table.AdmitDeferred(k, target(6), DeferredWork{}, 20); !v.Wait {
 		t.Errorf("a second one at once: %+v", v)
 	}
 	for n := range 8 {
-		if v := table.AdmitOwed(k, target(6+n), Owed{}, 10+outlives); !v.Pass {
+		if v := table.AdmitDeferred(k, target(6+n), DeferredWork{}, 10+outlives); !v.Pass {
 			t.Errorf("others wait though one has lasted: %+v", v)
 		}
 	}
@@ -133,7 +133,7 @@
 		if v := table.Admit(other, at, now); !v.Pass {
 			t.Fatalf("the other caller's request at %d: %+v", now, v)
 		}
-		if table.AdmitOwed(item, target(90), Owed{Apart: true, Since: 0}, now).Pass {
+		if table.AdmitDeferred(item, target(90), DeferredWork{Isolated: true, WaitingSince: 0}, now).Pass {
 			return
 		}
 	}
@@ -160,7 +160,7 @@
 			}
 			for now := calm; len(waiting) > 0 && now < calm+60*second; now += look {
 				for n, since := range waiting {
-					if !table.AdmitOwed(k, target(100+n), Owed{Apart: true, Since: since}, now).Pass {
+					if !table.AdmitDeferred(k, target(100+n), DeferredWork{Isolated: true, WaitingSince: since}, now).Pass {
 						continue
 					}
 					delete(waiting, n)
@@ -184,11 +184,11 @@
 		loseOwed(t, table, a, target(n), 0)
 		loseOwed(t, table, b, target(n), 0)
 	}
-	table.AdmitOwed(a, target(5), Owed{}, 10)
-	if v := table.AdmitOwed(b, target(5), Owed{}, 20); !v.Elsewhere {
+	table.AdmitDeferred(a, target(5), DeferredWork{}, 10)
+	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, 20); !v.OtherTarget {
 		t.Errorf("two suspects meet at once: %+v", v)
 	}
-	if v := table.AdmitOwed(b, target(5), Owed{}, apartFor); !v.Pass {
+	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, apartFor); !v.Pass {
 		t.Errorf("still waits for the other one's end: %+v", v)
 	}
 }
--- a/core/cfquarantine/share.go
+++ b/core/cfquarantine/share.go
@@ -25,7 +25,7 @@
 
 // merge takes one strike; false if it changes nothing. t.mu is held.
 func (t *Table) merge(in Strike, now cf.Millis) bool {
-	in.Age, in.Standing = max(in.Age, 0), min(max(in.Standing, CountsForAll), Void)
+	in.Age, in.Scope = max(in.Age, 0), min(max(in.Scope, AllCallers), Void)
 	s := t.suspects[in.Content]
 	i := -1
 	if s != nil {
@@ -42,11 +42,11 @@
 	if in.Served && !st.Served {
 		st.Served, changed = true, true
 	}
-	if in.Standing > st.Standing {
-		if in.Standing == Void {
+	if in.Scope > st.Scope {
+		if in.Scope == Void {
 			t.unstrike(st.Target)
 		}
-		st.Standing, changed = in.Standing, true
+		st.Scope, changed = in.Scope, true
 	}
 	if changed {
 		t.refresh(s)
@@ -54,8 +54,8 @@
 	return changed
 }
 
-// HeldFirst returns strikes with those of held contents before the others.
-func (t *Table) HeldFirst(in []Strike) []Strike {
+// SortHeldFirst returns strikes with those of held contents before the others.
+func (t *Table) SortHeldFirst(in []Strike) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rank := func(st Strike) int {
@@ -69,25 +69,25 @@
 	return out
 }
 
-// Sums identify what this instance holds.
-func (t *Table) Sums() Sums {
+// Checksums identify what this instance holds.
+func (t *Table) Checksums() Checksums {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.sums
 }
 
-// Held returns the strikes of at most so many held contents, those struck last first,
+// HeldStrikes returns the strikes of at most so many held contents, those struck last first,
 // and how many contents are held.
-func (t *Table) Held(most int, now cf.Millis) ([]Strike, int) {
+func (t *Table) HeldStrikes(most int, now cf.Millis) ([]Strike, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held := t.foremost(true)
 	return exportsOf(held[:min(most, len(held))], now), len(held)
 }
 
-// Foremost returns the strikes of at most so many contents after the first few: those that
+// StrikesByPriority returns the strikes of at most so many contents after the first few: those that
 // are held before others, and of these those struck last.
-func (t *Table) Foremost(after, most int, now cf.Millis) []Strike {
+func (t *Table) StrikesByPriority(after, most int, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := t.foremost(false)
@@ -121,10 +121,10 @@
 	return out
 }
 
-// Answer returns what an instance that holds other things must hear: what is foremost
+// ExchangeReply returns what an instance that holds other things must hear: what is foremost
 // here after the first few, and what is known of the contents it names.
-func (t *Table) Answer(theirs []Strike, after, most int, now cf.Millis) []Strike {
-	out := t.Foremost(after, most, now)
+func (t *Table) ExchangeReply(theirs []Strike, after, most int, now cf.Millis) []Strike {
+	out := t.StrikesByPriority(after, most, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	told := map[Digest]bool{}
@@ -142,8 +142,8 @@
 	return out
 }
 
-// Contents counts the contents that strikes are against.
-func Contents(strikes []Strike) int {
+// CountContents counts the contents that strikes are against.
+func CountContents(strikes []Strike) int {
 	seen := map[Digest]bool{}
 	for i := range strikes {
 		seen[strikes[i].Content] = true
--- a/core/cfquarantine/strike.go
+++ b/core/cfquarantine/strike.go
@@ -17,18 +17,18 @@
 	// Loss tells how a target was found gone after it lost a request.
 	Loss string
 
-	// Standing is for whom a strike counts. It only rises, so instances that hear
+	// Scope is for whom a strike counts. It only rises, so instances that hear
 	// of its changes in different orders come to agree.
-	Standing int
+	Scope int
 
 	// Strike is evidence against a request: a target that ended while it had it.
 	Strike struct {
-		Content  Digest       `cbor:"content" json:"content"`
-		Caller   CallerDigest `cbor:"caller" json:"caller"`
-		Target   Incarnation  `cbor:"target" json:"target"`
-		Loss     Loss         `cbor:"loss" json:"loss"`
-		SeenBy   cf.EntryID   `cbor:"seen_by" json:"seen_by"`
-		Standing Standing     `cbor:"standing,omitempty" json:"standing,omitempty"`
+		Content Digest       `cbor:"content" json:"content"`
+		Caller  CallerDigest `cbor:"caller" json:"caller"`
+		Target  Incarnation  `cbor:"target" json:"target"`
+		Loss    Loss         `cbor:"loss" json:"loss"`
+		SeenBy  cf.EntryID   `cbor:"seen_by" json:"seen_by"`
+		Scope   Scope        `cbor:"standing,omitempty" json:"standing,omitempty"`
 		// Served: the caller's request had been run to its end lately, where the loss was
 		// seen or where it was heard of.
 		Served bool `cbor:"served,omitempty" json:"served,omitempty"`
@@ -58,8 +58,8 @@
 const (
 	// LossRefused: the target's machine refuses connections, so its process has ended.
 	LossRefused Loss = "refused"
-	// LossSilent: nothing answers at its address: its machine is gone, or a link is.
-	LossSilent Loss = "silent"
+	// LossUnreachable: nothing answers at its address: its machine is gone, or a link is.
+	LossUnreachable Loss = "silent"
 	// LossReplaced: it is not listed any more, or has started again since, though it
 	// was not draining.
 	LossReplaced Loss = "replaced"
@@ -67,11 +67,11 @@
 
 // Standings of a strike.
 const (
-	// CountsForAll: for every caller of the same content.
-	CountsForAll Standing = iota
-	// CountsForCaller: for the caller whose request it was; the same content was run
+	// AllCallers: for every caller of the same content.
+	AllCallers Scope = iota
+	// SameCaller: for the caller whose request it was; the same content was run
 	// to its end for another.
-	CountsForCaller
+	SameCaller
 	// Void: not at all. The caller's request was run to its end since, or the
 	// target has answered since, or another request was the cause, or an operator
 	// has freed it.
@@ -102,10 +102,10 @@
 // counts says whether a strike speaks against requests of a caller, as far as it is for
 // itself to say.
 func (s *strike) counts(c CallerDigest) bool {
-	if s.Standing == Void || s.doubt >= reached {
+	if s.Scope == Void || s.doubt >= reached {
 		return false
 	}
-	return s.Standing == CountsForAll || s.Caller == c
+	return s.Scope == AllCallers || s.Caller == c
 }
 
 // shared says whether other instances hear of the strike.
@@ -121,7 +121,7 @@
 	_, _ = h.Write(s.Caller[:])
 	_, _ = h.Write([]byte(s.Target.ID))
 	raw := binary.LittleEndian.AppendUint64(nil, uint64(s.Target.Born))
-	standing := byte(s.Standing)
+	standing := byte(s.Scope)
 	if s.Served {
 		standing |= servedBit
 	}
--- a/core/cfquarantine/sweep.go
+++ b/core/cfquarantine/sweep.go
@@ -24,11 +24,11 @@
 	news := t.explain(now)
 	for d, s := range t.suspects {
 		if current {
-			news = append(news, t.raise(s, now, func(st *strike) Standing {
+			news = append(news, t.raise(s, now, func(st *strike) Scope {
 				if st.heard > 0 && now-st.heard > heardFor {
 					return Void
 				}
-				return st.Standing
+				return st.Scope
 			})...)
 		}
 		for i := len(s.strikes) - 1; i >= 0; i-- {
@@ -75,7 +75,7 @@
 func (t *Table) remove(d Digest, s *suspect) {
 	t.sums.toggle(s.part)
 	for i := range s.strikes {
-		if s.strikes[i].Standing < Void {
+		if s.strikes[i].Scope < Void {
 			t.unstrike(s.strikes[i].Target)
 		}
 	}
@@ -89,8 +89,8 @@
 	return len(t.suspects) == 0
 }
 
-// Struck returns the targets at which there are strikes.
-func (t *Table) Struck() []Incarnation {
+// StruckTargets returns the targets at which there are strikes.
+func (t *Table) StruckTargets() []Incarnation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Collect(maps.Keys(t.struck))
--- a/core/cfquarantine/table.go
+++ b/core/cfquarantine/table.go
@@ -34,11 +34,11 @@
 //
 // Usage:
 //
-//	table := cfquarantine.NewStarting(self)
+//	table := cfquarantine.NewUnsynced(self)
 //	table.Merge(heldByOthers, now)
 //	table.Inform()
 //	v := table.Admit(key, target, now)
-//	v = table.AdmitOwed(key, target, owed, now) // for items and reward calls
+//	v = table.AdmitDeferred(key, target, owed, now) // for items and reward calls
 //	if v.Pass { ... send; then one of: }
 //	news := table.Answered(key, target, sentAt, now)
 //	table.Lost(key, target, now); news = table.Checked(target, checkedAt, loss)
@@ -93,15 +93,15 @@
 		Pass bool
 		// Wait: as many as may be are under way; their ends decide.
 		Wait bool
-		// Elsewhere: not at this target, where another suspect runs.
-		Elsewhere bool
-		// Uninformed: it is not known yet what other instances hold.
-		Uninformed bool
-		// Until is when a held request may come back, or owed work is tried again; zero if
+		// OtherTarget: not at this target, where another suspect runs.
+		OtherTarget bool
+		// Unsynced: it is not known yet what other instances hold.
+		Unsynced bool
+		// RetryAt is when a held request may come back, or owed work is tried again; zero if
 		// neither holds.
-		Until cf.Millis
-		// Most is how many runs the target of owed work may have with it, zero for no bound.
-		Most int
+		RetryAt cf.Millis
+		// MaxRuns is how many runs the target of owed work may have with it, zero for no bound.
+		MaxRuns int
 		// Strikes are the evidence against it.
 		Strikes []Strike
 	}
@@ -118,7 +118,7 @@
 		// struck counts the strikes at each target that are not void.
 		struck  map[Incarnation]int
 		good    good
-		sums    Sums
+		sums    Checksums
 		changed chan struct{}
 	}
 
@@ -134,11 +134,11 @@
 		// answered is when a request of it was last run to its end here, for any caller.
 		answered cf.Millis
 		// part is its part of the table's sums.
-		part Sums
+		part Checksums
 	}
 
-	// Sums identify what a table holds: tables with equal sums hold the same.
-	Sums struct {
+	// Checksums identify what a table holds: tables with equal sums hold the same.
+	Checksums struct {
 		Held uint64 `cbor:"held,omitempty"` // of the strikes against what is held
 		All  uint64 `cbor:"all,omitempty"`  // of all that is shared
 	}
@@ -146,21 +146,21 @@
 
 // New returns an instance's table, without evidence.
 func New(self cf.EntryID) *Table {
-	t := NewStarting(self)
+	t := NewUnsynced(self)
 	t.informed = true
 	return t
 }
 
-// NewStarting returns the table of an instance that has just started. It lets nothing pass
+// NewUnsynced returns the table of an instance that has just started. It lets nothing pass
 // until Inform: any request may be one that the others hold.
-func NewStarting(self cf.EntryID) *Table {
+func NewUnsynced(self cf.EntryID) *Table {
 	return &Table{
 		self: self, suspects: map[Digest]*suspect{}, underWay: map[Digest]map[Incarnation]sends{}, struck: map[Incarnation]int{}, changed: make(chan struct{}),
 	}
 }
 
-// Inform notes that what other instances hold has been taken; false if it was before.
-func (t *Table) Inform() bool {
+// MarkSynced notes that what other instances hold has been taken; false if it was before.
+func (t *Table) MarkSynced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	first := !t.informed
@@ -168,8 +168,8 @@
 	return first
 }
 
-// Informed says whether what other instances hold has been taken.
-func (t *Table) Informed() bool {
+// Synced says whether what other instances hold has been taken.
+func (t *Table) Synced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.informed
@@ -188,8 +188,8 @@
 	t.changed = make(chan struct{})
 }
 
-// Judge says whether a request may be sent to some target.
-func (t *Table) Judge(k Key, now cf.Millis) Verdict {
+// Evaluate says whether a request may be sent to some target.
+func (t *Table) Evaluate(k Key, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.judge(k, now)
@@ -202,7 +202,7 @@
 	defer t.mu.Unlock()
 	v := t.judge(k, now)
 	if v.Pass && t.meets(k, target) {
-		v = Verdict{Elsewhere: true}
+		v = Verdict{OtherTarget: true}
 	}
 	if v.Pass {
 		t.begin(k, target, now)
@@ -224,7 +224,7 @@
 // targets, no more of it are under way than may crash one each.
 func (t *Table) judge(k Key, now cf.Millis) Verdict {
 	if !t.informed {
-		return Verdict{Uninformed: true}
+		return Verdict{Unsynced: true}
 	}
 	s := t.suspects[k.Content]
 	if s == nil {
@@ -240,7 +240,7 @@
 	}
 	switch {
 	case proofs >= crashesMost && now < until:
-		return Verdict{Until: until, Strikes: s.against(k.Caller, now)}
+		return Verdict{RetryAt: until, Strikes: s.against(k.Caller, now)}
 	case proofs < crashesMost && crashes >= crashesMost:
 		return Verdict{Wait: true} // for the checks of the targets
 	case crashes >= crashesMost: // its time is over: one tries
@@ -322,7 +322,7 @@
 func (s *suspect) callers() int {
 	seen := map[CallerDigest]bool{}
 	for i := range s.strikes {
-		if st := &s.strikes[i]; st.Standing == CountsForAll && st.doubt < reached {
+		if st := &s.strikes[i]; st.Scope == AllCallers && st.doubt < reached {
 			seen[st.Caller] = true
 		}
 	}
--- a/core/cfquarantine/table_test.go
+++ b/core/cfquarantine/table_test.go
@@ -43,7 +43,7 @@
 		crash(t, table, k, target(n), cf.Millis(n)*100)
 	}
 	v := table.Admit(k, anywhere, 300)
-	if v.Pass || v.Until < 200+holdFirst || len(v.Strikes) != 3 {
+	if v.Pass || v.RetryAt < 200+holdFirst || len(v.Strikes) != 3 {
 		t.Errorf("after three crashes: %+v", v)
 	}
 	if !passes(table, keyOf("a", "y"), 300) {
@@ -87,7 +87,7 @@
 	}
 	table.Checked(target(1), 4, LossRefused, 5)
 	table.Checked(target(2), 4, LossRefused, 5)
-	if v := table.Admit(k, anywhere, 6); v.Until == 0 {
+	if v := table.Admit(k, anywhere, 6); v.RetryAt == 0 {
 		t.Errorf("after three crashes: %+v", v)
 	}
 }
@@ -172,7 +172,7 @@
 		if passes(table, k, 2*second) {
 			t.Error("freed before the instance list can show a new start")
 		}
-		if void := table.Sweep(true, second+20+heardFor+1); len(void) != 1 || void[0].Standing != Void {
+		if void := table.Sweep(true, second+20+heardFor+1); len(void) != 1 || void[0].Scope != Void {
 			t.Errorf("a target that lives: %v", void)
 		}
 		if !passes(table, k, 7*second) {
@@ -201,7 +201,7 @@
 		for n := range 3 {
 			table.Admit(k, target(n), 0)
 			table.Lost(k, target(n), false, cf.Millis(n)*600)
-			table.Checked(target(n), cf.Millis(n)*600, LossSilent, cf.Millis(n)*600+300)
+			table.Checked(target(n), cf.Millis(n)*600, LossUnreachable, cf.Millis(n)*600+300)
 			table.Replaced(target(n), 4*second)
 		}
 		if !passes(table, k, 5*second) {
@@ -244,7 +244,7 @@
 		table.Checked(target(n), at+41, LossRefused, at+42)
 	}
 	// The many run on at target 2.
-	if v := table.Admit(guilty, target(2), 200); !v.Elsewhere {
+	if v := table.Admit(guilty, target(2), 200); !v.OtherTarget {
 		t.Errorf("two that have lost the same targets meet at a third: %+v", v)
 	}
 	if v := table.Admit(guilty, target(3), 200); !v.Pass {
@@ -255,11 +255,11 @@
 	}
 	table.Lost(guilty, target(3), true, 240)
 	table.Checked(target(3), 241, LossRefused, 242)
-	if v := table.Judge(guilty, 300); v.Until == 0 {
+	if v := table.Evaluate(guilty, 300); v.RetryAt == 0 {
 		t.Errorf("the guilty one is not held: %+v", v)
 	}
 	table.Sweep(true, 242+explainAfter)
-	if v := table.Judge(many, 1000); !v.Pass {
+	if v := table.Evaluate(many, 1000); !v.Pass {
 		t.Errorf("the others are not freed: %+v", v)
 	}
 }
@@ -341,10 +341,10 @@
 	}
 	for n := 3; n < 7; n++ {
 		v := table.Admit(k, anywhere, now+1)
-		if v.Until < now+holdFor(n) || v.Until > now+holdFor(n)*5/4 {
-			t.Fatalf("after %d crashes held for %d ms, want %d and a quarter more at most", n, v.Until-now, holdFor(n))
+		if v.RetryAt < now+holdFor(n) || v.RetryAt > now+holdFor(n)*5/4 {
+			t.Fatalf("after %d crashes held for %d ms, want %d and a quarter more at most", n, v.RetryAt-now, holdFor(n))
 		}
-		now = v.Until
+		now = v.RetryAt
 		if v := table.Admit(k, target(n), now); !v.Pass {
 			t.Fatalf("no trial: %+v", v)
 		}
@@ -360,7 +360,7 @@
 	if !passes(table, k, now+40) {
 		t.Error("still held after it was run to its end")
 	}
-	table.Free(k.Content, now)
+	table.Release(k.Content, now)
 	if !passes(table, k, now+50) {
 		t.Error("held after it was freed")
 	}
@@ -394,7 +394,7 @@
 		t.Errorf("%d strikes of one request", n)
 	}
 	table.Sweep(true, 30*second+3*holdMost)
-	if len(table.suspects)+len(table.struck)+len(table.underWay) != 0 || table.sums != (Sums{}) {
+	if len(table.suspects)+len(table.struck)+len(table.underWay) != 0 || table.sums != (Checksums{}) {
 		t.Errorf("left after all is over: %d suspects, %d targets, %d under way, sums %v",
 			len(table.suspects), len(table.struck), len(table.underWay), table.sums)
 	}
@@ -402,7 +402,7 @@
 
 // Guards against: a request that others hold, sent on by an instance that has just started.
 func TestStartingInstanceLetsNothingPass(t *testing.T) {
-	a, b := New("a"), NewStarting("b")
+	a, b := New("a"), NewUnsynced("b")
 	held, sound := keyOf("x", "1"), keyOf("y", "1")
 	for n := range crashesMost {
 		a.Admit(held, target(n), 0)
@@ -410,16 +410,16 @@
 		a.Checked(target(n), cf.Millis(n), LossRefused, 10)
 	}
 	for _, k := range []Key{held, sound} {
-		if v := b.Admit(k, target(9), 100); v.Pass || !v.Uninformed || v.Wait {
+		if v := b.Admit(k, target(9), 100); v.Pass || !v.Unsynced || v.Wait {
 			t.Errorf("before it knows what is held: %+v", v)
 		}
 	}
-	news, _ := a.Held(1, 200)
+	news, _ := a.HeldStrikes(1, 200)
 	b.Merge(news, 200)
-	if v := b.Judge(sound, 200); v.Pass {
+	if v := b.Evaluate(sound, 200); v.Pass {
 		t.Error("sends before it knows that it has heard all")
 	}
-	if !b.Inform() || b.Inform() {
+	if !b.MarkSynced() || b.MarkSynced() {
 		t.Error("it is informed once")
 	}
 	if passes(b, held, 300) || !passes(b, sound, 300) {
@@ -468,8 +468,8 @@
 			if got := passes(table, k, at+200); got != c.passes {
 				t.Errorf("%s: passes %v at instance %d", c.name, got, i)
 			}
-			if table.Sums() != tables[0].Sums() {
-				t.Errorf("%s: instance %d does not agree: %v and %v", c.name, i, table.Sums(), tables[0].Sums())
+			if table.Checksums() != tables[0].Checksums() {
+				t.Errorf("%s: instance %d does not agree: %v and %v", c.name, i, table.Checksums(), tables[0].Checksums())
 			}
 		}
 	}
@@ -488,8 +488,8 @@
 	for i := range news {
 		b.Merge(news[len(news)-1-i:len(news)-i], 500)
 	}
-	if a.Sums().Held == 0 || a.Sums() != b.Sums() {
-		t.Errorf("sums %v and %v of the same strikes", a.Sums(), b.Sums())
+	if a.Checksums().Held == 0 || a.Checksums() != b.Checksums() {
+		t.Errorf("sums %v and %v of the same strikes", a.Checksums(), b.Checksums())
 	}
 	if again := b.Merge(news, 600); len(again) > 0 {
 		t.Errorf("news that were known are passed on: %v", again)
@@ -504,22 +504,22 @@
 	for _, table := range []*Table{a, b, c} {
 		table.Merge(news, 700)
 	}
-	if a.Sums() != b.Sums() || a.Sums() != c.Sums() {
-		t.Errorf("sums %v, %v and %v after all heard all", a.Sums(), b.Sums(), c.Sums())
+	if a.Checksums() != b.Checksums() || a.Checksums() != c.Checksums() {
+		t.Errorf("sums %v, %v and %v after all heard all", a.Checksums(), b.Checksums(), c.Checksums())
 	}
 	// One that holds nothing asks, and is answered with what is held, and with what is
 	// known of what it holds itself.
 	d := New("d")
-	held, n := a.Held(10, 800)
+	held, n := a.HeldStrikes(10, 800)
 	if n != 1 {
 		t.Errorf("%d held, want 1", n)
 	}
-	d.Merge(a.Answer(nil, 0, 10, 800), 800)
-	if d.Sums() != a.Sums() {
+	d.Merge(a.ExchangeReply(nil, 0, 10, 800), 800)
+	if d.Checksums() != a.Checksums() {
 		t.Error("an exchange does not bring the two to agree")
 	}
-	a.Free(k.Content, 900)
-	d.Merge(a.Answer(held, 0, 10, 900), 900)
+	a.Release(k.Content, 900)
+	d.Merge(a.ExchangeReply(held, 0, 10, 900), 900)
 	if !passes(d, k, 900) {
 		t.Error("held where the exchange shows that it was freed")
 	}
@@ -542,12 +542,12 @@
 		}
 	}
 	exchanges := 0
-	for after := 0; a.Sums() != b.Sums(); after += part {
+	for after := 0; a.Checksums() != b.Checksums(); after += part {
 		if exchanges++; exchanges > 2*held/part {
 			t.Fatalf("no agreement after %d exchanges", exchanges)
 		}
-		ours := a.Foremost(after, part, 1000)
+		ours := a.StrikesByPriority(after, part, 1000)
 		b.Merge(ours, 1000)
-		a.Merge(b.Answer(ours, after, part, 1000), 1000)
+		a.Merge(b.ExchangeReply(ours, after, part, 1000), 1000)
 	}
 }
--- a/core/cfsite/config.go
+++ b/core/cfsite/config.go
@@ -83,8 +83,8 @@
 	Scaling struct {
 		// Min and Max bound the engines of each failure domain, of both kinds together.
 		Min, Max int
-		// Boot is how long after an order an engine is in service.
-		Boot cf.Millis
+		// BootTime is how long after an order an engine is in service.
+		BootTime cf.Millis
 		// SpotPrice is the price of a reclaimable engine as a part of a firm one's, zero
 		// where there are none; DomainPrices multiply both.
 		SpotPrice    float64
@@ -161,8 +161,8 @@
 	return c.Routes[best], true
 }
 
-// Pick chooses a service of a split route; draw is uniform in [0, 1).
-func (r *Route) Pick(draw float64) cf.ServiceName {
+// PickService chooses a service of a split route; draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) cf.ServiceName {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
@@ -187,9 +187,9 @@
 	return r.Kind == KindIdempotent || r.Kind == KindBatch || r.Kind == KindStream && r.Resumable
 }
 
-// Forwarded returns the services to which instances forward single requests. Items of
+// ForwardedServices returns the services to which instances forward single requests. Items of
 // batches go to targets by the coordinator alone.
-func (c *Config) Forwarded() map[cf.ServiceName]bool {
+func (c *Config) ForwardedServices() map[cf.ServiceName]bool {
 	out := map[cf.ServiceName]bool{}
 	for _, r := range c.Routes {
 		if r.Kind == KindBatch {
--- a/core/cfsite/confignews.go
+++ b/core/cfsite/confignews.go
@@ -23,9 +23,9 @@
 )
 
 type (
-	// ConfigHeld is what an instance has of configurations: the one in force, and the
+	// ConfigState is what an instance has of configurations: the one in force, and the
 	// begin of the next one.
-	ConfigHeld struct {
+	ConfigState struct {
 		// Rev is that of the configuration in force, zero if none is or if the next one
 		// can't be made of it.
 		Rev cf.Revision `cbor:"rev"`
@@ -36,18 +36,18 @@
 		Bytes int         `cbor:"bytes,omitempty"`
 	}
 
-	// ConfigNews is a part of what brings an instance to another configuration.
-	ConfigNews struct {
+	// ConfigUpdate is a part of what brings an instance to another configuration.
+	ConfigUpdate struct {
 		Name string      `cbor:"name"`
 		Rev  cf.Revision `cbor:"rev"`
 		// Base is the configuration that the recipient has, zero if the news is whole.
 		Base cf.Revision `cbor:"base,omitempty"`
-		// Packed is the part that begins At bytes into the news of Size bytes.
-		Packed []byte `cbor:"packed"`
-		At     int    `cbor:"at,omitempty"`
+		// Data is the part that begins At bytes into the news of Size bytes.
+		Data   []byte `cbor:"packed"`
+		Offset int    `cbor:"at,omitempty"`
 		Size   int    `cbor:"size"`
-		// Newest says that there is no newer configuration.
-		Newest bool `cbor:"newest,omitempty"`
+		// Latest says that there is no newer configuration.
+		Latest bool `cbor:"newest,omitempty"`
 	}
 
 	// configTeller makes news of the configurations in force. It is safe for concurrent
@@ -72,9 +72,9 @@
 	}
 )
 
-// ErrNewsNotTaken: a part of news does not follow what has arrived, or the configuration is
+// ErrUpdateRejected: a part of news does not follow what has arrived, or the configuration is
 // none that may come in force.
-var ErrNewsNotTaken = errors.New("configuration news not taken")
+var ErrUpdateRejected = errors.New("configuration news not taken")
 
 // note takes a configuration that has come in force.
 func (t *configTeller) note(r cf.Record) {
@@ -102,7 +102,7 @@
 }
 
 // next returns the news for an instance, nil if it has the newest.
-func (t *configTeller) next(held ConfigHeld) (*ConfigNews, error) {
+func (t *configTeller) next(held ConfigState) (*ConfigUpdate, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.records) == 0 {
@@ -128,9 +128,9 @@
 		}
 	}
 	r, _ := t.record(k.rev)
-	return &ConfigNews{
-		Name: r.Name, Rev: k.rev, Base: k.base, Packed: packed[at:min(at+newsPart, len(packed))], At: at, Size: len(packed),
-		Newest: k.rev == newest.Rev,
+	return &ConfigUpdate{
+		Name: r.Name, Rev: k.rev, Base: k.base, Data: packed[at:min(at+newsPart, len(packed))], Offset: at, Size: len(packed),
+		Latest: k.rev == newest.Rev,
 	}, nil
 }
 
@@ -152,15 +152,15 @@
 	return packed, nil
 }
 
-// ConfigNews returns what an instance must hear of the configuration, nil if it has the one
+// ConfigUpdate returns what an instance must hear of the configuration, nil if it has the one
 // in force here.
-func (s *Site) ConfigNews(held ConfigHeld) (*ConfigNews, error) { return s.teller.next(held) }
+func (s *Site) ConfigUpdate(held ConfigState) (*ConfigUpdate, error) { return s.teller.next(held) }
 
-// ConfigHeld returns what this instance has of configurations.
-func (s *Site) ConfigHeld() ConfigHeld {
+// ConfigState returns what this instance has of configurations.
+func (s *Site) ConfigState() ConfigState {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	held := ConfigHeld{Rev: s.configAt.Rev}
+	held := ConfigState{Rev: s.configAt.Rev}
 	if s.wholeConfig {
 		held.Rev = 0
 	}
@@ -170,23 +170,23 @@
 	return held
 }
 
-// TakeConfigNews takes a part of a configuration, and the configuration once it is whole,
+// ApplyConfigUpdate takes a part of a configuration, and the configuration once it is whole,
 // unless a newer one is in force. It returns whether one has come in force. News that can't
 // be taken are an error; after those that are damaged the whole configuration is asked for.
-func (s *Site) TakeConfigNews(n ConfigNews) (bool, error) {
+func (s *Site) ApplyConfigUpdate(n ConfigUpdate) (bool, error) {
 	r, whole, err := s.arrive(n)
 	if err != nil || !whole {
 		return false, err
 	}
 	changed, err := s.ApplyConfig(r)
 	if err == nil && s.ConfigRecord().Rev < n.Rev {
-		err = eris.Wrapf(ErrNewsNotTaken, "an older version at %d", n.Rev)
+		err = eris.Wrapf(ErrUpdateRejected, "an older version at %d", n.Rev)
 	}
 	return changed, err
 }
 
 // arrive adds a part to what has arrived. It returns the configuration if that is all of it.
-func (s *Site) arrive(n ConfigNews) (r cf.Record, whole bool, err error) {
+func (s *Site) arrive(n ConfigUpdate) (r cf.Record, whole bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.Rev <= s.configAt.Rev {
@@ -198,14 +198,14 @@
 		return cf.Record{}, false, nil // it has changed since this instance asked
 	}
 	k := newsKey{n.Base, n.Rev}
-	if n.At == 0 {
+	if n.Offset == 0 {
 		s.arriving = partNews{newsKey: k}
 	}
-	if k != s.arriving.newsKey || n.At != len(s.arriving.packed) || len(n.Packed) == 0 {
+	if k != s.arriving.newsKey || n.Offset != len(s.arriving.packed) || len(n.Data) == 0 {
 		s.arriving = partNews{}
-		return cf.Record{}, false, eris.Wrapf(ErrNewsNotTaken, "%d bytes at %d of %d to %d", len(n.Packed), n.At, n.Base, n.Rev)
+		return cf.Record{}, false, eris.Wrapf(ErrUpdateRejected, "%d bytes at %d of %d to %d", len(n.Data), n.Offset, n.Base, n.Rev)
 	}
-	s.arriving.packed = append(s.arriving.packed, n.Packed...)
+	s.arriving.packed = append(s.arriving.packed, n.Data...)
 	if len(s.arriving.packed) < n.Size {
 		return cf.Record{}, false, nil
 	}
--- a/core/cfsite/confignews_test.go
+++ b/core/cfsite/confignews_test.go
@@ -34,16 +34,16 @@
 }
 
 // hear lets follower take one answer of source; it returns the answer.
-func hear(t *testing.T, source, follower *cfsite.Site) *cfsite.ConfigNews {
+func hear(t *testing.T, source, follower *cfsite.Site) *cfsite.ConfigUpdate {
 	t.Helper()
-	news, err := source.ConfigNews(follower.ConfigHeld())
+	news, err := source.ConfigUpdate(follower.ConfigState())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if news == nil {
 		return nil
 	}
-	if _, err := follower.TakeConfigNews(*news); err != nil {
+	if _, err := follower.ApplyConfigUpdate(*news); err != nil {
 		t.Fatal(err)
 	}
 	return news
@@ -58,15 +58,15 @@
 		follower := cfsite.New(cfstandin.Codec{})
 		config, rev, before := manyRoutes(1, 1+random.IntN(1600), seed), cf.Revision(1), cfsite.ConfigVersion(0)
 		step := func() {
-			held := follower.ConfigHeld()
-			news, err := sources[random.IntN(2)].ConfigNews(held)
+			held := follower.ConfigState()
+			news, err := sources[random.IntN(2)].ConfigUpdate(held)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if news == nil || random.IntN(4) == 0 {
 				return // the answer is lost
 			}
-			if _, err := follower.TakeConfigNews(*news); err != nil && !errors.Is(err, cfsite.ErrNewsNotTaken) {
+			if _, err := follower.ApplyConfigUpdate(*news); err != nil && !errors.Is(err, cfsite.ErrUpdateRejected) {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			if c := follower.Config(); c != nil {
@@ -123,7 +123,7 @@
 			config.Routes[answers].Timeout++
 			apply(t, source, cf.Revision(10+answers), config)
 		}
-		most = max(most, len(hear(t, source, follower).Packed))
+		most = max(most, len(hear(t, source, follower).Data))
 	}
 	if answers > 8 || most > 32<<10 {
 		t.Errorf("after %d answers of at most %d bytes it has one", answers, most)
@@ -136,14 +136,14 @@
 	apply(t, source, 1, manyRoutes(1, 100, 1))
 	apply(t, follower, 1, manyRoutes(1, 100, 2)) // as if the store had shown it something else
 	apply(t, source, 2, manyRoutes(2, 100, 1))
-	news, err := source.ConfigNews(follower.ConfigHeld())
+	news, err := source.ConfigUpdate(follower.ConfigState())
 	if err != nil || news.Base != 1 {
 		t.Fatalf("news %+v, %v", news, err)
 	}
-	if _, err := follower.TakeConfigNews(*news); err == nil {
+	if _, err := follower.ApplyConfigUpdate(*news); err == nil {
 		t.Fatal("news of another base are taken")
 	}
-	if news = hear(t, source, follower); news == nil || news.Base != 0 || follower.Config().Version != 2 || follower.ConfigHeld().Rev != 2 {
+	if news = hear(t, source, follower); news == nil || news.Base != 0 || follower.Config().Version != 2 || follower.ConfigState().Rev != 2 {
 		t.Errorf("news %+v, at version %d", news, follower.Config().Version)
 	}
 }
@@ -161,11 +161,11 @@
 	}
 	behind := cfsite.New(cfstandin.Codec{})
 	apply(t, behind, 3, manyRoutes(4, 10, 1))
-	news, err := behind.ConfigNews(follower.ConfigHeld())
+	news, err := behind.ConfigUpdate(follower.ConfigState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := follower.TakeConfigNews(*news); !errors.Is(err, cfsite.ErrNewsNotTaken) || follower.Config().Version != 5 {
+	if _, err := follower.ApplyConfigUpdate(*news); !errors.Is(err, cfsite.ErrUpdateRejected) || follower.Config().Version != 5 {
 		t.Errorf("an older version: %v, at version %d", err, follower.Config().Version)
 	}
 }
@@ -183,7 +183,7 @@
 		}
 	}
 	for b.Loop() {
-		if news, err := source.ConfigNews(cfsite.ConfigHeld{Rev: 1}); err != nil || news == nil {
+		if news, err := source.ConfigUpdate(cfsite.ConfigState{Rev: 1}); err != nil || news == nil {
 			b.Fatal(err)
 		}
 	}
--- a/core/cfsite/relay.go
+++ b/core/cfsite/relay.go
@@ -28,17 +28,17 @@
 		sums map[cf.ServiceName]uint64
 	}
 
-	// News is what has changed in the view of targets, or all of it.
-	News struct {
+	// TargetUpdate is what has changed in the view of targets, or all of it.
+	TargetUpdate struct {
 		Count int64       `cbor:"count"` // of the changes, as of this
-		At    cf.Revision `cbor:"at"`
+		Rev   cf.Revision `cbor:"at"`
 		// Services are those whose targets are told, nil for all; Sum is that of their
 		// targets after this.
 		Services []cf.ServiceName `cbor:"services"`
-		Sum      uint64           `cbor:"sum"`
-		Whole    bool             `cbor:"whole,omitempty"`
+		Checksum uint64           `cbor:"sum"`
+		Full     bool             `cbor:"whole,omitempty"`
 		Targets  []cf.Target      `cbor:"targets,omitempty"`
-		Gone     []cf.InstanceID  `cbor:"gone,omitempty"`
+		Removed  []cf.InstanceID  `cbor:"gone,omitempty"`
 	}
 )
 
@@ -126,24 +126,24 @@
 	return h.Sum64()
 }
 
-// Relay returns the count of the changes that other instances must hear of, and
+// TargetUpdates returns the count of the changes that other instances must hear of, and
 // a channel that is closed at the next one.
-func (s *Site) Relay() (int64, <-chan struct{}) {
+func (s *Site) TargetUpdates() (int64, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.relay.count, s.relay.next
 }
 
-// Sum identifies the targets in the view that others hear of: equal sums mean equal
+// Checksum identifies the targets in the view that others hear of: equal sums mean equal
 // targets.
-func (s *Site) Sum() uint64 {
+func (s *Site) Checksum() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.relay.sumOver(s.relay.services())
 }
 
-// NewsSince returns what has changed since the count of an earlier answer.
-func (s *Site) NewsSince(count int64) News {
+// TargetUpdateSince returns what has changed since the count of an earlier answer.
+func (s *Site) TargetUpdateSince(count int64) TargetUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	ids, known := s.relay.log.Since(count)
@@ -155,31 +155,31 @@
 		if e, up := s.targets[id]; up && s.relay.tells(e.target.Service) {
 			n.Targets = append(n.Targets, withoutWeights(e.target))
 		} else {
-			n.Gone = append(n.Gone, id)
+			n.Removed = append(n.Removed, id)
 		}
 	}
 	return n
 }
 
-// AllNews returns the whole view, for an instance that has heard nothing from
+// FullTargetUpdate returns the whole view, for an instance that has heard nothing from
 // this one. One whose own view has the same sum already needs no list.
-func (s *Site) AllNews(sum uint64) News {
+func (s *Site) FullTargetUpdate(sum uint64) TargetUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if n := s.news(); sum == n.Sum {
+	if n := s.news(); sum == n.Checksum {
 		return n
 	}
 	return s.whole()
 }
 
-func (s *Site) news() News {
+func (s *Site) news() TargetUpdate {
 	services := s.relay.services()
-	return News{Count: s.relay.count, At: s.at, Services: services, Sum: s.relay.sumOver(services)}
+	return TargetUpdate{Count: s.relay.count, Rev: s.at, Services: services, Checksum: s.relay.sumOver(services)}
 }
 
-func (s *Site) whole() News {
+func (s *Site) whole() TargetUpdate {
 	n := s.news()
-	n.Whole = true
+	n.Full = true
 	for _, service := range s.told() {
 		for _, t := range s.sorted(maps.Keys(s.services[service])) {
 			n.Targets = append(n.Targets, withoutWeights(t))
@@ -201,10 +201,10 @@
 	return t
 }
 
-// DropUntold drops the targets of services that others do not tell of, for an instance that has
+// DropUnrelayed drops the targets of services that others do not tell of, for an instance that has
 // watched the store for a while and is told from now on: nothing would keep them current. It
 // returns how many.
-func (s *Site) DropUntold() (dropped int) {
+func (s *Site) DropUnrelayed() (dropped int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.targets {
@@ -219,32 +219,32 @@
 	return dropped
 }
 
-// TakeNews takes news of an instance that watches the store, or has them from one that
+// ApplyTargetUpdate takes news of an instance that watches the store, or has them from one that
 // does, unless they are older than the view. It returns false if the view then differs
 // from the sender's, which must send all of it.
-func (s *Site) TakeNews(n News, now cf.Millis) (same bool) {
-	if n.Whole {
-		s.ReplaceTargets(n.Targets, n.At, now)
+func (s *Site) ApplyTargetUpdate(n TargetUpdate, now cf.Millis) (same bool) {
+	if n.Full {
+		s.ReplaceTargets(n.Targets, n.Rev, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.At < s.at {
+	if n.Rev < s.at {
 		return true // this instance has watched the store itself
 	}
-	if !n.Whole {
+	if !n.Full {
 		for _, t := range n.Targets {
-			s.put(entry{target: t, rev: n.At})
+			s.put(entry{target: t, rev: n.Rev})
 		}
-		for _, id := range n.Gone {
+		for _, id := range n.Removed {
 			if _, known := s.targets[id]; known {
 				s.remove(id)
 			}
 		}
-		s.at = n.At
+		s.at = n.Rev
 	}
 	if s.relay.pending {
 		s.notify()
 		s.relay.notify()
 	}
-	return s.relay.sumOver(n.Services) == n.Sum
+	return s.relay.sumOver(n.Services) == n.Checksum
 }
--- a/core/cfsite/relay_test.go
+++ b/core/cfsite/relay_test.go
@@ -14,7 +14,7 @@
 // sameTargets says whether two views show the same targets, weights left out.
 func sameTargets(a, b *cfsite.Site) bool {
 	x, y := a.Targets(), b.Targets()
-	if len(x) != len(y) || a.Sum() != b.Sum() {
+	if len(x) != len(y) || a.Checksum() != b.Checksum() {
 		return false
 	}
 	for i := range x {
@@ -33,11 +33,11 @@
 		source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 		count, known := int64(0), false
 		hear := func() {
-			news := source.AllNews(follower.Sum())
+			news := source.FullTargetUpdate(follower.Checksum())
 			if known {
-				news = source.NewsSince(count)
+				news = source.TargetUpdateSince(count)
 			}
-			if !follower.TakeNews(news, 0) {
+			if !follower.ApplyTargetUpdate(news, 0) {
 				t.Fatalf("seed %d: the views differ after news %+v", seed, news)
 			}
 			count, known = news.Count, random.IntN(20) > 0 // it forgets now and then
@@ -72,8 +72,8 @@
 		list = append(list, cf.Target{ID: cf.InstanceID(fmt.Sprint(i)), Service: "s"})
 	}
 	source.ReplaceTargets(list, 1, 0)
-	first := source.AllNews(follower.Sum())
-	if !first.Whole || !follower.TakeNews(first, 0) {
+	first := source.FullTargetUpdate(follower.Checksum())
+	if !first.Full || !follower.ApplyTargetUpdate(first, 0) {
 		t.Fatal("the first news are not the whole view")
 	}
 	for i := range 5000 {
@@ -83,8 +83,8 @@
 			t.Fatal(err)
 		}
 	}
-	if news := source.NewsSince(first.Count); !news.Whole || !follower.TakeNews(news, 0) || !sameTargets(source, follower) {
-		t.Errorf("whole %t, %d targets left at the follower", news.Whole, len(follower.Targets()))
+	if news := source.TargetUpdateSince(first.Count); !news.Full || !follower.ApplyTargetUpdate(news, 0) || !sameTargets(source, follower) {
+		t.Errorf("whole %t, %d targets left at the follower", news.Full, len(follower.Targets()))
 	}
 }
 
@@ -95,12 +95,12 @@
 	list := []cf.Target{{ID: "a", Service: "s", Slots: 4}, {ID: "b", Service: "s", Slots: 4}}
 	source.ReplaceTargets(list, 5, 0)
 	follower.ReplaceTargets(list, 4, 0)
-	if news := source.AllNews(follower.Sum()); news.Whole || len(news.Targets) > 0 || !follower.TakeNews(news, 0) {
+	if news := source.FullTargetUpdate(follower.Checksum()); news.Full || len(news.Targets) > 0 || !follower.ApplyTargetUpdate(news, 0) {
 		t.Errorf("equal views: news %+v", news)
 	}
 	follower.ReplaceTargets(list[:1], 6, 0)
 	source.Advance(7)
-	if news := source.AllNews(follower.Sum()); !news.Whole || !follower.TakeNews(news, 0) || !sameTargets(source, follower) {
+	if news := source.FullTargetUpdate(follower.Checksum()); !news.Full || !follower.ApplyTargetUpdate(news, 0) || !sameTargets(source, follower) {
 		t.Errorf("differing views: news %+v", news)
 	}
 }
@@ -146,8 +146,8 @@
 	}
 	configure(1, "log")
 	source.ReplaceTargets(list, 5, 0)
-	news := source.AllNews(follower.Sum())
-	if !follower.TakeNews(news, 0) || len(follower.Targets()) != 2 {
+	news := source.FullTargetUpdate(follower.Checksum())
+	if !follower.ApplyTargetUpdate(news, 0) || len(follower.Targets()) != 2 {
 		t.Fatalf("told of %d targets", len(follower.Targets()))
 	}
 	count := news.Count
@@ -157,31 +157,31 @@
 		}
 	}
 	change(6, cf.Target{ID: "e00007", Service: "engines", Draining: true})
-	if now, _ := source.Relay(); now != count {
+	if now, _ := source.TargetUpdates(); now != count {
 		t.Error("the change of an engine is told")
 	}
 	change(7, cf.Target{ID: "log-1", Service: "log", Draining: true})
-	news = source.NewsSince(count)
-	if !follower.TakeNews(news, 0) || len(news.Targets) != 1 || len(follower.Usable("log")) != 1 {
+	news = source.TargetUpdateSince(count)
+	if !follower.ApplyTargetUpdate(news, 0) || len(news.Targets) != 1 || len(follower.Usable("log")) != 1 {
 		t.Errorf("news %+v", news)
 	}
 	// A route to another service: its targets are told with the configuration.
 	configure(8, "log mail")
-	news = source.NewsSince(news.Count)
-	if !follower.TakeNews(news, 0) || news.Whole || len(follower.Usable("mail")) != 1 {
+	news = source.TargetUpdateSince(news.Count)
+	if !follower.ApplyTargetUpdate(news, 0) || news.Full || len(follower.Usable("mail")) != 1 {
 		t.Errorf("news %+v after a route to another service", news)
 	}
 	configure(9, "")
-	news = source.NewsSince(news.Count)
-	if !follower.TakeNews(news, 0) || news.Whole {
+	news = source.TargetUpdateSince(news.Count)
+	if !follower.ApplyTargetUpdate(news, 0) || news.Full {
 		t.Errorf("news %+v without any route for single requests", news)
 	}
 	// The address of an engine is used again by a service that is told of, and back.
 	configure(10, "log")
 	for i, service := range []cf.ServiceName{"log", "engines"} {
 		change(cf.Revision(11+i), cf.Target{ID: "e00009", Service: service})
-		news = source.NewsSince(news.Count)
-		if !follower.TakeNews(news, 0) || news.Whole {
+		news = source.TargetUpdateSince(news.Count)
+		if !follower.ApplyTargetUpdate(news, 0) || news.Full {
 			t.Errorf("news %+v of a target that is now of %s", news, service)
 		}
 	}
@@ -198,21 +198,21 @@
 		list = append(list, cf.Target{ID: cf.InstanceID(fmt.Sprintf("e%05d", i)), Service: "engines"})
 	}
 	s.ReplaceTargets(list, 5, 0)
-	first := s.Since(0)
-	if !first.Whole || len(first.Targets) != len(list) {
+	first := s.TargetsSince(0)
+	if !first.Full || len(first.Targets) != len(list) {
 		t.Fatalf("%d targets at first", len(first.Targets))
 	}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("e00003", 6, cf.Target{ID: "e00003", Service: "engines", Models: []cf.ModelState{{Name: "m", Version: 2}}}), 0)
 	gone := cfstandin.Record("e00004", 7, nil)
 	gone.Deleted = true
 	_, _, _ = s.ApplyTarget(gone, 0)
-	if d := s.Since(first.Count); d.Whole || len(d.Targets) != 1 || d.Targets[0].Models[0].Version != 2 || len(d.Gone) != 1 {
+	if d := s.TargetsSince(first.Count); d.Full || len(d.Targets) != 1 || d.Targets[0].Models[0].Version != 2 || len(d.Removed) != 1 {
 		t.Errorf("changes %+v", d)
 	}
 	list = list[:4]
 	s.ReplaceTargets(list, 8, 0)
-	if d := s.Since(first.Count); !d.Whole || len(d.Targets) != 4 {
-		t.Errorf("after more changes than are remembered: whole %t, %d targets", d.Whole, len(d.Targets))
+	if d := s.TargetsSince(first.Count); !d.Full || len(d.Targets) != 4 {
+		t.Errorf("after more changes than are remembered: whole %t, %d targets", d.Full, len(d.Targets))
 	}
 }
 
@@ -228,9 +228,9 @@
 		t.Fatal(err)
 	}
 	s.ReplaceTargets([]cf.Target{{ID: "l", Service: "log"}, {ID: "e1", Service: "engines"}, {ID: "e2", Service: "engines"}}, 5, 0)
-	sum := s.Sum()
-	if n := s.DropUntold(); n != 2 || len(s.Targets()) != 1 || s.Sum() != sum {
-		t.Errorf("%d dropped, %d left, sum %x, before %x", n, len(s.Targets()), s.Sum(), sum)
+	sum := s.Checksum()
+	if n := s.DropUnrelayed(); n != 2 || len(s.Targets()) != 1 || s.Checksum() != sum {
+		t.Errorf("%d dropped, %d left, sum %x, before %x", n, len(s.Targets()), s.Checksum(), sum)
 	}
 	s.ReplaceTargets([]cf.Target{{ID: "l", Service: "log"}, {ID: "e1", Service: "engines"}}, 5, 0)
 	if len(s.Targets()) != 2 {
--- a/core/cfsite/site.go
+++ b/core/cfsite/site.go
@@ -51,10 +51,10 @@
 // Delta is what has changed in the view of targets since an earlier count of changes.
 type Delta struct {
 	Count int64 // of the changes, as of this
-	// Whole says that Targets are all that there are.
-	Whole   bool
+	// Full says that Targets are all that there are.
+	Full    bool
 	Targets []cf.Target
-	Gone    []cf.InstanceID
+	Removed []cf.InstanceID
 }
 
 // lapseGrace is how long after the store's return an entry may be missing:
@@ -138,15 +138,15 @@
 	s.relay.note(service, e.target.ID)
 }
 
-// StoreRegained records that the store answers again after it did not.
-func (s *Site) StoreRegained(now cf.Millis) {
+// StoreReconnected records that the store answers again after it did not.
+func (s *Site) StoreReconnected(now cf.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grace = now + lapseGrace
 }
 
-// Sweep drops the entries that lapsed and did not come back. It returns them.
-func (s *Site) Sweep(now cf.Millis) []cf.Target {
+// DropLapsed drops the entries that lapsed and did not come back. It returns them.
+func (s *Site) DropLapsed(now cf.Millis) []cf.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now < s.grace {
@@ -215,7 +215,7 @@
 	}
 	s.config, s.configAt = &c, r
 	s.teller.note(r)
-	s.forward(c.Forwarded())
+	s.forward(c.ForwardedServices())
 	s.notify()
 	s.relay.notify()
 	return true, nil
@@ -313,8 +313,8 @@
 	s.at = max(s.at, at)
 }
 
-// TargetsAt returns the revision as of which the view of targets is current.
-func (s *Site) TargetsAt() cf.Revision {
+// TargetsRevision returns the revision as of which the view of targets is current.
+func (s *Site) TargetsRevision() cf.Revision {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.at
@@ -337,15 +337,15 @@
 	return out
 }
 
-// Since returns what has changed in the view of targets since the count of an earlier
+// TargetsSince returns what has changed in the view of targets since the count of an earlier
 // answer; of a view that was never asked for, all of it. Its cost is that of the changes.
-func (s *Site) Since(count int64) Delta {
+func (s *Site) TargetsSince(count int64) Delta {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	d := Delta{Count: s.changes}
 	ids, known := s.log.Since(count)
 	if count <= 0 || !known {
-		d.Whole = true
+		d.Full = true
 		d.Targets = s.sorted(maps.Keys(s.targets))
 		return d
 	}
@@ -353,7 +353,7 @@
 		if e, up := s.targets[id]; up {
 			d.Targets = append(d.Targets, e.target)
 		} else {
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		}
 	}
 	return d
@@ -383,8 +383,8 @@
 	return e.target, ok
 }
 
-// ApplyVersion takes a version that a trainer has named; versions only rise.
-func (s *Site) ApplyVersion(r cf.Record) (bool, error) {
+// ApplyWeightVersion takes a version that a trainer has named; versions only rise.
+func (s *Site) ApplyWeightVersion(r cf.Record) (bool, error) {
 	if r.Deleted {
 		return false, nil
 	}
@@ -402,9 +402,9 @@
 	return true, nil
 }
 
-// Version returns the newest version that a trainer has named for a model,
+// WeightVersion returns the newest version that a trainer has named for a model,
 // or 1, the version that targets start with.
-func (s *Site) Version(m cf.ModelName) cf.WeightVersion {
+func (s *Site) WeightVersion(m cf.ModelName) cf.WeightVersion {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return max(s.versions[m], 1)
--- a/core/cfsite/site_test.go
+++ b/core/cfsite/site_test.go
@@ -43,7 +43,7 @@
 	r := cfsite.Route{Split: []cfsite.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[cf.ServiceName]int{}
 	for i := range 1000 {
-		count[r.Pick(float64(i)/1000)]++
+		count[r.PickService(float64(i)/1000)]++
 	}
 	if count["a"] != 900 || count["b"] != 100 {
 		t.Errorf("split %v", count)
@@ -86,16 +86,16 @@
 	s := cfsite.New(cfstandin.Codec{})
 	a, b := cf.Target{ID: "a", Service: "x"}, cf.Target{ID: "b", Service: "x"}
 	s.ReplaceTargets([]cf.Target{a, b}, 10, 0)
-	s.StoreRegained(1000)
+	s.StoreReconnected(1000)
 	s.ReplaceTargets(nil, 20, 1000)
 	if n := len(s.Usable("x")); n != 2 {
 		t.Fatalf("%d usable right after the store's return", n)
 	}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 21, a), 2000)
-	if gone := s.Sweep(2500); len(gone) != 0 {
+	if gone := s.DropLapsed(2500); len(gone) != 0 {
 		t.Errorf("dropped too soon: %v", gone)
 	}
-	if gone := s.Sweep(3300); len(gone) != 1 || gone[0].ID != "b" {
+	if gone := s.DropLapsed(3300); len(gone) != 1 || gone[0].ID != "b" {
 		t.Errorf("dropped %v, want the one that did not come back", gone)
 	}
 	if got := s.Usable("x"); len(got) != 1 || got[0].ID != "a" {
@@ -107,12 +107,12 @@
 func TestNamedVersionsOnlyRise(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	for i, v := range []cf.WeightVersion{2, 4, 3} {
-		_, _ = s.ApplyVersion(cfstandin.Record("m", cf.Revision(i+1), cf.ModelState{Name: "m", Version: v}))
+		_, _ = s.ApplyWeightVersion(cfstandin.Record("m", cf.Revision(i+1), cf.ModelState{Name: "m", Version: v}))
 	}
-	if v := s.Version("m"); v != 4 {
+	if v := s.WeightVersion("m"); v != 4 {
 		t.Errorf("version %d, want 4", v)
 	}
-	if v := s.Version("other"); v != 1 {
+	if v := s.WeightVersion("other"); v != 1 {
 		t.Errorf("version %d of a model without a name, want 1", v)
 	}
 }
@@ -123,15 +123,15 @@
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "x", Models: []cf.ModelState{{Name: "m", Version: 1}}}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 1, target), 0)
-	before, _ := s.Relay()
+	before, _ := s.TargetUpdates()
 	target.Models = []cf.ModelState{{Name: "m", Version: 2}}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 2, target), 0)
-	if after, _ := s.Relay(); after != before {
+	if after, _ := s.TargetUpdates(); after != before {
 		t.Error("a change of weights is relayed")
 	}
 	target.Draining = true
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 3, target), 0)
-	if after, _ := s.Relay(); after == before {
+	if after, _ := s.TargetUpdates(); after == before {
 		t.Error("a drain is not relayed")
 	}
 }
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -417,7 +417,7 @@
 		return cfrollout.Terms{}, false
 	}
 	terms := cfrollout.Terms{
-		Service: route.Pick(drawOf(string(sub.ID))), MaxAttempts: route.MaxAttempts,
+		Service: route.PickService(drawOf(string(sub.ID))), MaxAttempts: route.MaxAttempts,
 		SingleVersion: route.SingleVersion, MaxWait: route.MaxWait, Access: config.Directory.Access(sub.ID.Organisation(), route.Use()),
 	}
 	if route.ResultsSLO > 0 {
@@ -436,20 +436,20 @@
 			models[s.Name] = s.Models
 		}
 		for _, m := range s.Models {
-			c.planner.SetVersion(m, c.Site.Version(m))
+			c.planner.SetVersion(m, c.Site.WeightVersion(m))
 			c.named.note(m, c.planner.LatestVersion(m), cf.Uptime())
 		}
 	}
 	if all {
 		c.seen = 0
 	}
-	delta := c.Site.Since(c.seen)
+	delta := c.Site.TargetsSince(c.seen)
 	c.seen = delta.Count
-	if delta.Whole {
+	if delta.Full {
 		c.planner.SetEngines(delta.Targets, models)
 		return
 	}
-	c.planner.ChangeEngines(delta.Targets, delta.Gone)
+	c.planner.ChangeEngines(delta.Targets, delta.Removed)
 }
 
 // open hands a batch to the planner.
--- a/io/cfcoord/guard_test.go
+++ b/io/cfcoord/guard_test.go
@@ -98,8 +98,8 @@
 				}
 			}
 			time.Sleep(50 * time.Millisecond) // the last end is taken
-			v := guard.Table.Judge(cfquarantine.KeyOfItem(&sub, sub.Items[0]), cf.Uptime())
-			if held := v.Until > 0; held != sent {
+			v := guard.Table.Evaluate(cfquarantine.KeyOfItem(&sub, sub.Items[0]), cf.Uptime())
+			if held := v.RetryAt > 0; held != sent {
 				t.Errorf("held %v after three targets were lost, want %v", held, sent)
 			}
 		})
--- a/io/cfcoord/operator.go
+++ b/io/cfcoord/operator.go
@@ -12,7 +12,7 @@
 
 func (c *Coordinator) versionWatcher() *cfwatch.Watcher {
 	take := func(r cf.Record) error {
-		changed, err := c.Site.ApplyVersion(r)
+		changed, err := c.Site.ApplyWeightVersion(r)
 		if changed {
 			c.Log.Info("version_named", zap.String("model", r.Name), zap.Int64("revision", int64(r.Rev)))
 			c.Kick()
--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -39,9 +39,9 @@
 	for range looks {
 		for n := range items {
 			c.mu.Lock()
-			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.Owed{Apart: true, Since: cf.Uptime()})
+			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
 			c.mu.Unlock()
-			if v.Pass || v.Until == 0 {
+			if v.Pass || v.RetryAt == 0 {
 				t.Fatalf("an item does not pause after %d crashes: %+v", len(strikes), v)
 			}
 		}
--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -72,13 +72,13 @@
 	if !ok {
 		return cfreward.Route{}, false
 	}
-	service := route.Pick(drawOf(string(call.ID)))
+	service := route.PickService(drawOf(string(call.ID)))
 	return cfreward.Route{Service: service, Targets: s.c.Site.Usable(service), MaxAttempts: route.MaxAttempts}, true
 }
 
 // Admit implements cfreward.Site.
 func (s *rewardSite) Admit(call *cf.RewardCall, target cf.Target) bool {
-	return s.c.admitOwed(call.ID, cfquarantine.KeyOfReward(call), target, cfquarantine.Owed{Apart: true, Since: cf.Uptime()}).Pass
+	return s.c.admitOwed(call.ID, cfquarantine.KeyOfReward(call), target, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()}).Pass
 }
 
 // Missing implements cfreward.Site.
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -118,21 +118,21 @@
 // admit asks the guard whether an item may be sent to an engine; its end is then due to
 // the guard.
 func (c *Coordinator) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := c.admitOwed(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.Owed{Apart: apart, Since: w.WaitingSince()})
-	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.Elsewhere, RetryAt: v.Until, MaxRuns: v.Most}
+	v := c.admitOwed(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()})
+	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
 // admitOwed asks the guard whether an item or a reward call may be sent. The planners ask again
 // at each look while it may not; each pause is logged once. c.mu is held.
-func (c *Coordinator) admitOwed(id cf.RequestID, key cfquarantine.Key, target cf.Target, w cfquarantine.Owed) cfquarantine.Verdict {
+func (c *Coordinator) admitOwed(id cf.RequestID, key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
 	v := c.Guard.AdmitOwed(key, target, w)
-	if v.Until > 0 && c.pauses[id] != v.Until {
+	if v.RetryAt > 0 && c.pauses[id] != v.RetryAt {
 		if len(c.pauses) >= pausesMost {
 			now := cf.Uptime()
 			maps.DeleteFunc(c.pauses, func(_ cf.RequestID, until cf.Millis) bool { return until <= now })
 		}
 		if len(c.pauses) < pausesMost {
-			c.pauses[id] = v.Until
+			c.pauses[id] = v.RetryAt
 			c.Guard.Paused(id, key, v)
 		}
 	}
--- a/io/cfguard/guard.go
+++ b/io/cfguard/guard.go
@@ -11,7 +11,7 @@
 //	defer g.Close()
 //	g.Inform(source, heldByOthers)
 //	v := g.Judge(ctx, id, key)
-//	v = g.Admit(key, target) // or g.AdmitOwed(key, target, owed)
+//	v = g.Admit(key, target) // or g.AdmitDeferred(key, target, owed)
 //	if v.Pass { ... send; then g.Answered, g.Lost or g.Dropped }
 package cfguard
 
@@ -110,7 +110,7 @@
 func New(o Options) *Guard {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Guard{
-		Options: o, Table: cfquarantine.NewStarting(o.Self), ctx: ctx, cancel: cancel, checking: map[cfquarantine.Incarnation]bool{},
+		Options: o, Table: cfquarantine.NewUnsynced(o.Self), ctx: ctx, cancel: cancel, checking: map[cfquarantine.Incarnation]bool{},
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	for waited := false; ; waited = true {
 		changed := g.Table.Changed()
-		v := g.Table.Judge(key, cf.Uptime())
+		v := g.Table.Evaluate(key, cf.Uptime())
 		if !v.Wait {
 			return v
 		}
@@ -153,26 +153,26 @@
 	return g.Table.Admit(key, cfquarantine.IncarnationOf(target), cf.Uptime())
 }
 
-// AdmitOwed is Admit for work that was handed in for later.
-func (g *Guard) AdmitOwed(key cfquarantine.Key, target cf.Target, w cfquarantine.Owed) cfquarantine.Verdict {
+// AdmitDeferred is Admit for work that was handed in for later.
+func (g *Guard) AdmitOwed(key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
 	if g == nil || g.Off {
 		return cfquarantine.Verdict{Pass: true}
 	}
-	return g.Table.AdmitOwed(key, cfquarantine.IncarnationOf(target), w, cf.Uptime())
+	return g.Table.AdmitDeferred(key, cfquarantine.IncarnationOf(target), w, cf.Uptime())
 }
 
 // Paused logs that owed work waits until it is tried again, and on which evidence.
 func (g *Guard) Paused(id cf.RequestID, key cfquarantine.Key, v cfquarantine.Verdict) {
 	g.Metrics.Paused.Inc()
 	g.Log.Warn("request_paused", zap.String("request_id", string(id)), digest(key), caller(key),
-		zap.Int64("paused_ms", int64(v.Until-cf.Uptime())), zap.Any("strikes", v.Strikes))
+		zap.Int64("paused_ms", int64(v.RetryAt-cf.Uptime())), zap.Any("strikes", v.Strikes))
 }
 
 // Refused logs that a request is held, and on which evidence.
 func (g *Guard) Refused(id cf.RequestID, key cfquarantine.Key, v cfquarantine.Verdict) {
 	g.Metrics.Refused.Inc()
 	g.Log.Warn("request_held", zap.String("request_id", string(id)), digest(key), caller(key),
-		zap.Int64("held_ms", int64(v.Until-cf.Uptime())), zap.Any("strikes", v.Strikes))
+		zap.Int64("held_ms", int64(v.RetryAt-cf.Uptime())), zap.Any("strikes", v.Strikes))
 }
 
 func digest(k cfquarantine.Key) zap.Field { return zap.Stringer("request_digest", k.Content) }
@@ -238,7 +238,7 @@
 			zap.String("loss", string(loss)), zap.Int("strikes", len(news)), cflog.Error(err))
 		g.struck(news)
 		g.mu.Lock()
-		if !g.Table.Unchecked(inc) {
+		if !g.Table.NeedsCheck(inc) {
 			delete(g.checking, inc)
 			g.mu.Unlock()
 			return
@@ -260,7 +260,7 @@
 	case errors.Is(err, cf.ErrNoProcess):
 		return cfquarantine.LossRefused, err
 	default:
-		return cfquarantine.LossSilent, err
+		return cfquarantine.LossUnreachable, err
 	}
 }
 
@@ -280,7 +280,7 @@
 // struck counts strikes that were found here, and shares them.
 func (g *Guard) struck(news []cfquarantine.Strike) {
 	for i := range news {
-		if news[i].Standing < cfquarantine.Void && news[i].SeenBy == g.Self {
+		if news[i].Scope < cfquarantine.Void && news[i].SeenBy == g.Self {
 			g.Metrics.Strikes.WithLabelValues(string(news[i].Loss)).Inc()
 		}
 	}
@@ -299,7 +299,7 @@
 	if len(news) == 0 {
 		return
 	}
-	_, held := g.Table.Held(0, cf.Uptime())
+	_, held := g.Table.HeldStrikes(0, cf.Uptime())
 	g.Log.Info("strikes_learned", zap.String("from", string(from)), zap.Int("strikes", len(news)), zap.Int("held", held),
 		zap.Stringer("request_digest", news[0].Content))
 	g.share(news)
@@ -309,15 +309,15 @@
 // false if they did before.
 func (g *Guard) Inform(source string, held []cfquarantine.Strike) bool {
 	g.Learn(cf.EntryID(source), held)
-	return g.Table.Inform()
+	return g.Table.MarkSynced()
 }
 
 // Informed says whether it is known here what other instances hold.
-func (g *Guard) Informed() bool { return g == nil || g.Off || g.Table.Informed() }
+func (g *Guard) Informed() bool { return g == nil || g.Off || g.Table.Synced() }
 
 // Free lets a held request pass again, by hand.
 func (g *Guard) Free(d cfquarantine.Digest) int {
-	news := g.Table.Free(d, cf.Uptime())
+	news := g.Table.Release(d, cf.Uptime())
 	g.Log.Info("request_freed", zap.Stringer("request_digest", d), zap.Int("strikes", len(news)))
 	g.share(news)
 	return len(news)
@@ -336,7 +336,7 @@
 		return
 	}
 	if current {
-		for _, inc := range g.Table.Struck() {
+		for _, inc := range g.Table.StruckTargets() {
 			if g.replaced(inc) {
 				g.struck(g.Table.Replaced(inc, now))
 			}
@@ -346,6 +346,6 @@
 		g.Log.Info("strikes_void", zap.String("reason", "their targets live"), zap.Int("strikes", len(void)))
 		g.share(void)
 	}
-	_, held := g.Table.Held(0, now)
+	_, held := g.Table.HeldStrikes(0, now)
 	g.Metrics.Held.Set(float64(held))
 }
--- a/io/cfguard/guard_test.go
+++ b/io/cfguard/guard_test.go
@@ -100,7 +100,7 @@
 				}
 			}
 			v := g.Judge(context.Background(), "r", key)
-			if held := v.Until > 0; held != c.held {
+			if held := v.RetryAt > 0; held != c.held {
 				t.Errorf("held %v, want %v: %+v", held, c.held, v)
 			}
 			if err := g.Close(); err != nil {
@@ -134,7 +134,7 @@
 			t.Fatal("the check does not end")
 		}
 	}
-	if strikes := g.Table.Foremost(0, 8, cf.Uptime()); len(strikes) != 1 {
+	if strikes := g.Table.StrikesByPriority(0, 8, cf.Uptime()); len(strikes) != 1 {
 		t.Errorf("%d strikes of a target that has ended", len(strikes))
 	}
 }
--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -17,14 +17,14 @@
 // Belief is how far this instance can rely on its configuration, and how long ago it was
 // last known to be the newest.
 type Belief struct {
-	cfaccess.View
+	cfaccess.ConfigFreshness
 	Age cf.Millis
 }
 
 // belief returns that of this instance; one that is not told relies on what it has.
 func (in *Ingress) belief() Belief {
 	if in.Believes == nil {
-		return Belief{View: cfaccess.View{Current: true, Trusted: true}}
+		return Belief{ConfigFreshness: cfaccess.ConfigFreshness{Current: true, KeysTrusted: true}}
 	}
 	return in.Believes()
 }
@@ -33,13 +33,13 @@
 // may know better, or ErrUnauthenticated.
 func (in *Ingress) identify(config *cfsite.Config, use cfaccess.Use, who cf.Credentials, request string) (cf.Access, error) {
 	b := in.belief()
-	verdict, access := config.Directory.Judge(who.Keys, use, b.View)
-	if verdict == cfaccess.Known {
+	verdict, access := config.Directory.Authenticate(who.Keys, use, b.ConfigFreshness)
+	if verdict == cfaccess.Accepted {
 		return access, nil
 	}
 	outcome, reason := "unauthenticated", "unknown"
 	switch {
-	case verdict == cfaccess.Unsure:
+	case verdict == cfaccess.Undetermined:
 		outcome = "unsure"
 	case len(who.Keys) == 0:
 		reason = "missing"
@@ -49,7 +49,7 @@
 	in.Metrics.Unauthenticated.WithLabelValues(outcome, reason).Inc()
 	in.Log.Info("request_not_identified", zap.String("request_id", request), zap.String("outcome", outcome), zap.String("reason", reason),
 		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(b.Age)), zap.Bool("current", b.Current))
-	if verdict == cfaccess.Unsure {
+	if verdict == cfaccess.Undetermined {
 		return cf.Access{}, &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
 	}
 	return cf.Access{}, cf.ErrUnauthenticated
--- a/io/cfingress/forward.go
+++ b/io/cfingress/forward.go
@@ -92,7 +92,7 @@
 	}
 	f := &forwarding{
 		in: in, req: req, key: cfquarantine.KeyOf(req.Method, req.Host, req.Path, cfquarantine.CallerOf(access, req.Who), req.Body), access: access,
-		route: route, service: route.Pick(rand.Float64()), version: config.Version,
+		route: route, service: route.PickService(rand.Float64()), version: config.Version,
 		attempts: cfbalance.NewAttempts(route, deadline), tried: map[cf.InstanceID]bool{}, full: map[cf.InstanceID]bool{}, results: make(chan attempt, 8),
 		use: use{count: in.Count, of: access.Organisation}, spent: in.callers.Spent(route.Name, req.Deadline, req.Received),
 	}
@@ -196,7 +196,7 @@
 		zap.Stringer("caller_digest", f.key.Caller), zap.String("organisation", string(f.access.Organisation)), zap.String("route", f.route.Name),
 		zap.String("target", string(target.ID)), zap.Int("tried", len(f.tried)), zap.Int64("left_ms", int64(f.attempts.Remaining(now))),
 		zap.Int64("config_version", int64(f.version)), zap.Int64("config_age_ms", int64(f.in.belief().Age)),
-		zap.Int64("targets_revision", int64(f.in.Site.TargetsAt())))
+		zap.Int64("targets_revision", int64(f.in.Site.TargetsRevision())))
 	call := f.call(now)
 	f.use.sent(target.ID, now)
 	go func() {
@@ -220,14 +220,14 @@
 	}
 	avoid := maps.Clone(f.tried)
 	var place place
-	if v.Pass || v.Elsewhere {
+	if v.Pass || v.OtherTarget {
 		var ok bool
 		if place, ok = f.admit(ctx, wait, avoid); !ok {
 			return cf.Target{}, false
 		}
 		defer place.leave()
 	}
-	for v.Pass || v.Elsewhere {
+	for v.Pass || v.OtherTarget {
 		now := cf.Uptime() // it may have waited
 		target, ok := f.in.balancer.Choose(f.in.Site.Usable(f.service), avoid, rand.Float64(), now)
 		if !ok || ctx.Err() != nil || !f.attempts.MaySend(now) {
@@ -242,8 +242,8 @@
 		}
 		avoid[target.ID] = true
 	}
-	f.uninformed = v.Uninformed
-	if f.held = v.Until; f.held > 0 {
+	f.uninformed = v.Unsynced
+	if f.held = v.RetryAt; f.held > 0 {
 		f.in.Guard.Refused(f.req.ID, f.key, v)
 	}
 	return cf.Target{}, false
@@ -253,7 +253,7 @@
 	return cf.TargetCall{
 		ID: f.req.ID, Method: f.req.Method, Host: f.req.Host, Path: f.req.Path, Header: f.req.Header, Body: f.req.Body,
 		Timeout: f.attempts.Remaining(now), FreshConnection: !f.route.Idempotent(), Room: f.room,
-		Organisation: f.access.Organisation, Ranked: f.access.Ranked, Urgency: cfaccess.Urgency(f.access, cfaccess.Live),
+		Organisation: f.access.Organisation, Ranked: f.access.Ranked, Urgency: cfaccess.Urgency(f.access, cfaccess.Interactive),
 	}
 }
 
@@ -401,7 +401,7 @@
 	f.in.Log.Warn("request_refused", zap.String("request_id", string(f.req.ID)), zap.String("service", string(f.service)),
 		zap.String("reason", reason), zap.Int("tried", len(f.tried)), zap.Int64("retry_after_ms", int64(after)),
 		zap.String("organisation", string(f.access.Organisation)), zap.Int64("took_ms", int64(cf.Uptime()-f.req.Received)), zap.Inline(verdict(f.refusal)),
-		zap.Int64("config_version", int64(f.version)), zap.Int64("targets_revision", int64(f.in.Site.TargetsAt())))
+		zap.Int64("config_version", int64(f.version)), zap.Int64("targets_revision", int64(f.in.Site.TargetsRevision())))
 	answerRefusal(w, after, reason)
 	f.in.count("forward", "refused", f.req)
 }
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -147,7 +147,7 @@
 // Ready says whether callers may be sent to this instance. One that knows its
 // routes and no targets yet, or not which requests are held, would refuse them all.
 func (in *Ingress) Ready() bool {
-	return !in.stopping.Load() && in.Guard.Informed() && in.Site.Config() != nil && in.Site.TargetsAt() > 0
+	return !in.stopping.Load() && in.Guard.Informed() && in.Site.Config() != nil && in.Site.TargetsRevision() > 0
 }
 
 // Resolve returns the addresses for a caller in domain.
--- a/io/cfingress/rooms.go
+++ b/io/cfingress/rooms.go
@@ -23,7 +23,7 @@
 func (in *Ingress) OpenRoom(ctx context.Context, who cf.Credentials, id cf.BatchID) cf.Room {
 	var access cf.Access
 	if config := in.Site.Config(); config != nil {
-		_, access = config.Directory.Judge(who.Keys, cfaccess.Use{}, in.belief().View)
+		_, access = config.Directory.Authenticate(who.Keys, cfaccess.Use{}, in.belief().ConfigFreshness)
 	}
 	return in.Rooms.Open(ctx, holderOf(access, who), cfhold.Page, string(id))
 }
--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		out[s.Name] = cfscale.Policy{
-			Service: s.Name, Min: s.Scaling.Min, Max: s.Scaling.Max, BootTime: s.Scaling.Boot, SpotPrice: s.Scaling.SpotPrice,
+			Service: s.Name, Min: s.Scaling.Min, Max: s.Scaling.Max, BootTime: s.Scaling.BootTime, SpotPrice: s.Scaling.SpotPrice,
 			DomainPrices: s.Scaling.DomainPrices,
 			EnginePrice:  a.node.settings.Scaling.EnginePrice, GroupValue: a.node.settings.Scaling.GroupValue,
 		}
--- a/io/cfnode/belief.go
+++ b/io/cfnode/belief.go
@@ -38,8 +38,8 @@
 	most := n.settings.Bounds.KeyTrustMs
 	shared := !n.settings.Bounds.StrictKeys && now-cf.Millis(n.feed.away.Load()) < outageShared
 	return cfingress.Belief{
-		View: cfaccess.View{Current: age < cfwatch.SiteFresh, Trusted: most == 0 || age < most || shared},
-		Age:  age,
+		ConfigFreshness: cfaccess.ConfigFreshness{Current: age < cfwatch.SiteFresh, KeysTrusted: most == 0 || age < most || shared},
+		Age:             age,
 	}
 }
 
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -55,12 +55,12 @@
 		Without []cf.EntryID `cbor:"without,omitempty"`
 		// Origin, News and Members are those of the last answer; Sum is that
 		// of the view of targets, MembersSum that of the roster.
-		Origin     uint64            `cbor:"origin"`
-		News       int64             `cbor:"news"`
-		Sum        uint64            `cbor:"sum"`
-		Members    int64             `cbor:"members"`
-		MembersSum uint64            `cbor:"members_sum"`
-		Config     cfsite.ConfigHeld `cbor:"config"`
+		Origin     uint64             `cbor:"origin"`
+		News       int64              `cbor:"news"`
+		Sum        uint64             `cbor:"sum"`
+		Members    int64              `cbor:"members"`
+		MembersSum uint64             `cbor:"members_sum"`
+		Config     cfsite.ConfigState `cbor:"config"`
 		// Term is that of the coordinator as the caller knows it.
 		Term cf.Revision `cbor:"term"`
 		// Group are the instances that ask this one.
@@ -88,15 +88,15 @@
 		Listing bool `cbor:"listing,omitempty"`
 		// Origin identifies whose counts News and Members have.
 		Origin  uint64               `cbor:"origin"`
-		Config  *cfsite.ConfigNews   `cbor:"config,omitempty"`
-		News    *cfsite.News         `cbor:"news,omitempty"`
+		Config  *cfsite.ConfigUpdate `cbor:"config,omitempty"`
+		News    *cfsite.TargetUpdate `cbor:"news,omitempty"`
 		Members *cfmember.RosterNews `cbor:"members,omitempty"`
 		// GroupSum is that of the caller's group as it is known here.
 		GroupSum uint64 `cbor:"group_sum,omitempty"`
 		// Quarantine identifies what is known here of requests that crash targets, where
 		// Informed says that this is all.
-		Quarantine cfquarantine.Sums `cbor:"quarantine"`
-		Informed   bool              `cbor:"informed,omitempty"`
+		Quarantine cfquarantine.Checksums `cbor:"quarantine"`
+		Informed   bool                   `cbor:"informed,omitempty"`
 		// Wall is the time of day by the clocks of all instances. UsageTaken says that
 		// the counts were taken, UsageSettled up to which window nobody needs them.
 		Wall         cf.Millis      `cbor:"wall,omitempty"`
@@ -284,7 +284,7 @@
 
 // feedCall returns the call that tells and asks how things stand.
 func (n *Node) feedCall(hub bool, now cf.Millis) feedCall {
-	call := feedCall{Entry: n.self(), Leaving: n.leaving.Load(), Hub: hub, Sum: n.site.Sum(), Config: n.site.ConfigHeld()}
+	call := feedCall{Entry: n.self(), Leaving: n.leaving.Load(), Hub: hub, Sum: n.site.Checksum(), Config: n.site.ConfigState()}
 	n.feed.mu.Lock()
 	call.Origin, call.News, call.Members = n.feed.origin, n.feed.news, n.feed.membersAt
 	known := n.feed.groupSum
@@ -342,16 +342,16 @@
 }
 
 // takeConfig takes what is told of the configuration; false if there is more to come.
-func (n *Node) takeConfig(news *cfsite.ConfigNews) (newest bool, err error) {
+func (n *Node) takeConfig(news *cfsite.ConfigUpdate) (newest bool, err error) {
 	if news == nil {
 		return true, nil
 	}
 	age := n.belief().Age
-	changed, err := n.site.TakeConfigNews(*news)
+	changed, err := n.site.ApplyConfigUpdate(*news)
 	if changed {
 		cfwatch.LogInForce(n.log, n.site, "coordinator", age)
 	}
-	return news.Newest && n.site.ConfigRecord().Rev >= news.Rev, err
+	return news.Latest && n.site.ConfigRecord().Rev >= news.Rev, err
 }
 
 // takeMembers takes what is told of the instances. A roster that differs afterwards is
@@ -371,13 +371,13 @@
 
 // takeNews takes what is told of the targets. A view that differs afterwards is asked for
 // as a whole.
-func (n *Node) takeNews(news *cfsite.News) {
+func (n *Node) takeNews(news *cfsite.TargetUpdate) {
 	if news == nil {
 		return
 	}
-	same := n.site.TakeNews(*news, cf.Uptime())
-	n.log.Info("targets_relayed", zap.Int("targets", len(news.Targets)), zap.Int("gone", len(news.Gone)), zap.Bool("whole", news.Whole),
-		zap.Bool("same", same), zap.Int64("revision", int64(news.At)))
+	same := n.site.ApplyTargetUpdate(*news, cf.Uptime())
+	n.log.Info("targets_relayed", zap.Int("targets", len(news.Targets)), zap.Int("gone", len(news.Removed)), zap.Bool("whole", news.Full),
+		zap.Bool("same", same), zap.Int64("revision", int64(news.Rev)))
 	n.feed.mu.Lock()
 	defer n.feed.mu.Unlock()
 	n.feed.news = news.Count
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -44,7 +44,7 @@
 
 // awaitNews holds a call until there is something to tell, for a while.
 func (n *Node) awaitNews(ctx context.Context, call feedCall) error {
-	count, changed := n.site.Relay()
+	count, changed := n.site.TargetUpdates()
 	wait := cfmember.CallWait.Duration()
 	switch fresh, _ := n.word(cf.Uptime()); {
 	case !fresh:
@@ -83,7 +83,7 @@
 func (n *Node) answerFeed(call feedCall) feedAnswer {
 	now := cf.Uptime()
 	holder, rev := n.candidate.holder()
-	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Sums(), Informed: n.guard.Informed()}
+	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Checksums(), Informed: n.guard.Informed()}
 	a.Fresh, a.Age = n.word(now)
 	if n.candidate.Held() {
 		a.Unsure = !a.Fresh
@@ -104,7 +104,7 @@
 		return a
 	}
 	a.Config = config
-	if count, _ := n.site.Relay(); !same || call.News != count {
+	if count, _ := n.site.TargetUpdates(); !same || call.News != count {
 		news := n.newsFor(call, same)
 		a.News = &news
 	}
@@ -112,8 +112,8 @@
 }
 
 // configNews returns what an instance must hear of the configuration.
-func (n *Node) configNews(held cfsite.ConfigHeld) (*cfsite.ConfigNews, error) {
-	news, err := n.site.ConfigNews(held)
+func (n *Node) configNews(held cfsite.ConfigState) (*cfsite.ConfigUpdate, error) {
+	news, err := n.site.ConfigUpdate(held)
 	if news == nil {
 		return nil, err
 	}
@@ -121,16 +121,16 @@
 	if news.Base == 0 {
 		part = "whole"
 	}
-	n.feedMetrics.told.WithLabelValues(part).Add(float64(len(news.Packed)))
+	n.feedMetrics.told.WithLabelValues(part).Add(float64(len(news.Data)))
 	return news, nil
 }
 
 // newsFor returns what an instance must hear of the targets.
-func (n *Node) newsFor(call feedCall, same bool) cfsite.News {
+func (n *Node) newsFor(call feedCall, same bool) cfsite.TargetUpdate {
 	if same {
-		return n.site.NewsSince(call.News)
+		return n.site.TargetUpdateSince(call.News)
 	}
-	return n.site.AllNews(call.Sum)
+	return n.site.FullTargetUpdate(call.Sum)
 }
 
 // hear takes an instance's report: as the coordinator, or as its hub. It returns the sum of
--- a/io/cfnode/held.go
+++ b/io/cfnode/held.go
@@ -48,15 +48,15 @@
 	if !q.guard.Inform(source, held) {
 		return
 	}
-	_, n := q.guard.Table.Held(0, cf.Uptime())
+	_, n := q.guard.Table.HeldStrikes(0, cf.Uptime())
 	q.node.log.Info("held_requests_known", zap.String("source", source), zap.Int("held", n),
 		zap.Int64("since_start_ms", int64(cf.Uptime()-q.node.started)))
 }
 
 // informBy informs a starting instance by one with current word, before it takes the
 // configuration that comes with that word.
-func (q *quarantine) informBy(addr string, theirs cfquarantine.Sums) {
-	if q.guard.Table.Sums().Held == theirs.Held {
+func (q *quarantine) informBy(addr string, theirs cfquarantine.Checksums) {
+	if q.guard.Table.Checksums().Held == theirs.Held {
 		q.inform(addr, nil)
 		return
 	}
@@ -120,14 +120,14 @@
 
 // serveHeld tells another instance what is held here.
 func (q *quarantine) serveHeld(context.Context, struct{}) (any, error) {
-	held, _ := q.guard.Table.Held(heldMost, cf.Uptime())
+	held, _ := q.guard.Table.HeldStrikes(heldMost, cf.Uptime())
 	return heldAnswer{Informed: q.guard.Informed(), Strikes: held}, nil
 }
 
 // keep writes what is held to the store whenever it has changed. It first reads what a
 // coordinator before has written.
 func (q *quarantine) keep(now cf.Millis) {
-	sum := q.guard.Table.Sums().Held
+	sum := q.guard.Table.Checksums().Held
 	holder, _ := q.node.candidate.holder()
 	term := holder.Term
 	q.mu.Lock()
@@ -198,7 +198,7 @@
 
 // save writes what is held, as of a sum.
 func (q *quarantine) save(sum uint64) error {
-	strikes, _ := q.guard.Table.Held(heldMost, cf.Uptime())
+	strikes, _ := q.guard.Table.HeldStrikes(heldMost, cf.Uptime())
 	o := heldObject{SavedAt: cf.Now(), Strikes: strikes}
 	q.mu.Lock()
 	rev := q.storedRev
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -449,14 +449,14 @@
 			n.watching.Store(nil)
 			w.close()
 			if !w.led {
-				n.site.DropUntold()
+				n.site.DropUnrelayed()
 			}
 		case w != nil && n.coord.Load() != nil:
 			w.led = true
 		}
 		n.watchBelief(now)
 		n.quarantine.tick(now)
-		for _, t := range n.site.Sweep(now) {
+		for _, t := range n.site.DropLapsed(now) {
 			n.log.Info("target_changed", zap.String("target", string(t.ID)), zap.Bool("gone", true), zap.String("reason", "lapsed"))
 		}
 		var changed <-chan struct{}
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -126,7 +126,7 @@
 	n := min(len(news), int(q.tokens))
 	if n < len(news) {
 		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(news)-n))
-		news = q.guard.Table.HeldFirst(news)
+		news = q.guard.Table.SortHeldFirst(news)
 	}
 	q.tokens -= float64(n)
 	return news[:n]
@@ -177,7 +177,7 @@
 	if !m.Ask {
 		return []cfquarantine.Strike{}, nil
 	}
-	return q.guard.Table.Answer(m.Strikes, m.After, asked, cf.Uptime()), nil
+	return q.guard.Table.ExchangeReply(m.Strikes, m.After, asked, cf.Uptime()), nil
 }
 
 // witness asks others, of other failure domains if it can, whether they reach a target.
@@ -226,8 +226,8 @@
 
 // compare takes what identifies another instance's table. Where it differs the two exchange
 // what they have.
-func (q *quarantine) compare(addr string, theirs cfquarantine.Sums) {
-	ours := q.guard.Table.Sums()
+func (q *quarantine) compare(addr string, theirs cfquarantine.Checksums) {
+	ours := q.guard.Table.Checksums()
 	switch {
 	case ours == theirs:
 		q.exchangedAll()
@@ -257,11 +257,11 @@
 	}
 	q.node.wg.Go(func() {
 		for _, addr := range addrs {
-			ours := q.guard.Table.Foremost(after, asked, cf.Uptime())
+			ours := q.guard.Table.StrikesByPriority(after, asked, cf.Uptime())
 			answer, err := q.call(q.node.ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: ours, Ask: true, After: after})
 			if err == nil {
 				q.guard.Learn("", answer)
-				if cfquarantine.Contents(ours) < asked && cfquarantine.Contents(answer) < asked {
+				if cfquarantine.CountContents(ours) < asked && cfquarantine.CountContents(answer) < asked {
 					q.exchangedAll()
 				}
 				return
--- a/io/cfnode/quarantine_test.go
+++ b/io/cfnode/quarantine_test.go
@@ -27,7 +27,7 @@
 		q.guard.Table.Lost(held, target(n), true, 0)
 		q.guard.Table.Checked(target(n), 0, cfquarantine.LossRefused, 0)
 	}
-	last, _ := q.guard.Table.Held(1, 0)
+	last, _ := q.guard.Table.HeldStrikes(1, 0)
 	sent := 0
 	const seconds = 60
 	for now := cf.Millis(0); now < seconds*1000; now += 100 {
--- a/io/cfwatch/site.go
+++ b/io/cfwatch/site.go
@@ -79,7 +79,7 @@
 			return errors.Join(errs...)
 		},
 		Contact:  site.Advance,
-		Regained: func() { site.StoreRegained(cf.Uptime()) },
+		Regained: func() { site.StoreReconnected(cf.Uptime()) },
 	}
 	return config, targets
 }
--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -72,9 +72,9 @@
 
 // admit asks the quarantine whether an item may be sent to an engine.
 func (r *Replay) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := r.options.Crashes.Quarantine.AdmitOwed(r.Key(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
-		cfquarantine.Owed{Apart: apart, Since: w.WaitingSince()}, r.now)
-	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.Elsewhere, RetryAt: v.Until, MaxRuns: v.Most}
+	v := r.options.Crashes.Quarantine.AdmitDeferred(r.Key(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
+		cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()}, r.now)
+	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
 // follow tells the quarantine how a run ended at an engine; lost says that the engine ended.
