--- a/core/cflease/explore_test.go
+++ b/core/cflease/explore_test.go
@@ -39,11 +39,11 @@
 const exploreTick cf.Millis = 800
 
 // forgetful bounds let a released lease say that no order was given lately.
-var forgetful = cflease.Bounds{Renew: 700, Validity: 1800, Takeover: 2200, Handover: 3201}
+var forgetful = cflease.Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3201}
 
 // explore plays every schedule of so many ticks, one candidate acting in each,
 // and returns the first pair of orders that breaks the rule.
-func explore(b cflease.Bounds, ticks int) (states int, broken *[2]order) {
+func explore(b cflease.Timing, ticks int) (states int, broken *[2]order) {
 	ids := []cf.EntryID{"a", "b"}
 	seen := map[world]int{}
 	var play func(w world, left int)
@@ -76,10 +76,10 @@
 }
 
 // step returns the state after one action, false where it makes no difference.
-func step(w world, b cflease.Bounds, ids []cf.EntryID, who int, a action) (world, bool) {
+func step(w world, b cflease.Timing, ids []cf.EntryID, who int, a action) (world, bool) {
 	l := &w.leases[who]
 	w.now += exploreTick
-	may := l.MayTake(w.now) || l.RenewDue(w.now)
+	may := l.MayAcquire(w.now) || l.RenewDue(w.now)
 	w.ended[who] = a == restart
 	switch a {
 	case rest:
@@ -111,14 +111,14 @@
 		if !w.ended[1-who] || l.Holder().Entry != ids[1-who] {
 			return w, false
 		}
-		l.HolderDead(l.Holder().Term, w.now)
+		l.HolderExited(l.Holder().Term, w.now)
 	case release:
 		if !l.Held() {
 			return w, false
 		}
 		h := l.Release("", w.now)
 		if b == forgetful {
-			h.OrderedAgo = b.Handover
+			h.SinceLastOrder = b.HandoverDelay
 		}
 		l.Lost()
 		w.reg.write(l.Rev(), h)
@@ -139,7 +139,7 @@
 		if !w.leases[i].MayOrder(w.now) {
 			continue
 		}
-		w.leases[i].Ordered(w.now)
+		w.leases[i].RecordOrder(w.now)
 		o := order{ids[i], w.leases[i].Term(), w.now}
 		if other := w.last[1-i]; other.at > 0 && (o.at-other.at < 3000 || o.term <= other.term) {
 			return &[2]order{other, o}
@@ -165,9 +165,9 @@
 
 // The exploration finds what it is there to find.
 func TestExplorationFindsFaults(t *testing.T) {
-	for name, b := range map[string]cflease.Bounds{
-		"handover too short": {Renew: 700, Validity: 1800, Takeover: 2200, Handover: 100},
-		"taken too soon":     {Renew: 700, Validity: 5000, Takeover: 500, Handover: 3200},
+	for name, b := range map[string]cflease.Timing{
+		"handover too short": {RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 100},
+		"taken too soon":     {RenewInterval: 700, Validity: 5000, TakeoverDelay: 500, HandoverDelay: 3200},
 		"orders forgotten":   forgetful,
 	} {
 		if _, broken := explore(b, 10); broken == nil {
--- a/core/cflease/lease.go
+++ b/core/cflease/lease.go
@@ -10,9 +10,9 @@
 //
 // Usage:
 //
-//	l := cflease.New(self, cflease.DefaultBounds)
+//	l := cflease.New(self, cflease.DefaultTiming)
 //	l.Observe(record.Rev, holder, now)
-//	if l.MayTake(now) {
+//	if l.MayAcquire(now) {
 //		// write the object on condition of l.Rev(), then
 //		l.Acquired(rev, sentAt)
 //	}
@@ -23,17 +23,17 @@
 )
 
 type (
-	// Bounds are the spans of the protocol.
-	Bounds struct {
-		// Renew is how often a holder renews.
-		Renew cf.Millis
+	// Timing are the spans of the protocol.
+	Timing struct {
+		// RenewInterval is how often a holder renews.
+		RenewInterval cf.Millis
 		// Validity is how long a holder acts after sending a renewal.
 		Validity cf.Millis
-		// Takeover is how long a candidate sees no renewal before it takes
+		// TakeoverDelay is how long a candidate sees no renewal before it takes
 		// the lease; it is longer than Validity by the clocks' drift.
-		Takeover cf.Millis
-		// Handover is how long a new holder waits before its first order.
-		Handover cf.Millis
+		TakeoverDelay cf.Millis
+		// HandoverDelay is how long a new holder waits before its first order.
+		HandoverDelay cf.Millis
 	}
 
 	// Holder is the spec of a lease's object.
@@ -53,22 +53,22 @@
 		// Successor is the instance that it would have take the lease; the
 		// others wait a little.
 		Successor cf.EntryID `json:"successor,omitempty"`
-		// OrderedAgo is how long before its release the last order may have
+		// SinceLastOrder is how long before its release the last order may have
 		// been given, by it or by a holder before.
-		OrderedAgo cf.Millis `json:"ordered_ago_ms,omitempty"`
-		// Loads is how many engines may load weights at once, as the holder has
+		SinceLastOrder cf.Millis `json:"ordered_ago_ms,omitempty"`
+		// MaxLoads is how many engines may load weights at once, as the holder has
 		// learned. It takes a successor some 20 loads to learn it again.
-		Loads int `json:"loads,omitempty"`
-		// Copies is the address of the instance that has copies of the holder's
+		MaxLoads int `json:"loads,omitempty"`
+		// ReplicaAddr is the address of the instance that has copies of the holder's
 		// texts. A successor that was cut off until now knows no other.
-		Copies string `json:"copies,omitempty"`
+		ReplicaAddr string `json:"copies,omitempty"`
 	}
 
 	// Lease is one candidate's view of a lease. It is not safe for
 	// concurrent use.
 	Lease struct {
 		self   cf.EntryID
-		bounds Bounds
+		bounds Timing
 
 		rev    cf.Revision
 		holder Holder
@@ -84,13 +84,13 @@
 	}
 )
 
-// DefaultBounds suit a store that answers in milliseconds and targets that
+// DefaultTiming suit a store that answers in milliseconds and targets that
 // must not hear two holders within 3 s. A holder survives one lost renewal;
 // another takes over 2.2 s after the last one.
-var DefaultBounds = Bounds{Renew: 700, Validity: 1800, Takeover: 2200, Handover: 3000}
+var DefaultTiming = Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3000}
 
 // New returns the view of a candidate that has seen nothing.
-func New(self cf.EntryID, bounds Bounds) *Lease {
+func New(self cf.EntryID, bounds Timing) *Lease {
 	return &Lease{self: self, bounds: bounds}
 }
 
@@ -105,10 +105,10 @@
 	}
 }
 
-// HolderDead records that the process of the holder of term has ended: its
+// HolderExited records that the process of the holder of term has ended: its
 // machine refuses connections. It acts no more, so the lease need not run
 // out; the handover is still waited for.
-func (l *Lease) HolderDead(term cf.Revision, now cf.Millis) {
+func (l *Lease) HolderExited(term cf.Revision, now cf.Millis) {
 	if l.holder.Term == term && !l.held && !l.dead {
 		l.dead, l.deadAt = true, now
 	}
@@ -117,10 +117,10 @@
 // Abandoned says whether the holder is known to have stopped.
 func (l *Lease) Abandoned() bool { return l.dead || l.holder.Released }
 
-// MayTake says whether a conditional write at Rev may take the lease: there
+// MayAcquire says whether a conditional write at Rev may take the lease: there
 // is no holder, its time has passed, or it was this instance before a
 // restart.
-func (l *Lease) MayTake(now cf.Millis) bool {
+func (l *Lease) MayAcquire(now cf.Millis) bool {
 	if l.held {
 		return false
 	}
@@ -128,7 +128,7 @@
 	if h.Released && h.Successor != "" && h.Successor != l.self && now-l.seenAt < successorTime {
 		return false
 	}
-	return h.Entry == "" || h.Entry == l.self || l.Abandoned() || now-l.seenAt >= l.bounds.Takeover
+	return h.Entry == "" || h.Entry == l.self || l.Abandoned() || now-l.seenAt >= l.bounds.TakeoverDelay
 }
 
 // successorTime is how long a named successor has before any other instance may
@@ -153,7 +153,7 @@
 	} else if now >= l.orderAt {
 		h.Ordering = true
 	}
-	h.Entry, h.Addr, h.Released, h.Successor, h.OrderedAgo = l.self, addr, false, "", 0
+	h.Entry, h.Addr, h.Released, h.Successor, h.SinceLastOrder = l.self, addr, false, "", 0
 	h.Renewal++
 	return h
 }
@@ -165,7 +165,7 @@
 	}
 	if !l.held {
 		l.orderedAt = l.lastOrder(now)
-		l.orderAt = l.orderedAt + l.bounds.Handover
+		l.orderAt = l.orderedAt + l.bounds.HandoverDelay
 		if h.Ordering || l.holder.Entry == "" {
 			l.orderAt, l.orderedAt = now, now
 		}
@@ -181,11 +181,11 @@
 func (l *Lease) lastOrder(now cf.Millis) cf.Millis {
 	switch {
 	case l.holder.Released:
-		return now - min(l.holder.OrderedAgo, l.bounds.Handover)
+		return now - min(l.holder.SinceLastOrder, l.bounds.HandoverDelay)
 	case l.dead:
 		return min(l.deadAt, now) // its process had ended
 	default:
-		return min(l.seenAt+l.bounds.Takeover, now) // its last renewal was over
+		return min(l.seenAt+l.bounds.TakeoverDelay, now) // its last renewal was over
 	}
 }
 
@@ -194,11 +194,11 @@
 // with what needs no lease.
 func (l *Lease) Held() bool { return l.held }
 
-// StoreAway records that the store was not reached at now; the holder last
+// StoreUnreachable records that the store was not reached at now; the holder last
 // answered its peers at heard. One that answers has not stopped, it can't renew,
 // and gets the whole takeover time once the store is back. One that is silent may
 // be gone, and is replaced as soon as the store is back.
-func (l *Lease) StoreAway(now, heard cf.Millis) {
+func (l *Lease) StoreUnreachable(now, heard cf.Millis) {
 	if now-heard < holderSilence {
 		l.seenAt = now
 	}
@@ -221,21 +221,21 @@
 	return l.Valid(now) && now >= l.orderAt
 }
 
-// Ordered records that an order is given, or has just been answered, at now.
-func (l *Lease) Ordered(now cf.Millis) { l.orderedAt = max(l.orderedAt, now) }
+// RecordOrder records that an order is given, or has just been answered, at now.
+func (l *Lease) RecordOrder(now cf.Millis) { l.orderedAt = max(l.orderedAt, now) }
 
 // Release returns the object to write to give the lease up at now, to successor
 // where there is one. The holder has ended all its calls.
 func (l *Lease) Release(successor cf.EntryID, now cf.Millis) Holder {
 	h := l.holder
 	h.Released, h.Successor = true, successor
-	h.OrderedAgo = max(now-l.orderedAt, 0)
+	h.SinceLastOrder = max(now-l.orderedAt, 0)
 	return h
 }
 
 // RenewDue says whether the holder should renew at now.
 func (l *Lease) RenewDue(now cf.Millis) bool {
-	return l.held && now-l.sentAt >= l.bounds.Renew
+	return l.held && now-l.sentAt >= l.bounds.RenewInterval
 }
 
 // SentAt is when the last renewal that took effect was sent.
--- a/core/cflease/lease_test.go
+++ b/core/cflease/lease_test.go
@@ -8,7 +8,7 @@
 	"currantford/core/cflease"
 )
 
-var bounds = cflease.Bounds{Renew: 700, Validity: 1800, Takeover: 2200, Handover: 3200}
+var bounds = cflease.Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3200}
 
 // register is the lease's object: conditional writes, one at a time.
 type register struct {
@@ -53,11 +53,11 @@
 	take(r, a, 0)
 	b.Observe(r.rev, r.h, 100)
 	for now := cf.Millis(100); now < 2300; now += 100 {
-		if b.MayTake(now) {
+		if b.MayAcquire(now) {
 			t.Fatalf("taken at %d, while the holder may believe itself valid until 1800", now)
 		}
 	}
-	if !b.MayTake(2300) || !take(r, b, 2300) {
+	if !b.MayAcquire(2300) || !take(r, b, 2300) {
 		t.Fatal("not taken after the takeover's time")
 	}
 	last := cf.Millis(0)
@@ -83,7 +83,7 @@
 	take(r, a, 700) // from now on the object says that it orders
 	again := cflease.New("a", bounds)
 	again.Observe(r.rev, r.h, 900)
-	if !again.MayTake(900) || !take(r, again, 900) || !again.MayOrder(900) {
+	if !again.MayAcquire(900) || !take(r, again, 900) || !again.MayOrder(900) {
 		t.Error("a restarted holder does not go on")
 	}
 	if again.Term() <= a.Term() {
@@ -125,12 +125,12 @@
 	a, b := cflease.New("a", bounds), cflease.New("b", bounds)
 	take(r, a, 0)
 	b.Observe(r.rev, r.h, 10)
-	b.HolderDead(r.h.Term+1, 15) // another holder's
-	if b.MayTake(20) {
+	b.HolderExited(r.h.Term+1, 15) // another holder's
+	if b.MayAcquire(20) {
 		t.Error("taken on word of another holder's end")
 	}
-	b.HolderDead(r.h.Term, 20)
-	if !b.MayTake(20) || !take(r, b, 20) {
+	b.HolderExited(r.h.Term, 20)
+	if !b.MayAcquire(20) || !take(r, b, 20) {
 		t.Error("not taken though the holder's process has ended")
 	}
 	if b.MayOrder(3000) {
@@ -140,7 +140,7 @@
 	released.Released = true
 	r.write(r.rev, released)
 	a.Observe(r.rev, r.h, 30)
-	if !a.MayTake(30) {
+	if !a.MayAcquire(30) {
 		t.Error("not taken though it was released")
 	}
 }
@@ -202,11 +202,11 @@
 		case 1: // reads
 			l.Observe(r.rev, r.h, now)
 		case 2: // a write whose answer is lost
-			if l.MayTake(now) || l.RenewDue(now) {
+			if l.MayAcquire(now) || l.RenewDue(now) {
 				r.write(l.Rev(), l.Next("x", now))
 			}
 		case 3: // a write that takes effect late
-			if l.MayTake(now) || l.RenewDue(now) {
+			if l.MayAcquire(now) || l.RenewDue(now) {
 				writes = append(writes, late{l.Rev(), l.Next("x", now), now + 2000})
 			}
 		case 4: // a planned stop, as often as a write would do
@@ -219,7 +219,7 @@
 			if r.rev > 0 && l.Rev() == 0 {
 				l.Observe(r.rev, r.h, now)
 			}
-			if l.MayTake(now) || l.RenewDue(now) {
+			if l.MayAcquire(now) || l.RenewDue(now) {
 				if !take(r, l, now) {
 					l.Observe(r.rev, r.h, now)
 				}
@@ -229,7 +229,7 @@
 			if !c.MayOrder(now) {
 				continue
 			}
-			c.Ordered(now)
+			c.RecordOrder(now)
 			o := order{ids[j], c.Term(), now}
 			for other, p := range last {
 				if other != o.by && (o.at-p.at < 3000 || o.term <= p.term) {
@@ -264,12 +264,12 @@
 			if c.answers {
 				heard = now
 			}
-			b.StoreAway(now, heard)
+			b.StoreUnreachable(now, heard)
 		}
-		if got := b.MayTake(5100); got != c.taken {
+		if got := b.MayAcquire(5100); got != c.taken {
 			t.Errorf("%s: may be taken right after the outage: %v", name, got)
 		}
-		if !b.MayTake(5000 + bounds.Takeover + 100) {
+		if !b.MayAcquire(5000 + bounds.TakeoverDelay + 100) {
 			t.Errorf("%s: not taken after the whole time", name)
 		}
 	}
@@ -278,17 +278,17 @@
 // A released lease goes to the successor that it names; if that one does not take
 // it, any other may.
 func TestNamedSuccessorIsWaitedFor(t *testing.T) {
-	l, named := cflease.New("b", cflease.DefaultBounds), cflease.New("c", cflease.DefaultBounds)
+	l, named := cflease.New("b", cflease.DefaultTiming), cflease.New("c", cflease.DefaultTiming)
 	released := cflease.Holder{Entry: "a", Term: 1, Released: true, Successor: "c"}
 	l.Observe(5, released, 1000)
 	named.Observe(5, released, 1000)
-	if !named.MayTake(1000) {
+	if !named.MayAcquire(1000) {
 		t.Error("the named successor may not take the lease")
 	}
-	if l.MayTake(1500) {
+	if l.MayAcquire(1500) {
 		t.Error("another may take it at once")
 	}
-	if !l.MayTake(1800) {
+	if !l.MayAcquire(1800) {
 		t.Error("nobody else may take it once the successor had its time")
 	}
 	if next := named.Next("addr", 1100); next.Successor != "" || next.Released {
--- a/core/cfmember/hubs.go
+++ b/core/cfmember/hubs.go
@@ -42,10 +42,10 @@
 	return out
 }
 
-// HubsFor returns those of the hubs that an instance may ask, best first: those of its
+// HubCandidates returns those of the hubs that an instance may ask, best first: those of its
 // failure domain in an order of its own, so that the instances spread over them, then those
 // of others. Hubs that it leaves out, among them the coordinator, are not returned.
-func HubsFor(hubs []Entry, self Entry, without func(cf.EntryID) bool) []Entry {
+func HubCandidates(hubs []Entry, self Entry, without func(cf.EntryID) bool) []Entry {
 	type choice struct {
 		Entry
 		far  bool
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Listed says whether an instance is among others.
-func Listed(entries []Entry, id cf.EntryID) bool {
+// Contains says whether an instance is among others.
+func Contains(entries []Entry, id cf.EntryID) bool {
 	return slices.ContainsFunc(entries, func(e Entry) bool { return e.ID == id })
 }
 
--- a/core/cfmember/membership.go
+++ b/core/cfmember/membership.go
@@ -43,9 +43,9 @@
 // how many instances on there are hubs.
 func NewMembership(hubsFrom int) *Membership { return &Membership{hubsFrom: hubsFrom, ranked: -1} }
 
-// Keep begins to keep the list, as the coordinator: with the instances that it was told of,
+// StartCoordinating begins to keep the list, as the coordinator: with the instances that it was told of,
 // which it returns, and until they have had time to report.
-func (m *Membership) Keep(now cf.Millis) []Entry {
+func (m *Membership) StartCoordinating(now cf.Millis) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entries := m.roster.Entries()
@@ -54,8 +54,8 @@
 	return entries
 }
 
-// Leave ends that: the list stays as it is, until it is told.
-func (m *Membership) Leave(self Entry, now cf.Millis) {
+// StopCoordinating ends that: the list stays as it is, until it is told.
+func (m *Membership) StopCoordinating(self Entry, now cf.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.liveAt = 0
@@ -69,19 +69,19 @@
 		return
 	}
 	m.liveAt = now
-	m.table.Heard(self, now)
-	if live := m.table.Live(now); m.table.Changes() != m.seen {
+	m.table.Record(self, now)
+	if live := m.table.Live(now); m.table.Version() != m.seen {
 		m.roster.Set(live)
-		m.seen = m.table.Changes()
+		m.seen = m.table.Version()
 	}
 }
 
 // rank finds the hubs and the scouts of the roster.
 func (m *Membership) rank(self Entry) {
-	if count := m.roster.Count(); m.ranked != count {
+	if count := m.roster.Version(); m.ranked != count {
 		m.hubs, m.ranked = Hubs(m.roster.Entries(), m.hubsFrom), count
-		m.scouts = Scouts(m.roster.Entries(), m.hubs)
-		m.scout = Scout(m.roster.Entries(), m.hubs, self)
+		m.scouts = FallbackWatchers(m.roster.Entries(), m.hubs)
+		m.scout = IsFallbackWatcher(m.roster.Entries(), m.hubs, self)
 	}
 }
 
@@ -93,11 +93,11 @@
 	return m.roster.Entries()
 }
 
-// Fresh returns those that the coordinator hears of, each with its latest age.
-func (m *Membership) Fresh(now cf.Millis) []Entry {
+// LiveWithAges returns those that the coordinator hears of, each with its latest age.
+func (m *Membership) LiveWithAges(now cf.Millis) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Fresh(now)
+	return m.table.LiveWithAges(now)
 }
 
 // Hubs returns the hubs.
@@ -109,9 +109,9 @@
 	return m.hubs
 }
 
-// Scout says whether an instance, self, looks after the store as soon as the coordinator
+// IsFallbackWatcher says whether an instance, self, looks after the store as soon as the coordinator
 // can't tell how things stand.
-func (m *Membership) Scout(self Entry) bool {
+func (m *Membership) IsFallbackWatcher(self Entry) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rank(self)
@@ -125,43 +125,43 @@
 	return m.table.restarts
 }
 
-// Scouts returns the instances that look after the store by themselves. The list is not to be
+// FallbackWatchers returns the instances that look after the store by themselves. The list is not to be
 // changed.
-func (m *Membership) Scouts(self Entry) []Entry {
+func (m *Membership) FallbackWatchers(self Entry) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rank(self)
 	return m.scouts
 }
 
-// Heard takes an instance's report, as the coordinator, with what it tells of those that ask
+// RecordReport takes an instance's report, as the coordinator, with what it tells of those that ask
 // it. It returns the sum of that group as it is known now.
-func (m *Membership) Heard(e Entry, g *Group, now cf.Millis) uint64 {
+func (m *Membership) RecordReport(e Entry, g *Group, now cf.Millis) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Heard(e, now)
+	m.table.Record(e, now)
 	if g == nil {
 		return 0
 	}
-	return m.table.Vouched(e.ID, *g, now)
+	return m.table.RecordGroup(e.ID, *g, now)
 }
 
-// Refused takes the word that no process takes connections at an address for instances.
-func (m *Membership) Refused(peers string) {
+// RemoveRefused takes the word that no process takes connections at an address for instances.
+func (m *Membership) RemoveRefused(peers string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Refused(peers)
+	m.table.RemoveRefused(peers)
 }
 
-// Asked takes the report of an instance that asks this one, as its hub.
-func (m *Membership) Asked(e Entry, now cf.Millis) {
+// RecordClient takes the report of an instance that asks this one, as its hub.
+func (m *Membership) RecordClient(e Entry, now cf.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.clients.Heard(e, now)
+	m.clients.Record(e, now)
 }
 
-// Asking counts the instances that ask this one.
-func (m *Membership) Asking(now cf.Millis) int {
+// ClientCount counts the instances that ask this one.
+func (m *Membership) ClientCount(now cf.Millis) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.clients.Live(now))
@@ -184,18 +184,18 @@
 	return g
 }
 
-// News returns what an instance must hear of the list: what has changed since count where
+// Update returns what an instance must hear of the list: what has changed since count where
 // same says that it has heard that here, else all of it unless it has the same sum; nil if it
 // knows all.
-func (m *Membership) News(same bool, count int64, sum uint64, self Entry, now cf.Millis) *RosterNews {
+func (m *Membership) Update(same bool, count int64, sum uint64, self Entry, now cf.Millis) *RosterUpdate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(self, now)
-	var news RosterNews
+	var news RosterUpdate
 	switch {
 	case !same:
-		news = m.roster.All(sum)
-	case count != m.roster.Count():
+		news = m.roster.Snapshot(sum)
+	case count != m.roster.Version():
 		news = m.roster.Since(count)
 	default:
 		return nil
@@ -203,11 +203,11 @@
 	return &news
 }
 
-// Take takes news of the list; false if it must be told all of it.
-func (m *Membership) Take(news RosterNews) (same bool) {
+// Apply takes news of the list; false if it must be told all of it.
+func (m *Membership) Apply(news RosterUpdate) (same bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.keeping || m.roster.Take(news)
+	return m.keeping || m.roster.Apply(news)
 }
 
 // Sum identifies the list.
--- a/core/cfmember/neighbour.go
+++ b/core/cfmember/neighbour.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Neighbour returns the instance to which a coordinator, self, copies its texts, and
+// TextReplica returns the instance to which a coordinator, self, copies its texts, and
 // the one at the address avoid only if there is no other. Copies cost nothing within a
 // failure domain; the strong instances take the duty over, and find them at home.
-func Neighbour(entries []Entry, self Entry, avoid string) Entry {
+func TextReplica(entries []Entry, self Entry, avoid string) Entry {
 	var best Entry
 	bestRank := -1
 	for _, e := range entries {
@@ -16,10 +16,10 @@
 		if e.Domain == self.Domain {
 			rank++
 		}
-		if Strong(e.Capacity, entries) {
+		if HighCapacity(e.Capacity, entries) {
 			rank += 2
 		}
-		if e.Peers != avoid {
+		if e.PeerAddr != avoid {
 			rank += 4
 		}
 		if rank > bestRank {
@@ -29,13 +29,13 @@
 	return best
 }
 
-// Keepers returns the instances that may hold texts of a coordinator: all where there are no
+// PossibleTextReplicas returns the instances that may hold texts of a coordinator: all where there are no
 // hubs, else the strong ones, of which its neighbours and its hosts are. To ask hundreds of
 // others costs a successor a connection to each, in the moment in which all turn to it.
-func Keepers(entries, hubs []Entry) []Entry {
+func PossibleTextReplicas(entries, hubs []Entry) []Entry {
 	if len(hubs) == 0 {
 		return entries
 	}
-	strongest := Strongest(entries)
-	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return !StrongOf(e.Capacity, strongest) })
+	strongest := MaxCapacity(entries)
+	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return !NearMax(e.Capacity, strongest) })
 }
--- a/core/cfmember/neighbour_test.go
+++ b/core/cfmember/neighbour_test.go
@@ -14,7 +14,7 @@
 // others are told.
 func TestNeighbourIsStrongNearAndAnother(t *testing.T) {
 	entry := func(id string, domain cf.FailureDomain, capacity float64) cfmember.Entry {
-		return cfmember.Entry{ID: cf.EntryID("id-" + id), Peers: id, Domain: domain, Capacity: capacity}
+		return cfmember.Entry{ID: cf.EntryID("id-" + id), PeerAddr: id, Domain: domain, Capacity: capacity}
 	}
 	self := entry("self", "d1", 0.8)
 	weakNear, strongFar, strongNear := entry("weak", "d1", 0.2), entry("far", "d2", 0.8), entry("near", "d1", 0.8)
@@ -31,8 +31,8 @@
 	}
 	for _, c := range cases {
 		before := slices.Clone(c.entries)
-		if got := cfmember.Neighbour(c.entries, self, c.avoid); got.Peers != c.want {
-			t.Errorf("of %d avoiding %q: %q, want %q", len(c.entries), c.avoid, got.Peers, c.want)
+		if got := cfmember.TextReplica(c.entries, self, c.avoid); got.PeerAddr != c.want {
+			t.Errorf("of %d avoiding %q: %q, want %q", len(c.entries), c.avoid, got.PeerAddr, c.want)
 		}
 		if !slices.Equal(before, c.entries) {
 			t.Error("the list has changed")
--- a/core/cfmember/ring.go
+++ b/core/cfmember/ring.go
@@ -7,11 +7,11 @@
 	cf "currantford"
 )
 
-// Ring returns the instances to which one hands news: those before and after it in the
+// GossipPeers returns the instances to which one hands news: those before and after it in the
 // order of the ids, and one that is drawn by both ids. Each passes on what is new to it, so
 // that news reach all in a number of hops that grows with the logarithm of theirs, also
 // while a failure domain, or every tenth instance, is gone.
-func Ring(entries []Entry, self Entry) []Entry {
+func GossipPeers(entries []Entry, self Entry) []Entry {
 	all := slices.Clone(entries)
 	at, found := slices.BinarySearchFunc(all, self.ID, func(e Entry, id cf.EntryID) int { return strings.Compare(string(e.ID), string(id)) })
 	if !found {
--- a/core/cfmember/ring_test.go
+++ b/core/cfmember/ring_test.go
@@ -27,7 +27,7 @@
 			heard := map[int]int{0: 0}
 			for queue := []int{0}; len(queue) > 0; queue = queue[1:] {
 				from := queue[0]
-				ring := Ring(entries, entries[from])
+				ring := GossipPeers(entries, entries[from])
 				if len(ring) > 3 {
 					t.Fatalf("%d neighbours", len(ring))
 				}
@@ -52,7 +52,7 @@
 		}
 	}
 	// One that is not in the list, as it is not ready, hands news on all the same.
-	if got := Ring([]Entry{{ID: "a"}, {ID: "c"}}, Entry{ID: "b"}); len(got) != 2 {
+	if got := GossipPeers([]Entry{{ID: "a"}, {ID: "c"}}, Entry{ID: "b"}); len(got) != 2 {
 		t.Errorf("neighbours of an instance that is not listed: %v", got)
 	}
 }
--- a/core/cfmember/roster.go
+++ b/core/cfmember/roster.go
@@ -25,13 +25,13 @@
 		sorted []Entry
 	}
 
-	// RosterNews is what has changed in a roster, or all of it.
-	RosterNews struct {
-		Count   int64        `cbor:"count"` // of the changes, as of this
+	// RosterUpdate is what has changed in a roster, or all of it.
+	RosterUpdate struct {
+		Version int64        `cbor:"count"` // of the changes, as of this
 		Sum     uint64       `cbor:"sum"`   // of the roster after this
-		Whole   bool         `cbor:"whole,omitempty"`
+		Full    bool         `cbor:"whole,omitempty"`
 		Entries []Entry      `cbor:"entries,omitempty"`
-		Gone    []cf.EntryID `cbor:"gone,omitempty"`
+		Removed []cf.EntryID `cbor:"gone,omitempty"`
 	}
 )
 
@@ -95,46 +95,46 @@
 	return r.sorted
 }
 
-// Count counts the changes.
-func (r *Roster) Count() int64 { return r.count }
+// Version counts the changes.
+func (r *Roster) Version() int64 { return r.count }
 
 // Sum identifies the instances in the roster: equal sums mean equal rosters.
 func (r *Roster) Sum() uint64 { return r.sum }
 
 // Since returns what has changed since the count of an earlier answer.
-func (r *Roster) Since(count int64) RosterNews {
+func (r *Roster) Since(count int64) RosterUpdate {
 	ids, known := r.log.Since(count)
 	if !known || count > r.count {
 		return r.whole()
 	}
-	n := RosterNews{Count: r.count, Sum: r.sum}
+	n := RosterUpdate{Version: r.count, Sum: r.sum}
 	for _, id := range ids {
 		if e, up := r.entries[id]; up {
 			n.Entries = append(n.Entries, e)
 		} else {
-			n.Gone = append(n.Gone, id)
+			n.Removed = append(n.Removed, id)
 		}
 	}
 	return n
 }
 
-// All returns the whole roster, for an instance that has heard nothing from this one. One
+// Snapshot returns the whole roster, for an instance that has heard nothing from this one. One
 // whose own has the same sum already needs no list.
-func (r *Roster) All(sum uint64) RosterNews {
+func (r *Roster) Snapshot(sum uint64) RosterUpdate {
 	if sum == r.sum {
-		return RosterNews{Count: r.count, Sum: r.sum}
+		return RosterUpdate{Version: r.count, Sum: r.sum}
 	}
 	return r.whole()
 }
 
-func (r *Roster) whole() RosterNews {
-	return RosterNews{Count: r.count, Sum: r.sum, Whole: true, Entries: r.Entries()}
+func (r *Roster) whole() RosterUpdate {
+	return RosterUpdate{Version: r.count, Sum: r.sum, Full: true, Entries: r.Entries()}
 }
 
-// Take takes news of another roster. It returns false if this one then differs, and must be
+// Apply takes news of another roster. It returns false if this one then differs, and must be
 // told all.
-func (r *Roster) Take(n RosterNews) (same bool) {
-	if n.Whole {
+func (r *Roster) Apply(n RosterUpdate) (same bool) {
+	if n.Full {
 		r.Set(n.Entries)
 		return r.sum == n.Sum
 	}
@@ -142,7 +142,7 @@
 	for _, e := range n.Entries {
 		changed = r.put(e) || changed
 	}
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		if _, known := r.entries[id]; known {
 			r.drop(id)
 			changed = true
@@ -160,7 +160,7 @@
 // sumOf returns an entry's part of a roster's sum; its age is none.
 func sumOf(e Entry) uint64 {
 	h := fnv.New64a()
-	for _, s := range []string{string(e.ID), e.Addr, e.Peers, string(e.Domain)} {
+	for _, s := range []string{string(e.ID), e.Addr, e.PeerAddr, string(e.Domain)} {
 		_, _ = h.Write([]byte(s)) // a hash takes everything
 		_, _ = h.Write([]byte{0})
 	}
--- a/core/cfmember/roster_test.go
+++ b/core/cfmember/roster_test.go
@@ -29,11 +29,11 @@
 		var source, hub, follower Roster
 		counts := map[*Roster]int64{}
 		hear := func(from, to *Roster) {
-			news := from.All(to.Sum())
+			news := from.Snapshot(to.Sum())
 			if count, known := counts[to]; known {
 				news = from.Since(count)
 			}
-			if counts[to] = news.Count; !to.Take(news) {
+			if counts[to] = news.Version; !to.Apply(news) {
 				t.Fatalf("seed %d: differs after %+v", seed, news)
 			}
 			if random.IntN(20) == 0 {
@@ -65,18 +65,18 @@
 	var source, follower Roster
 	all := fleet(836)
 	source.Set(all[:835])
-	first := source.All(follower.Sum())
-	if !first.Whole || !follower.Take(first) {
+	first := source.Snapshot(follower.Sum())
+	if !first.Full || !follower.Apply(first) {
 		t.Fatal("the first news are not the whole roster")
 	}
 	source.Set(all)
-	if news := source.Since(first.Count); news.Whole || len(news.Entries) != 1 || !follower.Take(news) {
-		t.Errorf("%d entries are told, whole %t", len(news.Entries), news.Whole)
+	if news := source.Since(first.Version); news.Full || len(news.Entries) != 1 || !follower.Apply(news) {
+		t.Errorf("%d entries are told, whole %t", len(news.Entries), news.Full)
 	}
-	count := source.Count()
+	count := source.Version()
 	all[3].Age = 99
 	source.Set(all)
-	if source.Count() != count {
+	if source.Version() != count {
 		t.Error("an instance that grows older changes the roster")
 	}
 }
@@ -89,13 +89,13 @@
 		asked := map[cf.EntryID]int{}
 		hubs := Hubs(all, HubsFrom)
 		for _, e := range all {
-			if Listed(hubs, e.ID) {
+			if Contains(hubs, e.ID) {
 				if n > 200 && e.Capacity < 1 {
 					t.Errorf("%d instances: a weak one is a hub", n)
 				}
 				continue
 			}
-			for i, h := range HubsFor(hubs, e, func(id cf.EntryID) bool { return id == hubs[0].ID }) {
+			for i, h := range HubCandidates(hubs, e, func(id cf.EntryID) bool { return id == hubs[0].ID }) {
 				if i == 0 {
 					asked[h.ID]++
 					if h.Domain != e.Domain && n > 300 {
@@ -135,41 +135,41 @@
 		return Group{Sum: r.Sum(), Entries: entries}
 	}
 	live := func(now cf.Millis) int {
-		table.Heard(hub, now)
-		table.Heard(other, now)
+		table.Record(hub, now)
+		table.Record(other, now)
 		return len(table.Live(now))
 	}
 	three := group(all[2], all[3], all[4])
-	if sum := table.Vouched(hub.ID, Group{Sum: three.Sum}, 0); sum == three.Sum || live(0) != 2 {
+	if sum := table.RecordGroup(hub.ID, Group{Sum: three.Sum}, 0); sum == three.Sum || live(0) != 2 {
 		t.Error("a group is known before its entries were told")
 	}
-	if sum := table.Vouched(hub.ID, three, 0); sum != three.Sum || live(0) != 5 {
+	if sum := table.RecordGroup(hub.ID, three, 0); sum != three.Sum || live(0) != 5 {
 		t.Error("a group is not taken")
 	}
 	for now := cf.Millis(400); now < 4000; now += 400 {
-		if table.Vouched(hub.ID, Group{Sum: three.Sum}, now) != three.Sum || live(now) != 5 {
+		if table.RecordGroup(hub.ID, Group{Sum: three.Sum}, now) != three.Sum || live(now) != 5 {
 			t.Fatalf("%d live at %d", live(now), now)
 		}
 	}
 	// One goes to another hub, one dies, one stays.
-	table.Vouched(other.ID, group(all[2]), 4000)
-	table.Vouched(hub.ID, group(all[4]), 4000)
+	table.RecordGroup(other.ID, group(all[2]), 4000)
+	table.RecordGroup(hub.ID, group(all[4]), 4000)
 	if n := live(4000); n != 4 {
 		t.Errorf("%d live after one died", n)
 	}
-	if fresh := table.Fresh(5000); fresh[2].Age != 1000 {
+	if fresh := table.LiveWithAges(5000); fresh[2].Age != 1000 {
 		t.Errorf("age %d of one that was told of a second ago", fresh[2].Age)
 	}
 	// The hub is lost; those behind it report elsewhere in time, or drop out.
-	now := 4001 + Silence
-	table.Heard(all[4], now-1)
-	table.Heard(other, now)
-	table.Vouched(other.ID, group(all[2]), now)
+	now := 4001 + ReportTimeout
+	table.Record(all[4], now-1)
+	table.Record(other, now)
+	table.RecordGroup(other.ID, group(all[2]), now)
 	if n := len(table.Live(now)); n != 3 {
 		t.Errorf("%d live after a hub was lost", n)
 	}
 	// It comes back, and tells its entries anew.
-	if table.Vouched(hub.ID, Group{Sum: three.Sum}, now) == three.Sum {
+	if table.RecordGroup(hub.ID, Group{Sum: three.Sum}, now) == three.Sum {
 		t.Error("the group of a hub that was lost is still known")
 	}
 }
@@ -178,16 +178,16 @@
 // and not at each instance.
 func TestTextsAreAskedForWhereTheyMayLie(t *testing.T) {
 	all := fleet(836)
-	keepers := Keepers(all, Hubs(all, HubsFrom))
+	keepers := PossibleTextReplicas(all, Hubs(all, HubsFrom))
 	if len(keepers) == 0 || len(keepers) > 90 {
 		t.Errorf("%d of 836 are asked", len(keepers))
 	}
 	for _, self := range all[:50] {
-		if n := Neighbour(all, self, ""); !Listed(keepers, n.ID) {
+		if n := TextReplica(all, self, ""); !Contains(keepers, n.ID) {
 			t.Errorf("the neighbour of %s is not asked", self.ID)
 		}
 	}
-	if n := len(Keepers(all[:30], nil)); n != 30 {
+	if n := len(PossibleTextReplicas(all[:30], nil)); n != 30 {
 		t.Errorf("%d of 30 are asked", n)
 	}
 }
--- a/core/cfmember/scouts.go
+++ b/core/cfmember/scouts.go
@@ -13,17 +13,17 @@
 	scoutsPart  = 8
 )
 
-// Scout says whether an instance looks after the store by itself as soon as the
+// IsFallbackWatcher says whether an instance looks after the store by itself as soon as the
 // coordinator can't tell how things stand. The others leave it a little more time, and
 // hear from the one that takes the duty over.
 //
 // The load it answers: an outage of the store, or the loss of the coordinator, on a
 // deployment of hundreds of instances, which would all ask the store at once and go on
 // asking. Where there are hubs, they are the scouts.
-func Scout(entries, hubs []Entry, self Entry) bool {
-	scouts := Scouts(entries, hubs)
+func IsFallbackWatcher(entries, hubs []Entry, self Entry) bool {
+	scouts := FallbackWatchers(entries, hubs)
 	switch {
-	case Listed(scouts, self.ID):
+	case Contains(scouts, self.ID):
 		return true
 	case len(hubs) > 0:
 		return false
@@ -34,9 +34,9 @@
 	}
 }
 
-// Scouts returns the instances that look after the store by themselves, the strongest first
+// FallbackWatchers returns the instances that look after the store by themselves, the strongest first
 // where they are not all.
-func Scouts(entries, hubs []Entry) []Entry {
+func FallbackWatchers(entries, hubs []Entry) []Entry {
 	if len(hubs) > 0 {
 		return hubs
 	}
--- a/core/cfmember/scouts_test.go
+++ b/core/cfmember/scouts_test.go
@@ -23,10 +23,10 @@
 		hubs := Hubs(entries, HubsFrom)
 		scouts, strong, domains := 0, 0, map[cf.FailureDomain]bool{}
 		for _, e := range entries {
-			if !Scout(entries, hubs, e) {
+			if !IsFallbackWatcher(entries, hubs, e) {
 				continue
 			}
-			if !Listed(Scouts(entries, hubs), e.ID) {
+			if !Contains(FallbackWatchers(entries, hubs), e.ID) {
 				t.Errorf("%d instances: scout %s is not listed", c.n, e.ID)
 			}
 			scouts++
@@ -35,7 +35,7 @@
 				strong++
 			}
 		}
-		if listed := len(Scouts(entries, hubs)); listed != scouts {
+		if listed := len(FallbackWatchers(entries, hubs)); listed != scouts {
 			t.Errorf("%d instances: %d scouts are listed, of %d", c.n, listed, scouts)
 		}
 		if scouts != c.want || strong != min(c.strong, c.want) {
@@ -45,7 +45,7 @@
 			t.Errorf("%d instances: scouts in %d of 4 failure domains", c.n, len(domains))
 		}
 	}
-	if !Scout(nil, nil, Entry{ID: "a"}) {
+	if !IsFallbackWatcher(nil, nil, Entry{ID: "a"}) {
 		t.Error("an instance that knows no other does not look")
 	}
 }
--- a/core/cfmember/successor_test.go
+++ b/core/cfmember/successor_test.go
@@ -38,23 +38,23 @@
 	a, b := cfmember.Entry{ID: "a", Ready: true}, cfmember.Entry{ID: "b", Ready: true}
 	expect := func(now cf.Millis, entries int, changes int64) {
 		t.Helper()
-		if live := table.Live(now); len(live) != entries || table.Changes() != changes {
-			t.Errorf("at %d: %d live, %d changes; want %d and %d", now, len(live), table.Changes(), entries, changes)
+		if live := table.Live(now); len(live) != entries || table.Version() != changes {
+			t.Errorf("at %d: %d live, %d changes; want %d and %d", now, len(live), table.Version(), entries, changes)
 		}
 	}
-	table.Heard(a, 0)
-	table.Heard(b, 0)
+	table.Record(a, 0)
+	table.Record(b, 0)
 	expect(0, 2, 1)
 	a.Age = 700
-	table.Heard(a, 700)
+	table.Record(a, 700)
 	expect(700, 2, 1)
-	expect(cfmember.Silence+1, 1, 2)
-	table.Heard(b, 1600)
+	expect(cfmember.ReportTimeout+1, 1, 2)
+	table.Record(b, 1600)
 	expect(1600, 2, 3)
 	b.Ready = false
-	table.Heard(b, 1700)
+	table.Record(b, 1700)
 	expect(1700, 1, 4)
-	if fresh := table.Fresh(1700); len(fresh) != 1 || fresh[0].Age != 700 {
+	if fresh := table.LiveWithAges(1700); len(fresh) != 1 || fresh[0].Age != 700 {
 		t.Errorf("fresh list %+v", fresh)
 	}
 	expect(1700, 1, 4)
@@ -74,7 +74,7 @@
 	if got, _ := cfmember.Successor(entries[:1], "self"); got.ID != "weak" {
 		t.Errorf("successor %q where no other is left", got.ID)
 	}
-	if !cfmember.Strong(0, nil) || cfmember.Strong(0.19, entries) {
+	if !cfmember.HighCapacity(0, nil) || cfmember.HighCapacity(0.19, entries) {
 		t.Error("strong among none, or weak among strong")
 	}
 }
--- a/core/cfmember/table.go
+++ b/core/cfmember/table.go
@@ -20,11 +20,11 @@
 type (
 	// Entry is an entry instance as it describes itself.
 	Entry struct {
-		ID     cf.EntryID       `cbor:"id"`
-		Addr   string           `cbor:"addr"`
-		Peers  string           `cbor:"peers"` // for the other instances
-		Domain cf.FailureDomain `cbor:"failure_domain"`
-		Ready  bool             `cbor:"ready"`
+		ID       cf.EntryID       `cbor:"id"`
+		Addr     string           `cbor:"addr"`
+		PeerAddr string           `cbor:"peers"` // for the other instances
+		Domain   cf.FailureDomain `cbor:"failure_domain"`
+		Ready    bool             `cbor:"ready"`
 		// Age is how long its process had run when it said so.
 		Age cf.Millis `cbor:"age"`
 		// Capacity is what it can carry, in cores.
@@ -65,12 +65,12 @@
 	}
 )
 
-// Silence is how long an instance may stay silent before callers are sent
+// ReportTimeout is how long an instance may stay silent before callers are sent
 // elsewhere: three of its reports, and less than callers keep an answer.
-const Silence cf.Millis = 1500
+const ReportTimeout cf.Millis = 1500
 
-// Heard takes an instance's account of itself.
-func (t *Table) Heard(e Entry, now cf.Millis) { t.note(e, "", now) }
+// Record takes an instance's account of itself.
+func (t *Table) Record(e Entry, now cf.Millis) { t.note(e, "", now) }
 
 func (t *Table) note(e Entry, by cf.EntryID, now cf.Millis) {
 	if t.heard == nil {
@@ -86,9 +86,9 @@
 	}
 }
 
-// Vouched takes a hub's word for the instances that ask it. It returns the sum of the group
+// RecordGroup takes a hub's word for the instances that ask it. It returns the sum of the group
 // that is known here now; a hub whose group has another one tells its entries.
-func (t *Table) Vouched(hub cf.EntryID, g Group, now cf.Millis) uint64 {
+func (t *Table) RecordGroup(hub cf.EntryID, g Group, now cf.Millis) uint64 {
 	known := t.groups[hub]
 	switch {
 	case g.Sum == known.Sum:
@@ -131,19 +131,19 @@
 // send all callers to one instance.
 func (t *Table) Adopt(entries []Entry, now cf.Millis) {
 	for _, e := range entries {
-		t.Heard(e, now)
+		t.Record(e, now)
 		h := t.heard[e.ID]
 		h.adopted = true
 		t.heard[e.ID] = h
 	}
 }
 
-// Refused takes the word that no process takes connections at an address for instances. One
+// RemoveRefused takes the word that no process takes connections at an address for instances. One
 // that was adopted and has not reported since has ended before: without that it would be
 // listed for as long as one that has just reported, and anew by each coordinator.
-func (t *Table) Refused(peers string) {
+func (t *Table) RemoveRefused(peers string) {
 	for id, h := range t.heard {
-		if h.adopted && h.entry.Peers == peers {
+		if h.adopted && h.entry.PeerAddr == peers {
 			delete(t.heard, id)
 			t.stale = 0
 		}
@@ -165,11 +165,11 @@
 	return t.live
 }
 
-// Changes counts the changes of Live.
-func (t *Table) Changes() int64 { return t.changes }
+// Version counts the changes of Live.
+func (t *Table) Version() int64 { return t.changes }
 
-// Fresh returns the same as Live, each instance with its latest age.
-func (t *Table) Fresh(now cf.Millis) []Entry {
+// LiveWithAges returns the same as Live, each instance with its latest age.
+func (t *Table) LiveWithAges(now cf.Millis) []Entry {
 	live, _ := t.collect(now)
 	return live
 }
@@ -177,14 +177,14 @@
 // collect returns the instances that take callers, and when one of those heard
 // of may drop out.
 func (t *Table) collect(now cf.Millis) (live []Entry, stale cf.Millis) {
-	stale = now + Silence
+	stale = now + ReportTimeout
 	for id, h := range t.heard {
-		if now-h.at > Silence {
+		if now-h.at > ReportTimeout {
 			delete(t.heard, id)
 			delete(t.groups, id)
 			continue
 		}
-		stale = min(stale, h.at+Silence+1)
+		stale = min(stale, h.at+ReportTimeout+1)
 		if h.entry.Ready {
 			if h.by != "" {
 				h.entry.Age += now - h.said
@@ -205,8 +205,8 @@
 // differ they do by twice and more.
 const strongPart = 0.75
 
-// Strongest returns the most capacity that an instance has.
-func Strongest(entries []Entry) float64 {
+// MaxCapacity returns the most capacity that an instance has.
+func MaxCapacity(entries []Entry) float64 {
 	most := 0.0
 	for _, e := range entries {
 		most = max(most, e.Capacity)
@@ -214,11 +214,11 @@
 	return most
 }
 
-// Strong says whether a capacity is enough for a duty among entries.
-func Strong(capacity float64, entries []Entry) bool { return StrongOf(capacity, Strongest(entries)) }
+// HighCapacity says whether a capacity is enough for a duty among entries.
+func HighCapacity(capacity float64, all []Entry) bool { return NearMax(capacity, MaxCapacity(all)) }
 
-// StrongOf says the same where the most capacity is known.
-func StrongOf(capacity, strongest float64) bool { return capacity >= strongPart*strongest }
+// NearMax says the same where the most capacity is known.
+func NearMax(capacity, strongest float64) bool { return capacity >= strongPart*strongest }
 
 // Successor returns the instance that should take a duty over from one that
 // stops as planned: of the strong ones the youngest that has settled. In a rolling
@@ -229,7 +229,7 @@
 	if len(able) == 0 {
 		return Entry{}, false
 	}
-	least := strongPart * Strongest(able)
+	least := strongPart * MaxCapacity(able)
 	strong := slices.DeleteFunc(able, func(e Entry) bool { return e.Capacity < least })
 	return slices.MinFunc(strong, func(a, b Entry) int { return cmp.Compare(a.Age, b.Age) }), true
 }
--- a/core/cfmember/table_test.go
+++ b/core/cfmember/table_test.go
@@ -10,15 +10,15 @@
 // Symptom: callers are sent to an instance that is dead, not ready or stopping.
 func TestSilentAndUnreadyInstancesDropOut(t *testing.T) {
 	var table cfmember.Table
-	table.Heard(cfmember.Entry{ID: "a", Ready: true}, 0)
-	table.Heard(cfmember.Entry{ID: "b", Ready: true}, 0)
-	table.Heard(cfmember.Entry{ID: "c", Ready: false}, 0)
+	table.Record(cfmember.Entry{ID: "a", Ready: true}, 0)
+	table.Record(cfmember.Entry{ID: "b", Ready: true}, 0)
+	table.Record(cfmember.Entry{ID: "c", Ready: false}, 0)
 	if n := len(table.Live(100)); n != 2 {
 		t.Errorf("%d live, want the two that are ready", n)
 	}
-	table.Heard(cfmember.Entry{ID: "a", Ready: true}, cfmember.Silence)
-	table.Heard(cfmember.Entry{ID: "b", Ready: false}, cfmember.Silence)
-	if live := table.Live(cfmember.Silence + 1); len(live) != 1 || live[0].ID != "a" {
+	table.Record(cfmember.Entry{ID: "a", Ready: true}, cfmember.ReportTimeout)
+	table.Record(cfmember.Entry{ID: "b", Ready: false}, cfmember.ReportTimeout)
+	if live := table.Live(cfmember.ReportTimeout + 1); len(live) != 1 || live[0].ID != "a" {
 		t.Errorf("live: %v", live)
 	}
 }
@@ -31,7 +31,7 @@
 	if n := len(table.Live(1100)); n != 2 {
 		t.Errorf("%d live right after the change", n)
 	}
-	if n := len(table.Live(1001 + cfmember.Silence)); n != 0 {
+	if n := len(table.Live(1001 + cfmember.ReportTimeout)); n != 0 {
 		t.Errorf("%d live that never reported", n)
 	}
 }
@@ -40,11 +40,11 @@
 // from a list of before.
 func TestAdoptedInstanceThatHasEndedDropsOut(t *testing.T) {
 	var table cfmember.Table
-	table.Heard(cfmember.Entry{ID: "a", Peers: "1", Ready: true}, 0)
-	table.Adopt([]cfmember.Entry{{ID: "a", Peers: "1", Ready: true}, {ID: "b", Peers: "2", Ready: true}, {ID: "c", Peers: "3", Ready: true}}, 1000)
-	table.Heard(cfmember.Entry{ID: "c", Peers: "3", Ready: true}, 1010)
+	table.Record(cfmember.Entry{ID: "a", PeerAddr: "1", Ready: true}, 0)
+	table.Adopt([]cfmember.Entry{{ID: "a", PeerAddr: "1", Ready: true}, {ID: "b", PeerAddr: "2", Ready: true}, {ID: "c", PeerAddr: "3", Ready: true}}, 1000)
+	table.Record(cfmember.Entry{ID: "c", PeerAddr: "3", Ready: true}, 1010)
 	for _, peers := range []string{"2", "3", "4"} {
-		table.Refused(peers)
+		table.RemoveRefused(peers)
 	}
 	if live := table.Live(1020); len(live) != 2 || live[0].ID != "a" || live[1].ID != "c" {
 		t.Errorf("live: %v, want those that were not refused, or have reported since", live)
@@ -63,7 +63,7 @@
 func TestRestartsAreCounted(t *testing.T) {
 	m := cfmember.NewMembership(cfmember.HubsFrom)
 	for i, age := range []cf.Millis{100, 500, 20, 600, 700, 5} {
-		m.Heard(cfmember.Entry{ID: "a", Age: age}, nil, cf.Millis(i*100))
+		m.RecordReport(cfmember.Entry{ID: "a", Age: age}, nil, cf.Millis(i*100))
 	}
 	if n := m.Restarts(); n != 2 {
 		t.Errorf("%d restarts, want 2", n)
--- a/core/cfmember/upstream.go
+++ b/core/cfmember/upstream.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// HubDoubt is how long a hub may have no current word before the coordinator itself
+	// HubStaleTimeout is how long a hub may have no current word before the coordinator itself
 	// is asked.
-	HubDoubt cf.Millis = 1000
+	HubStaleTimeout cf.Millis = 1000
 	// hubAvoid keeps an instance off a hub that did not answer it.
 	hubAvoid cf.Millis = 8000
 	// hubKept is how long an instance stays with a hub, from half of it to half more,
@@ -47,19 +47,19 @@
 	return &Upstream{self: self, draw: draw, chosen: chosen, silent: map[cf.EntryID]cf.Millis{}}
 }
 
-// Behind says whether a hub is asked for news.
-func (u *Upstream) Behind() bool {
+// UsesHub says whether a hub is asked for news.
+func (u *Upstream) UsesHub() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.hub != nil
 }
 
-// Ask returns the hub to ask, false if the coordinator, holder, is to be asked: by the hubs
+// HubToAsk returns the hub to ask, false if the coordinator, holder, is to be asked: by the hubs
 // themselves, by an instance that others ask, and by one that knows no hub.
-func (u *Upstream) Ask(hubs []Entry, holder cf.EntryID, asked bool, now cf.Millis) (Entry, bool) {
+func (u *Upstream) HubToAsk(hubs []Entry, holder cf.EntryID, asked bool, now cf.Millis) (Entry, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	own := asked || Listed(hubs, u.self.ID)
+	own := asked || Contains(hubs, u.self.ID)
 	if own && now >= u.follow || u.hub == nil || u.hub.ID == holder {
 		return Entry{}, false
 	}
@@ -72,8 +72,8 @@
 	return *u.hub, true
 }
 
-// Find chooses the hub to ask from now on, if there are any.
-func (u *Upstream) Find(hubs []Entry, holder cf.EntryID, now cf.Millis) {
+// ChooseHub chooses the hub to ask from now on, if there are any.
+func (u *Upstream) ChooseHub(hubs []Entry, holder cf.EntryID, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.find(hubs, holder, now)
@@ -84,14 +84,14 @@
 		u.hub = nil
 		return
 	}
-	choices := HubsFor(hubs, u.self, func(id cf.EntryID) bool { return id == holder || now < u.silent[id] })
-	if len(choices) > 0 && !Listed(hubs, u.self.ID) {
+	choices := HubCandidates(hubs, u.self, func(id cf.EntryID) bool { return id == holder || now < u.silent[id] })
+	if len(choices) > 0 && !Contains(hubs, u.self.ID) {
 		u.set(choices[0], now)
 	}
 }
 
-// Named takes the hub that the coordinator names.
-func (u *Upstream) Named(hub Entry, now cf.Millis) {
+// AssignHub takes the hub that the coordinator names.
+func (u *Upstream) AssignHub(hub Entry, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.set(hub, now)
@@ -105,8 +105,8 @@
 	u.hub, u.until = &hub, now+cf.Millis((0.5+u.draw())*float64(hubKept))
 }
 
-// Lost gives a hub up that did not answer.
-func (u *Upstream) Lost(id cf.EntryID, now cf.Millis) {
+// AvoidHub gives a hub up that did not answer.
+func (u *Upstream) AvoidHub(id cf.EntryID, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.lose(id, now)
@@ -117,12 +117,12 @@
 	u.hub = nil
 }
 
-// Past says whether the coordinator itself is to be asked, as the hub has had no current
+// BypassHub says whether the coordinator itself is to be asked, as the hub has had no current
 // word for a while: it may be cut off from it. The hub is given up for that.
-func (u *Upstream) Past(id cf.EntryID, now cf.Millis) bool {
+func (u *Upstream) BypassHub(id cf.EntryID, now cf.Millis) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if now-u.pastAt < HubDoubt {
+	if now-u.pastAt < HubStaleTimeout {
 		return false
 	}
 	u.pastAt = now
@@ -130,17 +130,17 @@
 	return true
 }
 
-// Stay goes back to a hub that was given up, as the coordinator does not answer either: the
+// RestoreHub goes back to a hub that was given up, as the coordinator does not answer either: the
 // hub looks after the store by itself then.
-func (u *Upstream) Stay(hub Entry, now cf.Millis) {
+func (u *Upstream) RestoreHub(hub Entry, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.silent, hub.ID)
 	u.set(hub, now)
 }
 
-// Without returns the hubs that are avoided.
-func (u *Upstream) Without(now cf.Millis) []cf.EntryID {
+// AvoidedHubs returns the hubs that are avoided.
+func (u *Upstream) AvoidedHubs(now cf.Millis) []cf.EntryID {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	maps.DeleteFunc(u.silent, func(_ cf.EntryID, until cf.Millis) bool { return now >= until })
--- a/core/cfmember/upstream_test.go
+++ b/core/cfmember/upstream_test.go
@@ -20,48 +20,48 @@
 	var chosen []cf.EntryID
 	u := NewUpstream(self, func() float64 { return 0.5 }, func(e Entry) { chosen = append(chosen, e.ID) })
 	now := cf.Millis(100_000)
-	if _, ok := u.Ask(hubs, holder, false, now); ok || u.Behind() {
+	if _, ok := u.HubToAsk(hubs, holder, false, now); ok || u.UsesHub() {
 		t.Fatal("an instance that was told of no hub asks one")
 	}
 	first := hubs[1]
-	u.Named(first, now)
-	if hub, ok := u.Ask(hubs, holder, true, now+hubFollow-1); !ok || hub.ID != first.ID {
+	u.AssignHub(first, now)
+	if hub, ok := u.HubToAsk(hubs, holder, true, now+hubFollow-1); !ok || hub.ID != first.ID {
 		t.Error("an instance that others ask does not follow the hub it was told")
 	}
-	if _, ok := u.Ask(hubs, holder, true, now+hubFollow); ok {
+	if _, ok := u.HubToAsk(hubs, holder, true, now+hubFollow); ok {
 		t.Error("one that others ask goes on asking a hub")
 	}
-	if _, ok := u.Ask(hubs, first.ID, false, now); ok {
+	if _, ok := u.HubToAsk(hubs, first.ID, false, now); ok {
 		t.Error("the coordinator is asked as a hub")
 	}
 
-	u.Lost(first.ID, now)
-	if u.Behind() || !slices.Contains(u.Without(now), first.ID) {
+	u.AvoidHub(first.ID, now)
+	if u.UsesHub() || !slices.Contains(u.AvoidedHubs(now), first.ID) {
 		t.Error("a hub that does not answer is kept")
 	}
-	u.Find(hubs, holder, now)
-	second, ok := u.Ask(hubs, holder, false, now)
+	u.ChooseHub(hubs, holder, now)
+	second, ok := u.HubToAsk(hubs, holder, false, now)
 	if !ok || second.Domain != self.Domain || second.ID == first.ID {
 		t.Errorf("asks %s of %s, want the other hub of its failure domain", second.ID, second.Domain)
 	}
 
-	if !u.Past(second.ID, now) {
+	if !u.BypassHub(second.ID, now) {
 		t.Error("the coordinator is not asked past a hub without word")
 	}
-	u.Stay(second, now)
-	if hub, ok := u.Ask(hubs, holder, false, now); !ok || hub.ID != second.ID {
+	u.RestoreHub(second, now)
+	if hub, ok := u.HubToAsk(hubs, holder, false, now); !ok || hub.ID != second.ID {
 		t.Error("the hub is not stayed with though the coordinator does not answer either")
 	}
-	if u.Past(second.ID, now+HubDoubt-1) || !u.Past(second.ID, now+HubDoubt) {
+	if u.BypassHub(second.ID, now+HubStaleTimeout-1) || !u.BypassHub(second.ID, now+HubStaleTimeout) {
 		t.Error("the coordinator is asked past the hub with each call")
 	}
 
 	now += hubAvoid
-	if got := u.Without(now); slices.Contains(got, first.ID) {
+	if got := u.AvoidedHubs(now); slices.Contains(got, first.ID) {
 		t.Error("a hub is avoided for good")
 	}
-	u.Named(second, now)
-	if _, ok := u.Ask(nil, holder, false, now+2*hubKept); ok {
+	u.AssignHub(second, now)
+	if _, ok := u.HubToAsk(nil, holder, false, now+2*hubKept); ok {
 		t.Error("a deployment that has shrunk has no hubs, and one is asked")
 	}
 	if want := []cf.EntryID{first.ID, second.ID, second.ID, second.ID}; !slices.Equal(chosen, want) {
--- a/core/cfmember/word.go
+++ b/core/cfmember/word.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// CallWait is how long a call for news is held without any; each call is also the
-	// caller's report that it is alive. CallGrace is what an answer may take beyond that.
-	CallWait  cf.Millis = 400
-	CallGrace cf.Millis = 350
+	// PollWait is how long a call for news is held without any; each call is also the
+	// caller's report that it is alive. PollGrace is what an answer may take beyond that.
+	PollWait  cf.Millis = 400
+	PollGrace cf.Millis = 350
 	// wordFresh is how long an instance relies on the last current word before it watches
 	// the store itself.
 	wordFresh cf.Millis = 900
@@ -43,111 +43,111 @@
 	// startCalls is for how long an instance that has heard a first word takes calls without an
 	// answer for those of a coordinator that is busy with a start of all: three calls. It may
 	// not know of hubs yet.
-	startCalls = 3 * (CallWait + CallGrace)
+	startCalls = 3 * (PollWait + PollGrace)
 	// startLate bounds the wait for the lease and for the first answer of the coordinator that
 	// it names, where the store is slow.
 	startLate = leaveSilent
-	// LeaseReadEvery is after how long a starting instance that has no answer from the store
-	// reads the lease once more, beside the reads under way. LeaseReadLeast spaces them where
+	// LeaseReadInterval is after how long a starting instance that has no answer from the store
+	// reads the lease once more, beside the reads under way. MinLeaseReadInterval spaces them where
 	// they fail sooner.
-	LeaseReadEvery cf.Millis = 300
-	LeaseReadLeast cf.Millis = 200
+	LeaseReadInterval    cf.Millis = 300
+	MinLeaseReadInterval cf.Millis = 200
 )
 
-// Word is what an instance has heard of how things stand, and when, zero if never.
-type Word struct {
-	// Started is when the instance started, Seen when it first saw the lease, and Heard as
+// WatchState is what an instance has heard of how things stand, and when, zero if never.
+type WatchState struct {
+	// StartedAt is when the instance started, Seen when it first saw the lease, and Heard as
 	// of when the last current word is.
-	Started, Seen, Heard cf.Millis
-	// Unsure is when the coordinator answered last that it knows nothing new, or that a
+	StartedAt, LeaseSeenAt, UpdatedAt cf.Millis
+	// UncertainAt is when the coordinator answered last that it knows nothing new, or that a
 	// hub is to be asked. Away is when another instance said that it asks the store itself,
 	// in vain; Denied when another said that it has current word all the same.
-	Unsure, Away, Denied cf.Millis
-	// Listing is when the coordinator or a hub answered last that the store's lists are being
+	UncertainAt, OutageConfirmedAt, OutageDeniedAt cf.Millis
+	// ListingAt is when the coordinator or a hub answered last that the store's lists are being
 	// read there.
-	Listing cf.Millis
-	// Named says that the lease names a coordinator, Unread that the lease is being read and
+	ListingAt cf.Millis
+	// HolderNamed says that the lease names a coordinator, Unread that the lease is being read and
 	// has never been seen.
-	Named, Unread bool
-	// Hubs says that there are hubs, Behind that one of them is asked for news, and Scout
+	HolderNamed, LeaseUnread bool
+	// HubsExist says that there are hubs, Behind that one of them is asked for news, and Scout
 	// that this instance is one of the scouts.
-	Hubs, Behind, Scout bool
+	HubsExist, BehindHub, FallbackWatcher bool
 }
 
-// Fresh says whether an instance relies on the current word that it heard at that moment.
-func Fresh(heard, now cf.Millis) bool { return now-heard < wordFresh }
+// IsCurrent says whether an instance relies on the current word that it heard at that moment.
+func IsCurrent(heard, now cf.Millis) bool { return now-heard < wordFresh }
 
-// AnswerShared says whether what another answered at that moment still counts.
-func AnswerShared(at, now cf.Millis) bool { return now-at < answerShared }
+// AnswerIsRecent says whether what another answered at that moment still counts.
+func AnswerIsRecent(at, now cf.Millis) bool { return now-at < answerShared }
 
-// Leaves returns how long after the last current word the instance leaves the store to the
+// WatchDelay returns how long after the last current word the instance leaves the store to the
 // coordinator and the scouts; zero for a scout.
 //
 // The load it answers: an outage of the store, the loss of the coordinator, or a start of
 // all on machines that are busy, on a deployment of hundreds of instances which would each
 // list all targets.
-func (w Word) Leaves(now cf.Millis) cf.Millis {
+func (w WatchState) WatchDelay(now cf.Millis) cf.Millis {
 	switch {
 	case w.starting(now):
 		return now + 1 // as long as it starts
-	case w.Scout && !w.Behind && w.Settled(now):
+	case w.FallbackWatcher && !w.BehindHub && w.StartupOver(now):
 		return 0
-	case AnswerShared(w.Unsure, now) && AnswerShared(w.Away, now):
+	case AnswerIsRecent(w.UncertainAt, now) && AnswerIsRecent(w.OutageConfirmedAt, now):
 		return leaveAlive
-	case (w.Behind || w.Hubs) && w.listsElsewhere(now):
+	case (w.BehindHub || w.HubsExist) && w.listsElsewhere(now):
 		return leaveAlive
-	case w.Behind || w.Hubs || now-w.Started < startCalls:
+	case w.BehindHub || w.HubsExist || now-w.StartedAt < startCalls:
 		return leaveHubs
 	default:
 		return leaveSilent
 	}
 }
 
-// Alone says whether the instance must watch the store itself.
-func (w Word) Alone(now cf.Millis) bool {
-	if now-w.Started < startGrace {
+// IsDue says whether the instance must watch the store itself.
+func (w WatchState) IsDue(now cf.Millis) bool {
+	if now-w.StartedAt < startGrace {
 		return false
 	}
-	leaves := w.Leaves(now)
-	if !w.Hubs && AnswerShared(w.Unsure, now) && AnswerShared(w.Denied, now) {
+	leaves := w.WatchDelay(now)
+	if !w.HubsExist && AnswerIsRecent(w.UncertainAt, now) && AnswerIsRecent(w.OutageDeniedAt, now) {
 		leaves = 0 // there is something to hear, and not from this coordinator
 	}
-	return now-w.Heard >= max(leaves, w.relies(now))
+	return now-w.UpdatedAt >= max(leaves, w.relies(now))
 }
 
 // relies returns how long the instance relies on the last current word.
-func (w Word) relies(now cf.Millis) cf.Millis {
+func (w WatchState) relies(now cf.Millis) cf.Millis {
 	switch {
-	case w.Hubs:
+	case w.HubsExist:
 		return wordFreshHub
-	case w.Scout && w.Unsure > w.Heard && AnswerShared(w.Unsure, now):
+	case w.FallbackWatcher && w.UncertainAt > w.UpdatedAt && AnswerIsRecent(w.UncertainAt, now):
 		return 0 // the coordinator says itself that it can't tell
 	default:
 		return wordFresh
 	}
 }
 
-// Settled says whether the instance has had the time to learn who else looks after the store.
-func (w Word) Settled(now cf.Millis) bool { return now-w.Started >= startUnsure }
+// StartupOver says whether the instance has had the time to learn who else looks after the store.
+func (w WatchState) StartupOver(now cf.Millis) bool { return now-w.StartedAt >= startUnsure }
 
 // listsElsewhere says whether the store's lists are being read where this instance asks.
-func (w Word) listsElsewhere(now cf.Millis) bool { return now-w.Listing < listingShared }
+func (w WatchState) listsElsewhere(now cf.Millis) bool { return now-w.ListingAt < listingShared }
 
 // starting says whether the instance has just started, and waits for the lease, or for the
 // first word of the coordinator that it names. A store that is slow to show one object is
 // slower still to list all targets.
-func (w Word) starting(now cf.Millis) bool {
-	since := now - w.Started
+func (w WatchState) starting(now cf.Millis) bool {
+	since := now - w.StartedAt
 	switch {
-	case w.Heard > 0:
+	case w.UpdatedAt > 0:
 		return false
-	case w.Unread:
+	case w.LeaseUnread:
 		return since < startLate
-	case w.Named && since < min(max(w.Seen-w.Started, 0)+startGrace+CallWait+CallGrace, startLate):
+	case w.HolderNamed && since < min(max(w.LeaseSeenAt-w.StartedAt, 0)+startGrace+PollWait+PollGrace, startLate):
 		return true
 	case w.listsElsewhere(now) && since < leaveAlive:
 		return true
 	default:
-		return !w.Settled(now) && (w.Behind || AnswerShared(w.Unsure, now))
+		return !w.StartupOver(now) && (w.BehindHub || AnswerIsRecent(w.UncertainAt, now))
 	}
 }
--- a/core/cfusage/account.go
+++ b/core/cfusage/account.go
@@ -13,8 +13,8 @@
 const lostAfter cf.Millis = 15_000
 
 type (
-	// Account adds up what instances have counted. It is not safe for concurrent use.
-	Account struct {
+	// Aggregator adds up what instances have counted. It is not safe for concurrent use.
+	Aggregator struct {
 		length  cf.Millis
 		windows map[cf.UsageWindow]map[Source]part
 		// latest is the last report of each instance.
@@ -22,22 +22,22 @@
 		settled cf.UsageWindow
 	}
 
-	// Base is what a holder has heard and not reported, for a successor: it lies beside
+	// Snapshot is what a holder has heard and not reported, for a successor: it lies beside
 	// the holder's lease, so that the loss of all instances costs what came since the
 	// last renewal.
-	Base struct {
+	Snapshot struct {
 		First         cf.UsageWindow    `json:"first"`
 		Organisations []cf.Organisation `json:"organisations"`
-		Sources       []BaseSource      `json:"sources"`
+		Sources       []SnapshotSource  `json:"sources"`
 		// Rows are indexes of a source, of a window after First and of an
 		// organisation, with a count.
 		Rows [][4]int64 `json:"rows"`
 	}
 
-	// BaseSource is an instance as of its last report.
-	BaseSource struct {
+	// SnapshotSource is an instance as of its last report.
+	SnapshotSource struct {
 		Source
-		Change int64 `json:"change"`
+		Seq int64 `json:"change"`
 	}
 
 	part struct {
@@ -52,23 +52,23 @@
 	}
 )
 
-// NewAccount returns an account without counts.
-func NewAccount(length cf.Millis) *Account {
-	return &Account{length: length, windows: map[cf.UsageWindow]map[Source]part{}, latest: map[cf.EntryID]latest{}}
+// NewAggregator returns an account without counts.
+func NewAggregator(length cf.Millis) *Aggregator {
+	return &Aggregator{length: length, windows: map[cf.UsageWindow]map[Source]part{}, latest: map[cf.EntryID]latest{}}
 }
 
 // Expect notes that an instance may have counts, as of a moment.
-func (a *Account) Expect(e cf.EntryID, now cf.Millis) {
+func (a *Aggregator) Expect(e cf.EntryID, now cf.Millis) {
 	if _, known := a.latest[e]; !known {
 		a.latest[e] = latest{through: now}
 	}
 }
 
-// Take takes an instance's report. It returns the windows in it that were reported
+// Add takes an instance's report. It returns the windows in it that were reported
 // before, whose counts come too late.
-func (a *Account) Take(r Report) (late []cf.UsageReport) {
-	if l := a.latest[r.Source.Entry]; l.source != r.Source || l.change <= r.Change {
-		a.latest[r.Source.Entry] = latest{r.Source, r.Change, r.Through}
+func (a *Aggregator) Add(r MeterReport) (late []cf.UsageReport) {
+	if l := a.latest[r.Source.Entry]; l.source != r.Source || l.change <= r.Seq {
+		a.latest[r.Source.Entry] = latest{r.Source, r.Seq, r.Through}
 	}
 	for _, w := range r.Windows {
 		if w.Window <= a.settled {
@@ -80,8 +80,8 @@
 			parts = map[Source]part{}
 			a.windows[w.Window] = parts
 		}
-		if parts[r.Source].change <= r.Change {
-			parts[r.Source] = part{w.Counts, r.Change}
+		if parts[r.Source].change <= r.Seq {
+			parts[r.Source] = part{w.Counts, r.Seq}
 		}
 	}
 	return late
@@ -89,7 +89,7 @@
 
 // Restore takes what a holder before had heard. Its instances are not waited for: those
 // that live report again.
-func (a *Account) Restore(b Base) {
+func (a *Aggregator) Restore(b Snapshot) {
 	for i, s := range b.Sources {
 		for _, row := range b.Rows {
 			if row[0] != int64(i) || int(row[2]) >= len(b.Organisations) || row[2] < 0 {
@@ -105,11 +105,11 @@
 				a.windows[w] = parts
 			}
 			p := parts[s.Source]
-			if p.change > s.Change {
+			if p.change > s.Seq {
 				continue // it has reported since
 			}
-			if p.change < s.Change || p.counts == nil {
-				p = part{map[cf.Organisation]int64{}, s.Change}
+			if p.change < s.Seq || p.counts == nil {
+				p = part{map[cf.Organisation]int64{}, s.Seq}
 			}
 			p.counts[b.Organisations[row[2]]] = row[3]
 			parts[s.Source] = p
@@ -117,9 +117,9 @@
 	}
 }
 
-// Base returns what a successor needs if this holder is lost, in rowsMost rows at most.
-func (a *Account) Base() Base {
-	var b Base
+// Snapshot returns what a successor needs if this holder is lost, in rowsMost rows at most.
+func (a *Aggregator) Snapshot() Snapshot {
+	var b Snapshot
 	oldest, counted := a.Oldest()
 	if !counted {
 		return b
@@ -135,9 +135,9 @@
 			if !known {
 				i = int64(len(b.Sources))
 				sources[source] = i
-				b.Sources = append(b.Sources, BaseSource{Source: source})
+				b.Sources = append(b.Sources, SnapshotSource{Source: source})
 			}
-			b.Sources[i].Change = max(b.Sources[i].Change, p.change)
+			b.Sources[i].Seq = max(b.Sources[i].Seq, p.change)
 			for o, n := range p.counts {
 				j, known := names[o]
 				if !known {
@@ -153,7 +153,7 @@
 }
 
 // Counts returns what is known of a window.
-func (a *Account) Counts(w cf.UsageWindow) map[cf.Organisation]int64 {
+func (a *Aggregator) Counts(w cf.UsageWindow) map[cf.Organisation]int64 {
 	sum := map[cf.Organisation]int64{}
 	for _, p := range a.windows[w] {
 		for o, n := range p.counts {
@@ -167,7 +167,7 @@
 
 // Complete says whether every instance that was heard of in the window, or shortly
 // before, has reported beyond its end.
-func (a *Account) Complete(w cf.UsageWindow) bool {
+func (a *Aggregator) Complete(w cf.UsageWindow) bool {
 	ends := w.Ends(a.length)
 	for _, l := range a.latest {
 		if l.through < ends+grace && l.through > ends-lostAfter {
@@ -182,13 +182,13 @@
 const grace cf.Millis = 300
 
 // Settle drops the windows up to one.
-func (a *Account) Settle(through cf.UsageWindow) {
+func (a *Aggregator) Settle(through cf.UsageWindow) {
 	a.settled = max(a.settled, through)
 	maps.DeleteFunc(a.windows, func(w cf.UsageWindow, _ map[Source]part) bool { return w <= through })
 }
 
 // Oldest returns the oldest window with counts, false if there is none.
-func (a *Account) Oldest() (cf.UsageWindow, bool) {
+func (a *Aggregator) Oldest() (cf.UsageWindow, bool) {
 	oldest, found := cf.UsageWindow(0), false
 	for w := range a.windows {
 		if !found || w < oldest {
--- a/core/cfusage/cfusage_test.go
+++ b/core/cfusage/cfusage_test.go
@@ -24,12 +24,12 @@
 			e := cf.EntryID(fmt.Sprint("e", i))
 			meters[e] = NewMeter(Source{Entry: e, Start: uint32(i)}, length)
 		}
-		account, term := NewAccount(length), cf.Revision(1)
-		var held []Report
+		account, term := NewAggregator(length), cf.Revision(1)
+		var held []MeterReport
 		deliver := func() {
 			for _, i := range r.Perm(len(held)) {
 				if r.IntN(4) > 0 {
-					account.Take(held[i])
+					account.Add(held[i])
 				}
 			}
 			held = held[len(held)/2:]
@@ -54,16 +54,16 @@
 				held = append(held, meters[e].Report(term, at))
 			case 1:
 				report := meters[e].Report(term, at)
-				account.Take(report)
+				account.Add(report)
 				if r.IntN(2) == 0 {
-					meters[e].Taken(term, report)
+					meters[e].Acknowledge(term, report)
 				}
 			case 2:
 				deliver()
 			case 3:
 				if r.IntN(4) == 0 { // another holder
-					base := account.Base()
-					account, term = NewAccount(length), term+1
+					base := account.Snapshot()
+					account, term = NewAggregator(length), term+1
 					if r.IntN(2) == 0 {
 						account.Restore(throughJSON(t, base))
 					}
@@ -72,7 +72,7 @@
 			}
 		}
 		for _, m := range meters {
-			account.Take(m.Report(term, 0))
+			account.Add(m.Report(term, 0))
 		}
 		for w := cf.UsageWindow(10); w < 13; w++ {
 			if got := account.Counts(w); !maps.Equal(got, truth[w]) {
@@ -82,13 +82,13 @@
 	}
 }
 
-func throughJSON(t *testing.T, b Base) Base {
+func throughJSON(t *testing.T, b Snapshot) Snapshot {
 	t.Helper()
 	raw, err := json.Marshal(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out Base
+	var out Snapshot
 	if err := json.Unmarshal(raw, &out); err != nil {
 		t.Fatal(err)
 	}
@@ -101,13 +101,13 @@
 	lost.Count("o", length+10, 3)
 	lives.Count("o", length+10, 2)
 	lives.Count("p", 2*length, 1)
-	before := NewAccount(length)
-	before.Take(lost.Report(1, length+20))
-	before.Take(lives.Report(1, length+20))
-	after := NewAccount(length)
-	after.Restore(throughJSON(t, before.Base()))
+	before := NewAggregator(length)
+	before.Add(lost.Report(1, length+20))
+	before.Add(lives.Report(1, length+20))
+	after := NewAggregator(length)
+	after.Restore(throughJSON(t, before.Snapshot()))
 	lives.Count("o", length+30, 1)
-	after.Take(lives.Report(2, length+40))
+	after.Add(lives.Report(2, length+40))
 	if got := after.Counts(1); got["o"] != 6 {
 		t.Errorf("window 1: %v", got)
 	}
@@ -117,7 +117,7 @@
 	if after.Complete(1) {
 		t.Error("complete though an instance that lives has not reported its end")
 	}
-	after.Take(lives.Report(2, 2*length+grace))
+	after.Add(lives.Report(2, 2*length+grace))
 	if !after.Complete(1) {
 		t.Error("an instance that is lost is waited for")
 	}
@@ -126,27 +126,27 @@
 // A window waits for those that are expected, and not beyond its time; what comes after
 // its report is late.
 func TestAWindowWaitsForItsInstances(t *testing.T) {
-	terms := Terms{Length: length, Wait: 4_000, Retry: 400}
-	a, k := NewAccount(length), NewKeeper(terms)
+	terms := WindowTiming{Length: length, MaxWait: 4_000, RetryDelay: 400}
+	a, k := NewAggregator(length), NewReporter(terms)
 	a.Expect("a", 6_000)
 	m := NewMeter(Source{Entry: "a"}, length)
 	m.Count("o", 9_999, 1)
 	if s := k.Next(11_000, a); s.Kind != Read {
 		t.Fatalf("%+v before it is known what lies in the store", s)
 	}
-	k.FoundNone(6_000, a)
+	k.InitOutbox(6_000, a)
 	if s := k.Next(13_999, a); s.Kind != Wait {
 		t.Errorf("%+v while an instance is waited for", s)
 	}
-	if s := k.Next(14_000, a); s.Kind != Keep || s.Kept.Settled != 1 || len(s.Kept.Pending) != 1 {
+	if s := k.Next(14_000, a); s.Kind != Write || s.Outbox.Settled != 1 || len(s.Outbox.Pending) != 1 {
 		t.Errorf("%+v when its time is up", s)
 	}
-	a.Take(m.Report(1, 2*length+grace))
+	a.Add(m.Report(1, 2*length+grace))
 	s := k.Next(11_000, a)
-	if s.Kind != Keep || s.Kept.Pending[0].Counts["o"] != 1 {
+	if s.Kind != Write || s.Outbox.Pending[0].Counts["o"] != 1 {
 		t.Fatalf("%+v when all have reported", s)
 	}
-	k.Found(s.Kept, 7)
+	k.SetOutbox(s.Outbox, 7)
 	a.Settle(k.Settled())
 	if s := k.Next(11_000, a); s.Kind != Send || s.Report.Counts["o"] != 1 {
 		t.Fatalf("%+v after it is kept", s)
@@ -160,7 +160,7 @@
 	}
 	k.Sent(1)
 	m.Count("o", 9_000, 1)
-	if late := a.Take(m.Report(1, 12_000)); len(late) != 1 {
+	if late := a.Add(m.Report(1, 12_000)); len(late) != 1 {
 		t.Errorf("counts of a window that was reported: %v", late)
 	}
 	m.Settle(1)
@@ -175,7 +175,7 @@
 func TestClocksThatStep(t *testing.T) {
 	for _, step := range []cf.Millis{2_000, -2_000} {
 		for holderSteps := range 2 {
-			var clocks Clocks
+			var clocks MedianClock
 			const n = 9
 			all := make([]Clock, n)
 			uptime := func(i int, now cf.Millis) cf.Millis { return now - cf.Millis(i)*777 }
@@ -187,9 +187,9 @@
 			}
 			for now := cf.Millis(10_000); now < 60_000; now += 100 {
 				for i := range all {
-					clocks.Heard(cf.EntryID(fmt.Sprint(i)), wall(i, now-60), uptime(0, now))
+					clocks.Record(cf.EntryID(fmt.Sprint(i)), wall(i, now-60), uptime(0, now))
 					told := clocks.Now(wall(0, now), uptime(0, now))
-					all[i].Told(told, wall(i, now+60), uptime(i, now+60))
+					all[i].Adjust(told, wall(i, now+60), uptime(i, now+60))
 				}
 				for i := range all {
 					later := now + 90 // it may have stepped since
--- a/core/cfusage/clock.go
+++ b/core/cfusage/clock.go
@@ -28,9 +28,9 @@
 		told      bool
 	}
 
-	// Clocks finds the time of day by the clocks of all instances: as long as fewer than
+	// MedianClock finds the time of day by the clocks of all instances: as long as fewer than
 	// half have stepped it is right. It is not safe for concurrent use.
-	Clocks struct {
+	MedianClock struct {
 		// ahead is how far the instances' clocks are ahead of the holder's uptime.
 		ahead map[cf.EntryID]sighting
 	}
@@ -38,8 +38,8 @@
 	sighting struct{ ahead, at cf.Millis }
 )
 
-// Told takes the time of day as others have it. wall is the instance's own, at uptime.
-func (c *Clock) Told(others, wall, uptime cf.Millis) {
+// Adjust takes the time of day as others have it. wall is the instance's own, at uptime.
+func (c *Clock) Adjust(others, wall, uptime cf.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.told, c.base = true, wall-uptime
@@ -62,8 +62,8 @@
 	return wall + c.off
 }
 
-// Heard takes an instance's clock, as of the holder's uptime.
-func (c *Clocks) Heard(e cf.EntryID, wall, uptime cf.Millis) {
+// Record takes an instance's clock, as of the holder's uptime.
+func (c *MedianClock) Record(e cf.EntryID, wall, uptime cf.Millis) {
 	if c.ahead == nil {
 		c.ahead = map[cf.EntryID]sighting{}
 	}
@@ -71,7 +71,7 @@
 }
 
 // Now returns the time of day at an uptime of the holder, whose own clock is wall.
-func (c *Clocks) Now(wall, uptime cf.Millis) cf.Millis {
+func (c *MedianClock) Now(wall, uptime cf.Millis) cf.Millis {
 	all := []cf.Millis{wall - uptime}
 	for e, s := range c.ahead {
 		if uptime-s.at > spoken {
--- a/core/cfusage/explore_test.go
+++ b/core/cfusage/explore_test.go
@@ -14,17 +14,17 @@
 // other counts of the same windows.
 type world struct {
 	rev     cf.Revision
-	kept    *Kept
+	kept    *Outbox
 	late    []lateWrite
 	taken   map[cf.UsageWindow]string
-	holders [2]Keeper
+	holders [2]Reporter
 	faults  int
 }
 
 // lateWrite is a write without an answer that may take effect yet.
 type lateWrite struct {
 	rev  cf.Revision
-	kept Kept
+	kept Outbox
 }
 
 const (
@@ -83,7 +83,7 @@
 
 // next returns what may come next of a world. believes is the seeded fault: a holder takes
 // a write without an answer for one that took effect.
-func (w *world) next(accounts [2]*Account, believes bool) (out []*world, err error) {
+func (w *world) next(accounts [2]*Aggregator, believes bool) (out []*world, err error) {
 	add := func(f func(n *world) error) {
 		n := w.clone()
 		if e := f(n); e != nil {
@@ -106,31 +106,31 @@
 	}
 	for i := range w.holders {
 		step := w.clone().holders[i].Next(exploreNow, accounts[i])
-		fault(func(n *world) error { n.holders[i] = *NewKeeper(exploreTerms); return nil }) // it is lost, another begins
+		fault(func(n *world) error { n.holders[i] = *NewReporter(exploreTerms); return nil }) // it is lost, another begins
 		switch step.Kind {
 		case Read:
 			add(func(n *world) error {
 				if n.kept == nil {
-					n.holders[i].FoundNone(1_200, accounts[i])
+					n.holders[i].InitOutbox(1_200, accounts[i])
 				} else {
-					n.holders[i].Found(*n.kept, n.rev)
+					n.holders[i].SetOutbox(*n.kept, n.rev)
 				}
 				return nil
 			})
-		case Keep:
-			l := lateWrite{step.Rev, step.Kept}
+		case Write:
+			l := lateWrite{step.Rev, step.Outbox}
 			doubt := func(n *world) {
 				if believes {
-					n.holders[i].Found(step.Kept, step.Rev+1)
+					n.holders[i].SetOutbox(step.Outbox, step.Rev+1)
 				} else {
-					n.holders[i].InDoubt()
+					n.holders[i].InvalidateOutbox()
 				}
 			}
 			add(func(n *world) error {
 				if n.write(l) {
-					n.holders[i].Found(step.Kept, n.rev)
+					n.holders[i].SetOutbox(step.Outbox, n.rev)
 				} else {
-					n.holders[i].InDoubt()
+					n.holders[i].InvalidateOutbox()
 				}
 				return nil
 			})
@@ -145,22 +145,22 @@
 	return out, err
 }
 
-var exploreTerms = Terms{Length: 1_000, Wait: 0}
+var exploreTerms = WindowTiming{Length: 1_000, MaxWait: 0}
 
 func explore(believes bool) (states int, complete bool, err error) {
-	var accounts [2]*Account
+	var accounts [2]*Aggregator
 	for i := range accounts {
-		accounts[i] = NewAccount(exploreTerms.Length)
+		accounts[i] = NewAggregator(exploreTerms.Length)
 		for w := cf.UsageWindow(1); w <= 2; w++ {
-			accounts[i].Take(Report{
-				Source: Source{Entry: "e"}, Change: 1, Through: exploreNow + grace,
+			accounts[i].Add(MeterReport{
+				Source: Source{Entry: "e"}, Seq: 1, Through: exploreNow + grace,
 				Windows: []cf.UsageReport{{Window: w, Counts: map[cf.Organisation]int64{"o": int64(i + 1)}}},
 			})
 		}
 	}
 	start := &world{taken: map[cf.UsageWindow]string{}}
 	for i := range start.holders {
-		start.holders[i] = *NewKeeper(exploreTerms)
+		start.holders[i] = *NewReporter(exploreTerms)
 	}
 	seen := map[string]bool{start.key(): true}
 	level := []*world{start}
--- a/core/cfusage/keeper.go
+++ b/core/cfusage/keeper.go
@@ -12,8 +12,8 @@
 	Wait StepKind = iota
 	// Read what lies in the store.
 	Read
-	// Keep writes Step.Kept on condition of Step.Rev, or creates it where that is zero.
-	Keep
+	// Write writes Step.Kept on condition of Step.Rev, or creates it where that is zero.
+	Write
 	// Send reports Step.Report.
 	Send
 )
@@ -28,38 +28,38 @@
 	// Step is a keeper's next step.
 	Step struct {
 		Kind   StepKind
-		Kept   Kept
+		Outbox Outbox
 		Rev    cf.Revision
 		Report cf.UsageReport
 	}
 
-	// Kept is what lies in the store: the reports that may not have been sent yet, and
+	// Outbox is what lies in the store: the reports that may not have been sent yet, and
 	// the last window of which there is a report.
-	Kept struct {
+	Outbox struct {
 		Settled cf.UsageWindow   `json:"settled"`
 		Pending []cf.UsageReport `json:"pending"`
 	}
 
-	// Terms are a deployment's windows.
-	Terms struct {
+	// WindowTiming are a deployment's windows.
+	WindowTiming struct {
 		// Length is that of a window.
 		Length cf.Millis
-		// Wait is how long after its end a window waits for instances that have not
+		// MaxWait is how long after its end a window waits for instances that have not
 		// reported it.
-		Wait cf.Millis
-		// Retry is the pause after a report that was not taken.
-		Retry cf.Millis
+		MaxWait cf.Millis
+		// RetryDelay is the pause after a report that was not taken.
+		RetryDelay cf.Millis
 	}
 
-	// Keeper decides what a holder reports. It holds under loss of answers, of holders
+	// Reporter decides what a holder reports. It holds under loss of answers, of holders
 	// and of their memory because a report is sent only as it was read from the store,
 	// or written there with an answer: what two holders send of a window is the same.
 	// It is not safe for concurrent use.
-	Keeper struct {
-		terms Terms
+	Reporter struct {
+		terms WindowTiming
 		// known says that kept, at rev, is what lies in the store.
 		known bool
-		kept  Kept
+		kept  Outbox
 		rev   cf.Revision
 		// sent are the windows that the platform has taken from this holder.
 		sent  map[cf.UsageWindow]bool
@@ -68,12 +68,12 @@
 )
 
 // NewReconciler returns the keeper of a duty that begins.
-func NewKeeper(terms Terms) *Keeper {
-	return &Keeper{terms: terms, sent: map[cf.UsageWindow]bool{}, again: map[cf.UsageWindow]cf.Millis{}}
+func NewReporter(terms WindowTiming) *Reporter {
+	return &Reporter{terms: terms, sent: map[cf.UsageWindow]bool{}, again: map[cf.UsageWindow]cf.Millis{}}
 }
 
 // Next returns what is to be done at a moment of true time.
-func (k *Keeper) Next(now cf.Millis, a *Account) Step {
+func (k *Reporter) Next(now cf.Millis, a *Aggregator) Step {
 	if !k.known {
 		return Step{Kind: Read}
 	}
@@ -83,14 +83,14 @@
 		}
 	}
 	if next, due := k.due(now, a); due {
-		return Step{Kind: Keep, Kept: next, Rev: k.rev}
+		return Step{Kind: Write, Outbox: next, Rev: k.rev}
 	}
 	return Step{Kind: Wait}
 }
 
 // due returns what is to lie in the store, where a window is to be reported.
-func (k *Keeper) due(now cf.Millis, a *Account) (Kept, bool) {
-	next := Kept{Settled: k.kept.Settled}
+func (k *Reporter) due(now cf.Millis, a *Aggregator) (Outbox, bool) {
+	next := Outbox{Settled: k.kept.Settled}
 	for _, r := range k.kept.Pending {
 		if !k.sent[r.Window] {
 			next.Pending = append(next.Pending, r)
@@ -98,7 +98,7 @@
 	}
 	due := false
 	for w := next.Settled + 1; w.Ends(k.terms.Length) <= now; w++ {
-		if !a.Complete(w) && now < w.Ends(k.terms.Length)+k.terms.Wait {
+		if !a.Complete(w) && now < w.Ends(k.terms.Length)+k.terms.MaxWait {
 			break
 		}
 		next.Settled, due = w, true
@@ -110,29 +110,29 @@
 	return next, due
 }
 
-// Found takes what was read, or written with an answer.
-func (k *Keeper) Found(kept Kept, rev cf.Revision) { k.known, k.kept, k.rev = true, kept, rev }
+// SetOutbox takes what was read, or written with an answer.
+func (k *Reporter) SetOutbox(kept Outbox, rev cf.Revision) { k.known, k.kept, k.rev = true, kept, rev }
 
 // LoadedEmpty notes that nothing lies in the store yet: the first window to be reported is
 // the one of now, or the oldest that was counted.
-func (k *Keeper) FoundNone(now cf.Millis, a *Account) {
+func (k *Reporter) InitOutbox(now cf.Millis, a *Aggregator) {
 	first := cf.WindowOf(now, k.terms.Length)
 	if oldest, counted := a.Oldest(); counted {
 		first = min(first, oldest)
 	}
-	k.Found(Kept{Settled: first - 1}, 0)
+	k.SetOutbox(Outbox{Settled: first - 1}, 0)
 }
 
 // WriteInDoubt notes that a write had no answer, or met another: what lies in the store is to
 // be read.
-func (k *Keeper) InDoubt() { k.known = false }
+func (k *Reporter) InvalidateOutbox() { k.known = false }
 
 // Sent notes that the platform has taken a report.
-func (k *Keeper) Sent(w cf.UsageWindow) { k.sent[w] = true }
+func (k *Reporter) Sent(w cf.UsageWindow) { k.sent[w] = true }
 
 // NotSent notes that a report was not taken, or had no answer. It is sent again.
-func (k *Keeper) NotSent(w cf.UsageWindow, now cf.Millis) { k.again[w] = now + k.terms.Retry }
+func (k *Reporter) NotSent(w cf.UsageWindow, now cf.Millis) { k.again[w] = now + k.terms.RetryDelay }
 
 // Settled returns the last window of which a report lies in the store, zero while that
 // is not known.
-func (k *Keeper) Settled() cf.UsageWindow { return k.kept.Settled }
+func (k *Reporter) Settled() cf.UsageWindow { return k.kept.Settled }
--- a/core/cfusage/meter.go
+++ b/core/cfusage/meter.go
@@ -36,12 +36,12 @@
 		Start uint32     `json:"start" cbor:"start"`
 	}
 
-	// Report is what an instance has counted, as totals: whoever takes it twice, or
+	// MeterReport is what an instance has counted, as totals: whoever takes it twice, or
 	// after a later one, has counted nothing twice.
-	Report struct {
+	MeterReport struct {
 		Source Source `cbor:"source"`
-		// Change numbers the instance's counts as of the report.
-		Change int64 `cbor:"change"`
+		// Seq numbers the instance's counts as of the report.
+		Seq int64 `cbor:"change"`
 		// Through is until when nothing more can be counted but what is under way.
 		Through cf.Millis `cbor:"through"`
 		// Windows are those that the recipient has not yet.
@@ -109,14 +109,14 @@
 }
 
 // Report returns what the holder of a term has not taken yet.
-func (m *Meter) Report(term cf.Revision, now cf.Millis) Report {
+func (m *Meter) Report(term cf.Revision, now cf.Millis) MeterReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	taken := m.taken
 	if term != m.term {
 		taken = 0
 	}
-	r := Report{Source: m.source, Change: m.change, Through: now}
+	r := MeterReport{Source: m.source, Seq: m.change, Through: now}
 	for w, t := range m.windows {
 		if t.change > taken {
 			r.Windows = append(r.Windows, cf.UsageReport{Window: w, Counts: maps.Clone(t.counts)})
@@ -125,14 +125,14 @@
 	return r
 }
 
-// Taken notes that the holder of a term has taken a report.
-func (m *Meter) Taken(term cf.Revision, r Report) {
+// Acknowledge notes that the holder of a term has taken a report.
+func (m *Meter) Acknowledge(term cf.Revision, r MeterReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if term != m.term {
 		m.term, m.taken = term, 0
 	}
-	m.taken = max(m.taken, r.Change)
+	m.taken = max(m.taken, r.Seq)
 }
 
 // Settle drops the windows up to one, whose reports lie in the store.
--- a/io/cfmeter/cfmeter.go
+++ b/io/cfmeter/cfmeter.go
@@ -45,13 +45,13 @@
 		Act      cf.Act
 		Store    cf.Store
 		Metering cf.Metering
-		Terms    cfusage.Terms
+		Terms    cfusage.WindowTiming
 		// MayAct says whether the term allows a call now.
 		MayAct func() bool
 		// Now returns the time of day.
 		Now func() cf.Millis
 		// Own returns the counts of this instance, Taken that they were taken.
-		Own func(term cf.Revision) cfusage.Report
+		Own func(term cf.Revision) cfusage.MeterReport
 		// Settled tells the last window of which a report lies in the store.
 		Settled func(cf.UsageWindow)
 		// Expect are the instances that may have counts.
@@ -71,8 +71,8 @@
 		wg     cflog.Group
 
 		mu      sync.Mutex
-		account *cfusage.Account
-		keeper  *cfusage.Keeper
+		account *cfusage.Aggregator
+		keeper  *cfusage.Reporter
 	}
 
 	// Metrics are the duty's counters.
@@ -97,13 +97,13 @@
 // New returns a duty that has not started.
 func New(o Options) *Duty {
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &Duty{Options: o, ctx: ctx, cancel: cancel, account: cfusage.NewAccount(o.Terms.Length), keeper: cfusage.NewKeeper(o.Terms)}
+	d := &Duty{Options: o, ctx: ctx, cancel: cancel, account: cfusage.NewAggregator(o.Terms.Length), keeper: cfusage.NewReporter(o.Terms)}
 	now := o.Now()
 	for _, e := range o.Expect {
 		d.account.Expect(e, now)
 	}
 	if len(o.Base) > 0 {
-		var base cfusage.Base
+		var base cfusage.Snapshot
 		if err := json.Unmarshal(o.Base, &base); err != nil {
 			o.Log.Error("usage_base_not_read", cflog.Error(err))
 		}
@@ -116,7 +116,7 @@
 // BaseNow returns what a successor needs if this instance is lost.
 func (d *Duty) BaseNow() json.RawMessage {
 	d.mu.Lock()
-	base := d.account.Base()
+	base := d.account.Snapshot()
 	d.mu.Unlock()
 	if len(base.Rows) == 0 {
 		return nil
@@ -140,10 +140,10 @@
 
 // Take takes what an instance has counted. It returns the last window of which there is a
 // report.
-func (d *Duty) Take(r cfusage.Report) cf.UsageWindow {
+func (d *Duty) Take(r cfusage.MeterReport) cf.UsageWindow {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, late := range d.account.Take(r) {
+	for _, late := range d.account.Add(r) {
 		n := int64(0)
 		for _, count := range late.Counts {
 			n += count
@@ -182,7 +182,7 @@
 	switch step.Kind {
 	case cfusage.Read:
 		return d.read()
-	case cfusage.Keep:
+	case cfusage.Write:
 		return d.keep(step)
 	case cfusage.Send:
 		return d.send(step.Report)
@@ -194,7 +194,7 @@
 // read reads what lies in the store.
 func (d *Duty) read() bool {
 	r, err := d.Store.Get(d.ctx, cf.KindUsage, reportsName)
-	var kept cfusage.Kept
+	var kept cfusage.Outbox
 	if err == nil {
 		if err = json.Unmarshal(r.Spec, &kept); err != nil {
 			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", reportsName, err)
@@ -204,12 +204,12 @@
 	defer d.mu.Unlock()
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		d.keeper.FoundNone(d.Now(), d.account)
+		d.keeper.InitOutbox(d.Now(), d.account)
 	case err != nil:
 		d.Log.Warn("usage_not_read", cflog.Error(err))
 		return false
 	default:
-		d.keeper.Found(kept, r.Rev)
+		d.keeper.SetOutbox(kept, r.Rev)
 	}
 	d.settle()
 	return true
@@ -220,20 +220,20 @@
 	var r cf.Record
 	var err error
 	if step.Rev == 0 {
-		r, err = d.Store.Create(d.ctx, cf.KindUsage, reportsName, step.Kept)
+		r, err = d.Store.Create(d.ctx, cf.KindUsage, reportsName, step.Outbox)
 	} else {
-		r, err = d.Store.Replace(d.ctx, cf.KindUsage, reportsName, step.Rev, step.Kept)
+		r, err = d.Store.Replace(d.ctx, cf.KindUsage, reportsName, step.Rev, step.Outbox)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil || r.Rev == 0 {
-		d.keeper.InDoubt()
-		d.Log.Warn("usage_in_doubt", zap.Int64("window", int64(step.Kept.Settled)), cflog.Error(err))
+		d.keeper.InvalidateOutbox()
+		d.Log.Warn("usage_in_doubt", zap.Int64("window", int64(step.Outbox.Settled)), cflog.Error(err))
 		return false
 	}
-	d.keeper.Found(step.Kept, r.Rev)
+	d.keeper.SetOutbox(step.Outbox, r.Rev)
 	d.settle()
-	for _, p := range step.Kept.Pending {
+	for _, p := range step.Outbox.Pending {
 		d.logKept(p, r.Rev)
 	}
 	return true
--- a/io/cfnode/announce.go
+++ b/io/cfnode/announce.go
@@ -60,7 +60,7 @@
 
 // tellHolder passes the word on.
 func (n *Node) tellHolder(m holderMessage) {
-	for _, e := range cfmember.Ring(n.Live(), n.self()) {
+	for _, e := range cfmember.GossipPeers(n.Live(), n.self()) {
 		if e.ID == m.Holder.Entry {
 			continue
 		}
@@ -68,9 +68,9 @@
 			ctx, cancel := context.WithTimeout(n.ctx, announceTimeout)
 			defer cancel()
 			var ok bool
-			if err := n.peers.Call(ctx, e.Peers, opHolder, m, &ok); err != nil {
+			if err := n.peers.Call(ctx, e.PeerAddr, opHolder, m, &ok); err != nil {
 				n.log.Info("holder_not_told", zap.String("entry", string(e.ID)), cflog.Error(err))
-				n.noteRefused(e.Peers, err)
+				n.noteRefused(e.PeerAddr, err)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 // coordinator has adopted.
 func (n *Node) noteRefused(peers string, err error) {
 	if errors.Is(err, cf.ErrNoProcess) {
-		n.members.Refused(peers)
+		n.members.RemoveRefused(peers)
 	}
 }
 
@@ -112,7 +112,7 @@
 	if len(others) == 0 {
 		return cf.ErrUnavailable
 	}
-	_, err := n.askHolder(ctx, others[rand.IntN(len(others))].Peers)
+	_, err := n.askHolder(ctx, others[rand.IntN(len(others))].PeerAddr)
 	return err
 }
 
@@ -128,13 +128,13 @@
 	n.feed.askedAt.Store(int64(now))
 	holder, _ := n.candidate.holder()
 	self := n.self()
-	scouts := slices.DeleteFunc(slices.Clone(n.members.Scouts(self)), func(e cfmember.Entry) bool { return e.ID == holder.Entry || e.ID == self.ID })
+	scouts := slices.DeleteFunc(slices.Clone(n.members.FallbackWatchers(self)), func(e cfmember.Entry) bool { return e.ID == holder.Entry || e.ID == self.ID })
 	if len(scouts) == 0 {
 		return
 	}
 	e := scouts[rand.IntN(len(scouts))]
 	n.wg.Go(func() {
-		a, err := n.askHolder(n.ctx, e.Peers)
+		a, err := n.askHolder(n.ctx, e.PeerAddr)
 		if err != nil {
 			n.log.Info("outage_not_confirmed", zap.String("entry", string(e.ID)), cflog.Error(err))
 			return
@@ -158,7 +158,7 @@
 	default:
 		return // it has heard nothing either, and does not know
 	}
-	if before := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerShared(before, now) {
+	if before := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerIsRecent(before, now) {
 		n.log.Info(msg, zap.String("entry", string(from)))
 	}
 }
--- a/io/cfnode/candidate.go
+++ b/io/cfnode/candidate.go
@@ -143,7 +143,7 @@
 func (c *candidate) Ordered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lease.Ordered(cf.Uptime())
+	c.lease.RecordOrder(cf.Uptime())
 }
 
 // holder returns the lease as last seen.
@@ -173,7 +173,7 @@
 func (c *candidate) holderDead(h cflease.Holder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lease.HolderDead(h.Term, cf.Uptime())
+	c.lease.HolderExited(h.Term, cf.Uptime())
 }
 
 // read returns the lease as last seen; one that was never seen is read.
@@ -231,7 +231,7 @@
 func (c *candidate) step(ctx context.Context) {
 	now := cf.Uptime()
 	c.mu.Lock()
-	valid, renew, may, rev := c.lease.Valid(now), c.lease.RenewDue(now), c.lease.MayTake(now), c.lease.Rev()
+	valid, renew, may, rev := c.lease.Valid(now), c.lease.RenewDue(now), c.lease.MayAcquire(now), c.lease.Rev()
 	abandoned, named := c.lease.Abandoned(), c.lease.Holder().Successor == c.self
 	c.mu.Unlock()
 	if c.held {
@@ -281,7 +281,7 @@
 func (c *candidate) takeFree(ctx context.Context) {
 	c.probe(ctx)
 	c.mu.Lock()
-	may := c.lease.MayTake(cf.Uptime())
+	may := c.lease.MayAcquire(cf.Uptime())
 	c.mu.Unlock()
 	if may {
 		c.write(ctx)
@@ -339,7 +339,7 @@
 	default:
 		// The watchers log that the store is lost.
 		c.mu.Lock()
-		c.lease.StoreAway(cf.Uptime(), cf.Millis(c.answered.Load()))
+		c.lease.StoreUnreachable(cf.Uptime(), cf.Millis(c.answered.Load()))
 		c.mu.Unlock()
 		return
 	}
@@ -381,13 +381,13 @@
 				case <-ctx.Done():
 				}
 			})
-			next.Reset(cfmember.LeaseReadEvery.Duration())
+			next.Reset(cfmember.LeaseReadInterval.Duration())
 		case a := <-answers:
 			if !errors.Is(a.err, cf.ErrUnavailable) {
 				return a.Record, a.err
 			}
 			if under--; under == 0 {
-				next.Reset((last + cfmember.LeaseReadLeast - cf.Uptime()).Duration())
+				next.Reset((last + cfmember.MinLeaseReadInterval - cf.Uptime()).Duration())
 			}
 		case <-ctx.Done():
 			return cf.Record{}, cf.ErrUnavailable
@@ -424,7 +424,7 @@
 	c.mu.Unlock()
 	var left json.RawMessage
 	if c.held {
-		next.Loads, next.Copies, left = c.state()
+		next.MaxLoads, next.ReplicaAddr, left = c.state()
 	} else if rev == c.leftRev {
 		left = c.left // it goes on: this instance may be lost before its first renewal
 	}
@@ -474,7 +474,7 @@
 	c.mu.Lock()
 	next, rev := c.lease.Release(successor, cf.Uptime()), c.lease.Rev()
 	c.mu.Unlock()
-	c.log.Info("lease_released", zap.String("successor", string(successor)), zap.Int64("ordered_ago_ms", int64(next.OrderedAgo)))
+	c.log.Info("lease_released", zap.String("successor", string(successor)), zap.Int64("ordered_ago_ms", int64(next.SinceLastOrder)))
 	r, err := c.put(ctx, rev, leaseObject{next, left})
 	if errors.Is(err, cf.ErrConflict) {
 		// A renewal that was under way when run ended has taken effect.
--- a/io/cfnode/config_test.go
+++ b/io/cfnode/config_test.go
@@ -120,7 +120,7 @@
 	f.t.Helper()
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		for _, n := range f.nodes {
-			if n.coord.Load() != nil && cfmember.Strong(n.self().Capacity, n.Live()) {
+			if n.coord.Load() != nil && cfmember.HighCapacity(n.self().Capacity, n.Live()) {
 				f.settled("a strong coordinator", fleetLogs)
 				return
 			}
@@ -181,7 +181,7 @@
 // waiting returns how many instances leave the store alone because it is away.
 func (f *testFleet) waiting() (n int) {
 	for _, node := range f.nodes {
-		if cfmember.AnswerShared(cf.Millis(node.feed.away.Load()), cf.Uptime()) {
+		if cfmember.AnswerIsRecent(cf.Millis(node.feed.away.Load()), cf.Uptime()) {
 			n++
 		}
 	}
@@ -217,9 +217,9 @@
 	const size = 40
 	f := newTestFleet(t, size, 0)
 	f.settled("start", fleetLogs)
-	scouts := len(f.holder().members.Scouts(f.holder().self()))
+	scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
 	for _, n := range f.nodes {
-		for !n.lastWord(cf.Uptime()).Settled(cf.Uptime()) {
+		for !n.lastWord(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -65,7 +65,7 @@
 // heard of.
 func TestDeadInstancesStayForgottenWhenTheDutyReturns(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
-	n.members.Take(cfmember.RosterNews{Whole: true, Entries: []cfmember.Entry{{ID: "dead", Addr: "10.0.0.9:1", Ready: true}}})
+	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: []cfmember.Entry{{ID: "dead", Addr: "10.0.0.9:1", Ready: true}}})
 	names := func() bool {
 		for _, e := range n.Live() {
 			if e.ID == "dead" {
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -66,8 +66,8 @@
 		// Group are the instances that ask this one.
 		Group *cfmember.Group `cbor:"group,omitempty"`
 		// Wall is the instance's time of day, Usage what it has counted.
-		Wall  cf.Millis       `cbor:"wall,omitempty"`
-		Usage *cfusage.Report `cbor:"usage,omitempty"`
+		Wall  cf.Millis            `cbor:"wall,omitempty"`
+		Usage *cfusage.MeterReport `cbor:"usage,omitempty"`
 	}
 
 	// feedAnswer brings an instance up to the view of the coordinator, or of a hub. What
@@ -87,10 +87,10 @@
 		// asks, and that there is no current view until then.
 		Listing bool `cbor:"listing,omitempty"`
 		// Origin identifies whose counts News and Members have.
-		Origin  uint64               `cbor:"origin"`
-		Config  *cfsite.ConfigUpdate `cbor:"config,omitempty"`
-		News    *cfsite.TargetUpdate `cbor:"news,omitempty"`
-		Members *cfmember.RosterNews `cbor:"members,omitempty"`
+		Origin  uint64                 `cbor:"origin"`
+		Config  *cfsite.ConfigUpdate   `cbor:"config,omitempty"`
+		News    *cfsite.TargetUpdate   `cbor:"news,omitempty"`
+		Members *cfmember.RosterUpdate `cbor:"members,omitempty"`
 		// GroupSum is that of the caller's group as it is known here.
 		GroupSum uint64 `cbor:"group_sum,omitempty"`
 		// Quarantine identifies what is known here of requests that crash targets, where
@@ -136,7 +136,7 @@
 }
 
 // fresh says whether the view from the coordinator is current.
-func (f *feed) fresh(now cf.Millis) bool { return cfmember.Fresh(cf.Millis(f.heard.Load()), now) }
+func (f *feed) fresh(now cf.Millis) bool { return cfmember.IsCurrent(cf.Millis(f.heard.Load()), now) }
 
 // view says whether this instance's own watches are current, and by how much the answer is
 // late that would show the next configuration.
@@ -159,7 +159,7 @@
 			return true
 		}
 	}
-	return cfmember.AnswerShared(cf.Millis(n.feed.listing.Load()), now)
+	return cfmember.AnswerIsRecent(cf.Millis(n.feed.listing.Load()), now)
 }
 
 // viewFresh says whether this instance's own watches are current.
@@ -169,26 +169,26 @@
 }
 
 // lastWord returns what this instance has heard from the coordinator.
-func (n *Node) lastWord(now cf.Millis) cfmember.Word {
+func (n *Node) lastWord(now cf.Millis) cfmember.WatchState {
 	f, self := &n.feed, n.self()
 	holder, _ := n.candidate.holder()
 	unread, seen := n.candidate.awaits()
-	return cfmember.Word{
-		Started: n.started, Seen: seen, Heard: cf.Millis(f.heard.Load()), Unsure: cf.Millis(f.unsure.Load()), Away: cf.Millis(f.away.Load()), Denied: cf.Millis(f.denied.Load()), Listing: cf.Millis(f.listing.Load()),
-		Named: holder.Entry != "", Unread: unread, Hubs: len(n.members.Hubs(self, now)) > 0, Behind: f.upstream.Behind(), Scout: n.members.Scout(self),
+	return cfmember.WatchState{
+		StartedAt: n.started, LeaseSeenAt: seen, UpdatedAt: cf.Millis(f.heard.Load()), UncertainAt: cf.Millis(f.unsure.Load()), OutageConfirmedAt: cf.Millis(f.away.Load()), OutageDeniedAt: cf.Millis(f.denied.Load()), ListingAt: cf.Millis(f.listing.Load()),
+		HolderNamed: holder.Entry != "", LeaseUnread: unread, HubsExist: len(n.members.Hubs(self, now)) > 0, BehindHub: f.upstream.UsesHub(), FallbackWatcher: n.members.IsFallbackWatcher(self),
 	}
 }
 
 // leaves is how long this instance leaves the store to the coordinator and the scouts after
 // the last current word.
-func (n *Node) leaves(now cf.Millis) cf.Millis { return n.lastWord(now).Leaves(now) }
+func (n *Node) leaves(now cf.Millis) cf.Millis { return n.lastWord(now).WatchDelay(now) }
 
 // alone says whether this instance must watch the store itself.
-func (n *Node) alone(now cf.Millis) bool { return n.coord.Load() != nil || n.lastWord(now).Alone(now) }
+func (n *Node) alone(now cf.Millis) bool { return n.coord.Load() != nil || n.lastWord(now).IsDue(now) }
 
 // scout says whether this instance looks after the store as soon as the coordinator can't
 // tell how things stand.
-func (n *Node) scout() bool { return n.members.Scout(n.self()) }
+func (n *Node) scout() bool { return n.members.IsFallbackWatcher(n.self()) }
 
 // runFeed asks the coordinator, or a hub, for news until ctx ends.
 func (n *Node) runFeed(ctx context.Context) {
@@ -201,13 +201,13 @@
 			continue
 		}
 		if hub, ok := n.hubToAsk(holder); ok {
-			switch err := n.feedOnce(ctx, hub.Peers, true); {
+			switch err := n.feedOnce(ctx, hub.PeerAddr, true); {
 			case err == nil || ctx.Err() != nil:
 			case errors.Is(err, errNoWord):
 				n.askPast(ctx, holder, hub)
 			default:
 				n.log.Info("hub_lost", zap.String("entry", string(hub.ID)), cflog.Error(err))
-				n.feed.upstream.Lost(hub.ID, cf.Uptime())
+				n.feed.upstream.AvoidHub(hub.ID, cf.Uptime())
 			}
 			continue
 		}
@@ -238,7 +238,7 @@
 }
 
 func (n *Node) feedOnce(ctx context.Context, addr string, hub bool) error {
-	ctx, cancel := context.WithTimeout(ctx, (cfmember.CallWait + cfmember.CallGrace).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (cfmember.PollWait + cfmember.PollGrace).Duration())
 	defer cancel()
 	asked := cf.Uptime()
 	call := n.feedCall(hub, asked)
@@ -258,7 +258,7 @@
 		n.candidate.heard()
 		n.candidate.observe(a.Rev, a.Holder)
 		n.feed.unsure.Store(int64(cf.Uptime()))
-		n.feed.upstream.Named(*a.Hub, cf.Uptime())
+		n.feed.upstream.AssignHub(*a.Hub, cf.Uptime())
 		return nil
 	}
 	n.usage.heard(a, call)
@@ -275,7 +275,7 @@
 	}
 	if hub {
 		n.usage.tellCounted()
-		if !a.Fresh && !a.Unsure && cf.Uptime()-cf.Millis(n.feed.heard.Load()) > cfmember.HubDoubt {
+		if !a.Fresh && !a.Unsure && cf.Uptime()-cf.Millis(n.feed.heard.Load()) > cfmember.HubStaleTimeout {
 			return errNoWord
 		}
 	}
@@ -289,7 +289,7 @@
 	call.Origin, call.News, call.Members = n.feed.origin, n.feed.news, n.feed.membersAt
 	known := n.feed.groupSum
 	n.feed.mu.Unlock()
-	call.Without, call.MembersSum = n.feed.upstream.Without(now), n.members.Sum()
+	call.Without, call.MembersSum = n.feed.upstream.AvoidedHubs(now), n.members.Sum()
 	if !hub {
 		call.Group = n.members.Group(known, now)
 	}
@@ -334,7 +334,7 @@
 	}
 	// The answer shows the view as of its sending. One that took longer than
 	// a call may was held up on the way, or this machine was suspended.
-	if heard-asked > cfmember.CallWait+cfmember.CallGrace {
+	if heard-asked > cfmember.PollWait+cfmember.PollGrace {
 		heard = asked
 	}
 	n.feed.heard.Store(int64(heard - a.Age))
@@ -356,14 +356,14 @@
 
 // takeMembers takes what is told of the instances. A roster that differs afterwards is
 // asked for as a whole.
-func (n *Node) takeMembers(news *cfmember.RosterNews) {
+func (n *Node) takeMembers(news *cfmember.RosterUpdate) {
 	if news == nil {
 		return
 	}
-	same := n.members.Take(*news)
+	same := n.members.Apply(*news)
 	n.feed.mu.Lock()
 	defer n.feed.mu.Unlock()
-	n.feed.membersAt = news.Count
+	n.feed.membersAt = news.Version
 	if !same {
 		n.feed.origin = 0
 	}
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -45,7 +45,7 @@
 // awaitNews holds a call until there is something to tell, for a while.
 func (n *Node) awaitNews(ctx context.Context, call feedCall) error {
 	count, changed := n.site.TargetUpdates()
-	wait := cfmember.CallWait.Duration()
+	wait := cfmember.PollWait.Duration()
 	switch fresh, _ := n.word(cf.Uptime()); {
 	case !fresh:
 		wait = staleWait // nothing can be told yet
@@ -89,11 +89,11 @@
 		a.Unsure = !a.Fresh
 	} else {
 		a.HolderAge = now - cf.Millis(n.candidate.answered.Load())
-		a.Unsure = !a.Fresh && cfmember.AnswerShared(cf.Millis(n.feed.unsure.Load()), now)
+		a.Unsure = !a.Fresh && cfmember.AnswerIsRecent(cf.Millis(n.feed.unsure.Load()), now)
 	}
 	a.Listing = !a.Fresh && n.listing(now)
 	same := call.Origin == n.origin
-	a.Members = n.members.News(same, call.Members, call.MembersSum, n.self(), now)
+	a.Members = n.members.Update(same, call.Members, call.MembersSum, n.self(), now)
 	if !a.Fresh {
 		return a
 	}
@@ -139,13 +139,13 @@
 	now := cf.Uptime()
 	call.Entry.Ready = call.Entry.Ready && !call.Leaving
 	if !holds {
-		n.members.Asked(call.Entry, now)
+		n.members.RecordClient(call.Entry, now)
 		return 0
 	}
 	if call.Wall > 0 {
 		n.clockMu.Lock()
-		n.clocks.Heard(call.Entry.ID, call.Wall, now)
+		n.clocks.Record(call.Entry.ID, call.Wall, now)
 		n.clockMu.Unlock()
 	}
-	return n.members.Heard(call.Entry, call.Group, now)
+	return n.members.RecordReport(call.Entry, call.Group, now)
 }
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -249,7 +249,7 @@
 func (f *testFleet) hub() cf.EntryID {
 	f.t.Helper()
 	for id, n := range f.nodes {
-		if n.members.Asking(cf.Uptime()) > 0 && n.coord.Load() == nil {
+		if n.members.ClientCount(cf.Uptime()) > 0 && n.coord.Load() == nil {
 			return id
 		}
 	}
@@ -302,7 +302,7 @@
 		delay.lease.Store(int64(late))
 		f := newDelayedFleet(t, size, 0, delay)
 		f.settled("start", fleetLogs)
-		scouts := len(f.holder().members.Scouts(f.holder().self()))
+		scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
 		if lists := f.store.lists.Load(); lists > int64(scouts) {
 			t.Errorf("the lease is shown after %s: the targets were listed %d times, by %d instances with %d scouts", late, lists, size, scouts)
 		}
@@ -317,7 +317,7 @@
 	f.settled("start", fleetLogs)
 	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
 	for _, n := range f.nodes {
-		for !n.lastWord(cf.Uptime()).Settled(cf.Uptime()) {
+		for !n.lastWord(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -338,7 +338,7 @@
 	delay.lists.Store(int64(4 * time.Second))
 	f := newDelayedFleet(t, size, 0, delay)
 	f.settled("start", fleetLogs)
-	scouts := len(f.holder().members.Scouts(f.holder().self()))
+	scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
 	if lists := f.store.lists.Load(); lists > int64(scouts) {
 		t.Errorf("the targets were listed %d times, by %d instances with %d scouts", lists, size, scouts)
 	}
--- a/io/cfnode/hub.go
+++ b/io/cfnode/hub.go
@@ -20,10 +20,10 @@
 // false if there is none.
 func (n *Node) hubOf(call feedCall) (cfmember.Entry, bool) {
 	hubs := n.members.Hubs(n.self(), cf.Uptime())
-	if call.Group != nil || cfmember.Listed(hubs, call.Entry.ID) {
+	if call.Group != nil || cfmember.Contains(hubs, call.Entry.ID) {
 		return cfmember.Entry{}, false
 	}
-	choices := cfmember.HubsFor(hubs, call.Entry, func(id cf.EntryID) bool {
+	choices := cfmember.HubCandidates(hubs, call.Entry, func(id cf.EntryID) bool {
 		return id == n.settings.Entry || slices.Contains(call.Without, id)
 	})
 	if len(choices) == 0 {
@@ -35,13 +35,13 @@
 // hubToAsk returns the hub to ask, false if the coordinator is to be asked.
 func (n *Node) hubToAsk(holder cflease.Holder) (cfmember.Entry, bool) {
 	now := cf.Uptime()
-	return n.feed.upstream.Ask(n.members.Hubs(n.self(), now), holder.Entry, n.members.Asking(now) > 0, now)
+	return n.feed.upstream.HubToAsk(n.members.Hubs(n.self(), now), holder.Entry, n.members.ClientCount(now) > 0, now)
 }
 
 // findHub chooses the hub to ask from now on, if there are any.
 func (n *Node) findHub(holder cflease.Holder) {
 	now := cf.Uptime()
-	n.feed.upstream.Find(n.members.Hubs(n.self(), now), holder.Entry, now)
+	n.feed.upstream.ChooseHub(n.members.Hubs(n.self(), now), holder.Entry, now)
 }
 
 func (n *Node) hubChosen(hub cfmember.Entry) {
@@ -50,11 +50,11 @@
 
 // askPast asks the coordinator where a hub has had no current word for a while.
 func (n *Node) askPast(ctx context.Context, holder cflease.Holder, hub cfmember.Entry) {
-	if !n.feed.upstream.Past(hub.ID, cf.Uptime()) {
+	if !n.feed.upstream.BypassHub(hub.ID, cf.Uptime()) {
 		return
 	}
 	if err := n.feedOnce(ctx, holder.Addr, false); err != nil {
 		n.log.Info("hub_kept", zap.String("entry", string(hub.ID)), cflog.Error(err))
-		n.feed.upstream.Stay(hub, cf.Uptime())
+		n.feed.upstream.RestoreHub(hub, cf.Uptime())
 	}
 }
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -107,7 +107,7 @@
 		// autoscale orders engines, nil where that is not asked for.
 		autoscale *autoscale
 		clockMu   sync.Mutex
-		clocks    cfusage.Clocks
+		clocks    cfusage.MedianClock
 		pool      atomic.Pointer[cfrunner.Pool]
 
 		// origin identifies the counts of this process's answers to feed calls.
@@ -159,8 +159,8 @@
 	n.quarantine.guard = n.guard
 	n.candidacy, n.endCandidacy = context.WithCancel(ctx)
 	n.feed.upstream = cfmember.NewUpstream(cfmember.Entry{ID: s.Entry, Domain: s.Domain}, rand.Float64, n.hubChosen)
-	bounds := cflease.DefaultBounds
-	bounds.Handover = s.Bounds.LeaseMs + handoverSlack
+	bounds := cflease.DefaultTiming
+	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverSlack
 	n.candidate = &candidate{
 		self: s.Entry, addr: s.Listen.Peers, store: a.Store, log: log, lease: cflease.New(s.Entry, bounds),
 		word: func() cf.Millis { return cf.Millis(n.feed.heard.Load()) }, acquired: n.beginDuty, lost: n.endDuty,
@@ -263,7 +263,7 @@
 		}
 		var ok bool
 		call, cancel := context.WithTimeout(ctx, successorTime)
-		err := n.peers.Call(call, e.Peers, opAlive, struct{}{}, &ok)
+		err := n.peers.Call(call, e.PeerAddr, opAlive, struct{}{}, &ok)
 		cancel()
 		if err == nil {
 			return e
@@ -280,7 +280,7 @@
 		return
 	}
 	var ok bool
-	if err := n.peers.Call(ctx, successor.Peers, opOffered, struct{}{}, &ok); err != nil {
+	if err := n.peers.Call(ctx, successor.PeerAddr, opOffered, struct{}{}, &ok); err != nil {
 		n.log.Info("successor_not_told", cflog.Error(err)) // it looks at the store by itself
 	}
 }
@@ -290,7 +290,7 @@
 	if n.settings.Policy.DutyAnywhere {
 		return false
 	}
-	return !cfmember.Strong(n.settings.Machine.Capacity(), n.members.Live(n.self(), cf.Uptime()))
+	return !cfmember.HighCapacity(n.settings.Machine.Capacity(), n.members.Live(n.self(), cf.Uptime()))
 }
 
 const (
@@ -299,7 +299,7 @@
 	// else some tenths of a second of each step, and the weights wait 3 s.
 	// Before the first of them has passed, instances count as alive by the
 	// word of the holder before alone.
-	keepIdle           = cfmember.Silence + 500
+	keepIdle           = cfmember.ReportTimeout + 500
 	keepBusy cf.Millis = 10000
 	// handoverTimeout bounds the release to a better holder.
 	handoverTimeout = 2 * time.Second
@@ -313,7 +313,7 @@
 		return
 	}
 	successor := n.successor()
-	if successor.ID == "" || cfmember.Strong(n.settings.Machine.Capacity(), []cfmember.Entry{successor}) {
+	if successor.ID == "" || cfmember.HighCapacity(n.settings.Machine.Capacity(), []cfmember.Entry{successor}) {
 		return
 	}
 	n.log.Info("duty_handed_over", zap.String("to", string(successor.ID)), zap.Float64("capacity", n.settings.Machine.Capacity()),
@@ -342,7 +342,7 @@
 // self describes this instance to the coordinator.
 func (n *Node) self() cfmember.Entry {
 	return cfmember.Entry{
-		ID: n.settings.Entry, Addr: n.settings.Listen.Callers, Peers: n.settings.Listen.Peers, Domain: n.settings.Domain, Ready: n.ingress.Ready(),
+		ID: n.settings.Entry, Addr: n.settings.Listen.Callers, PeerAddr: n.settings.Listen.Peers, Domain: n.settings.Domain, Ready: n.ingress.Ready(),
 		Age: cf.Uptime() - n.started, Capacity: n.settings.Machine.Capacity(),
 	}
 }
@@ -366,19 +366,19 @@
 // successor returns the instance that should take the duty over, other than those
 // left out.
 func (n *Node) successor(without ...cf.EntryID) cfmember.Entry {
-	fresh := slices.DeleteFunc(n.members.Fresh(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(without, e.ID) })
+	fresh := slices.DeleteFunc(n.members.LiveWithAges(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(without, e.ID) })
 	e, _ := cfmember.Successor(fresh, n.settings.Entry)
 	return e
 }
 
 func (n *Node) beginDuty(before cflease.Holder, left json.RawMessage) {
-	members := n.members.Keep(cf.Uptime())
+	members := n.members.StartCoordinating(cf.Uptime())
 	pool := n.newPool()
 	n.pool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, Streams: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
 		Duty: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), Neighbour: neighbour{n}, Metrics: n.metrics, Log: n.log,
-		Pages: n.pages, Loads: before.Loads, Succeeds: before.Entry != "", Policy: n.settings.Policy.Policy,
+		Pages: n.pages, Loads: before.MaxLoads, Succeeds: before.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
@@ -424,7 +424,7 @@
 		pool := n.pool.Swap(nil)
 		pool.Hurry()
 		defer func() { _ = pool.Close() }()
-		n.members.Leave(n.self(), cf.Uptime())
+		n.members.StopCoordinating(n.self(), cf.Uptime())
 		_ = c.Close()
 		n.texts.Store(&keptTexts{pool.Term, c.Texts()})
 	}
@@ -475,8 +475,8 @@
 // logWatch tells why this instance begins or ends to watch the store itself.
 func (n *Node) logWatch(msg string, now cf.Millis) {
 	w := n.lastWord(now)
-	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", w.Scout), zap.Bool("behind_hub", w.Behind), zap.Bool("holder_named", w.Named),
-		ageField("word_age_ms", w.Heard, now), ageField("unsure_age_ms", w.Unsure, now), ageField("away_age_ms", w.Away, now),
+	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", w.FallbackWatcher), zap.Bool("behind_hub", w.BehindHub), zap.Bool("holder_named", w.HolderNamed),
+		ageField("word_age_ms", w.UpdatedAt, now), ageField("unsure_age_ms", w.UncertainAt, now), ageField("away_age_ms", w.OutageConfirmedAt, now),
 		zap.Int64("config_age_ms", int64(n.belief().Age)))
 }
 
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -163,9 +163,9 @@
 	if holder, _ := q.node.candidate.holder(); holder.Entry != "" && holder.Entry != q.node.settings.Entry {
 		out = append(out, holder.Addr)
 	}
-	for _, e := range cfmember.Ring(q.node.Live(), q.node.self()) {
-		if !slices.Contains(out, e.Peers) {
-			out = append(out, e.Peers)
+	for _, e := range cfmember.GossipPeers(q.node.Live(), q.node.self()) {
+		if !slices.Contains(out, e.PeerAddr) {
+			out = append(out, e.PeerAddr)
 		}
 	}
 	return out
@@ -202,7 +202,7 @@
 	for _, e := range others {
 		q.node.wg.Go(func() {
 			var reached bool
-			err := q.node.peers.Call(ctx, e.Peers, opReach, target, &reached)
+			err := q.node.peers.Call(ctx, e.PeerAddr, opReach, target, &reached)
 			answers <- err == nil && reached
 		})
 	}
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -97,12 +97,12 @@
 	for _, e := range live {
 		switch {
 		case e.ID == n.settings.Entry:
-		case e.Domain == n.settings.Domain && cfmember.Strong(e.Capacity, live):
-			near = append([]string{e.Peers}, near...)
+		case e.Domain == n.settings.Domain && cfmember.HighCapacity(e.Capacity, live):
+			near = append([]string{e.PeerAddr}, near...)
 		case e.Domain == n.settings.Domain:
-			near = append(near, e.Peers)
+			near = append(near, e.PeerAddr)
 		default:
-			far = append(far, e.Peers)
+			far = append(far, e.PeerAddr)
 		}
 	}
 	var paths []string
--- a/io/cfnode/scout_test.go
+++ b/io/cfnode/scout_test.go
@@ -68,7 +68,7 @@
 			n := newTestNode(t, store)
 			now := cf.Uptime()
 			n.started = now - 60_000
-			n.members.Take(cfmember.RosterNews{Whole: true, Entries: c.members})
+			n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: c.members})
 			n.feed.heard.Store(int64(now - c.silent))
 			if c.unsure {
 				n.feed.unsure.Store(int64(now))
@@ -131,7 +131,7 @@
 	for i := range 120 {
 		entries = append(entries, cfmember.Entry{ID: cf.EntryID(fmt.Sprint("weak-", i)), Capacity: 0.2})
 	}
-	n.members.Take(cfmember.RosterNews{Whole: true, Entries: entries})
+	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: entries})
 	n.candidate.observe(5, cflease.Holder{Entry: "weak-0", Term: 1})
 	now := cf.Uptime()
 	n.started = now - 60_000
@@ -233,9 +233,9 @@
 	n := newTestNode(t, cfstandin.NewMemStore())
 	var members []cfmember.Entry
 	for i := range others {
-		members = append(members, cfmember.Entry{ID: cf.EntryID(fmt.Sprint("strong-", i)), Capacity: 9, Peers: addr})
+		members = append(members, cfmember.Entry{ID: cf.EntryID(fmt.Sprint("strong-", i)), Capacity: 9, PeerAddr: addr})
 	}
-	n.members.Take(cfmember.RosterNews{Whole: true, Entries: members})
+	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: members})
 	n.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: "127.0.0.1:1"})
 	return n
 }
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -85,7 +85,7 @@
 // Choose implements cfcoord.Neighbour: an instance of the same failure domain where
 // there is one that can carry it, since traffic within it costs nothing.
 func (b neighbour) Choose(avoid string) string {
-	addr := cfmember.Neighbour(b.n.Live(), b.n.self(), avoid).Peers
+	addr := cfmember.TextReplica(b.n.Live(), b.n.self(), avoid).PeerAddr
 	b.n.mirrors.mu.Lock()
 	defer b.n.mirrors.mu.Unlock()
 	b.n.mirrors.at = addr
@@ -160,12 +160,12 @@
 	if before.Entry != "" && before.Entry != n.settings.Entry {
 		addrs[before.Addr] = true
 	}
-	if before.Copies != "" && before.Copies != n.settings.Listen.Peers {
-		addrs[before.Copies] = true
+	if before.ReplicaAddr != "" && before.ReplicaAddr != n.settings.Listen.Peers {
+		addrs[before.ReplicaAddr] = true
 	}
-	for _, e := range cfmember.Keepers(members, n.members.Hubs(n.self(), cf.Uptime())) {
+	for _, e := range cfmember.PossibleTextReplicas(members, n.members.Hubs(n.self(), cf.Uptime())) {
 		if e.ID != n.settings.Entry {
-			addrs[e.Peers] = true
+			addrs[e.PeerAddr] = true
 		}
 	}
 	term, _ := n.candidate.MayOrder()
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -63,13 +63,13 @@
 	}
 	holder.mirrors.held.Take(part)
 
-	members := []cfmember.Entry{{ID: "b", Peers: ln.Addr().String()}}
+	members := []cfmember.Entry{{ID: "b", PeerAddr: ln.Addr().String()}}
 	got := successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1"}, members)
 	if len(got) != texts {
 		t.Errorf("%d of %d texts were gathered", len(got), texts)
 	}
 	// One that was cut off until now knows nobody but what the lease says.
-	got = successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1", Copies: ln.Addr().String()}, nil)
+	got = successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1", ReplicaAddr: ln.Addr().String()}, nil)
 	if len(got) != texts {
 		t.Errorf("%d of %d texts were gathered by the lease alone", len(got), texts)
 	}
@@ -95,8 +95,8 @@
 	}
 	t.Cleanup(func() { _ = silent.Close() })
 	now := cf.Uptime()
-	n.members.Heard(cfmember.Entry{ID: "cut", Peers: silent.Addr().String(), Ready: true, Age: 1000}, nil, now)
-	n.members.Heard(cfmember.Entry{ID: "old", Peers: ln.Addr().String(), Ready: true, Age: 60000}, nil, now)
+	n.members.RecordReport(cfmember.Entry{ID: "cut", PeerAddr: silent.Addr().String(), Ready: true, Age: 1000}, nil, now)
+	n.members.RecordReport(cfmember.Entry{ID: "old", PeerAddr: ln.Addr().String(), Ready: true, Age: 60000}, nil, now)
 	if e := n.successor(); e.ID != "cut" {
 		t.Fatalf("the youngest is %q", e.ID)
 	}
@@ -120,8 +120,8 @@
 	successor := newTestNode(t, store)
 	successor.candidate.probe(ctx)
 	before, _ := successor.candidate.holder()
-	if before.Loads != 9 || before.Copies != "10.0.0.7:1" {
-		t.Fatalf("the lease says %d loads, copies at %q", before.Loads, before.Copies)
+	if before.MaxLoads != 9 || before.ReplicaAddr != "10.0.0.7:1" {
+		t.Fatalf("the lease says %d loads, copies at %q", before.MaxLoads, before.ReplicaAddr)
 	}
 	successor.beginDuty(before, nil)
 	if loads, _, _ := successor.dutyState(); loads != 9 {
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -105,8 +105,8 @@
 
 // usageMessage tells the holder of a term what an instance has counted.
 type usageMessage struct {
-	Term   cf.Revision    `cbor:"term"`
-	Report cfusage.Report `cbor:"report"`
+	Term   cf.Revision         `cbor:"term"`
+	Report cfusage.MeterReport `cbor:"report"`
 }
 
 func (u *usage) serve(_ context.Context, m usageMessage) (any, error) {
@@ -119,7 +119,7 @@
 }
 
 // report returns what goes with a report of life to the holder of a term.
-func (u *usage) report(term cf.Revision) *cfusage.Report {
+func (u *usage) report(term cf.Revision) *cfusage.MeterReport {
 	if u == nil {
 		return nil
 	}
@@ -128,7 +128,7 @@
 }
 
 // hear takes what came with an instance's report of life.
-func (u *usage) hear(r *cfusage.Report) (taken bool, settled cf.UsageWindow) {
+func (u *usage) hear(r *cfusage.MeterReport) (taken bool, settled cf.UsageWindow) {
 	if u == nil || r == nil {
 		return false, 0
 	}
@@ -145,7 +145,7 @@
 		return
 	}
 	if a.Wall > 0 {
-		u.clock.Told(a.Wall, cf.Now(), cf.Uptime())
+		u.clock.Adjust(a.Wall, cf.Now(), cf.Uptime())
 	}
 	u.meter.Settle(a.UsageSettled)
 	if call.Usage != nil && a.Holder.Term == call.Term { // another holder may lack what this one had
@@ -166,14 +166,14 @@
 	defer n.clockMu.Unlock()
 	wall, uptime := cf.Now(), cf.Uptime()
 	now := n.clocks.Now(wall, uptime)
-	n.usage.clock.Told(now, wall, uptime)
+	n.usage.clock.Adjust(now, wall, uptime)
 	return now
 }
 
 // took notes that the holder of a term has taken a report.
-func (u *usage) took(term cf.Revision, r cfusage.Report, taken bool) {
+func (u *usage) took(term cf.Revision, r cfusage.MeterReport, taken bool) {
 	if taken {
-		u.meter.Taken(term, r)
+		u.meter.Acknowledge(term, r)
 	}
 }
 
@@ -189,10 +189,10 @@
 	s := n.settings.Usage
 	d := cfmeter.New(cfmeter.Options{
 		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
-		Terms: cfusage.Terms{Length: s.length(), Wait: max(s.late()-usageReserve, 0), Retry: usageRetry},
+		Terms: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageReserve, 0), RetryDelay: usageRetry},
 		// A holder before may have called until its lease ran out.
 		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= from },
-		Now:    u.now, Own: func(term cf.Revision) cfusage.Report { return u.own(term) }, Settled: u.meter.Settle, Expect: expect, Base: base,
+		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.own(term) }, Settled: u.meter.Settle, Expect: expect, Base: base,
 		Metrics: u.metrics, Log: n.log,
 	})
 	u.duty.Store(d)
@@ -237,9 +237,9 @@
 }
 
 // own hands this instance's counts to its own duty.
-func (u *usage) own(term cf.Revision) cfusage.Report {
+func (u *usage) own(term cf.Revision) cfusage.MeterReport {
 	r := u.meter.Report(term, u.now())
-	u.meter.Taken(term, r)
+	u.meter.Acknowledge(term, r)
 	return r
 }
 
--- a/io/cfrunner/assign.go
+++ b/io/cfrunner/assign.go
@@ -90,9 +90,9 @@
 // divide gives engines to the first instances, in the order of their weight, that
 // can carry them together.
 func (p Plan) divide(engines []cf.Target, perSlot float64, members []cfmember.Entry, before Plan) {
-	order, strongest := slices.Clone(members), cfmember.Strongest(members)
+	order, strongest := slices.Clone(members), cfmember.MaxCapacity(members)
 	slices.SortFunc(order, func(a, b cfmember.Entry) int {
-		strongA, strongB := cfmember.StrongOf(a.Capacity, strongest), cfmember.StrongOf(b.Capacity, strongest)
+		strongA, strongB := cfmember.NearMax(a.Capacity, strongest), cfmember.NearMax(b.Capacity, strongest)
 		if strongA != strongB {
 			if strongA {
 				return -1
--- a/io/cfrunner/cfrunner_test.go
+++ b/io/cfrunner/cfrunner_test.go
@@ -149,7 +149,7 @@
 	p := NewPool(Options{
 		Self: cfmember.Entry{ID: "self", Capacity: 0.001}, Term: 5, Local: targets, Peers: w, Log: zap.NewNop(),
 		Members: func() []cfmember.Entry {
-			return []cfmember.Entry{{ID: "self", Capacity: 0.001}, {ID: "host", Peers: "host", Capacity: 0.1}}
+			return []cfmember.Entry{{ID: "self", Capacity: 0.001}, {ID: "host", PeerAddr: "host", Capacity: 0.1}}
 		},
 	})
 	t.Cleanup(func() { _ = p.Close() })
--- a/io/cfrunner/link.go
+++ b/io/cfrunner/link.go
@@ -68,7 +68,7 @@
 )
 
 func newLink(p *Pool, e cfmember.Entry) *link {
-	return &link{pool: p, id: e.ID, addr: e.Peers, kick: make(chan struct{}, 1), runs: map[RunID]*run{}, used: cf.Uptime()}
+	return &link{pool: p, id: e.ID, addr: e.PeerAddr, kick: make(chan struct{}, 1), runs: map[RunID]*run{}, used: cf.Uptime()}
 }
 
 func (l *link) isOver() bool {
