--- a/core/cfscale/need.go
+++ b/core/cfscale/need.go
@@ -74,7 +74,7 @@
 		// The need counted from the acceptance of the step, and from now for the remaining work: a
 		// step that is behind schedule needs more engines than it did at first.
 		fromStart := s.Events * d.Pace / max(dueShare*due-longest, minRunShare*due)
-		fromNow := s.Left * d.Pace / max(dueShare*due-float64(s.Age), minRunShare*due)
+		fromNow := s.Remaining * d.Pace / max(dueShare*due-float64(s.Age), minRunShare*due)
 		minimum := s.Events * d.Pace / max(dueShare*due-longest/2, minRunShare*due)
 		n.engines += max(fromStart, fromNow) / perEngine
 		n.minEngines += max(minimum, fromNow) / perEngine
--- a/core/cfscale/replay_test.go
+++ b/core/cfscale/replay_test.go
@@ -216,7 +216,7 @@
 		o.Batch, o.Model, o.Groups, o.Waiting = s.id, cf.ModelName(fmt.Sprint(s.trainer)), s.target-s.complete, len(s.waiting)
 		for _, it := range slices.Concat(s.waiting, running[s]) {
 			o.Events += it.estimate
-			o.Left += max(it.estimate-(it.events-it.left), (it.events-it.left)/2)
+			o.Remaining += max(it.estimate-(it.events-it.left), (it.events-it.left)/2)
 			o.Longest = max(o.Longest, it.estimate)
 		}
 		d.OpenSteps = append(d.OpenSteps, o)
