--- a/core/cfscale/cfscale.go
+++ b/core/cfscale/cfscale.go
@@ -134,7 +134,8 @@
 		// WorstStep is the longest duration of a recent step, as a fraction of the time that it
 		// had.
 		WorstStep float64
-		Desired   int
+		// Desired is how many engines there should be.
+		Desired int
 		// Serving counts the engines in service, and Booting those that were ordered and are not in
 		// service yet.
 		Serving, Booting int
--- a/core/cfscale/keeper.go
+++ b/core/cfscale/keeper.go
@@ -30,8 +30,8 @@
 	maxOrderDelay cf.Millis = 6_000
 )
 
-// mixedCounts is used where unconfirmed orders have different or unknown counts. It equals the
-// count of no order.
+// mixedCounts stands for unconfirmed orders with different or unknown counts. No order has this
+// count.
 const mixedCounts = -1
 
 type (
