--- a/core/cflease/lease.go
+++ b/core/cflease/lease.go
@@ -68,19 +68,19 @@
 	// concurrent use.
 	Lease struct {
 		self   cf.EntryID
-		bounds Timing
-
-		rev    cf.Revision
-		holder Holder
-		dead   bool // the holder's process has ended, as seen at deadAt
-		deadAt cf.Millis
-		seenAt cf.Millis
-		held   bool
-		sentAt cf.Millis
-		// orderAt is when this instance may order; orderedAt is the latest
+		timing Timing
+
+		rev      cf.Revision
+		holder   Holder
+		exited   bool // the holder's process has ended, as seen at deadAt
+		exitedAt cf.Millis
+		seenAt   cf.Millis
+		held     bool
+		sentAt   cf.Millis
+		// mayOrderFrom is when this instance may order; orderedAt is the latest
 		// moment at which it or a holder before it may have ordered.
-		orderAt   cf.Millis
-		orderedAt cf.Millis
+		mayOrderFrom cf.Millis
+		lastOrderAt  cf.Millis
 	}
 )
 
@@ -90,8 +90,8 @@
 var DefaultTiming = Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3000}
 
 // New returns the view of a candidate that has seen nothing.
-func New(self cf.EntryID, bounds Timing) *Lease {
-	return &Lease{self: self, bounds: bounds}
+func New(self cf.EntryID, timing Timing) *Lease {
+	return &Lease{self: self, timing: timing}
 }
 
 // Observe takes the lease's object as read from the store at now.
@@ -99,7 +99,7 @@
 	if rev <= l.rev {
 		return
 	}
-	l.rev, l.holder, l.seenAt, l.dead = rev, h, now, false
+	l.rev, l.holder, l.seenAt, l.exited = rev, h, now, false
 	if h.Entry != l.self {
 		l.held = false
 	}
@@ -109,13 +109,13 @@
 // machine refuses connections. It acts no more, so the lease need not run
 // out; the handover is still waited for.
 func (l *Lease) HolderExited(term cf.Revision, now cf.Millis) {
-	if l.holder.Term == term && !l.held && !l.dead {
-		l.dead, l.deadAt = true, now
+	if l.holder.Term == term && !l.held && !l.exited {
+		l.exited, l.exitedAt = true, now
 	}
 }
 
 // Abandoned says whether the holder is known to have stopped.
-func (l *Lease) Abandoned() bool { return l.dead || l.holder.Released }
+func (l *Lease) Abandoned() bool { return l.exited || l.holder.Released }
 
 // MayAcquire says whether a conditional write at Rev may take the lease: there
 // is no holder, its time has passed, or it was this instance before a
@@ -125,15 +125,15 @@
 		return false
 	}
 	h := l.holder
-	if h.Released && h.Successor != "" && h.Successor != l.self && now-l.seenAt < successorTime {
+	if h.Released && h.Successor != "" && h.Successor != l.self && now-l.seenAt < successorPriority {
 		return false
 	}
-	return h.Entry == "" || h.Entry == l.self || l.Abandoned() || now-l.seenAt >= l.bounds.TakeoverDelay
+	return h.Entry == "" || h.Entry == l.self || l.Abandoned() || now-l.seenAt >= l.timing.TakeoverDelay
 }
 
-// successorTime is how long a named successor has before any other instance may
+// successorPriority is how long a named successor has before any other instance may
 // take a released lease: two of its looks at the store.
-const successorTime cf.Millis = 700
+const successorPriority cf.Millis = 700
 
 // Rev is the revision on which the next write must be conditional; zero
 // means that the object must be created.
@@ -150,7 +150,7 @@
 		// its number must still grow beyond that of orders it sent before.
 		h.Term = l.rev + 1
 		h.Ordering = h.Ordering && h.Entry == l.self
-	} else if now >= l.orderAt {
+	} else if now >= l.mayOrderFrom {
 		h.Ordering = true
 	}
 	h.Entry, h.Addr, h.Released, h.Successor, h.SinceLastOrder = l.self, addr, false, "", 0
@@ -164,28 +164,28 @@
 		return
 	}
 	if !l.held {
-		l.orderedAt = l.lastOrder(now)
-		l.orderAt = l.orderedAt + l.bounds.HandoverDelay
+		l.lastOrderAt = l.latestPriorOrder(now)
+		l.mayOrderFrom = l.lastOrderAt + l.timing.HandoverDelay
 		if h.Ordering || l.holder.Entry == "" {
-			l.orderAt, l.orderedAt = now, now
+			l.mayOrderFrom, l.lastOrderAt = now, now
 		}
 	}
-	l.rev, l.holder, l.seenAt, l.dead = rev, h, now, false
+	l.rev, l.holder, l.seenAt, l.exited = rev, h, now, false
 	l.held, l.sentAt = true, sentAt
 }
 
-// lastOrder returns the latest moment at which a holder before may have given an
+// latestPriorOrder returns the latest moment at which a holder before may have given an
 // order, for an instance that has just replaced it on condition of the revision
 // last seen: none was written since. Until the handover has passed from then on
 // no engine follows a new version.
-func (l *Lease) lastOrder(now cf.Millis) cf.Millis {
+func (l *Lease) latestPriorOrder(now cf.Millis) cf.Millis {
 	switch {
 	case l.holder.Released:
-		return now - min(l.holder.SinceLastOrder, l.bounds.HandoverDelay)
-	case l.dead:
-		return min(l.deadAt, now) // its process had ended
+		return now - min(l.holder.SinceLastOrder, l.timing.HandoverDelay)
+	case l.exited:
+		return min(l.exitedAt, now) // its process had ended
 	default:
-		return min(l.seenAt+l.bounds.TakeoverDelay, now) // its last renewal was over
+		return min(l.seenAt+l.timing.TakeoverDelay, now) // its last renewal was over
 	}
 }
 
@@ -198,44 +198,44 @@
 // answered its peers at heard. One that answers has not stopped, it can't renew,
 // and gets the whole takeover time once the store is back. One that is silent may
 // be gone, and is replaced as soon as the store is back.
-func (l *Lease) StoreUnreachable(now, heard cf.Millis) {
-	if now-heard < holderSilence {
+func (l *Lease) StoreUnreachable(now, answeredAt cf.Millis) {
+	if now-answeredAt < holderAnswerTimeout {
 		l.seenAt = now
 	}
 }
 
-// holderSilence is how long a holder may not answer its peers before an outage
+// holderAnswerTimeout is how long a holder may not answer its peers before an outage
 // of the store is no excuse for it: two of their calls.
-const holderSilence cf.Millis = 1500
+const holderAnswerTimeout cf.Millis = 1500
 
 // Lost records that another holds the lease or that it can't be told.
 func (l *Lease) Lost() { l.held = false }
 
 // Valid says whether this instance may act as the holder at now.
 func (l *Lease) Valid(now cf.Millis) bool {
-	return l.held && now-l.sentAt < l.bounds.Validity
+	return l.held && now-l.sentAt < l.timing.Validity
 }
 
 // MayOrder says whether this instance may give orders to targets at now.
 func (l *Lease) MayOrder(now cf.Millis) bool {
-	return l.Valid(now) && now >= l.orderAt
+	return l.Valid(now) && now >= l.mayOrderFrom
 }
 
 // RecordOrder records that an order is given, or has just been answered, at now.
-func (l *Lease) RecordOrder(now cf.Millis) { l.orderedAt = max(l.orderedAt, now) }
+func (l *Lease) RecordOrder(now cf.Millis) { l.lastOrderAt = max(l.lastOrderAt, now) }
 
 // Release returns the object to write to give the lease up at now, to successor
 // where there is one. The holder has ended all its calls.
 func (l *Lease) Release(successor cf.EntryID, now cf.Millis) Holder {
 	h := l.holder
 	h.Released, h.Successor = true, successor
-	h.SinceLastOrder = max(now-l.orderedAt, 0)
+	h.SinceLastOrder = max(now-l.lastOrderAt, 0)
 	return h
 }
 
 // RenewDue says whether the holder should renew at now.
 func (l *Lease) RenewDue(now cf.Millis) bool {
-	return l.held && now-l.sentAt >= l.bounds.RenewInterval
+	return l.held && now-l.sentAt >= l.timing.RenewInterval
 }
 
 // SentAt is when the last renewal that took effect was sent.
--- a/core/cflease/lease_test.go
+++ b/core/cflease/lease_test.go
@@ -8,12 +8,12 @@
 	"currantford/core/cflease"
 )
 
-var bounds = cflease.Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3200}
+var testTiming = cflease.Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3200}
 
 // register is the lease's object: conditional writes, one at a time.
 type register struct {
-	rev cf.Revision
-	h   cflease.Holder
+	rev    cf.Revision
+	holder cflease.Holder
 }
 
 // write writes h on condition of rev, and returns whether it took effect.
@@ -22,12 +22,12 @@
 		return false
 	}
 	r.rev += 3 // other objects change too
-	r.h = h
+	r.holder = h
 	return true
 }
 
-// take tries to take or renew the lease at now.
-func take(r *register, l *cflease.Lease, now cf.Millis) bool {
+// acquire tries to take or renew the lease at now.
+func acquire(r *register, l *cflease.Lease, now cf.Millis) bool {
 	next := l.Next("addr", now)
 	if !r.write(l.Rev(), next) {
 		return false
@@ -36,10 +36,10 @@
 	return true
 }
 
-func TestFirstHolderOrdersAtOnce(t *testing.T) {
+func TestFirstHolderMayOrderImmediately(t *testing.T) {
 	r := &register{}
-	l := cflease.New("a", bounds)
-	if !take(r, l, 0) || !l.MayOrder(0) || l.Term() == 0 {
+	l := cflease.New("a", testTiming)
+	if !acquire(r, l, 0) || !l.MayOrder(0) || l.Term() == 0 {
 		t.Errorf("first holder: may order %v, term %d", l.MayOrder(0), l.Term())
 	}
 }
@@ -47,17 +47,17 @@
 // Symptom: two holders' orders reach one target within the time that must lie
 // between them.
 // Sequence: a holder is frozen; another takes over; the first wakes up.
-func TestFrozenHolderIsOverBeforeItsSuccessorOrders(t *testing.T) {
+func TestSuspendedHolderExpiresBeforeSuccessorOrders(t *testing.T) {
 	r := &register{}
-	a, b := cflease.New("a", bounds), cflease.New("b", bounds)
-	take(r, a, 0)
-	b.Observe(r.rev, r.h, 100)
+	a, b := cflease.New("a", testTiming), cflease.New("b", testTiming)
+	acquire(r, a, 0)
+	b.Observe(r.rev, r.holder, 100)
 	for now := cf.Millis(100); now < 2300; now += 100 {
 		if b.MayAcquire(now) {
 			t.Fatalf("taken at %d, while the holder may believe itself valid until 1800", now)
 		}
 	}
-	if !b.MayAcquire(2300) || !take(r, b, 2300) {
+	if !b.MayAcquire(2300) || !acquire(r, b, 2300) {
 		t.Fatal("not taken after the takeover's time")
 	}
 	last := cf.Millis(0)
@@ -76,25 +76,25 @@
 
 // A holder that restarts is the same holder to targets: it goes on at once,
 // with a higher number, unless it had to wait itself.
-func TestRestartedHolderGoesOn(t *testing.T) {
+func TestRestartedHolderContinues(t *testing.T) {
 	r := &register{}
-	a := cflease.New("a", bounds)
-	take(r, a, 0)
-	take(r, a, 700) // from now on the object says that it orders
-	again := cflease.New("a", bounds)
-	again.Observe(r.rev, r.h, 900)
-	if !again.MayAcquire(900) || !take(r, again, 900) || !again.MayOrder(900) {
+	a := cflease.New("a", testTiming)
+	acquire(r, a, 0)
+	acquire(r, a, 700) // from now on the object says that it orders
+	again := cflease.New("a", testTiming)
+	again.Observe(r.rev, r.holder, 900)
+	if !again.MayAcquire(900) || !acquire(r, again, 900) || !again.MayOrder(900) {
 		t.Error("a restarted holder does not go on")
 	}
 	if again.Term() <= a.Term() {
 		t.Errorf("term %d after %d", again.Term(), a.Term())
 	}
-	b := cflease.New("b", bounds)
-	b.Observe(r.rev, r.h, 900)
-	take(r, b, 3200)
-	restarted := cflease.New("b", bounds)
-	restarted.Observe(r.rev, r.h, 3500)
-	if take(r, restarted, 3500); restarted.MayOrder(3500) {
+	b := cflease.New("b", testTiming)
+	b.Observe(r.rev, r.holder, 900)
+	acquire(r, b, 3200)
+	restarted := cflease.New("b", testTiming)
+	restarted.Observe(r.rev, r.holder, 3500)
+	if acquire(r, restarted, 3500); restarted.MayOrder(3500) {
 		t.Error("a restart cut the handover short")
 	}
 }
@@ -103,43 +103,43 @@
 // acts on after its time.
 // Sequence: the renewal's answer is lost; the object shows it at the next
 // write.
-func TestRenewalWithoutAnswer(t *testing.T) {
+func TestRenewalWithLostResponse(t *testing.T) {
 	r := &register{}
-	a := cflease.New("a", bounds)
-	take(r, a, 0)
+	a := cflease.New("a", testTiming)
+	acquire(r, a, 0)
 	r.write(a.Rev(), a.Next("addr", 700)) // its answer is lost
 	if a.Valid(1800) {
 		t.Error("valid without an answer for longer than its validity")
 	}
-	a.Observe(r.rev, r.h, 1000)
+	a.Observe(r.rev, r.holder, 1000)
 	if !a.Valid(1000) || !a.RenewDue(1000) {
 		t.Error("its own renewal is taken for another's")
 	}
-	if !take(r, a, 1000) || !a.Valid(2700) {
+	if !acquire(r, a, 1000) || !a.Valid(2700) {
 		t.Error("can't renew on its own renewal")
 	}
 }
 
-func TestStoppedHoldersAreReplacedAtOnce(t *testing.T) {
+func TestStoppedHolderIsReplacedImmediately(t *testing.T) {
 	r := &register{}
-	a, b := cflease.New("a", bounds), cflease.New("b", bounds)
-	take(r, a, 0)
-	b.Observe(r.rev, r.h, 10)
-	b.HolderExited(r.h.Term+1, 15) // another holder's
+	a, b := cflease.New("a", testTiming), cflease.New("b", testTiming)
+	acquire(r, a, 0)
+	b.Observe(r.rev, r.holder, 10)
+	b.HolderExited(r.holder.Term+1, 15) // another holder's
 	if b.MayAcquire(20) {
 		t.Error("taken on word of another holder's end")
 	}
-	b.HolderExited(r.h.Term, 20)
-	if !b.MayAcquire(20) || !take(r, b, 20) {
+	b.HolderExited(r.holder.Term, 20)
+	if !b.MayAcquire(20) || !acquire(r, b, 20) {
 		t.Error("not taken though the holder's process has ended")
 	}
 	if b.MayOrder(3000) {
 		t.Error("orders before the handover")
 	}
-	released := r.h
+	released := r.holder
 	released.Released = true
 	r.write(r.rev, released)
-	a.Observe(r.rev, r.h, 30)
+	a.Observe(r.rev, r.holder, 30)
 	if !a.MayAcquire(30) {
 		t.Error("not taken though it was released")
 	}
@@ -166,10 +166,10 @@
 	}
 }
 
-type late struct {
-	rev cf.Revision
-	h   cflease.Holder
-	at  cf.Millis
+type lateWrite struct {
+	rev    cf.Revision
+	holder cflease.Holder
+	at     cf.Millis
 }
 
 type order struct {
@@ -183,31 +183,31 @@
 func runSchedule(t *testing.T, steps []byte) {
 	r := &register{}
 	ids := []cf.EntryID{"a", "b"}
-	candidates := []*cflease.Lease{cflease.New("a", bounds), cflease.New("b", bounds)}
-	var writes []late
+	candidates := []*cflease.Lease{cflease.New("a", testTiming), cflease.New("b", testTiming)}
+	var writes []lateWrite
 	last := map[cf.EntryID]order{}
 	now := cf.Millis(0)
 	for _, s := range steps {
 		now += cf.Millis(s%16) * 90
 		for len(writes) > 0 && writes[0].at <= now {
-			r.write(writes[0].rev, writes[0].h)
+			r.write(writes[0].rev, writes[0].holder)
 			writes = writes[1:]
 		}
 		i := int(s>>4) & 1
 		l := candidates[i]
 		switch s >> 5 {
 		case 0: // a restart
-			candidates[i] = cflease.New(ids[i], bounds)
+			candidates[i] = cflease.New(ids[i], testTiming)
 			continue
 		case 1: // reads
-			l.Observe(r.rev, r.h, now)
+			l.Observe(r.rev, r.holder, now)
 		case 2: // a write whose answer is lost
 			if l.MayAcquire(now) || l.RenewDue(now) {
 				r.write(l.Rev(), l.Next("x", now))
 			}
 		case 3: // a write that takes effect late
 			if l.MayAcquire(now) || l.RenewDue(now) {
-				writes = append(writes, late{l.Rev(), l.Next("x", now), now + 2000})
+				writes = append(writes, lateWrite{l.Rev(), l.Next("x", now), now + 2000})
 			}
 		case 4: // a planned stop, as often as a write would do
 			if l.Held() && s%4 == 0 {
@@ -217,11 +217,11 @@
 			}
 		default:
 			if r.rev > 0 && l.Rev() == 0 {
-				l.Observe(r.rev, r.h, now)
+				l.Observe(r.rev, r.holder, now)
 			}
 			if l.MayAcquire(now) || l.RenewDue(now) {
-				if !take(r, l, now) {
-					l.Observe(r.rev, r.h, now)
+				if !acquire(r, l, now) {
+					l.Observe(r.rev, r.holder, now)
 				}
 			}
 		}
@@ -249,27 +249,27 @@
 // coordinator, and its runs are lost.
 // Sequence: the store goes away for 5 s; the holder answers its peers all the
 // while, or is silent.
-func TestOutageExcusesOnlyAHolderThatAnswers(t *testing.T) {
+func TestStoreOutageExtendsLeaseOnlyOfAnsweringHolder(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers, taken bool
 	}{
 		"answers": {true, false}, "silent": {false, true},
 	} {
 		r := &register{}
-		a, b := cflease.New("a", bounds), cflease.New("b", bounds)
-		take(r, a, 0)
-		b.Observe(r.rev, r.h, 100)
-		heard := cf.Millis(100)
+		a, b := cflease.New("a", testTiming), cflease.New("b", testTiming)
+		acquire(r, a, 0)
+		b.Observe(r.rev, r.holder, 100)
+		answeredAt := cf.Millis(100)
 		for now := cf.Millis(200); now <= 5000; now += 600 {
 			if c.answers {
-				heard = now
+				answeredAt = now
 			}
-			b.StoreUnreachable(now, heard)
+			b.StoreUnreachable(now, answeredAt)
 		}
 		if got := b.MayAcquire(5100); got != c.taken {
 			t.Errorf("%s: may be taken right after the outage: %v", name, got)
 		}
-		if !b.MayAcquire(5000 + bounds.TakeoverDelay + 100) {
+		if !b.MayAcquire(5000 + testTiming.TakeoverDelay + 100) {
 			t.Errorf("%s: not taken after the whole time", name)
 		}
 	}
@@ -277,12 +277,12 @@
 
 // A released lease goes to the successor that it names; if that one does not take
 // it, any other may.
-func TestNamedSuccessorIsWaitedFor(t *testing.T) {
-	l, named := cflease.New("b", cflease.DefaultTiming), cflease.New("c", cflease.DefaultTiming)
+func TestNamedSuccessorHasPriority(t *testing.T) {
+	l, successor := cflease.New("b", cflease.DefaultTiming), cflease.New("c", cflease.DefaultTiming)
 	released := cflease.Holder{Entry: "a", Term: 1, Released: true, Successor: "c"}
 	l.Observe(5, released, 1000)
-	named.Observe(5, released, 1000)
-	if !named.MayAcquire(1000) {
+	successor.Observe(5, released, 1000)
+	if !successor.MayAcquire(1000) {
 		t.Error("the named successor may not take the lease")
 	}
 	if l.MayAcquire(1500) {
@@ -291,7 +291,7 @@
 	if !l.MayAcquire(1800) {
 		t.Error("nobody else may take it once the successor had its time")
 	}
-	if next := named.Next("addr", 1100); next.Successor != "" || next.Released {
+	if next := successor.Next("addr", 1100); next.Successor != "" || next.Released {
 		t.Errorf("the new holder's lease says %+v", next)
 	}
 }
--- a/core/cfmember/hubs.go
+++ b/core/cfmember/hubs.go
@@ -12,8 +12,8 @@
 const (
 	// HubsFrom is from how many instances on there are hubs, where nothing else is set.
 	HubsFrom = 97
-	// perHub is how many instances ask one hub on average.
-	perHub = 48
+	// instancesPerHub is how many instances ask one hub on average.
+	instancesPerHub = 48
 )
 
 // Hubs returns the instances that pass the coordinator's news on to the others of their
@@ -24,18 +24,18 @@
 // second, and all have to hear of a target that drains; a start of all of them, which each
 // are sent the whole view. Hubs ask the coordinator, and the others ask them, so that what
 // the coordinator answers, and what crosses between failure domains, grows with the hubs.
-func Hubs(entries []Entry, from int) []Entry {
-	if len(entries) < from {
+func Hubs(entries []Entry, threshold int) []Entry {
+	if len(entries) < threshold {
 		return nil
 	}
-	domains := map[cf.FailureDomain][]ranked{}
+	domains := map[cf.FailureDomain][]rankedEntry{}
 	for _, e := range entries {
-		domains[e.Domain] = append(domains[e.Domain], rankedOf(e))
+		domains[e.Domain] = append(domains[e.Domain], newRankedEntry(e))
 	}
 	var out []Entry
-	for _, there := range domains {
-		slices.SortFunc(there, earlier)
-		for _, r := range there[:(len(there)+perHub-1)/perHub] {
+	for _, inDomain := range domains {
+		slices.SortFunc(inDomain, compareRank)
+		for _, r := range inDomain[:(len(inDomain)+instancesPerHub-1)/instancesPerHub] {
 			out = append(out, r.Entry)
 		}
 	}
@@ -45,29 +45,29 @@
 // HubCandidates returns those of the hubs that an instance may ask, best first: those of its
 // failure domain in an order of its own, so that the instances spread over them, then those
 // of others. Hubs that it leaves out, among them the coordinator, are not returned.
-func HubCandidates(hubs []Entry, self Entry, without func(cf.EntryID) bool) []Entry {
-	type choice struct {
+func HubCandidates(hubs []Entry, self Entry, excluded func(cf.EntryID) bool) []Entry {
+	type candidate struct {
 		Entry
-		far  bool
-		draw uint64
+		otherDomain bool
+		hash        uint64
 	}
-	var choices []choice
+	var candidates []candidate
 	for _, h := range hubs {
-		if h.ID != self.ID && !without(h.ID) {
-			choices = append(choices, choice{h, h.Domain != self.Domain, pairOf(self.ID, h.ID)})
+		if h.ID != self.ID && !excluded(h.ID) {
+			candidates = append(candidates, candidate{h, h.Domain != self.Domain, hashPair(self.ID, h.ID)})
 		}
 	}
-	slices.SortFunc(choices, func(a, b choice) int {
-		if a.far != b.far {
-			if a.far {
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		if a.otherDomain != b.otherDomain {
+			if a.otherDomain {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.draw, b.draw), strings.Compare(string(a.ID), string(b.ID)))
+		return cmp.Or(cmp.Compare(a.hash, b.hash), strings.Compare(string(a.ID), string(b.ID)))
 	})
-	out := make([]Entry, len(choices))
-	for i, c := range choices {
+	out := make([]Entry, len(candidates))
+	for i, c := range candidates {
 		out[i] = c.Entry
 	}
 	return out
@@ -78,25 +78,25 @@
 	return slices.ContainsFunc(entries, func(e Entry) bool { return e.ID == id })
 }
 
-// ranked is an instance with its place among those that are as strong.
-type ranked struct {
+// rankedEntry is an instance with its place among those that are as strong.
+type rankedEntry struct {
 	Entry
-	draw uint64
+	hash uint64
 }
 
-func rankedOf(e Entry) ranked { return ranked{e, drawOf(e.ID)} }
+func newRankedEntry(e Entry) rankedEntry { return rankedEntry{e, hashID(e.ID)} }
 
-// earlier orders instances by how soon they are taken as hubs or scouts: the strong come
+// compareRank orders instances by how soon they are taken as hubs or scouts: the strong come
 // first, as they take the duty; of these the order is drawn by their ids.
-func earlier(a, b ranked) int {
-	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.draw, b.draw), strings.Compare(string(a.ID), string(b.ID)))
+func compareRank(a, b rankedEntry) int {
+	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.hash, b.hash), strings.Compare(string(a.ID), string(b.ID)))
 }
 
-func drawOf(id cf.EntryID) uint64 {
+func hashID(id cf.EntryID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash takes everything
-	return mixed(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
-// pairOf draws a number for two instances.
-func pairOf(a, b cf.EntryID) uint64 { return drawOf(a + "\x00" + b) }
+// hashPair draws a number for two instances.
+func hashPair(a, b cf.EntryID) uint64 { return hashID(a + "\x00" + b) }
--- a/core/cfmember/membership.go
+++ b/core/cfmember/membership.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// liveEvery spaces the coordinator's looks at a long list of instances, from liveFew
+	// refreshInterval spaces the coordinator's looks at a long list of instances, from liveFew
 	// on: when hundreds start, each of their first calls changes it.
-	liveEvery cf.Millis = 50
-	liveFew   int       = 100
+	refreshInterval   cf.Millis = 50
+	throttleThreshold int       = 100
 )
 
 // Membership is what an instance knows of the others: as the coordinator by their own and
 // the hubs' reports, else as it is told; and as a hub who asks it. It is safe for concurrent
 // use.
 type Membership struct {
-	hubsFrom int
+	hubMin int
 
 	mu sync.Mutex
 	// table are the instances as the coordinator hears of them. While keeping, the
 	// roster is made of it, as of its changes counted by seen, at liveAt.
-	table   Table
-	keeping bool
-	seen    int64
-	liveAt  cf.Millis
+	table        Table
+	coordinating bool
+	tableVersion int64
+	refreshedAt  cf.Millis
 	// roster are those that take callers, hubs and scouts those among them, and scout
 	// whether this instance is one of the scouts, as of the roster's changes counted by
 	// ranked.
-	roster Roster
-	hubs   []Entry
-	scouts []Entry
-	scout  bool
-	ranked int64
+	roster    Roster
+	hubs      []Entry
+	watchers  []Entry
+	isWatcher bool
+	rolesAt   int64
 	// clients are the instances that ask this one, clientRoster identifies them.
 	clients      Table
 	clientRoster Roster
@@ -41,7 +41,7 @@
 
 // NewMembership returns the membership of an instance that knows no other; hubsFrom is from
 // how many instances on there are hubs.
-func NewMembership(hubsFrom int) *Membership { return &Membership{hubsFrom: hubsFrom, ranked: -1} }
+func NewMembership(hubMin int) *Membership { return &Membership{hubMin: hubMin, rolesAt: -1} }
 
 // StartCoordinating begins to keep the list, as the coordinator: with the instances that it was told of,
 // which it returns, and until they have had time to report.
@@ -50,7 +50,7 @@
 	defer m.mu.Unlock()
 	entries := m.roster.Entries()
 	m.table.Adopt(entries, now)
-	m.seen, m.keeping = 0, true
+	m.tableVersion, m.coordinating = 0, true
 	return entries
 }
 
@@ -58,30 +58,30 @@
 func (m *Membership) StopCoordinating(self Entry, now cf.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.liveAt = 0
+	m.refreshedAt = 0
 	m.refresh(self, now)
-	m.keeping = false
+	m.coordinating = false
 }
 
 // refresh makes the roster that of the table, while it is kept.
 func (m *Membership) refresh(self Entry, now cf.Millis) {
-	if !m.keeping || now-m.liveAt < liveEvery && len(m.roster.Entries()) >= liveFew {
+	if !m.coordinating || now-m.refreshedAt < refreshInterval && len(m.roster.Entries()) >= throttleThreshold {
 		return
 	}
-	m.liveAt = now
+	m.refreshedAt = now
 	m.table.Record(self, now)
-	if live := m.table.Live(now); m.table.Version() != m.seen {
+	if live := m.table.Live(now); m.table.Version() != m.tableVersion {
 		m.roster.Set(live)
-		m.seen = m.table.Version()
+		m.tableVersion = m.table.Version()
 	}
 }
 
-// rank finds the hubs and the scouts of the roster.
-func (m *Membership) rank(self Entry) {
-	if count := m.roster.Version(); m.ranked != count {
-		m.hubs, m.ranked = Hubs(m.roster.Entries(), m.hubsFrom), count
-		m.scouts = FallbackWatchers(m.roster.Entries(), m.hubs)
-		m.scout = IsFallbackWatcher(m.roster.Entries(), m.hubs, self)
+// updateRoles finds the hubs and the scouts of the roster.
+func (m *Membership) updateRoles(self Entry) {
+	if version := m.roster.Version(); m.rolesAt != version {
+		m.hubs, m.rolesAt = Hubs(m.roster.Entries(), m.hubMin), version
+		m.watchers = FallbackWatchers(m.roster.Entries(), m.hubs)
+		m.isWatcher = IsFallbackWatcher(m.roster.Entries(), m.hubs, self)
 	}
 }
 
@@ -105,7 +105,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(self, now)
-	m.rank(self)
+	m.updateRoles(self)
 	return m.hubs
 }
 
@@ -114,8 +114,8 @@
 func (m *Membership) IsFallbackWatcher(self Entry) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rank(self)
-	return m.scout
+	m.updateRoles(self)
+	return m.isWatcher
 }
 
 // Restarts counts the instances that the coordinator here heard to have started again.
@@ -130,8 +130,8 @@
 func (m *Membership) FallbackWatchers(self Entry) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rank(self)
-	return m.scouts
+	m.updateRoles(self)
+	return m.watchers
 }
 
 // RecordReport takes an instance's report, as the coordinator, with what it tells of those that ask
@@ -147,10 +147,10 @@
 }
 
 // RemoveRefused takes the word that no process takes connections at an address for instances.
-func (m *Membership) RemoveRefused(peers string) {
+func (m *Membership) RemoveRefused(peerAddr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.RemoveRefused(peers)
+	m.table.RemoveRefused(peerAddr)
 }
 
 // RecordClient takes the report of an instance that asks this one, as its hub.
@@ -169,16 +169,16 @@
 
 // Group returns what the coordinator is told of the instances that ask this one, nil if none
 // does; known is the sum of those that it knows.
-func (m *Membership) Group(known uint64, now cf.Millis) *Group {
+func (m *Membership) Group(knownSum uint64, now cf.Millis) *Group {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	live := m.clients.Live(now)
-	if len(live) == 0 && known == 0 {
+	if len(live) == 0 && knownSum == 0 {
 		return nil
 	}
 	m.clientRoster.Set(live)
 	g := &Group{Sum: m.clientRoster.Sum()}
-	if g.Sum != known {
+	if g.Sum != knownSum {
 		g.Entries = live
 	}
 	return g
@@ -187,27 +187,27 @@
 // Update returns what an instance must hear of the list: what has changed since count where
 // same says that it has heard that here, else all of it unless it has the same sum; nil if it
 // knows all.
-func (m *Membership) Update(same bool, count int64, sum uint64, self Entry, now cf.Millis) *RosterUpdate {
+func (m *Membership) Update(sameSource bool, version int64, sum uint64, self Entry, now cf.Millis) *RosterUpdate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(self, now)
-	var news RosterUpdate
+	var update RosterUpdate
 	switch {
-	case !same:
-		news = m.roster.Snapshot(sum)
-	case count != m.roster.Version():
-		news = m.roster.Since(count)
+	case !sameSource:
+		update = m.roster.Snapshot(sum)
+	case version != m.roster.Version():
+		update = m.roster.Since(version)
 	default:
 		return nil
 	}
-	return &news
+	return &update
 }
 
 // Apply takes news of the list; false if it must be told all of it.
-func (m *Membership) Apply(news RosterUpdate) (same bool) {
+func (m *Membership) Apply(update RosterUpdate) (inSync bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.keeping || m.roster.Apply(news)
+	return m.coordinating || m.roster.Apply(update)
 }
 
 // Sum identifies the list.
--- a/core/cfmember/neighbour.go
+++ b/core/cfmember/neighbour.go
@@ -36,6 +36,6 @@
 	if len(hubs) == 0 {
 		return entries
 	}
-	strongest := MaxCapacity(entries)
-	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return !NearMax(e.Capacity, strongest) })
+	maxCapacity := MaxCapacity(entries)
+	return slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return !NearMax(e.Capacity, maxCapacity) })
 }
--- a/core/cfmember/ring.go
+++ b/core/cfmember/ring.go
@@ -19,7 +19,7 @@
 	}
 	n := len(all)
 	var out []Entry
-	for _, i := range []int{(at + 1) % n, (at + n - 1) % n, drawn(all, self.ID)} {
+	for _, i := range []int{(at + 1) % n, (at + n - 1) % n, highestHashPeer(all, self.ID)} {
 		e := all[i]
 		if e.ID != self.ID && !slices.ContainsFunc(out, func(o Entry) bool { return o.ID == e.ID }) {
 			out = append(out, e)
@@ -28,20 +28,20 @@
 	return out
 }
 
-// drawn returns the place of the instance whose id and self have the highest hash: it
+// highestHashPeer returns the place of the instance whose id and self have the highest hash: it
 // changes only when that instance goes, or a higher one comes.
-func drawn(all []Entry, self cf.EntryID) int {
-	best, most := 0, uint64(0)
+func highestHashPeer(all []Entry, self cf.EntryID) int {
+	best, maxHash := 0, uint64(0)
 	for i, e := range all {
-		if sum := pairOf(self, e.ID); e.ID != self && sum > most {
-			best, most = i, sum
+		if hash := hashPair(self, e.ID); e.ID != self && hash > maxHash {
+			best, maxHash = i, hash
 		}
 	}
 	return best
 }
 
-// mixed spreads a hash whose high bits hardly differ for ids that end alike.
-func mixed(h uint64) uint64 {
+// mixBits spreads a hash whose high bits hardly differ for ids that end alike.
+func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
--- a/core/cfmember/ring_test.go
+++ b/core/cfmember/ring_test.go
@@ -10,7 +10,7 @@
 // News that each instance passes on once reach every one that is alive, in 20 hops at the
 // most, also before the list of instances shows that a tenth of them, or a failure domain,
 // are gone.
-func TestNewsReachAll(t *testing.T) {
+func TestUpdatesReachAllInstances(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 9, 30, 95, 300, 1300} {
 		for name, alive := range map[string]func(i int) bool{
 			"all alive":        func(int) bool { return true },
@@ -24,30 +24,30 @@
 				at[e.ID] = i
 				entries = append(entries, e)
 			}
-			heard := map[int]int{0: 0}
+			hops := map[int]int{0: 0}
 			for queue := []int{0}; len(queue) > 0; queue = queue[1:] {
 				from := queue[0]
-				ring := GossipPeers(entries, entries[from])
-				if len(ring) > 3 {
-					t.Fatalf("%d neighbours", len(ring))
+				peers := GossipPeers(entries, entries[from])
+				if len(peers) > 3 {
+					t.Fatalf("%d neighbours", len(peers))
 				}
-				for _, e := range ring {
+				for _, e := range peers {
 					to := at[e.ID]
-					if _, known := heard[to]; !known && alive(to) {
-						heard[to] = heard[from] + 1
+					if _, reached := hops[to]; !reached && alive(to) {
+						hops[to] = hops[from] + 1
 						queue = append(queue, to)
 					}
 				}
 			}
-			want, hops := 0, 0
+			want, maxHops := 0, 0
 			for i := range n {
 				if alive(i) {
 					want++
-					hops = max(hops, heard[i])
+					maxHops = max(maxHops, hops[i])
 				}
 			}
-			if len(heard) != want || hops > 20 {
-				t.Errorf("%d instances, %s: %d of %d heard, in %d hops", n, name, len(heard), want, hops)
+			if len(hops) != want || maxHops > 20 {
+				t.Errorf("%d instances, %s: %d of %d heard, in %d hops", n, name, len(hops), want, maxHops)
 			}
 		}
 	}
--- a/core/cfmember/roster.go
+++ b/core/cfmember/roster.go
@@ -19,7 +19,7 @@
 	Roster struct {
 		entries map[cf.EntryID]Entry
 		log     cfchange.Log[cf.EntryID]
-		count   int64
+		version int64
 		sum     uint64
 		// sorted are the entries by their ids, nil until they are asked for.
 		sorted []Entry
@@ -45,40 +45,40 @@
 	}
 	for id := range r.entries {
 		if !listed[id] {
-			r.drop(id)
+			r.remove(id)
 			changed = true
 		}
 	}
-	r.counted(changed)
+	r.bumpVersion(changed)
 }
 
 // put takes an entry; it returns whether that changes anything but its age.
 func (r *Roster) put(e Entry) bool {
 	old, known := r.entries[e.ID]
-	if known && sameButAge(old, e) {
+	if known && equalIgnoringAge(old, e) {
 		return false
 	}
 	if r.entries == nil {
 		r.entries = map[cf.EntryID]Entry{}
 	}
 	if known {
-		r.sum ^= sumOf(old)
+		r.sum ^= entryChecksum(old)
 	}
-	r.sum ^= sumOf(e)
+	r.sum ^= entryChecksum(e)
 	r.entries[e.ID] = e
-	r.log.Append(r.count+1, e.ID)
+	r.log.Append(r.version+1, e.ID)
 	return true
 }
 
-func (r *Roster) drop(id cf.EntryID) {
-	r.sum ^= sumOf(r.entries[id])
+func (r *Roster) remove(id cf.EntryID) {
+	r.sum ^= entryChecksum(r.entries[id])
 	delete(r.entries, id)
-	r.log.Append(r.count+1, id)
+	r.log.Append(r.version+1, id)
 }
 
-func (r *Roster) counted(changed bool) {
+func (r *Roster) bumpVersion(changed bool) {
 	if changed {
-		r.count++
+		r.version++
 		r.sorted = nil
 	}
 }
@@ -96,69 +96,69 @@
 }
 
 // Version counts the changes.
-func (r *Roster) Version() int64 { return r.count }
+func (r *Roster) Version() int64 { return r.version }
 
 // Sum identifies the instances in the roster: equal sums mean equal rosters.
 func (r *Roster) Sum() uint64 { return r.sum }
 
 // Since returns what has changed since the count of an earlier answer.
-func (r *Roster) Since(count int64) RosterUpdate {
-	ids, known := r.log.Since(count)
-	if !known || count > r.count {
-		return r.whole()
+func (r *Roster) Since(version int64) RosterUpdate {
+	ids, known := r.log.Since(version)
+	if !known || version > r.version {
+		return r.full()
 	}
-	n := RosterUpdate{Version: r.count, Sum: r.sum}
+	update := RosterUpdate{Version: r.version, Sum: r.sum}
 	for _, id := range ids {
-		if e, up := r.entries[id]; up {
-			n.Entries = append(n.Entries, e)
+		if e, listed := r.entries[id]; listed {
+			update.Entries = append(update.Entries, e)
 		} else {
-			n.Removed = append(n.Removed, id)
+			update.Removed = append(update.Removed, id)
 		}
 	}
-	return n
+	return update
 }
 
 // Snapshot returns the whole roster, for an instance that has heard nothing from this one. One
 // whose own has the same sum already needs no list.
 func (r *Roster) Snapshot(sum uint64) RosterUpdate {
 	if sum == r.sum {
-		return RosterUpdate{Version: r.count, Sum: r.sum}
+		return RosterUpdate{Version: r.version, Sum: r.sum}
 	}
-	return r.whole()
+	return r.full()
 }
 
-func (r *Roster) whole() RosterUpdate {
-	return RosterUpdate{Version: r.count, Sum: r.sum, Full: true, Entries: r.Entries()}
+func (r *Roster) full() RosterUpdate {
+	return RosterUpdate{Version: r.version, Sum: r.sum, Full: true, Entries: r.Entries()}
 }
 
 // Apply takes news of another roster. It returns false if this one then differs, and must be
 // told all.
-func (r *Roster) Apply(n RosterUpdate) (same bool) {
-	if n.Full {
-		r.Set(n.Entries)
-		return r.sum == n.Sum
+func (r *Roster) Apply(update RosterUpdate) (inSync bool) {
+	if update.Full {
+		r.Set(update.Entries)
+		return r.sum == update.Sum
 	}
 	changed := false
-	for _, e := range n.Entries {
+	for _, e := range update.Entries {
 		changed = r.put(e) || changed
 	}
-	for _, id := range n.Removed {
+	for _, id := range update.Removed {
 		if _, known := r.entries[id]; known {
-			r.drop(id)
+			r.remove(id)
 			changed = true
 		}
 	}
-	r.counted(changed)
-	return r.sum == n.Sum
+	r.bumpVersion(changed)
+	return r.sum == update.Sum
 }
 
-func sameButAge(a, b Entry) bool {
+func equalIgnoringAge(a, b Entry) bool {
 	a.Age = b.Age
 	return a == b
 }
 
-// sumOf returns an entry's part of a roster's sum; its age is none.
-func sumOf(e Entry) uint64 {
+// entryChecksum returns an entry's part of a roster's sum; its age is none.
+func entryChecksum(e Entry) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{string(e.ID), e.Addr, e.PeerAddr, string(e.Domain)} {
 		_, _ = h.Write([]byte(s)) // a hash takes everything
--- a/core/cfmember/roster_test.go
+++ b/core/cfmember/roster_test.go
@@ -23,21 +23,21 @@
 
 // Rosters that hear of changes only, over one instance more or less in between, are that
 // of the coordinator, and one that has missed something learns all.
-func TestRosterNewsKeepRostersEqual(t *testing.T) {
+func TestRosterUpdatesKeepRostersEqual(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		var source, hub, follower Roster
-		counts := map[*Roster]int64{}
-		hear := func(from, to *Roster) {
-			news := from.Snapshot(to.Sum())
-			if count, known := counts[to]; known {
-				news = from.Since(count)
+		versions := map[*Roster]int64{}
+		sync := func(from, to *Roster) {
+			update := from.Snapshot(to.Sum())
+			if version, known := versions[to]; known {
+				update = from.Since(version)
 			}
-			if counts[to] = news.Version; !to.Apply(news) {
-				t.Fatalf("seed %d: differs after %+v", seed, news)
+			if versions[to] = update.Version; !to.Apply(update) {
+				t.Fatalf("seed %d: differs after %+v", seed, update)
 			}
 			if random.IntN(20) == 0 {
-				delete(counts, to)
+				delete(versions, to)
 			}
 		}
 		all := fleet(30)
@@ -46,22 +46,22 @@
 			all[i].Ready, all[i].Age = random.IntN(3) > 0, all[i].Age+10
 			source.Set(slices.DeleteFunc(slices.Clone(all), func(e Entry) bool { return !e.Ready }))
 			if random.IntN(2) == 0 {
-				hear(&source, &hub)
+				sync(&source, &hub)
 			}
 			if random.IntN(2) == 0 {
-				hear(&hub, &follower)
+				sync(&hub, &follower)
 			}
 		}
-		hear(&source, &hub)
-		hear(&hub, &follower)
-		if !slices.EqualFunc(source.Entries(), follower.Entries(), sameButAge) {
+		sync(&source, &hub)
+		sync(&hub, &follower)
+		if !slices.EqualFunc(source.Entries(), follower.Entries(), equalIgnoringAge) {
 			t.Fatalf("seed %d: the rosters differ", seed)
 		}
 	}
 }
 
 // Load: one instance comes at a fleet of 836. Each of the others is told of it alone.
-func TestRosterNewsAreAsLargeAsTheChange(t *testing.T) {
+func TestRosterUpdateContainsOnlyTheChange(t *testing.T) {
 	var source, follower Roster
 	all := fleet(836)
 	source.Set(all[:835])
@@ -70,23 +70,23 @@
 		t.Fatal("the first news are not the whole roster")
 	}
 	source.Set(all)
-	if news := source.Since(first.Version); news.Full || len(news.Entries) != 1 || !follower.Apply(news) {
-		t.Errorf("%d entries are told, whole %t", len(news.Entries), news.Full)
+	if update := source.Since(first.Version); update.Full || len(update.Entries) != 1 || !follower.Apply(update) {
+		t.Errorf("%d entries are told, whole %t", len(update.Entries), update.Full)
 	}
-	count := source.Version()
+	version := source.Version()
 	all[3].Age = 99
 	source.Set(all)
-	if source.Version() != count {
+	if source.Version() != version {
 		t.Error("an instance that grows older changes the roster")
 	}
 }
 
 // The coordinator is asked by the hubs alone, a fiftieth of the fleet; the others are
 // divided among the hubs of their failure domain, and find others when one is lost.
-func TestHubsShareTheFleet(t *testing.T) {
+func TestInstancesAreSpreadOverHubs(t *testing.T) {
 	for _, n := range []int{7, 96, 97, 300, 836, 1300, 2000} {
 		all := fleet(n)
-		asked := map[cf.EntryID]int{}
+		clients := map[cf.EntryID]int{}
 		hubs := Hubs(all, HubsFrom)
 		for _, e := range all {
 			if Contains(hubs, e.ID) {
@@ -97,7 +97,7 @@
 			}
 			for i, h := range HubCandidates(hubs, e, func(id cf.EntryID) bool { return id == hubs[0].ID }) {
 				if i == 0 {
-					asked[h.ID]++
+					clients[h.ID]++
 					if h.Domain != e.Domain && n > 300 {
 						t.Errorf("%d instances: %s asks a hub of another failure domain", n, e.ID)
 					}
@@ -107,14 +107,14 @@
 				}
 			}
 		}
-		if n <= 96 && len(hubs)+len(asked) > 0 {
+		if n <= 96 && len(hubs)+len(clients) > 0 {
 			t.Errorf("%d instances: %d hubs", n, len(hubs))
 		}
 		if n > 96 && (len(hubs) < n/48 || len(hubs) > n/48+6) {
 			t.Errorf("%d instances: %d hubs", n, len(hubs))
 		}
-		for id, k := range asked {
-			if k > 2*perHub {
+		for id, k := range clients {
+			if k > 2*instancesPerHub {
 				t.Errorf("%d instances: hub %s is asked by %d", n, id, k)
 			}
 		}
@@ -125,7 +125,7 @@
 // behind a hub.
 // Sequence: hubs vouch for those that ask them, by a sum alone where nothing has changed;
 // instances go from one hub to another, die, and report by themselves.
-func TestHubsVouchForThoseThatAskThem(t *testing.T) {
+func TestHubsReportTheirClients(t *testing.T) {
 	var table Table
 	all := fleet(5)
 	hub, other := all[0], all[1]
@@ -176,14 +176,14 @@
 
 // Load: the coordinator of a fleet is lost. Its successor asks for texts where they may lie,
 // and not at each instance.
-func TestTextsAreAskedForWhereTheyMayLie(t *testing.T) {
+func TestPossibleTextReplicasAreFew(t *testing.T) {
 	all := fleet(836)
-	keepers := PossibleTextReplicas(all, Hubs(all, HubsFrom))
-	if len(keepers) == 0 || len(keepers) > 90 {
-		t.Errorf("%d of 836 are asked", len(keepers))
+	replicas := PossibleTextReplicas(all, Hubs(all, HubsFrom))
+	if len(replicas) == 0 || len(replicas) > 90 {
+		t.Errorf("%d of 836 are asked", len(replicas))
 	}
 	for _, self := range all[:50] {
-		if n := TextReplica(all, self, ""); !Contains(keepers, n.ID) {
+		if n := TextReplica(all, self, ""); !Contains(replicas, n.ID) {
 			t.Errorf("the neighbour of %s is not asked", self.ID)
 		}
 	}
--- a/core/cfmember/scouts.go
+++ b/core/cfmember/scouts.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	// scoutsLeast and scoutsPart say how many instances look after the store and the
+	// minWatchers and scoutsPart say how many instances look after the store and the
 	// lease at once when the coordinator can't tell: enough for some of them to
 	// reach a store that turns a third away, and an eighth of many. Where there are hubs,
 	// they are the scouts.
-	scoutsLeast = 8
-	scoutsPart  = 8
+	minWatchers         = 8
+	instancesPerWatcher = 8
 )
 
 // IsFallbackWatcher says whether an instance looks after the store by itself as soon as the
@@ -21,16 +21,16 @@
 // deployment of hundreds of instances, which would all ask the store at once and go on
 // asking. Where there are hubs, they are the scouts.
 func IsFallbackWatcher(entries, hubs []Entry, self Entry) bool {
-	scouts := FallbackWatchers(entries, hubs)
+	watchers := FallbackWatchers(entries, hubs)
 	switch {
-	case Contains(scouts, self.ID):
+	case Contains(watchers, self.ID):
 		return true
 	case len(hubs) > 0:
 		return false
-	case len(scouts) == len(entries):
+	case len(watchers) == len(entries):
 		return true // so few that all are
 	default: // it may not be listed itself
-		return earlier(rankedOf(self), rankedOf(scouts[len(scouts)-1])) < 0
+		return compareRank(newRankedEntry(self), newRankedEntry(watchers[len(watchers)-1])) < 0
 	}
 }
 
@@ -40,17 +40,17 @@
 	if len(hubs) > 0 {
 		return hubs
 	}
-	most := max(scoutsLeast, len(entries)/scoutsPart)
-	if len(entries) <= most {
+	limit := max(minWatchers, len(entries)/instancesPerWatcher)
+	if len(entries) <= limit {
 		return entries
 	}
-	order := make([]ranked, len(entries))
+	order := make([]rankedEntry, len(entries))
 	for i, e := range entries {
-		order[i] = rankedOf(e)
+		order[i] = newRankedEntry(e)
 	}
-	slices.SortFunc(order, earlier)
-	out := make([]Entry, most)
-	for i, r := range order[:most] {
+	slices.SortFunc(order, compareRank)
+	out := make([]Entry, limit)
+	for i, r := range order[:limit] {
 		out[i] = r.Entry
 	}
 	return out
--- a/core/cfmember/successor_test.go
+++ b/core/cfmember/successor_test.go
@@ -11,7 +11,7 @@
 // wait out a handover of three seconds after each stop of a coordinator.
 // Load: eight instances are stopped one after the other; two have restarted.
 // Cause: the duty went to any instance, and so to those that were stopped next.
-func TestSuccessorIsTheYoungestThatHasSettled(t *testing.T) {
+func TestSuccessorIsYoungestOverMinimumAge(t *testing.T) {
 	entry := func(id cf.EntryID, age cf.Millis) cfmember.Entry { return cfmember.Entry{ID: id, Age: age} }
 	old, young, youngest := entry("a", 60000), entry("b", 5000), entry("c", 300)
 	cases := []struct {
@@ -33,13 +33,13 @@
 
 // The list is made anew only when it changes: an instance comes, leaves, is not
 // ready, or falls silent.
-func TestLiveCountsItsChanges(t *testing.T) {
+func TestLiveVersionCountsChanges(t *testing.T) {
 	var table cfmember.Table
 	a, b := cfmember.Entry{ID: "a", Ready: true}, cfmember.Entry{ID: "b", Ready: true}
-	expect := func(now cf.Millis, entries int, changes int64) {
+	expect := func(now cf.Millis, entries int, version int64) {
 		t.Helper()
-		if live := table.Live(now); len(live) != entries || table.Version() != changes {
-			t.Errorf("at %d: %d live, %d changes; want %d and %d", now, len(live), table.Version(), entries, changes)
+		if live := table.Live(now); len(live) != entries || table.Version() != version {
+			t.Errorf("at %d: %d live, %d changes; want %d and %d", now, len(live), table.Version(), entries, version)
 		}
 	}
 	table.Record(a, 0)
@@ -63,7 +63,7 @@
 // Symptom: the coordinator's duty moves to an instance that can't carry it.
 // Load: a planned stop on a site whose instances differ fivefold; the youngest is a
 // weak one, and the strongest has not settled.
-func TestSuccessorIsStrong(t *testing.T) {
+func TestSuccessorHasHighCapacity(t *testing.T) {
 	entries := []cfmember.Entry{
 		{ID: "weak", Age: 1000, Capacity: 0.19}, {ID: "old", Age: 90000, Capacity: 0.8}, {ID: "strong", Age: 5000, Capacity: 0.7},
 		{ID: "new", Age: 100, Capacity: 4},
--- a/core/cfmember/table.go
+++ b/core/cfmember/table.go
@@ -34,25 +34,25 @@
 	// Table holds the entry instances heard of. The zero value is empty. It
 	// is not safe for concurrent use.
 	Table struct {
-		heard map[cf.EntryID]heard
+		records map[cf.EntryID]instanceRecord
 		// groups are the instances for which others vouch.
 		groups map[cf.EntryID]Group
 		// live is the list as of its last change, which changes counts;
 		// stale is when an instance may drop out of it, at the earliest.
-		live    []Entry
-		changes int64
-		stale   cf.Millis
+		live      []Entry
+		version   int64
+		liveUntil cf.Millis
 		// restarts counts the instances that were heard to have started again.
 		restarts int64
 	}
 
-	heard struct {
-		entry Entry
-		at    cf.Millis
-		// said is when it told its age, by the hub that vouches for it, if it did not
+	instanceRecord struct {
+		entry    Entry
+		lastSeen cf.Millis
+		// ageAt is when it told its age, by the hub that vouches for it, if it did not
 		// report here.
-		said cf.Millis
-		by   cf.EntryID
+		ageAt cf.Millis
+		hub   cf.EntryID
 		// adopted: it has not reported since it was adopted.
 		adopted bool
 	}
@@ -70,19 +70,19 @@
 const ReportTimeout cf.Millis = 1500
 
 // Record takes an instance's account of itself.
-func (t *Table) Record(e Entry, now cf.Millis) { t.note(e, "", now) }
+func (t *Table) Record(e Entry, now cf.Millis) { t.put(e, "", now) }
 
-func (t *Table) note(e Entry, by cf.EntryID, now cf.Millis) {
-	if t.heard == nil {
-		t.heard = map[cf.EntryID]heard{}
+func (t *Table) put(e Entry, hub cf.EntryID, now cf.Millis) {
+	if t.records == nil {
+		t.records = map[cf.EntryID]instanceRecord{}
 	}
-	old, known := t.heard[e.ID]
+	old, known := t.records[e.ID]
 	if known && e.Age < old.entry.Age {
 		t.restarts++
 	}
-	t.heard[e.ID] = heard{entry: e, at: now, said: now, by: by}
-	if !known || !sameButAge(old.entry, e) {
-		t.stale = 0
+	t.records[e.ID] = instanceRecord{entry: e, lastSeen: now, ageAt: now, hub: hub}
+	if !known || !equalIgnoringAge(old.entry, e) {
+		t.liveUntil = 0
 	}
 }
 
@@ -93,20 +93,20 @@
 	switch {
 	case g.Sum == known.Sum:
 		for _, e := range known.Entries {
-			if h, alive := t.heard[e.ID]; alive {
-				h.at, h.adopted = max(h.at, now), false
-				t.heard[e.ID] = h
+			if r, alive := t.records[e.ID]; alive {
+				r.lastSeen, r.adopted = max(r.lastSeen, now), false
+				t.records[e.ID] = r
 			} else {
-				t.note(e, hub, now)
+				t.put(e, hub, now)
 			}
 		}
 		return known.Sum
 	case len(g.Entries) == 0 && g.Sum != 0:
 		return known.Sum
 	}
-	t.dissolve(hub)
+	t.removeGroup(hub)
 	for _, e := range g.Entries {
-		t.note(e, hub, now)
+		t.put(e, hub, now)
 	}
 	if t.groups == nil {
 		t.groups = map[cf.EntryID]Group{}
@@ -115,12 +115,12 @@
 	return g.Sum
 }
 
-// dissolve forgets a hub's group, with the instances in it that nobody else has told of.
-func (t *Table) dissolve(hub cf.EntryID) {
+// removeGroup forgets a hub's group, with the instances in it that nobody else has told of.
+func (t *Table) removeGroup(hub cf.EntryID) {
 	for _, e := range t.groups[hub].Entries {
-		if t.heard[e.ID].by == hub {
-			delete(t.heard, e.ID)
-			t.stale = 0
+		if t.records[e.ID].hub == hub {
+			delete(t.records, e.ID)
+			t.liveUntil = 0
 		}
 	}
 	delete(t.groups, hub)
@@ -132,20 +132,20 @@
 func (t *Table) Adopt(entries []Entry, now cf.Millis) {
 	for _, e := range entries {
 		t.Record(e, now)
-		h := t.heard[e.ID]
-		h.adopted = true
-		t.heard[e.ID] = h
+		r := t.records[e.ID]
+		r.adopted = true
+		t.records[e.ID] = r
 	}
 }
 
 // RemoveRefused takes the word that no process takes connections at an address for instances. One
 // that was adopted and has not reported since has ended before: without that it would be
 // listed for as long as one that has just reported, and anew by each coordinator.
-func (t *Table) RemoveRefused(peers string) {
-	for id, h := range t.heard {
-		if h.adopted && h.entry.PeerAddr == peers {
-			delete(t.heard, id)
-			t.stale = 0
+func (t *Table) RemoveRefused(peerAddr string) {
+	for id, r := range t.records {
+		if r.adopted && r.entry.PeerAddr == peerAddr {
+			delete(t.records, id)
+			t.liveUntil = 0
 		}
 	}
 }
@@ -153,20 +153,20 @@
 // Live returns the instances that take callers, sorted by id. The list is kept
 // until it changes, and not to be changed.
 func (t *Table) Live(now cf.Millis) []Entry {
-	if now < t.stale {
+	if now < t.liveUntil {
 		return t.live
 	}
-	live, stale := t.collect(now)
-	t.stale = stale
-	if !slices.EqualFunc(live, t.live, sameButAge) || t.changes == 0 {
+	live, liveUntil := t.collect(now)
+	t.liveUntil = liveUntil
+	if !slices.EqualFunc(live, t.live, equalIgnoringAge) || t.version == 0 {
 		t.live = live
-		t.changes++
+		t.version++
 	}
 	return t.live
 }
 
 // Version counts the changes of Live.
-func (t *Table) Version() int64 { return t.changes }
+func (t *Table) Version() int64 { return t.version }
 
 // LiveWithAges returns the same as Live, each instance with its latest age.
 func (t *Table) LiveWithAges(now cf.Millis) []Entry {
@@ -176,66 +176,66 @@
 
 // collect returns the instances that take callers, and when one of those heard
 // of may drop out.
-func (t *Table) collect(now cf.Millis) (live []Entry, stale cf.Millis) {
-	stale = now + ReportTimeout
-	for id, h := range t.heard {
-		if now-h.at > ReportTimeout {
-			delete(t.heard, id)
+func (t *Table) collect(now cf.Millis) (live []Entry, liveUntil cf.Millis) {
+	liveUntil = now + ReportTimeout
+	for id, r := range t.records {
+		if now-r.lastSeen > ReportTimeout {
+			delete(t.records, id)
 			delete(t.groups, id)
 			continue
 		}
-		stale = min(stale, h.at+ReportTimeout+1)
-		if h.entry.Ready {
-			if h.by != "" {
-				h.entry.Age += now - h.said
+		liveUntil = min(liveUntil, r.lastSeen+ReportTimeout+1)
+		if r.entry.Ready {
+			if r.hub != "" {
+				r.entry.Age += now - r.ageAt
 			}
-			live = append(live, h.entry)
+			live = append(live, r.entry)
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].ID < live[j].ID })
-	return live, stale
+	return live, liveUntil
 }
 
-// settled is the age from which on an instance can take a duty over: it has
+// minSuccessorAge is the age from which on an instance can take a duty over: it has
 // its view of the site, and has not ended right after its start.
-const settled cf.Millis = 600
+const minSuccessorAge cf.Millis = 600
 
-// strongPart is the part of the most capacity among the instances that a holder
+// highCapacityFraction is the part of the most capacity among the instances that a holder
 // of a duty should have. Instances of one kind differ in nothing; where kinds
 // differ they do by twice and more.
-const strongPart = 0.75
+const highCapacityFraction = 0.75
 
 // MaxCapacity returns the most capacity that an instance has.
 func MaxCapacity(entries []Entry) float64 {
-	most := 0.0
+	highest := 0.0
 	for _, e := range entries {
-		most = max(most, e.Capacity)
+		highest = max(highest, e.Capacity)
 	}
-	return most
+	return highest
 }
 
 // HighCapacity says whether a capacity is enough for a duty among entries.
 func HighCapacity(capacity float64, all []Entry) bool { return NearMax(capacity, MaxCapacity(all)) }
 
 // NearMax says the same where the most capacity is known.
-func NearMax(capacity, strongest float64) bool { return capacity >= strongPart*strongest }
+func NearMax(capacity, maxCapacity float64) bool { return capacity >= highCapacityFraction*maxCapacity }
 
 // Successor returns the instance that should take a duty over from one that
 // stops as planned: of the strong ones the youngest that has settled. In a rolling
 // restart the young ones have been restarted, and the others will be, so that the
 // duty moves once or twice and not with each of its holders.
 func Successor(entries []Entry, self cf.EntryID) (Entry, bool) {
-	able := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.ID == self || e.Age < settled })
-	if len(able) == 0 {
+	eligible := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.ID == self || e.Age < minSuccessorAge })
+	if len(eligible) == 0 {
 		return Entry{}, false
 	}
-	least := strongPart * MaxCapacity(able)
-	strong := slices.DeleteFunc(able, func(e Entry) bool { return e.Capacity < least })
-	return slices.MinFunc(strong, func(a, b Entry) int { return cmp.Compare(a.Age, b.Age) }), true
+	minCapacity := highCapacityFraction * MaxCapacity(eligible)
+	capable := slices.DeleteFunc(eligible, func(e Entry) bool { return e.Capacity < minCapacity })
+	return slices.MinFunc(capable, func(a, b Entry) int { return cmp.Compare(a.Age, b.Age) }), true
 }
 
 // Nearest returns the addresses of entries, those of domain first.
-func Nearest(entries []Entry, domain cf.FailureDomain, most int) []string {
+func Nearest(entries []Entry, domain cf.FailureDomain, limit int) []string {
 	var near, far []string
 	for _, e := range entries {
 		if e.Domain == domain {
@@ -245,5 +245,5 @@
 		}
 	}
 	near = append(near, far...)
-	return near[:min(len(near), most)]
+	return near[:min(len(near), limit)]
 }
--- a/core/cfmember/table_test.go
+++ b/core/cfmember/table_test.go
@@ -8,7 +8,7 @@
 )
 
 // Symptom: callers are sent to an instance that is dead, not ready or stopping.
-func TestSilentAndUnreadyInstancesDropOut(t *testing.T) {
+func TestSilentAndUnreadyInstancesAreRemoved(t *testing.T) {
 	var table cfmember.Table
 	table.Record(cfmember.Entry{ID: "a", Ready: true}, 0)
 	table.Record(cfmember.Entry{ID: "b", Ready: true}, 0)
@@ -38,7 +38,7 @@
 
 // Guards against: callers sent to an instance that has ended, by a coordinator that adopted it
 // from a list of before.
-func TestAdoptedInstanceThatHasEndedDropsOut(t *testing.T) {
+func TestAdoptedInstanceThatRefusesConnectionsIsRemoved(t *testing.T) {
 	var table cfmember.Table
 	table.Record(cfmember.Entry{ID: "a", PeerAddr: "1", Ready: true}, 0)
 	table.Adopt([]cfmember.Entry{{ID: "a", PeerAddr: "1", Ready: true}, {ID: "b", PeerAddr: "2", Ready: true}, {ID: "c", PeerAddr: "3", Ready: true}}, 1000)
--- a/core/cfmember/upstream_test.go
+++ b/core/cfmember/upstream_test.go
@@ -10,25 +10,25 @@
 
 // Load: a fleet whose hubs are lost, cut off from the coordinator, or come back. An instance
 // asks the coordinator only where no hub can tell it anything.
-func TestWhomAnInstanceAsks(t *testing.T) {
+func TestUpstreamSelection(t *testing.T) {
 	var hubs []Entry
 	for i := range 6 {
 		hubs = append(hubs, Entry{ID: cf.EntryID(fmt.Sprint("hub-", i)), Domain: cf.FailureDomain(fmt.Sprint("d", i%3))})
 	}
 	const holder cf.EntryID = "hub-0"
 	self := Entry{ID: "x", Domain: "d1"}
-	var chosen []cf.EntryID
-	u := NewUpstream(self, func() float64 { return 0.5 }, func(e Entry) { chosen = append(chosen, e.ID) })
+	var changes []cf.EntryID
+	u := NewUpstream(self, func() float64 { return 0.5 }, func(e Entry) { changes = append(changes, e.ID) })
 	now := cf.Millis(100_000)
 	if _, ok := u.HubToAsk(hubs, holder, false, now); ok || u.UsesHub() {
 		t.Fatal("an instance that was told of no hub asks one")
 	}
 	first := hubs[1]
 	u.AssignHub(first, now)
-	if hub, ok := u.HubToAsk(hubs, holder, true, now+hubFollow-1); !ok || hub.ID != first.ID {
+	if hub, ok := u.HubToAsk(hubs, holder, true, now+assignedHubHold-1); !ok || hub.ID != first.ID {
 		t.Error("an instance that others ask does not follow the hub it was told")
 	}
-	if _, ok := u.HubToAsk(hubs, holder, true, now+hubFollow); ok {
+	if _, ok := u.HubToAsk(hubs, holder, true, now+assignedHubHold); ok {
 		t.Error("one that others ask goes on asking a hub")
 	}
 	if _, ok := u.HubToAsk(hubs, first.ID, false, now); ok {
@@ -56,15 +56,15 @@
 		t.Error("the coordinator is asked past the hub with each call")
 	}
 
-	now += hubAvoid
+	now += hubAvoidPeriod
 	if got := u.AvoidedHubs(now); slices.Contains(got, first.ID) {
 		t.Error("a hub is avoided for good")
 	}
 	u.AssignHub(second, now)
-	if _, ok := u.HubToAsk(nil, holder, false, now+2*hubKept); ok {
+	if _, ok := u.HubToAsk(nil, holder, false, now+2*hubReviewInterval); ok {
 		t.Error("a deployment that has shrunk has no hubs, and one is asked")
 	}
-	if want := []cf.EntryID{first.ID, second.ID, second.ID, second.ID}; !slices.Equal(chosen, want) {
-		t.Errorf("told of the hubs %v, want %v", chosen, want)
+	if want := []cf.EntryID{first.ID, second.ID, second.ID, second.ID}; !slices.Equal(changes, want) {
+		t.Errorf("told of the hubs %v, want %v", changes, want)
 	}
 }
--- a/core/cfmember/word_test.go
+++ b/core/cfmember/word_test.go
@@ -10,12 +10,12 @@
 // that are busy, where the first calls take longer than an instance's grace, and the next
 // ones after a first word, when it knows few others. Those that list all targets for
 // themselves are the ones that must.
-func TestWhoListsTheTargets(t *testing.T) {
+func TestWhenInstanceWatchesStore(t *testing.T) {
 	const now, longAgo cf.Millis = 1_000_000, 900_000
 	for _, c := range []struct {
-		name string
-		word WatchState
-		want bool
+		name  string
+		state WatchState
+		want  bool
 	}{
 		{"a scout of a small deployment, without word for a moment", WatchState{StartedAt: longAgo, UpdatedAt: now - 800, HolderNamed: true, FallbackWatcher: true}, false},
 		{"a scout, without word", WatchState{StartedAt: longAgo, UpdatedAt: now - 900, HolderNamed: true, FallbackWatcher: true}, true},
@@ -59,7 +59,7 @@
 		{"started, the lease was read late, no call gets through", WatchState{StartedAt: now - 1500, LeaseSeenAt: now - 800, HolderNamed: true, FallbackWatcher: true}, true},
 		{"started, the lease was read late and names nobody", WatchState{StartedAt: now - 800, LeaseSeenAt: now - 100, FallbackWatcher: true}, true},
 	} {
-		if got := c.word.IsDue(now); got != c.want {
+		if got := c.state.IsDue(now); got != c.want {
 			t.Errorf("%s: lists all targets %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/core/cfusage/account.go
+++ b/core/cfusage/account.go
@@ -6,19 +6,19 @@
 	cf "currantford"
 )
 
-// rowsMost bounds a base: some 20 KB.
-const rowsMost = 1000
+// maxSnapshotRows bounds a base: some 20 KB.
+const maxSnapshotRows = 1000
 
-// lostAfter is how long after its last report an instance is not waited for any more.
-const lostAfter cf.Millis = 15_000
+// instanceTimeout is how long after its last report an instance is not waited for any more.
+const instanceTimeout cf.Millis = 15_000
 
 type (
 	// Aggregator adds up what instances have counted. It is not safe for concurrent use.
 	Aggregator struct {
 		length  cf.Millis
-		windows map[cf.UsageWindow]map[Source]part
+		windows map[cf.UsageWindow]map[Source]sourceCounts
 		// latest is the last report of each instance.
-		latest  map[cf.EntryID]latest
+		latest  map[cf.EntryID]latestReport
 		settled cf.UsageWindow
 	}
 
@@ -40,35 +40,35 @@
 		Seq int64 `json:"change"`
 	}
 
-	part struct {
+	sourceCounts struct {
 		counts map[cf.Organisation]int64
-		change int64
+		seq    int64
 	}
 
-	latest struct {
+	latestReport struct {
 		source  Source
-		change  int64
+		seq     int64
 		through cf.Millis
 	}
 )
 
 // NewAggregator returns an account without counts.
 func NewAggregator(length cf.Millis) *Aggregator {
-	return &Aggregator{length: length, windows: map[cf.UsageWindow]map[Source]part{}, latest: map[cf.EntryID]latest{}}
+	return &Aggregator{length: length, windows: map[cf.UsageWindow]map[Source]sourceCounts{}, latest: map[cf.EntryID]latestReport{}}
 }
 
 // Expect notes that an instance may have counts, as of a moment.
 func (a *Aggregator) Expect(e cf.EntryID, now cf.Millis) {
 	if _, known := a.latest[e]; !known {
-		a.latest[e] = latest{through: now}
+		a.latest[e] = latestReport{through: now}
 	}
 }
 
 // Add takes an instance's report. It returns the windows in it that were reported
 // before, whose counts come too late.
 func (a *Aggregator) Add(r MeterReport) (late []cf.UsageReport) {
-	if l := a.latest[r.Source.Entry]; l.source != r.Source || l.change <= r.Seq {
-		a.latest[r.Source.Entry] = latest{r.Source, r.Seq, r.Through}
+	if l := a.latest[r.Source.Entry]; l.source != r.Source || l.seq <= r.Seq {
+		a.latest[r.Source.Entry] = latestReport{r.Source, r.Seq, r.Through}
 	}
 	for _, w := range r.Windows {
 		if w.Window <= a.settled {
@@ -77,11 +77,11 @@
 		}
 		parts := a.windows[w.Window]
 		if parts == nil {
-			parts = map[Source]part{}
+			parts = map[Source]sourceCounts{}
 			a.windows[w.Window] = parts
 		}
-		if parts[r.Source].change <= r.Seq {
-			parts[r.Source] = part{w.Counts, r.Seq}
+		if parts[r.Source].seq <= r.Seq {
+			parts[r.Source] = sourceCounts{w.Counts, r.Seq}
 		}
 	}
 	return late
@@ -89,29 +89,29 @@
 
 // Restore takes what a holder before had heard. Its instances are not waited for: those
 // that live report again.
-func (a *Aggregator) Restore(b Snapshot) {
-	for i, s := range b.Sources {
-		for _, row := range b.Rows {
-			if row[0] != int64(i) || int(row[2]) >= len(b.Organisations) || row[2] < 0 {
+func (a *Aggregator) Restore(snapshot Snapshot) {
+	for i, s := range snapshot.Sources {
+		for _, row := range snapshot.Rows {
+			if row[0] != int64(i) || int(row[2]) >= len(snapshot.Organisations) || row[2] < 0 {
 				continue
 			}
-			w := b.First + cf.UsageWindow(row[1])
+			w := snapshot.First + cf.UsageWindow(row[1])
 			if w <= a.settled {
 				continue
 			}
 			parts := a.windows[w]
 			if parts == nil {
-				parts = map[Source]part{}
+				parts = map[Source]sourceCounts{}
 				a.windows[w] = parts
 			}
 			p := parts[s.Source]
-			if p.change > s.Seq {
+			if p.seq > s.Seq {
 				continue // it has reported since
 			}
-			if p.change < s.Seq || p.counts == nil {
-				p = part{map[cf.Organisation]int64{}, s.Seq}
+			if p.seq < s.Seq || p.counts == nil {
+				p = sourceCounts{map[cf.Organisation]int64{}, s.Seq}
 			}
-			p.counts[b.Organisations[row[2]]] = row[3]
+			p.counts[snapshot.Organisations[row[2]]] = row[3]
 			parts[s.Source] = p
 		}
 	}
@@ -119,37 +119,37 @@
 
 // Snapshot returns what a successor needs if this holder is lost, in rowsMost rows at most.
 func (a *Aggregator) Snapshot() Snapshot {
-	var b Snapshot
+	var snapshot Snapshot
 	oldest, counted := a.Oldest()
 	if !counted {
-		return b
+		return snapshot
 	}
-	b.First = oldest
+	snapshot.First = oldest
 	names, sources := map[cf.Organisation]int64{}, map[Source]int64{}
 	for w, parts := range a.windows {
 		for source, p := range parts {
-			if len(b.Rows)+len(p.counts) > rowsMost {
+			if len(snapshot.Rows)+len(p.counts) > maxSnapshotRows {
 				continue
 			}
 			i, known := sources[source]
 			if !known {
-				i = int64(len(b.Sources))
+				i = int64(len(snapshot.Sources))
 				sources[source] = i
-				b.Sources = append(b.Sources, SnapshotSource{Source: source})
+				snapshot.Sources = append(snapshot.Sources, SnapshotSource{Source: source})
 			}
-			b.Sources[i].Seq = max(b.Sources[i].Seq, p.change)
+			snapshot.Sources[i].Seq = max(snapshot.Sources[i].Seq, p.seq)
 			for o, n := range p.counts {
 				j, known := names[o]
 				if !known {
-					j = int64(len(b.Organisations))
+					j = int64(len(snapshot.Organisations))
 					names[o] = j
-					b.Organisations = append(b.Organisations, o)
+					snapshot.Organisations = append(snapshot.Organisations, o)
 				}
-				b.Rows = append(b.Rows, [4]int64{i, int64(w - oldest), j, n})
+				snapshot.Rows = append(snapshot.Rows, [4]int64{i, int64(w - oldest), j, n})
 			}
 		}
 	}
-	return b
+	return snapshot
 }
 
 // Counts returns what is known of a window.
@@ -170,7 +170,7 @@
 func (a *Aggregator) Complete(w cf.UsageWindow) bool {
 	ends := w.Ends(a.length)
 	for _, l := range a.latest {
-		if l.through < ends+grace && l.through > ends-lostAfter {
+		if l.through < ends+grace && l.through > ends-instanceTimeout {
 			return false
 		}
 	}
@@ -184,7 +184,7 @@
 // Settle drops the windows up to one.
 func (a *Aggregator) Settle(through cf.UsageWindow) {
 	a.settled = max(a.settled, through)
-	maps.DeleteFunc(a.windows, func(w cf.UsageWindow, _ map[Source]part) bool { return w <= through })
+	maps.DeleteFunc(a.windows, func(w cf.UsageWindow, _ map[Source]sourceCounts) bool { return w <= through })
 }
 
 // Oldest returns the oldest window with counts, false if there is none.
--- a/core/cfusage/cfusage_test.go
+++ b/core/cfusage/cfusage_test.go
@@ -15,7 +15,7 @@
 // Symptom: a window's counts are not what was counted. Sequence: instances report at
 // random, their reports are lost, come twice or in another order, counts are taken back,
 // holders change, some of them after a restart from what their predecessor left.
-func TestCountsSurviveWhatHappensToReports(t *testing.T) {
+func TestCountsSurviveLostDuplicateAndReorderedReports(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		truth := map[cf.UsageWindow]map[cf.Organisation]int64{}
@@ -25,14 +25,14 @@
 			meters[e] = NewMeter(Source{Entry: e, Start: uint32(i)}, length)
 		}
 		account, term := NewAggregator(length), cf.Revision(1)
-		var held []MeterReport
+		var inFlight []MeterReport
 		deliver := func() {
-			for _, i := range r.Perm(len(held)) {
+			for _, i := range r.Perm(len(inFlight)) {
 				if r.IntN(4) > 0 {
-					account.Add(held[i])
+					account.Add(inFlight[i])
 				}
 			}
-			held = held[len(held)/2:]
+			inFlight = inFlight[len(inFlight)/2:]
 		}
 		for range 200 {
 			e := cf.EntryID(fmt.Sprint("e", r.IntN(4)))
@@ -51,7 +51,7 @@
 			}
 			switch r.IntN(6) {
 			case 0:
-				held = append(held, meters[e].Report(term, at))
+				inFlight = append(inFlight, meters[e].Report(term, at))
 			case 1:
 				report := meters[e].Report(term, at)
 				account.Add(report)
@@ -62,12 +62,12 @@
 				deliver()
 			case 3:
 				if r.IntN(4) == 0 { // another holder
-					base := account.Snapshot()
+					snapshot := account.Snapshot()
 					account, term = NewAggregator(length), term+1
 					if r.IntN(2) == 0 {
-						account.Restore(throughJSON(t, base))
+						account.Restore(roundTripJSON(t, snapshot))
 					}
-					held = nil
+					inFlight = nil
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-func throughJSON(t *testing.T, b Snapshot) Snapshot {
+func roundTripJSON(t *testing.T, b Snapshot) Snapshot {
 	t.Helper()
 	raw, err := json.Marshal(b)
 	if err != nil {
@@ -96,18 +96,18 @@
 }
 
 // What instances that are lost with their holder had told it is in what it left.
-func TestCountsOfTheLostAreInTheBase(t *testing.T) {
-	lost, lives := NewMeter(Source{"a", 1}, length), NewMeter(Source{"b", 2}, length)
+func TestSnapshotKeepsCountsOfLostInstances(t *testing.T) {
+	lost, running := NewMeter(Source{"a", 1}, length), NewMeter(Source{"b", 2}, length)
 	lost.Count("o", length+10, 3)
-	lives.Count("o", length+10, 2)
-	lives.Count("p", 2*length, 1)
+	running.Count("o", length+10, 2)
+	running.Count("p", 2*length, 1)
 	before := NewAggregator(length)
 	before.Add(lost.Report(1, length+20))
-	before.Add(lives.Report(1, length+20))
+	before.Add(running.Report(1, length+20))
 	after := NewAggregator(length)
-	after.Restore(throughJSON(t, before.Snapshot()))
-	lives.Count("o", length+30, 1)
-	after.Add(lives.Report(2, length+40))
+	after.Restore(roundTripJSON(t, before.Snapshot()))
+	running.Count("o", length+30, 1)
+	after.Add(running.Report(2, length+40))
 	if got := after.Counts(1); got["o"] != 6 {
 		t.Errorf("window 1: %v", got)
 	}
@@ -117,7 +117,7 @@
 	if after.Complete(1) {
 		t.Error("complete though an instance that lives has not reported its end")
 	}
-	after.Add(lives.Report(2, 2*length+grace))
+	after.Add(running.Report(2, 2*length+grace))
 	if !after.Complete(1) {
 		t.Error("an instance that is lost is waited for")
 	}
@@ -125,9 +125,9 @@
 
 // A window waits for those that are expected, and not beyond its time; what comes after
 // its report is late.
-func TestAWindowWaitsForItsInstances(t *testing.T) {
-	terms := WindowTiming{Length: length, MaxWait: 4_000, RetryDelay: 400}
-	a, k := NewAggregator(length), NewReporter(terms)
+func TestWindowWaitsForItsInstances(t *testing.T) {
+	timing := WindowTiming{Length: length, MaxWait: 4_000, RetryDelay: 400}
+	a, k := NewAggregator(length), NewReporter(timing)
 	a.Expect("a", 6_000)
 	m := NewMeter(Source{Entry: "a"}, length)
 	m.Count("o", 9_999, 1)
@@ -188,8 +188,8 @@
 			for now := cf.Millis(10_000); now < 60_000; now += 100 {
 				for i := range all {
 					clocks.Record(cf.EntryID(fmt.Sprint(i)), wall(i, now-60), uptime(0, now))
-					told := clocks.Now(wall(0, now), uptime(0, now))
-					all[i].Adjust(told, wall(i, now+60), uptime(i, now+60))
+					reference := clocks.Now(wall(0, now), uptime(0, now))
+					all[i].Adjust(reference, wall(i, now+60), uptime(i, now+60))
 				}
 				for i := range all {
 					later := now + 90 // it may have stepped since
@@ -203,7 +203,7 @@
 }
 
 // A report has the same bytes whenever it is encoded.
-func TestReportsAreTheSameBytes(t *testing.T) {
+func TestReportEncodingIsStable(t *testing.T) {
 	counts := map[cf.Organisation]int64{}
 	for i := range 50 {
 		counts[cf.Organisation(fmt.Sprint("o", i))] = int64(i)
--- a/core/cfusage/explore_test.go
+++ b/core/cfusage/explore_test.go
@@ -10,21 +10,21 @@
 	cf "currantford"
 )
 
-// world is a store, a platform and two holders that may act at the same time, each with
+// modelState is a store, a platform and two holders that may act at the same time, each with
 // other counts of the same windows.
-type world struct {
-	rev     cf.Revision
-	kept    *Outbox
-	late    []lateWrite
-	taken   map[cf.UsageWindow]string
-	holders [2]Reporter
-	faults  int
+type modelState struct {
+	rev        cf.Revision
+	outbox     *Outbox
+	lateWrites []lateWrite
+	accepted   map[cf.UsageWindow]string
+	holders    [2]Reporter
+	faults     int
 }
 
 // lateWrite is a write without an answer that may take effect yet.
 type lateWrite struct {
-	rev  cf.Revision
-	kept Outbox
+	rev    cf.Revision
+	outbox Outbox
 }
 
 const (
@@ -35,98 +35,98 @@
 // exploreNow is when two windows of a second are over.
 const exploreNow cf.Millis = 3_500
 
-func (w *world) clone() *world {
+func (w *modelState) clone() *modelState {
 	c := *w
-	c.late = slices.Clone(w.late)
-	c.taken = maps.Clone(w.taken)
+	c.lateWrites = slices.Clone(w.lateWrites)
+	c.accepted = maps.Clone(w.accepted)
 	for i := range c.holders {
 		c.holders[i].sent = maps.Clone(w.holders[i].sent)
-		c.holders[i].again = map[cf.UsageWindow]cf.Millis{}
+		c.holders[i].retryAt = map[cf.UsageWindow]cf.Millis{}
 	}
 	return &c
 }
 
-func (w *world) key() string {
-	out := fmt.Sprint(w.rev, w.late, w.taken, w.faults)
-	if w.kept != nil {
-		out += fmt.Sprint(*w.kept)
+func (w *modelState) key() string {
+	out := fmt.Sprint(w.rev, w.lateWrites, w.accepted, w.faults)
+	if w.outbox != nil {
+		out += fmt.Sprint(*w.outbox)
 	}
 	for _, h := range w.holders {
-		out += fmt.Sprint(h.known, h.rev, h.kept, h.sent)
+		out += fmt.Sprint(h.loaded, h.rev, h.o, h.sent)
 	}
 	return out
 }
 
 // write takes effect if its condition holds.
-func (w *world) write(l lateWrite) bool {
+func (w *modelState) write(l lateWrite) bool {
 	if l.rev != w.rev {
 		return false
 	}
 	w.rev++
-	kept := l.kept
-	w.kept = &kept
+	outbox := l.outbox
+	w.outbox = &outbox
 	return true
 }
 
-// take takes a report; it returns an error if one that differs was taken.
-func (w *world) take(r cf.UsageReport) error {
+// accept takes a report; it returns an error if one that differs was taken.
+func (w *modelState) accept(r cf.UsageReport) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	if before, taken := w.taken[r.Window]; taken && before != string(raw) {
+	if before, accepted := w.accepted[r.Window]; accepted && before != string(raw) {
 		return fmt.Errorf("window %d was reported as %s and as %s", r.Window, before, raw)
 	}
-	w.taken[r.Window] = string(raw)
+	w.accepted[r.Window] = string(raw)
 	return nil
 }
 
 // next returns what may come next of a world. believes is the seeded fault: a holder takes
 // a write without an answer for one that took effect.
-func (w *world) next(accounts [2]*Aggregator, believes bool) (out []*world, err error) {
-	add := func(f func(n *world) error) {
+func (w *modelState) next(accounts [2]*Aggregator, trustsUnanswered bool) (out []*modelState, err error) {
+	add := func(f func(n *modelState) error) {
 		n := w.clone()
 		if e := f(n); e != nil {
 			err = e
 		}
 		out = append(out, n)
 	}
-	fault := func(f func(n *world) error) {
+	fault := func(f func(n *modelState) error) {
 		if w.faults < exploreFaults {
-			add(func(n *world) error { n.faults++; return f(n) })
+			add(func(n *modelState) error { n.faults++; return f(n) })
 		}
 	}
-	for i := range w.late {
-		add(func(n *world) error {
-			l := n.late[i]
-			n.late = slices.Delete(n.late, i, i+1)
+	for i := range w.lateWrites {
+		add(func(n *modelState) error {
+			l := n.lateWrites[i]
+			n.lateWrites = slices.Delete(n.lateWrites, i, i+1)
 			n.write(l)
 			return nil
 		})
 	}
 	for i := range w.holders {
 		step := w.clone().holders[i].Next(exploreNow, accounts[i])
-		fault(func(n *world) error { n.holders[i] = *NewReporter(exploreTerms); return nil }) // it is lost, another begins
+		fault(func(n *modelState) error { n.holders[i] = *NewReporter(exploreTiming); return nil }) // it is lost, another begins
 		switch step.Kind {
 		case Read:
-			add(func(n *world) error {
-				if n.kept == nil {
+			add(func(n *modelState) error {
+				if n.outbox == nil {
 					n.holders[i].InitOutbox(1_200, accounts[i])
 				} else {
-					n.holders[i].SetOutbox(*n.kept, n.rev)
+					n.holders[i].SetOutbox(*n.outbox, n.rev)
 				}
 				return nil
 			})
 		case Write:
 			l := lateWrite{step.Rev, step.Outbox}
-			doubt := func(n *world) {
-				if believes {
+			unanswered := func(n *modelState) {
+				if trustsUnanswered {
 					n.holders[i].SetOutbox(step.Outbox, step.Rev+1)
 				} else {
 					n.holders[i].InvalidateOutbox()
 				}
 			}
-			add(func(n *world) error {
+			add(func(n *modelState) error {
 				if n.write(l) {
 					n.holders[i].SetOutbox(step.Outbox, n.rev)
 				} else {
@@ -134,23 +134,23 @@
 				}
 				return nil
 			})
-			fault(func(n *world) error { n.write(l); doubt(n); return nil })                 // its answer is lost
-			fault(func(n *world) error { n.late = append(n.late, l); doubt(n); return nil }) // it takes effect later
-			fault(func(n *world) error { doubt(n); return nil })                             // it is lost
+			fault(func(n *modelState) error { n.write(l); unanswered(n); return nil })                             // its answer is lost
+			fault(func(n *modelState) error { n.lateWrites = append(n.lateWrites, l); unanswered(n); return nil }) // it takes effect later
+			fault(func(n *modelState) error { unanswered(n); return nil })                                         // it is lost
 		case Send:
-			add(func(n *world) error { n.holders[i].Sent(step.Report.Window); return n.take(step.Report) })
-			fault(func(n *world) error { return n.take(step.Report) }) // its answer is lost
+			add(func(n *modelState) error { n.holders[i].Sent(step.Report.Window); return n.accept(step.Report) })
+			fault(func(n *modelState) error { return n.accept(step.Report) }) // its answer is lost
 		}
 	}
 	return out, err
 }
 
-var exploreTerms = WindowTiming{Length: 1_000, MaxWait: 0}
+var exploreTiming = WindowTiming{Length: 1_000, MaxWait: 0}
 
-func explore(believes bool) (states int, complete bool, err error) {
+func explore(trustsUnanswered bool) (states int, complete bool, err error) {
 	var accounts [2]*Aggregator
 	for i := range accounts {
-		accounts[i] = NewAggregator(exploreTerms.Length)
+		accounts[i] = NewAggregator(exploreTiming.Length)
 		for w := cf.UsageWindow(1); w <= 2; w++ {
 			accounts[i].Add(MeterReport{
 				Source: Source{Entry: "e"}, Seq: 1, Through: exploreNow + grace,
@@ -158,16 +158,16 @@
 			})
 		}
 	}
-	start := &world{taken: map[cf.UsageWindow]string{}}
+	start := &modelState{accepted: map[cf.UsageWindow]string{}}
 	for i := range start.holders {
-		start.holders[i] = *NewReporter(exploreTerms)
+		start.holders[i] = *NewReporter(exploreTiming)
 	}
 	seen := map[string]bool{start.key(): true}
-	level := []*world{start}
+	level := []*modelState{start}
 	for range exploreSteps {
-		var after []*world
+		var after []*modelState
 		for _, w := range level {
-			next, err := w.next(accounts, believes)
+			next, err := w.next(accounts, trustsUnanswered)
 			if err != nil {
 				return len(seen), complete, err
 			}
@@ -175,7 +175,7 @@
 				if k := n.key(); !seen[k] {
 					seen[k] = true
 					after = append(after, n)
-					complete = complete || len(n.taken) == 2
+					complete = complete || len(n.accepted) == 2
 				}
 			}
 		}
--- a/core/cfusage/keeper.go
+++ b/core/cfusage/keeper.go
@@ -18,8 +18,8 @@
 	Send
 )
 
-// keptMost bounds the reports that wait to be sent. The oldest are given up first.
-const keptMost = 120
+// maxPending bounds the reports that wait to be sent. The oldest are given up first.
+const maxPending = 120
 
 type (
 	// ActionKind is what a keeper does next.
@@ -56,30 +56,30 @@
 	// or written there with an answer: what two holders send of a window is the same.
 	// It is not safe for concurrent use.
 	Reporter struct {
-		terms WindowTiming
-		// known says that kept, at rev, is what lies in the store.
-		known bool
-		kept  Outbox
-		rev   cf.Revision
+		timing WindowTiming
+		// loaded says that kept, at rev, is what lies in the store.
+		loaded bool
+		o      Outbox
+		rev    cf.Revision
 		// sent are the windows that the platform has taken from this holder.
-		sent  map[cf.UsageWindow]bool
-		again map[cf.UsageWindow]cf.Millis
+		sent    map[cf.UsageWindow]bool
+		retryAt map[cf.UsageWindow]cf.Millis
 	}
 )
 
 // NewReconciler returns the keeper of a duty that begins.
-func NewReporter(terms WindowTiming) *Reporter {
-	return &Reporter{terms: terms, sent: map[cf.UsageWindow]bool{}, again: map[cf.UsageWindow]cf.Millis{}}
+func NewReporter(timing WindowTiming) *Reporter {
+	return &Reporter{timing: timing, sent: map[cf.UsageWindow]bool{}, retryAt: map[cf.UsageWindow]cf.Millis{}}
 }
 
 // Next returns what is to be done at a moment of true time.
 func (k *Reporter) Next(now cf.Millis, a *Aggregator) Step {
-	if !k.known {
+	if !k.loaded {
 		return Step{Kind: Read}
 	}
-	for _, r := range k.kept.Pending {
-		if !k.sent[r.Window] && now >= k.again[r.Window] {
-			return Step{Kind: Send, Report: r}
+	for _, report := range k.o.Pending {
+		if !k.sent[report.Window] && now >= k.retryAt[report.Window] {
+			return Step{Kind: Send, Report: report}
 		}
 	}
 	if next, due := k.due(now, a); due {
@@ -90,33 +90,33 @@
 
 // due returns what is to lie in the store, where a window is to be reported.
 func (k *Reporter) due(now cf.Millis, a *Aggregator) (Outbox, bool) {
-	next := Outbox{Settled: k.kept.Settled}
-	for _, r := range k.kept.Pending {
-		if !k.sent[r.Window] {
-			next.Pending = append(next.Pending, r)
+	next := Outbox{Settled: k.o.Settled}
+	for _, report := range k.o.Pending {
+		if !k.sent[report.Window] {
+			next.Pending = append(next.Pending, report)
 		}
 	}
 	due := false
-	for w := next.Settled + 1; w.Ends(k.terms.Length) <= now; w++ {
-		if !a.Complete(w) && now < w.Ends(k.terms.Length)+k.terms.MaxWait {
+	for w := next.Settled + 1; w.Ends(k.timing.Length) <= now; w++ {
+		if !a.Complete(w) && now < w.Ends(k.timing.Length)+k.timing.MaxWait {
 			break
 		}
 		next.Settled, due = w, true
 		next.Pending = append(next.Pending, cf.UsageReport{Window: w, Counts: a.Counts(w)})
 	}
-	if n := len(next.Pending); n > keptMost {
-		next.Pending = slices.Clone(next.Pending[n-keptMost:])
+	if n := len(next.Pending); n > maxPending {
+		next.Pending = slices.Clone(next.Pending[n-maxPending:])
 	}
 	return next, due
 }
 
 // SetOutbox takes what was read, or written with an answer.
-func (k *Reporter) SetOutbox(kept Outbox, rev cf.Revision) { k.known, k.kept, k.rev = true, kept, rev }
+func (k *Reporter) SetOutbox(o Outbox, rev cf.Revision) { k.loaded, k.o, k.rev = true, o, rev }
 
 // LoadedEmpty notes that nothing lies in the store yet: the first window to be reported is
 // the one of now, or the oldest that was counted.
 func (k *Reporter) InitOutbox(now cf.Millis, a *Aggregator) {
-	first := cf.WindowOf(now, k.terms.Length)
+	first := cf.WindowOf(now, k.timing.Length)
 	if oldest, counted := a.Oldest(); counted {
 		first = min(first, oldest)
 	}
@@ -125,14 +125,14 @@
 
 // WriteInDoubt notes that a write had no answer, or met another: what lies in the store is to
 // be read.
-func (k *Reporter) InvalidateOutbox() { k.known = false }
+func (k *Reporter) InvalidateOutbox() { k.loaded = false }
 
 // Sent notes that the platform has taken a report.
 func (k *Reporter) Sent(w cf.UsageWindow) { k.sent[w] = true }
 
 // NotSent notes that a report was not taken, or had no answer. It is sent again.
-func (k *Reporter) NotSent(w cf.UsageWindow, now cf.Millis) { k.again[w] = now + k.terms.RetryDelay }
+func (k *Reporter) NotSent(w cf.UsageWindow, now cf.Millis) { k.retryAt[w] = now + k.timing.RetryDelay }
 
 // Settled returns the last window of which a report lies in the store, zero while that
 // is not known.
-func (k *Reporter) Settled() cf.UsageWindow { return k.kept.Settled }
+func (k *Reporter) Settled() cf.UsageWindow { return k.o.Settled }
--- a/core/cfusage/meter.go
+++ b/core/cfusage/meter.go
@@ -26,8 +26,8 @@
 	cf "currantford"
 )
 
-// windowsMost bounds the windows whose counts an instance keeps while nobody takes them.
-const windowsMost = 60
+// maxWindows bounds the windows whose counts an instance keeps while nobody takes them.
+const maxWindows = 60
 
 type (
 	// Source is one start of an instance.
@@ -54,23 +54,23 @@
 		length cf.Millis
 
 		mu      sync.Mutex
-		windows map[cf.UsageWindow]*tally
-		change  int64
+		windows map[cf.UsageWindow]*windowCounts
+		seq     int64
 		settled cf.UsageWindow
-		// term and taken are the recipient that took the counts as of a change.
-		term  cf.Revision
-		taken int64
+		// ackTerm and taken are the recipient that took the counts as of a change.
+		ackTerm cf.Revision
+		ackSeq  int64
 	}
 
-	tally struct {
+	windowCounts struct {
 		counts map[cf.Organisation]int64
-		change int64
+		seq    int64
 	}
 )
 
 // NewMeter returns the meter of one start of an instance, for windows of a length.
 func NewMeter(source Source, length cf.Millis) *Meter {
-	return &Meter{source: source, length: length, windows: map[cf.UsageWindow]*tally{}}
+	return &Meter{source: source, length: length, windows: map[cf.UsageWindow]*windowCounts{}}
 }
 
 // Count adds n requests of an organisation that began at a moment; it may take back what
@@ -84,12 +84,12 @@
 	}
 	t := m.windows[w]
 	if t == nil {
-		t = &tally{counts: map[cf.Organisation]int64{}}
+		t = &windowCounts{counts: map[cf.Organisation]int64{}}
 		m.windows[w] = t
 		m.trim()
 	}
-	m.change++
-	t.change = m.change
+	m.seq++
+	t.seq = m.seq
 	if t.counts[o] += n; t.counts[o] == 0 {
 		delete(t.counts, o)
 	}
@@ -98,7 +98,7 @@
 
 // trim drops the oldest window if there are too many. m.mu is held.
 func (m *Meter) trim() {
-	if len(m.windows) <= windowsMost {
+	if len(m.windows) <= maxWindows {
 		return
 	}
 	oldest := cf.UsageWindow(1 << 62)
@@ -112,13 +112,13 @@
 func (m *Meter) Report(term cf.Revision, now cf.Millis) MeterReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	taken := m.taken
-	if term != m.term {
-		taken = 0
+	ackSeq := m.ackSeq
+	if term != m.ackTerm {
+		ackSeq = 0
 	}
-	r := MeterReport{Source: m.source, Seq: m.change, Through: now}
+	r := MeterReport{Source: m.source, Seq: m.seq, Through: now}
 	for w, t := range m.windows {
-		if t.change > taken {
+		if t.seq > ackSeq {
 			r.Windows = append(r.Windows, cf.UsageReport{Window: w, Counts: maps.Clone(t.counts)})
 		}
 	}
@@ -129,10 +129,10 @@
 func (m *Meter) Acknowledge(term cf.Revision, r MeterReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if term != m.term {
-		m.term, m.taken = term, 0
+	if term != m.ackTerm {
+		m.ackTerm, m.ackSeq = term, 0
 	}
-	m.taken = max(m.taken, r.Seq)
+	m.ackSeq = max(m.ackSeq, r.Seq)
 }
 
 // Settle drops the windows up to one, whose reports lie in the store.
@@ -143,5 +143,5 @@
 		return
 	}
 	m.settled = through
-	maps.DeleteFunc(m.windows, func(w cf.UsageWindow, _ *tally) bool { return w <= through })
+	maps.DeleteFunc(m.windows, func(w cf.UsageWindow, _ *windowCounts) bool { return w <= through })
 }
