--- a/core/cfmember/hubs.go
+++ b/core/cfmember/hubs.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// HubsFrom is from how many instances on there are hubs, where nothing else is set.
+	// HubsFrom is the default for the number of instances from which hubs are used.
 	HubsFrom = 97
-	// instancesPerHub is how many instances ask one hub on average.
+	// instancesPerHub is the average number of instances that poll one hub.
 	instancesPerHub = 48
 )
 
-// Hubs returns the instances that pass the coordinator's news on to the others of their
-// failure domain, the strongest of each; none on a deployment of fewer than from, whose
-// coordinator answers all by itself.
+// Hubs returns the instances that relay the coordinator's updates to the other instances of their
+// failure domain: those of the highest capacity in each domain. A deployment of fewer than
+// threshold instances has no hubs, and its coordinator answers all instances itself.
 //
-// The load it answers: hundreds of instances that all ask one coordinator, several times a
-// second, and all have to hear of a target that drains; a start of all of them, which each
-// are sent the whole view. Hubs ask the coordinator, and the others ask them, so that what
-// the coordinator answers, and what crosses between failure domains, grows with the hubs.
+// Hubs bound the load on the coordinator in large deployments, where hundreds of instances poll
+// several times a second and all must learn when a target drains, and where after a simultaneous
+// start each of them needs the full view. Only hubs poll the coordinator, and the other instances
+// poll hubs, so the coordinator's load and the traffic between failure domains grow with the number
+// of hubs.
 func Hubs(entries []Entry, threshold int) []Entry {
 	if len(entries) < threshold {
 		return nil
@@ -42,9 +43,10 @@
 	return out
 }
 
-// HubCandidates returns those of the hubs that an instance may ask, best first: those of its
-// failure domain in an order of its own, so that the instances spread over them, then those
-// of others. Hubs that it leaves out, among them the coordinator, are not returned.
+// HubCandidates returns the hubs that self may poll, in order of preference: first those of its own
+// failure domain, then those of other domains. The order within each of the two groups depends on
+// self, so that instances spread evenly over the hubs. Hubs for which excluded returns true, such
+// as the coordinator, are left out.
 func HubCandidates(hubs []Entry, self Entry, excluded func(cf.EntryID) bool) []Entry {
 	type candidate struct {
 		Entry
@@ -73,12 +75,12 @@
 	return out
 }
 
-// Contains says whether an instance is among others.
+// Contains reports whether entries contain the instance with the given ID.
 func Contains(entries []Entry, id cf.EntryID) bool {
 	return slices.ContainsFunc(entries, func(e Entry) bool { return e.ID == id })
 }
 
-// rankedEntry is an instance with its place among those that are as strong.
+// rankedEntry is an instance with the hash of its ID, which orders instances of equal capacity.
 type rankedEntry struct {
 	Entry
 	hash uint64
@@ -86,17 +88,17 @@
 
 func newRankedEntry(e Entry) rankedEntry { return rankedEntry{e, hashID(e.ID)} }
 
-// compareRank orders instances by how soon they are taken as hubs or scouts: the strong come
-// first, as they take the duty; of these the order is drawn by their ids.
+// compareRank orders instances for selection as hubs or fallback watchers: by descending capacity,
+// because these roles add load, and by the hash of the ID among instances of equal capacity.
 func compareRank(a, b rankedEntry) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.hash, b.hash), strings.Compare(string(a.ID), string(b.ID)))
 }
 
 func hashID(id cf.EntryID) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // a hash takes everything
+	_, _ = h.Write([]byte(id)) // Writing to a hash never fails.
 	return mixBits(h.Sum64())
 }
 
-// hashPair draws a number for two instances.
+// hashPair returns a hash of an ordered pair of instance IDs.
 func hashPair(a, b cf.EntryID) uint64 { return hashID(a + "\x00" + b) }
--- a/core/cfmember/membership.go
+++ b/core/cfmember/membership.go
@@ -7,44 +7,48 @@
 )
 
 const (
-	// refreshInterval spaces the coordinator's looks at a long list of instances, from liveFew
-	// on: when hundreds start, each of their first calls changes it.
+	// refreshInterval is the minimum interval between two rebuilds of the roster from the table
+	// once the roster has throttleThreshold entries: when hundreds of instances start, the first
+	// report of each one changes the list.
 	refreshInterval   cf.Millis = 50
 	throttleThreshold int       = 100
 )
 
-// Membership is what an instance knows of the others: as the coordinator by their own and
-// the hubs' reports, else as it is told; and as a hub who asks it. It is safe for concurrent
-// use.
+// Membership is one instance's knowledge of the other instances. On the coordinator it is built
+// from the reports of instances and hubs; on any other instance it follows the updates received
+// from the coordinator or a hub. On a hub it also tracks the instances that poll this hub. It is
+// safe for concurrent use.
 type Membership struct {
 	hubMin int
 
 	mu sync.Mutex
-	// table are the instances as the coordinator hears of them. While keeping, the
-	// roster is made of it, as of its changes counted by seen, at liveAt.
+	// table holds the instances that report to this coordinator. While coordinating is set, the
+	// roster is rebuilt from the table; tableVersion and refreshedAt are the table's version and
+	// the time of the last rebuild.
 	table        Table
 	coordinating bool
 	tableVersion int64
 	refreshedAt  cf.Millis
-	// roster are those that take callers, hubs and scouts those among them, and scout
-	// whether this instance is one of the scouts, as of the roster's changes counted by
-	// ranked.
+	// roster holds the instances that accept callers. hubs and watchers are the hubs and fallback
+	// watchers among them, and isWatcher says whether this instance is a fallback watcher; all
+	// three are computed for the roster version rolesAt.
 	roster    Roster
 	hubs      []Entry
 	watchers  []Entry
 	isWatcher bool
 	rolesAt   int64
-	// clients are the instances that ask this one, clientRoster identifies them.
+	// clients holds the instances that poll this one as their hub; clientRoster provides the
+	// checksum of that set.
 	clients      Table
 	clientRoster Roster
 }
 
-// NewMembership returns the membership of an instance that knows no other; hubsFrom is from
-// how many instances on there are hubs.
+// NewMembership returns the membership of an instance that knows no other instance. Hubs are used
+// from hubMin instances on.
 func NewMembership(hubMin int) *Membership { return &Membership{hubMin: hubMin, rolesAt: -1} }
 
-// StartCoordinating begins to keep the list, as the coordinator: with the instances that it was told of,
-// which it returns, and until they have had time to report.
+// StartCoordinating begins to maintain the roster from instance reports, as the coordinator. The
+// instances known so far, which it returns, stay listed until they have had time to report.
 func (m *Membership) StartCoordinating(now cf.Millis) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,7 +58,8 @@
 	return entries
 }
 
-// StopCoordinating ends that: the list stays as it is, until it is told.
+// StopCoordinating stops maintaining the roster from instance reports. The roster then stays
+// unchanged until an update is applied.
 func (m *Membership) StopCoordinating(self Entry, now cf.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,7 +68,7 @@
 	m.coordinating = false
 }
 
-// refresh makes the roster that of the table, while it is kept.
+// refresh rebuilds the roster from the table if this instance is the coordinator.
 func (m *Membership) refresh(self Entry, now cf.Millis) {
 	if !m.coordinating || now-m.refreshedAt < refreshInterval && len(m.roster.Entries()) >= throttleThreshold {
 		return
@@ -76,7 +81,7 @@
 	}
 }
 
-// updateRoles finds the hubs and the scouts of the roster.
+// updateRoles recomputes the hubs and fallback watchers if the roster has changed.
 func (m *Membership) updateRoles(self Entry) {
 	if version := m.roster.Version(); m.rolesAt != version {
 		m.hubs, m.rolesAt = Hubs(m.roster.Entries(), m.hubMin), version
@@ -85,7 +90,8 @@
 	}
 }
 
-// Live returns the instances that take callers, sorted by id. The list is not to be changed.
+// Live returns the instances that accept callers, sorted by ID. The caller must not modify the
+// slice.
 func (m *Membership) Live(self Entry, now cf.Millis) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,14 +99,15 @@
 	return m.roster.Entries()
 }
 
-// LiveWithAges returns those that the coordinator hears of, each with its latest age.
+// LiveWithAges returns the ready instances that report to the coordinator, each with its latest
+// age.
 func (m *Membership) LiveWithAges(now cf.Millis) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.LiveWithAges(now)
 }
 
-// Hubs returns the hubs.
+// Hubs returns the current hubs. The caller must not modify the slice.
 func (m *Membership) Hubs(self Entry, now cf.Millis) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,8 +116,8 @@
 	return m.hubs
 }
 
-// IsFallbackWatcher says whether an instance, self, looks after the store as soon as the coordinator
-// can't tell how things stand.
+// IsFallbackWatcher reports whether self watches the store as soon as the coordinator has no
+// current view.
 func (m *Membership) IsFallbackWatcher(self Entry) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,15 +125,16 @@
 	return m.isWatcher
 }
 
-// Restarts counts the instances that the coordinator here heard to have started again.
+// Restarts returns the number of instance restarts that this instance has observed as the
+// coordinator.
 func (m *Membership) Restarts() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.restarts
 }
 
-// FallbackWatchers returns the instances that look after the store by themselves. The list is not to be
-// changed.
+// FallbackWatchers returns the instances that watch the store as soon as the coordinator has no
+// current view. The caller must not modify the slice.
 func (m *Membership) FallbackWatchers(self Entry) []Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,8 +142,9 @@
 	return m.watchers
 }
 
-// RecordReport takes an instance's report, as the coordinator, with what it tells of those that ask
-// it. It returns the sum of that group as it is known now.
+// RecordReport records an instance's report at the coordinator, along with the group of clients
+// that a hub reports. It returns the checksum of that hub's group as now known here, or zero
+// without a group.
 func (m *Membership) RecordReport(e Entry, g *Group, now cf.Millis) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,29 +155,30 @@
 	return m.table.RecordGroup(e.ID, *g, now)
 }
 
-// RemoveRefused takes the word that no process takes connections at an address for instances.
+// RemoveRefused records that connections to a peer address are refused. See Table.RemoveRefused.
 func (m *Membership) RemoveRefused(peerAddr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.RemoveRefused(peerAddr)
 }
 
-// RecordClient takes the report of an instance that asks this one, as its hub.
+// RecordClient records the report of an instance that polls this one as its hub.
 func (m *Membership) RecordClient(e Entry, now cf.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.clients.Record(e, now)
 }
 
-// ClientCount counts the instances that ask this one.
+// ClientCount returns the number of live instances that poll this one as their hub.
 func (m *Membership) ClientCount(now cf.Millis) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.clients.Live(now))
 }
 
-// Group returns what the coordinator is told of the instances that ask this one, nil if none
-// does; known is the sum of those that it knows.
+// Group returns the report about this hub's clients for the coordinator, or nil if there are none.
+// knownSum is the checksum of the group that the coordinator already has; the entries are omitted
+// if it matches.
 func (m *Membership) Group(knownSum uint64, now cf.Millis) *Group {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,9 +194,9 @@
 	return g
 }
 
-// Update returns what an instance must hear of the list: what has changed since count where
-// same says that it has heard that here, else all of it unless it has the same sum; nil if it
-// knows all.
+// Update returns the roster update for an instance, or nil if it is up to date. If sameSource is
+// set, the instance has the given version of this roster and receives the changes since then;
+// otherwise it receives the full roster, without entries if its checksum already matches.
 func (m *Membership) Update(sameSource bool, version int64, sum uint64, self Entry, now cf.Millis) *RosterUpdate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,14 +213,15 @@
 	return &update
 }
 
-// Apply takes news of the list; false if it must be told all of it.
+// Apply applies a roster update. It returns false if the roster differs from its source afterwards,
+// so that a full update is needed.
 func (m *Membership) Apply(update RosterUpdate) (inSync bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.coordinating || m.roster.Apply(update)
 }
 
-// Sum identifies the list.
+// Sum returns the checksum of the roster.
 func (m *Membership) Sum() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/core/cfmember/neighbour.go
+++ b/core/cfmember/neighbour.go
@@ -2,9 +2,11 @@
 
 import "slices"
 
-// TextReplica returns the instance to which a coordinator, self, copies its texts, and
-// the one at the address avoid only if there is no other. Copies cost nothing within a
-// failure domain; the strong instances take the duty over, and find them at home.
+// TextReplica returns the instance to which a coordinator, self, copies the texts of its unfinished
+// batch items. It returns the instance at the peer address avoid only if there is no other. Copying
+// within a failure domain costs nothing, and instances of high capacity are preferred because one
+// of them takes over as coordinator and then has the texts locally. The result is zero if self is
+// the only instance.
 func TextReplica(entries []Entry, self Entry, avoid string) Entry {
 	var best Entry
 	bestRank := -1
@@ -29,9 +31,10 @@
 	return best
 }
 
-// PossibleTextReplicas returns the instances that may hold texts of a coordinator: all where there are no
-// hubs, else the strong ones, of which its neighbours and its hosts are. To ask hundreds of
-// others costs a successor a connection to each, in the moment in which all turn to it.
+// PossibleTextReplicas returns the instances that may hold copies of a coordinator's texts: all
+// instances if there are no hubs, otherwise those of high capacity, which include the replica and
+// the successor of a coordinator. Asking hundreds of other instances would cost a new coordinator a
+// connection to each, just when all of them connect to it.
 func PossibleTextReplicas(entries, hubs []Entry) []Entry {
 	if len(hubs) == 0 {
 		return entries
--- a/core/cfmember/neighbour_test.go
+++ b/core/cfmember/neighbour_test.go
@@ -8,10 +8,9 @@
 	"currantford/core/cfmember"
 )
 
-// Symptom: copies of texts go to an instance that does not answer, or to a weak one
-// while a strong one is there; the list of instances loses an entry.
-// Sequence: the neighbour falls silent and another is chosen from the list that all
-// others are told.
+// TestTextReplicaPrefersCapacityAndSameDomain guards against copies of texts that go to an instance
+// that does not answer, or to one of low capacity although one of high capacity is available. It
+// also guards against a change to the shared list of instances while a replica is chosen from it.
 func TestTextReplicaPrefersCapacityAndSameDomain(t *testing.T) {
 	entry := func(id string, domain cf.FailureDomain, capacity float64) cfmember.Entry {
 		return cfmember.Entry{ID: cf.EntryID("id-" + id), PeerAddr: id, Domain: domain, Capacity: capacity}
@@ -32,10 +31,10 @@
 	for _, c := range cases {
 		before := slices.Clone(c.entries)
 		if got := cfmember.TextReplica(c.entries, self, c.avoid); got.PeerAddr != c.want {
-			t.Errorf("of %d avoiding %q: %q, want %q", len(c.entries), c.avoid, got.PeerAddr, c.want)
+			t.Errorf("replica among %d instances, avoiding %q: %q, want %q", len(c.entries), c.avoid, got.PeerAddr, c.want)
 		}
 		if !slices.Equal(before, c.entries) {
-			t.Error("the list has changed")
+			t.Error("TextReplica modified the list of instances")
 		}
 	}
 }
--- a/core/cfmember/ring.go
+++ b/core/cfmember/ring.go
@@ -7,10 +7,10 @@
 	cf "currantford"
 )
 
-// GossipPeers returns the instances to which one hands news: those before and after it in the
-// order of the ids, and one that is drawn by both ids. Each passes on what is new to it, so
-// that news reach all in a number of hops that grows with the logarithm of theirs, also
-// while a failure domain, or every tenth instance, is gone.
+// GossipPeers returns the instances to which self forwards an announcement: its predecessor and
+// successor in the order of IDs, and one chosen by a hash of both IDs. Each instance forwards what
+// is new to it, so an announcement reaches all instances in a number of hops that grows with the
+// logarithm of their number, even while a failure domain or every tenth instance is down.
 func GossipPeers(entries []Entry, self Entry) []Entry {
 	all := slices.Clone(entries)
 	at, found := slices.BinarySearchFunc(all, self.ID, func(e Entry, id cf.EntryID) int { return strings.Compare(string(e.ID), string(id)) })
@@ -28,8 +28,9 @@
 	return out
 }
 
-// highestHashPeer returns the place of the instance whose id and self have the highest hash: it
-// changes only when that instance goes, or a higher one comes.
+// highestHashPeer returns the index of the instance for which the hash of self's ID and its ID is
+// highest. The result changes only when that instance is removed or one with a higher hash is
+// added.
 func highestHashPeer(all []Entry, self cf.EntryID) int {
 	best, maxHash := 0, uint64(0)
 	for i, e := range all {
@@ -40,7 +41,8 @@
 	return best
 }
 
-// mixBits spreads a hash whose high bits hardly differ for ids that end alike.
+// mixBits mixes the bits of an FNV hash, whose high bits are nearly equal for IDs that differ only
+// in their last characters.
 func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/core/cfmember/ring_test.go
+++ b/core/cfmember/ring_test.go
@@ -7,15 +7,15 @@
 	cf "currantford"
 )
 
-// News that each instance passes on once reach every one that is alive, in 20 hops at the
-// most, also before the list of instances shows that a tenth of them, or a failure domain,
-// are gone.
+// TestUpdatesReachAllInstances checks that an announcement that each instance forwards once reaches
+// every live instance in at most 20 hops, even before the list of instances shows that a tenth of
+// them or a failure domain is down.
 func TestUpdatesReachAllInstances(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 9, 30, 95, 300, 1300} {
 		for name, alive := range map[string]func(i int) bool{
-			"all alive":        func(int) bool { return true },
-			"a tenth gone":     func(i int) bool { return i%10 != 3 },
-			"a fifth in a row": func(i int) bool { return i == 0 || i < n/2 || i >= n/2+n/5 },
+			"all alive":               func(int) bool { return true },
+			"a tenth down":            func(i int) bool { return i%10 != 3 },
+			"a contiguous fifth down": func(i int) bool { return i == 0 || i < n/2 || i >= n/2+n/5 },
 		} {
 			var entries []Entry
 			at := map[cf.EntryID]int{}
@@ -29,7 +29,7 @@
 				from := queue[0]
 				peers := GossipPeers(entries, entries[from])
 				if len(peers) > 3 {
-					t.Fatalf("%d neighbours", len(peers))
+					t.Fatalf("%d gossip peers, want at most 3", len(peers))
 				}
 				for _, e := range peers {
 					to := at[e.ID]
@@ -47,12 +47,12 @@
 				}
 			}
 			if len(hops) != want || maxHops > 20 {
-				t.Errorf("%d instances, %s: %d of %d heard, in %d hops", n, name, len(hops), want, maxHops)
+				t.Errorf("%d instances, %s: %d of %d instances reached, in %d hops", n, name, len(hops), want, maxHops)
 			}
 		}
 	}
-	// One that is not in the list, as it is not ready, hands news on all the same.
+	// An instance that is not listed because it is not ready forwards announcements too.
 	if got := GossipPeers([]Entry{{ID: "a"}, {ID: "c"}}, Entry{ID: "b"}); len(got) != 2 {
-		t.Errorf("neighbours of an instance that is not listed: %v", got)
+		t.Errorf("gossip peers of an instance that is not listed: %v, want 2", got)
 	}
 }
--- a/core/cfmember/roster.go
+++ b/core/cfmember/roster.go
@@ -12,30 +12,30 @@
 )
 
 type (
-	// Roster is the list of the instances that take callers, as it is told from one to
-	// the other: each is sent what has changed since it was told last, and all of it where
-	// a sum shows that it has missed something. The zero value is empty. It is not safe
-	// for concurrent use.
+	// Roster is the list of instances that accept callers, with incremental replication from one
+	// instance to another: an update carries the changes since the previous one, and a checksum
+	// shows when the recipient has missed a change and needs the full list. The zero value is an
+	// empty roster. It is not safe for concurrent use.
 	Roster struct {
 		entries map[cf.EntryID]Entry
 		log     cfchange.Log[cf.EntryID]
 		version int64
 		sum     uint64
-		// sorted are the entries by their ids, nil until they are asked for.
+		// sorted caches the entries in the order of their IDs; nil if the cache is invalid.
 		sorted []Entry
 	}
 
-	// RosterUpdate is what has changed in a roster, or all of it.
+	// RosterUpdate holds the changes of a roster since an earlier version, or the full roster.
 	RosterUpdate struct {
-		Version int64        `cbor:"count"` // of the changes, as of this
-		Sum     uint64       `cbor:"sum"`   // of the roster after this
+		Version int64        `cbor:"count"` // Version of the sender's roster.
+		Sum     uint64       `cbor:"sum"`   // Checksum of the roster after the update.
 		Full    bool         `cbor:"whole,omitempty"`
 		Entries []Entry      `cbor:"entries,omitempty"`
 		Removed []cf.EntryID `cbor:"gone,omitempty"`
 	}
 )
 
-// Set makes the roster that of a table.
+// Set replaces the content of the roster by the given entries.
 func (r *Roster) Set(entries []Entry) {
 	listed := make(map[cf.EntryID]bool, len(entries))
 	changed := false
@@ -52,7 +52,7 @@
 	r.bumpVersion(changed)
 }
 
-// put takes an entry; it returns whether that changes anything but its age.
+// put adds or replaces an entry. It returns whether anything but the entry's age has changed.
 func (r *Roster) put(e Entry) bool {
 	old, known := r.entries[e.ID]
 	if known && equalIgnoringAge(old, e) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// Entries returns the instances, sorted by id. The list is not to be changed.
+// Entries returns the instances, sorted by ID. The caller must not modify the slice.
 func (r *Roster) Entries() []Entry {
 	if r.sorted == nil {
 		r.sorted = make([]Entry, 0, len(r.entries))
@@ -95,13 +95,15 @@
 	return r.sorted
 }
 
-// Version counts the changes.
+// Version returns the number of changes made to the roster so far.
 func (r *Roster) Version() int64 { return r.version }
 
-// Sum identifies the instances in the roster: equal sums mean equal rosters.
+// Sum returns a checksum of the roster: equal rosters have equal sums, whatever the ages of the
+// entries are.
 func (r *Roster) Sum() uint64 { return r.sum }
 
-// Since returns what has changed since the count of an earlier answer.
+// Since returns the changes since an earlier version, or the full roster if they are no longer
+// known.
 func (r *Roster) Since(version int64) RosterUpdate {
 	ids, known := r.log.Since(version)
 	if !known || version > r.version {
@@ -118,8 +120,8 @@
 	return update
 }
 
-// Snapshot returns the whole roster, for an instance that has heard nothing from this one. One
-// whose own has the same sum already needs no list.
+// Snapshot returns the full roster, for an instance that has no version of this one. The entries
+// are omitted if sum, the checksum of that instance's own roster, already matches.
 func (r *Roster) Snapshot(sum uint64) RosterUpdate {
 	if sum == r.sum {
 		return RosterUpdate{Version: r.version, Sum: r.sum}
@@ -131,8 +133,8 @@
 	return RosterUpdate{Version: r.version, Sum: r.sum, Full: true, Entries: r.Entries()}
 }
 
-// Apply takes news of another roster. It returns false if this one then differs, and must be
-// told all.
+// Apply applies an update of another roster. It returns false if the checksums differ afterwards,
+// so that a full update is needed.
 func (r *Roster) Apply(update RosterUpdate) (inSync bool) {
 	if update.Full {
 		r.Set(update.Entries)
@@ -157,11 +159,12 @@
 	return a == b
 }
 
-// entryChecksum returns an entry's part of a roster's sum; its age is none.
+// entryChecksum returns the contribution of an entry to the checksum of a roster. The age is not
+// included, because it changes constantly.
 func entryChecksum(e Entry) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{string(e.ID), e.Addr, e.PeerAddr, string(e.Domain)} {
-		_, _ = h.Write([]byte(s)) // a hash takes everything
+		_, _ = h.Write([]byte(s)) // Writing to a hash never fails.
 		_, _ = h.Write([]byte{0})
 	}
 	ready := byte(0)
--- a/core/cfmember/roster_test.go
+++ b/core/cfmember/roster_test.go
@@ -9,7 +9,7 @@
 	cf "currantford"
 )
 
-// fleet returns n instances in six failure domains, of which one in ten is strong.
+// fleet returns n instances in six failure domains, one in ten of which has high capacity.
 func fleet(n int) []Entry {
 	out := make([]Entry, n)
 	for i := range out {
@@ -21,8 +21,9 @@
 	return out
 }
 
-// Rosters that hear of changes only, over one instance more or less in between, are that
-// of the coordinator, and one that has missed something learns all.
+// TestRosterUpdatesKeepRostersEqual checks that rosters that receive only changes, directly or
+// through one other instance, equal the coordinator's, and that a roster that has missed a change
+// receives the full list.
 func TestRosterUpdatesKeepRostersEqual(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -34,7 +35,7 @@
 				update = from.Since(version)
 			}
 			if versions[to] = update.Version; !to.Apply(update) {
-				t.Fatalf("seed %d: differs after %+v", seed, update)
+				t.Fatalf("seed %d: the roster differs after update %+v", seed, update)
 			}
 			if random.IntN(20) == 0 {
 				delete(versions, to)
@@ -60,29 +61,31 @@
 	}
 }
 
-// Load: one instance comes at a fleet of 836. Each of the others is told of it alone.
+// TestRosterUpdateContainsOnlyTheChange guards against full lists being sent when one instance
+// joins a deployment of 836: each of the others must be sent only the new entry.
 func TestRosterUpdateContainsOnlyTheChange(t *testing.T) {
 	var source, follower Roster
 	all := fleet(836)
 	source.Set(all[:835])
 	first := source.Snapshot(follower.Sum())
 	if !first.Full || !follower.Apply(first) {
-		t.Fatal("the first news are not the whole roster")
+		t.Fatal("the first update is not the full roster")
 	}
 	source.Set(all)
 	if update := source.Since(first.Version); update.Full || len(update.Entries) != 1 || !follower.Apply(update) {
-		t.Errorf("%d entries are told, whole %t", len(update.Entries), update.Full)
+		t.Errorf("update with %d entries, full %t; want only the new entry", len(update.Entries), update.Full)
 	}
 	version := source.Version()
 	all[3].Age = 99
 	source.Set(all)
 	if source.Version() != version {
-		t.Error("an instance that grows older changes the roster")
+		t.Error("a change of an age alone changes the roster version")
 	}
 }
 
-// The coordinator is asked by the hubs alone, a fiftieth of the fleet; the others are
-// divided among the hubs of their failure domain, and find others when one is lost.
+// TestInstancesAreSpreadOverHubs checks that only the hubs, about one in fifty instances, poll the
+// coordinator. The other instances are spread over the hubs of their failure domain, and find
+// another hub when one is lost.
 func TestInstancesAreSpreadOverHubs(t *testing.T) {
 	for _, n := range []int{7, 96, 97, 300, 836, 1300, 2000} {
 		all := fleet(n)
@@ -91,7 +94,7 @@
 		for _, e := range all {
 			if Contains(hubs, e.ID) {
 				if n > 200 && e.Capacity < 1 {
-					t.Errorf("%d instances: a weak one is a hub", n)
+					t.Errorf("%d instances: one of low capacity is a hub", n)
 				}
 				continue
 			}
@@ -99,11 +102,11 @@
 				if i == 0 {
 					clients[h.ID]++
 					if h.Domain != e.Domain && n > 300 {
-						t.Errorf("%d instances: %s asks a hub of another failure domain", n, e.ID)
+						t.Errorf("%d instances: %s polls a hub of another failure domain", n, e.ID)
 					}
 				}
 				if h.ID == hubs[0].ID || h.ID == e.ID {
-					t.Errorf("%s is to ask %s", e.ID, h.ID)
+					t.Errorf("%s must not poll %s", e.ID, h.ID)
 				}
 			}
 		}
@@ -115,16 +118,16 @@
 		}
 		for id, k := range clients {
 			if k > 2*instancesPerHub {
-				t.Errorf("%d instances: hub %s is asked by %d", n, id, k)
+				t.Errorf("%d instances: hub %s has %d clients", n, id, k)
 			}
 		}
 	}
 }
 
-// Symptom: callers are sent to an instance that was killed, or a sound one is left out,
-// behind a hub.
-// Sequence: hubs vouch for those that ask them, by a sum alone where nothing has changed;
-// instances go from one hub to another, die, and report by themselves.
+// TestHubsReportTheirClients guards against callers that are sent to a killed instance whose hub
+// reported it, and against a healthy instance that is missing because it reports through a hub.
+// Hubs report their clients, by checksum alone while nothing changes; instances move to another
+// hub, end, or report directly.
 func TestHubsReportTheirClients(t *testing.T) {
 	var table Table
 	all := fleet(5)
@@ -141,53 +144,53 @@
 	}
 	three := group(all[2], all[3], all[4])
 	if sum := table.RecordGroup(hub.ID, Group{Sum: three.Sum}, 0); sum == three.Sum || live(0) != 2 {
-		t.Error("a group is known before its entries were told")
+		t.Error("a group counts as known before its entries were reported")
 	}
 	if sum := table.RecordGroup(hub.ID, three, 0); sum != three.Sum || live(0) != 5 {
-		t.Error("a group is not taken")
+		t.Error("a reported group is not recorded")
 	}
 	for now := cf.Millis(400); now < 4000; now += 400 {
 		if table.RecordGroup(hub.ID, Group{Sum: three.Sum}, now) != three.Sum || live(now) != 5 {
 			t.Fatalf("%d live at %d", live(now), now)
 		}
 	}
-	// One goes to another hub, one dies, one stays.
+	// One client moves to another hub, one ends, one stays.
 	table.RecordGroup(other.ID, group(all[2]), 4000)
 	table.RecordGroup(hub.ID, group(all[4]), 4000)
 	if n := live(4000); n != 4 {
-		t.Errorf("%d live after one died", n)
+		t.Errorf("%d live after one ended, want 4", n)
 	}
 	if fresh := table.LiveWithAges(5000); fresh[2].Age != 1000 {
-		t.Errorf("age %d of one that was told of a second ago", fresh[2].Age)
+		t.Errorf("age %d of an instance reported with age 0 a second ago, want 1000", fresh[2].Age)
 	}
-	// The hub is lost; those behind it report elsewhere in time, or drop out.
+	// The hub is lost. Its clients report elsewhere in time or are removed.
 	now := 4001 + ReportTimeout
 	table.Record(all[4], now-1)
 	table.Record(other, now)
 	table.RecordGroup(other.ID, group(all[2]), now)
 	if n := len(table.Live(now)); n != 3 {
-		t.Errorf("%d live after a hub was lost", n)
+		t.Errorf("%d live after a hub was lost, want 3", n)
 	}
-	// It comes back, and tells its entries anew.
+	// The hub returns and must send its entries again.
 	if table.RecordGroup(hub.ID, Group{Sum: three.Sum}, now) == three.Sum {
-		t.Error("the group of a hub that was lost is still known")
+		t.Error("the group of a lost hub is still known")
 	}
 }
 
-// Load: the coordinator of a fleet is lost. Its successor asks for texts where they may lie,
-// and not at each instance.
+// TestPossibleTextReplicasAreFew guards against a new coordinator that asks every instance of a
+// large deployment for copies of texts, rather than only those that may hold them.
 func TestPossibleTextReplicasAreFew(t *testing.T) {
 	all := fleet(836)
 	replicas := PossibleTextReplicas(all, Hubs(all, HubsFrom))
 	if len(replicas) == 0 || len(replicas) > 90 {
-		t.Errorf("%d of 836 are asked", len(replicas))
+		t.Errorf("%d of 836 instances may hold texts, want 1 to 90", len(replicas))
 	}
 	for _, self := range all[:50] {
 		if n := TextReplica(all, self, ""); !Contains(replicas, n.ID) {
-			t.Errorf("the neighbour of %s is not asked", self.ID)
+			t.Errorf("the text replica of %s is not among the possible ones", self.ID)
 		}
 	}
 	if n := len(PossibleTextReplicas(all[:30], nil)); n != 30 {
-		t.Errorf("%d of 30 are asked", n)
+		t.Errorf("%d of 30 instances may hold texts, want all", n)
 	}
 }
--- a/core/cfmember/scouts.go
+++ b/core/cfmember/scouts.go
@@ -5,21 +5,21 @@
 )
 
 const (
-	// minWatchers and scoutsPart say how many instances look after the store and the
-	// lease at once when the coordinator can't tell: enough for some of them to
-	// reach a store that turns a third away, and an eighth of many. Where there are hubs,
-	// they are the scouts.
+	// minWatchers and instancesPerWatcher determine how many instances watch the store and the
+	// lease at once while the coordinator has no current view: one in eight in a large deployment,
+	// and at least enough for some of them to reach a store that rejects a third of all calls.
+	// Where there are hubs, the hubs are the fallback watchers.
 	minWatchers         = 8
 	instancesPerWatcher = 8
 )
 
-// IsFallbackWatcher says whether an instance looks after the store by itself as soon as the
-// coordinator can't tell how things stand. The others leave it a little more time, and
-// hear from the one that takes the duty over.
+// IsFallbackWatcher reports whether self is a fallback watcher: an instance that watches the store
+// itself as soon as the coordinator has no current view. The other instances wait a little longer,
+// and are updated by the instance that takes over as coordinator.
 //
-// The load it answers: an outage of the store, or the loss of the coordinator, on a
-// deployment of hundreds of instances, which would all ask the store at once and go on
-// asking. Where there are hubs, they are the scouts.
+// This limits the load on the store during a store outage or after the loss of the coordinator,
+// when hundreds of instances would otherwise all start to call the store and continue to do so.
+// Where there are hubs, the hubs are the fallback watchers.
 func IsFallbackWatcher(entries, hubs []Entry, self Entry) bool {
 	watchers := FallbackWatchers(entries, hubs)
 	switch {
@@ -28,14 +28,14 @@
 	case len(hubs) > 0:
 		return false
 	case len(watchers) == len(entries):
-		return true // so few that all are
-	default: // it may not be listed itself
+		return true // All instances of a small deployment are fallback watchers.
+	default: // self may be missing from entries
 		return compareRank(newRankedEntry(self), newRankedEntry(watchers[len(watchers)-1])) < 0
 	}
 }
 
-// FallbackWatchers returns the instances that look after the store by themselves, the strongest first
-// where they are not all.
+// FallbackWatchers returns the fallback watchers among entries. They are sorted by descending
+// capacity if they are a subset of a deployment without hubs.
 func FallbackWatchers(entries, hubs []Entry) []Entry {
 	if len(hubs) > 0 {
 		return hubs
--- a/core/cfmember/scouts_test.go
+++ b/core/cfmember/scouts_test.go
@@ -7,9 +7,9 @@
 	cf "currantford"
 )
 
-// Load: the store is away; some instances are strong. As few look after it as the
-// deployment's size asks for, the strong ones before the others, in more than one failure
-// domain; on a small deployment all.
+// TestFallbackWatchers checks that during a store outage only as many instances watch the store as
+// the size of the deployment requires: instances of high capacity first, and in more than one
+// failure domain. In a small deployment all instances are fallback watchers.
 func TestFallbackWatchers(t *testing.T) {
 	for _, c := range []struct{ n, strong, want int }{{1, 1, 1}, {7, 7, 7}, {8, 2, 8}, {20, 0, 8}, {72, 6, 9}, {72, 40, 9}, {1300, 100, 28}} {
 		var entries []Entry
@@ -27,7 +27,7 @@
 				continue
 			}
 			if !Contains(FallbackWatchers(entries, hubs), e.ID) {
-				t.Errorf("%d instances: scout %s is not listed", c.n, e.ID)
+				t.Errorf("%d instances: fallback watcher %s is not listed", c.n, e.ID)
 			}
 			watchers++
 			domains[e.Domain] = true
@@ -36,16 +36,16 @@
 			}
 		}
 		if listed := len(FallbackWatchers(entries, hubs)); listed != watchers {
-			t.Errorf("%d instances: %d scouts are listed, of %d", c.n, listed, watchers)
+			t.Errorf("%d instances: %d fallback watchers are listed, want %d", c.n, listed, watchers)
 		}
 		if watchers != c.want || strong != min(c.strong, c.want) {
-			t.Errorf("%d instances, %d strong: %d scouts, %d of them strong, want %d", c.n, c.strong, watchers, strong, c.want)
+			t.Errorf("%d instances, %d of high capacity: %d fallback watchers, %d of them of high capacity, want %d watchers", c.n, c.strong, watchers, strong, c.want)
 		}
 		if c.n >= 20 && len(domains) < 3 {
-			t.Errorf("%d instances: scouts in %d of 4 failure domains", c.n, len(domains))
+			t.Errorf("%d instances: fallback watchers in %d of 4 failure domains", c.n, len(domains))
 		}
 	}
 	if !IsFallbackWatcher(nil, nil, Entry{ID: "a"}) {
-		t.Error("an instance that knows no other does not look")
+		t.Error("an instance that knows no other is not a fallback watcher")
 	}
 }
--- a/core/cfmember/successor_test.go
+++ b/core/cfmember/successor_test.go
@@ -7,10 +7,10 @@
 	"currantford/core/cfmember"
 )
 
-// Symptom: steps are late all through a rolling restart, because weight orders
-// wait out a handover of three seconds after each stop of a coordinator.
-// Load: eight instances are stopped one after the other; two have restarted.
-// Cause: the duty went to any instance, and so to those that were stopped next.
+// TestSuccessorIsYoungestOverMinimumAge guards against steps that are late throughout a rolling
+// restart, because weight orders wait for a handover of three seconds after each stop of a
+// coordinator. This occurs when the duty goes to an instance that is stopped next, for example
+// while eight instances are stopped one after the other and two have restarted.
 func TestSuccessorIsYoungestOverMinimumAge(t *testing.T) {
 	entry := func(id cf.EntryID, age cf.Millis) cfmember.Entry { return cfmember.Entry{ID: id, Age: age} }
 	old, young, youngest := entry("a", 60000), entry("b", 5000), entry("c", 300)
@@ -26,20 +26,20 @@
 	for _, c := range cases {
 		got, ok := cfmember.Successor(c.entries, "self")
 		if got.ID != c.want || ok != (c.want != "") {
-			t.Errorf("of %v: %q, want %q", c.entries, got.ID, c.want)
+			t.Errorf("successor among %v: %q, want %q", c.entries, got.ID, c.want)
 		}
 	}
 }
 
-// The list is made anew only when it changes: an instance comes, leaves, is not
-// ready, or falls silent.
+// TestLiveVersionCountsChanges checks that the version of the list changes only when an instance
+// joins, leaves, becomes unready or falls silent.
 func TestLiveVersionCountsChanges(t *testing.T) {
 	var table cfmember.Table
 	a, b := cfmember.Entry{ID: "a", Ready: true}, cfmember.Entry{ID: "b", Ready: true}
 	expect := func(now cf.Millis, entries int, version int64) {
 		t.Helper()
 		if live := table.Live(now); len(live) != entries || table.Version() != version {
-			t.Errorf("at %d: %d live, %d changes; want %d and %d", now, len(live), table.Version(), entries, version)
+			t.Errorf("at %d: %d live, version %d; want %d and %d", now, len(live), table.Version(), entries, version)
 		}
 	}
 	table.Record(a, 0)
@@ -55,26 +55,27 @@
 	table.Record(b, 1700)
 	expect(1700, 1, 4)
 	if fresh := table.LiveWithAges(1700); len(fresh) != 1 || fresh[0].Age != 700 {
-		t.Errorf("fresh list %+v", fresh)
+		t.Errorf("list with ages %+v, want one instance of age 700", fresh)
 	}
 	expect(1700, 1, 4)
 }
 
-// Symptom: the coordinator's duty moves to an instance that can't carry it.
-// Load: a planned stop on a site whose instances differ fivefold; the youngest is a
-// weak one, and the strongest has not settled.
+// TestSuccessorHasHighCapacity guards against a planned stop that moves the coordinator's duty to
+// an instance of insufficient capacity. The capacities differ by a factor of about five;
+// the youngest instance of sufficient age has low capacity, and the one with the highest capacity
+// is below the minimum age.
 func TestSuccessorHasHighCapacity(t *testing.T) {
 	entries := []cfmember.Entry{
 		{ID: "weak", Age: 1000, Capacity: 0.19}, {ID: "old", Age: 90000, Capacity: 0.8}, {ID: "strong", Age: 5000, Capacity: 0.7},
 		{ID: "new", Age: 100, Capacity: 4},
 	}
 	if got, _ := cfmember.Successor(entries, "self"); got.ID != "strong" {
-		t.Errorf("successor %q, want the youngest strong one that has settled", got.ID)
+		t.Errorf("successor %q, want the youngest of high capacity over the minimum age", got.ID)
 	}
 	if got, _ := cfmember.Successor(entries[:1], "self"); got.ID != "weak" {
-		t.Errorf("successor %q where no other is left", got.ID)
+		t.Errorf("successor %q, want the only other instance", got.ID)
 	}
 	if !cfmember.HighCapacity(0, nil) || cfmember.HighCapacity(0.19, entries) {
-		t.Error("strong among none, or weak among strong")
+		t.Error("no capacity must be high enough without other instances, and 0.19 too low among these")
 	}
 }
--- a/core/cfmember/table.go
+++ b/core/cfmember/table.go
@@ -1,11 +1,13 @@
-// Package cfmember decides which entry instances callers are sent to. The
-// coordinator hears from each instance several times a second; an instance
-// that is silent, not ready or stopping drops out. It has no clock of its own.
+// Package cfmember maintains the list of entry instances that callers are sent to. Each instance
+// reports to the coordinator several times a second, directly or through a hub; an instance that is
+// silent, not ready or stopping is removed. The package also selects hubs, fallback watchers,
+// successors and replicas from that list. The package reads no clock: callers pass the current
+// time.
 //
 // Usage:
 //
 //	var t cfmember.Table
-//	t.Heard(entry, now)
+//	t.Record(entry, now)
 //	live := t.Live(now)
 package cfmember
 
@@ -18,58 +20,58 @@
 )
 
 type (
-	// Entry is an entry instance as it describes itself.
+	// Entry describes an entry instance, as reported by the instance itself.
 	Entry struct {
 		ID       cf.EntryID       `cbor:"id"`
 		Addr     string           `cbor:"addr"`
-		PeerAddr string           `cbor:"peers"` // for the other instances
+		PeerAddr string           `cbor:"peers"` // Address for calls from other instances.
 		Domain   cf.FailureDomain `cbor:"failure_domain"`
 		Ready    bool             `cbor:"ready"`
-		// Age is how long its process had run when it said so.
+		// Age is the uptime of the process at the time of the report.
 		Age cf.Millis `cbor:"age"`
-		// Capacity is what it can carry, in cores.
+		// Capacity is the processing capacity of the instance, in cores.
 		Capacity float64 `cbor:"capacity"`
 	}
 
-	// Table holds the entry instances heard of. The zero value is empty. It
-	// is not safe for concurrent use.
+	// Table holds the entry instances that have reported. The zero value is an empty table. It is
+	// not safe for concurrent use.
 	Table struct {
 		records map[cf.EntryID]instanceRecord
-		// groups are the instances for which others vouch.
+		// groups holds the clients that each hub reports.
 		groups map[cf.EntryID]Group
-		// live is the list as of its last change, which changes counts;
-		// stale is when an instance may drop out of it, at the earliest.
+		// live is the list that Live returned last, and version counts its changes. liveUntil is
+		// the earliest time at which an instance may have to be removed from it.
 		live      []Entry
 		version   int64
 		liveUntil cf.Millis
-		// restarts counts the instances that were heard to have started again.
+		// restarts counts the restarts of instances, each detected by an age that has decreased.
 		restarts int64
 	}
 
 	instanceRecord struct {
 		entry    Entry
 		lastSeen cf.Millis
-		// ageAt is when it told its age, by the hub that vouches for it, if it did not
-		// report here.
+		// ageAt is when the age was reported. hub is the hub that reported the instance, empty if
+		// it reported here itself.
 		ageAt cf.Millis
 		hub   cf.EntryID
-		// adopted: it has not reported since it was adopted.
+		// adopted is set until an adopted instance reports for the first time.
 		adopted bool
 	}
 
-	// Group is what a hub tells of the instances that ask it. Entries are left out where
-	// the recipient has those of the sum.
+	// Group is a hub's report about the instances that poll it. Entries are omitted if the
+	// recipient already knows the group with this checksum.
 	Group struct {
 		Sum     uint64  `cbor:"sum"`
 		Entries []Entry `cbor:"entries,omitempty"`
 	}
 )
 
-// ReportTimeout is how long an instance may stay silent before callers are sent
-// elsewhere: three of its reports, and less than callers keep an answer.
+// ReportTimeout is how long an instance may be silent before callers are sent elsewhere. It covers
+// three reports and is shorter than the time for which callers keep a resolved address.
 const ReportTimeout cf.Millis = 1500
 
-// Record takes an instance's account of itself.
+// Record records an instance's report about itself.
 func (t *Table) Record(e Entry, now cf.Millis) { t.put(e, "", now) }
 
 func (t *Table) put(e Entry, hub cf.EntryID, now cf.Millis) {
@@ -86,8 +88,9 @@
 	}
 }
 
-// RecordGroup takes a hub's word for the instances that ask it. It returns the sum of the group
-// that is known here now; a hub whose group has another one tells its entries.
+// RecordGroup records a hub's report about its clients. It returns the checksum of the hub's group
+// as known here afterwards; if that differs from the hub's own checksum, the hub sends its entries
+// next time.
 func (t *Table) RecordGroup(hub cf.EntryID, g Group, now cf.Millis) uint64 {
 	known := t.groups[hub]
 	switch {
@@ -115,7 +118,7 @@
 	return g.Sum
 }
 
-// removeGroup forgets a hub's group, with the instances in it that nobody else has told of.
+// removeGroup removes a hub's group, along with the instances that only this hub has reported.
 func (t *Table) removeGroup(hub cf.EntryID) {
 	for _, e := range t.groups[hub].Entries {
 		if t.records[e.ID].hub == hub {
@@ -126,9 +129,8 @@
 	delete(t.groups, hub)
 }
 
-// Adopt takes a table from a coordinator before: until each instance has had
-// time to report, it counts as heard, so that a change of coordinator does not
-// send all callers to one instance.
+// Adopt takes over the list of the previous coordinator. Each instance counts as live until it has
+// had time to report, so that a change of coordinator does not send all callers to one instance.
 func (t *Table) Adopt(entries []Entry, now cf.Millis) {
 	for _, e := range entries {
 		t.Record(e, now)
@@ -138,9 +140,10 @@
 	}
 }
 
-// RemoveRefused takes the word that no process takes connections at an address for instances. One
-// that was adopted and has not reported since has ended before: without that it would be
-// listed for as long as one that has just reported, and anew by each coordinator.
+// RemoveRefused removes the adopted instances at a peer address that refuses connections, unless
+// they have reported since. Such an instance ended before the change of coordinator; without this
+// it would stay listed as long as one that has just reported, and every further coordinator would
+// adopt it again.
 func (t *Table) RemoveRefused(peerAddr string) {
 	for id, r := range t.records {
 		if r.adopted && r.entry.PeerAddr == peerAddr {
@@ -150,8 +153,8 @@
 	}
 }
 
-// Live returns the instances that take callers, sorted by id. The list is kept
-// until it changes, and not to be changed.
+// Live returns the instances that accept callers, sorted by ID. The same slice is returned until
+// the list changes; the caller must not modify it.
 func (t *Table) Live(now cf.Millis) []Entry {
 	if now < t.liveUntil {
 		return t.live
@@ -165,17 +168,17 @@
 	return t.live
 }
 
-// Version counts the changes of Live.
+// Version returns the number of changes of the list that Live returns.
 func (t *Table) Version() int64 { return t.version }
 
-// LiveWithAges returns the same as Live, each instance with its latest age.
+// LiveWithAges returns the same instances as Live, each with its latest age.
 func (t *Table) LiveWithAges(now cf.Millis) []Entry {
 	live, _ := t.collect(now)
 	return live
 }
 
-// collect returns the instances that take callers, and when one of those heard
-// of may drop out.
+// collect returns the instances that accept callers, and the earliest time at which an instance in
+// the table may time out. It removes those that have timed out.
 func (t *Table) collect(now cf.Millis) (live []Entry, liveUntil cf.Millis) {
 	liveUntil = now + ReportTimeout
 	for id, r := range t.records {
@@ -196,16 +199,16 @@
 	return live, liveUntil
 }
 
-// minSuccessorAge is the age from which on an instance can take a duty over: it has
-// its view of the site, and has not ended right after its start.
+// minSuccessorAge is the minimum uptime of an instance that takes over a duty. By then it has its
+// view of the site, and has not failed right after its start.
 const minSuccessorAge cf.Millis = 600
 
-// highCapacityFraction is the part of the most capacity among the instances that a holder
-// of a duty should have. Instances of one kind differ in nothing; where kinds
-// differ they do by twice and more.
+// highCapacityFraction is the fraction of the highest capacity among the instances that the holder
+// of a duty should have. Instances of the same machine type have equal capacity, and different
+// types differ by a factor of two or more.
 const highCapacityFraction = 0.75
 
-// MaxCapacity returns the most capacity that an instance has.
+// MaxCapacity returns the highest capacity among entries.
 func MaxCapacity(entries []Entry) float64 {
 	highest := 0.0
 	for _, e := range entries {
@@ -214,16 +217,16 @@
 	return highest
 }
 
-// HighCapacity says whether a capacity is enough for a duty among entries.
+// HighCapacity reports whether a capacity is high enough among the given instances to hold a duty.
 func HighCapacity(capacity float64, all []Entry) bool { return NearMax(capacity, MaxCapacity(all)) }
 
-// NearMax says the same where the most capacity is known.
+// NearMax reports the same as HighCapacity if the highest capacity is already known.
 func NearMax(capacity, maxCapacity float64) bool { return capacity >= highCapacityFraction*maxCapacity }
 
-// Successor returns the instance that should take a duty over from one that
-// stops as planned: of the strong ones the youngest that has settled. In a rolling
-// restart the young ones have been restarted, and the others will be, so that the
-// duty moves once or twice and not with each of its holders.
+// Successor returns the instance that should take over a duty from self, which is stopping as
+// planned: the youngest instance of high capacity that has reached minSuccessorAge. In a rolling
+// restart the young instances have already been restarted and the old ones are still to be, so the
+// duty moves once or twice rather than with each restart of its holder.
 func Successor(entries []Entry, self cf.EntryID) (Entry, bool) {
 	eligible := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.ID == self || e.Age < minSuccessorAge })
 	if len(eligible) == 0 {
@@ -234,7 +237,7 @@
 	return slices.MinFunc(capable, func(a, b Entry) int { return cmp.Compare(a.Age, b.Age) }), true
 }
 
-// Nearest returns the addresses of entries, those of domain first.
+// Nearest returns up to limit caller addresses of entries, those in domain first.
 func Nearest(entries []Entry, domain cf.FailureDomain, limit int) []string {
 	var near, far []string
 	for _, e := range entries {
--- a/core/cfmember/upstream.go
+++ b/core/cfmember/upstream.go
@@ -9,53 +9,53 @@
 )
 
 const (
-	// HubStaleTimeout is how long a hub may have no current word before the coordinator itself
-	// is asked.
+	// HubStaleTimeout is how long a hub may be without a current view before an instance polls the
+	// coordinator directly. It is also the minimum interval between such direct polls.
 	HubStaleTimeout cf.Millis = 1000
-	// hubAvoidPeriod keeps an instance off a hub that did not answer it.
+	// hubAvoidPeriod is how long an instance avoids a hub that did not answer.
 	hubAvoidPeriod cf.Millis = 8000
-	// hubReviewInterval is how long an instance stays with a hub, from half of it to half more,
-	// before it looks which it should ask now.
+	// hubReviewInterval is the mean time for which an instance keeps a hub before it checks whether
+	// another one is preferred. The time varies by half of that in either direction.
 	hubReviewInterval cf.Millis = 10000
-	// assignedHubHold is how long an instance asks the hub that the coordinator has named, also
-	// if it takes itself for one.
+	// assignedHubHold is how long an instance polls a hub that the coordinator has assigned, even
+	// if the instance is itself a hub according to its own roster.
 	assignedHubHold cf.Millis = 2000
 )
 
-// Upstream is whom an instance asks for news: the coordinator, or a hub. It is safe for
+// Upstream selects where an instance polls for updates: the coordinator or a hub. It is safe for
 // concurrent use.
 type Upstream struct {
 	self Entry
-	// random returns a number from 0 to 1, chosen is told of each new hub.
+	// random returns a number from 0 to 1. onHubChange is called with each newly selected hub.
 	random      func() float64
 	onHubChange func(Entry)
 
 	mu sync.Mutex
-	// hub is asked for news, the coordinator if there is none; until is as of when another
-	// may be the one to ask, follow until when this one is asked in any case.
+	// hub is the hub to poll, nil for the coordinator. After reviewAt another hub may be selected;
+	// before assignedUntil this one is polled in any case.
 	hub                     *Entry
 	reviewAt, assignedUntil cf.Millis
-	// bypassedAt is when the coordinator was asked last though there is a hub.
+	// bypassedAt is when the coordinator was last polled directly despite a selected hub.
 	bypassedAt cf.Millis
-	// avoided are hubs that did not answer, with until when they are avoided.
+	// avoided holds the hubs that are not selected, with the end of that period.
 	avoided map[cf.EntryID]cf.Millis
 }
 
-// NewUpstream returns the upstream of an instance that knows no hub. draw returns numbers
-// from 0 to 1, chosen is told of each new hub.
+// NewUpstream returns the upstream of an instance that knows no hub. random returns numbers from 0
+// to 1; onHubChange is called with each newly selected hub.
 func NewUpstream(self Entry, random func() float64, onHubChange func(Entry)) *Upstream {
 	return &Upstream{self: self, random: random, onHubChange: onHubChange, avoided: map[cf.EntryID]cf.Millis{}}
 }
 
-// UsesHub says whether a hub is asked for news.
+// UsesHub reports whether a hub is polled for updates.
 func (u *Upstream) UsesHub() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.hub != nil
 }
 
-// HubToAsk returns the hub to ask, false if the coordinator, holder, is to be asked: by the hubs
-// themselves, by an instance that others ask, and by one that knows no hub.
+// HubToAsk returns the hub to poll, or false if the coordinator, holder, is to be polled: by hubs,
+// by instances with clients of their own, and by instances that know no hub.
 func (u *Upstream) HubToAsk(hubs []Entry, holder cf.EntryID, hasClients bool, now cf.Millis) (Entry, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -64,7 +64,7 @@
 		return Entry{}, false
 	}
 	if now >= u.reviewAt {
-		u.chooseHub(hubs, holder, now) // it may be the same one
+		u.chooseHub(hubs, holder, now) // The result may be the same hub.
 	}
 	if u.hub == nil {
 		return Entry{}, false
@@ -72,7 +72,7 @@
 	return *u.hub, true
 }
 
-// ChooseHub chooses the hub to ask from now on, if there are any.
+// ChooseHub selects the hub to poll from now on, if there are any hubs.
 func (u *Upstream) ChooseHub(hubs []Entry, holder cf.EntryID, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -80,7 +80,7 @@
 }
 
 func (u *Upstream) chooseHub(hubs []Entry, holder cf.EntryID, now cf.Millis) {
-	if len(hubs) == 0 { // the deployment has shrunk, or nothing is known of it
+	if len(hubs) == 0 { // The deployment has shrunk, or its size is not known yet.
 		u.hub = nil
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// AssignHub takes the hub that the coordinator names.
+// AssignHub selects the hub that the coordinator has assigned.
 func (u *Upstream) AssignHub(hub Entry, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -105,7 +105,7 @@
 	u.hub, u.reviewAt = &hub, now+cf.Millis((0.5+u.random())*float64(hubReviewInterval))
 }
 
-// AvoidHub gives a hub up that did not answer.
+// AvoidHub drops a hub that did not answer and avoids it for a while.
 func (u *Upstream) AvoidHub(id cf.EntryID, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -117,8 +117,9 @@
 	u.hub = nil
 }
 
-// BypassHub says whether the coordinator itself is to be asked, as the hub has had no current
-// word for a while: it may be cut off from it. The hub is given up for that.
+// BypassHub reports whether the coordinator should be polled directly because the hub has had no
+// current view for a while, possibly because it is cut off from the coordinator. If so, it also
+// drops the hub.
 func (u *Upstream) BypassHub(id cf.EntryID, now cf.Millis) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -130,8 +131,8 @@
 	return true
 }
 
-// RestoreHub goes back to a hub that was given up, as the coordinator does not answer either: the
-// hub looks after the store by itself then.
+// RestoreHub selects a dropped hub again because the coordinator does not answer either. That hub
+// watches the store itself in this case.
 func (u *Upstream) RestoreHub(hub Entry, now cf.Millis) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -139,7 +140,7 @@
 	u.setHub(hub, now)
 }
 
-// AvoidedHubs returns the hubs that are avoided.
+// AvoidedHubs returns the hubs that are currently avoided.
 func (u *Upstream) AvoidedHubs(now cf.Millis) []cf.EntryID {
 	u.mu.Lock()
 	defer u.mu.Unlock()
