--- a/core/cflease/explore_test.go
+++ b/core/cflease/explore_test.go
@@ -7,42 +7,43 @@
 	"currantford/core/cflease"
 )
 
-// modelState is a whole state of two candidates and the lease's object. All of it
-// is comparable, so that a state is explored once.
+// modelState is the complete state of two candidates and the lease's object. It is comparable, so
+// that each state is explored only once.
 type modelState struct {
 	reg     register
 	leases  [2]cflease.Lease
-	pending lateWrite // one write under way, at is zero if none
+	pending lateWrite // at most one pending write; its at is zero if there is none
 	last    [2]order
 	now     cf.Millis
-	exited  [2]bool // its process has ended and not begun to act again
+	exited  [2]bool // the process has ended, and has not acted since its restart
 }
 
-// action is what one candidate does in a tick.
+// action is what one candidate does in one tick.
 type action int
 
 const (
 	idle             action = iota
 	read                    // reads the object
-	write                   // takes or renews
-	writeLost               // the same, its answer is lost
-	writeLate               // the same, it takes effect at any later tick
+	write                   // acquires or renews the lease
+	writeLost               // same as write, but the answer is lost
+	writeLate               // same as write, but it takes effect at any later tick
 	restart                 // its process ends and starts again
 	release                 // stops as planned
-	observesExit            // finds that the other's process has ended
-	lateWriteApplied        // the late write takes effect, if it still may
+	observesExit            // finds that the process of the other candidate has ended
+	lateWriteApplied        // the late write is applied, if its condition still holds
 	actionCount
 )
 
-// exploreTick is about half of a lease's validity, so that each span of the
-// protocol is crossed with some steps to spare.
+// exploreTick is about half of a lease's validity, so that the explored ticks cover each duration
+// of the protocol with some to spare.
 const exploreTick cf.Millis = 800
 
-// forgetsOrders bounds let a released lease say that no order was given lately.
+// forgetsOrders is a timing for which step lets a released lease claim that no order was given
+// lately.
 var forgetsOrders = cflease.Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3201}
 
-// explore plays every schedule of so many ticks, one candidate acting in each,
-// and returns the first pair of orders that breaks the rule.
+// explore runs every schedule of the given number of ticks, with one candidate acting in each tick,
+// and returns the first pair of orders that violates the rules.
 func explore(timing cflease.Timing, ticks int) (states int, broken *[2]order) {
 	ids := []cf.EntryID{"a", "b"}
 	seen := map[modelState]int{}
@@ -75,7 +76,8 @@
 	return len(seen), broken
 }
 
-// step returns the state after one action, false where it makes no difference.
+// step returns the state after one action, and false if the action need not be explored: it is
+// impossible in this state or the same for either candidate.
 func step(w modelState, timing cflease.Timing, ids []cf.EntryID, who int, a action) (modelState, bool) {
 	l := &w.leases[who]
 	w.now += exploreTick
@@ -132,8 +134,8 @@
 	return w, true
 }
 
-// orders lets every candidate that may order do so, and returns the pair of
-// orders that breaks the rule.
+// orders lets every candidate that may give an order do so, and returns a pair of orders that
+// violates the rules, or nil.
 func (w *modelState) orders(ids []cf.EntryID) *[2]order {
 	for i := range w.leases {
 		if !w.leases[i].MayOrder(w.now) {
@@ -152,26 +154,27 @@
 	return nil
 }
 
-// Every schedule of two candidates over ten ticks, with lost and late
-// writes and restarts, keeps two holders' orders 3 s apart and their numbers
-// rising.
+// TestEveryScheduleSeparatesOrders checks that in every schedule of two candidates over ten ticks,
+// with lost and late writes and restarts, the orders of two holders are at least 3 s apart and
+// their terms increase.
 func TestEveryScheduleSeparatesOrders(t *testing.T) {
 	states, broken := explore(testTiming, 10)
-	t.Logf("%d states", states)
+	t.Logf("explored %d states", states)
 	if broken != nil {
-		t.Errorf("orders %+v", *broken)
+		t.Errorf("orders too close together or with decreasing terms: %+v", *broken)
 	}
 }
 
-// The exploration finds what it is there to find.
+// TestExplorationFindsFaults checks that the exploration detects timings, and a release, that
+// violate the rules.
 func TestExplorationFindsFaults(t *testing.T) {
 	for name, timing := range map[string]cflease.Timing{
-		"handover too short": {RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 100},
-		"taken too soon":     {RenewInterval: 700, Validity: 5000, TakeoverDelay: 500, HandoverDelay: 3200},
-		"orders forgotten":   forgetsOrders,
+		"handover too short":  {RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 100},
+		"takeover too early":  {RenewInterval: 700, Validity: 5000, TakeoverDelay: 500, HandoverDelay: 3200},
+		"orders not recorded": forgetsOrders,
 	} {
 		if _, broken := explore(timing, 10); broken == nil {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: the exploration does not find the fault", name)
 		}
 	}
 }
--- a/core/cflease/lease_test.go
+++ b/core/cflease/lease_test.go
@@ -10,23 +10,23 @@
 
 var testTiming = cflease.Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3200}
 
-// register is the lease's object: conditional writes, one at a time.
+// register is the lease's object, changed by one conditional write at a time.
 type register struct {
 	rev    cf.Revision
 	holder cflease.Holder
 }
 
-// write writes h on condition of rev, and returns whether it took effect.
+// write writes h on condition of rev and reports whether the write took effect.
 func (r *register) write(rev cf.Revision, h cflease.Holder) bool {
 	if rev != r.rev {
 		return false
 	}
-	r.rev += 3 // other objects change too
+	r.rev += 3 // Other objects change too.
 	r.holder = h
 	return true
 }
 
-// acquire tries to take or renew the lease at now.
+// acquire tries to acquire or renew the lease at now.
 func acquire(r *register, l *cflease.Lease, now cf.Millis) bool {
 	next := l.Next("addr", now)
 	if !r.write(l.Rev(), next) {
@@ -44,9 +44,9 @@
 	}
 }
 
-// Symptom: two holders' orders reach one target within the time that must lie
-// between them.
-// Sequence: a holder is frozen; another takes over; the first wakes up.
+// TestSuspendedHolderExpiresBeforeSuccessorOrders guards against orders of two holders that reach
+// one target within the required separation, when a holder is suspended, another one takes over,
+// and the first one resumes.
 func TestSuspendedHolderExpiresBeforeSuccessorOrders(t *testing.T) {
 	r := &register{}
 	a, b := cflease.New("a", testTiming), cflease.New("b", testTiming)
@@ -54,11 +54,11 @@
 	b.Observe(r.rev, r.holder, 100)
 	for now := cf.Millis(100); now < 2300; now += 100 {
 		if b.MayAcquire(now) {
-			t.Fatalf("taken at %d, while the holder may believe itself valid until 1800", now)
+			t.Fatalf("may be acquired at %d, although the holder may act until 1800", now)
 		}
 	}
 	if !b.MayAcquire(2300) || !acquire(r, b, 2300) {
-		t.Fatal("not taken after the takeover's time")
+		t.Fatal("not acquired after the takeover delay")
 	}
 	last := cf.Millis(0)
 	for now := cf.Millis(0); now < 10000; now += 50 {
@@ -70,24 +70,25 @@
 		}
 	}
 	if b.Term() <= a.Term() {
-		t.Errorf("term %d after %d", b.Term(), a.Term())
+		t.Errorf("term %d does not exceed the previous term %d", b.Term(), a.Term())
 	}
 }
 
-// A holder that restarts is the same holder to targets: it goes on at once,
-// with a higher number, unless it had to wait itself.
+// TestRestartedHolderContinues checks that a holder that restarts counts as the same holder to
+// targets: it continues immediately with a higher term, unless it was still in its own handover
+// delay.
 func TestRestartedHolderContinues(t *testing.T) {
 	r := &register{}
 	a := cflease.New("a", testTiming)
 	acquire(r, a, 0)
-	acquire(r, a, 700) // from now on the object says that it orders
+	acquire(r, a, 700) // From now on the object says that the holder gives orders.
 	again := cflease.New("a", testTiming)
 	again.Observe(r.rev, r.holder, 900)
 	if !again.MayAcquire(900) || !acquire(r, again, 900) || !again.MayOrder(900) {
-		t.Error("a restarted holder does not go on")
+		t.Error("a restarted holder does not continue")
 	}
 	if again.Term() <= a.Term() {
-		t.Errorf("term %d after %d", again.Term(), a.Term())
+		t.Errorf("term %d does not exceed the previous term %d", again.Term(), a.Term())
 	}
 	b := cflease.New("b", testTiming)
 	b.Observe(r.rev, r.holder, 900)
@@ -95,28 +96,27 @@
 	restarted := cflease.New("b", testTiming)
 	restarted.Observe(r.rev, r.holder, 3500)
 	if acquire(r, restarted, 3500); restarted.MayOrder(3500) {
-		t.Error("a restart cut the handover short")
+		t.Error("a restart shortened the handover delay")
 	}
 }
 
-// Symptom: a holder whose renewal was written but not answered steps down, or
-// acts on after its time.
-// Sequence: the renewal's answer is lost; the object shows it at the next
-// write.
+// TestRenewalWithLostResponse guards against a holder that steps down, or acts beyond its validity,
+// when a renewal was written but its answer was lost. The next read of the object shows the
+// renewal.
 func TestRenewalWithLostResponse(t *testing.T) {
 	r := &register{}
 	a := cflease.New("a", testTiming)
 	acquire(r, a, 0)
-	r.write(a.Rev(), a.Next("addr", 700)) // its answer is lost
+	r.write(a.Rev(), a.Next("addr", 700)) // The answer is lost.
 	if a.Valid(1800) {
-		t.Error("valid without an answer for longer than its validity")
+		t.Error("valid beyond its validity without an answered renewal")
 	}
 	a.Observe(r.rev, r.holder, 1000)
 	if !a.Valid(1000) || !a.RenewDue(1000) {
-		t.Error("its own renewal is taken for another's")
+		t.Error("the holder mistakes its own renewal for that of another holder")
 	}
 	if !acquire(r, a, 1000) || !a.Valid(2700) {
-		t.Error("can't renew on its own renewal")
+		t.Error("cannot renew after its own renewal without an answer")
 	}
 }
 
@@ -125,36 +125,36 @@
 	a, b := cflease.New("a", testTiming), cflease.New("b", testTiming)
 	acquire(r, a, 0)
 	b.Observe(r.rev, r.holder, 10)
-	b.HolderExited(r.holder.Term+1, 15) // another holder's
+	b.HolderExited(r.holder.Term+1, 15) // a different holder's term
 	if b.MayAcquire(20) {
-		t.Error("taken on word of another holder's end")
+		t.Error("may be acquired although a different holder's process has ended")
 	}
 	b.HolderExited(r.holder.Term, 20)
 	if !b.MayAcquire(20) || !acquire(r, b, 20) {
-		t.Error("not taken though the holder's process has ended")
+		t.Error("not acquired although the holder's process has ended")
 	}
 	if b.MayOrder(3000) {
-		t.Error("orders before the handover")
+		t.Error("may give orders before the end of the handover delay")
 	}
 	released := r.holder
 	released.Released = true
 	r.write(r.rev, released)
 	a.Observe(r.rev, r.holder, 30)
 	if !a.MayAcquire(30) {
-		t.Error("not taken though it was released")
+		t.Error("may not be acquired although it was released")
 	}
 }
 
-// FuzzTwoHolders runs random schedules of two candidates with lost and late
-// writes, pauses and restarts, and checks that two holders' orders always lie
-// 3 s apart and that terms never fall.
+// FuzzTwoHolders runs random schedules of two candidates with lost and late writes, pauses and
+// restarts, and checks that the orders of two holders are always at least 3 s apart and that terms
+// never decrease.
 func FuzzTwoHolders(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 200, 201, 202, 203})
 	f.Add([]byte("a long schedule with many different steps in it, twice over and over"))
 	f.Fuzz(func(t *testing.T, steps []byte) { runSchedule(t, steps) })
 }
 
-// Random schedules, always the same ones.
+// TestTwoHoldersRandomSchedules runs random schedules from a fixed seed.
 func TestTwoHoldersRandomSchedules(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 5000 {
@@ -178,8 +178,8 @@
 	at   cf.Millis
 }
 
-// runSchedule plays one schedule. Each byte makes one candidate act after some
-// time; its high bits choose what goes wrong.
+// runSchedule runs one schedule. Each byte makes one candidate act after a delay; the high bits
+// select the action or fault.
 func runSchedule(t *testing.T, steps []byte) {
 	r := &register{}
 	ids := []cf.EntryID{"a", "b"}
@@ -199,7 +199,7 @@
 		case 0: // a restart
 			candidates[i] = cflease.New(ids[i], testTiming)
 			continue
-		case 1: // reads
+		case 1: // a read
 			l.Observe(r.rev, r.holder, now)
 		case 2: // a write whose answer is lost
 			if l.MayAcquire(now) || l.RenewDue(now) {
@@ -209,7 +209,7 @@
 			if l.MayAcquire(now) || l.RenewDue(now) {
 				writes = append(writes, lateWrite{l.Rev(), l.Next("x", now), now + 2000})
 			}
-		case 4: // a planned stop, as often as a write would do
+		case 4: // a planned stop, for one value in four, so that stops are no more frequent than other writes
 			if l.Held() && s%4 == 0 {
 				h := l.Release(ids[1-i], now)
 				l.Lost()
@@ -233,22 +233,22 @@
 			o := order{ids[j], c.Term(), now}
 			for other, p := range last {
 				if other != o.by && (o.at-p.at < 3000 || o.term <= p.term) {
-					t.Fatalf("orders %+v and %+v", p, o)
+					t.Fatalf("orders too close together or with decreasing terms: %+v and %+v", p, o)
 				}
 			}
 			if o.term < last[o.by].term {
-				t.Fatalf("term falls: %+v after %+v", o, last[o.by])
+				t.Fatalf("term decreases: %+v after %+v", o, last[o.by])
 			}
 			last[o.by] = o
 		}
 	}
 }
 
-// Symptom: after an outage of the store nobody coordinates for two seconds more,
-// though the coordinator was lost long before its end; or each outage changes the
-// coordinator, and its runs are lost.
-// Sequence: the store goes away for 5 s; the holder answers its peers all the
-// while, or is silent.
+// TestStoreOutageExtendsLeaseOnlyOfAnsweringHolder guards against two faults. If an outage extended
+// the lease of a coordinator that was lost long before its end, nobody would coordinate for two
+// more seconds. If it extended no lease, each outage would change the coordinator, and its runs
+// would be lost. Here the store is unreachable for 5 s while the holder answers its peers or is
+// silent.
 func TestStoreOutageExtendsLeaseOnlyOfAnsweringHolder(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers, taken bool
@@ -267,31 +267,31 @@
 			b.StoreUnreachable(now, answeredAt)
 		}
 		if got := b.MayAcquire(5100); got != c.taken {
-			t.Errorf("%s: may be taken right after the outage: %v", name, got)
+			t.Errorf("holder %s: may be acquired right after the outage: %v", name, got)
 		}
 		if !b.MayAcquire(5000 + testTiming.TakeoverDelay + 100) {
-			t.Errorf("%s: not taken after the whole time", name)
+			t.Errorf("holder %s: may not be acquired after the full takeover delay", name)
 		}
 	}
 }
 
-// A released lease goes to the successor that it names; if that one does not take
-// it, any other may.
+// TestNamedSuccessorHasPriority checks that a released lease goes to the successor that it names,
+// and that any other candidate may acquire it if the successor does not.
 func TestNamedSuccessorHasPriority(t *testing.T) {
 	l, successor := cflease.New("b", cflease.DefaultTiming), cflease.New("c", cflease.DefaultTiming)
 	released := cflease.Holder{Entry: "a", Term: 1, Released: true, Successor: "c"}
 	l.Observe(5, released, 1000)
 	successor.Observe(5, released, 1000)
 	if !successor.MayAcquire(1000) {
-		t.Error("the named successor may not take the lease")
+		t.Error("the named successor may not acquire the lease")
 	}
 	if l.MayAcquire(1500) {
-		t.Error("another may take it at once")
+		t.Error("another candidate may acquire it immediately")
 	}
 	if !l.MayAcquire(1800) {
-		t.Error("nobody else may take it once the successor had its time")
+		t.Error("no other candidate may acquire it after successorPriority")
 	}
 	if next := successor.Next("addr", 1100); next.Successor != "" || next.Released {
-		t.Errorf("the new holder's lease says %+v", next)
+		t.Errorf("the new holder's lease still has the fields of a release: %+v", next)
 	}
 }
--- a/core/cfmember/table.go
+++ b/core/cfmember/table.go
@@ -4,6 +4,9 @@
 // successors and replicas from that list. The package reads no clock: callers pass the current
 // time.
 //
+// A duty is a role that one instance at a time holds under a lease, such as that of the
+// coordinator, which watches the platform's store and sends updates to the other instances.
+//
 // Usage:
 //
 //	var t cfmember.Table
--- a/core/cfusage/account.go
+++ b/core/cfusage/account.go
@@ -6,35 +6,35 @@
 	cf "currantford"
 )
 
-// maxSnapshotRows bounds a base: some 20 KB.
+// maxSnapshotRows limits a snapshot to some 20 KB.
 const maxSnapshotRows = 1000
 
-// instanceTimeout is how long after its last report an instance is not waited for any more.
+// instanceTimeout is how long after its last report an instance is still waited for.
 const instanceTimeout cf.Millis = 15_000
 
 type (
-	// Aggregator adds up what instances have counted. It is not safe for concurrent use.
+	// Aggregator adds up the counts of all instances. It is not safe for concurrent use.
 	Aggregator struct {
 		length  cf.Millis
 		windows map[cf.UsageWindow]map[Source]sourceCounts
-		// latest is the last report of each instance.
+		// latest holds the last report of each instance.
 		latest  map[cf.EntryID]latestReport
 		settled cf.UsageWindow
 	}
 
-	// Snapshot is what a holder has heard and not reported, for a successor: it lies beside
-	// the holder's lease, so that the loss of all instances costs what came since the
-	// last renewal.
+	// Snapshot holds the counts that a holder has received and not reported yet, for its successor.
+	// It is stored next to the holder's lease, so that the loss of all instances costs only the
+	// counts since the last renewal of the lease.
 	Snapshot struct {
 		First         cf.UsageWindow    `json:"first"`
 		Organisations []cf.Organisation `json:"organisations"`
 		Sources       []SnapshotSource  `json:"sources"`
-		// Rows are indexes of a source, of a window after First and of an
-		// organisation, with a count.
+		// Rows holds the counts; each row contains the index of a source, the offset of a window
+		// from First, the index of an organisation, and the count.
 		Rows [][4]int64 `json:"rows"`
 	}
 
-	// SnapshotSource is an instance as of its last report.
+	// SnapshotSource identifies an instance and the state of its counts in a snapshot.
 	SnapshotSource struct {
 		Source
 		Seq int64 `json:"change"`
@@ -52,20 +52,20 @@
 	}
 )
 
-// NewAggregator returns an account without counts.
+// NewAggregator returns an aggregator without counts, for windows of the given length.
 func NewAggregator(length cf.Millis) *Aggregator {
 	return &Aggregator{length: length, windows: map[cf.UsageWindow]map[Source]sourceCounts{}, latest: map[cf.EntryID]latestReport{}}
 }
 
-// Expect notes that an instance may have counts, as of a moment.
+// Expect records that an instance may have counts as of now, so that windows wait for its report.
 func (a *Aggregator) Expect(e cf.EntryID, now cf.Millis) {
 	if _, known := a.latest[e]; !known {
 		a.latest[e] = latestReport{through: now}
 	}
 }
 
-// Add takes an instance's report. It returns the windows in it that were reported
-// before, whose counts come too late.
+// Add adds an instance's report. It returns the windows in it that have already been reported to
+// the platform, whose counts are too late.
 func (a *Aggregator) Add(r MeterReport) (late []cf.UsageReport) {
 	if l := a.latest[r.Source.Entry]; l.source != r.Source || l.seq <= r.Seq {
 		a.latest[r.Source.Entry] = latestReport{r.Source, r.Seq, r.Through}
@@ -87,8 +87,8 @@
 	return late
 }
 
-// Restore takes what a holder before had heard. Its instances are not waited for: those
-// that live report again.
+// Restore adds the counts of a previous holder's snapshot. The instances in it are not waited for:
+// those that still run report again.
 func (a *Aggregator) Restore(snapshot Snapshot) {
 	for i, s := range snapshot.Sources {
 		for _, row := range snapshot.Rows {
@@ -106,7 +106,7 @@
 			}
 			p := parts[s.Source]
 			if p.seq > s.Seq {
-				continue // it has reported since
+				continue // The instance has reported since.
 			}
 			if p.seq < s.Seq || p.counts == nil {
 				p = sourceCounts{map[cf.Organisation]int64{}, s.Seq}
@@ -117,7 +117,7 @@
 	}
 }
 
-// Snapshot returns what a successor needs if this holder is lost, in rowsMost rows at most.
+// Snapshot returns what a successor needs if this holder is lost, in at most maxSnapshotRows rows.
 func (a *Aggregator) Snapshot() Snapshot {
 	var snapshot Snapshot
 	oldest, counted := a.Oldest()
@@ -152,7 +152,7 @@
 	return snapshot
 }
 
-// Counts returns what is known of a window.
+// Counts returns the counts of a window received so far.
 func (a *Aggregator) Counts(w cf.UsageWindow) map[cf.Organisation]int64 {
 	sum := map[cf.Organisation]int64{}
 	for _, p := range a.windows[w] {
@@ -165,8 +165,8 @@
 	return sum
 }
 
-// Complete says whether every instance that was heard of in the window, or shortly
-// before, has reported beyond its end.
+// Complete reports whether every instance that was heard from during the window, or shortly before
+// it, has reported beyond the end of the window.
 func (a *Aggregator) Complete(w cf.UsageWindow) bool {
 	ends := w.Ends(a.length)
 	for _, l := range a.latest {
@@ -177,17 +177,17 @@
 	return len(a.latest) > 0
 }
 
-// grace is how long after its sending a request may begin to run, mostly: an instance's
-// report counts those of a window for good only that long after its end.
+// grace covers the time from sending a request until it begins to run, for most requests. The
+// counts of a window are final only in reports made at least that long after its end.
 const grace cf.Millis = 300
 
-// Settle drops the windows up to one.
+// Settle discards the windows up to and including through, which have been reported.
 func (a *Aggregator) Settle(through cf.UsageWindow) {
 	a.settled = max(a.settled, through)
 	maps.DeleteFunc(a.windows, func(w cf.UsageWindow, _ map[Source]sourceCounts) bool { return w <= through })
 }
 
-// Oldest returns the oldest window with counts, false if there is none.
+// Oldest returns the oldest window with counts, and false if there is none.
 func (a *Aggregator) Oldest() (cf.UsageWindow, bool) {
 	oldest, found := cf.UsageWindow(0), false
 	for w := range a.windows {
--- a/core/cfusage/cfusage_test.go
+++ b/core/cfusage/cfusage_test.go
@@ -12,10 +12,11 @@
 
 const length cf.Millis = 5_000
 
-// Symptom: a window's counts are not what was counted. Sequence: instances report at
-// random, their reports are lost, come twice or in another order, counts are taken back,
-// holders change, some of them after a restart from what their predecessor left.
-func TestCountsSurviveLostDuplicateAndReorderedReports(t *testing.T) {
+// TestCountsSurviveReportFaults guards against totals of a window that differ from what was
+// counted. Instances report at random; reports are lost, duplicated or reordered; counts are
+// corrected downwards; and holders change, some of them restoring the snapshot of their
+// predecessor.
+func TestCountsSurviveReportFaults(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		truth := map[cf.UsageWindow]map[cf.Organisation]int64{}
@@ -24,12 +25,12 @@
 			e := cf.EntryID(fmt.Sprint("e", i))
 			meters[e] = NewMeter(Source{Entry: e, Start: uint32(i)}, length)
 		}
-		account, term := NewAggregator(length), cf.Revision(1)
+		aggregator, term := NewAggregator(length), cf.Revision(1)
 		var inFlight []MeterReport
 		deliver := func() {
 			for _, i := range r.Perm(len(inFlight)) {
 				if r.IntN(4) > 0 {
-					account.Add(inFlight[i])
+					aggregator.Add(inFlight[i])
 				}
 			}
 			inFlight = inFlight[len(inFlight)/2:]
@@ -54,28 +55,28 @@
 				inFlight = append(inFlight, meters[e].Report(term, at))
 			case 1:
 				report := meters[e].Report(term, at)
-				account.Add(report)
+				aggregator.Add(report)
 				if r.IntN(2) == 0 {
 					meters[e].Acknowledge(term, report)
 				}
 			case 2:
 				deliver()
 			case 3:
-				if r.IntN(4) == 0 { // another holder
-					snapshot := account.Snapshot()
-					account, term = NewAggregator(length), term+1
+				if r.IntN(4) == 0 { // The holder changes.
+					snapshot := aggregator.Snapshot()
+					aggregator, term = NewAggregator(length), term+1
 					if r.IntN(2) == 0 {
-						account.Restore(roundTripJSON(t, snapshot))
+						aggregator.Restore(roundTripJSON(t, snapshot))
 					}
 					inFlight = nil
 				}
 			}
 		}
 		for _, m := range meters {
-			account.Add(m.Report(term, 0))
+			aggregator.Add(m.Report(term, 0))
 		}
 		for w := cf.UsageWindow(10); w < 13; w++ {
-			if got := account.Counts(w); !maps.Equal(got, truth[w]) {
+			if got := aggregator.Counts(w); !maps.Equal(got, truth[w]) {
 				t.Fatalf("seed %d, window %d: %v, want %v", seed, w, got, truth[w])
 			}
 		}
@@ -95,7 +96,8 @@
 	return out
 }
 
-// What instances that are lost with their holder had told it is in what it left.
+// TestSnapshotKeepsCountsOfLostInstances checks that the counts of instances that are lost together
+// with the holder are in the snapshot that the holder leaves.
 func TestSnapshotKeepsCountsOfLostInstances(t *testing.T) {
 	lost, running := NewMeter(Source{"a", 1}, length), NewMeter(Source{"b", 2}, length)
 	lost.Count("o", length+10, 3)
@@ -109,70 +111,70 @@
 	running.Count("o", length+30, 1)
 	after.Add(running.Report(2, length+40))
 	if got := after.Counts(1); got["o"] != 6 {
-		t.Errorf("window 1: %v", got)
+		t.Errorf("window 1: %v, want 6 of o", got)
 	}
 	if got := after.Counts(2); got["p"] != 1 {
-		t.Errorf("window 2: %v", got)
+		t.Errorf("window 2: %v, want 1 of p", got)
 	}
 	if after.Complete(1) {
-		t.Error("complete though an instance that lives has not reported its end")
+		t.Error("complete although a running instance has not reported beyond the end of the window")
 	}
 	after.Add(running.Report(2, 2*length+grace))
 	if !after.Complete(1) {
-		t.Error("an instance that is lost is waited for")
+		t.Error("a lost instance is still waited for")
 	}
 }
 
-// A window waits for those that are expected, and not beyond its time; what comes after
-// its report is late.
+// TestWindowWaitsForItsInstances checks that a window waits for the expected instances, but no
+// longer than its maximum wait, and that counts arriving after its report are late.
 func TestWindowWaitsForItsInstances(t *testing.T) {
 	timing := WindowTiming{Length: length, MaxWait: 4_000, RetryDelay: 400}
-	a, k := NewAggregator(length), NewReporter(timing)
+	a, r := NewAggregator(length), NewReporter(timing)
 	a.Expect("a", 6_000)
 	m := NewMeter(Source{Entry: "a"}, length)
 	m.Count("o", 9_999, 1)
-	if s := k.Next(11_000, a); s.Kind != Read {
-		t.Fatalf("%+v before it is known what lies in the store", s)
+	if s := r.Next(11_000, a); s.Kind != Read {
+		t.Fatalf("step %+v before the outbox is read, want Read", s)
 	}
-	k.InitOutbox(6_000, a)
-	if s := k.Next(13_999, a); s.Kind != Wait {
-		t.Errorf("%+v while an instance is waited for", s)
+	r.InitOutbox(6_000, a)
+	if s := r.Next(13_999, a); s.Kind != Wait {
+		t.Errorf("step %+v while an instance is waited for, want Wait", s)
 	}
-	if s := k.Next(14_000, a); s.Kind != Write || s.Outbox.Settled != 1 || len(s.Outbox.Pending) != 1 {
-		t.Errorf("%+v when its time is up", s)
+	if s := r.Next(14_000, a); s.Kind != Write || s.Outbox.Settled != 1 || len(s.Outbox.Pending) != 1 {
+		t.Errorf("step %+v after the maximum wait, want Write of window 1", s)
 	}
 	a.Add(m.Report(1, 2*length+grace))
-	s := k.Next(11_000, a)
+	s := r.Next(11_000, a)
 	if s.Kind != Write || s.Outbox.Pending[0].Counts["o"] != 1 {
-		t.Fatalf("%+v when all have reported", s)
+		t.Fatalf("step %+v after all instances have reported, want Write with their counts", s)
 	}
-	k.SetOutbox(s.Outbox, 7)
-	a.Settle(k.Settled())
-	if s := k.Next(11_000, a); s.Kind != Send || s.Report.Counts["o"] != 1 {
-		t.Fatalf("%+v after it is kept", s)
+	r.SetOutbox(s.Outbox, 7)
+	a.Settle(r.Settled())
+	if s := r.Next(11_000, a); s.Kind != Send || s.Report.Counts["o"] != 1 {
+		t.Fatalf("step %+v after the outbox is written, want Send", s)
 	}
-	k.NotSent(1, 11_000)
-	if s := k.Next(11_399, a); s.Kind != Wait {
-		t.Errorf("%+v just after a report was not taken", s)
+	r.NotSent(1, 11_000)
+	if s := r.Next(11_399, a); s.Kind != Wait {
+		t.Errorf("step %+v before the retry delay has passed, want Wait", s)
 	}
-	if s := k.Next(11_400, a); s.Kind != Send {
-		t.Errorf("%+v later", s)
+	if s := r.Next(11_400, a); s.Kind != Send {
+		t.Errorf("step %+v after the retry delay, want Send", s)
 	}
-	k.Sent(1)
+	r.Sent(1)
 	m.Count("o", 9_000, 1)
 	if late := a.Add(m.Report(1, 12_000)); len(late) != 1 {
-		t.Errorf("counts of a window that was reported: %v", late)
+		t.Errorf("late windows %v, want the one that has been reported", late)
 	}
 	m.Settle(1)
 	if m.Count("o", 9_000, 1) {
-		t.Error("an instance counts for a window that was reported")
+		t.Error("an instance still counts for a reported window")
 	}
 }
 
-// Symptom: a third of the counts is in the wrong windows. Sequence: the clocks of a third
-// of the instances step by 2 s, and back; the holder's may be among them; messages take
-// up to 60 ms.
-func TestClocksThatStep(t *testing.T) {
+// TestMedianClockWithSteppingClocks guards against a third of the counts being assigned to wrong
+// windows. The clocks of a third of the instances, which may include the holder's, step by 2 s and
+// back, and messages take up to 60 ms.
+func TestMedianClockWithSteppingClocks(t *testing.T) {
 	for _, step := range []cf.Millis{2_000, -2_000} {
 		for holderSteps := range 2 {
 			var clocks MedianClock
@@ -192,9 +194,9 @@
 					all[i].Adjust(reference, wall(i, now+60), uptime(i, now+60))
 				}
 				for i := range all {
-					later := now + 90 // it may have stepped since
+					later := now + 90 // The clock may have stepped since.
 					if off := all[i].Now(wall(i, later), uptime(i, later)) - later; off < -130 || off > 130 {
-						t.Fatalf("instance %d at %d is off by %d ms (steps of %d, the holder's %d)", i, now, off, step, holderSteps)
+						t.Fatalf("instance %d at %d is off by %d ms (clocks step by %d ms, case %d of the holder)", i, now, off, step, holderSteps)
 					}
 				}
 			}
@@ -202,7 +204,7 @@
 	}
 }
 
-// A report has the same bytes whenever it is encoded.
+// TestReportEncodingIsStable checks that a report always has the same bytes when it is encoded.
 func TestReportEncodingIsStable(t *testing.T) {
 	counts := map[cf.Organisation]int64{}
 	for i := range 50 {
@@ -217,6 +219,6 @@
 		t.Fatal(err)
 	}
 	if again, err := json.Marshal(back); err != nil || string(again) != string(first) {
-		t.Errorf("%s, then %s, %v", first, again, err)
+		t.Errorf("encoded as %s, then as %s, error %v", first, again, err)
 	}
 }
--- a/core/cfusage/clock.go
+++ b/core/cfusage/clock.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// minStep is the least difference from the others' clocks that counts as a step.
-	// Below it lies what messages take on their way, and a clock is believed.
+	// minStep is the minimum difference from the reference time that counts as a step of a clock.
+	// Smaller differences can be due to message delays, and the clock is trusted.
 	minStep cf.Millis = 400
-	// clockLifetime is how long an instance's clock counts.
+	// clockLifetime is how long a clock reading of an instance is used.
 	clockLifetime cf.Millis = 3_000
-	// minClocks is the least number of clocks that outvote another.
+	// minClocks is the minimum number of clocks, including the holder's own, for their median to
+	// overrule the holder's clock.
 	minClocks = 3
 )
 
 type (
-	// Clock gives the time of day at an instance whose clock may step. It is safe for
+	// Clock provides the time of day at an instance whose own clock may step. It is safe for
 	// concurrent use.
 	Clock struct {
 		mu sync.Mutex
-		// offset is what is to be added to the instance's clock, which was as far from
-		// its uptime as base when that was told.
+		// offset is the correction to add to the instance's clock. wallMinusUptime is the
+		// difference between that clock and the uptime when offset was determined.
 		offset, wallMinusUptime cf.Millis
 		adjusted                bool
 	}
 
-	// MedianClock finds the time of day by the clocks of all instances: as long as fewer than
-	// half have stepped it is right. It is not safe for concurrent use.
+	// MedianClock determines the time of day from the clocks of all instances. The result is
+	// correct while fewer than half of them have stepped. It is not safe for concurrent use.
 	MedianClock struct {
-		// readings is how far the instances' clocks are ahead of the holder's uptime.
+		// readings holds by how much each instance's clock is ahead of the holder's uptime.
 		readings map[cf.EntryID]clockReading
 	}
 
 	clockReading struct{ wallMinusUptime, at cf.Millis }
 )
 
-// Adjust takes the time of day as others have it. wall is the instance's own, at uptime.
+// Adjust sets the reference time of day determined from all instances. wall is the instance's own
+// clock at uptime.
 func (c *Clock) Adjust(reference, wall, uptime cf.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,8 +50,8 @@
 	}
 }
 
-// Now returns the time of day, by the instance's clock and its uptime. A clock that has
-// moved against the uptime since it was compared has stepped.
+// Now returns the time of day, given the instance's clock and its uptime. A clock whose difference
+// from the uptime has changed since the last call of Adjust has stepped.
 func (c *Clock) Now(wall, uptime cf.Millis) cf.Millis {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +64,7 @@
 	return wall + c.offset
 }
 
-// Record takes an instance's clock, as of the holder's uptime.
+// Record records the reading of an instance's clock at the given uptime of the holder.
 func (c *MedianClock) Record(e cf.EntryID, wall, uptime cf.Millis) {
 	if c.readings == nil {
 		c.readings = map[cf.EntryID]clockReading{}
@@ -70,7 +72,7 @@
 	c.readings[e] = clockReading{wall - uptime, uptime}
 }
 
-// Now returns the time of day at an uptime of the holder, whose own clock is wall.
+// Now returns the time of day at the given uptime of the holder, whose own clock reads wall.
 func (c *MedianClock) Now(wall, uptime cf.Millis) cf.Millis {
 	all := []cf.Millis{wall - uptime}
 	for e, s := range c.readings {
--- a/core/cfusage/explore_test.go
+++ b/core/cfusage/explore_test.go
@@ -10,8 +10,8 @@
 	cf "currantford"
 )
 
-// modelState is a store, a platform and two holders that may act at the same time, each with
-// other counts of the same windows.
+// modelState is the state of a store, a platform and two holders that may act at the same time,
+// each with different counts for the same windows.
 type modelState struct {
 	rev        cf.Revision
 	outbox     *Outbox
@@ -21,7 +21,7 @@
 	faults     int
 }
 
-// lateWrite is a write without an answer that may take effect yet.
+// lateWrite is an unanswered write that may still take effect.
 type lateWrite struct {
 	rev    cf.Revision
 	outbox Outbox
@@ -32,7 +32,7 @@
 	exploreSteps  = 20
 )
 
-// exploreNow is when two windows of a second are over.
+// exploreNow is a time at which two windows of one second have ended.
 const exploreNow cf.Millis = 3_500
 
 func (w *modelState) clone() *modelState {
@@ -52,12 +52,12 @@
 		out += fmt.Sprint(*w.outbox)
 	}
 	for _, h := range w.holders {
-		out += fmt.Sprint(h.loaded, h.rev, h.o, h.sent)
+		out += fmt.Sprint(h.loaded, h.rev, h.outbox, h.sent)
 	}
 	return out
 }
 
-// write takes effect if its condition holds.
+// write applies a write if its condition holds, and reports whether it did.
 func (w *modelState) write(l lateWrite) bool {
 	if l.rev != w.rev {
 		return false
@@ -68,7 +68,8 @@
 	return true
 }
 
-// accept takes a report; it returns an error if one that differs was taken.
+// accept records a report at the platform. It returns an error if a different report of the same
+// window was accepted before.
 func (w *modelState) accept(r cf.UsageReport) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -81,9 +82,9 @@
 	return nil
 }
 
-// next returns what may come next of a world. believes is the seeded fault: a holder takes
-// a write without an answer for one that took effect.
-func (w *modelState) next(accounts [2]*Aggregator, trustsUnanswered bool) (out []*modelState, err error) {
+// next returns the possible successors of a state. trustsUnanswered injects a fault: a holder
+// assumes that an unanswered write took effect.
+func (w *modelState) next(aggregators [2]*Aggregator, trustsUnanswered bool) (out []*modelState, err error) {
 	add := func(f func(n *modelState) error) {
 		n := w.clone()
 		if e := f(n); e != nil {
@@ -105,13 +106,13 @@
 		})
 	}
 	for i := range w.holders {
-		step := w.clone().holders[i].Next(exploreNow, accounts[i])
-		fault(func(n *modelState) error { n.holders[i] = *NewReporter(exploreTiming); return nil }) // it is lost, another begins
+		step := w.clone().holders[i].Next(exploreNow, aggregators[i])
+		fault(func(n *modelState) error { n.holders[i] = *NewReporter(exploreTiming); return nil }) // A holder is lost, and another one begins.
 		switch step.Kind {
 		case Read:
 			add(func(n *modelState) error {
 				if n.outbox == nil {
-					n.holders[i].InitOutbox(1_200, accounts[i])
+					n.holders[i].InitOutbox(1_200, aggregators[i])
 				} else {
 					n.holders[i].SetOutbox(*n.outbox, n.rev)
 				}
@@ -134,12 +135,12 @@
 				}
 				return nil
 			})
-			fault(func(n *modelState) error { n.write(l); unanswered(n); return nil })                             // its answer is lost
-			fault(func(n *modelState) error { n.lateWrites = append(n.lateWrites, l); unanswered(n); return nil }) // it takes effect later
-			fault(func(n *modelState) error { unanswered(n); return nil })                                         // it is lost
+			fault(func(n *modelState) error { n.write(l); unanswered(n); return nil })                             // The answer is lost.
+			fault(func(n *modelState) error { n.lateWrites = append(n.lateWrites, l); unanswered(n); return nil }) // The write takes effect later.
+			fault(func(n *modelState) error { unanswered(n); return nil })                                         // The write is lost.
 		case Send:
 			add(func(n *modelState) error { n.holders[i].Sent(step.Report.Window); return n.accept(step.Report) })
-			fault(func(n *modelState) error { return n.accept(step.Report) }) // its answer is lost
+			fault(func(n *modelState) error { return n.accept(step.Report) }) // The answer is lost.
 		}
 	}
 	return out, err
@@ -148,11 +149,11 @@
 var exploreTiming = WindowTiming{Length: 1_000, MaxWait: 0}
 
 func explore(trustsUnanswered bool) (states int, complete bool, err error) {
-	var accounts [2]*Aggregator
-	for i := range accounts {
-		accounts[i] = NewAggregator(exploreTiming.Length)
+	var aggregators [2]*Aggregator
+	for i := range aggregators {
+		aggregators[i] = NewAggregator(exploreTiming.Length)
 		for w := cf.UsageWindow(1); w <= 2; w++ {
-			accounts[i].Add(MeterReport{
+			aggregators[i].Add(MeterReport{
 				Source: Source{Entry: "e"}, Seq: 1, Through: exploreNow + grace,
 				Windows: []cf.UsageReport{{Window: w, Counts: map[cf.Organisation]int64{"o": int64(i + 1)}}},
 			})
@@ -167,7 +168,7 @@
 	for range exploreSteps {
 		var after []*modelState
 		for _, w := range level {
-			next, err := w.next(accounts, trustsUnanswered)
+			next, err := w.next(aggregators, trustsUnanswered)
 			if err != nil {
 				return len(seen), complete, err
 			}
@@ -184,19 +185,20 @@
 	return len(seen), complete, nil
 }
 
-// Symptom: the platform gets two reports of a window that differ. Sequence: every order
-// of reads, writes and sends of two holders at once whose counts differ, with answers that
-// are lost, writes that take effect late, and holders that are lost, four faults in all.
+// TestNoTwoReportsOfAWindowDiffer guards against the platform receiving two different reports of
+// one window. It explores every order of reads, writes and sends of two concurrent holders with
+// different counts, with lost answers, writes that take effect late, and lost holders, up to four
+// faults in all.
 func TestNoTwoReportsOfAWindowDiffer(t *testing.T) {
 	states, complete, err := explore(false)
 	if err != nil {
 		t.Error(err)
 	}
 	if !complete {
-		t.Error("no run reported both windows")
+		t.Error("no explored run reported both windows")
 	}
-	t.Logf("%d states", states)
+	t.Logf("explored %d states", states)
 	if _, _, err := explore(true); err == nil {
-		t.Error("a holder that believes a write without an answer is not found")
+		t.Error("the exploration does not find a holder that trusts an unanswered write")
 	}
 }
--- a/core/cfusage/keeper.go
+++ b/core/cfusage/keeper.go
@@ -6,26 +6,26 @@
 	cf "currantford"
 )
 
-// Steps of a keeper.
+// These are the kinds of a reporter's steps.
 const (
-	// Wait: nothing is due.
+	// Wait means that nothing is due.
 	Wait StepKind = iota
-	// Read what lies in the store.
+	// Read means to read the outbox from the store.
 	Read
-	// Write writes Step.Kept on condition of Step.Rev, or creates it where that is zero.
+	// Write means to write Step.Outbox on condition of Step.Rev, or to create it if that is zero.
 	Write
-	// Send reports Step.Report.
+	// Send means to send Step.Report to the platform.
 	Send
 )
 
-// maxPending bounds the reports that wait to be sent. The oldest are given up first.
+// maxPending limits the number of reports that wait to be sent. Beyond it the oldest are dropped.
 const maxPending = 120
 
 type (
-	// ActionKind is what a keeper does next.
+	// StepKind is the kind of a reporter's next step.
 	StepKind int
 
-	// Step is a keeper's next step.
+	// Step is a reporter's next step.
 	Step struct {
 		Kind   StepKind
 		Outbox Outbox
@@ -33,72 +33,72 @@
 		Report cf.UsageReport
 	}
 
-	// Outbox is what lies in the store: the reports that may not have been sent yet, and
-	// the last window of which there is a report.
+	// Outbox is the object in the store: the reports that may not have been sent yet, and the last
+	// window for which a report was written.
 	Outbox struct {
 		Settled cf.UsageWindow   `json:"settled"`
 		Pending []cf.UsageReport `json:"pending"`
 	}
 
-	// WindowTiming are a deployment's windows.
+	// WindowTiming holds the durations that govern the windows of a deployment.
 	WindowTiming struct {
-		// Length is that of a window.
+		// Length is the length of a window.
 		Length cf.Millis
-		// MaxWait is how long after its end a window waits for instances that have not
-		// reported it.
+		// MaxWait is how long after its end a window waits for instances that have not reported
+		// yet.
 		MaxWait cf.Millis
-		// RetryDelay is the pause after a report that was not taken.
+		// RetryDelay is the delay after which a report that was not accepted is sent again.
 		RetryDelay cf.Millis
 	}
 
-	// Reporter decides what a holder reports. It holds under loss of answers, of holders
-	// and of their memory because a report is sent only as it was read from the store,
-	// or written there with an answer: what two holders send of a window is the same.
-	// It is not safe for concurrent use.
+	// Reporter decides what the holder of the duty reports to the platform. Two holders never send
+	// different reports of a window, even if answers, holders or the memory of a holder are lost: a
+	// report is sent only after it was read from the store, or written there with a confirmed
+	// answer. It is not safe for concurrent use.
 	Reporter struct {
 		timing WindowTiming
-		// loaded says that kept, at rev, is what lies in the store.
+		// loaded says that outbox is the object in the store, at revision rev.
 		loaded bool
-		o      Outbox
+		outbox Outbox
 		rev    cf.Revision
-		// sent are the windows that the platform has taken from this holder.
+		// sent holds the windows whose reports the platform has accepted from this holder.
 		sent    map[cf.UsageWindow]bool
 		retryAt map[cf.UsageWindow]cf.Millis
 	}
 )
 
-// NewReconciler returns the keeper of a duty that begins.
+// NewReporter returns a reporter for a holder that begins its duty.
 func NewReporter(timing WindowTiming) *Reporter {
 	return &Reporter{timing: timing, sent: map[cf.UsageWindow]bool{}, retryAt: map[cf.UsageWindow]cf.Millis{}}
 }
 
-// Next returns what is to be done at a moment of true time.
-func (k *Reporter) Next(now cf.Millis, a *Aggregator) Step {
-	if !k.loaded {
+// Next returns the step to take at now, the corrected time of day.
+func (r *Reporter) Next(now cf.Millis, a *Aggregator) Step {
+	if !r.loaded {
 		return Step{Kind: Read}
 	}
-	for _, report := range k.o.Pending {
-		if !k.sent[report.Window] && now >= k.retryAt[report.Window] {
+	for _, report := range r.outbox.Pending {
+		if !r.sent[report.Window] && now >= r.retryAt[report.Window] {
 			return Step{Kind: Send, Report: report}
 		}
 	}
-	if next, due := k.due(now, a); due {
-		return Step{Kind: Write, Outbox: next, Rev: k.rev}
+	if next, due := r.due(now, a); due {
+		return Step{Kind: Write, Outbox: next, Rev: r.rev}
 	}
 	return Step{Kind: Wait}
 }
 
-// due returns what is to lie in the store, where a window is to be reported.
-func (k *Reporter) due(now cf.Millis, a *Aggregator) (Outbox, bool) {
-	next := Outbox{Settled: k.o.Settled}
-	for _, report := range k.o.Pending {
-		if !k.sent[report.Window] {
+// due returns the next content of the outbox, and whether it contains a new report.
+func (r *Reporter) due(now cf.Millis, a *Aggregator) (Outbox, bool) {
+	next := Outbox{Settled: r.outbox.Settled}
+	for _, report := range r.outbox.Pending {
+		if !r.sent[report.Window] {
 			next.Pending = append(next.Pending, report)
 		}
 	}
 	due := false
-	for w := next.Settled + 1; w.Ends(k.timing.Length) <= now; w++ {
-		if !a.Complete(w) && now < w.Ends(k.timing.Length)+k.timing.MaxWait {
+	for w := next.Settled + 1; w.Ends(r.timing.Length) <= now; w++ {
+		if !a.Complete(w) && now < w.Ends(r.timing.Length)+r.timing.MaxWait {
 			break
 		}
 		next.Settled, due = w, true
@@ -110,29 +110,30 @@
 	return next, due
 }
 
-// SetOutbox takes what was read, or written with an answer.
-func (k *Reporter) SetOutbox(o Outbox, rev cf.Revision) { k.loaded, k.o, k.rev = true, o, rev }
+// SetOutbox records the outbox as read from the store, or as written there with a confirmed answer.
+func (r *Reporter) SetOutbox(o Outbox, rev cf.Revision) { r.loaded, r.outbox, r.rev = true, o, rev }
 
-// LoadedEmpty notes that nothing lies in the store yet: the first window to be reported is
-// the one of now, or the oldest that was counted.
-func (k *Reporter) InitOutbox(now cf.Millis, a *Aggregator) {
-	first := cf.WindowOf(now, k.timing.Length)
+// InitOutbox records that the store has no outbox yet. The first window to be reported is the
+// current one, or the oldest one with counts if that is earlier.
+func (r *Reporter) InitOutbox(now cf.Millis, a *Aggregator) {
+	first := cf.WindowOf(now, r.timing.Length)
 	if oldest, counted := a.Oldest(); counted {
 		first = min(first, oldest)
 	}
-	k.SetOutbox(Outbox{Settled: first - 1}, 0)
+	r.SetOutbox(Outbox{Settled: first - 1}, 0)
 }
 
-// WriteInDoubt notes that a write had no answer, or met another: what lies in the store is to
-// be read.
-func (k *Reporter) InvalidateOutbox() { k.loaded = false }
+// InvalidateOutbox records that a write had no answer or failed with a conflict, so that the outbox
+// must be read again.
+func (r *Reporter) InvalidateOutbox() { r.loaded = false }
 
-// Sent notes that the platform has taken a report.
-func (k *Reporter) Sent(w cf.UsageWindow) { k.sent[w] = true }
+// Sent records that the platform has accepted the report of a window.
+func (r *Reporter) Sent(w cf.UsageWindow) { r.sent[w] = true }
 
-// NotSent notes that a report was not taken, or had no answer. It is sent again.
-func (k *Reporter) NotSent(w cf.UsageWindow, now cf.Millis) { k.retryAt[w] = now + k.timing.RetryDelay }
+// NotSent records that the report of a window was not accepted or had no answer. It is sent again
+// later.
+func (r *Reporter) NotSent(w cf.UsageWindow, now cf.Millis) { r.retryAt[w] = now + r.timing.RetryDelay }
 
-// Settled returns the last window of which a report lies in the store, zero while that
-// is not known.
-func (k *Reporter) Settled() cf.UsageWindow { return k.o.Settled }
+// Settled returns the last window for which a report is in the store, or zero while that is not
+// known.
+func (r *Reporter) Settled() cf.UsageWindow { return r.outbox.Settled }
--- a/core/cfusage/meter.go
+++ b/core/cfusage/meter.go
@@ -1,22 +1,23 @@
-// Package cfusage counts how many requests of each organisation began to run in each
-// window of time, and decides what is reported of it: one report a window, never two
-// that differ. It has no sockets and no clock.
+// Package cfusage counts the requests of each organisation that begin to run in each time window,
+// and decides what is reported to the platform: one report per window, and never two that differ.
+// It opens no sockets and reads no clock.
 //
-// Instances count what they send (Meter). Their counts travel with their reports of life
-// as totals, so that one that is lost or comes twice changes nothing. The holder of the
-// duty adds them up (Account), and when a window is complete, or its time is up, keeps the
-// report in the store before it sends it (Keeper): a successor, or the holder itself
-// after an answer that was lost, sends the same bytes again.
+// Each instance counts the requests that it sends (Meter). The counts are part of its regular
+// reports to the holder, the one instance that holds the duty of reporting usage under a lease.
+// They are cumulative, so a report that is lost or arrives twice changes nothing. The holder adds
+// the counts up (Aggregator). When a window is complete, or its waiting time is over, the holder
+// writes the report to the store before it sends it (Reporter), so that a successor, or the same
+// holder after a lost answer, sends the same bytes again.
 //
-// The load it answers: fourteen requests a second over 85 organisations, of which most
-// windows hold none to three of each, so that a count is right or it is not; holders,
-// instances and answers that are lost at any moment; clocks that step by seconds.
+// The package is designed for some fourteen requests a second from 85 organisations, where most
+// windows contain zero to three requests of each, so a count is either exact or wrong. It tolerates
+// holders, instances and answers that are lost at any time, and clocks that step by seconds.
 //
 // Usage:
 //
-//	meter.Began(organisation, trueTime)
-//	account.Take(meter.Report(term, trueTime))
-//	step := keeper.Next(trueTime, account)
+//	meter.Count(organisation, timeOfDay, 1)
+//	aggregator.Add(meter.Report(term, timeOfDay))
+//	step := reporter.Next(timeOfDay, aggregator)
 package cfusage
 
 import (
@@ -26,29 +27,29 @@
 	cf "currantford"
 )
 
-// maxWindows bounds the windows whose counts an instance keeps while nobody takes them.
+// maxWindows limits the windows that an instance keeps while no holder accepts its counts.
 const maxWindows = 60
 
 type (
-	// Source is one start of an instance.
+	// Source identifies one run of an instance's process.
 	Source struct {
 		Entry cf.EntryID `json:"entry" cbor:"entry"`
 		Start uint32     `json:"start" cbor:"start"`
 	}
 
-	// MeterReport is what an instance has counted, as totals: whoever takes it twice, or
-	// after a later one, has counted nothing twice.
+	// MeterReport holds an instance's counts as totals, so that a recipient that adds a report
+	// twice, or after a later one, counts nothing twice.
 	MeterReport struct {
 		Source Source `cbor:"source"`
-		// Seq numbers the instance's counts as of the report.
+		// Seq is the sequence number of the last change of the counts in the report.
 		Seq int64 `cbor:"change"`
-		// Through is until when nothing more can be counted but what is under way.
+		// Through is the time up to which the counts are final, except for requests in flight.
 		Through cf.Millis `cbor:"through"`
-		// Windows are those that the recipient has not yet.
+		// Windows holds the windows that the recipient does not have yet.
 		Windows []cf.UsageReport `cbor:"windows,omitempty"`
 	}
 
-	// Meter counts at one instance. It is safe for concurrent use.
+	// Meter counts the requests of one instance. It is safe for concurrent use.
 	Meter struct {
 		source Source
 		length cf.Millis
@@ -57,7 +58,8 @@
 		windows map[cf.UsageWindow]*windowCounts
 		seq     int64
 		settled cf.UsageWindow
-		// ackTerm and taken are the recipient that took the counts as of a change.
+		// ackTerm is the term of the recipient that last accepted counts, and ackSeq the sequence
+		// number up to which it has them.
 		ackTerm cf.Revision
 		ackSeq  int64
 	}
@@ -68,13 +70,13 @@
 	}
 )
 
-// NewMeter returns the meter of one start of an instance, for windows of a length.
+// NewMeter returns the meter of one run of an instance, for windows of the given length.
 func NewMeter(source Source, length cf.Millis) *Meter {
 	return &Meter{source: source, length: length, windows: map[cf.UsageWindow]*windowCounts{}}
 }
 
-// Count adds n requests of an organisation that began at a moment; it may take back what
-// was counted too much. It returns false if the window was reported already.
+// Count adds n requests of an organisation that began at the given time; n may be negative to
+// correct an earlier count. It returns false if the window has already been reported.
 func (m *Meter) Count(o cf.Organisation, at cf.Millis, n int64) bool {
 	w := cf.WindowOf(at, m.length)
 	m.mu.Lock()
@@ -96,7 +98,7 @@
 	return true
 }
 
-// trim drops the oldest window if there are too many. m.mu is held.
+// trim removes the oldest window if there are too many. The caller must hold m.mu.
 func (m *Meter) trim() {
 	if len(m.windows) <= maxWindows {
 		return
@@ -108,7 +110,7 @@
 	delete(m.windows, oldest)
 }
 
-// Report returns what the holder of a term has not taken yet.
+// Report returns the counts that the holder of the given term has not accepted yet.
 func (m *Meter) Report(term cf.Revision, now cf.Millis) MeterReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +127,7 @@
 	return r
 }
 
-// Acknowledge notes that the holder of a term has taken a report.
+// Acknowledge records that the holder of the given term has accepted a report.
 func (m *Meter) Acknowledge(term cf.Revision, r MeterReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,7 +137,7 @@
 	m.ackSeq = max(m.ackSeq, r.Seq)
 }
 
-// Settle drops the windows up to one, whose reports lie in the store.
+// Settle discards the windows up to and including through, whose reports are in the store.
 func (m *Meter) Settle(through cf.UsageWindow) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
