--- a/core/cfmember/table.go
+++ b/core/cfmember/table.go
@@ -71,7 +71,7 @@
 )
 
 // ReportTimeout is how long an instance may be silent before callers are sent elsewhere. It covers
-// three reports and is shorter than the time for which callers keep a resolved address.
+// three reports and is no longer than the time for which callers keep a resolved address.
 const ReportTimeout cf.Millis = 1500
 
 // Record records an instance's report about itself.
