--- a/core/cfmember/table.go
+++ b/core/cfmember/table.go
@@ -1,11 +1,16 @@
-// Package cfmember decides which entry instances callers are sent to. The
-// coordinator hears from each instance several times a second; an instance
-// that is silent, not ready or stopping drops out. It has no clock of its own.
+// Package cfmember maintains the list of entry instances that callers are sent to. Each instance
+// reports to the coordinator several times a second, directly or through a hub; an instance that is
+// silent, not ready or stopping is removed. The package also selects hubs, fallback watchers,
+// successors and replicas from that list. The package reads no clock: callers pass the current
+// time.
+//
+// A duty is a role that one instance at a time holds under a lease, such as that of the
+// coordinator, which watches the platform's store and sends updates to the other instances.
 //
 // Usage:
 //
 //	var t cfmember.Table
-//	t.Heard(entry, now)
+//	t.Record(entry, now)
 //	live := t.Live(now)
 package cfmember
 
@@ -18,95 +23,96 @@
 )
 
 type (
-	// Entry is an entry instance as it describes itself.
+	// Entry describes an entry instance, as reported by the instance itself.
 	Entry struct {
 		ID       cf.EntryID       `cbor:"id"`
 		Addr     string           `cbor:"addr"`
-		PeerAddr string           `cbor:"peers"` // for the other instances
+		PeerAddr string           `cbor:"peers"` // Address for calls from other instances.
 		Domain   cf.FailureDomain `cbor:"failure_domain"`
 		Ready    bool             `cbor:"ready"`
-		// Age is how long its process had run when it said so.
+		// Age is the uptime of the process at the time of the report.
 		Age cf.Millis `cbor:"age"`
-		// Capacity is what it can carry, in cores.
+		// Capacity is the processing capacity of the instance, in cores.
 		Capacity float64 `cbor:"capacity"`
 	}
 
-	// Table holds the entry instances heard of. The zero value is empty. It
-	// is not safe for concurrent use.
+	// Table holds the entry instances that have reported. The zero value is an empty table. It is
+	// not safe for concurrent use.
 	Table struct {
-		heard map[cf.EntryID]heard
-		// groups are the instances for which others vouch.
+		records map[cf.EntryID]instanceRecord
+		// groups holds the clients that each hub reports.
 		groups map[cf.EntryID]Group
-		// live is the list as of its last change, which changes counts;
-		// stale is when an instance may drop out of it, at the earliest.
-		live    []Entry
-		changes int64
-		stale   cf.Millis
-		// restarts counts the instances that were heard to have started again.
+		// live is the list that Live returned last, and version counts its changes. liveUntil is
+		// the earliest time at which an instance may have to be removed from it.
+		live      []Entry
+		version   int64
+		liveUntil cf.Millis
+		// restarts counts the restarts of instances, each detected by an age that has decreased.
 		restarts int64
 	}
 
-	heard struct {
-		entry Entry
-		at    cf.Millis
-		// said is when it told its age, by the hub that vouches for it, if it did not
-		// report here.
-		said cf.Millis
-		by   cf.EntryID
-		// adopted: it has not reported since it was adopted.
+	instanceRecord struct {
+		entry    Entry
+		lastSeen cf.Millis
+		// ageAt is when the age was reported. hub is the hub that reported the instance, empty if
+		// it reported here itself.
+		ageAt cf.Millis
+		hub   cf.EntryID
+		// adopted is set until an adopted instance reports for the first time.
 		adopted bool
 	}
 
-	// Group is what a hub tells of the instances that ask it. Entries are left out where
-	// the recipient has those of the sum.
+	// Group is a hub's report about the instances that poll it. Entries are omitted if the
+	// recipient already knows the group with this checksum.
 	Group struct {
 		Sum     uint64  `cbor:"sum"`
 		Entries []Entry `cbor:"entries,omitempty"`
 	}
 )
 
-// ReportTimeout is how long an instance may stay silent before callers are sent
-// elsewhere: three of its reports, and less than callers keep an answer.
+// ReportTimeout is how long an instance may be silent before callers are sent elsewhere. It covers
+// three reports and is no longer than the time for which callers keep a resolved address.
 const ReportTimeout cf.Millis = 1500
 
-// Record takes an instance's account of itself.
-func (t *Table) Record(e Entry, now cf.Millis) { t.note(e, "", now) }
+// Record records an instance's report about itself.
+func (t *Table) Record(e Entry, now cf.Millis) { t.put(e, "", now) }
 
-func (t *Table) note(e Entry, by cf.EntryID, now cf.Millis) {
-	if t.heard == nil {
-		t.heard = map[cf.EntryID]heard{}
+func (t *Table) put(e Entry, hub cf.EntryID, now cf.Millis) {
+	if t.records == nil {
+		t.records = map[cf.EntryID]instanceRecord{}
 	}
-	old, known := t.heard[e.ID]
+	old, known := t.records[e.ID]
 	if known && e.Age < old.entry.Age {
 		t.restarts++
 	}
-	t.heard[e.ID] = heard{entry: e, at: now, said: now, by: by}
-	if !known || !sameButAge(old.entry, e) {
-		t.stale = 0
+	t.records[e.ID] = instanceRecord{entry: e, lastSeen: now, ageAt: now, hub: hub}
+	if !known || !equalIgnoringAge(old.entry, e) {
+		t.liveUntil = 0
 	}
 }
 
-// RecordGroup takes a hub's word for the instances that ask it. It returns the sum of the group
-// that is known here now; a hub whose group has another one tells its entries.
+// RecordGroup records a hub's report about its clients. It returns the checksum of the hub's group
+// as known here afterwards; if that differs from the hub's own checksum, the hub sends its entries
+// next time.
 func (t *Table) RecordGroup(hub cf.EntryID, g Group, now cf.Millis) uint64 {
 	known := t.groups[hub]
 	switch {
 	case g.Sum == known.Sum:
 		for _, e := range known.Entries {
-			if h, alive := t.heard[e.ID]; alive {
-				h.at, h.adopted = max(h.at, now), false
-				t.heard[e.ID] = h
+			if r, alive := t.records[e.ID]; alive {
+				r.lastSeen, r.adopted = max(r.lastSeen, now), false
+				t.records[e.ID] = r
 			} else {
-				t.note(e, hub, now)
+				t.put(e, hub, now)
 			}
 		}
 		return known.Sum
 	case len(g.Entries) == 0 && g.Sum != 0:
 		return known.Sum
 	}
-	t.dissolve(hub)
+	t.removeGroup(hub)
 	for _, e := range g.Entries {
-		t.note(e, hub, now)
+		t.put(e, hub, now)
 	}
 	if t.groups == nil {
 		t.groups = map[cf.EntryID]Group{}
@@ -115,127 +121,127 @@
 	return g.Sum
 }
 
-// dissolve forgets a hub's group, with the instances in it that nobody else has told of.
-func (t *Table) dissolve(hub cf.EntryID) {
+// removeGroup removes a hub's group, along with the instances that only this hub has reported.
+func (t *Table) removeGroup(hub cf.EntryID) {
 	for _, e := range t.groups[hub].Entries {
-		if t.heard[e.ID].by == hub {
-			delete(t.heard, e.ID)
-			t.stale = 0
+		if t.records[e.ID].hub == hub {
+			delete(t.records, e.ID)
+			t.liveUntil = 0
 		}
 	}
 	delete(t.groups, hub)
 }
 
-// Adopt takes a table from a coordinator before: until each instance has had
-// time to report, it counts as heard, so that a change of coordinator does not
-// send all callers to one instance.
+// Adopt takes over the list of the previous coordinator. Each instance counts as live until it has
+// had time to report, so that a change of coordinator does not send all callers to one instance.
 func (t *Table) Adopt(entries []Entry, now cf.Millis) {
 	for _, e := range entries {
 		t.Record(e, now)
-		h := t.heard[e.ID]
-		h.adopted = true
-		t.heard[e.ID] = h
+		r := t.records[e.ID]
+		r.adopted = true
+		t.records[e.ID] = r
 	}
 }
 
-// RemoveRefused takes the word that no process takes connections at an address for instances. One
-// that was adopted and has not reported since has ended before: without that it would be
-// listed for as long as one that has just reported, and anew by each coordinator.
-func (t *Table) RemoveRefused(peers string) {
-	for id, h := range t.heard {
-		if h.adopted && h.entry.PeerAddr == peers {
-			delete(t.heard, id)
-			t.stale = 0
+// RemoveRefused removes the adopted instances at a peer address that refuses connections, unless
+// they have reported since. Such an instance ended before the change of coordinator; without this
+// it would stay listed as long as one that has just reported, and every further coordinator would
+// adopt it again.
+func (t *Table) RemoveRefused(peerAddr string) {
+	for id, r := range t.records {
+		if r.adopted && r.entry.PeerAddr == peerAddr {
+			delete(t.records, id)
+			t.liveUntil = 0
 		}
 	}
 }
 
-// Live returns the instances that take callers, sorted by id. The list is kept
-// until it changes, and not to be changed.
+// Live returns the instances that accept callers, sorted by ID. The same slice is returned until
+// the list changes; the caller must not modify it.
 func (t *Table) Live(now cf.Millis) []Entry {
-	if now < t.stale {
+	if now < t.liveUntil {
 		return t.live
 	}
-	live, stale := t.collect(now)
-	t.stale = stale
-	if !slices.EqualFunc(live, t.live, sameButAge) || t.changes == 0 {
+	live, liveUntil := t.collect(now)
+	t.liveUntil = liveUntil
+	if !slices.EqualFunc(live, t.live, equalIgnoringAge) || t.version == 0 {
 		t.live = live
-		t.changes++
+		t.version++
 	}
 	return t.live
 }
 
-// Version counts the changes of Live.
-func (t *Table) Version() int64 { return t.changes }
+// Version returns the number of changes of the list that Live returns.
+func (t *Table) Version() int64 { return t.version }
 
-// LiveWithAges returns the same as Live, each instance with its latest age.
+// LiveWithAges returns the same instances as Live, each with its latest age.
 func (t *Table) LiveWithAges(now cf.Millis) []Entry {
 	live, _ := t.collect(now)
 	return live
 }
 
-// collect returns the instances that take callers, and when one of those heard
-// of may drop out.
-func (t *Table) collect(now cf.Millis) (live []Entry, stale cf.Millis) {
-	stale = now + ReportTimeout
-	for id, h := range t.heard {
-		if now-h.at > ReportTimeout {
-			delete(t.heard, id)
+// collect returns the instances that accept callers, and the earliest time at which an instance in
+// the table may time out. It removes those that have timed out.
+func (t *Table) collect(now cf.Millis) (live []Entry, liveUntil cf.Millis) {
+	liveUntil = now + ReportTimeout
+	for id, r := range t.records {
+		if now-r.lastSeen > ReportTimeout {
+			delete(t.records, id)
 			delete(t.groups, id)
 			continue
 		}
-		stale = min(stale, h.at+ReportTimeout+1)
-		if h.entry.Ready {
-			if h.by != "" {
-				h.entry.Age += now - h.said
+		liveUntil = min(liveUntil, r.lastSeen+ReportTimeout+1)
+		if r.entry.Ready {
+			if r.hub != "" {
+				r.entry.Age += now - r.ageAt
 			}
-			live = append(live, h.entry)
+			live = append(live, r.entry)
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].ID < live[j].ID })
-	return live, stale
+	return live, liveUntil
 }
 
-// settled is the age from which on an instance can take a duty over: it has
-// its view of the site, and has not ended right after its start.
-const settled cf.Millis = 600
+// minSuccessorAge is the minimum uptime of an instance that takes over a duty. By then it has its
+// view of the site, and has not failed right after its start.
+const minSuccessorAge cf.Millis = 600
 
-// strongPart is the part of the most capacity among the instances that a holder
-// of a duty should have. Instances of one kind differ in nothing; where kinds
-// differ they do by twice and more.
-const strongPart = 0.75
+// highCapacityFraction is the fraction of the highest capacity among the instances that the holder
+// of a duty should have. Instances of the same machine type have equal capacity, and different
+// types differ by a factor of two or more.
+const highCapacityFraction = 0.75
 
-// MaxCapacity returns the most capacity that an instance has.
+// MaxCapacity returns the highest capacity among entries.
 func MaxCapacity(entries []Entry) float64 {
-	most := 0.0
+	highest := 0.0
 	for _, e := range entries {
-		most = max(most, e.Capacity)
+		highest = max(highest, e.Capacity)
 	}
-	return most
+	return highest
 }
 
-// HighCapacity says whether a capacity is enough for a duty among entries.
+// HighCapacity reports whether a capacity is high enough among the given instances to hold a duty.
 func HighCapacity(capacity float64, all []Entry) bool { return NearMax(capacity, MaxCapacity(all)) }
 
-// NearMax says the same where the most capacity is known.
-func NearMax(capacity, strongest float64) bool { return capacity >= strongPart*strongest }
+// NearMax reports the same as HighCapacity if the highest capacity is already known.
+func NearMax(capacity, maxCapacity float64) bool { return capacity >= highCapacityFraction*maxCapacity }
 
-// Successor returns the instance that should take a duty over from one that
-// stops as planned: of the strong ones the youngest that has settled. In a rolling
-// restart the young ones have been restarted, and the others will be, so that the
-// duty moves once or twice and not with each of its holders.
+// Successor returns the instance that should take over a duty from self, which is stopping as
+// planned: the youngest instance of high capacity that has reached minSuccessorAge. In a rolling
+// restart the young instances have already been restarted and the old ones are still to be, so the
+// duty moves once or twice rather than with each restart of its holder.
 func Successor(entries []Entry, self cf.EntryID) (Entry, bool) {
-	able := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.ID == self || e.Age < settled })
-	if len(able) == 0 {
+	eligible := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.ID == self || e.Age < minSuccessorAge })
+	if len(eligible) == 0 {
 		return Entry{}, false
 	}
-	least := strongPart * MaxCapacity(able)
-	strong := slices.DeleteFunc(able, func(e Entry) bool { return e.Capacity < least })
-	return slices.MinFunc(strong, func(a, b Entry) int { return cmp.Compare(a.Age, b.Age) }), true
+	minCapacity := highCapacityFraction * MaxCapacity(eligible)
+	capable := slices.DeleteFunc(eligible, func(e Entry) bool { return e.Capacity < minCapacity })
+	return slices.MinFunc(capable, func(a, b Entry) int { return cmp.Compare(a.Age, b.Age) }), true
 }
 
-// Nearest returns the addresses of entries, those of domain first.
-func Nearest(entries []Entry, domain cf.FailureDomain, most int) []string {
+// Nearest returns up to limit caller addresses of entries, those in domain first.
+func Nearest(entries []Entry, domain cf.FailureDomain, limit int) []string {
 	var near, far []string
 	for _, e := range entries {
 		if e.Domain == domain {
@@ -245,5 +251,5 @@
 		}
 	}
 	near = append(near, far...)
-	return near[:min(len(near), most)]
+	return near[:min(len(near), limit)]
 }
