--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -77,40 +77,40 @@
 
 	// Ticket is a request's place in the queue.
 	Ticket struct {
-		ask     Request
+		request Request
 		service *service
 		share   *share
-		n       int64
+		seq     int64
 		queued  bool
 		evicted bool
-		// held is the limit whose token the ticket has, until it is sent or leaves.
-		held *limit
+		// granted is the limit whose token the ticket has, until it is sent or leaves.
+		granted *limit
 	}
 
 	// Controller limits what an instance sends. It is safe for concurrent use.
 	Controller struct {
 		mu       sync.Mutex
 		services map[cf.ServiceName]*service
-		n        int64
+		lastSeq  int64
 	}
 
 	service struct {
 		limits map[cf.InstanceID]*limit
-		times  times
-		// quickest is the least time in ms in which a target should answer, by the last look.
-		quickest float64
-		// candidates are those of the last ask, ordered are their limits.
-		candidates  []cf.Target
-		ordered     []*limit
-		lists       int // counts changes of the candidates
-		instances   int
-		objective   cf.Millis
-		objectiveAt cf.Millis // as of when
-		shares      *shares
-		queue       []*Ticket
-		budget      budget
-		// until is the latest end of a target's limit, heldBackAt when a request was last kept back.
-		until, heldBackAt cf.Millis
+		times  serviceTimes
+		// minAnswerTime is the least time in ms in which a target should answer, by the last look.
+		minAnswerTime float64
+		// targets are those of the last ask, ordered are their limits.
+		targets      []cf.Target
+		targetLimits []*limit
+		listVersion  int // counts changes of the candidates
+		instances    int
+		objective    cf.Millis
+		objectiveAt  cf.Millis // as of when
+		shares       *shares
+		queue        []*Ticket
+		budget       retryBudget
+		// limitedUntil is the latest end of a target's limit, heldBackAt when a request was last kept back.
+		limitedUntil, throttledAt cf.Millis
 	}
 )
 
@@ -140,58 +140,58 @@
 const (
 	// networkTime is what an answer needs beside the target's time, there and back.
 	networkTime cf.Millis = 15
-	// refusalPart is the part of the objective within which a caller hears of a refusal,
+	// refusalDivisor is the part of the objective within which a caller hears of a refusal,
 	// less refusalTime, which a target's refusal after a wait takes.
-	refusalPart           = 4
-	refusalTime cf.Millis = 9
+	refusalDivisor              = 4
+	targetRefusalTime cf.Millis = 9
 	// maxQueued bounds the queue. At a refusal within 37 ms it is only reached from some
 	// two thousand requests per second on.
 	maxQueued = 64
-	// mostWait bounds an estimate of a wait that is never reached, in ms.
-	mostWait = 1e6
+	// maxWait bounds an estimate of a wait that is never reached, in ms.
+	maxWait = 1e6
 	// minPoll spaces the looks of a waiting request.
 	minPoll cf.Millis = 2
-	// mustPoll spaces the looks of one that can't be refused, and waits for a target that
+	// mustSendPoll spaces the looks of one that can't be refused, and waits for a target that
 	// is less full.
-	mustPoll cf.Millis = 10
-	// heldBackSpan is how long a request that was kept back shows that this instance has
+	mustSendPoll cf.Millis = 10
+	// throttledSpan is how long a request that was kept back shows that this instance has
 	// more to send than it may.
-	heldBackSpan cf.Millis = 500
-	// lateSpan is for how many objectives nothing that could be in time may have been kept
+	throttledSpan cf.Millis = 500
+	// lateObjectives is for how many objectives nothing that could be in time may have been kept
 	// back here, and lateLevel what more than usual must be left over, before a request is
 	// sent that will be late: in a flood of twice what there is, an instance keeps back a
 	// dozen a second.
-	lateSpan  = 2
-	lateLevel = 0.9
-	// idleSpan is how long a target's load report of a free slot counts for those.
-	idleSpan cf.Millis = 50
-	// rankLevel is by how much the level of each further priority is higher, mostNeed bounds it.
-	rankLevel, mostNeed = 1.2, 1.9
-	// againLevel lets callers that have come back go a little before new ones.
-	againLevel = 0.25
-	// unheardLevel is the unused rate at a target that has not said how full it is.
-	unheardLevel = -0.25
-	// nearLevel is how much less unused rate a target may have than the one with most, to
+	lateObjectives = 2
+	lateExtraLevel = 0.9
+	// freeSlotMaxAge is how long a target's load report of a free slot counts for those.
+	freeSlotMaxAge cf.Millis = 50
+	// rankStep is by how much the level of each further priority is higher, mostNeed bounds it.
+	rankStep, maxSendLevel = 1.2, 1.9
+	// resubmittedDiscount lets callers that have come back go a little before new ones.
+	resubmittedDiscount = 0.25
+	// unreportedLevel is the unused rate at a target that has not said how full it is.
+	unreportedLevel = -0.25
+	// choiceTolerance is how much less unused rate a target may have than the one with most, to
 	// be chosen for its other merits.
-	nearLevel = 1.0
-	// objectiveSpan is how long the shortest objective of a service's requests counts.
-	objectiveSpan cf.Millis = 5000
-	// forgetTarget drops a target that is not listed any more.
-	forgetTarget cf.Millis = 60000
+	choiceTolerance = 1.0
+	// objectiveMaxAge is how long the shortest objective of a service's requests counts.
+	objectiveMaxAge cf.Millis = 5000
+	// forgetTargetAfter drops a target that is not listed any more.
+	forgetTargetAfter cf.Millis = 60000
 )
 
-// need is the level of a target's bucket from which on requests of a tier are sent. Organisations
+// sendLevel is the level of a target's bucket from which on requests of a tier are sent. Organisations
 // under their share may borrow from the others' next sends: at a few sends a second for all, one
 // that waits for its turn behind a large organisation's burst is not in time any more.
-var need = [...]float64{underShare: -3, withinShare: 0, overShare: 1, noShare: 1.6}
+var sendLevel = [...]float64{underShare: -3, withinShare: 0, overShare: 1, noShare: 1.6}
 
 // New returns a controller that knows nothing.
 func New() *Controller { return &Controller{services: map[cf.ServiceName]*service{}} }
 
-func (c *Controller) of(name cf.ServiceName) *service {
+func (c *Controller) serviceFor(name cf.ServiceName) *service {
 	s := c.services[name]
 	if s == nil {
-		s = &service{limits: map[cf.InstanceID]*limit{}, shares: newShares(), instances: 1, budget: budget{left: mostBudget}}
+		s = &service{limits: map[cf.InstanceID]*limit{}, shares: newShares(), instances: 1, budget: retryBudget{balance: maxBalance}}
 		c.services[name] = s
 	}
 	return s
@@ -200,60 +200,60 @@
 func (s *service) limit(id cf.InstanceID, slots int) *limit {
 	l := s.limits[id]
 	if l == nil {
-		l = &limit{id: id, slots: max(slots, 1), shareFactor: 1, slow: 1, times: &s.times}
+		l = &limit{id: id, slots: max(slots, 1), shareFactor: 1, slowdown: 1, serviceTimes: &s.times}
 		s.limits[id] = l
 	}
 	return l
 }
 
-// take notes the targets and the objective of an ask.
-func (s *service) take(a Request, now cf.Millis) {
-	if s.objective == 0 || a.Objective < s.objective || now-s.objectiveAt > objectiveSpan {
-		s.objective = a.Objective
+// update notes the targets and the objective of an ask.
+func (s *service) update(r Request, now cf.Millis) {
+	if s.objective == 0 || r.Objective < s.objective || now-s.objectiveAt > objectiveMaxAge {
+		s.objective = r.Objective
 	}
-	if s.times.answers == 0 {
-		s.times.work = float64(a.Objective) / unknownWork
-		s.times.spread = s.times.work / 2
+	if s.times.samples == 0 {
+		s.times.serviceTime = float64(r.Objective) / initialDivisor
+		s.times.deviation = s.times.serviceTime / 2
 	}
-	if a.Objective == s.objective {
+	if r.Objective == s.objective {
 		s.objectiveAt = now
 	}
-	s.instances = max(a.Instances, 1)
-	if len(a.Targets) == len(s.candidates) && (len(a.Targets) == 0 || &a.Targets[0] == &s.candidates[0]) {
+	s.instances = max(r.Instances, 1)
+	if len(r.Targets) == len(s.targets) && (len(r.Targets) == 0 || &r.Targets[0] == &s.targets[0]) {
 		return
 	}
-	s.candidates, s.ordered = a.Targets, make([]*limit, len(a.Targets))
-	s.lists++
-	for i, t := range a.Targets {
+	s.targets, s.targetLimits = r.Targets, make([]*limit, len(r.Targets))
+	s.listVersion++
+	for i, t := range r.Targets {
 		l := s.limit(t.ID, t.Slots)
 		if t.Slots > 0 {
 			l.slots = t.Slots // a send to a target that is not listed creates its limit without them
 		}
-		if l.list != s.lists-1 || l.born != t.Born {
-			l.begin(t.Born)
+		if l.listVersion != s.listVersion-1 || l.startTime != t.Born {
+			l.reset(t.Born)
 		}
-		l.list = s.lists
-		s.ordered[i] = l
+		l.listVersion = s.listVersion
+		s.targetLimits[i] = l
 	}
 	for id, l := range s.limits {
-		if l.list != s.lists && l.sent <= 0 && now-l.ownAt > forgetTarget {
+		if l.listVersion != s.listVersion && l.inFlight <= 0 && now-l.sendRateAt > forgetTargetAfter {
 			delete(s.limits, id)
 		}
 	}
 }
 
 // Enter takes a request that looks for a target. Leave or Sent ends its ticket.
-func (c *Controller) Enter(a Request, now cf.Millis) *Ticket {
+func (c *Controller) Enter(r Request, now cf.Millis) *Ticket {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(a.Service)
-	s.take(a, now)
-	c.n++
-	x := s.shares.of(a.Class, now)
-	if !a.Resubmitted && !a.Retry {
-		x.ask(now)
-	}
-	return &Ticket{ask: a, service: s, share: x, n: c.n}
+	s := c.serviceFor(r.Service)
+	s.update(r, now)
+	c.lastSeq++
+	x := s.shares.shareOf(r.Class, now)
+	if !r.Resubmitted && !r.Retry {
+		x.recordArrival(now)
+	}
+	return &Ticket{request: r, service: s, share: x, seq: c.lastSeq}
 }
 
 // Poll decides what a ticket's request is to do now.
@@ -261,136 +261,136 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := t.service
-	if t.held != nil {
+	if t.granted != nil {
 		return Decision{State: Send, Limited: true}
 	}
-	if now >= s.until {
-		s.drop(t)
+	if now >= s.limitedUntil {
+		s.remove(t)
 		return Decision{State: Send}
 	}
-	v := s.poll(t, now)
-	v.Limited, v.Waiting, v.DemandPerS = true, len(s.queue), t.share.asked*1000
-	if s.shares.contended && t.share.even {
-		v.SharePerS = t.share.level * 1000
+	d := s.poll(t, now)
+	d.Limited, d.Waiting, d.DemandPerS = true, len(s.queue), t.share.demand*1000
+	if s.shares.contended && t.share.capped {
+		d.SharePerS = t.share.allowed * 1000
 	}
-	if v.State != Wait {
-		s.drop(t)
+	if d.State != Wait {
+		s.remove(t)
 	}
-	if v.State != Send && !t.late(now) && !t.ask.NoWait {
-		s.heldBackAt = now
+	if d.State != Send && !t.late(now) && !t.request.NoWait {
+		s.throttledAt = now
 	}
-	return v
+	return d
 }
 
-// look is what one pass over a service's targets shows.
-type look struct {
+// targetScan is what one pass over a service's targets shows.
+type targetScan struct {
 	// best is the target with most unused rate that may get the request, nil for none; open
 	// says that one is not limited.
-	best *limit
-	open bool
-	// candidates counts those that the request has not been to; total is the rate of all
+	best      *limit
+	unlimited bool
+	// untried counts those that the request has not been to; total is the rate of all
 	// that are there.
-	candidates int
-	total      float64
+	untried   int
+	totalRate float64
 }
 
-// look passes over the targets, and notes the least time in which one should answer.
-func (s *service) look(t *Ticket, now cf.Millis) look {
-	var k look
+// scan passes over the targets, and notes the least time in which one should answer.
+func (s *service) scan(t *Ticket, now cf.Millis) targetScan {
+	var k targetScan
 	var late *limit // the same where an answer would be late
-	quickest, left := math.Inf(1), t.left(now)
-	for i, l := range s.ordered {
-		tried := len(t.ask.Tried) > 0 && t.ask.Tried[s.candidates[i].ID]
+	quickest, left := math.Inf(1), t.timeLeft(now)
+	for i, l := range s.targetLimits {
+		tried := len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID]
 		if !tried {
-			k.candidates++
+			k.untried++
 		}
 		if l.unavailable(now) {
 			continue
 		}
-		if !l.limited(now) {
-			if now-l.reportedAt <= reportFresh {
-				k.open = k.open || !tried
+		if !l.active(now) {
+			if now-l.reportedAt <= reportMaxAge {
+				k.unlimited = k.unlimited || !tried
 				continue
 			}
 			l.activate(s.objective, s.instances, now)
-			l.until = min(l.until, s.until) // only a sign of fullness prolongs the limits
-			l.pace(s.objective, s.instances)
-			l.tokens = min(l.tokens, unheardLevel) // as all instances find it at once
+			l.activeUntil = min(l.activeUntil, s.limitedUntil) // only a sign of fullness prolongs the limits
+			l.updateRate(s.objective, s.instances)
+			l.tokens = min(l.tokens, unreportedLevel) // as all instances find it at once
 		}
-		l.fill(now)
-		k.total += l.rate
+		l.refill(now)
+		k.totalRate += l.rate
 		answer := l.answerTime(now)
 		quickest = min(quickest, answer)
-		if tried || now < l.held || l.sent >= l.bound || t.ask.MayHaveRun && l.nearFull(s.objective, now) {
+		if tried || now < l.pausedUntil || l.inFlight >= l.maxInFlight || t.request.MayHaveRun && l.nearFull(s.objective, now) {
 			continue
 		}
 		if answer > left {
-			late = higher(late, l)
+			late = withMoreTokens(late, l)
 			continue
 		}
-		k.best = higher(k.best, l)
+		k.best = withMoreTokens(k.best, l)
 	}
-	if s.quickest = 0; k.total > 0 {
-		s.quickest = quickest
+	if s.minAnswerTime = 0; k.totalRate > 0 {
+		s.minAnswerTime = quickest
 	}
-	if t.ask.MayHaveRun || t.late(now) {
-		k.best = higher(late, k.best)
+	if t.request.MayHaveRun || t.late(now) {
+		k.best = withMoreTokens(late, k.best)
 	}
 	return k
 }
 
-// higher returns which of two limits has more unused rate; either may be nil.
-func higher(a, b *limit) *limit {
+// withMoreTokens returns which of two limits has more unused rate; either may be nil.
+func withMoreTokens(a, b *limit) *limit {
 	if a == nil || b != nil && b.tokens > a.tokens {
 		return b
 	}
 	return a
 }
 
-// soonest returns in how many ms a target's unused rate comes to a level.
-func (s *service) soonest(t *Ticket, level float64, now cf.Millis) float64 {
+// timeToLevel returns in how many ms a target's unused rate comes to a level.
+func (s *service) timeToLevel(t *Ticket, level float64, now cf.Millis) float64 {
 	soonest := math.Inf(1)
-	for i, l := range s.ordered {
-		if len(t.ask.Tried) > 0 && t.ask.Tried[s.candidates[i].ID] || l.unavailable(now) || l.sent >= l.bound || l.rate <= 0 {
+	for i, l := range s.targetLimits {
+		if len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID] || l.unavailable(now) || l.inFlight >= l.maxInFlight || l.rate <= 0 {
 			continue
 		}
-		soonest = min(soonest, max((level-l.tokens)/l.rate, float64(l.held-now), 0))
+		soonest = min(soonest, max((level-l.tokens)/l.rate, float64(l.pausedUntil-now), 0))
 	}
 	return soonest
 }
 
 // poll decides while the service is limited.
 func (s *service) poll(t *Ticket, now cf.Millis) Decision {
-	k := s.look(t, now)
-	perS := k.total * 1000
+	k := s.scan(t, now)
+	perS := k.totalRate * 1000
 	switch {
-	case k.open:
+	case k.unlimited:
 		return Decision{State: Send}
-	case k.candidates == 0:
+	case k.untried == 0:
 		return Decision{State: Refuse, Reason: TargetsRefused, SendPerS: perS}
-	case k.total == 0:
+	case k.totalRate == 0:
 		return Decision{State: Send} // all are lost: a try is better than a refusal
 	}
-	s.shares.divide(k.total, now)
-	wanted := t.need(now)
+	s.shares.divide(k.totalRate, now)
+	level := t.requiredLevel(now)
 	ahead, blocked := s.ahead(t, k.best, now)
-	if k.best != nil && k.best.tokens >= wanted && !blocked && !t.evicted {
+	if k.best != nil && k.best.tokens >= level && !blocked && !t.evicted {
 		k.best.tokens--
-		t.held = k.best
+		t.granted = k.best
 		return Decision{State: Send, SendPerS: perS}
 	}
-	at := now + max(cf.Millis(min(s.soonest(t, wanted, now)+float64(ahead)/k.total, mostWait)), minPoll)
-	last := t.last(now)
-	if t.ask.MayHaveRun {
+	at := now + max(cf.Millis(min(s.timeToLevel(t, level, now)+float64(ahead)/k.totalRate, maxWait)), minPoll)
+	last := t.sendBy(now)
+	if t.request.MayHaveRun {
 		if now >= last {
 			return Decision{State: Send} // a try is better than a failure
 		}
-		at = min(at, now+mustPoll, last)
+		at = min(at, now+mustSendPoll, last)
 	}
 	if t.evicted || at > last {
 		return Decision{State: Refuse, Reason: t.reason(now), SendPerS: perS}
 	}
-	if t.ask.NoWait {
+	if t.request.NoWait {
 		return Decision{State: Refuse, Reason: NoCapacity, SendPerS: perS}
 	}
 	if !t.queued {
@@ -405,14 +405,14 @@
 	defer c.mu.Unlock()
 	l := t.service.limits[id]
 	switch {
-	case t.held == nil || l == nil || l == t.held:
+	case t.granted == nil || l == nil || l == t.granted:
 		return false
-	case l.unavailable(now) || now < l.held || l.sent >= l.bound && l.limited(now):
+	case l.unavailable(now) || now < l.pausedUntil || l.inFlight >= l.maxInFlight && l.active(now):
 		return true
-	case !t.ask.MayHaveRun && !t.late(now) && l.answerTime(now) > t.left(now):
+	case !t.request.MayHaveRun && !t.late(now) && l.answerTime(now) > t.timeLeft(now):
 		return true
 	}
-	return l.limited(now) && l.tokens < t.held.tokens+1-nearLevel
+	return l.active(now) && l.tokens < t.granted.tokens+1-choiceTolerance
 }
 
 // Sent ends a ticket: its request goes to a target.
@@ -421,21 +421,21 @@
 	defer c.mu.Unlock()
 	s := t.service
 	l := s.limit(id, 1)
-	if t.held != nil && t.held != l {
-		t.held.tokens++
+	if t.granted != nil && t.granted != l {
+		t.granted.tokens++
 	}
-	if t.held != l && l.limited(now) {
-		l.fill(now)
+	if t.granted != l && l.active(now) {
+		l.refill(now)
 		l.tokens--
 	}
-	t.held = nil
-	s.drop(t)
-	l.started(now)
-	t.share.serve(now)
-	if t.ask.Retry {
-		s.budget.spend(t.ask.MayHaveRun || now < s.until)
+	t.granted = nil
+	s.remove(t)
+	l.recordSend(now)
+	t.share.recordSend(now)
+	if t.request.Retry {
+		s.budget.spend(t.request.MayHaveRun || now < s.limitedUntil)
 	} else {
-		s.budget.earn(now < s.until)
+		s.budget.earn(now < s.limitedUntil)
 	}
 }
 
@@ -443,38 +443,38 @@
 func (c *Controller) Cancel(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.held != nil {
-		t.held.tokens++
-		t.held = nil
+	if t.granted != nil {
+		t.granted.tokens++
+		t.granted = nil
 	}
-	t.service.drop(t)
+	t.service.remove(t)
 }
 
 // Done takes the end of a send; acts says that the service's limits begin to act with it.
-func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, e Result, now cf.Millis) (acts bool) {
+func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, r Result, now cf.Millis) (activated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(name)
+	s := c.serviceFor(name)
 	l := s.limit(id, 1)
-	l.ended(e, s.objective, s.instances, now-s.heldBackAt <= heldBackSpan, now)
-	acts = now >= s.until && now < l.until
-	s.until = max(s.until, l.until)
-	return acts
+	l.recordResult(r, s.objective, s.instances, now-s.throttledAt <= throttledSpan, now)
+	activated = now >= s.limitedUntil && now < l.activeUntil
+	s.limitedUntil = max(s.limitedUntil, l.activeUntil)
+	return activated
 }
 
 // Throughput returns what all instances together may send to a service per ms, and the mean
 // time of an answer; zero while nothing is limited.
-func (c *Controller) Throughput(name cf.ServiceName, now cf.Millis) (perMs, work float64) {
+func (c *Controller) Throughput(name cf.ServiceName, now cf.Millis) (perMs, meanTime float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(name)
-	if now >= s.until {
+	s := c.serviceFor(name)
+	if now >= s.limitedUntil {
 		return 0, 0
 	}
-	for _, l := range s.ordered {
+	for _, l := range s.targetLimits {
 		if l.failures == 0 {
 			perMs += l.rate * float64(s.instances)
 		}
 	}
-	return perMs, s.times.work
+	return perMs, s.times.serviceTime
 }
--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -8,33 +8,35 @@
 	"currantford/core/cfadmission"
 )
 
-// usual is the rate of an organisation per second: three large ones have half of 12.
-func usual(org int) float64 {
+// usualRate is the rate of an organisation per second: three large ones have half of 12.
+func usualRate(org int) float64 {
 	if org < 3 {
 		return 2
 	}
 	return 6.0 / 70
 }
 
-func times(n float64) func(org int) float64 { return func(org int) float64 { return n * usual(org) } }
+func timesUsual(n float64) func(org int) float64 {
+	return func(org int) float64 { return n * usualRate(org) }
+}
 
 // flood is ninety times the usual rate for eight seconds, with one of three targets lost half
 // a second after its start, and the usual rate before and after.
-func flood(seed uint64) load {
-	return load{
-		orgs: 73, instances: 50, targets: 3, work: 25, tailPart: 0.01, tailTimes: 5, deadline: 800, lostAt: 10500, seed: seed,
-		phases: []phase{{10000, usual}, {18000, times(90)}, {20000, usual}, {26000, usual}},
+func flood(seed uint64) scenario {
+	return scenario{
+		orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, lostAt: 10500, seed: seed,
+		phases: []phase{{10000, usualRate}, {18000, timesUsual(90)}, {20000, usualRate}, {26000, usualRate}},
 	}
 }
 
-func sum(ts []tally) (all tally) {
+func sum(ts []count) (all count) {
 	for _, t := range ts {
 		all.asked += t.asked
 		all.inTime += t.inTime
 		all.late += t.late
 		all.failed += t.failed
-		all.slowest = max(all.slowest, t.slowest)
-		all.took += t.took
+		all.slowestRefusal = max(all.slowestRefusal, t.slowestRefusal)
+		all.answerTimes += t.answerTimes
 	}
 	return all
 }
@@ -44,10 +46,10 @@
 func TestFloodIsAnsweredInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		l := flood(seed)
-		r := play(l)
+		r := simulate(l)
 		on, before, after := sum(r.byPhase), r.byPhase[0], r.byPhase[3]
-		l.off = true
-		off := sum(play(l).byPhase)
+		l.disabled = true
+		off := sum(simulate(l).byPhase)
 		t.Logf("seed %d: on %+v, off %+v", seed, on, off)
 		if on.inTime < 3700 {
 			t.Errorf("seed %d: %d answered in time", seed, on.inTime)
@@ -55,13 +57,13 @@
 		if served := on.inTime + on.late; on.late*20 > served {
 			t.Errorf("seed %d: %d of %d answered late", seed, on.late, served)
 		}
-		if cf.Millis(on.slowest) > objective/4 {
-			t.Errorf("seed %d: a refusal took %.0f ms", seed, on.slowest)
+		if cf.Millis(on.slowestRefusal) > objective/4 {
+			t.Errorf("seed %d: a refusal took %.0f ms", seed, on.slowestRefusal)
 		}
 		if off.inTime > 3700 {
 			t.Errorf("seed %d: %d answered in time without the decision: this is not its load", seed, off.inTime)
 		}
-		if b, a := before.took/float64(before.inTime), after.took/float64(after.inTime); after.inTime*20 < after.asked*19 || a > b*1.25 {
+		if b, a := before.answerTimes/float64(before.inTime), after.answerTimes/float64(after.inTime); after.inTime*20 < after.asked*19 || a > b*1.25 {
 			t.Errorf("seed %d: %d of %d in time after the flood, in %.1f ms, before in %.1f", seed, after.inTime, after.asked, a, b)
 		}
 	}
@@ -71,15 +73,15 @@
 // targets are 2.5 times as slow for 15% of the time. An instance that holds to a rate of
 // before fills the queue of a target that has turned slow. Plays differ by how often that
 // happens, so that four are taken together. The aim of 5% late is not reached here.
-func TestFloodBeforeTargetsThatTurnSlow(t *testing.T) {
-	var on, off []tally
+func TestFloodWithTargetsThatTurnSlow(t *testing.T) {
+	var on, off []count
 	for seed := range uint64(4) {
 		l := flood(seed)
-		l.orgs, l.instances, l.work, l.tailPart, l.tailTimes, l.deadline, l.shared = 1, 30, 21, 0.03, 7, 1500, true
+		l.orgs, l.instances, l.answerTime, l.tailFraction, l.tailFactor, l.deadline, l.sharedMachines = 1, 30, 21, 0.03, 7, 1500, true
 		l.phases = []phase{{10000, func(int) float64 { return 12 }}, {18000, func(int) float64 { return 1080 }}, {24000, func(int) float64 { return 12 }}}
-		on = append(on, sum(play(l).byPhase))
-		l.off = true
-		off = append(off, sum(play(l).byPhase))
+		on = append(on, sum(simulate(l).byPhase))
+		l.disabled = true
+		off = append(off, sum(simulate(l).byPhase))
 	}
 	with, without := sum(on), sum(off)
 	t.Logf("on %+v, off %+v", with, without)
@@ -90,41 +92,41 @@
 
 // Load: the flood, of organisations of three priorities. With one rank for all each has the
 // same part.
-func TestFloodServesTheUrgentFirst(t *testing.T) {
+func TestFloodServesHigherPrioritiesFirst(t *testing.T) {
 	l := flood(5)
-	l.ranks = 3
-	r := play(l)
-	var parts [3]float64
-	for rank := range parts {
-		var of []tally
-		for org := rank; org < l.orgs; org += l.ranks {
+	l.priorities = 3
+	r := simulate(l)
+	var inTime [3]float64
+	for rank := range inTime {
+		var of []count
+		for org := rank; org < l.orgs; org += l.priorities {
 			of = append(of, r.byOrg[org])
 		}
 		x := sum(of)
-		parts[rank] = float64(x.inTime) / float64(x.asked)
+		inTime[rank] = float64(x.inTime) / float64(x.asked)
 	}
-	t.Logf("in time by priority %.2f", parts)
-	if parts[0] < 0.7 || parts[1] < parts[2]*1.3 {
-		t.Errorf("in time by priority %.2f", parts)
+	t.Logf("in time by priority %.2f", inTime)
+	if inTime[0] < 0.7 || inTime[1] < inTime[2]*1.3 {
+		t.Errorf("in time by priority %.2f", inTime)
 	}
 }
 
 // Load: one organisation of 73 asks for ten times its usual part, where usually 0.6 of the
 // slots are used. Without shares it displaces everybody.
-func TestBurstLeavesTheOthersTheirPart(t *testing.T) {
-	l := load{orgs: 73, instances: 50, targets: 3, work: 25, tailPart: 0.01, tailTimes: 5, deadline: 800, phases: []phase{{10000, times(36)}, {18000, func(org int) float64 {
+func TestBurstOfOneOrganisationLeavesOthersTheirShare(t *testing.T) {
+	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, timesUsual(36)}, {18000, func(org int) float64 {
 		if org == 0 {
-			return 360 * usual(org)
+			return 360 * usualRate(org)
 		}
-		return 36 * usual(org)
-	}}, {20000, times(36)}}}
-	others := func(r *replay) float64 {
+		return 36 * usualRate(org)
+	}}, {20000, timesUsual(36)}}}
+	others := func(r *simulation) float64 {
 		o := sum(r.byOrg[1:])
 		return float64(o.inTime) / float64(o.asked)
 	}
-	on := others(play(l))
-	l.off = true
-	off := others(play(l))
+	on := others(simulate(l))
+	l.disabled = true
+	off := others(simulate(l))
 	t.Logf("others in time %.3f, without the decision %.3f", on, off)
 	if on < 0.95 || off >= 0.95 {
 		t.Errorf("others in time %.3f, without the decision %.3f", on, off)
@@ -134,17 +136,17 @@
 // Load: the flood before targets that send no load header, with a target that vanishes
 // without a word, and with all callers at ten of the instances. A limit that rests on the
 // header, on refused connections, or on equal instances fails here.
-func TestFloodOfOtherKinds(t *testing.T) {
-	for name, change := range map[string]func(*load){
-		"no header": func(l *load) { l.noHeader = true },
-		"silent":    func(l *load) { l.silent = true },
-		"uneven":    func(l *load) { l.near = 10 },
+func TestFloodVariants(t *testing.T) {
+	for name, change := range map[string]func(*scenario){
+		"no header": func(l *scenario) { l.noHeader = true },
+		"silent":    func(l *scenario) { l.hangs = true },
+		"uneven":    func(l *scenario) { l.usedInstances = 10 },
 	} {
 		l := flood(2)
 		change(&l)
-		on := sum(play(l).byPhase)
-		l.off = true
-		if off := sum(play(l).byPhase); on.inTime < off.inTime*3/2 {
+		on := sum(simulate(l).byPhase)
+		l.disabled = true
+		if off := sum(simulate(l).byPhase); on.inTime < off.inTime*3/2 {
 			t.Errorf("%s: %d answered in time, %d without the decision", name, on.inTime, off.inTime)
 		}
 	}
@@ -152,18 +154,18 @@
 
 // Load: two thirds of what the targets can do. No request waits that needn't.
 func TestNoEffectBelowSaturation(t *testing.T) {
-	l := load{orgs: 73, instances: 50, targets: 3, work: 25, tailPart: 0.01, tailTimes: 5, deadline: 800, phases: []phase{{10000, times(20)}, {20000, times(36)}}}
-	on := sum(play(l).byPhase)
-	l.off = true
-	off := sum(play(l).byPhase)
-	if a, b := on.took/float64(on.inTime), off.took/float64(off.inTime); a > b*1.03 || on.inTime*1000 < on.asked*997 {
+	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, timesUsual(20)}, {20000, timesUsual(36)}}}
+	on := sum(simulate(l).byPhase)
+	l.disabled = true
+	off := sum(simulate(l).byPhase)
+	if a, b := on.answerTimes/float64(on.inTime), off.answerTimes/float64(off.inTime); a > b*1.03 || on.inTime*1000 < on.asked*997 {
 		t.Errorf("%d of %d in time, mean %.1f ms; %.1f without the decision", on.inTime, on.asked, a, b)
 	}
 }
 
 // Where callers give themselves less time than the route does, all of them counted as having
 // come back, and too late.
-func TestCallersThatComeBackAreToldByOthers(t *testing.T) {
+func TestSpentTimeFollowsFromLongerDeadlines(t *testing.T) {
 	c := cfadmission.NewDeadlineTracker()
 	for i, want := range []struct{ deadline, spent, at cf.Millis }{{800, 0, 0}, {800, 0, 10}, {540, 260, 20}, {0, 0, 30}, {500, 0, 40000}} {
 		if got := c.Spent("r", want.deadline, want.at); got != want.spent {
--- a/core/cfadmission/callers.go
+++ b/core/cfadmission/callers.go
@@ -14,22 +14,24 @@
 	// safe for concurrent use.
 	DeadlineTracker struct {
 		mu     sync.Mutex
-		routes map[string]*bearing
+		routes map[string]*deadlineWindow
 	}
 
-	// bearing is the longest deadline of a route's requests in a span and in the one before.
-	bearing struct {
-		last, before cf.Millis
-		since        cf.Millis
+	// deadlineWindow is the longest deadline of a route's requests in a span and in the one before.
+	deadlineWindow struct {
+		current, previous cf.Millis
+		startedAt         cf.Millis
 	}
 )
 
-// bearingSpan is how long a deadline counts, at least: at usual load an instance of fifty has
+// windowSpan is how long a deadline counts, at least: at usual load an instance of fifty has
 // a request of a route every few seconds.
-const bearingSpan cf.Millis = 15000
+const windowSpan cf.Millis = 15000
 
 // NewDeadlineTracker returns one that has seen no request.
-func NewDeadlineTracker() *DeadlineTracker { return &DeadlineTracker{routes: map[string]*bearing{}} }
+func NewDeadlineTracker() *DeadlineTracker {
+	return &DeadlineTracker{routes: map[string]*deadlineWindow{}}
+}
 
 // Spent returns what a caller had used before a request on a route with a deadline, zero if
 // it bears none.
@@ -41,17 +43,17 @@
 	defer c.mu.Unlock()
 	b := c.routes[route]
 	if b == nil {
-		b = &bearing{since: now}
+		b = &deadlineWindow{startedAt: now}
 		c.routes[route] = b
 	}
-	if now-b.since >= 2*bearingSpan {
-		b.last = 0
+	if now-b.startedAt >= 2*windowSpan {
+		b.current = 0
 	}
-	if now-b.since >= bearingSpan {
-		b.before, b.last, b.since = b.last, 0, now
+	if now-b.startedAt >= windowSpan {
+		b.previous, b.current, b.startedAt = b.current, 0, now
 	}
-	b.last = max(b.last, deadline)
-	return max(b.last, b.before) - deadline
+	b.current = max(b.current, deadline)
+	return max(b.current, b.previous) - deadline
 }
 
 // ReopenTargets lets a request that may have run, and so can't be refused, go once more to the
--- a/core/cfadmission/limits_test.go
+++ b/core/cfadmission/limits_test.go
@@ -8,8 +8,8 @@
 	"currantford/core/cfadmission"
 )
 
-// listOf returns targets of six slots.
-func listOf(ids ...cf.InstanceID) (list []cf.Target) {
+// targetsOf returns targets of six slots.
+func targetsOf(ids ...cf.InstanceID) (list []cf.Target) {
 	for _, id := range ids {
 		list = append(list, cf.Target{ID: id, Service: "s", Slots: slots})
 	}
@@ -21,14 +21,14 @@
 	return cfadmission.Request{Service: "s", Targets: list, Instances: 1, Objective: 1000, Arrived: now, Deadline: now + 2000}
 }
 
-// refuse lets a target refuse a request, so that limits act.
-func refuse(c *cfadmission.Controller, list []cf.Target, id cf.InstanceID, now cf.Millis) {
+// refuseOne lets a target refuse a request, so that limits act.
+func refuseOne(c *cfadmission.Controller, list []cf.Target, id cf.InstanceID, now cf.Millis) {
 	c.Sent(c.Enter(request(list, now), now), id, now)
 	c.Done("s", id, cfadmission.Result{Outcome: cfadmission.Refused}, now)
 }
 
-// refuseWith does the same at target a, at which few requests wait.
-func refuseWith(c *cfadmission.Controller, list []cf.Target, now cf.Millis) {
+// refuseWithLoad does the same at target a, at which few requests wait.
+func refuseWithLoad(c *cfadmission.Controller, list []cf.Target, now cf.Millis) {
 	c.Sent(c.Enter(request(list, now), now), "a", now)
 	c.Done("s", "a", cfadmission.Result{Outcome: cfadmission.Refused, Load: &cf.TargetLoad{Running: slots, Waiting: 5, Slots: slots}}, now)
 }
@@ -43,9 +43,9 @@
 // Guards against limits that prolong themselves: a target not heard of was limited for longer
 // than its service, and its next answer prolonged the limits of the service.
 func TestLimitsEndWhenTargetsAreIdle(t *testing.T) {
-	c, list := cfadmission.New(), listOf("a", "b", "c", "d", "e", "f")
+	c, list := cfadmission.New(), targetsOf("a", "b", "c", "d", "e", "f")
 	for now := cf.Millis(1000); now < 3000; now += 100 {
-		refuse(c, list, list[now/100%6].ID, now)
+		refuseOne(c, list, list[now/100%6].ID, now)
 	}
 	random, limited := rand.New(rand.NewPCG(1, 2)), cf.Millis(0)
 	for n := range cf.Millis(300) {
@@ -70,10 +70,10 @@
 
 // Guards against a waiting retry that keeps others from the target that has failed it.
 func TestRetryDoesNotBlockTargetItHasTried(t *testing.T) {
-	c, list := cfadmission.New(), listOf("a", "b")
-	refuse(c, list, "b", 1000)
+	c, list := cfadmission.New(), targetsOf("a", "b")
+	refuseOne(c, list, "b", 1000)
 	c.Poll(c.Enter(request(list, 1000), 1000), 1000) // begins to fill the bucket of a
-	refuse(c, list, "b", 2000)
+	refuseOne(c, list, "b", 2000)
 	retry := request(list, 2000)
 	retry.Retry, retry.Tried = true, map[cf.InstanceID]bool{"a": true}
 	if v := c.Poll(c.Enter(retry, 2000), 2000); v.State != cfadmission.Wait {
@@ -87,12 +87,12 @@
 // Guards against a request that may have run, and waits for a crowded target's queue to
 // shorten, keeping others from that target.
 func TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget(t *testing.T) {
-	c, list := cfadmission.New(), listOf("a")
+	c, list := cfadmission.New(), targetsOf("a")
 	c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
 	c.Done("s", "a", cfadmission.Result{Load: &cf.TargetLoad{Running: slots, Waiting: 23, Slots: slots}, Took: 168}, 1000)
-	must := request(list, 1035)
-	must.MayHaveRun = true
-	if v := c.Poll(c.Enter(must, 1035), 1035); v.State != cfadmission.Wait {
+	mayHaveRun := request(list, 1035)
+	mayHaveRun.MayHaveRun = true
+	if v := c.Poll(c.Enter(mayHaveRun, 1035), 1035); v.State != cfadmission.Wait {
 		t.Fatalf("the request that may have run is not one that waits: %+v", v)
 	}
 	if v := c.Poll(c.Enter(request(list, 1035), 1035), 1035); v.State != cfadmission.Send {
@@ -102,8 +102,8 @@
 
 // Guards against a retry budget that is spent on sends which don't happen.
 func TestOnlySendsSpendRetryBudget(t *testing.T) {
-	c, list := cfadmission.New(), listOf("a", "b")
-	refuse(c, list, "a", 1000)
+	c, list := cfadmission.New(), targetsOf("a", "b")
+	refuseOne(c, list, "a", 1000)
 	retry := request(list, 1000)
 	retry.Retry, retry.Tried = true, map[cf.InstanceID]bool{"a": true}
 	for n := range 30 {
@@ -122,8 +122,8 @@
 
 // Guards against a hedge that takes a place in the queue, or that of a request which waits.
 func TestHedgeDoesNotEnterTheQueue(t *testing.T) {
-	c, list := cfadmission.New(), listOf("a")
-	refuseWith(c, list, 1000)
+	c, list := cfadmission.New(), targetsOf("a")
+	refuseWithLoad(c, list, 1000)
 	var waiting []*cfadmission.Ticket
 	for range 3 {
 		ticket := c.Enter(request(list, 1000), 1000)
@@ -145,11 +145,11 @@
 // Guards against a refused hedge counting as a request kept back, which raises the rate.
 func TestRefusedHedgeDoesNotRaiseTheRate(t *testing.T) {
 	perMs := func(hedges bool) float64 {
-		c, list := cfadmission.New(), listOf("a")
-		refuseWith(c, list, 1000)
+		c, list := cfadmission.New(), targetsOf("a")
+		refuseWithLoad(c, list, 1000)
 		c.Poll(c.Enter(request(list, 1000), 1000), 1000)
 		c.Sent(c.Enter(request(list, 2000), 2000), "a", 2000)
-		if refuseWith(c, list, 2000); hedges {
+		if refuseWithLoad(c, list, 2000); hedges {
 			c.Poll(c.Enter(hedge(list, 2000), 2000), 2000)
 		}
 		c.Done("s", "a", cfadmission.Result{Load: &cf.TargetLoad{Slots: slots}, Took: 100}, 2100)
@@ -163,7 +163,7 @@
 
 // Guards against failures that come at once being learned as work, which raises the rate.
 func TestFailuresAreNotLearnedAsWork(t *testing.T) {
-	c, list := cfadmission.New(), listOf("a")
+	c, list := cfadmission.New(), targetsOf("a")
 	answer := func(status int, took cf.Millis) {
 		c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
 		c.Done("s", "a", cfadmission.Result{Status: status, Load: &cf.TargetLoad{Running: 1, Slots: slots}, Took: took}, 1000)
@@ -171,7 +171,7 @@
 	for range 50 {
 		answer(200, 50)
 	}
-	refuse(c, list, "a", 1000)
+	refuseOne(c, list, "a", 1000)
 	_, before := c.Throughput("s", 1000)
 	for range 50 {
 		answer(500, 1)
@@ -182,13 +182,13 @@
 }
 
 // Guards against a target that is sent to before it is listed keeping one slot.
-func TestListTellsSlotsOfTargetSeenBefore(t *testing.T) {
+func TestListingSetsSlotsOfKnownTarget(t *testing.T) {
 	perMs := func(seen bool) float64 {
-		c, list := cfadmission.New(), listOf("a")
+		c, list := cfadmission.New(), targetsOf("a")
 		if seen {
-			refuse(c, nil, "a", 1000)
+			refuseOne(c, nil, "a", 1000)
 		}
-		refuse(c, list, "a", 10000)
+		refuseOne(c, list, "a", 10000)
 		perMs, _ := c.Throughput("s", 10000)
 		return perMs
 	}
--- a/core/cfadmission/queue.go
+++ b/core/cfadmission/queue.go
@@ -7,52 +7,52 @@
 )
 
 // late says that the request can't be answered within its objective any more.
-func (t *Ticket) late(now cf.Millis) bool { return t.left(now) < t.service.quickest }
+func (t *Ticket) late(now cf.Millis) bool { return t.timeLeft(now) < t.service.minAnswerTime }
 
-// left is what a target's answer may take to be in time, in ms.
-func (t *Ticket) left(now cf.Millis) float64 {
-	return float64(t.ask.Arrived + t.ask.Objective - t.ask.Spent - networkTime - now)
+// timeLeft is what a target's answer may take to be in time, in ms.
+func (t *Ticket) timeLeft(now cf.Millis) float64 {
+	return float64(t.request.Arrived + t.request.Objective - t.request.Spent - networkTime - now)
 }
 
-// lateNeed is the level from which on a request is sent that will be late: it takes nobody's
+// lateSendLevel is the level from which on a request is sent that will be late: it takes nobody's
 // place where a target has a free slot by its last load report. Where no target has reported,
 // and nothing that could be in time was kept back here for a while, it finds out.
-func (s *service) lateNeed(now cf.Millis) float64 {
+func (s *service) lateSendLevel(now cf.Millis) float64 {
 	reported := cf.Millis(0)
-	for _, l := range s.ordered {
-		if l.idle && now-l.reportedAt <= idleSpan && !l.unavailable(now) {
-			return need[overShare]
+	for _, l := range s.targetLimits {
+		if l.hasFreeSlot && now-l.reportedAt <= freeSlotMaxAge && !l.unavailable(now) {
+			return sendLevel[overShare]
 		}
 		reported = max(reported, l.reportedAt)
 	}
-	if now-max(s.heldBackAt, reported) > lateSpan*s.objective {
-		return need[overShare] + lateLevel
+	if now-max(s.throttledAt, reported) > lateObjectives*s.objective {
+		return sendLevel[overShare] + lateExtraLevel
 	}
 	return math.Inf(1)
 }
 
-// last is the Uptime by which the request must be sent.
-func (t *Ticket) last(now cf.Millis) cf.Millis {
-	answer := cf.Millis(t.service.quickest)
-	if t.ask.MayHaveRun {
-		return t.ask.Deadline - networkTime - answer
+// sendBy is the Uptime by which the request must be sent.
+func (t *Ticket) sendBy(now cf.Millis) cf.Millis {
+	answer := cf.Millis(t.service.minAnswerTime)
+	if t.request.MayHaveRun {
+		return t.request.Deadline - networkTime - answer
 	}
 	if t.late(now) {
 		return now
 	}
-	return min(t.ask.Arrived+t.ask.Objective/refusalPart-refusalTime, t.ask.Arrived+t.ask.Objective-t.ask.Spent-networkTime-answer)
+	return min(t.request.Arrived+t.request.Objective/refusalDivisor-targetRefusalTime, t.request.Arrived+t.request.Objective-t.request.Spent-networkTime-answer)
 }
 
-// need is the level from which on the request is sent.
-func (t *Ticket) need(now cf.Millis) float64 {
-	n := min(need[t.service.shares.stand(t.share, now)]+rankLevel*float64(t.share.rank), mostNeed)
+// requiredLevel is the level from which on the request is sent.
+func (t *Ticket) requiredLevel(now cf.Millis) float64 {
+	n := min(sendLevel[t.service.shares.tierOf(t.share, now)]+rankStep*float64(t.share.rank), maxSendLevel)
 	switch {
-	case t.ask.MayHaveRun:
-		return need[withinShare] - againLevel
+	case t.request.MayHaveRun:
+		return sendLevel[withinShare] - resubmittedDiscount
 	case t.late(now):
-		return t.service.lateNeed(now)
-	case t.ask.Resubmitted || t.ask.Retry:
-		return n - againLevel
+		return t.service.lateSendLevel(now)
+	case t.request.Resubmitted || t.request.Retry:
+		return n - resubmittedDiscount
 	}
 	return n
 }
@@ -63,7 +63,7 @@
 		return QueueFull
 	case t.late(now):
 		return TooLate
-	case t.service.shares.stand(t.share, now) == overShare:
+	case t.service.shares.tierOf(t.share, now) == overShare:
 		return OverShare
 	}
 	return NoCapacity
@@ -72,19 +72,19 @@
 // before says whether t goes before u: by priority, then by how each organisation stands
 // against its share, then those that have come back, then by what each has been served.
 func (t *Ticket) before(u *Ticket, now cf.Millis) bool {
-	if t.ask.MayHaveRun != u.ask.MayHaveRun {
-		return t.ask.MayHaveRun
+	if t.request.MayHaveRun != u.request.MayHaveRun {
+		return t.request.MayHaveRun
 	}
 	if tl, ul := t.late(now), u.late(now); tl != ul {
 		return ul
 	}
-	if t.ask.Class.Priority != u.ask.Class.Priority {
-		return t.ask.Class.Priority < u.ask.Class.Priority
+	if t.request.Class.Priority != u.request.Class.Priority {
+		return t.request.Class.Priority < u.request.Class.Priority
 	}
-	if ts, us := t.service.shares.stand(t.share, now), u.service.shares.stand(u.share, now); ts != us {
+	if ts, us := t.service.shares.tierOf(t.share, now), u.service.shares.tierOf(u.share, now); ts != us {
 		return ts < us
 	}
-	if ta, ua := t.ask.Resubmitted || t.ask.Retry, u.ask.Resubmitted || u.ask.Retry; ta != ua {
+	if ta, ua := t.request.Resubmitted || t.request.Retry, u.request.Resubmitted || u.request.Retry; ta != ua {
 		return ta
 	}
 	if t.share != u.share {
@@ -94,7 +94,7 @@
 			return t.share.served < u.share.served
 		}
 	}
-	return t.n < u.n
+	return t.seq < u.seq
 }
 
 // ahead counts the queue's requests that go before t; blocked says that one of them could go
@@ -105,7 +105,7 @@
 			continue
 		}
 		n++
-		blocked = blocked || best != nil && best.tokens >= u.need(now) && u.mayUse(best, now)
+		blocked = blocked || best != nil && best.tokens >= u.requiredLevel(now) && u.mayUse(best, now)
 	}
 	return n, blocked
 }
@@ -113,7 +113,7 @@
 // mayUse says whether the request may go to a target as far as that depends on the request:
 // one that can't be refused isn't sent to a target that may refuse it.
 func (t *Ticket) mayUse(l *limit, now cf.Millis) bool {
-	return !t.ask.Tried[l.id] && (!t.ask.MayHaveRun || !l.nearFull(t.service.objective, now))
+	return !t.request.Tried[l.id] && (!t.request.MayHaveRun || !l.nearFull(t.service.objective, now))
 }
 
 // push queues a ticket; where too many wait the last of them is refused when it asks again.
@@ -130,10 +130,10 @@
 		}
 	}
 	worst.evicted = true
-	s.drop(worst)
+	s.remove(worst)
 }
 
-func (s *service) drop(t *Ticket) {
+func (s *service) remove(t *Ticket) {
 	if !t.queued {
 		return
 	}
--- a/core/cfadmission/replay_test.go
+++ b/core/cfadmission/replay_test.go
@@ -14,14 +14,14 @@
 
 const (
 	objective cf.Millis = 150
-	// callerWay and targetWay are one way each, in ms.
-	callerWay, targetWay = 6.0, 1.0
-	slots, room          = 6, 24
-	// unlisted is how long after its loss a target leaves the instance list, back when it is
+	// callerDelay and targetWay are one way each, in ms.
+	callerDelay, targetDelay = 6.0, 1.0
+	slots, queueCapacity     = 6, 24
+	// unlistedAfter is how long after its loss a target leaves the instance list, back when it is
 	// there again, and listed how long after that it is in the list.
-	unlisted, back, listed = 2000.0, 6000.0, 300.0
-	// processing is an instance's own time for each way, in the mean.
-	processing = 2.0
+	unlistedAfter, restartedAfter, listedAfter = 2000.0, 6000.0, 300.0
+	// processingTime is an instance's own time for each way, in the mean.
+	processingTime = 2.0
 )
 
 type (
@@ -36,91 +36,91 @@
 		rate  func(org int) float64
 	}
 
-	// load is what is replayed.
-	load struct {
+	// scenario is what is replayed.
+	scenario struct {
 		orgs, instances, targets int
-		work                     float64   // mean time of an answer, ms
-		tailPart, tailTimes      float64   // a part of the answers takes so many times as long
+		answerTime               float64   // mean time of an answer, ms
+		tailFraction, tailFactor float64   // a part of the answers takes so many times as long
 		deadline                 cf.Millis // what callers wait
 		phases                   []phase
 		lostAt                   float64 // when target 0 is lost, zero for never
-		silent                   bool    // its connections hang instead of being refused
+		hangs                    bool    // its connections hang instead of being refused
 		noHeader                 bool
-		off                      bool // decision switched off
+		disabled                 bool // decision switched off
 		seed                     uint64
-		// near is how many of the instances the callers use, zero for all.
-		near int
-		// ranks is how many priorities the organisations are spread over, zero for one.
-		ranks int
-		// shared machines are 2.5 times as slow for 15% of the time, redrawn each 600 ms.
-		shared bool
+		// usedInstances is how many of the instances the callers use, zero for all.
+		usedInstances int
+		// priorities is how many priorities the organisations are spread over, zero for one.
+		priorities int
+		// sharedMachines machines are 2.5 times as slow for 15% of the time, redrawn each 600 ms.
+		sharedMachines bool
 	}
 
-	// tally is what came of requests, by when the caller first asked.
-	tally struct {
+	// count is what came of requests, by when the caller first asked.
+	count struct {
 		asked, inTime, late, failed int
-		slowest                     float64 // refusal, ms
-		took                        float64 // of those in time, sum
+		slowestRefusal              float64 // refusal, ms
+		answerTimes                 float64 // of those in time, sum
 	}
 
 	target struct {
-		busy  int
-		slow  float64 // times the usual work
-		queue []func()
-		dead  bool
-		lost  []func() // ends of the requests that it holds
+		busy     int
+		slowdown float64 // times the usual work
+		queue    []func()
+		down     bool
+		onLoss   []func() // ends of the requests that it holds
 	}
 
 	instance struct {
 		admission *cfadmission.Controller
 		balancer  *cfbalance.Balancer
-		returns   *cfbalance.RetryScheduler
+		retries   *cfbalance.RetryScheduler
 	}
 
-	replay struct {
-		load
+	simulation struct {
+		scenario
 		now       float64
 		events    []event
 		random    *rand.Rand
 		servers   []*target
 		listed    []cf.Target
 		instances []*instance
-		byOrg     []tally
+		byOrg     []count
 		// byPhase is tallied by the phase of the first ask.
-		byPhase []tally
+		byPhase []count
 	}
 
 	// call is one attempt of a caller at an instance.
 	call struct {
-		r          *replay
-		in         *instance
-		org, phase int
-		first      float64 // when the caller first asked
-		received   cf.Millis
-		again      bool
-		attempts   *cfbalance.Attempts
-		tried      map[cf.InstanceID]bool
-		full       map[cf.InstanceID]bool // did not run it
-		pending    int
-		over       bool
-		hedged     bool
+		r           *simulation
+		entry       *instance
+		org, phase  int
+		firstAsked  float64 // when the caller first asked
+		received    cf.Millis
+		resubmitted bool
+		attempts    *cfbalance.Attempts
+		tried       map[cf.InstanceID]bool
+		notRun      map[cf.InstanceID]bool // did not run it
+		pending     int
+		done        bool
+		hedged      bool
 	}
 )
 
-// at puts an event in its place of the queue, which is sorted by time, the latest first.
-func (r *replay) at(ms float64, do func()) {
+// schedule puts an event in its place of the queue, which is sorted by time, the latest first.
+func (r *simulation) schedule(ms float64, do func()) {
 	i, _ := slices.BinarySearchFunc(r.events, ms, func(e event, at float64) int { return cmp.Compare(at, e.at) })
 	r.events = slices.Insert(r.events, i, event{ms, do})
 }
 
-func (r *replay) after(ms float64, do func()) { r.at(r.now+ms, do) }
-func (r *replay) clock() cf.Millis            { return cf.Millis(r.now) + 100000 }
+func (r *simulation) scheduleAfter(ms float64, do func()) { r.schedule(r.now+ms, do) }
+func (r *simulation) clock() cf.Millis                    { return cf.Millis(r.now) + 100000 }
 
-// play replays a load and returns its tallies by organisation and by phase.
-func play(l load) *replay {
-	r := &replay{load: l, random: rand.New(rand.NewPCG(l.seed, 9)), byOrg: make([]tally, l.orgs), byPhase: make([]tally, len(l.phases))}
+// simulate replays a load and returns its tallies by organisation and by phase.
+func simulate(l scenario) *simulation {
+	r := &simulation{scenario: l, random: rand.New(rand.NewPCG(l.seed, 9)), byOrg: make([]count, l.orgs), byPhase: make([]count, len(l.phases))}
 	for i := range l.targets {
-		r.servers = append(r.servers, &target{slow: 1})
+		r.servers = append(r.servers, &target{slowdown: 1})
 		r.listed = append(r.listed, cf.Target{ID: cf.InstanceID(rune('a' + i)), Service: "s", Slots: slots})
 	}
 	for range l.instances {
@@ -134,20 +134,20 @@
 					if at += r.random.ExpFloat64() * 1000 / rate; at >= p.until {
 						break
 					}
-					r.at(at, func() { r.ask(org, n) })
+					r.schedule(at, func() { r.arrive(org, n) })
 				}
 			}
 		}
 		begin = p.until
 	}
 	if l.lostAt > 0 {
-		r.at(l.lostAt, r.lose)
-		r.at(l.lostAt+unlisted, func() { r.listed = slices.Clone(r.listed[1:]) })
-		r.at(l.lostAt+back, func() { *r.servers[0] = target{slow: 1} })
-		r.at(l.lostAt+back+listed, func() { r.listed = append([]cf.Target{{ID: "a", Service: "s", Slots: slots}}, r.listed...) })
+		r.schedule(l.lostAt, r.loseTarget)
+		r.schedule(l.lostAt+unlistedAfter, func() { r.listed = slices.Clone(r.listed[1:]) })
+		r.schedule(l.lostAt+restartedAfter, func() { *r.servers[0] = target{slowdown: 1} })
+		r.schedule(l.lostAt+restartedAfter+listedAfter, func() { r.listed = append([]cf.Target{{ID: "a", Service: "s", Slots: slots}}, r.listed...) })
 	}
-	if l.shared {
-		r.at(0, r.redraw)
+	if l.sharedMachines {
+		r.schedule(0, r.redrawSlowdowns)
 	}
 	for len(r.events) > 0 {
 		e := r.events[len(r.events)-1]
@@ -158,139 +158,139 @@
 	return r
 }
 
-func (r *replay) redraw() {
+func (r *simulation) redrawSlowdowns() {
 	for _, s := range r.servers {
-		if s.slow = 1; r.random.Float64() < 0.15 {
-			s.slow = 2.5
+		if s.slowdown = 1; r.random.Float64() < 0.15 {
+			s.slowdown = 2.5
 		}
 	}
 	if r.now < r.phases[len(r.phases)-1].until {
-		r.after(600, r.redraw)
+		r.scheduleAfter(600, r.redrawSlowdowns)
 	}
 }
 
-func (r *replay) lose() {
+func (r *simulation) loseTarget() {
 	s := r.servers[0]
-	s.dead = true
-	if !r.silent {
-		for _, end := range s.lost {
-			r.after(targetWay, end)
+	s.down = true
+	if !r.hangs {
+		for _, end := range s.onLoss {
+			r.scheduleAfter(targetDelay, end)
 		}
 	}
-	s.lost, s.queue = nil, nil
+	s.onLoss, s.queue = nil, nil
 }
 
-func (r *replay) ask(org, phase int) {
+func (r *simulation) arrive(org, phase int) {
 	r.byOrg[org].asked++
 	r.byPhase[phase].asked++
 	r.call(org, phase, r.now, false)
 }
 
 // call is a caller's attempt at an instance of its choice.
-func (r *replay) call(org, phase int, first float64, again bool) {
-	n := r.load.instances
-	if r.near > 0 {
-		n = r.near
+func (r *simulation) call(org, phase int, first float64, again bool) {
+	n := r.scenario.instances
+	if r.usedInstances > 0 {
+		n = r.usedInstances
 	}
 	// Callers of one failure domain, a third of the instances, are twice as many.
 	at := r.random.IntN(n + n/3)
 	in := r.instances[at%n]
-	r.after(callerWay, func() {
-		left := r.deadline - cf.Millis(r.now-callerWay-first)
+	r.scheduleAfter(callerDelay, func() {
+		left := r.deadline - cf.Millis(r.now-callerDelay-first)
 		route := cfsite.Route{Kind: cfsite.KindIdempotent, MaxAttempts: 3, SLO: objective}
-		c := &call{r: r, in: in, org: org, phase: phase, first: first, again: again, received: r.clock(),
-			attempts: cfbalance.NewAttempts(route, r.clock()+left), tried: map[cf.InstanceID]bool{}, full: map[cf.InstanceID]bool{}}
-		c.look(false)
+		c := &call{r: r, entry: in, org: org, phase: phase, firstAsked: first, resubmitted: again, received: r.clock(),
+			attempts: cfbalance.NewAttempts(route, r.clock()+left), tried: map[cf.InstanceID]bool{}, notRun: map[cf.InstanceID]bool{}}
+		c.findTarget(false)
 	})
 }
 
-func (c *call) tally(f func(*tally)) {
+func (c *call) count(f func(*count)) {
 	f(&c.r.byOrg[c.org])
 	f(&c.r.byPhase[c.phase])
 }
 
-// look seeks a target, as io/cfingress does.
-func (c *call) look(hedge bool) {
+// findTarget seeks a target, as io/cfingress does.
+func (c *call) findTarget(hedge bool) {
 	r, now := c.r, c.r.clock()
-	if c.over || !c.attempts.MaySend(now) {
-		c.end()
+	if c.done || !c.attempts.MaySend(now) {
+		c.finish()
 		return
 	}
-	if r.off {
-		c.choose(nil)
+	if r.disabled {
+		c.send(nil)
 		return
 	}
 	must := c.attempts.MayHaveRun()
 	if must && !hedge {
-		cfadmission.ReopenTargets(r.listed, c.tried, c.full)
+		cfadmission.ReopenTargets(r.listed, c.tried, c.notRun)
 	}
-	if hedge && !c.in.admission.MayHedge("s", now) || !hedge && len(c.tried) > 0 && !c.in.admission.MayRetry("s", must, now) {
-		c.end()
+	if hedge && !c.entry.admission.MayHedge("s", now) || !hedge && len(c.tried) > 0 && !c.entry.admission.MayRetry("s", must, now) {
+		c.finish()
 		return
 	}
-	t := c.in.admission.Enter(cfadmission.Request{
-		Service: "s", Class: cfadmission.Class{Organisation: cf.Organisation(rune('A' + c.org)), Priority: c.org % max(r.ranks, 1)}, Targets: r.listed, Tried: c.tried,
+	t := c.entry.admission.Enter(cfadmission.Request{
+		Service: "s", Class: cfadmission.Class{Organisation: cf.Organisation(rune('A' + c.org)), Priority: c.org % max(r.priorities, 1)}, Targets: r.listed, Tried: c.tried,
 		Instances: len(r.instances), Objective: objective, Spent: r.deadline - (c.attempts.Remaining(now) + now - c.received), Arrived: c.received,
-		Deadline: now + c.attempts.Remaining(now), Resubmitted: c.again, Retry: len(c.tried) > 0, MayHaveRun: must, NoWait: hedge,
+		Deadline: now + c.attempts.Remaining(now), Resubmitted: c.resubmitted, Retry: len(c.tried) > 0, MayHaveRun: must, NoWait: hedge,
 	}, now)
 	c.poll(t, hedge)
 }
 
 func (c *call) poll(t *cfadmission.Ticket, hedge bool) {
 	r, now := c.r, c.r.clock()
-	v := c.in.admission.Poll(t, now)
+	v := c.entry.admission.Poll(t, now)
 	switch {
 	case v.State == cfadmission.Send:
-		c.choose(t)
+		c.send(t)
 	case v.State == cfadmission.Wait && !hedge:
-		r.after(max(float64(v.Until-now), 0.5), func() { c.poll(t, hedge) })
+		r.scheduleAfter(max(float64(v.Until-now), 0.5), func() { c.poll(t, hedge) })
 	default:
-		c.in.admission.Cancel(t)
-		c.end()
+		c.entry.admission.Cancel(t)
+		c.finish()
 	}
 }
 
-func (c *call) choose(t *cfadmission.Ticket) {
+func (c *call) send(t *cfadmission.Ticket) {
 	r, now := c.r, c.r.clock()
 	avoid := map[cf.InstanceID]bool{}
 	for _, x := range r.listed {
-		if c.tried[x.ID] || t != nil && c.in.admission.Excluded(t, x.ID, now) {
+		if c.tried[x.ID] || t != nil && c.entry.admission.Excluded(t, x.ID, now) {
 			avoid[x.ID] = true
 		}
 	}
-	to, ok := c.in.balancer.Choose(r.listed, avoid, r.random.Float64(), now)
+	to, ok := c.entry.balancer.Choose(r.listed, avoid, r.random.Float64(), now)
 	if !ok {
 		if t != nil {
-			c.in.admission.Cancel(t)
+			c.entry.admission.Cancel(t)
 		}
-		c.end()
+		c.finish()
 		return
 	}
 	c.tried[to.ID] = true
 	c.attempts.Sent()
-	c.in.balancer.Sent(to.ID)
+	c.entry.balancer.Sent(to.ID)
 	if t != nil {
-		c.in.admission.Sent(t, to.ID, now)
+		c.entry.admission.Sent(t, to.ID, now)
 	}
 	c.pending++
 	sent := now
-	r.after(targetWay+processing*r.random.ExpFloat64(), func() {
+	r.scheduleAfter(targetDelay+processingTime*r.random.ExpFloat64(), func() {
 		r.serve(r.servers[to.ID[0]-'a'], func(a cf.TargetAnswer, err error) {
-			r.after(targetWay+processing*r.random.ExpFloat64(), func() { c.take(to.ID, a, err, r.clock()-sent) })
+			r.scheduleAfter(targetDelay+processingTime*r.random.ExpFloat64(), func() { c.receive(to.ID, a, err, r.clock()-sent) })
 		})
 	})
 	if after, ok := c.attempts.HedgeAfter(); ok && !c.hedged && c.pending == 1 {
-		r.after(float64(after), func() {
-			if !c.over && c.pending == 1 && !c.hedged && c.attempts.MaySend(r.clock()) {
+		r.scheduleAfter(float64(after), func() {
+			if !c.done && c.pending == 1 && !c.hedged && c.attempts.MaySend(r.clock()) {
 				c.hedged = true
-				c.look(true)
+				c.findTarget(true)
 			}
 		})
 	}
 }
 
 // serve runs a request at a target.
-func (r *replay) serve(s *target, end func(cf.TargetAnswer, error)) {
+func (r *simulation) serve(s *target, end func(cf.TargetAnswer, error)) {
 	answer := func(status int) cf.TargetAnswer {
 		a := cf.TargetAnswer{Status: status, NotRun: status == 503}
 		if !r.noHeader {
@@ -299,30 +299,30 @@
 		return a
 	}
 	switch {
-	case s.dead && r.silent:
+	case s.down && r.hangs:
 		return
-	case s.dead:
+	case s.down:
 		end(cf.TargetAnswer{}, cf.ErrNotRun)
 		return
-	case s.busy >= slots && len(s.queue) >= room:
+	case s.busy >= slots && len(s.queue) >= queueCapacity:
 		end(answer(503), nil)
 		return
 	}
-	s.lost = append(s.lost, func() { end(cf.TargetAnswer{}, cf.ErrMaybeRan) })
-	at := len(s.lost) - 1
+	s.onLoss = append(s.onLoss, func() { end(cf.TargetAnswer{}, cf.ErrMaybeRan) })
+	at := len(s.onLoss) - 1
 	run := func() {
 		s.busy++
 		const sigma = 0.5 // of the logarithm of work
-		took := s.slow * r.work / (1 + (r.tailTimes-1)*r.tailPart) * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
-		if r.random.Float64() < r.tailPart {
-			took *= r.tailTimes
+		took := s.slowdown * r.answerTime / (1 + (r.tailFactor-1)*r.tailFraction) * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
+		if r.random.Float64() < r.tailFraction {
+			took *= r.tailFactor
 		}
-		r.after(took, func() {
-			if s.dead {
+		r.scheduleAfter(took, func() {
+			if s.down {
 				return
 			}
 			s.busy--
-			s.lost[at] = func() {}
+			s.onLoss[at] = func() {}
 			if len(s.queue) > 0 {
 				next := s.queue[0]
 				s.queue = s.queue[1:]
@@ -338,31 +338,31 @@
 	}
 }
 
-// take is the end of a send at the instance.
-func (c *call) take(id cf.InstanceID, a cf.TargetAnswer, err error, took cf.Millis) {
+// receive is the end of a send at the instance.
+func (c *call) receive(id cf.InstanceID, a cf.TargetAnswer, err error, took cf.Millis) {
 	now := c.r.clock()
 	c.pending--
 	outcome, good := c.attempts.Classify(a, err)
-	if c.over {
+	if c.done {
 		outcome = cfbalance.Abandoned
 	}
-	c.in.balancer.Done(id, outcome, a.Load, took, now)
-	if !c.r.off {
-		c.in.admission.Done("s", id, cfadmission.Result{Outcome: cfadmission.OutcomeOf(outcome, a.Status, err), Load: a.Load, Took: took, Status: a.Status}, now)
+	c.entry.balancer.Done(id, outcome, a.Load, took, now)
+	if !c.r.disabled {
+		c.entry.admission.Done("s", id, cfadmission.Result{Outcome: cfadmission.OutcomeOf(outcome, a.Status, err), Load: a.Load, Took: took, Status: a.Status}, now)
 	}
 	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
-		c.full[id] = true
+		c.notRun[id] = true
 	}
 	switch {
-	case c.over:
+	case c.done:
 	case good:
-		c.over = true
-		spent := c.r.now + callerWay - c.first
-		c.tally(func(t *tally) {
+		c.done = true
+		spent := c.r.now + callerDelay - c.firstAsked
+		c.count(func(t *count) {
 			switch {
 			case spent <= float64(objective):
 				t.inTime++
-				t.took += spent
+				t.answerTimes += spent
 			case spent <= float64(c.r.deadline):
 				t.late++
 			default:
@@ -370,29 +370,29 @@
 			}
 		})
 	case c.pending == 0:
-		c.look(false)
+		c.findTarget(false)
 	}
 }
 
-// end is a call for which nothing is under way or left.
-func (c *call) end() {
-	if c.over || c.pending > 0 {
+// finish is a call for which nothing is under way or left.
+func (c *call) finish() {
+	if c.done || c.pending > 0 {
 		return
 	}
-	c.over = true
+	c.done = true
 	r, now := c.r, c.r.clock()
 	if c.attempts.MayHaveRun() {
-		c.tally(func(t *tally) { t.failed++ })
+		c.count(func(t *count) { t.failed++ })
 		return
 	}
-	c.tally(func(t *tally) { t.slowest = max(t.slowest, float64(now-c.received)) })
-	if c.again {
+	c.count(func(t *count) { t.slowestRefusal = max(t.slowestRefusal, float64(now-c.received)) })
+	if c.resubmitted {
 		return
 	}
-	tp := c.in.balancer.Throughput(r.listed, now)
-	if perMs, w := c.in.admission.Throughput("s", now); perMs > 0 {
+	tp := c.entry.balancer.Throughput(r.listed, now)
+	if perMs, w := c.entry.admission.Throughput("s", now); perMs > 0 {
 		tp = cfbalance.Throughput{PerMs: perMs, ServiceTime: w}
 	}
-	after := float64(c.in.returns.RetryAfter("s", tp, len(r.instances), c.attempts.Remaining(now), now))
-	r.after(callerWay+min(after, float64(c.attempts.Remaining(now))/3), func() { r.call(c.org, c.phase, c.first, true) })
+	after := float64(c.entry.retries.RetryAfter("s", tp, len(r.instances), c.attempts.Remaining(now), now))
+	r.scheduleAfter(callerDelay+min(after, float64(c.attempts.Remaining(now))/3), func() { r.call(c.org, c.phase, c.firstAsked, true) })
 }
--- a/core/cfadmission/shares.go
+++ b/core/cfadmission/shares.go
@@ -17,25 +17,25 @@
 	// share is what one class asks for and gets at this instance.
 	share struct {
 		class Class
-		// asked and served are recent rates per ms, as of at.
-		asked, served float64
-		at            cf.Millis
-		// even says that it asks for more than its share, of which level per ms is allowed;
+		// demand and served are recent rates per ms, as of at.
+		demand, served float64
+		updatedAt      cf.Millis
+		// capped says that it asks for more than its share, of which level per ms is allowed;
 		// credit is what it has not used of that, as of credited.
-		even     bool
+		capped   bool
 		rank     int // among the priorities that are there
-		level    float64
+		allowed  float64
 		credit   float64
-		credited cf.Millis
+		creditAt cf.Millis
 	}
 
 	// shares divide an instance's part of a service among organisations: by priority, and
 	// among equals so that whoever asks for little gets all of it and the others get the
 	// same (max-min fairness).
 	shares struct {
-		classes map[Class]*share
-		sorted  []*share
-		at      cf.Millis
+		classes   map[Class]*share
+		sorted    []*share
+		dividedAt cf.Millis
 		// contended says that together they ask for more than there is.
 		contended bool
 	}
@@ -56,69 +56,69 @@
 )
 
 const (
-	// shareSpan is the time constant of rates: one of 73 organisations is seen every few
+	// rateSpan is the time constant of rates: one of 73 organisations is seen every few
 	// seconds at one of 51 instances.
-	shareSpan = 2000.0
-	// divideEvery spaces the divisions.
-	divideEvery cf.Millis = 200
-	// mostCredit bounds what a class may save up, in requests.
-	mostCredit = 1.5
-	// forgetShare drops a class that has asked for nothing.
-	forgetShare cf.Millis = 10000
+	rateSpan = 2000.0
+	// divideInterval spaces the divisions.
+	divideInterval cf.Millis = 200
+	// maxCredit bounds what a class may save up, in requests.
+	maxCredit = 1.5
+	// forgetClassAfter drops a class that has asked for nothing.
+	forgetClassAfter cf.Millis = 10000
 )
 
 func newShares() *shares { return &shares{classes: map[Class]*share{}} }
 
-func (s *shares) of(c Class, now cf.Millis) *share {
+func (s *shares) shareOf(c Class, now cf.Millis) *share {
 	x := s.classes[c]
 	if x == nil {
-		x = &share{class: c, at: now, credit: mostCredit, credited: now}
+		x = &share{class: c, updatedAt: now, credit: maxCredit, creditAt: now}
 		s.classes[c] = x
 	}
 	return x
 }
 
 func (x *share) decay(now cf.Millis) {
-	if now > x.at {
-		f := math.Exp(-float64(now-x.at) / shareSpan)
-		x.asked, x.served, x.at = x.asked*f, x.served*f, now
+	if now > x.updatedAt {
+		f := math.Exp(-float64(now-x.updatedAt) / rateSpan)
+		x.demand, x.served, x.updatedAt = x.demand*f, x.served*f, now
 	}
 }
 
-// ask counts a request that arrives for the first time: one that comes back would make its
+// recordArrival counts a request that arrives for the first time: one that comes back would make its
 // organisation ask for more than it does.
-func (x *share) ask(now cf.Millis) {
+func (x *share) recordArrival(now cf.Millis) {
 	x.decay(now)
-	x.asked += 1 / shareSpan
+	x.demand += 1 / rateSpan
 }
 
-// serve counts a request that is sent.
-func (x *share) serve(now cf.Millis) {
+// recordSend counts a request that is sent.
+func (x *share) recordSend(now cf.Millis) {
 	x.decay(now)
-	x.served += 1 / shareSpan
-	if x.even {
-		x.save(now)
+	x.served += 1 / rateSpan
+	if x.capped {
+		x.accrueCredit(now)
 		x.credit = max(x.credit-1, -1)
 	}
 }
 
-func (x *share) save(now cf.Millis) {
-	x.credit = min(x.credit+x.level*float64(now-x.credited), mostCredit)
-	x.credited = now
+func (x *share) accrueCredit(now cf.Millis) {
+	x.credit = min(x.credit+x.allowed*float64(now-x.creditAt), maxCredit)
+	x.creditAt = now
 }
 
-// stand returns how a class stands now.
-func (s *shares) stand(x *share, now cf.Millis) tier {
+// tierOf returns how a class stands now.
+func (s *shares) tierOf(x *share, now cf.Millis) tier {
 	switch {
 	case !s.contended:
 		return withinShare
-	case !x.even:
+	case !x.capped:
 		return underShare
 	}
-	if x.save(now); x.credit >= 1 {
+	if x.accrueCredit(now); x.credit >= 1 {
 		return withinShare
 	}
-	if x.level <= 0 {
+	if x.allowed <= 0 {
 		return noShare
 	}
 	return overShare
@@ -126,19 +126,19 @@
 
 // divide sets the shares anew of what the instance may send per ms, if it is time.
 func (s *shares) divide(capacity float64, now cf.Millis) {
-	if s.at > 0 && now-s.at < divideEvery {
+	if s.dividedAt > 0 && now-s.dividedAt < divideInterval {
 		return
 	}
-	s.at = now
+	s.dividedAt = now
 	s.sorted = s.sorted[:0]
 	total := 0.0
 	for c, x := range s.classes {
-		if now-x.at > forgetShare {
+		if now-x.updatedAt > forgetClassAfter {
 			delete(s.classes, c)
 			continue
 		}
 		x.decay(now)
-		total += x.asked
+		total += x.demand
 		s.sorted = append(s.sorted, x)
 	}
 	s.contended = total > capacity
@@ -146,9 +146,9 @@
 		switch {
 		case a.class.Priority != b.class.Priority:
 			return a.class.Priority - b.class.Priority
-		case a.asked < b.asked:
+		case a.demand < b.demand:
 			return -1
-		case a.asked > b.asked:
+		case a.demand > b.demand:
 			return 1
 		}
 		return 0
@@ -159,27 +159,27 @@
 			s.sorted[n].rank = rank
 			n++
 		}
-		capacity = fillLevel(s.sorted[i:n], max(capacity, 0), now)
+		capacity = divideMaxMin(s.sorted[i:n], max(capacity, 0), now)
 		i = n
 	}
 }
 
-// fillLevel divides a capacity among classes of one priority, sorted by what they ask for,
+// divideMaxMin divides a capacity among classes of one priority, sorted by what they ask for,
 // and returns what is left.
-func fillLevel(classes []*share, capacity float64, now cf.Millis) float64 {
+func divideMaxMin(classes []*share, capacity float64, now cf.Millis) float64 {
 	for i, x := range classes {
 		even := capacity / float64(len(classes)-i)
-		if x.asked <= even {
-			x.even = false
-			capacity -= x.asked
+		if x.demand <= even {
+			x.capped = false
+			capacity -= x.demand
 			continue
 		}
 		for _, y := range classes[i:] {
-			if !y.even {
-				y.even, y.credited = true, now
+			if !y.capped {
+				y.capped, y.creditAt = true, now
 			}
-			y.save(now)
-			y.level = even
+			y.accrueCredit(now)
+			y.allowed = even
 		}
 		return 0
 	}
--- a/core/cfbalance/attempts.go
+++ b/core/cfbalance/attempts.go
@@ -10,17 +10,17 @@
 type (
 	// Attempts follows one request through the targets it is sent to.
 	Attempts struct {
-		route    cfsite.Route
-		deadline cf.Millis
-		sends    int // sends that reached a target
-		ran      bool
+		route      cfsite.Route
+		deadline   cf.Millis
+		sends      int // sends that reached a target
+		mayHaveRun bool
 	}
 )
 
-// hedgePart is the part of a route's SLO after which an idempotent request
+// hedgeFraction is the part of a route's SLO after which an idempotent request
 // is also sent to another target: late enough that few are (the mean answer
 // takes a sixth of the SLO), early enough that the second answer is in time.
-const hedgePart = 0.55
+const hedgeFraction = 0.55
 
 // NewAttempts returns the state of a request that must be answered by
 // deadline.
@@ -36,7 +36,7 @@
 	if a.sends >= max(a.route.MaxAttempts, 1) || a.Remaining(now) <= 0 {
 		return false
 	}
-	return !a.ran || a.route.Idempotent()
+	return !a.mayHaveRun || a.route.Idempotent()
 }
 
 // Sent counts a send that reached a target.
@@ -50,12 +50,12 @@
 	case errors.Is(err, cf.ErrNotRun):
 		return Unreached, false
 	case err != nil:
-		a.ran = true
+		a.mayHaveRun = true
 		return Failed, false
 	case answer.NotRun:
 		return NotRun, false
 	case answer.Failed():
-		a.ran = true
+		a.mayHaveRun = true
 		return Failed, false
 	default:
 		return Answered, true
@@ -68,9 +68,9 @@
 	if a.route.Kind != cfsite.KindIdempotent || a.route.SLO <= 0 || a.sends >= a.route.MaxAttempts {
 		return 0, false
 	}
-	return cf.Millis(float64(a.route.SLO) * hedgePart), true
+	return cf.Millis(float64(a.route.SLO) * hedgeFraction), true
 }
 
 // MayHaveRun says whether a target may have run the request, or may yet: then it
 // is not to be refused, for a refusal promises that it has not and never will.
-func (a *Attempts) MayHaveRun() bool { return a.ran }
+func (a *Attempts) MayHaveRun() bool { return a.mayHaveRun }
--- a/core/cfbalance/balance.go
+++ b/core/cfbalance/balance.go
@@ -34,24 +34,24 @@
 		// It is set before the first call.
 		IgnorePace bool
 
-		mu    sync.Mutex
-		state map[cf.InstanceID]*state
+		mu      sync.Mutex
+		targets map[cf.InstanceID]*targetState
 	}
 
-	state struct {
-		sent     int // requests of this instance in flight
-		load     cf.TargetLoad
-		loadAt   cf.Millis
-		avoid    cf.Millis
-		failures int
-		took     float64 // smoothed time of an answer, ms
-		work     float64 // the same of answers that had not to queue
-		// usual is the same of answers at the target's usual pace, zero where it does not
+	targetState struct {
+		inFlight        int // requests of this instance in flight
+		load            cf.TargetLoad
+		loadAt          cf.Millis
+		avoidUntil      cf.Millis
+		failures        int
+		meanTime        float64 // smoothed time of an answer, ms
+		meanServiceTime float64 // the same of answers that had not to queue
+		// usualTime is the same of answers at the target's usual pace, zero where it does not
 		// say its pace.
-		usual float64
-		seen  cf.Millis
-		// warm is until when a connection is kept.
-		warm cf.Millis
+		usualTime float64
+		lastUsed  cf.Millis
+		// warmUntil is until when a connection is kept.
+		warmUntil cf.Millis
 	}
 )
 
@@ -70,40 +70,40 @@
 )
 
 const (
-	// loadFresh is how long a target's word on its load counts.
-	loadFresh cf.Millis = 1000
-	// avoidFull and avoidFailed keep requests off a target that was full or
+	// loadMaxAge is how long a target's word on its load counts.
+	loadMaxAge cf.Millis = 1000
+	// avoidNotRun and avoidFailed keep requests off a target that was full or
 	// failed; a second failure in a row doubles the span, up to avoidMost.
-	avoidFull   cf.Millis = 50
+	avoidNotRun cf.Millis = 50
 	avoidFailed cf.Millis = 300
-	avoidMost   cf.Millis = 2400
+	maxAvoid    cf.Millis = 2400
 	// usualPace is the pace of a machine that is as fast as usual, in percent. paceFade is
 	// over how long what a target said of it ceases to tell anything: machines' states are
 	// redrawn about so often.
 	usualPace           = 100
 	paceFade  cf.Millis = 600
-	// smooth is the weight of the newest time in the smoothed one.
-	smooth = 0.2
-	// coldCost is what a new connection adds to a request's time, in ms: two round
+	// smoothing is the weight of the newest time in the smoothed one.
+	smoothing = 0.2
+	// connectCost is what a new connection adds to a request's time, in ms: two round
 	// trips, and its handshake at the target. Small beside what targets differ by, it
 	// lets an instance stay with some of those that are alike, and so spares them
 	// the handshakes of all the others.
-	coldCost = 4
-	// knownEnough is from how many targets on that have answered the others are expected
+	connectCost = 4
+	// minKnown is from how many targets on that have answered the others are expected
 	// to be like them.
-	knownEnough = 2
-	// forget drops what is known of targets that are not heard of any more.
-	forget cf.Millis = 60000
+	minKnown = 2
+	// forgetAfter drops what is known of targets that are not heard of any more.
+	forgetAfter cf.Millis = 60000
 )
 
 // New returns a balancer that knows nothing.
-func New() *Balancer { return &Balancer{state: map[cf.InstanceID]*state{}} }
+func New() *Balancer { return &Balancer{targets: map[cf.InstanceID]*targetState{}} }
 
-func (b *Balancer) of(id cf.InstanceID) *state {
-	s := b.state[id]
+func (b *Balancer) stateOf(id cf.InstanceID) *targetState {
+	s := b.targets[id]
 	if s == nil {
-		s = &state{}
-		b.state[id] = s
+		s = &targetState{}
+		b.targets[id] = s
 	}
 	return s
 }
@@ -115,7 +115,7 @@
 	defer b.mu.Unlock()
 	best := -1
 	bestScore := 0.0
-	usual := b.usual(candidates, now)
+	usual := b.expectedTime(candidates, now)
 	// Ties are broken by a random start, or all instances would send to the
 	// same target.
 	n := len(candidates)
@@ -126,7 +126,7 @@
 		if tried[t.ID] {
 			continue
 		}
-		score := b.state[t.ID].score(t, usual, now)
+		score := b.targets[t.ID].score(t, usual, now)
 		if best < 0 || score < bestScore {
 			best, bestScore = j, score
 		}
@@ -134,89 +134,89 @@
 	if best < 0 {
 		return cf.Target{}, false
 	}
-	b.of(candidates[best].ID).seen = now
+	b.stateOf(candidates[best].ID).lastUsed = now
 	return candidates[best], true
 }
 
-// usual returns what an answer of a target takes that has not answered yet: the mean of
+// expectedTime returns what an answer of a target takes that has not answered yet: the mean of
 // those that have, once there are some, else less than any, so that they are tried.
 //
 // The load it answers: hundreds of instances before hundreds of targets, each with a request
 // every second or two. With targets that are expected to be faster until they have answered,
 // each instance tried them all, and opened a connection for nearly every request.
-func (b *Balancer) usual(candidates []cf.Target, now cf.Millis) float64 {
+func (b *Balancer) expectedTime(candidates []cf.Target, now cf.Millis) float64 {
 	sum, known := 0.0, 0
 	for _, t := range candidates {
-		if s := b.state[t.ID]; s != nil && s.took > 0 && now >= s.avoid {
-			sum += s.took
+		if s := b.targets[t.ID]; s != nil && s.meanTime > 0 && now >= s.avoidUntil {
+			sum += s.meanTime
 			known++
 		}
 	}
-	if known < knownEnough {
+	if known < minKnown {
 		return 1
 	}
 	return max(sum/float64(known), 1)
 }
 
-// avoidScore puts targets that failed lately behind all others.
-const avoidScore = 1e6
+// avoidPenalty puts targets that failed lately behind all others.
+const avoidPenalty = 1e6
 
 // score is when a target is expected to answer; usual is for one that has not answered yet.
-func (s *state) score(t cf.Target, usual float64, now cf.Millis) float64 {
+func (s *targetState) score(t cf.Target, expected float64, now cf.Millis) float64 {
 	if s == nil {
-		return usual + coldCost
+		return expected + connectCost
 	}
-	queue := float64(s.sent)
-	if now-s.loadAt < loadFresh {
+	queue := float64(s.inFlight)
+	if now-s.loadAt < loadMaxAge {
 		queue = max(queue, float64(s.load.Running+s.load.Waiting))
 	}
-	took := usual
+	took := expected
 	switch {
-	case s.usual > 0:
-		took = max(s.usual*s.pace(now), 1)
-	case s.took > 0:
-		took = max(s.took, 1)
+	case s.usualTime > 0:
+		took = max(s.usualTime*s.expectedSlowdown(now), 1)
+	case s.meanTime > 0:
+		took = max(s.meanTime, 1)
 	}
 	score := (1 + queue/float64(max(t.Slots, 1))) * took
-	if now >= s.warm {
-		score += coldCost
+	if now >= s.warmUntil {
+		score += connectCost
 	}
-	if now < s.avoid {
-		score += avoidScore
+	if now < s.avoidUntil {
+		score += avoidPenalty
 	}
 	return score
 }
 
-// pace is how many times longer than usual work is expected to take at a target now, by what
+// expectedSlowdown is how many times longer than usual work is expected to take at a target now, by what
 // it said last.
 //
 // The load it answers: targets share their machines with other workloads, and each is 2.5 times
 // as slow for some 600 ms at a time. A smoothed time of answers shows that when it is over.
-func (s *state) pace(now cf.Millis) float64 {
+func (s *targetState) expectedSlowdown(now cf.Millis) float64 {
 	if s.load.Pace <= 0 {
 		return 1
 	}
-	said := s.load.At
-	if said == 0 {
-		said = s.loadAt
+	reportedAt := s.load.At
+	if reportedAt == 0 {
+		reportedAt = s.loadAt
 	}
-	return 1 + (float64(s.load.Pace)/usualPace-1)*math.Exp(-float64(max(now-said, 0))/float64(paceFade))
+	return 1 + (float64(s.load.Pace)/usualPace-1)*math.Exp(-float64(max(now-reportedAt, 0))/float64(paceFade))
 }
 
 // Sent records that a request goes to a target.
 func (b *Balancer) Sent(id cf.InstanceID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(id).sent++
+	b.stateOf(id).inFlight++
 }
 
 // Done records what came of a request.
 func (b *Balancer) Done(id cf.InstanceID, o Outcome, load *cf.TargetLoad, took, now cf.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(id)
-	s.sent--
-	s.seen = now
+	s := b.stateOf(id)
+	s.inFlight--
+	s.lastUsed = now
 	if load != nil {
 		s.load, s.loadAt = *load, now
 		if b.IgnorePace {
@@ -226,44 +226,44 @@
 	switch o {
 	case Answered:
 		s.failures = 0
-		if s.took == 0 {
-			s.took = float64(took)
+		if s.meanTime == 0 {
+			s.meanTime = float64(took)
 		}
-		s.took += smooth * (float64(took) - s.took)
-		s.noteUsual(float64(took), load != nil, now)
+		s.meanTime += smoothing * (float64(took) - s.meanTime)
+		s.updateUsualTime(float64(took), load != nil, now)
 		if load == nil || load.Waiting == 0 {
-			if s.work == 0 {
-				s.work = float64(took)
+			if s.meanServiceTime == 0 {
+				s.meanServiceTime = float64(took)
 			}
-			s.work += smooth * (float64(took) - s.work)
+			s.meanServiceTime += smoothing * (float64(took) - s.meanServiceTime)
 		}
 	case NotRun:
-		s.avoid = now + avoidFull
+		s.avoidUntil = now + avoidNotRun
 	case Failed, Unreached:
-		s.avoid = now + avoidFailed.Doubled(s.failures, avoidMost)
+		s.avoidUntil = now + avoidFailed.Doubled(s.failures, maxAvoid)
 		s.failures++
 	case Abandoned:
 		// Slower than what we waited for, at least.
-		s.took = max(s.took, float64(took))
-		if s.usual > 0 {
-			s.usual = max(s.usual, float64(took)/max(s.pace(now), 1))
+		s.meanTime = max(s.meanTime, float64(took))
+		if s.usualTime > 0 {
+			s.usualTime = max(s.usualTime, float64(took)/max(s.expectedSlowdown(now), 1))
 		}
 	}
 	b.prune(now)
 }
 
-// noteUsual takes the time of an answer, and whether it said the target's load. One that does
+// updateUsualTime takes the time of an answer, and whether it said the target's load. One that does
 // not leaves the usual time as it is while what was said before may hold.
-func (s *state) noteUsual(took float64, said bool, now cf.Millis) {
+func (s *targetState) updateUsualTime(took float64, reported bool, now cf.Millis) {
 	switch {
-	case s.load.Pace <= 0 || !said && now-s.loadAt > loadFresh:
-		s.usual = 0
-	case said:
-		took /= s.pace(now)
-		if s.usual == 0 {
-			s.usual = took
+	case s.load.Pace <= 0 || !reported && now-s.loadAt > loadMaxAge:
+		s.usualTime = 0
+	case reported:
+		took /= s.expectedSlowdown(now)
+		if s.usualTime == 0 {
+			s.usualTime = took
 		}
-		s.usual += smooth * (took - s.usual)
+		s.usualTime += smoothing * (took - s.usualTime)
 	}
 }
 
@@ -271,13 +271,13 @@
 func (b *Balancer) ConnectionKept(id cf.InstanceID, until cf.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(id).warm = until
+	b.stateOf(id).warmUntil = until
 }
 
 func (b *Balancer) prune(now cf.Millis) {
-	for id, s := range b.state {
-		if s.sent <= 0 && now-s.seen > forget {
-			delete(b.state, id)
+	for id, s := range b.targets {
+		if s.inFlight <= 0 && now-s.lastUsed > forgetAfter {
+			delete(b.targets, id)
 		}
 	}
 }
--- a/core/cfbalance/balance_test.go
+++ b/core/cfbalance/balance_test.go
@@ -54,7 +54,7 @@
 
 // When all targets have failed lately, one is still chosen: a refusal would be
 // worse than a try.
-func TestFailedTargetsAreBetterThanNone(t *testing.T) {
+func TestFailedTargetsAreChosenWhenNoOtherIsLeft(t *testing.T) {
 	b := cfbalance.New()
 	for _, x := range targets(2) {
 		b.Sent(x.ID)
--- a/core/cfbalance/explore_test.go
+++ b/core/cfbalance/explore_test.go
@@ -11,81 +11,81 @@
 )
 
 type (
-	// send is one message to a target in the specification of at-most-once.
-	send struct {
-		pending bool // the instance still waits for its answer
-		transit bool // it has not reached its target and still may
-		ran     bool
-		twice   bool // the connection sent it again by itself
+	// attemptSend is one message to a target in the specification of at-most-once.
+	attemptSend struct {
+		pending   bool // the instance still waits for its answer
+		inTransit bool // it has not reached its target and still may
+		ran       bool
+		resent    bool // the connection sent it again by itself
 	}
 
-	// told is what the caller of an attempt has heard.
-	told int
+	// result is what the caller of an attempt has heard.
+	result int
 
-	// try is one attempt of a caller: an id of its own, at one instance. It
+	// callerAttempt is one attempt of a caller: an id of its own, at one instance. It
 	// is driven by the decisions of this package.
-	try struct {
-		attempts cfbalance.Attempts
-		sends    []send
-		told     told
+	callerAttempt struct {
+		decisions cfbalance.Attempts
+		sends     []attemptSend
+		result    result
 	}
 
-	// world is a caller that asks again after each promise that nothing has
+	// systemState is a caller that asks again after each promise that nothing has
 	// run, with everything that is under way.
-	world struct {
-		tries []try
+	systemState struct {
+		attempts []callerAttempt
 	}
 
-	// breach is what may be seeded into the world or the instance to see that
+	// fault is what may be seeded into the world or the instance to see that
 	// the exploration finds what breaks then.
-	breach int
+	fault int
 
-	// exploration plays every schedule of a kind of request.
-	exploration struct {
-		kind    cfsite.RouteKind
-		breach  breach
-		targets int
-		worlds  int
-		broken  string
+	// explorer plays every schedule of a kind of request.
+	explorer struct {
+		kind      cfsite.RouteKind
+		fault     fault
+		targets   int
+		states    int
+		violation string
 	}
 )
 
 const (
-	waiting told = iota
+	waiting result = iota
 	answered
 	refused // with the promise that nothing has run and nothing will
 	failed  // without one
 )
 
 const (
-	sound breach = iota
-	// lostIsUnrun: a connection lost after the send is taken for none.
-	lostIsUnrun
-	// sentAgain: the connection sends a message a second time by itself.
-	sentAgain
-	// refusedLate: a request whose time is up is refused.
-	refusedLate
+	noFault fault = iota
+	// lostCountsAsNotRun: a connection lost after the send is taken for none.
+	lostCountsAsNotRun
+	// connectionResends: the connection sends a message a second time by itself.
+	connectionResends
+	// refusedAfterTimeout: a request whose time is up is refused.
+	refusedAfterTimeout
 )
 
 const (
-	exploredTries = 2 // of a caller
-	exploredSends = 3 // of a try
+	maxAttempts = 2 // of a caller
+	maxSends    = 3 // of a try
 )
 
-func (x *exploration) newTry() try {
-	route := cfsite.Route{Kind: x.kind, MaxAttempts: exploredSends, SLO: 100}
-	return try{attempts: *cfbalance.NewAttempts(route, 1000)}
+func (x *explorer) newAttempt() callerAttempt {
+	route := cfsite.Route{Kind: x.kind, MaxAttempts: maxSends, SLO: 100}
+	return callerAttempt{decisions: *cfbalance.NewAttempts(route, 1000)}
 }
 
-func (w world) clone() world {
-	out := world{tries: slices.Clone(w.tries)}
-	for i := range out.tries {
-		out.tries[i].sends = slices.Clone(out.tries[i].sends)
+func (w systemState) clone() systemState {
+	out := systemState{attempts: slices.Clone(w.attempts)}
+	for i := range out.attempts {
+		out.attempts[i].sends = slices.Clone(out.attempts[i].sends)
 	}
 	return out
 }
 
-func (t *try) pending() int {
+func (t *callerAttempt) pending() int {
 	n := 0
 	for _, s := range t.sends {
 		if s.pending {
@@ -95,101 +95,101 @@
 	return n
 }
 
-func (t *try) runs() int {
+func (t *callerAttempt) runs() int {
 	n := 0
 	for _, s := range t.sends {
 		if s.ran {
 			n++
 		}
-		if s.twice && s.ran {
+		if s.resent && s.ran {
 			n++
 		}
 	}
 	return n
 }
 
-// play follows every schedule from a world.
-func (x *exploration) play(w world) {
-	if x.broken != "" {
+// visit follows every schedule from a world.
+func (x *explorer) visit(w systemState) {
+	if x.violation != "" {
 		return
 	}
-	x.worlds++
-	if x.broken = x.check(w); x.broken != "" {
+	x.states++
+	if x.violation = x.check(w); x.violation != "" {
 		return
 	}
 	// A message under way arrives and is run, whatever became of its answer.
-	for i := range w.tries {
-		for j, s := range w.tries[i].sends {
-			if s.transit && !s.pending {
+	for i := range w.attempts {
+		for j, s := range w.attempts[i].sends {
+			if s.inTransit && !s.pending {
 				next := w.clone()
-				next.tries[i].sends[j].transit, next.tries[i].sends[j].ran = false, true
-				x.play(next)
+				next.attempts[i].sends[j].inTransit, next.attempts[i].sends[j].ran = false, true
+				x.visit(next)
 			}
 		}
 	}
-	last := len(w.tries) - 1
-	if w.tries[last].told == refused && len(w.tries) < exploredTries {
+	last := len(w.attempts) - 1
+	if w.attempts[last].result == refused && len(w.attempts) < maxAttempts {
 		next := w.clone()
-		next.tries = append(next.tries, x.newTry())
-		x.play(next)
+		next.attempts = append(next.attempts, x.newAttempt())
+		x.visit(next)
 	}
-	if w.tries[last].told == waiting {
+	if w.attempts[last].result == waiting {
 		x.step(w, last)
 	}
 }
 
 // step follows what the instance of a try may do or hear next.
-func (x *exploration) step(w world, i int) {
-	t := &w.tries[i]
-	again := t.attempts.MaySend(0) && len(t.sends) < x.targets
+func (x *explorer) step(w systemState, i int) {
+	t := &w.attempts[i]
+	maySend := t.decisions.MaySend(0) && len(t.sends) < x.targets
 	if t.pending() == 0 {
-		if again {
+		if maySend {
 			x.send(w, i)
 			return
 		}
 		next := w.clone()
-		next.tries[i].told = failed
-		if !t.attempts.MayHaveRun() {
-			next.tries[i].told = refused
+		next.attempts[i].result = failed
+		if !t.decisions.MayHaveRun() {
+			next.attempts[i].result = refused
 		}
-		x.play(next)
+		x.visit(next)
 		return
 	}
-	if _, hedge := t.attempts.HedgeAfter(); hedge && again && t.pending() == 1 {
+	if _, hedge := t.decisions.HedgeAfter(); hedge && maySend && t.pending() == 1 {
 		x.send(w, i)
 	}
 	for j, s := range t.sends {
 		if s.pending {
-			x.end(w, i, j)
+			x.receive(w, i, j)
 		}
 	}
 	// The time is up.
 	next := w.clone()
-	next.tries[i].told = failed
-	if x.breach == refusedLate {
-		next.tries[i].told = refused
+	next.attempts[i].result = failed
+	if x.fault == refusedAfterTimeout {
+		next.attempts[i].result = refused
 	}
-	for j := range next.tries[i].sends {
-		next.tries[i].sends[j].pending = false
+	for j := range next.attempts[i].sends {
+		next.attempts[i].sends[j].pending = false
 	}
-	x.play(next)
+	x.visit(next)
 }
 
-func (x *exploration) send(w world, i int) {
+func (x *explorer) send(w systemState, i int) {
 	next := w.clone()
-	t := &next.tries[i]
-	t.attempts.Sent()
-	t.sends = append(t.sends, send{pending: true, transit: true, twice: x.breach == sentAgain})
-	x.play(next)
+	t := &next.attempts[i]
+	t.decisions.Sent()
+	t.sends = append(t.sends, attemptSend{pending: true, inTransit: true, resent: x.fault == connectionResends})
+	x.visit(next)
 }
 
-// end follows each way in which an attempt may end.
-func (x *exploration) end(w world, i, j int) {
+// receive follows each way in which an attempt may end.
+func (x *explorer) receive(w systemState, i, j int) {
 	lost := cf.ErrMaybeRan
-	if x.breach == lostIsUnrun {
+	if x.fault == lostCountsAsNotRun {
 		lost = cf.ErrNotRun
 	}
-	ways := []struct {
+	outcomes := []struct {
 		transit, ran bool
 		answer       cf.TargetAnswer
 		err          error
@@ -203,32 +203,32 @@
 		{ran: true, answer: cf.TargetAnswer{Status: 200}},    // done
 		{ran: true, answer: cf.TargetAnswer{Status: 404}},    // the target's own refusal
 	}
-	for _, way := range ways {
+	for _, o := range outcomes {
 		next := w.clone()
-		t := &next.tries[i]
-		t.sends[j].pending, t.sends[j].transit, t.sends[j].ran = false, way.transit, way.ran
-		if _, good := t.attempts.Classify(way.answer, way.err); good {
-			t.told = answered
+		t := &next.attempts[i]
+		t.sends[j].pending, t.sends[j].inTransit, t.sends[j].ran = false, o.transit, o.ran
+		if _, good := t.decisions.Classify(o.answer, o.err); good {
+			t.result = answered
 			for k := range t.sends {
 				t.sends[k].pending = false // given up
 			}
 		}
-		x.play(next)
+		x.visit(next)
 	}
 }
 
 // check returns what is wrong with a world.
-func (x *exploration) check(w world) string {
+func (x *explorer) check(w systemState) string {
 	total := 0
-	for i, t := range w.tries {
+	for i, t := range w.attempts {
 		runs := t.runs()
 		total += runs
 		switch {
-		case t.told == refused && runs > 0:
+		case t.result == refused && runs > 0:
 			return fmt.Sprintf("try %d was refused as not run, and ran %d times", i, runs)
 		case x.kind == cfsite.KindOnce && runs > 1:
 			return fmt.Sprintf("try %d ran %d times", i, runs)
-		case len(t.sends) > exploredSends:
+		case len(t.sends) > maxSends:
 			return fmt.Sprintf("try %d was sent %d times", i, len(t.sends))
 		}
 	}
@@ -238,9 +238,9 @@
 	return ""
 }
 
-func explore(kind cfsite.RouteKind, b breach, targets int) *exploration {
-	x := &exploration{kind: kind, breach: b, targets: targets}
-	x.play(world{tries: []try{x.newTry()}})
+func explore(kind cfsite.RouteKind, b fault, targets int) *explorer {
+	x := &explorer{kind: kind, fault: b, targets: targets}
+	x.visit(systemState{attempts: []callerAttempt{x.newAttempt()}})
 	return x
 }
 
@@ -250,30 +250,30 @@
 func TestEveryScheduleRunsAtMostOnce(t *testing.T) {
 	for _, kind := range []cfsite.RouteKind{cfsite.KindOnce, cfsite.KindIdempotent} {
 		for targets := 1; targets <= 2; targets++ {
-			x := explore(kind, sound, targets)
-			t.Logf("kind %d, %d targets: %d worlds", kind, targets, x.worlds)
-			if x.broken != "" {
-				t.Errorf("kind %d, %d targets: %s", kind, targets, x.broken)
+			x := explore(kind, noFault, targets)
+			t.Logf("kind %d, %d targets: %d worlds", kind, targets, x.states)
+			if x.violation != "" {
+				t.Errorf("kind %d, %d targets: %s", kind, targets, x.violation)
 			}
 		}
 	}
-	if x := explore(cfsite.KindOnce, sound, exploredSends); x.broken != "" {
-		t.Errorf("%d targets: %s", exploredSends, x.broken)
+	if x := explore(cfsite.KindOnce, noFault, maxSends); x.violation != "" {
+		t.Errorf("%d targets: %s", maxSends, x.violation)
 	}
 }
 
 // What is seeded into the world or the instance is found.
 func TestExplorationFindsSeededFaults(t *testing.T) {
-	for name, b := range map[string]breach{
-		"a lost connection counts as none":     lostIsUnrun,
-		"a connection sends again by itself":   sentAgain,
-		"a request is refused when time is up": refusedLate,
+	for name, b := range map[string]fault{
+		"a lost connection counts as none":     lostCountsAsNotRun,
+		"a connection sends again by itself":   connectionResends,
+		"a request is refused when time is up": refusedAfterTimeout,
 	} {
 		x := explore(cfsite.KindOnce, b, 2)
-		if x.broken == "" {
+		if x.violation == "" {
 			t.Errorf("%s: nothing found", name)
 			continue
 		}
-		t.Logf("%s: %s", name, x.broken)
+		t.Logf("%s: %s", name, x.violation)
 	}
 }
--- a/core/cfbalance/pace_test.go
+++ b/core/cfbalance/pace_test.go
@@ -9,10 +9,10 @@
 	"currantford/core/cfbalance"
 )
 
-// playShared sends requests of 21 ms from 30 instances to three targets of 6 slots, whose
+// simulateSharedMachines sends requests of 21 ms from 30 instances to three targets of 6 slots, whose
 // machines are 2.5 times as slow for 15% of the time, redrawn every 600 ms. It returns the
 // mean time of an answer in ms, and the part of the requests begun at a slow target.
-func playShared(perSecond float64, ignore bool) (mean, slow float64) {
+func simulateSharedMachines(perSecond float64, ignore bool) (mean, slow float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	candidates := targets(3)
 	var all [30]*cfbalance.Balancer
@@ -30,7 +30,7 @@
 		id       cf.InstanceID
 		sent, at cf.Millis
 	}
-	var under []answer
+	var inFlight []answer
 	n, next := 0, 0.0
 	for now := cf.Millis(0); now < 120000; now++ {
 		for i, x := range candidates {
@@ -41,7 +41,7 @@
 				}
 			}
 		}
-		under = slices.DeleteFunc(under, func(a answer) bool {
+		inFlight = slices.DeleteFunc(inFlight, func(a answer) bool {
 			if a.at > now {
 				return false
 			}
@@ -66,7 +66,7 @@
 			slots := free[x.ID]
 			slices.Sort(slots)
 			slots[0] = max(slots[0], now) + cf.Millis(21*pace[x.ID]/100)
-			under = append(under, answer{b, x.ID, now, slots[0]})
+			inFlight = append(inFlight, answer{b, x.ID, now, slots[0]})
 		}
 	}
 	return mean / float64(n), slow / float64(n)
@@ -77,8 +77,8 @@
 // requests off a target long after it was said.
 func TestRequestsAvoidTargetsThatAreSlowNow(t *testing.T) {
 	for _, perSecond := range []float64{12, 108, 300, 600} {
-		before, slowBefore := playShared(perSecond, true)
-		now, slow := playShared(perSecond, false)
+		before, slowBefore := simulateSharedMachines(perSecond, true)
+		now, slow := simulateSharedMachines(perSecond, false)
 		t.Logf("%3.0f requests a second: %.1f ms and %.3f at slow targets without the pace, %.1f ms and %.3f with it", perSecond, before, slowBefore, now, slow)
 		if now > before+0.5 {
 			t.Errorf("%.0f requests a second: answers take %.1f ms, %.1f without the pace", perSecond, now, before)
--- a/core/cfbalance/retryscheduler.go
+++ b/core/cfbalance/retryscheduler.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// leastReturn is the shortest that a refused caller is told to wait: its
+	// minRetryAfter is the shortest that a refused caller is told to wait: its
 	// new connection alone takes some milliseconds.
-	leastReturn cf.Millis = 50
-	// mostReturn bounds the promise where places free slowly; what a service
+	minRetryAfter cf.Millis = 50
+	// maxRetryAfter bounds the promise where places free slowly; what a service
 	// does in three seconds is not known now.
-	mostReturn cf.Millis = 3000
-	// heedPart is the part of a caller's time left within which it heeds the
+	maxRetryAfter cf.Millis = 3000
+	// timeLeftDivisor is the part of a caller's time left within which it heeds the
 	// time that it is told.
-	heedPart = 3
-	// freeAfter is the part of an answer's time after which the first place
+	timeLeftDivisor = 3
+	// firstFreeFraction is the part of an answer's time after which the first place
 	// of a full service frees: on average its requests are half done.
-	freeAfter = 0.5
+	firstFreeFraction = 0.5
 )
 
 type (
@@ -37,31 +37,33 @@
 	// refused within a fraction of the time of an answer. It is safe for
 	// concurrent use.
 	RetryScheduler struct {
-		mu   sync.Mutex
-		next map[cf.ServiceName]float64 // Uptime of the next free place
+		mu       sync.Mutex
+		nextFree map[cf.ServiceName]float64 // Uptime of the next free place
 	}
 )
 
 // NewRetryScheduler returns a plan without promises.
-func NewRetryScheduler() *RetryScheduler { return &RetryScheduler{next: map[cf.ServiceName]float64{}} }
+func NewRetryScheduler() *RetryScheduler {
+	return &RetryScheduler{nextFree: map[cf.ServiceName]float64{}}
+}
 
 // RetryAfter returns when a caller with so much time left should come back to a full
 // service. instances is how many share the service's places.
 func (r *RetryScheduler) RetryAfter(service cf.ServiceName, t Throughput, instances int, left, now cf.Millis) cf.Millis {
 	if t.PerMs <= 0 {
-		return leastReturn
+		return minRetryAfter
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := max(r.next[service], float64(now)+freeAfter*t.ServiceTime)
-	r.next[service] = at + float64(max(instances, 1))/t.PerMs
+	at := max(r.nextFree[service], float64(now)+firstFreeFraction*t.ServiceTime)
+	r.nextFree[service] = at + float64(max(instances, 1))/t.PerMs
 	after := cf.Millis(at) - now
-	if most := min(mostReturn, left/heedPart); after > most {
+	if most := min(maxRetryAfter, left/timeLeftDivisor); after > most {
 		// It comes back then in any case; the place goes to the next.
-		r.next[service] = at
+		r.nextFree[service] = at
 		after = most
 	}
-	return max(after, leastReturn)
+	return max(after, minRetryAfter)
 }
 
 // Throughput returns how the candidates free places; targets that have failed
@@ -73,14 +75,14 @@
 	var t Throughput
 	known := 0
 	for _, c := range candidates {
-		s := b.state[c.ID]
-		if s == nil || s.work <= 0 || s.failures > 0 && now < s.avoid {
+		s := b.targets[c.ID]
+		if s == nil || s.meanServiceTime <= 0 || s.failures > 0 && now < s.avoidUntil {
 			continue
 		}
 		known++
-		t.ServiceTime += s.work
+		t.ServiceTime += s.meanServiceTime
 		if s.failures == 0 {
-			t.PerMs += float64(max(c.Slots, 1)) / s.work
+			t.PerMs += float64(max(c.Slots, 1)) / s.meanServiceTime
 		}
 	}
 	if known > 0 {
--- a/core/cfbalance/returns_test.go
+++ b/core/cfbalance/returns_test.go
@@ -8,11 +8,11 @@
 	"currantford/core/cfbalance"
 )
 
-// burst replays requests that arrive over a second, several times what two
+// simulateBurst replays requests that arrive over a second, several times what two
 // targets of four slots and four waiting places take, at answers of 400 ms.
 // Callers have 4 s and come back once, when they are told. It returns how many
 // were answered.
-func burst(requests, instances int, tell func(instance int, left, now cf.Millis) cf.Millis) int {
+func simulateBurst(requests, instances int, tell func(instance int, left, now cf.Millis) cf.Millis) int {
 	const slots, queue, work, time = 8, 8, 400, 4000
 	type arrival struct {
 		at, born cf.Millis
@@ -61,8 +61,8 @@
 	for range instances {
 		plans = append(plans, cfbalance.NewRetryScheduler())
 	}
-	fixed := burst(requests, instances, func(int, cf.Millis, cf.Millis) cf.Millis { return 100 })
-	planned := burst(requests, instances, func(instance int, left, now cf.Millis) cf.Millis {
+	fixed := simulateBurst(requests, instances, func(int, cf.Millis, cf.Millis) cf.Millis { return 100 })
+	planned := simulateBurst(requests, instances, func(instance int, left, now cf.Millis) cf.Millis {
 		return plans[instance].RetryAfter("s", throughput, instances, left, now)
 	})
 	t.Logf("answered of %d: %d when told 100 ms, %d when told a time of their own", requests, fixed, planned)
--- a/core/cfchange/cfchange.go
+++ b/core/cfchange/cfchange.go
@@ -13,9 +13,9 @@
 	"sort"
 )
 
-// loggedMost bounds the changes that are remembered. A reader that has missed more takes
+// maxEntries bounds the changes that are remembered. A reader that has missed more takes
 // the whole view.
-const loggedMost = 4096
+const maxEntries = 4096
 
 type (
 	// Log remembers which keys changed when. The zero value is empty. It is not safe
@@ -28,18 +28,18 @@
 	}
 
 	entry[K comparable] struct {
-		at  int64
-		key K
+		count int64
+		key   K
 	}
 )
 
 // Append records that a key changes with the change that is counted as at, which is not
 // lower than those before.
-func (l *Log[K]) Append(at int64, key K) {
-	l.entries = append(l.entries, entry[K]{at, key})
-	if len(l.entries) > loggedMost {
+func (l *Log[K]) Append(count int64, key K) {
+	l.entries = append(l.entries, entry[K]{count, key})
+	if len(l.entries) > maxEntries {
 		half := len(l.entries) / 2
-		l.forgotten = l.entries[half-1].at
+		l.forgotten = l.entries[half-1].count
 		l.entries = slices.Clone(l.entries[half:])
 	}
 }
@@ -50,7 +50,7 @@
 	if count < l.forgotten {
 		return nil, false
 	}
-	first := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].at > count })
+	first := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].count > count })
 	var out []K
 	seen := map[K]bool{}
 	for _, e := range l.entries[first:] {
--- a/core/cfhold/cfhold.go
+++ b/core/cfhold/cfhold.go
@@ -24,36 +24,36 @@
 )
 
 const (
-	// heldPart is the part of the process's memory that answers may take, as a divisor.
+	// heldDivisor is the part of the process's memory that answers may take, as a divisor.
 	// Bodies of requests may take another quarter, and the process itself needs about 40
 	// MB: together they stay under the limit from which the collector works harder.
-	heldPart = 4
-	// callerPart is the part of it that one caller may always take, as a divisor. It may
+	heldDivisor = 4
+	// callerDivisor is the part of it that one caller may always take, as a divisor. It may
 	// take more while as much is left for another caller.
-	callerPart = 4
-	// largePart is what answers of more than a smallPart of it leave free for the others, as
+	callerDivisor = 4
+	// spareDivisor is what answers of more than a smallPart of it leave free for the others, as
 	// a divisor: callers that read slowly take more room the larger their answers are, and
 	// those of the usual size (up to 0.7 MB on the smallest instances) go on beside them.
-	largePart = 4
-	smallPart = 64
-	// uncounted is up to which size an answer is held whatever else is: a refusal by a
+	spareDivisor = 4
+	smallDivisor = 64
+	// uncountedBytes is up to which size an answer is held whatever else is: a refusal by a
 	// target, an error or an empty page must go on, and a connection takes more by itself.
-	uncounted = 4 << 10
-	// unsurePart is the part of it that answers share which may have no end, as a divisor.
-	unsurePart = 2
-	// reservePart is what is kept beside it for pages of results, so that trainers can
+	uncountedBytes = 4 << 10
+	// unboundedDivisor is the part of it that answers share which may have no end, as a divisor.
+	unboundedDivisor = 2
+	// pageReserveDivisor is what is kept beside it for pages of results, so that trainers can
 	// read while answers to plain requests take all the room.
-	reservePart = 8
+	pageReserveDivisor = 8
 
 	// StallTimeout is how long a caller may read nothing while bytes wait for it, where half
 	// of the bound is taken or there is none. What a caller reads shows only when its
 	// machine announces room again, after 64 to 128 KB of a usual buffer: 20 s are a
 	// caller that reads less than 6 KB a second.
 	StallTimeout cf.Millis = 20000
-	// stallMost is the same up to a quarter of the bound, and falls from there: while
+	// maxStallTimeout is the same up to a quarter of the bound, and falls from there: while
 	// there is room waiting costs nobody anything, and at a kilobyte a second those 128 KB
 	// take 128 s.
-	stallMost cf.Millis = 150000
+	maxStallTimeout cf.Millis = 150000
 	// StreamWriteTimeout is how long one write of a stream may wait for its caller. The
 	// connection's buffers are full then, with more than a whole text, and what waits
 	// is held up at the target. With CheckInterval it ends within a second, before the stream
@@ -138,21 +138,21 @@
 		caller Caller
 		kind   Kind
 		bytes  int64
-		// unsure are those of them that were taken for an answer that may have no end.
-		unsure int64
-		// wants is what waits for room, zero if nothing does.
-		wants int64
-		cut   bool
+		// unbounded are those of them that were taken for an answer that may have no end.
+		unbounded int64
+		// wanted is what waits for room, zero if nothing does.
+		wanted int64
+		cut    bool
 
 		// write is the write to the caller that is under way, as numbered by its
 		// connection; blocked is when it was first seen, zero if none is.
-		write   uint64
-		blocked cf.Millis
+		write        uint64
+		blockedSince cf.Millis
 		// acked are the bytes that the caller's machine has acknowledged, first as of
 		// blocked; moved is when that changed last.
-		acked, first int64
-		looked       cf.Millis
-		moved        cf.Millis
+		acked, ackedAtStart int64
+		observedAt          cf.Millis
+		ackedAt             cf.Millis
 	}
 
 	// Cut is an answer that is to be cut off.
@@ -168,20 +168,20 @@
 
 	// Ledger is what an instance holds. It is not safe for concurrent use.
 	Ledger struct {
-		bounds  Bounds
-		policy  Policy
-		total   int64
-		unsure  int64
-		last    uint64
-		callers map[Caller]int64
+		bounds    Bounds
+		policy    Policy
+		total     int64
+		unbounded int64
+		lastID    uint64
+		callers   map[Caller]int64
 		// blocked and waiting are those holds of which it is so; both are empty while
 		// callers read at a usual pace.
 		blocked, waiting map[*Reservation]bool
 	}
 
-	// plan is what is held as it will be after some cuts.
-	plan struct {
-		l       *Ledger
+	// projection is what is held as it will be after some cuts.
+	projection struct {
+		ledger  *Ledger
 		total   int64
 		callers map[Caller]int64
 	}
@@ -189,8 +189,8 @@
 
 // BoundsFor returns the bounds of a process with a memory limit in bytes, zero if it has none.
 func BoundsFor(memory int64) Bounds {
-	total := memory / heldPart
-	return Bounds{Total: total, PerCaller: total / callerPart, SmallAnswer: total / smallPart, Spare: total / largePart, Unbounded: total / unsurePart, PageReserve: total / reservePart}
+	total := memory / heldDivisor
+	return Bounds{Total: total, PerCaller: total / callerDivisor, SmallAnswer: total / smallDivisor, Spare: total / spareDivisor, Unbounded: total / unboundedDivisor, PageReserve: total / pageReserveDivisor}
 }
 
 // New returns a ledger that holds nothing.
@@ -200,8 +200,8 @@
 
 // Open begins an answer.
 func (l *Ledger) Open(c Caller, k Kind) *Reservation {
-	l.last++
-	return &Reservation{id: l.last, caller: c, kind: k}
+	l.lastID++
+	return &Reservation{id: l.lastID, caller: c, kind: k}
 }
 
 // Held returns how many bytes are held.
@@ -217,7 +217,7 @@
 	wants := int64(0)
 	for h := range l.waiting {
 		if h.caller == c {
-			wants += h.wants
+			wants += h.wanted
 		}
 	}
 	return wants >= l.bounds.PerCaller/2
@@ -232,10 +232,10 @@
 
 // TakeUpTo takes between least and most bytes, as many as there is room for.
 func (l *Ledger) TakeUpTo(h *Reservation, least, most int64) (int64, Verdict) {
-	now := plan{l, l.total, l.callers}
+	now := projection{l, l.total, l.callers}
 	var n int64
 	switch {
-	case most <= uncounted && h.bytes == 0:
+	case most <= uncountedBytes && h.bytes == 0:
 		return most, Granted
 	case now.fits(h, most):
 		n = most
@@ -243,7 +243,7 @@
 		l.StopWaiting(h)
 		return 0, TooLarge
 	case !now.fits(h, least):
-		h.wants = least
+		h.wanted = least
 		l.waiting[h] = true
 		return 0, Wait
 	default:
@@ -260,13 +260,13 @@
 // many. It may become as large as what is left of its part of the room (a dynamic threshold),
 // so that a target that sends without end leaves room for answers of others.
 func (l *Ledger) TakeUnbounded(h *Reservation, n int64) bool {
-	now := plan{l, l.total, l.callers}
-	if l.bounded() && (h.unsure+n > l.bounds.Unbounded-l.unsure || !now.fits(h, n)) {
+	now := projection{l, l.total, l.callers}
+	if l.bounded() && (h.unbounded+n > l.bounds.Unbounded-l.unbounded || !now.fits(h, n)) {
 		return false
 	}
 	h.bytes += n
-	h.unsure += n
-	l.unsure += n
+	h.unbounded += n
+	l.unbounded += n
 	l.total += n
 	l.callers[h.caller] += n
 	return true
@@ -275,9 +275,9 @@
 // Release gives n bytes of an answer back, those first that may have had no end.
 func (l *Ledger) Release(h *Reservation, n int64) {
 	n = min(n, h.bytes) // the first bytes of an answer are not counted
-	unsure := min(n, h.unsure)
-	h.unsure -= unsure
-	l.unsure -= unsure
+	unsure := min(n, h.unbounded)
+	h.unbounded -= unsure
+	l.unbounded -= unsure
 	h.bytes -= n
 	l.total -= n
 	if l.callers[h.caller] -= n; l.callers[h.caller] == 0 {
@@ -287,7 +287,7 @@
 
 // StopWaiting notes that an answer waits for room no longer.
 func (l *Ledger) StopWaiting(h *Reservation) {
-	h.wants = 0
+	h.wanted = 0
 	delete(l.waiting, h)
 }
 
@@ -301,19 +301,19 @@
 // ObserveWrite notes that a write to an answer's caller is under way, and how many bytes the caller's
 // machine has acknowledged on the connection.
 func (l *Ledger) ObserveWrite(h *Reservation, write uint64, acked int64, now cf.Millis) {
-	if h.blocked == 0 || h.write != write {
-		h.write, h.blocked, h.moved, h.first, h.acked = write, now, now, acked, acked
+	if h.blockedSince == 0 || h.write != write {
+		h.write, h.blockedSince, h.ackedAt, h.ackedAtStart, h.acked = write, now, now, acked, acked
 	}
 	if acked != h.acked {
-		h.acked, h.moved = acked, now
+		h.acked, h.ackedAt = acked, now
 	}
-	h.looked = now
+	h.observedAt = now
 	l.blocked[h] = true
 }
 
 // WriteDone notes that no write to an answer's caller is under way.
 func (l *Ledger) WriteDone(h *Reservation) {
-	h.blocked = 0
+	h.blockedSince = 0
 	delete(l.blocked, h)
 }
 
@@ -324,24 +324,24 @@
 	}
 	var cuts []Cut
 	var slow []*Reservation
-	after := plan{l, l.total, map[Caller]int64{}}
+	after := projection{l, l.total, map[Caller]int64{}}
 	for c, n := range l.callers {
 		after.callers[c] = n
 	}
 	cut := func(h *Reservation, r Reason) {
 		h.cut = true
-		after.free(h)
-		cuts = append(cuts, Cut{Reservation: h, Reason: r, Caller: h.caller, Bytes: h.bytes, Rate: h.rate(), Blocked: now - h.blocked})
+		after.release(h)
+		cuts = append(cuts, Cut{Reservation: h, Reason: r, Caller: h.caller, Bytes: h.bytes, Rate: h.rate(), Blocked: now - h.blockedSince})
 	}
-	for _, h := range l.sorted(l.blocked) {
+	for _, h := range l.byAge(l.blocked) {
 		switch {
-		case now-h.looked > 2*CheckInterval:
+		case now-h.observedAt > 2*CheckInterval:
 			l.WriteDone(h) // its connection has ended
 		case h.cut:
-			after.free(h) // it ends at any moment
-		case h.kind == Stream && now-h.blocked >= StreamWriteTimeout:
+			after.release(h) // it ends at any moment
+		case h.kind == Stream && now-h.blockedSince >= StreamWriteTimeout:
 			cut(h, SlowStream)
-		case now-h.moved >= l.stallAfter():
+		case now-h.ackedAt >= l.stallTimeout():
 			cut(h, Stalled)
 		case h.blocksWaiters(now):
 			slow = append(slow, h)
@@ -350,44 +350,44 @@
 	if len(l.waiting) == 0 {
 		return cuts
 	}
-	slices.SortStableFunc(slow, l.before)
-	for _, w := range l.sorted(l.waiting) {
-		for !after.fits(w, w.wants) {
+	slices.SortStableFunc(slow, l.compareForCut)
+	for _, w := range l.byAge(l.waiting) {
+		for !after.fits(w, w.wanted) {
 			i := slices.IndexFunc(slow, func(h *Reservation) bool { return !h.cut && after.freesRoomFor(w, h) })
 			if i < 0 {
 				break
 			}
 			cut(slow[i], Slowest)
 		}
-		after.total += w.wants
-		after.callers[w.caller] += w.wants
+		after.total += w.wanted
+		after.callers[w.caller] += w.wanted
 	}
 	return cuts
 }
 
-// stallAfter returns how long a caller may read nothing.
-func (l *Ledger) stallAfter() cf.Millis {
+// stallTimeout returns how long a caller may read nothing.
+func (l *Ledger) stallTimeout() cf.Millis {
 	quarter := l.bounds.Total / 4
 	if l.total >= 2*quarter {
 		return StallTimeout
 	}
-	return StallTimeout + (stallMost-StallTimeout)*cf.Millis(min(quarter, 2*quarter-l.total))/cf.Millis(quarter)
+	return StallTimeout + (maxStallTimeout-StallTimeout)*cf.Millis(min(quarter, 2*quarter-l.total))/cf.Millis(quarter)
 }
 
-// before orders those that may be cut: callers over their part first, then by pace, and
+// compareForCut orders those that may be cut: callers over their part first, then by pace, and
 // of those that show none yet the one that has shown none for longest.
-func (l *Ledger) before(a, b *Reservation) int {
+func (l *Ledger) compareForCut(a, b *Reservation) int {
 	over := func(h *Reservation) int {
 		if l.callers[h.caller] > l.bounds.PerCaller {
 			return 0
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(over(a), over(b)), cmp.Compare(a.rate(), b.rate()), cmp.Compare(a.blocked, b.blocked))
+	return cmp.Or(cmp.Compare(over(a), over(b)), cmp.Compare(a.rate(), b.rate()), cmp.Compare(a.blockedSince, b.blockedSince))
 }
 
-// sorted returns holds by age.
-func (l *Ledger) sorted(holds map[*Reservation]bool) []*Reservation {
+// byAge returns holds by age.
+func (l *Ledger) byAge(holds map[*Reservation]bool) []*Reservation {
 	out := make([]*Reservation, 0, len(holds))
 	for h := range holds {
 		out = append(out, h)
@@ -413,40 +413,40 @@
 // blocksWaiters says whether an answer's caller will not have it within the time for which others
 // can wait.
 func (h *Reservation) blocksWaiters(now cf.Millis) bool {
-	if now-h.blocked < SlowWriteAfter || h.looked == h.blocked {
+	if now-h.blockedSince < SlowWriteAfter || h.observedAt == h.blockedSince {
 		return false
 	}
-	return h.bytes-(h.acked-h.first) > h.rate()*int64(MaxWait)/1000
+	return h.bytes-(h.acked-h.ackedAtStart) > h.rate()*int64(MaxWait)/1000
 }
 
 // rate returns the pace of an answer's caller in bytes a second.
 func (h *Reservation) rate() int64 {
-	if h.looked <= h.blocked {
+	if h.observedAt <= h.blockedSince {
 		return 0
 	}
-	return (h.acked - h.first) * 1000 / int64(h.looked-h.blocked)
+	return (h.acked - h.ackedAtStart) * 1000 / int64(h.observedAt-h.blockedSince)
 }
 
 // fits says whether n more bytes may be taken for an answer: by what is held in all, and by
 // the part of its caller, or as much is left for another one. One that is alone may take all.
-func (p *plan) fits(h *Reservation, n int64) bool {
-	limit := p.l.limit(h, n)
+func (p *projection) fits(h *Reservation, n int64) bool {
+	limit := p.ledger.limit(h, n)
 	switch {
-	case !p.l.bounded():
+	case !p.ledger.bounded():
 		return true
 	case p.total == h.bytes:
-		return p.total+n <= p.l.bounds.Total
+		return p.total+n <= p.ledger.bounds.Total
 	default:
-		return p.total+n <= limit && (p.callers[h.caller]+n <= p.l.bounds.PerCaller || p.total+n <= limit-p.l.bounds.PerCaller)
+		return p.total+n <= limit && (p.callers[h.caller]+n <= p.ledger.bounds.PerCaller || p.total+n <= limit-p.ledger.bounds.PerCaller)
 	}
 }
 
 // freesRoomFor says whether a cut brings an answer that waits nearer to its room.
-func (p *plan) freesRoomFor(w, h *Reservation) bool {
-	return h.bytes > 0 && (p.total+w.wants > p.l.limit(w, w.wants) || h.caller == w.caller)
+func (p *projection) freesRoomFor(w, h *Reservation) bool {
+	return h.bytes > 0 && (p.total+w.wanted > p.ledger.limit(w, w.wanted) || h.caller == w.caller)
 }
 
-func (p *plan) free(h *Reservation) {
+func (p *projection) release(h *Reservation) {
 	p.total -= h.bytes
 	p.callers[h.caller] -= h.bytes
 }
--- a/core/cfhold/cfhold_test.go
+++ b/core/cfhold/cfhold_test.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	memory = 184 << 20
-	tick   = 50 // ms
-	kernel = 256 << 10
-	// lump is how far apart it shows what a caller has read.
-	lump = 128 << 10
+	memory       = 184 << 20
+	tick         = 50 // ms
+	kernelBuffer = 256 << 10
+	// ackStep is how far apart it shows what a caller has read.
+	ackStep = 128 << 10
 )
 
 type (
 	// answer is one on its way to a caller, in the replay.
 	answer struct {
-		hold    *cfhold.Reservation
-		size    int64
-		rate    int64 // bytes a second
-		read    int64
-		since   cf.Millis
-		granted bool
-		slow    bool
+		reservation *cfhold.Reservation
+		size        int64
+		rate        int64 // bytes a second
+		read        int64
+		since       cf.Millis
+		granted     bool
+		slow        bool
 	}
 
 	outcome struct {
@@ -34,41 +34,41 @@
 	}
 )
 
-// play replays an instance before which some callers read a kilobyte a second, each of an
+// simulate replays an instance before which some callers read a kilobyte a second, each of an
 // answer of its own, and others 4 MB a second.
-func play(p cfhold.Policy, slowEvery cf.Millis, until cf.Millis) outcome {
+func simulate(p cfhold.Policy, slowEvery cf.Millis, until cf.Millis) outcome {
 	l := cfhold.New(cfhold.BoundsFor(memory), p)
-	var under []*answer
+	var inProgress []*answer
 	var out outcome
 	for now := cf.Millis(0); now < until; now += tick {
 		if now%slowEvery == 0 {
 			h := l.Open(cfhold.Caller(fmt.Sprint("slow", now%7)), cfhold.Answer)
-			under = append(under, &answer{hold: h, size: 900 << 10, rate: 1 << 10, since: now, slow: true})
+			inProgress = append(inProgress, &answer{reservation: h, size: 900 << 10, rate: 1 << 10, since: now, slow: true})
 		}
 		if now%100 == 0 {
-			under = append(under, &answer{hold: l.Open("other", cfhold.Answer), size: 300 << 10, rate: 4 << 20, since: now})
+			inProgress = append(inProgress, &answer{reservation: l.Open("other", cfhold.Answer), size: 300 << 10, rate: 4 << 20, since: now})
 		}
-		kept := under[:0]
-		for _, a := range under {
+		kept := inProgress[:0]
+		for _, a := range inProgress {
 			if a.step(l, now, &out) {
 				kept = append(kept, a)
 			}
 		}
-		under = kept
+		inProgress = kept
 		if now%cfhold.CheckInterval == 0 {
-			under = look(l, under, now, &out)
+			inProgress = checkAll(l, inProgress, now, &out)
 		}
 		out.most = max(out.most, l.Held())
 	}
-	out.slowLeft = len(under)
+	out.slowLeft = len(inProgress)
 	return out
 }
 
 // step goes on with an answer; false when it has ended.
 func (a *answer) step(l *cfhold.Ledger, now cf.Millis, out *outcome) bool {
 	if !a.granted {
-		if a.granted = l.Take(a.hold, a.size) == cfhold.Granted; !a.granted && now-a.since > cfhold.MaxWait {
-			l.Close(a.hold)
+		if a.granted = l.Take(a.reservation, a.size) == cfhold.Granted; !a.granted && now-a.since > cfhold.MaxWait {
+			l.Close(a.reservation)
 			if !a.slow {
 				out.failed++
 			}
@@ -77,23 +77,23 @@
 		return true
 	}
 	a.read += a.rate * tick / 1000
-	if a.read+kernel < a.size {
+	if a.read+kernelBuffer < a.size {
 		return true
 	}
-	l.Close(a.hold)
+	l.Close(a.reservation)
 	if !a.slow {
 		out.served++
 	}
 	return false
 }
 
-// look does what an instance does each CheckInterval.
-func look(l *cfhold.Ledger, under []*answer, now cf.Millis, out *outcome) []*answer {
+// checkAll does what an instance does each CheckInterval.
+func checkAll(l *cfhold.Ledger, inProgress []*answer, now cf.Millis, out *outcome) []*answer {
 	byHold := map[*cfhold.Reservation]*answer{}
-	for _, a := range under {
-		byHold[a.hold] = a
+	for _, a := range inProgress {
+		byHold[a.reservation] = a
 		if a.granted {
-			l.ObserveWrite(a.hold, 1, a.read/lump*lump, now)
+			l.ObserveWrite(a.reservation, 1, a.read/ackStep*ackStep, now)
 		}
 	}
 	for _, c := range l.Cuts(now) {
@@ -105,9 +105,9 @@
 		l.Close(c.Reservation)
 		delete(byHold, c.Reservation)
 	}
-	kept := under[:0]
-	for _, a := range under {
-		if byHold[a.hold] != nil {
+	kept := inProgress[:0]
+	for _, a := range inProgress {
+		if byHold[a.reservation] != nil {
 			kept = append(kept, a)
 		}
 	}
@@ -119,25 +119,25 @@
 // bound is passed.
 func TestSlowReadersLeaveRoomForOthers(t *testing.T) {
 	bounds := cfhold.BoundsFor(memory)
-	got := play(cfhold.Policy{}, 200, 60000)
+	got := simulate(cfhold.Policy{}, 200, 60000)
 	t.Logf("%+v", got)
 	if got.failed > 0 || got.served < 590 || got.most > bounds.Total || got.slowCut == 0 {
 		t.Errorf("%+v; want all others served and at most %d bytes held", got, bounds.Total)
 	}
-	if off := play(cfhold.Policy{Disabled: true}, 200, 60000); off.most <= bounds.Total {
+	if off := simulate(cfhold.Policy{Disabled: true}, 200, 60000); off.most <= bounds.Total {
 		t.Errorf("without the decision %+v: the load does not call for it", off)
 	}
 }
 
 // Symptom guarded against: callers are cut off for their pace alone, while there is room.
 func TestSteadyReadersAreServedWhileThereIsRoom(t *testing.T) {
-	if got := play(cfhold.Policy{}, 30000, 300000); got.slowCut > 0 || got.failed > 0 || got.slowLeft < 10 {
+	if got := simulate(cfhold.Policy{}, 30000, 300000); got.slowCut > 0 || got.failed > 0 || got.slowLeft < 10 {
 		t.Errorf("%+v; want none cut", got)
 	}
 }
 
 // Each decision by itself: who is cut, and what is granted.
-func TestDecisions(t *testing.T) {
+func TestCutsAndGrants(t *testing.T) {
 	const mb = 1 << 20
 	open := func(l *cfhold.Ledger, c cfhold.Caller, k cfhold.Kind, n int64) *cfhold.Reservation {
 		h := l.Open(c, k)
--- a/core/cfhold/usual.go
+++ b/core/cfhold/usual.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	// unsureFrom is up to which size no answer counts as one that may have no end.
-	unsureFrom = 128 << 10
-	// unsureFactor is how many times the largest answer of a service an answer has that
+	// minUnboundedBytes is up to which size no answer counts as one that may have no end.
+	minUnboundedBytes = 128 << 10
+	// unboundedFactor is how many times the largest answer of a service an answer has that
 	// counts so.
-	unsureFactor = 4
+	unboundedFactor = 4
 )
 
 // SizeTracker tells how large a service's answers may become before they count as ones that may have
@@ -30,5 +30,5 @@
 
 // MayBeUnbounded says whether an answer that has not told its length may have no end once it has n bytes.
 func (u *SizeTracker) MayBeUnbounded(s cf.ServiceName, n int64) bool {
-	return n > max(unsureFrom, unsureFactor*u.largest[s])
+	return n > max(minUnboundedBytes, unboundedFactor*u.largest[s])
 }
--- a/core/cfhold/usual_test.go
+++ b/core/cfhold/usual_test.go
@@ -15,9 +15,9 @@
 	for _, sure := range []bool{false, true} {
 		l, u := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
 		type endless struct {
-			hold       *cfhold.Reservation
-			read, room int64
-			waits      cf.Millis
+			reservation *cfhold.Reservation
+			read, room  int64
+			waits       cf.Millis
 		}
 		under := make([]*endless, 150)
 		var sound []*cfhold.Reservation
@@ -29,19 +29,19 @@
 			}
 			for i, e := range under {
 				if e == nil {
-					under[i] = &endless{hold: l.Open(cfhold.Caller(fmt.Sprint("other", i)), cfhold.Answer)}
+					under[i] = &endless{reservation: l.Open(cfhold.Caller(fmt.Sprint("other", i)), cfhold.Answer)}
 					continue
 				}
 				for e.read += 60 << 10; e.room < e.read; {
 					more := max(e.room, 4<<10)
 					unsure := !sure && u.MayBeUnbounded("endless", e.room+more)
-					if unsure && l.TakeUnbounded(e.hold, more) || !unsure && l.Take(e.hold, more) == cfhold.Granted {
+					if unsure && l.TakeUnbounded(e.reservation, more) || !unsure && l.Take(e.reservation, more) == cfhold.Granted {
 						e.room += more
 						continue
 					}
 					e.read = e.room // no more is read while it waits
 					if e.waits += 100; unsure || e.waits > cfhold.MaxWait {
-						l.Close(e.hold)
+						l.Close(e.reservation)
 						under[i] = nil
 					}
 					break
--- a/core/cfpatch/cfpatch.go
+++ b/core/cfpatch/cfpatch.go
@@ -22,15 +22,15 @@
 	// baseID names the base within a packed document. Which base it is, sender and recipient
 	// agree on by themselves.
 	baseID = 1
-	// leastWindow is the smallest span in bytes that is searched for what is alike.
-	leastWindow = 32 << 10
+	// minWindow is the smallest span in bytes that is searched for what is alike.
+	minWindow = 32 << 10
 )
 
 // Pack returns document packed for a recipient that has base, nil if it has none.
 func Pack(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(windowOf(len(base) + len(document))),
+		zstd.WithWindowSize(windowSize(len(base) + len(document))),
 	}
 	if base != nil {
 		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
@@ -45,9 +45,9 @@
 
 // Unpack returns the document of at most most bytes that was packed with base. It is
 // ErrCorrupt if it differs from what was packed.
-func Unpack(base, packed []byte, most int) ([]byte, error) {
+func Unpack(base, packed []byte, maxBytes int) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(max(most, 1))),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(max(maxBytes, 1))),
 	}
 	if base != nil {
 		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
@@ -64,7 +64,7 @@
 	return document, nil
 }
 
-// windowOf returns the span that reaches from the end of the document to the base's begin.
-func windowOf(bytes int) int {
-	return min(max(leastWindow, 1<<bits.Len(uint(bytes))), zstd.MaxWindowSize)
+// windowSize returns the span that reaches from the end of the document to the base's begin.
+func windowSize(bytes int) int {
+	return min(max(minWindow, 1<<bits.Len(uint(bytes))), zstd.MaxWindowSize)
 }
--- a/core/cfpatch/cfpatch_test.go
+++ b/core/cfpatch/cfpatch_test.go
@@ -27,8 +27,8 @@
 }
 
 // Load: a document of thousands of entries of which a few change.
-func TestWhatIsSentFollowsTheChange(t *testing.T) {
-	const most = 4 << 20
+func TestPackedSizeFollowsTheChange(t *testing.T) {
+	const maxBytes = 4 << 20
 	for _, n := range []int{0, 1, 40, 1400, 10_000} {
 		base, next := document(n), document(n, n/3, n/2)
 		whole, err := cfpatch.Pack(nil, next)
@@ -43,7 +43,7 @@
 			t.Errorf("%d entries: %d bytes, whole %d, change %d", n, len(next), len(whole), len(change))
 		}
 		for name, c := range map[string]struct{ base, packed []byte }{"whole": {nil, whole}, "change": {base, change}} {
-			if got, err := cfpatch.Unpack(c.base, c.packed, most); err != nil || !bytes.Equal(got, next) {
+			if got, err := cfpatch.Unpack(c.base, c.packed, maxBytes); err != nil || !bytes.Equal(got, next) {
 				t.Errorf("%d entries, %s: %d bytes, %v", n, name, len(got), err)
 			}
 		}
@@ -51,7 +51,7 @@
 }
 
 // What was packed with another base, is cut short, damaged or too large is an error.
-func TestDamageIsSeen(t *testing.T) {
+func TestUnpackDetectsDamage(t *testing.T) {
 	base, next := document(400), document(400, 7)
 	packed, err := cfpatch.Pack(base, next)
 	if err != nil {
@@ -61,7 +61,7 @@
 	damaged[len(damaged)/2] ^= 1
 	for name, c := range map[string]struct {
 		base, packed []byte
-		most         int
+		maxBytes     int
 	}{
 		"another base": {document(400, 9), packed, 1 << 20},
 		"no base":      {nil, packed, 1 << 20},
@@ -69,7 +69,7 @@
 		"damaged":      {base, damaged, 1 << 20},
 		"too large":    {base, packed, len(next) - 1},
 	} {
-		if got, err := cfpatch.Unpack(c.base, c.packed, c.most); !errors.Is(err, cfpatch.ErrCorrupt) {
+		if got, err := cfpatch.Unpack(c.base, c.packed, c.maxBytes); !errors.Is(err, cfpatch.ErrCorrupt) {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
 	}
--- a/core/cfpeak/cfpeak.go
+++ b/core/cfpeak/cfpeak.go
@@ -16,20 +16,20 @@
 // Peak is the most of a number in the last one or two spans. The zero value has seen
 // nothing.
 type Peak struct {
-	now, before int
-	since       cf.Millis
+	current, previous int
+	startedAt         cf.Millis
 }
 
 // Observe takes the number as of at.
 func (p *Peak) Observe(n int, at cf.Millis) {
 	p.Max(at)
-	p.now = max(p.now, n)
+	p.current = max(p.current, n)
 }
 
 // Max returns the most, as of at.
 func (p *Peak) Max(at cf.Millis) int {
-	if at-p.since > span {
-		p.before, p.now, p.since = p.now, 0, at
+	if at-p.startedAt > span {
+		p.previous, p.current, p.startedAt = p.current, 0, at
 	}
-	return max(p.before, p.now)
+	return max(p.previous, p.current)
 }
--- a/core/cfslow/cfslow_test.go
+++ b/core/cfslow/cfslow_test.go
@@ -11,10 +11,10 @@
 
 const quietPace = 49
 
-// watch shows twelve engines until an end, every 20 ms, each slow for 600 ms and quiet for 3,400,
+// observeEngines shows twelve engines until an end, every 20 ms, each slow for 600 ms and quiet for 3,400,
 // one after the other, with an error of their paces. It returns the first, which has just
 // turned slow.
-func watch(p *cfslow.Periods, to cf.Millis, noise float64) *cfslow.EngineState {
+func observeEngines(p *cfslow.Periods, to cf.Millis, noise float64) *cfslow.EngineState {
 	random := rand.New(rand.NewPCG(2, 3))
 	var engines [12]cfslow.EngineState
 	for now := cf.Millis(20); now <= to; now += 20 {
@@ -33,7 +33,7 @@
 func TestPeriodsAreLearned(t *testing.T) {
 	for _, noise := range []float64{0, 0.08} {
 		p := &cfslow.Periods{}
-		s := watch(p, 120000, noise)
+		s := observeEngines(p, 120000, noise)
 		if !p.Reliable(120000) || math.Abs(p.Mean()-600) > 120 || math.Abs(p.SlowFraction()-0.15) > 0.03 || math.Abs(p.Slowdown()-2.5) > 0.3 || math.Abs(s.BaselinePace()-quietPace) > 3 {
 			t.Errorf("noise %.2f: known %t, mean %.0f, share %.3f, slowdown %.2f, lasting pace %.1f", noise, p.Reliable(120000), p.Mean(), p.SlowFraction(), p.Slowdown(), s.BaselinePace())
 		}
@@ -45,7 +45,7 @@
 
 // Guards against a lasting pace that bursts and late events pull down until every engine looks
 // slow.
-func TestBurstsLeaveTheLastingPace(t *testing.T) {
+func TestBurstsDoNotChangeTheBaselinePace(t *testing.T) {
 	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(0); now < 60000; now += 20 {
 		pace := float64(quietPace)
@@ -63,7 +63,7 @@
 }
 
 // Guards against an engine that is slow for good being taken for one that will be fast again.
-func TestLastingSlownessBecomesThePace(t *testing.T) {
+func TestLastingSlownessBecomesTheBaselinePace(t *testing.T) {
 	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(20); now < 20000; now += 20 {
 		pace := float64(quietPace)
@@ -78,10 +78,10 @@
 }
 
 // Guards against moves near the end of a period (the planner asks for 100 ms), of short texts, or to an engine as bad.
-func TestWhatAMoveSaves(t *testing.T) {
+func TestTimeSavedByMove(t *testing.T) {
 	p := &cfslow.Periods{}
 	now := cf.Millis(120100)
-	s := watch(p, now, 0)
+	s := observeEngines(p, now, 0)
 	place := cfslow.Destination{Pace: s.BaselinePace()} // as the planner takes it, unless it is clearly lower
 	saves := func(left float64, to cfslow.Destination, now cf.Millis) float64 {
 		return p.TimeSaved(cfslow.Run{EventsLeft: left}, s, to, 80, now)
--- a/core/cfslow/saves.go
+++ b/core/cfslow/saves.go
@@ -3,13 +3,13 @@
 import cf "currantford"
 
 const (
-	// costPrior is what a move is taken to cost until some have shown it, in ms: a new
+	// priorCost is what a move is taken to cost until some have shown it, in ms: a new
 	// connection, the orders to stop and to start, and the text that is read again, which
 	// takes 35 ms. costWeight is the weight of the newest; costLeast and costMost bound it.
-	costPrior  = 80
+	priorCost  = 80
 	costWeight = 0.1
-	costLeast  = 30
-	costMost   = 300
+	minCost    = 30
+	maxCost    = 300
 )
 
 type (
@@ -37,14 +37,14 @@
 // Ms returns the cost in ms.
 func (c *MoveCost) Ms() float64 {
 	if c.ms == 0 {
-		return costPrior
+		return priorCost
 	}
 	return c.ms
 }
 
 // Observe takes what a move has cost.
 func (c *MoveCost) Observe(ms float64) {
-	ms = min(max(ms, costLeast), costMost)
+	ms = min(max(ms, minCost), maxCost)
 	c.ms = c.Ms() + costWeight*(ms-c.Ms())
 }
 
@@ -52,7 +52,7 @@
 // the slow pace until the period ends and then at the lasting one, against all of it
 // elsewhere, after the cost of the move and with the event under way lost.
 func (p *Periods) TimeSaved(run Run, s *EngineState, to Destination, cost float64, now cf.Millis) float64 {
-	usual := s.usual
+	usual := s.baseline
 	stay := 0.0
 	if left := run.EventsLeft; s.Slow(now) {
 		slow := usual * max(s.ratio, 1)
