--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -296,20 +296,20 @@
 
 // scan passes over the targets, and notes the least time in which one should answer.
 func (s *service) scan(t *Ticket, now cf.Millis) targetScan {
-	var k targetScan
+	var found targetScan
 	var late *limit // the same where an answer would be late
-	quickest, left := math.Inf(1), t.timeLeft(now)
+	minAnswer, left := math.Inf(1), t.timeLeft(now)
 	for i, l := range s.targetLimits {
 		tried := len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID]
 		if !tried {
-			k.untried++
+			found.untried++
 		}
-		if l.unavailable(now) {
+		if l.down(now) {
 			continue
 		}
 		if !l.active(now) {
 			if now-l.reportedAt <= reportMaxAge {
-				k.unlimited = k.unlimited || !tried
+				found.unlimited = found.unlimited || !tried
 				continue
 			}
 			l.activate(s.objective, s.instances, now)
@@ -318,9 +318,9 @@
 			l.tokens = min(l.tokens, unreportedLevel) // as all instances find it at once
 		}
 		l.refill(now)
-		k.totalRate += l.rate
+		found.totalRate += l.rate
 		answer := l.answerTime(now)
-		quickest = min(quickest, answer)
+		minAnswer = min(minAnswer, answer)
 		if tried || now < l.pausedUntil || l.inFlight >= l.maxInFlight || t.request.MayHaveRun && l.nearFull(s.objective, now) {
 			continue
 		}
@@ -328,15 +328,15 @@
 			late = withMoreTokens(late, l)
 			continue
 		}
-		k.best = withMoreTokens(k.best, l)
+		found.best = withMoreTokens(found.best, l)
 	}
-	if s.minAnswerTime = 0; k.totalRate > 0 {
-		s.minAnswerTime = quickest
+	if s.minAnswerTime = 0; found.totalRate > 0 {
+		s.minAnswerTime = minAnswer
 	}
 	if t.request.MayHaveRun || t.late(now) {
-		k.best = withMoreTokens(late, k.best)
+		found.best = withMoreTokens(late, found.best)
 	}
-	return k
+	return found
 }
 
 // withMoreTokens returns which of two limits has more unused rate; either may be nil.
@@ -351,7 +351,7 @@
 func (s *service) timeToLevel(t *Ticket, level float64, now cf.Millis) float64 {
 	soonest := math.Inf(1)
 	for i, l := range s.targetLimits {
-		if len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID] || l.unavailable(now) || l.inFlight >= l.maxInFlight || l.rate <= 0 {
+		if len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID] || l.down(now) || l.inFlight >= l.maxInFlight || l.rate <= 0 {
 			continue
 		}
 		soonest = min(soonest, max((level-l.tokens)/l.rate, float64(l.pausedUntil-now), 0))
@@ -361,33 +361,33 @@
 
 // poll decides while the service is limited.
 func (s *service) poll(t *Ticket, now cf.Millis) Decision {
-	k := s.scan(t, now)
-	perS := k.totalRate * 1000
+	found := s.scan(t, now)
+	perS := found.totalRate * 1000
 	switch {
-	case k.unlimited:
+	case found.unlimited:
 		return Decision{State: Send}
-	case k.untried == 0:
+	case found.untried == 0:
 		return Decision{State: Refuse, Reason: TargetsRefused, SendPerS: perS}
-	case k.totalRate == 0:
+	case found.totalRate == 0:
 		return Decision{State: Send} // all are lost: a try is better than a refusal
 	}
-	s.shares.divide(k.totalRate, now)
+	s.shares.divide(found.totalRate, now)
 	level := t.requiredLevel(now)
-	ahead, blocked := s.ahead(t, k.best, now)
-	if k.best != nil && k.best.tokens >= level && !blocked && !t.evicted {
-		k.best.tokens--
-		t.granted = k.best
+	ahead, blocked := s.ahead(t, found.best, now)
+	if found.best != nil && found.best.tokens >= level && !blocked && !t.evicted {
+		found.best.tokens--
+		t.granted = found.best
 		return Decision{State: Send, SendPerS: perS}
 	}
-	at := now + max(cf.Millis(min(s.timeToLevel(t, level, now)+float64(ahead)/k.totalRate, maxWait)), minPoll)
-	last := t.sendBy(now)
+	at := now + max(cf.Millis(min(s.timeToLevel(t, level, now)+float64(ahead)/found.totalRate, maxWait)), minPoll)
+	sendBy := t.sendBy(now)
 	if t.request.MayHaveRun {
-		if now >= last {
+		if now >= sendBy {
 			return Decision{State: Send} // a try is better than a failure
 		}
-		at = min(at, now+mustSendPoll, last)
+		at = min(at, now+mustSendPoll, sendBy)
 	}
-	if t.evicted || at > last {
+	if t.evicted || at > sendBy {
 		return Decision{State: Refuse, Reason: t.reason(now), SendPerS: perS}
 	}
 	if t.request.NoWait {
@@ -396,7 +396,7 @@
 	if !t.queued {
 		s.push(t, now)
 	}
-	return Decision{State: Wait, Until: min(at, last), SendPerS: perS}
+	return Decision{State: Wait, Until: min(at, sendBy), SendPerS: perS}
 }
 
 // Excluded says whether a request that may be sent can't go to a target now.
@@ -407,7 +407,7 @@
 	switch {
 	case t.granted == nil || l == nil || l == t.granted:
 		return false
-	case l.unavailable(now) || now < l.pausedUntil || l.inFlight >= l.maxInFlight && l.active(now):
+	case l.down(now) || now < l.pausedUntil || l.inFlight >= l.maxInFlight && l.active(now):
 		return true
 	case !t.request.MayHaveRun && !t.late(now) && l.answerTime(now) > t.timeLeft(now):
 		return true
@@ -472,7 +472,7 @@
 		return 0, 0
 	}
 	for _, l := range s.targetLimits {
-		if l.failures == 0 {
+		if l.losses == 0 {
 			perMs += l.rate * float64(s.instances)
 		}
 	}
--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -8,24 +8,22 @@
 	"currantford/core/cfadmission"
 )
 
-// usualRate is the rate of an organisation per second: three large ones have half of 12.
-func usualRate(org int) float64 {
+// usual is the rate of an organisation per second: three large ones have half of 12.
+func usual(org int) float64 {
 	if org < 3 {
 		return 2
 	}
 	return 6.0 / 70
 }
 
-func timesUsual(n float64) func(org int) float64 {
-	return func(org int) float64 { return n * usualRate(org) }
-}
+func scaled(n float64) func(org int) float64 { return func(org int) float64 { return n * usual(org) } }
 
 // flood is ninety times the usual rate for eight seconds, with one of three targets lost half
 // a second after its start, and the usual rate before and after.
 func flood(seed uint64) scenario {
 	return scenario{
 		orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, lostAt: 10500, seed: seed,
-		phases: []phase{{10000, usualRate}, {18000, timesUsual(90)}, {20000, usualRate}, {26000, usualRate}},
+		phases: []phase{{10000, usual}, {18000, scaled(90)}, {20000, usual}, {26000, usual}},
 	}
 }
 
@@ -114,12 +112,12 @@
 // Load: one organisation of 73 asks for ten times its usual part, where usually 0.6 of the
 // slots are used. Without shares it displaces everybody.
 func TestBurstOfOneOrganisationLeavesOthersTheirShare(t *testing.T) {
-	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, timesUsual(36)}, {18000, func(org int) float64 {
+	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(36)}, {18000, func(org int) float64 {
 		if org == 0 {
-			return 360 * usualRate(org)
+			return 360 * usual(org)
 		}
-		return 36 * usualRate(org)
-	}}, {20000, timesUsual(36)}}}
+		return 36 * usual(org)
+	}}, {20000, scaled(36)}}}
 	others := func(r *simulation) float64 {
 		o := sum(r.byOrg[1:])
 		return float64(o.inTime) / float64(o.asked)
@@ -154,7 +152,7 @@
 
 // Load: two thirds of what the targets can do. No request waits that needn't.
 func TestNoEffectBelowSaturation(t *testing.T) {
-	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, timesUsual(20)}, {20000, timesUsual(36)}}}
+	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(20)}, {20000, scaled(36)}}}
 	on := sum(simulate(l).byPhase)
 	l.disabled = true
 	off := sum(simulate(l).byPhase)
--- a/core/cfadmission/callers.go
+++ b/core/cfadmission/callers.go
@@ -14,11 +14,11 @@
 	// safe for concurrent use.
 	DeadlineTracker struct {
 		mu     sync.Mutex
-		routes map[string]*deadlineWindow
+		routes map[string]*window
 	}
 
-	// deadlineWindow is the longest deadline of a route's requests in a span and in the one before.
-	deadlineWindow struct {
+	// window is the longest deadline of a route's requests in a span and in the one before.
+	window struct {
 		current, previous cf.Millis
 		startedAt         cf.Millis
 	}
@@ -29,9 +29,7 @@
 const windowSpan cf.Millis = 15000
 
 // NewDeadlineTracker returns one that has seen no request.
-func NewDeadlineTracker() *DeadlineTracker {
-	return &DeadlineTracker{routes: map[string]*deadlineWindow{}}
-}
+func NewDeadlineTracker() *DeadlineTracker { return &DeadlineTracker{routes: map[string]*window{}} }
 
 // Spent returns what a caller had used before a request on a route with a deadline, zero if
 // it bears none.
@@ -43,7 +41,7 @@
 	defer c.mu.Unlock()
 	b := c.routes[route]
 	if b == nil {
-		b = &deadlineWindow{startedAt: now}
+		b = &window{startedAt: now}
 		c.routes[route] = b
 	}
 	if now-b.startedAt >= 2*windowSpan {
--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -52,8 +52,8 @@
 		hasFreeSlot bool
 		// activeUntil is when the limit ceases to act; held forbids sends for a moment.
 		activeUntil, pausedUntil cf.Millis
-		// failures counts losses since the last answer; lost is until when it gets nothing.
-		failures  int
+		// losses counts losses since the last answer; lost is until when it gets nothing.
+		losses    int
 		lostUntil cf.Millis
 		// shareFactor is what this instance takes of an equal share, rate the starts per ms that
 		// follow, bound the most in flight at once.
@@ -149,11 +149,9 @@
 // active says whether the limit acts.
 func (l *limit) active(now cf.Millis) bool { return now < l.activeUntil }
 
-// unavailable says whether the target gets nothing since it was lost. Afterwards one request at
+// down says whether the target gets nothing since it was lost. Afterwards one request at
 // a time tries it, until it has answered.
-func (l *limit) unavailable(now cf.Millis) bool {
-	return now < l.lostUntil || l.failures > 0 && l.inFlight > 0
-}
+func (l *limit) down(now cf.Millis) bool { return now < l.lostUntil || l.losses > 0 && l.inFlight > 0 }
 
 // desiredQueue is how many requests should wait at the target. What the objective leaves beside the
 // work, its spread and the network is divided by aimPart: the rest is for the wait here, and
@@ -179,8 +177,8 @@
 // nearFull says that the target may refuse: by its last load report, and the time since, its queue is
 // over half more than the aim.
 func (l *limit) nearFull(objective, now cf.Millis) bool {
-	aim := l.desiredQueue(objective)
-	return now < l.pausedUntil || (l.waiting-aim)/(1+float64(now-l.reportedAt)/queueHalvingTime) > aim/2
+	desired := l.desiredQueue(objective)
+	return now < l.pausedUntil || (l.waiting-desired)/(1+float64(now-l.reportedAt)/queueHalvingTime) > desired/2
 }
 
 // answerTime is within what time an answer is expected: the queue, the work, and its spread.
@@ -194,19 +192,19 @@
 
 // queueError is by which part of its aim the queue is too short (above zero) or too long.
 func (l *limit) queueError(objective cf.Millis) float64 {
-	aim := l.desiredQueue(objective)
-	return max((aim-l.waiting)/aim, -2)
+	desired := l.desiredQueue(objective)
+	return max((desired-l.waiting)/desired, -2)
 }
 
 // updateRate sets the rate and what follows from it. share is the part of an instance of the
 // target's throughput where all take the same.
 func (l *limit) updateRate(objective cf.Millis, instances int) {
-	aim := l.desiredQueue(objective)
-	work := l.serviceTime * l.effectiveSlowdown()
-	l.baseAnswerTime = work*(1+min(l.waiting, aim)/float64(l.slots)) + l.deviation
-	l.excessWait = work * (l.waiting - aim) / float64(l.slots)
+	desired := l.desiredQueue(objective)
+	serviceTime := l.serviceTime * l.effectiveSlowdown()
+	l.baseAnswerTime = serviceTime*(1+min(l.waiting, desired)/float64(l.slots)) + l.deviation
+	l.excessWait = serviceTime * (l.waiting - desired) / float64(l.slots)
 	l.rate = l.evenShare(instances) * l.shareFactor * (1 + gain*l.queueError(objective))
-	inFlight := l.rate * l.serviceTime * (1 + aim/float64(l.slots))
+	inFlight := l.rate * l.serviceTime * (1 + desired/float64(l.slots))
 	l.maxInFlight = max(2, int(math.Ceil(inFlight*inFlightSlack)))
 }
 
@@ -232,10 +230,10 @@
 // more so the shorter the queue is. So one that many callers use is not cut while the target
 // has room, and a flood doesn't set its own limit.
 func (l *limit) activate(objective cf.Millis, instances int, now cf.Millis) {
-	own := l.sendRate * math.Exp(-float64(now-l.sendRateAt)/sendRateSpan)
-	off := l.queueError(objective)
-	l.shareFactor = 1 + min(max(own/l.evenShare(instances)-1, 0), maxShareFactor)*min(max(off, 0), 1)
-	l.tokens, l.filledAt = min(off, 1), now
+	rate := l.sendRate * math.Exp(-float64(now-l.sendRateAt)/sendRateSpan)
+	queueError := l.queueError(objective)
+	l.shareFactor = 1 + min(max(rate/l.evenShare(instances)-1, 0), maxShareFactor)*min(max(queueError, 0), 1)
+	l.tokens, l.filledAt = min(queueError, 1), now
 	l.activeUntil, l.longQueueAt = now+limitDuration, now
 }
 
@@ -263,14 +261,14 @@
 		}
 		l.reportedAt, l.hasFreeSlot, l.pausedUntil = now, false, now+refusedPause
 	case Lost:
-		l.lostUntil = now + lostPause.Doubled(l.failures, maxLostPause)
-		l.failures++
+		l.lostUntil = now + lostPause.Doubled(l.losses, maxLostPause)
+		l.losses++
 		l.tokens = min(l.tokens, 0)
 		return
 	case Abandoned:
 		return
 	case Answered:
-		l.failures, l.lostUntil = 0, 0
+		l.losses, l.lostUntil = 0, 0
 		l.observe(r, now)
 	}
 	if l.waiting >= max(l.desiredQueue(objective)*fullFraction, 1) || r.Outcome == Refused {
@@ -326,21 +324,21 @@
 
 // adjustShare moves the base by the queue that the target has shown.
 func (l *limit) adjustShare(objective cf.Millis, throttled bool, now cf.Millis) {
-	off, span := l.queueError(objective), float64(min(now-l.adjustedAt, maxAdjustSpan))/1000
+	queueError, span := l.queueError(objective), float64(min(now-l.adjustedAt, maxAdjustSpan))/1000
 	l.adjustedAt = now
 	switch {
-	case off < 0 && l.shareFactor > 1:
-		l.shareFactor = max(l.shareFactor*(1+fallRate*off*span), 1)
-	case off < 0:
-		l.shareFactor = max(l.shareFactor*(1+fallRateBelow*off*span), minShareFactor)
+	case queueError < 0 && l.shareFactor > 1:
+		l.shareFactor = max(l.shareFactor*(1+fallRate*queueError*span), 1)
+	case queueError < 0:
+		l.shareFactor = max(l.shareFactor*(1+fallRateBelow*queueError*span), minShareFactor)
 	case throttled:
 		rate := riseRate
 		if now-l.longQueueAt >= climbAfter {
 			rate += climbRate * l.shareFactor
 		}
-		l.shareFactor = min(l.shareFactor+rate*off*span, maxShareFactor)
+		l.shareFactor = min(l.shareFactor+rate*queueError*span, maxShareFactor)
 	}
-	if off < 0.5 {
+	if queueError < 0.5 {
 		l.longQueueAt = now
 	}
 }
--- a/core/cfadmission/queue.go
+++ b/core/cfadmission/queue.go
@@ -20,7 +20,7 @@
 func (s *service) lateSendLevel(now cf.Millis) float64 {
 	reported := cf.Millis(0)
 	for _, l := range s.targetLimits {
-		if l.hasFreeSlot && now-l.reportedAt <= freeSlotMaxAge && !l.unavailable(now) {
+		if l.hasFreeSlot && now-l.reportedAt <= freeSlotMaxAge && !l.down(now) {
 			return sendLevel[overShare]
 		}
 		reported = max(reported, l.reportedAt)
--- a/core/cfbalance/retryscheduler.go
+++ b/core/cfbalance/retryscheduler.go
@@ -37,15 +37,13 @@
 	// refused within a fraction of the time of an answer. It is safe for
 	// concurrent use.
 	RetryScheduler struct {
-		mu       sync.Mutex
-		nextFree map[cf.ServiceName]float64 // Uptime of the next free place
+		mu   sync.Mutex
+		next map[cf.ServiceName]float64 // Uptime of the next free place
 	}
 )
 
 // NewRetryScheduler returns a plan without promises.
-func NewRetryScheduler() *RetryScheduler {
-	return &RetryScheduler{nextFree: map[cf.ServiceName]float64{}}
-}
+func NewRetryScheduler() *RetryScheduler { return &RetryScheduler{next: map[cf.ServiceName]float64{}} }
 
 // RetryAfter returns when a caller with so much time left should come back to a full
 // service. instances is how many share the service's places.
@@ -55,12 +53,12 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := max(r.nextFree[service], float64(now)+firstFreeFraction*t.ServiceTime)
-	r.nextFree[service] = at + float64(max(instances, 1))/t.PerMs
+	at := max(r.next[service], float64(now)+firstFreeFraction*t.ServiceTime)
+	r.next[service] = at + float64(max(instances, 1))/t.PerMs
 	after := cf.Millis(at) - now
 	if most := min(maxRetryAfter, left/timeLeftDivisor); after > most {
 		// It comes back then in any case; the place goes to the next.
-		r.nextFree[service] = at
+		r.next[service] = at
 		after = most
 	}
 	return max(after, minRetryAfter)
