--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -1,24 +1,25 @@
-// Package cfadmission decides when a plain request may be sent to a target that other
-// instances use too, how long it may wait for that, and which one goes first. It makes no
-// calls and has no clock of its own.
+// Package cfadmission implements admission control for plain requests, the single requests outside
+// of batches that are forwarded to targets shared with other instances. It decides when a request
+// may be sent to a target, how long it may wait for that, and which request goes first. It makes no
+// network calls and takes the time as an argument.
 //
-// The load it answers: fifty instances before three targets of six slots and a queue of 24,
-// and for some seconds ninety times the usual requests. The queues of the targets hold a
-// request longer than callers want to wait for its answer, so that half of what is answered
-// is late, and an instance that only counts what it has in flight can't hold back: its part
-// of a target is a quarter of one request. Each instance therefore paces its sends by the
-// queue that the targets show in their load header, divides its pace among organisations,
-// and refuses at once what can't be in time.
+// It is designed for overload: fifty instances share three targets, each with six slots and a queue
+// of 24, and receive ninety times the usual request rate for some seconds. A full target queue
+// holds a request for longer than its caller wants to wait, so that without admission control half
+// of the answers are late. A limit on the requests in flight per instance does not help, since an
+// instance's share of a target is a quarter of one request. Each instance therefore limits its send
+// rate by the queue length that targets report in their load header, divides that rate among
+// organisations, and rejects at once any request that can't be answered in time.
 //
-// Nothing is limited until a target says that requests wait, or refuses one.
+// Nothing is limited until a target reports waiting requests or refuses a request.
 //
 // Usage:
 //
 //	c := cfadmission.New()
-//	t := c.Enter(ask, now)
-//	v := c.Poll(t, now) // again at v.Until, while v.State is Wait
-//	c.Sent(t, target, now) // or c.Leave(t)
-//	c.Done(service, target, end, now)
+//	t := c.Enter(request, now)
+//	d := c.Poll(t, now) // again at d.Until, while d.State is Wait
+//	c.Sent(t, target, now) // or c.Cancel(t)
+//	c.Done(service, target, result, now)
 package cfadmission
 
 import (
@@ -29,53 +30,56 @@
 )
 
 type (
-	// Request is a request that looks for a target.
+	// Request is a request that needs a target.
 	Request struct {
 		Service cf.ServiceName
 		Class   Class
-		// Targets are the service's targets; the slice is not changed afterwards.
-		// Tried are those that get the request no more.
+		// Targets are the targets of the service; the slice must not be modified afterwards. Tried
+		// are the targets to which the request must not be sent again.
 		Targets []cf.Target
 		Tried   map[cf.InstanceID]bool
-		// Instances is how many share the targets.
+		// Instances is the number of instances that share the targets.
 		Instances int
-		// Objective is the time in which an answer is worth most, Spent what the caller had
-		// used of it before the request arrived here.
+		// Objective is the response time objective. Spent is the part of it that the caller had
+		// used up before the request arrived at this instance.
 		Objective, Spent cf.Millis
 		Arrived          cf.Millis
-		// Deadline is the Uptime by which it must be answered.
+		// Deadline is the Uptime by which the request must be answered.
 		Deadline cf.Millis
-		// Resubmitted: the caller was told to come back. Retry: a target has had the request already,
-		// so that sending it, as a retry or a hedge, spends from the retry budget.
+		// Resubmitted is true if the caller was told to come back and sends the request again.
+		// Retry is true if a target has been sent the request already; sending it once more, as a
+		// retry or as a hedge, spends from the retry budget.
 		Resubmitted, Retry bool
-		// MayHaveRun: it may have run, so that it can't be refused any more.
+		// MayHaveRun is true if a target may have run the request, which therefore can't be refused
+		// any more.
 		MayHaveRun bool
-		// NoWait: it is refused where it would have to wait, as a hedge is.
+		// NoWait is true if the request is refused instead of queued, as hedges are.
 		NoWait bool
 	}
 
-	// State is what a request is to do.
+	// State tells what to do with a request.
 	State int
 
-	// Decision is what was decided, and what decided it.
+	// Decision is the decision on a request, with the figures that led to it.
 	Decision struct {
 		State State
-		// Until is when to ask again, for State Wait.
+		// Until is the time of the next Poll, for State Wait.
 		Until  cf.Millis
 		Reason Reason
-		// Limited says that the limits act; Waiting is how many requests wait here.
+		// Limited is true while limits are active for the service. Waiting is the number of
+		// requests that wait at this instance.
 		Limited bool
 		Waiting int
-		// SendPerS is what this instance sends to the service per second, DemandPerS what the
-		// request's organisation asks for, and SharePerS what it is allowed of that, zero
-		// while it may have all.
+		// SendPerS is the rate per second at which this instance may send to the service,
+		// DemandPerS the request rate of the organisation, and SharePerS the rate that the
+		// organisation is allowed, zero if it is not restricted.
 		SendPerS, DemandPerS, SharePerS float64
 	}
 
 	// Reason is why a request was refused.
 	Reason string
 
-	// Ticket is a request's place in the queue.
+	// Ticket represents a request between Enter and Sent or Cancel, whether it is queued or not.
 	Ticket struct {
 		request Request
 		service *service
@@ -83,11 +87,12 @@
 		seq     int64
 		queued  bool
 		evicted bool
-		// granted is the limit whose token the ticket has, until it is sent or leaves.
+		// granted is the limit of which the ticket holds a token, until Sent or Cancel.
 		granted *limit
 	}
 
-	// Controller limits what an instance sends. It is safe for concurrent use.
+	// Controller limits the requests that an instance sends to targets. It is safe for concurrent
+	// use.
 	Controller struct {
 		mu       sync.Mutex
 		services map[cf.ServiceName]*service
@@ -97,19 +102,22 @@
 	service struct {
 		limits map[cf.InstanceID]*limit
 		times  serviceTimes
-		// minAnswerTime is the least time in ms in which a target should answer, by the last look.
+		// minAnswerTime is the shortest time in ms in which a target is expected to answer, as of
+		// the last scan.
 		minAnswerTime float64
-		// targets are those of the last ask, ordered are their limits.
+		// targets are those of the last request, targetLimits the limits of these targets in the
+		// same order.
 		targets      []cf.Target
 		targetLimits []*limit
-		listVersion  int // counts changes of the candidates
+		listVersion  int // incremented with each change of the targets
 		instances    int
 		objective    cf.Millis
-		objectiveAt  cf.Millis // as of when
+		objectiveAt  cf.Millis // when the objective was last confirmed by a request
 		shares       *shares
 		queue        []*Ticket
 		budget       retryBudget
-		// limitedUntil is the latest end of a target's limit, heldBackAt when a request was last kept back.
+		// limitedUntil is when the last active limit of a target ends. throttledAt is when a
+		// request was last delayed or refused that could have been answered in time.
 		limitedUntil, throttledAt cf.Millis
 	}
 )
@@ -121,71 +129,75 @@
 	Refuse
 )
 
-// Reasons of a refusal.
+// Reasons for refusing a request.
 const (
-	// NoCapacity: it can't be sent early enough to be in time.
+	// NoCapacity: the request can't be sent early enough to be answered in time.
 	NoCapacity Reason = "the service is full"
-	// OverShare is the same for an organisation over its share.
+	// OverShare: the request can't be sent in time, as its organisation is over its share.
 	OverShare Reason = "the service is full, and the organisation over its share"
-	// TooLate: its objective has passed already, and there is no room to spare.
+	// TooLate: the objective can't be met any more, and no target has a free slot.
 	TooLate Reason = "the service is full, and an answer would be late"
-	// QueueFull: too many requests wait.
+	// QueueFull: too many requests are queued at this instance.
 	QueueFull Reason = "the service and the queue before it are full"
-	// TargetsRefused: each target has refused it.
+	// TargetsRefused: every target has been tried without success.
 	TargetsRefused Reason = "no target has room"
-	// NoRetryBudget: a target did not run it, and it may not be sent to another.
+	// NoRetryBudget: a target did not run the request, and the retry budget does not allow another
+	// send.
 	NoRetryBudget Reason = "the service is full, and the retry budget spent"
 )
 
 const (
-	// networkTime is what an answer needs beside the target's time, there and back.
+	// networkTime is the part of an answer's time that is spent outside the target, both ways.
 	networkTime cf.Millis = 15
-	// refusalDivisor is the part of the objective within which a caller hears of a refusal,
-	// less refusalTime, which a target's refusal after a wait takes.
+	// refusalDivisor divides the objective: callers are to learn of a refusal within that part of
+	// it, less targetRefusalTime, the time that a refusal by a target takes after the wait.
 	refusalDivisor              = 4
 	targetRefusalTime cf.Millis = 9
-	// maxQueued bounds the queue. At a refusal within 37 ms it is only reached from some
+	// maxQueued bounds the queue. With refusals within 37 ms the bound is reached only from about
 	// two thousand requests per second on.
 	maxQueued = 64
-	// maxWait bounds an estimate of a wait that is never reached, in ms.
+	// maxWait bounds an estimated wait that would otherwise be infinite, in ms.
 	maxWait = 1e6
-	// minPoll spaces the looks of a waiting request.
+	// minPoll is the shortest interval between polls of a waiting request.
 	minPoll cf.Millis = 2
-	// mustSendPoll spaces the looks of one that can't be refused, and waits for a target that
-	// is less full.
+	// mustSendPoll is the longest interval between polls of a request that can't be refused and
+	// waits for a less loaded target.
 	mustSendPoll cf.Millis = 10
-	// throttledSpan is how long a request that was kept back shows that this instance has
-	// more to send than it may.
+	// throttledSpan is for how long a delayed or refused request counts as a sign that this
+	// instance's demand exceeds its rate.
 	throttledSpan cf.Millis = 500
-	// lateObjectives is for how many objectives nothing that could be in time may have been kept
-	// back here, and lateLevel what more than usual must be left over, before a request is
-	// sent that will be late: in a flood of twice what there is, an instance keeps back a
-	// dozen a second.
+	// A request that will be late is sent only if, for lateObjectives times the objective, no
+	// request that could be in time was delayed or refused here, and the bucket holds
+	// lateExtraLevel more tokens than requests over their share need. At twice the capacity an
+	// instance throttles a dozen requests a second.
 	lateObjectives = 2
 	lateExtraLevel = 0.9
-	// freeSlotMaxAge is how long a target's load report of a free slot counts for those.
+	// freeSlotMaxAge is the age up to which a load report that shows a free slot admits late
+	// requests.
 	freeSlotMaxAge cf.Millis = 50
-	// rankStep is by how much the level of each further priority is higher, mostNeed bounds it.
+	// rankStep raises the send level for each lower priority, up to maxSendLevel.
 	rankStep, maxSendLevel = 1.2, 1.9
-	// resubmittedDiscount lets callers that have come back go a little before new ones.
+	// resubmittedDiscount lowers the send level for resubmitted requests and retries, so that they
+	// go slightly ahead of new ones.
 	resubmittedDiscount = 0.25
-	// unreportedLevel is the unused rate at a target that has not said how full it is.
+	// unreportedLevel bounds the tokens of a target that has not reported its load recently.
 	unreportedLevel = -0.25
-	// choiceTolerance is how much less unused rate a target may have than the one with most, to
-	// be chosen for its other merits.
+	// choiceTolerance is by how many tokens a target may be behind the one that granted the send
+	// and still be chosen, for instance for its shorter answer time.
 	choiceTolerance = 1.0
-	// objectiveMaxAge is how long the shortest objective of a service's requests counts.
+	// objectiveMaxAge is for how long the shortest objective among a service's requests counts.
 	objectiveMaxAge cf.Millis = 5000
-	// forgetTargetAfter drops a target that is not listed any more.
+	// forgetTargetAfter is when the limit of a target that is no longer listed is dropped.
 	forgetTargetAfter cf.Millis = 60000
 )
 
-// sendLevel is the level of a target's bucket from which on requests of a tier are sent. Organisations
-// under their share may borrow from the others' next sends: at a few sends a second for all, one
-// that waits for its turn behind a large organisation's burst is not in time any more.
+// sendLevel is the number of tokens that a target's bucket must hold for a request of a tier to be
+// sent. It is negative for organisations under their share, which may borrow from the next sends of
+// others: at a few sends a second in all, a request that waits behind a large organisation's burst
+// is no longer in time.
 var sendLevel = [...]float64{underShare: -3, withinShare: 0, overShare: 1, noShare: 1.6}
 
-// New returns a controller that knows nothing.
+// New returns a controller without any state.
 func New() *Controller { return &Controller{services: map[cf.ServiceName]*service{}} }
 
 func (c *Controller) serviceFor(name cf.ServiceName) *service {
@@ -206,7 +218,7 @@
 	return l
 }
 
-// update notes the targets and the objective of an ask.
+// update records the targets and the objective of a request.
 func (s *service) update(r Request, now cf.Millis) {
 	if s.objective == 0 || r.Objective < s.objective || now-s.objectiveAt > objectiveMaxAge {
 		s.objective = r.Objective
@@ -227,7 +239,7 @@
 	for i, t := range r.Targets {
 		l := s.limit(t.ID, t.Slots)
 		if t.Slots > 0 {
-			l.slots = t.Slots // a send to a target that is not listed creates its limit without them
+			l.slots = t.Slots // Sent may have created the limit of an unlisted target, without its slots.
 		}
 		if l.listVersion != s.listVersion-1 || l.startTime != t.Born {
 			l.reset(t.Born)
@@ -242,7 +254,7 @@
 	}
 }
 
-// Enter takes a request that looks for a target. Leave or Sent ends its ticket.
+// Enter registers a request that needs a target. The ticket ends with Sent or Cancel.
 func (c *Controller) Enter(r Request, now cf.Millis) *Ticket {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,7 +268,7 @@
 	return &Ticket{request: r, service: s, share: x, seq: c.lastSeq}
 }
 
-// Poll decides what a ticket's request is to do now.
+// Poll decides what to do with a ticket's request now.
 func (c *Controller) Poll(t *Ticket, now cf.Millis) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -282,22 +294,22 @@
 	return d
 }
 
-// targetScan is what one pass over a service's targets shows.
+// targetScan is the result of one pass over a service's targets.
 type targetScan struct {
-	// best is the target with most unused rate that may get the request, nil for none; open
-	// says that one is not limited.
+	// best is the target with the most tokens that may be sent the request, nil if there is none.
+	// unlimited is true if a target without an active limit may be sent it.
 	best      *limit
 	unlimited bool
-	// untried counts those that the request has not been to; total is the rate of all
-	// that are there.
+	// untried is the number of targets that the request has not been sent to, totalRate the sum of
+	// the rates of all available targets.
 	untried   int
 	totalRate float64
 }
 
-// scan passes over the targets, and notes the least time in which one should answer.
+// scan passes over the targets and updates minAnswerTime.
 func (s *service) scan(t *Ticket, now cf.Millis) targetScan {
 	var found targetScan
-	var late *limit // the same where an answer would be late
+	var late *limit // like found.best, among the targets whose answer would be late
 	minAnswer, left := math.Inf(1), t.timeLeft(now)
 	for i, l := range s.targetLimits {
 		tried := len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID]
@@ -313,9 +325,9 @@
 				continue
 			}
 			l.activate(s.objective, s.instances, now)
-			l.activeUntil = min(l.activeUntil, s.limitedUntil) // only a sign of fullness prolongs the limits
+			l.activeUntil = min(l.activeUntil, s.limitedUntil) // only waiting or refused requests prolong the limits of a service
 			l.updateRate(s.objective, s.instances)
-			l.tokens = min(l.tokens, unreportedLevel) // as all instances find it at once
+			l.tokens = min(l.tokens, unreportedLevel) // all instances activate the limit at the same time
 		}
 		l.refill(now)
 		found.totalRate += l.rate
@@ -339,7 +351,7 @@
 	return found
 }
 
-// withMoreTokens returns which of two limits has more unused rate; either may be nil.
+// withMoreTokens returns the limit that has more tokens; either may be nil.
 func withMoreTokens(a, b *limit) *limit {
 	if a == nil || b != nil && b.tokens > a.tokens {
 		return b
@@ -347,7 +359,7 @@
 	return a
 }
 
-// timeToLevel returns in how many ms a target's unused rate comes to a level.
+// timeToLevel returns the time in ms until the bucket of any target reaches a level.
 func (s *service) timeToLevel(t *Ticket, level float64, now cf.Millis) float64 {
 	soonest := math.Inf(1)
 	for i, l := range s.targetLimits {
@@ -359,7 +371,7 @@
 	return soonest
 }
 
-// poll decides while the service is limited.
+// poll decides on a request while limits are active for the service.
 func (s *service) poll(t *Ticket, now cf.Millis) Decision {
 	found := s.scan(t, now)
 	perS := found.totalRate * 1000
@@ -369,7 +381,7 @@
 	case found.untried == 0:
 		return Decision{State: Refuse, Reason: TargetsRefused, SendPerS: perS}
 	case found.totalRate == 0:
-		return Decision{State: Send} // all are lost: a try is better than a refusal
+		return Decision{State: Send} // all targets are down; an attempt is better than a refusal
 	}
 	s.shares.divide(found.totalRate, now)
 	level := t.requiredLevel(now)
@@ -383,7 +395,7 @@
 	sendBy := t.sendBy(now)
 	if t.request.MayHaveRun {
 		if now >= sendBy {
-			return Decision{State: Send} // a try is better than a failure
+			return Decision{State: Send} // an attempt is better than a failure
 		}
 		at = min(at, now+mustSendPoll, sendBy)
 	}
@@ -399,7 +411,7 @@
 	return Decision{State: Wait, Until: min(at, sendBy), SendPerS: perS}
 }
 
-// Excluded says whether a request that may be sent can't go to a target now.
+// Excluded reports whether a request that was granted a send must not go to a given target now.
 func (c *Controller) Excluded(t *Ticket, id cf.InstanceID, now cf.Millis) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -415,7 +427,7 @@
 	return l.active(now) && l.tokens < t.granted.tokens+1-choiceTolerance
 }
 
-// Sent ends a ticket: its request goes to a target.
+// Sent ends a ticket: its request is sent to a target.
 func (c *Controller) Sent(t *Ticket, id cf.InstanceID, now cf.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -450,7 +462,8 @@
 	t.service.remove(t)
 }
 
-// Done takes the end of a send; acts says that the service's limits begin to act with it.
+// Done records the result of a send. activated is true if this result activates the limits of the
+// service.
 func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, r Result, now cf.Millis) (activated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -462,8 +475,8 @@
 	return activated
 }
 
-// Throughput returns what all instances together may send to a service per ms, and the mean
-// time of an answer; zero while nothing is limited.
+// Throughput returns the rate per ms at which all instances together may send to a service, and the
+// mean answer time without queueing in ms. Both are zero while nothing is limited.
 func (c *Controller) Throughput(name cf.ServiceName, now cf.Millis) (perMs, meanTime float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/cfadmission/budget.go
+++ b/core/cfadmission/budget.go
@@ -2,18 +2,19 @@
 
 import cf "currantford"
 
-// retryBudget is what an instance may send to a service beside first sends: a part of those.
+// retryBudget limits the sends of an instance to a service beyond first sends, retries and hedges,
+// to a fraction of the first sends.
 type retryBudget struct{ balance float64 }
 
 const (
-	// retryFraction is the part of first sends that may be sent once more, budgetFull the same
-	// while the service is full: then each further send displaces another request.
+	// retryFraction is the fraction of first sends that may be repeated. retryFractionWhileFull
+	// applies while the service is full, when each repeated send displaces another request.
 	retryFraction, retryFractionWhileFull = 0.2, 0.02
-	// maxBalanceWhileFull bounds what is left while the service is full: as many as an instance of
-	// fifty has in flight at one target.
+	// maxBalanceWhileFull bounds the balance while the service is full, to the number of requests
+	// that one of fifty instances has in flight at one target.
 	maxBalanceWhileFull = 2.0
-	// maxBalance bounds what is saved up: the sends of an instance that a target takes with
-	// it when it is lost.
+	// maxBalance bounds the balance otherwise, to the number of an instance's sends that are lost
+	// with a target.
 	maxBalance = 10.0
 )
 
@@ -26,26 +27,27 @@
 	b.balance = min(b.balance+fraction, limit)
 }
 
-// allows says whether one further send may be tried. A retry of a request that may have run is
-// never refused, as it can't be told to come back; what it takes is missing for the others.
+// allows reports whether one more send may be attempted. A retry of a request that may have run is
+// always allowed, since its caller can't be told to come back; what it spends is taken from the
+// other retries.
 func (b *retryBudget) allows(mandatory bool) bool { return mandatory || b.balance >= 1 }
 
-// spend takes one further send. Requests that wait may have been allowed for the same unit, so
-// that owed ones go below zero; others take nothing where nothing is left.
+// spend counts one repeated send. Several waiting requests may have been allowed on the same unit
+// of the balance: mandatory sends then make it negative, others spend nothing.
 func (b *retryBudget) spend(mandatory bool) {
 	if mandatory || b.balance >= 1 {
 		b.balance = max(b.balance-1, -maxBalance)
 	}
 }
 
-// MayHedge says whether the retry budget of a service allows a hedge. While the service is not
-// full all are allowed.
+// MayHedge reports whether the retry budget of a service allows a hedge. While the service is not
+// full, every hedge is allowed.
 func (c *Controller) MayHedge(service cf.ServiceName, now cf.Millis) bool {
 	return c.MayRetry(service, false, now)
 }
 
-// MayRetry does the same for a retry; must says that the request can't be refused. Sent spends
-// from the budget.
+// MayRetry reports the same for a retry. mandatory is true if the request can't be refused. The
+// budget is spent by Sent.
 func (c *Controller) MayRetry(service cf.ServiceName, mandatory bool, now cf.Millis) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/cfadmission/callers.go
+++ b/core/cfadmission/callers.go
@@ -7,32 +7,33 @@
 )
 
 type (
-	// DeadlineTracker tells from the deadlines that requests bear what their callers have used of
-	// their time before: one that has been refused and comes back bears what it still has.
-	// The most that a route's requests bore lately is what a caller has that has just begun.
-	// One that gives itself less time than others looks like one that has come back. It is
+	// DeadlineTracker derives from the deadlines of requests how much of their time the callers
+	// have already used: a caller that was refused and comes back sends its remaining time. The
+	// longest deadline seen recently on a route is taken as the full time of a caller. A caller
+	// that allows less time than others is mistaken for one that has come back. DeadlineTracker is
 	// safe for concurrent use.
 	DeadlineTracker struct {
 		mu     sync.Mutex
 		routes map[string]*window
 	}
 
-	// window is the longest deadline of a route's requests in a span and in the one before.
+	// window holds the longest deadline of a route's requests in the current and in the previous
+	// time span.
 	window struct {
 		current, previous cf.Millis
 		startedAt         cf.Millis
 	}
 )
 
-// windowSpan is how long a deadline counts, at least: at usual load an instance of fifty has
-// a request of a route every few seconds.
+// windowSpan is how long a deadline counts, at least: at the usual load one of fifty instances
+// receives a request of a route every few seconds.
 const windowSpan cf.Millis = 15000
 
-// NewDeadlineTracker returns one that has seen no request.
+// NewDeadlineTracker returns a tracker that has seen no requests.
 func NewDeadlineTracker() *DeadlineTracker { return &DeadlineTracker{routes: map[string]*window{}} }
 
-// Spent returns what a caller had used before a request on a route with a deadline, zero if
-// it bears none.
+// Spent returns the time that a caller had used before it sent a request with a deadline on a
+// route, zero if the request has no deadline.
 func (c *DeadlineTracker) Spent(route string, deadline, now cf.Millis) cf.Millis {
 	if deadline <= 0 {
 		return 0
@@ -54,8 +55,8 @@
 	return max(b.current, b.previous) - deadline
 }
 
-// ReopenTargets lets a request that may have run, and so can't be refused, go once more to the
-// targets that did not run it, if it has been to all others.
+// ReopenTargets makes a request that may have run, and therefore can't be refused, eligible again
+// for the targets that did not run it, once all candidates have been tried.
 func ReopenTargets(candidates []cf.Target, tried, notRun map[cf.InstanceID]bool) {
 	for _, t := range candidates {
 		if !tried[t.ID] {
--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -8,67 +8,71 @@
 )
 
 type (
-	// Outcome is what a send came to.
+	// Outcome is the outcome of a send.
 	Outcome int
 
-	// Result is the end of one send.
+	// Result is the result of one send.
 	Result struct {
 		Outcome Outcome
-		// Load is the target's load header, nil where there was none.
+		// Load is the target's load header, nil if there was none.
 		Load *cf.TargetLoad
 		Took cf.Millis
-		// Status is the HTTP status of the answer, zero where there was none.
+		// Status is the HTTP status of the answer, zero if there was none.
 		Status int
 	}
 
-	// serviceTimes are what a service's answers take without queueing: smoothed, with the mean
-	// deviation, both in ms, by so many answers. They are those of all its targets, since an
-	// instance has a few answers a minute of each; a target that is slower shows it by its
-	// queue.
+	// serviceTimes are the smoothed time that a service's answers take without queueing and its
+	// mean deviation, both in ms, with the number of samples. They cover all targets of the
+	// service, since an instance receives only a few answers a minute from each; a slower target
+	// shows it by its queue.
 	serviceTimes struct {
 		serviceTime, deviation float64
 		samples                int
 	}
 
-	// limit is the concurrency limit of one target at this instance. With many instances
-	// before few targets it is below one request in flight, so it is kept as a rate of
-	// starts: by Little's law the two differ by the time of an answer.
+	// limit is the concurrency limit of one target at this instance. With many instances and few
+	// targets the limit is below one request in flight, so it is kept as a rate of sends: by
+	// Little's law the two differ by the factor of the answer time.
 	limit struct {
 		id       cf.InstanceID
 		slots    int
-		inFlight int // requests of this instance in flight
-		// listVersion is the service's list in which the target was last, born its start by then.
+		inFlight int // this instance's requests only
+		// listVersion is the service's listVersion when the target was last listed, startTime the
+		// start of the target as listed then.
 		listVersion int
 		startTime   cf.Millis
 		*serviceTimes
-		// queueCapacity is how many requests waited when the target refused one, zero if it has not.
+		// queueCapacity is the number of requests that waited when the target refused one, zero if
+		// it has not refused any.
 		queueCapacity float64
-		// slowdown is how many times as long this target's answers took lately as its service's.
+		// slowdown is the ratio of this target's recent answer times to those of the service.
 		slowdown float64
-		// waiting is how many requests wait at the target by its last load report, at reportedAt.
+		// waiting is the number of requests waiting at the target by its last load report, as of
+		// reportedAt.
 		waiting    float64
 		reportedAt cf.Millis
-		// hasFreeSlot says that a slot was free there, by the same report.
+		// hasFreeSlot is true if the same report showed a free slot.
 		hasFreeSlot bool
-		// activeUntil is when the limit ceases to act; held forbids sends for a moment.
+		// The limit is active until activeUntil. Before pausedUntil nothing is sent to the target.
 		activeUntil, pausedUntil cf.Millis
-		// losses counts losses since the last answer; lost is until when it gets nothing.
+		// losses counts the lost sends since the last answer. Before lostUntil the target is sent
+		// nothing.
 		losses    int
 		lostUntil cf.Millis
-		// shareFactor is what this instance takes of an equal share, rate the starts per ms that
-		// follow, bound the most in flight at once.
+		// shareFactor is this instance's share of the target relative to an equal one, rate the
+		// resulting sends per ms, and maxInFlight the resulting limit on requests in flight.
 		shareFactor, rate float64
 		maxInFlight       int
-		// baseAnswerTime is the time of an answer with the aimed queue at most, excess what the rest
-		// of the queue adds, both in ms.
+		// baseAnswerTime is the expected answer time with at most the desired queue, excessWait
+		// what the rest of the queue adds, both in ms.
 		baseAnswerTime, excessWait float64
-		adjustedAt                 cf.Millis // when shareFactor was last moved
-		// longQueueAt is when the queue was last at half of its aim or more.
+		adjustedAt                 cf.Millis // when shareFactor was last adjusted
+		// longQueueAt is when the queue was last over half of the desired length.
 		longQueueAt cf.Millis
-		// tokens is the level of the token bucket of starts, as of filled.
+		// tokens is the level of the token bucket for sends, as of filledAt.
 		tokens   float64
 		filledAt cf.Millis
-		// sendRate is the recent rate of starts of this instance, as of ownAt.
+		// sendRate is the recent rate of sends of this instance per ms, as of sendRateAt.
 		sendRate   float64
 		sendRateAt cf.Millis
 	}
@@ -76,86 +80,89 @@
 
 // Outcomes of a send.
 const (
-	// Answered: the target answered, also with a failure of its own.
+	// Answered: the target answered, possibly with a failure of its own.
 	Answered Outcome = iota
 	// Refused: the target did not run the request.
 	Refused
-	// Lost: no answer came, or no connection could be had.
+	// Lost: no answer arrived, or no connection could be opened.
 	Lost
-	// Abandoned: the send was given up here.
+	// Abandoned: this instance gave up the send.
 	Abandoned
 )
 
 const (
-	// queueTimeDivisor divides the time that the objective leaves for queues. At 1.6 0.3% more are
-	// answered in all, and 4.3% of them late instead of 3.7%.
+	// queueTimeDivisor divides the time that the objective leaves for queueing. With 1.6 instead of
+	// 2, 0.3% more requests are answered in all, but 4.3% of them late instead of 3.7%.
 	queueTimeDivisor = 2.0
-	// limitDuration is how long a limit acts after a target has last said that requests wait,
-	// or has refused: an instance of fifty hears of each target a few times a second.
+	// limitDuration is how long a limit stays active after a target has last reported waiting
+	// requests or refused one: one of fifty instances hears from each target a few times a second.
 	limitDuration cf.Millis = 3000
-	// fullFraction is the part of the aimed queue from which on a target counts as full: a few
-	// requests wait now and then where there is room for all.
+	// fullFraction is the fraction of the desired queue from which on a target counts as full:
+	// occasionally a few requests wait although there is capacity for all.
 	fullFraction = 0.33
-	// reportMaxAge is how long a target's load report that nothing waits there counts while others
-	// of its service are full.
+	// reportMaxAge is for how long a load report without waiting requests exempts a target from
+	// limits while others of its service are full.
 	reportMaxAge cf.Millis = 500
-	// queueHalvingTime is after what time a long queue is expected to be half as long.
+	// queueHalvingTime is the time in ms after which a long queue is expected to be half as long.
 	queueHalvingTime = 100.0
-	// refusedPause keeps requests off a target that has just refused one; a place frees
-	// within a few milliseconds.
+	// refusedPause is how long nothing is sent to a target after it refused a request; a place in
+	// its queue becomes free within a few milliseconds.
 	refusedPause cf.Millis = 50
-	// lostPause and lostMost do the same after a loss, doubled with each.
+	// lostPause is the same after a lost send. It doubles with each further loss, up to
+	// maxLostPause.
 	lostPause    cf.Millis = 300
 	maxLostPause cf.Millis = 2400
-	// targetRoundTrip is the part of an answer's time that is the way to the target and back.
+	// targetRoundTrip is the part of an answer's time that is spent on the network to the target
+	// and back.
 	targetRoundTrip cf.Millis = 2
-	// smoothing is the weight of the newest time in the smoothed one.
+	// smoothing is the weight of the newest sample in smoothed times.
 	smoothing = 0.1
-	// initialDivisor is the part of the objective that work is taken for before any answer, with
-	// the weight of priorAnswers.
+	// Before any answer the service time is assumed to be the objective divided by initialDivisor,
+	// with the weight of initialSamples samples.
 	initialDivisor = 6
 	initialSamples = 3
-	// slowdownSmoothing is the same weight for how slow a target is: a slow period lasts some hundred
-	// milliseconds. Up to slowFrom that is the spread of work; slowMost bounds what one long
-	// answer may say.
+	// slowdownSmoothing is the weight of the newest sample in a target's slowdown; slow periods
+	// last some hundred milliseconds. Ratios below minSlowdown are ordinary variation of the
+	// service time. maxSlowdown bounds the effect of a single long answer.
 	slowdownSmoothing, minSlowdown, maxSlowdown = 0.4, 1.5, 3.0
-	// sendRateSpan is the time constant of the rate of own starts.
+	// sendRateSpan is the time constant of sendRate, in ms.
 	sendRateSpan = 1000.0
-	// gain is how far a rate leaves its base for a queue that is wrong by its whole aim.
-	// Load reports are 100 to 200 ms old with 50 instances, which bounds it: from 0.4 on
-	// fewer are in time.
+	// gain is the relative change of the rate for a queue that is off by its whole desired length.
+	// It is bounded by the age of load reports, 100 to 200 ms with 50 instances: from 0.4 on fewer
+	// requests are answered in time.
 	gain = 0.3
-	// riseRate, fall and fallBelow move the base, in parts of an equal share per second, or of
-	// the base itself. It rises by the same for all and falls in proportion, so that equal
-	// instances come to equal parts; towards an equal share it falls faster than below it,
-	// since a queue that is too long shows everyone's excess. climb is added to the rise of
-	// an instance in proportion to what it has, once the queue has been short for climbAfter:
-	// then the others don't use theirs.
+	// These are the rates, per second, at which shareFactor is adjusted. It increases by the same
+	// amount at all instances (riseRate) and decreases in proportion to itself, so that equal
+	// instances converge to equal shares. Above an equal share it decreases faster (fallRate) than
+	// below (fallRateBelow), since a queue that is too long shows the excess of all instances. Once
+	// the queue has been short for climbAfter, which means that other instances do not use their
+	// shares, climbRate times shareFactor is added to the increase.
 	riseRate, climbRate, fallRate, fallRateBelow = 0.3, 0.7, 0.3, 0.15
-	// maxAdjustSpan bounds the span that one answer stands for.
+	// maxAdjustSpan bounds the time span for which a single answer adjusts shareFactor.
 	maxAdjustSpan                  cf.Millis = 250
 	climbAfter                     cf.Millis = 400
 	minShareFactor, maxShareFactor           = 0.25, 32.0
-	// maxTokens is how much unused rate is kept, in requests.
+	// maxTokens bounds the token bucket, in requests.
 	maxTokens = 2.0
 	// HTTP statuses of targets that did not run a request.
 	statusMisdirected, statusTooMany, statusFull = 421, 429, 503
-	// statusFailed is the least HTTP status of a target's own failures.
+	// statusFailed is the lowest HTTP status of a target's own failures.
 	statusFailed = 500
-	// inFlightSlack is by how much the requests in flight may exceed their mean.
+	// inFlightSlack is the ratio of maxInFlight to the mean number of requests in flight.
 	inFlightSlack = 1.5
 )
 
-// active says whether the limit acts.
+// active reports whether the limit is active.
 func (l *limit) active(now cf.Millis) bool { return now < l.activeUntil }
 
-// down says whether the target gets nothing since it was lost. Afterwards one request at
-// a time tries it, until it has answered.
+// down reports whether the target is sent nothing after lost sends. After the pause a single
+// request at a time probes it, until it has answered.
 func (l *limit) down(now cf.Millis) bool { return now < l.lostUntil || l.losses > 0 && l.inFlight > 0 }
 
-// desiredQueue is how many requests should wait at the target. What the objective leaves beside the
-// work, its spread and the network is divided by aimPart: the rest is for the wait here, and
-// for load reports that are 200 ms old with 50 instances.
+// desiredQueue returns how many requests should wait at the target. The time that the objective
+// leaves after the service time, its deviation and the network is divided by queueTimeDivisor; the
+// rest is reserved for waiting at the instance and for the age of load reports, 200 ms with 50
+// instances.
 func (l *limit) desiredQueue(objective cf.Millis) float64 {
 	serviceTime := max(l.serviceTime*l.effectiveSlowdown(), 1)
 	left := float64(objective) - float64(networkTime) - serviceTime - l.deviation
@@ -166,7 +173,7 @@
 	return max(queue, 1)
 }
 
-// effectiveSlowdown is by how much the target counts as slower than its service.
+// effectiveSlowdown returns the slowdown, or 1 if it is within ordinary variation.
 func (l *limit) effectiveSlowdown() float64 {
 	if l.slowdown < minSlowdown {
 		return 1
@@ -174,15 +181,15 @@
 	return l.slowdown
 }
 
-// nearFull says that the target may refuse: by its last load report, and the time since, its queue is
-// over half more than the aim.
+// nearFull reports whether the target may refuse a request: by its last load report and the time
+// since, its queue exceeds the desired length by more than half.
 func (l *limit) nearFull(objective, now cf.Millis) bool {
 	desired := l.desiredQueue(objective)
 	return now < l.pausedUntil || (l.waiting-desired)/(1+float64(now-l.reportedAt)/queueHalvingTime) > desired/2
 }
 
-// answerTime is within what time an answer is expected: the queue, the work, and its spread.
-// A queue that was too long when it was last heard of gets shorter, as all hold back.
+// answerTime returns the expected answer time in ms: queueing, service time and its deviation. A
+// queue reported as too long is expected to shrink since then, as all instances throttle.
 func (l *limit) answerTime(now cf.Millis) float64 {
 	if l.excessWait <= 0 {
 		return l.baseAnswerTime
@@ -190,14 +197,14 @@
 	return l.baseAnswerTime + l.excessWait/(1+float64(now-l.reportedAt)/queueHalvingTime)
 }
 
-// queueError is by which part of its aim the queue is too short (above zero) or too long.
+// queueError returns by which fraction of the desired length the queue is too short (positive) or
+// too long (negative).
 func (l *limit) queueError(objective cf.Millis) float64 {
 	desired := l.desiredQueue(objective)
 	return max((desired-l.waiting)/desired, -2)
 }
 
-// updateRate sets the rate and what follows from it. share is the part of an instance of the
-// target's throughput where all take the same.
+// updateRate recalculates the rate and the values derived from it.
 func (l *limit) updateRate(objective cf.Millis, instances int) {
 	desired := l.desiredQueue(objective)
 	serviceTime := l.serviceTime * l.effectiveSlowdown()
@@ -212,7 +219,7 @@
 	return float64(l.slots) / max(l.serviceTime*l.effectiveSlowdown(), 1) / float64(max(instances, 1))
 }
 
-// refill adds what the rate has brought.
+// refill adds the tokens accrued since filledAt.
 func (l *limit) refill(now cf.Millis) {
 	if now > l.filledAt {
 		l.tokens = min(l.tokens+l.rate*float64(now-l.filledAt), maxTokens)
@@ -220,15 +227,15 @@
 	}
 }
 
-// reset takes a target that is listed, after it was not or with another start: what was known
-// of it is of before.
+// reset discards what is known of a target that is listed again after an absence or has restarted.
 func (l *limit) reset(born cf.Millis) {
 	*l = limit{id: l.id, slots: l.slots, inFlight: l.inFlight, startTime: born, serviceTimes: l.serviceTimes, shareFactor: 1, slowdown: 1, sendRate: l.sendRate, sendRateAt: l.sendRateAt}
 }
 
-// activate begins to limit: from an equal share, or from what this instance sends now, the
-// more so the shorter the queue is. So one that many callers use is not cut while the target
-// has room, and a flood doesn't set its own limit.
+// activate makes the limit active. It starts from an equal share, or from the rate at which this
+// instance sends now; the shorter the queue, the more of that rate is kept. An instance that many
+// callers use is thus not throttled while the target has capacity, and a flood of requests does not
+// set its own limit.
 func (l *limit) activate(objective cf.Millis, instances int, now cf.Millis) {
 	rate := l.sendRate * math.Exp(-float64(now-l.sendRateAt)/sendRateSpan)
 	queueError := l.queueError(objective)
@@ -244,13 +251,14 @@
 	l.sendRateAt = now
 }
 
-// recordResult takes the end of a send. heldBack says that requests were kept back here lately.
+// recordResult processes the result of a send. throttled is true if requests were delayed or
+// refused here recently.
 func (l *limit) recordResult(r Result, objective cf.Millis, instances int, throttled bool, now cf.Millis) {
 	l.inFlight--
 	l.refill(now)
 	wasActive := l.active(now)
 	if !wasActive {
-		l.queueCapacity = 0 // a refusal of before may have had another cause
+		l.queueCapacity = 0 // an earlier refusal may have had another cause
 	}
 	switch r.Outcome {
 	case Refused:
@@ -284,8 +292,8 @@
 	}
 }
 
-// observe takes an answer's load, and its time unless it is a failure: one that fails at once
-// says nothing of how long work takes.
+// observe processes the load reported in an answer, and the answer's time unless it is a failure:
+// an immediate failure says nothing about the service time.
 func (l *limit) observe(r Result, now cf.Millis) {
 	took, before := float64(max(r.Took-targetRoundTrip, 1)), l.waiting
 	if r.Load != nil {
@@ -295,7 +303,8 @@
 			l.slots = r.Load.Slots
 		}
 	} else if l.active(now) && r.Status < statusFailed {
-		// Without a header the queue is read from what answers take beyond their work.
+		// Without a load header the queue is estimated from the answer time beyond the service
+		// time.
 		seen := max(took/l.serviceTime-1, 0) * float64(l.slots)
 		l.waiting += 2 * smoothing * (seen - l.waiting)
 		l.reportedAt = now
@@ -306,8 +315,8 @@
 	weight := max(smoothing, 1/float64(l.samples+initialSamples))
 	switch {
 	case r.Load != nil && r.Load.Waiting > 0:
-		// Queueing is taken out as far as the headers show it, which is after it: while a
-		// queue grows that is too much.
+		// Queueing is subtracted by the headers, which report it as of the end of the request:
+		// while a queue grows, too much is subtracted.
 		took /= 1 + min(l.waiting, before)/float64(l.slots)
 		weight = min(weight, smoothing/2)
 	case r.Load == nil && l.active(now):
@@ -315,14 +324,14 @@
 	}
 	l.slowdown += slowdownSmoothing * (min(took/max(l.serviceTime, 1), maxSlowdown) - l.slowdown)
 	if l.effectiveSlowdown() > 1 {
-		weight = min(weight, smoothing/5) // it may last, or be the service's
+		weight = min(weight, smoothing/5) // the slowdown may be lasting, or affect the whole service
 	}
 	l.samples++
 	l.deviation += weight * (math.Abs(took-l.serviceTime) - l.deviation)
 	l.serviceTime += weight * (took - l.serviceTime)
 }
 
-// adjustShare moves the base by the queue that the target has shown.
+// adjustShare adjusts shareFactor by the reported queue.
 func (l *limit) adjustShare(objective cf.Millis, throttled bool, now cf.Millis) {
 	queueError, span := l.queueError(objective), float64(min(now-l.adjustedAt, maxAdjustSpan))/1000
 	l.adjustedAt = now
@@ -343,8 +352,8 @@
 	}
 }
 
-// OutcomeOf returns the outcome of a send that cfbalance has judged. Only 503 and 429 say that
-// a target is full; one that answers 421 is not the one that was meant, so that is lost.
+// OutcomeOf returns the outcome of a send that cfbalance has classified. Only 503 and 429 mean that
+// a target is full. A target that answers 421 is not the intended one, so that counts as lost.
 func OutcomeOf(o cfbalance.Outcome, status int, err error) Outcome {
 	switch {
 	case o == cfbalance.Abandoned:
--- a/core/cfadmission/queue.go
+++ b/core/cfadmission/queue.go
@@ -6,17 +6,18 @@
 	cf "currantford"
 )
 
-// late says that the request can't be answered within its objective any more.
+// late reports whether the request can no longer be answered within its objective.
 func (t *Ticket) late(now cf.Millis) bool { return t.timeLeft(now) < t.service.minAnswerTime }
 
-// timeLeft is what a target's answer may take to be in time, in ms.
+// timeLeft returns how long a target may take to answer within the objective, in ms.
 func (t *Ticket) timeLeft(now cf.Millis) float64 {
 	return float64(t.request.Arrived + t.request.Objective - t.request.Spent - networkTime - now)
 }
 
-// lateSendLevel is the level from which on a request is sent that will be late: it takes nobody's
-// place where a target has a free slot by its last load report. Where no target has reported,
-// and nothing that could be in time was kept back here for a while, it finds out.
+// lateSendLevel returns the level from which on a request that will be late is sent. It displaces
+// no other request if a target has a free slot by its last load report. If no target has reported,
+// and no request that could be in time was throttled here for a while, a late request is sent to
+// find out.
 func (s *service) lateSendLevel(now cf.Millis) float64 {
 	reported := cf.Millis(0)
 	for _, l := range s.targetLimits {
@@ -31,7 +32,7 @@
 	return math.Inf(1)
 }
 
-// sendBy is the Uptime by which the request must be sent.
+// sendBy returns the Uptime by which the request must be sent.
 func (t *Ticket) sendBy(now cf.Millis) cf.Millis {
 	answer := cf.Millis(t.service.minAnswerTime)
 	if t.request.MayHaveRun {
@@ -43,7 +44,7 @@
 	return min(t.request.Arrived+t.request.Objective/refusalDivisor-targetRefusalTime, t.request.Arrived+t.request.Objective-t.request.Spent-networkTime-answer)
 }
 
-// requiredLevel is the level from which on the request is sent.
+// requiredLevel returns the number of tokens that a target must have for the request to be sent.
 func (t *Ticket) requiredLevel(now cf.Millis) float64 {
 	n := min(sendLevel[t.service.shares.tierOf(t.share, now)]+rankStep*float64(t.share.rank), maxSendLevel)
 	switch {
@@ -69,8 +70,9 @@
 	return NoCapacity
 }
 
-// before says whether t goes before u: by priority, then by how each organisation stands
-// against its share, then those that have come back, then by what each has been served.
+// before reports whether t takes precedence over u: by priority, then by the tier of the
+// organisation, then resubmitted requests and retries first, then by how much each class has been
+// served.
 func (t *Ticket) before(u *Ticket, now cf.Millis) bool {
 	if t.request.MayHaveRun != u.request.MayHaveRun {
 		return t.request.MayHaveRun
@@ -97,8 +99,8 @@
 	return t.seq < u.seq
 }
 
-// ahead counts the queue's requests that go before t; blocked says that one of them could go
-// to best now.
+// ahead returns the number of queued requests that take precedence over t. blocked is true if one
+// of them could be sent to best now.
 func (s *service) ahead(t *Ticket, best *limit, now cf.Millis) (n int, blocked bool) {
 	for _, u := range s.queue {
 		if u == t || !u.before(t, now) {
@@ -110,13 +112,14 @@
 	return n, blocked
 }
 
-// mayUse says whether the request may go to a target as far as that depends on the request:
-// one that can't be refused isn't sent to a target that may refuse it.
+// mayUse reports whether the request may be sent to a target as far as that depends on the request:
+// one that can't be refused is not sent to a target that may refuse it.
 func (t *Ticket) mayUse(l *limit, now cf.Millis) bool {
 	return !t.request.Tried[l.id] && (!t.request.MayHaveRun || !l.nearFull(t.service.objective, now))
 }
 
-// push queues a ticket; where too many wait the last of them is refused when it asks again.
+// push queues a ticket. If the queue exceeds its bound, the last request in precedence is evicted
+// and refused at its next Poll.
 func (s *service) push(t *Ticket, now cf.Millis) {
 	t.queued = true
 	s.queue = append(s.queue, t)
--- a/core/cfadmission/shares.go
+++ b/core/cfadmission/shares.go
@@ -8,62 +8,62 @@
 )
 
 type (
-	// Class is whose request it is and how it is ranked, 0 first.
+	// Class is an organisation at a priority; 0 is the highest priority.
 	Class struct {
 		Organisation cf.Organisation
 		Priority     int
 	}
 
-	// share is what one class asks for and gets at this instance.
+	// share is what one class requests and is served at this instance.
 	share struct {
 		class Class
-		// demand and served are recent rates per ms, as of at.
+		// demand and served are recent rates per ms, as of updatedAt.
 		demand, served float64
 		updatedAt      cf.Millis
-		// capped says that it asks for more than its share, of which level per ms is allowed;
-		// credit is what it has not used of that, as of credited.
+		// capped is true if the class requests more than its share, which is the rate allowed, per
+		// ms. credit is the unused part of that share in requests, as of creditAt.
 		capped   bool
-		rank     int // among the priorities that are there
+		rank     int // position of its priority among those present
 		allowed  float64
 		credit   float64
 		creditAt cf.Millis
 	}
 
-	// shares divide an instance's part of a service among organisations: by priority, and
-	// among equals so that whoever asks for little gets all of it and the others get the
-	// same (max-min fairness).
+	// shares divide an instance's rate for a service among organisations: by priority, and within a
+	// priority by max-min fairness, that is, classes with a small demand get all of it and the
+	// others get equal parts of the rest.
 	shares struct {
 		classes   map[Class]*share
 		sorted    []*share
 		dividedAt cf.Millis
-		// contended says that together they ask for more than there is.
+		// contended is true if the total demand exceeds the capacity.
 		contended bool
 	}
 
-	// tier is how a request's organisation stands against its share.
+	// tier is the standing of a request's organisation relative to its share.
 	tier int
 )
 
 const (
-	// underShare: the organisation asks for less than its share.
+	// underShare: the organisation requests less than its share.
 	underShare tier = iota
-	// withinShare: it asks for more, and this request is within its share.
+	// withinShare: the organisation requests more, and this request is within its share.
 	withinShare
-	// overShare: this request is over the organisation's share.
+	// overShare: this request exceeds the organisation's share.
 	overShare
-	// noShare: the more urgent priorities leave nothing for this one.
+	// noShare: higher priorities leave no capacity for this one.
 	noShare
 )
 
 const (
-	// rateSpan is the time constant of rates: one of 73 organisations is seen every few
-	// seconds at one of 51 instances.
+	// rateSpan is the time constant of the rates, in ms: one of 51 instances receives a request of
+	// one of 73 organisations every few seconds.
 	rateSpan = 2000.0
-	// divideInterval spaces the divisions.
+	// divideInterval is the interval at which shares are recalculated.
 	divideInterval cf.Millis = 200
-	// maxCredit bounds what a class may save up, in requests.
+	// maxCredit bounds the credit of a class, in requests.
 	maxCredit = 1.5
-	// forgetClassAfter drops a class that has asked for nothing.
+	// forgetClassAfter is when a class without requests is dropped.
 	forgetClassAfter cf.Millis = 10000
 )
 
@@ -85,8 +85,8 @@
 	}
 }
 
-// recordArrival counts a request that arrives for the first time: one that comes back would make its
-// organisation ask for more than it does.
+// recordArrival counts a request that arrives for the first time. Resubmitted requests are not
+// counted, as they would overstate the organisation's demand.
 func (x *share) recordArrival(now cf.Millis) {
 	x.decay(now)
 	x.demand += 1 / rateSpan
@@ -107,7 +107,7 @@
 	x.creditAt = now
 }
 
-// tierOf returns how a class stands now.
+// tierOf returns the current tier of a class.
 func (s *shares) tierOf(x *share, now cf.Millis) tier {
 	switch {
 	case !s.contended:
@@ -124,7 +124,8 @@
 	return overShare
 }
 
-// divide sets the shares anew of what the instance may send per ms, if it is time.
+// divide recalculates the shares of the rate per ms that the instance may send, once per
+// divideInterval.
 func (s *shares) divide(capacity float64, now cf.Millis) {
 	if s.dividedAt > 0 && now-s.dividedAt < divideInterval {
 		return
@@ -164,8 +165,8 @@
 	}
 }
 
-// divideMaxMin divides a capacity among classes of one priority, sorted by what they ask for,
-// and returns what is left.
+// divideMaxMin divides a capacity among classes of one priority, sorted by demand, and returns what
+// is left.
 func divideMaxMin(classes []*share, capacity float64, now cf.Millis) float64 {
 	for i, x := range classes {
 		even := capacity / float64(len(classes)-i)
