--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -8,7 +8,8 @@
 	"currantford/core/cfadmission"
 )
 
-// usual is the rate of an organisation per second: three large ones have half of 12.
+// usual returns the usual request rate of an organisation per second: three large ones have half of
+// the total of 12.
 func usual(org int) float64 {
 	if org < 3 {
 		return 2
@@ -18,8 +19,8 @@
 
 func scaled(n float64) func(org int) float64 { return func(org int) float64 { return n * usual(org) } }
 
-// flood is ninety times the usual rate for eight seconds, with one of three targets lost half
-// a second after its start, and the usual rate before and after.
+// flood returns a scenario with ninety times the usual rate for eight seconds, and the usual rate
+// before and after. One of three targets is lost half a second after the flood begins.
 func flood(seed uint64) scenario {
 	return scenario{
 		orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, lostAt: 10500, seed: seed,
@@ -27,7 +28,7 @@
 	}
 }
 
-func sum(ts []count) (all count) {
+func sum(ts []counts) (all counts) {
 	for _, t := range ts {
 		all.asked += t.asked
 		all.inTime += t.inTime
@@ -39,8 +40,8 @@
 	return all
 }
 
-// Load: the flood. Without the decision half of what is answered is late. An instance that
-// goes on to hold requests back afterwards would show in their times.
+// Without admission control half of the answers during the flood are late. An instance that went on
+// throttling afterwards would show in the answer times.
 func TestFloodIsAnsweredInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		l := flood(seed)
@@ -48,7 +49,7 @@
 		on, before, after := sum(r.byPhase), r.byPhase[0], r.byPhase[3]
 		l.disabled = true
 		off := sum(simulate(l).byPhase)
-		t.Logf("seed %d: on %+v, off %+v", seed, on, off)
+		t.Logf("seed %d: with admission control %+v, without %+v", seed, on, off)
 		if on.inTime < 3700 {
 			t.Errorf("seed %d: %d answered in time", seed, on.inTime)
 		}
@@ -56,23 +57,23 @@
 			t.Errorf("seed %d: %d of %d answered late", seed, on.late, served)
 		}
 		if cf.Millis(on.slowestRefusal) > objective/4 {
-			t.Errorf("seed %d: a refusal took %.0f ms", seed, on.slowestRefusal)
+			t.Errorf("seed %d: the slowest refusal took %.0f ms", seed, on.slowestRefusal)
 		}
 		if off.inTime > 3700 {
-			t.Errorf("seed %d: %d answered in time without the decision: this is not its load", seed, off.inTime)
+			t.Errorf("seed %d: %d answered in time without admission control: the scenario is no overload", seed, off.inTime)
 		}
 		if b, a := before.answerTimes/float64(before.inTime), after.answerTimes/float64(after.inTime); after.inTime*20 < after.asked*19 || a > b*1.25 {
-			t.Errorf("seed %d: %d of %d in time after the flood, in %.1f ms, before in %.1f", seed, after.inTime, after.asked, a, b)
+			t.Errorf("seed %d: %d of %d in time after the flood, mean %.1f ms; before the flood %.1f ms", seed, after.inTime, after.asked, a, b)
 		}
 	}
 }
 
-// Load: the flood on the second deployment, whose callers have no organisations and whose
-// targets are 2.5 times as slow for 15% of the time. An instance that holds to a rate of
-// before fills the queue of a target that has turned slow. Plays differ by how often that
-// happens, so that four are taken together. The aim of 5% late is not reached here.
+// Simulates the flood on a deployment whose callers have no organisations and whose targets are 2.5
+// times as slow for 15% of the time. An instance that kept its earlier rate would fill the queue of
+// a target that has turned slow. Runs differ by how often that happens, so four are added up. The
+// goal of at most 5% late answers is not reached here.
 func TestFloodWithTargetsThatTurnSlow(t *testing.T) {
-	var on, off []count
+	var on, off []counts
 	for seed := range uint64(4) {
 		l := flood(seed)
 		l.orgs, l.instances, l.answerTime, l.tailFraction, l.tailFactor, l.deadline, l.sharedMachines = 1, 30, 21, 0.03, 7, 1500, true
@@ -82,35 +83,35 @@
 		off = append(off, sum(simulate(l).byPhase))
 	}
 	with, without := sum(on), sum(off)
-	t.Logf("on %+v, off %+v", with, without)
+	t.Logf("with admission control %+v, without %+v", with, without)
 	if with.inTime < 4*3700 || without.inTime > 4*3700 || with.late*3 > without.late {
-		t.Errorf("%d in time and %d late, %d and %d without the decision", with.inTime, with.late, without.inTime, without.late)
+		t.Errorf("%d in time and %d late; %d and %d without admission control", with.inTime, with.late, without.inTime, without.late)
 	}
 }
 
-// Load: the flood, of organisations of three priorities. With one rank for all each has the
-// same part.
+// Simulates the flood with organisations of three priorities. If all had one rank, each priority
+// would get the same part.
 func TestFloodServesHigherPrioritiesFirst(t *testing.T) {
 	l := flood(5)
 	l.priorities = 3
 	r := simulate(l)
 	var inTime [3]float64
 	for rank := range inTime {
-		var of []count
+		var of []counts
 		for org := rank; org < l.orgs; org += l.priorities {
 			of = append(of, r.byOrg[org])
 		}
 		x := sum(of)
 		inTime[rank] = float64(x.inTime) / float64(x.asked)
 	}
-	t.Logf("in time by priority %.2f", inTime)
+	t.Logf("fraction in time by priority %.2f", inTime)
 	if inTime[0] < 0.7 || inTime[1] < inTime[2]*1.3 {
-		t.Errorf("in time by priority %.2f", inTime)
+		t.Errorf("fraction in time by priority %.2f", inTime)
 	}
 }
 
-// Load: one organisation of 73 asks for ten times its usual part, where usually 0.6 of the
-// slots are used. Without shares it displaces everybody.
+// One organisation of 73 sends ten times its usual rate, where usually 0.6 of the slots are in use.
+// Without shares it displaces all others.
 func TestBurstOfOneOrganisationLeavesOthersTheirShare(t *testing.T) {
 	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(36)}, {18000, func(org int) float64 {
 		if org == 0 {
@@ -125,44 +126,44 @@
 	on := others(simulate(l))
 	l.disabled = true
 	off := others(simulate(l))
-	t.Logf("others in time %.3f, without the decision %.3f", on, off)
+	t.Logf("fraction of the others in time %.3f, without admission control %.3f", on, off)
 	if on < 0.95 || off >= 0.95 {
-		t.Errorf("others in time %.3f, without the decision %.3f", on, off)
+		t.Errorf("fraction of the others in time %.3f, without admission control %.3f", on, off)
 	}
 }
 
-// Load: the flood before targets that send no load header, with a target that vanishes
-// without a word, and with all callers at ten of the instances. A limit that rests on the
-// header, on refused connections, or on equal instances fails here.
+// Simulates the flood with targets that send no load header, with a target whose connections hang
+// after its loss, and with all callers at ten of the instances. A limit that depends on the header,
+// on refused connections or on evenly loaded instances fails here.
 func TestFloodVariants(t *testing.T) {
 	for name, change := range map[string]func(*scenario){
-		"no header": func(l *scenario) { l.noHeader = true },
-		"silent":    func(l *scenario) { l.hangs = true },
-		"uneven":    func(l *scenario) { l.usedInstances = 10 },
+		"no load header": func(l *scenario) { l.noHeader = true },
+		"silent":         func(l *scenario) { l.hangs = true },
+		"uneven":         func(l *scenario) { l.usedInstances = 10 },
 	} {
 		l := flood(2)
 		change(&l)
 		on := sum(simulate(l).byPhase)
 		l.disabled = true
 		if off := sum(simulate(l).byPhase); on.inTime < off.inTime*3/2 {
-			t.Errorf("%s: %d answered in time, %d without the decision", name, on.inTime, off.inTime)
+			t.Errorf("%s: %d answered in time, %d without admission control", name, on.inTime, off.inTime)
 		}
 	}
 }
 
-// Load: two thirds of what the targets can do. No request waits that needn't.
+// At two thirds of the targets' capacity no request may be delayed.
 func TestNoEffectBelowSaturation(t *testing.T) {
 	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(20)}, {20000, scaled(36)}}}
 	on := sum(simulate(l).byPhase)
 	l.disabled = true
 	off := sum(simulate(l).byPhase)
 	if a, b := on.answerTimes/float64(on.inTime), off.answerTimes/float64(off.inTime); a > b*1.03 || on.inTime*1000 < on.asked*997 {
-		t.Errorf("%d of %d in time, mean %.1f ms; %.1f without the decision", on.inTime, on.asked, a, b)
+		t.Errorf("%d of %d in time, mean %.1f ms; %.1f ms without admission control", on.inTime, on.asked, a, b)
 	}
 }
 
-// Where callers give themselves less time than the route does, all of them counted as having
-// come back, and too late.
+// Guards against measuring the time that a caller has used by the route's timeout: where all
+// callers allow less time than the route, every request counted as resubmitted, and as too late.
 func TestSpentTimeFollowsFromLongerDeadlines(t *testing.T) {
 	c := cfadmission.NewDeadlineTracker()
 	for i, want := range []struct{ deadline, spent, at cf.Millis }{{800, 0, 0}, {800, 0, 10}, {540, 260, 20}, {0, 0, 30}, {500, 0, 40000}} {
--- a/core/cfadmission/callers.go
+++ b/core/cfadmission/callers.go
@@ -34,25 +34,25 @@
 
 // Spent returns the time that a caller had used before it sent a request with a deadline on a
 // route, zero if the request has no deadline.
-func (c *DeadlineTracker) Spent(route string, deadline, now cf.Millis) cf.Millis {
+func (d *DeadlineTracker) Spent(route string, deadline, now cf.Millis) cf.Millis {
 	if deadline <= 0 {
 		return 0
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	b := c.routes[route]
-	if b == nil {
-		b = &window{startedAt: now}
-		c.routes[route] = b
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	w := d.routes[route]
+	if w == nil {
+		w = &window{startedAt: now}
+		d.routes[route] = w
 	}
-	if now-b.startedAt >= 2*windowSpan {
-		b.current = 0
+	if now-w.startedAt >= 2*windowSpan {
+		w.current = 0
 	}
-	if now-b.startedAt >= windowSpan {
-		b.previous, b.current, b.startedAt = b.current, 0, now
+	if now-w.startedAt >= windowSpan {
+		w.previous, w.current, w.startedAt = w.current, 0, now
 	}
-	b.current = max(b.current, deadline)
-	return max(b.current, b.previous) - deadline
+	w.current = max(w.current, deadline)
+	return max(w.current, w.previous) - deadline
 }
 
 // ReopenTargets makes a request that may have run, and therefore can't be refused, eligible again
--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -256,8 +256,8 @@
 func (l *limit) recordResult(r Result, objective cf.Millis, instances int, throttled bool, now cf.Millis) {
 	l.inFlight--
 	l.refill(now)
-	wasActive := l.active(now)
-	if !wasActive {
+	active := l.active(now)
+	if !active {
 		l.queueCapacity = 0 // an earlier refusal may have had another cause
 	}
 	switch r.Outcome {
@@ -280,13 +280,13 @@
 		l.observe(r, now)
 	}
 	if l.waiting >= max(l.desiredQueue(objective)*fullFraction, 1) || r.Outcome == Refused {
-		if !wasActive {
+		if !active {
 			l.activate(objective, instances, now)
-			wasActive = true
+			active = true
 		}
 		l.activeUntil = now + limitDuration
 	}
-	if wasActive {
+	if active {
 		l.adjustShare(objective, throttled, now)
 		l.updateRate(objective, instances)
 	}
--- a/core/cfadmission/limits_test.go
+++ b/core/cfadmission/limits_test.go
@@ -8,7 +8,7 @@
 	"currantford/core/cfadmission"
 )
 
-// targetsOf returns targets of six slots.
+// targetsOf returns targets with six slots.
 func targetsOf(ids ...cf.InstanceID) (list []cf.Target) {
 	for _, id := range ids {
 		list = append(list, cf.Target{ID: id, Service: "s", Slots: slots})
@@ -16,32 +16,32 @@
 	return list
 }
 
-// request returns a request of an instance alone that has just arrived.
+// request returns a request that has just arrived at the only instance.
 func request(list []cf.Target, now cf.Millis) cfadmission.Request {
 	return cfadmission.Request{Service: "s", Targets: list, Instances: 1, Objective: 1000, Arrived: now, Deadline: now + 2000}
 }
 
-// refuseOne lets a target refuse a request, so that limits act.
+// refuseOne makes a target refuse a request, which activates limits.
 func refuseOne(c *cfadmission.Controller, list []cf.Target, id cf.InstanceID, now cf.Millis) {
 	c.Sent(c.Enter(request(list, now), now), id, now)
 	c.Done("s", id, cfadmission.Result{Outcome: cfadmission.Refused}, now)
 }
 
-// refuseWithLoad does the same at target a, at which few requests wait.
+// refuseWithLoad makes target a refuse a request while only a few requests wait there.
 func refuseWithLoad(c *cfadmission.Controller, list []cf.Target, now cf.Millis) {
 	c.Sent(c.Enter(request(list, now), now), "a", now)
 	c.Done("s", "a", cfadmission.Result{Outcome: cfadmission.Refused, Load: &cf.TargetLoad{Running: slots, Waiting: 5, Slots: slots}}, now)
 }
 
-// hedge returns a request that is sent only where it need not wait.
+// hedge returns a request that is sent only if it does not have to wait.
 func hedge(list []cf.Target, now cf.Millis) cfadmission.Request {
 	a := request(list, now)
 	a.Retry, a.NoWait = true, true
 	return a
 }
 
-// Guards against limits that prolong themselves: a target not heard of was limited for longer
-// than its service, and its next answer prolonged the limits of the service.
+// Guards against limits that prolong themselves: a target without recent reports was limited for
+// longer than its service, and its next answer prolonged the limits of the service.
 func TestLimitsEndWhenTargetsAreIdle(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b", "c", "d", "e", "f")
 	for now := cf.Millis(1000); now < 3000; now += 100 {
@@ -64,28 +64,28 @@
 		c.Done("s", id, cfadmission.Result{Load: &cf.TargetLoad{Running: 1, Slots: slots}, Took: 25}, now+25)
 	}
 	if limited > 10000 {
-		t.Errorf("limits act at %d ms, the last sign of fullness was at 2900 ms", limited)
+		t.Errorf("limits were active at %d ms; the last refusal was at 2900 ms", limited)
 	}
 }
 
-// Guards against a waiting retry that keeps others from the target that has failed it.
+// Guards against a waiting retry that blocks other requests from the target that has failed it.
 func TestRetryDoesNotBlockTargetItHasTried(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b")
 	refuseOne(c, list, "b", 1000)
-	c.Poll(c.Enter(request(list, 1000), 1000), 1000) // begins to fill the bucket of a
+	c.Poll(c.Enter(request(list, 1000), 1000), 1000) // starts to fill the token bucket of a
 	refuseOne(c, list, "b", 2000)
 	retry := request(list, 2000)
 	retry.Retry, retry.Tried = true, map[cf.InstanceID]bool{"a": true}
 	if v := c.Poll(c.Enter(retry, 2000), 2000); v.State != cfadmission.Wait {
-		t.Fatalf("the retry is not one that waits: %+v", v)
+		t.Fatalf("the retry does not wait: %+v", v)
 	}
 	if v := c.Poll(c.Enter(request(list, 2000), 2000), 2000); v.State != cfadmission.Send {
-		t.Errorf("another request: %+v", v)
+		t.Errorf("another request was not sent: %+v", v)
 	}
 }
 
-// Guards against a request that may have run, and waits for a crowded target's queue to
-// shorten, keeping others from that target.
+// Guards against a request that may have run blocking other requests from a target while it waits
+// for that target's long queue to shorten.
 func TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
@@ -93,14 +93,14 @@
 	mayHaveRun := request(list, 1035)
 	mayHaveRun.MayHaveRun = true
 	if v := c.Poll(c.Enter(mayHaveRun, 1035), 1035); v.State != cfadmission.Wait {
-		t.Fatalf("the request that may have run is not one that waits: %+v", v)
+		t.Fatalf("the request that may have run does not wait: %+v", v)
 	}
 	if v := c.Poll(c.Enter(request(list, 1035), 1035), 1035); v.State != cfadmission.Send {
-		t.Errorf("another request: %+v", v)
+		t.Errorf("another request was not sent: %+v", v)
 	}
 }
 
-// Guards against a retry budget that is spent on sends which don't happen.
+// Guards against spending the retry budget on retries that are not sent.
 func TestOnlySendsSpendRetryBudget(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b")
 	refuseOne(c, list, "a", 1000)
@@ -108,7 +108,7 @@
 	retry.Retry, retry.Tried = true, map[cf.InstanceID]bool{"a": true}
 	for n := range 30 {
 		if !c.MayRetry("s", false, 1000) {
-			t.Fatalf("refused after %d retries that were not sent", n)
+			t.Fatalf("retry refused after %d retries that were not sent", n)
 		}
 		c.Cancel(c.Enter(retry, 1000))
 	}
@@ -116,11 +116,11 @@
 		c.Sent(c.Enter(retry, 1000), "b", 1000)
 	}
 	if c.MayRetry("s", false, 1000) {
-		t.Error("allowed after 30 retries that were sent")
+		t.Error("retry allowed after 30 retries that were sent")
 	}
 }
 
-// Guards against a hedge that takes a place in the queue, or that of a request which waits.
+// Guards against a hedge that takes a place in the queue, or displaces a waiting request.
 func TestHedgeDoesNotEnterTheQueue(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	refuseWithLoad(c, list, 1000)
@@ -128,21 +128,21 @@
 	for range 3 {
 		ticket := c.Enter(request(list, 1000), 1000)
 		if v := c.Poll(ticket, 1000); v.State != cfadmission.Wait {
-			t.Fatalf("a request that is to wait: %+v", v)
+			t.Fatalf("a request should wait: %+v", v)
 		}
 		waiting = append(waiting, ticket)
 	}
 	if v := c.Poll(c.Enter(hedge(list, 1000), 1000), 1000); v.State != cfadmission.Refuse || v.Reason != cfadmission.NoCapacity || v.Waiting != len(waiting) {
-		t.Errorf("%+v with %d waiting", v, len(waiting))
+		t.Errorf("hedge: %+v with %d requests waiting", v, len(waiting))
 	}
 	for n, ticket := range waiting {
 		if v := c.Poll(ticket, 1000); v.State != cfadmission.Wait {
-			t.Errorf("waiting request %d: %+v", n, v)
+			t.Errorf("request %d waits no longer: %+v", n, v)
 		}
 	}
 }
 
-// Guards against a refused hedge counting as a request kept back, which raises the rate.
+// Guards against a refused hedge counting as a throttled request, which raises the rate.
 func TestRefusedHedgeDoesNotRaiseTheRate(t *testing.T) {
 	perMs := func(hedges bool) float64 {
 		c, list := cfadmission.New(), targetsOf("a")
@@ -161,8 +161,8 @@
 	}
 }
 
-// Guards against failures that come at once being learned as work, which raises the rate.
-func TestFailuresAreNotLearnedAsWork(t *testing.T) {
+// Guards against immediate failures lowering the measured service time, which raises the rate.
+func TestFailuresDoNotCountAsServiceTime(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	answer := func(status int, took cf.Millis) {
 		c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
@@ -177,11 +177,11 @@
 		answer(500, 1)
 	}
 	if _, after := c.Throughput("s", 1000); after != before {
-		t.Errorf("work of %.1f ms, %.1f before the failures", after, before)
+		t.Errorf("service time of %.1f ms, %.1f ms before the failures", after, before)
 	}
 }
 
-// Guards against a target that is sent to before it is listed keeping one slot.
+// Guards against a target keeping a single slot because it was sent a request before it was listed.
 func TestListingSetsSlotsOfKnownTarget(t *testing.T) {
 	perMs := func(seen bool) float64 {
 		c, list := cfadmission.New(), targetsOf("a")
@@ -193,6 +193,6 @@
 		return perMs
 	}
 	if seen, unseen := perMs(true), perMs(false); seen < unseen/2 {
-		t.Errorf("%.4f requests per ms, %.4f where the target was listed first", seen, unseen)
+		t.Errorf("%.4f requests per ms, %.4f if the target was listed first", seen, unseen)
 	}
 }
--- a/core/cfadmission/replay_test.go
+++ b/core/cfadmission/replay_test.go
@@ -14,13 +14,13 @@
 
 const (
 	objective cf.Millis = 150
-	// callerDelay and targetWay are one way each, in ms.
+	// callerDelay and targetDelay are the one-way network delays in ms.
 	callerDelay, targetDelay = 6.0, 1.0
 	slots, queueCapacity     = 6, 24
-	// unlistedAfter is how long after its loss a target leaves the instance list, back when it is
-	// there again, and listed how long after that it is in the list.
+	// A lost target leaves the instance list after unlistedAfter, runs again after restartedAfter,
+	// and is listed again listedAfter later, in ms.
 	unlistedAfter, restartedAfter, listedAfter = 2000.0, 6000.0, 300.0
-	// processingTime is an instance's own time for each way, in the mean.
+	// processingTime is the mean time that an instance needs per direction, in ms.
 	processingTime = 2.0
 )
 
@@ -30,45 +30,46 @@
 		do func()
 	}
 
-	// phase is a span in which organisations send at a rate per second.
+	// phase is a time span with a request rate per second for each organisation.
 	phase struct {
 		until float64
 		rate  func(org int) float64
 	}
 
-	// scenario is what is replayed.
+	// scenario is what is simulated.
 	scenario struct {
 		orgs, instances, targets int
-		answerTime               float64   // mean time of an answer, ms
-		tailFraction, tailFactor float64   // a part of the answers takes so many times as long
-		deadline                 cf.Millis // what callers wait
+		answerTime               float64   // mean, ms
+		tailFraction, tailFactor float64   // a fraction of the answers takes tailFactor times as long
+		deadline                 cf.Millis // how long callers wait
 		phases                   []phase
 		lostAt                   float64 // when target 0 is lost, zero for never
-		hangs                    bool    // its connections hang instead of being refused
+		hangs                    bool    // connections to the lost target hang instead of being refused
 		noHeader                 bool
-		disabled                 bool // decision switched off
+		disabled                 bool // no admission control
 		seed                     uint64
-		// usedInstances is how many of the instances the callers use, zero for all.
+		// usedInstances is the number of instances that callers use, zero for all.
 		usedInstances int
-		// priorities is how many priorities the organisations are spread over, zero for one.
+		// priorities is the number of priorities among the organisations, zero for one.
 		priorities int
-		// sharedMachines machines are 2.5 times as slow for 15% of the time, redrawn each 600 ms.
+		// sharedMachines makes targets 2.5 times as slow for 15% of the time, drawn anew every 600
+		// ms.
 		sharedMachines bool
 	}
 
-	// count is what came of requests, by when the caller first asked.
-	count struct {
+	// counts are the results of requests.
+	counts struct {
 		asked, inTime, late, failed int
-		slowestRefusal              float64 // refusal, ms
-		answerTimes                 float64 // of those in time, sum
+		slowestRefusal              float64 // ms until the caller was refused
+		answerTimes                 float64 // sum over the answers in time
 	}
 
 	target struct {
 		busy     int
-		slowdown float64 // times the usual work
+		slowdown float64 // factor on the service time
 		queue    []func()
 		down     bool
-		onLoss   []func() // ends of the requests that it holds
+		onLoss   []func() // fails the requests that the target holds
 	}
 
 	instance struct {
@@ -85,9 +86,9 @@
 		servers   []*target
 		listed    []cf.Target
 		instances []*instance
-		byOrg     []count
-		// byPhase is tallied by the phase of the first ask.
-		byPhase []count
+		byOrg     []counts
+		// byPhase is counted by the phase in which the caller first asked.
+		byPhase []counts
 	}
 
 	// call is one attempt of a caller at an instance.
@@ -100,14 +101,14 @@
 		resubmitted bool
 		attempts    *cfbalance.Attempts
 		tried       map[cf.InstanceID]bool
-		notRun      map[cf.InstanceID]bool // did not run it
+		notRun      map[cf.InstanceID]bool // targets that did not run the request
 		pending     int
 		done        bool
 		hedged      bool
 	}
 )
 
-// schedule puts an event in its place of the queue, which is sorted by time, the latest first.
+// schedule inserts an event. Events are sorted by time, the latest first.
 func (r *simulation) schedule(ms float64, do func()) {
 	i, _ := slices.BinarySearchFunc(r.events, ms, func(e event, at float64) int { return cmp.Compare(at, e.at) })
 	r.events = slices.Insert(r.events, i, event{ms, do})
@@ -116,9 +117,9 @@
 func (r *simulation) scheduleAfter(ms float64, do func()) { r.schedule(r.now+ms, do) }
 func (r *simulation) clock() cf.Millis                    { return cf.Millis(r.now) + 100000 }
 
-// simulate replays a load and returns its tallies by organisation and by phase.
+// simulate runs a scenario and counts its results by organisation and by phase.
 func simulate(l scenario) *simulation {
-	r := &simulation{scenario: l, random: rand.New(rand.NewPCG(l.seed, 9)), byOrg: make([]count, l.orgs), byPhase: make([]count, len(l.phases))}
+	r := &simulation{scenario: l, random: rand.New(rand.NewPCG(l.seed, 9)), byOrg: make([]counts, l.orgs), byPhase: make([]counts, len(l.phases))}
 	for i := range l.targets {
 		r.servers = append(r.servers, &target{slowdown: 1})
 		r.listed = append(r.listed, cf.Target{ID: cf.InstanceID(rune('a' + i)), Service: "s", Slots: slots})
@@ -186,13 +187,13 @@
 	r.call(org, phase, r.now, false)
 }
 
-// call is a caller's attempt at an instance of its choice.
+// call sends a caller's request to a random instance.
 func (r *simulation) call(org, phase int, first float64, again bool) {
 	n := r.scenario.instances
 	if r.usedInstances > 0 {
 		n = r.usedInstances
 	}
-	// Callers of one failure domain, a third of the instances, are twice as many.
+	// The callers of one failure domain, with a third of the instances, are twice as many.
 	at := r.random.IntN(n + n/3)
 	in := r.instances[at%n]
 	r.scheduleAfter(callerDelay, func() {
@@ -204,12 +205,12 @@
 	})
 }
 
-func (c *call) count(f func(*count)) {
+func (c *call) count(f func(*counts)) {
 	f(&c.r.byOrg[c.org])
 	f(&c.r.byPhase[c.phase])
 }
 
-// findTarget seeks a target, as io/cfingress does.
+// findTarget seeks a target in the same way as io/cfingress.
 func (c *call) findTarget(hedge bool) {
 	r, now := c.r, c.r.clock()
 	if c.done || !c.attempts.MaySend(now) {
@@ -312,7 +313,7 @@
 	at := len(s.onLoss) - 1
 	run := func() {
 		s.busy++
-		const sigma = 0.5 // of the logarithm of work
+		const sigma = 0.5 // standard deviation of the logarithm of the service time
 		took := s.slowdown * r.answerTime / (1 + (r.tailFactor-1)*r.tailFraction) * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
 		if r.random.Float64() < r.tailFraction {
 			took *= r.tailFactor
@@ -338,7 +339,7 @@
 	}
 }
 
-// receive is the end of a send at the instance.
+// receive processes the result of a send at the instance.
 func (c *call) receive(id cf.InstanceID, a cf.TargetAnswer, err error, took cf.Millis) {
 	now := c.r.clock()
 	c.pending--
@@ -358,7 +359,7 @@
 	case good:
 		c.done = true
 		spent := c.r.now + callerDelay - c.firstAsked
-		c.count(func(t *count) {
+		c.count(func(t *counts) {
 			switch {
 			case spent <= float64(objective):
 				t.inTime++
@@ -374,7 +375,7 @@
 	}
 }
 
-// finish is a call for which nothing is under way or left.
+// finish ends a call that has no send in progress and may not be sent again.
 func (c *call) finish() {
 	if c.done || c.pending > 0 {
 		return
@@ -382,10 +383,10 @@
 	c.done = true
 	r, now := c.r, c.r.clock()
 	if c.attempts.MayHaveRun() {
-		c.count(func(t *count) { t.failed++ })
+		c.count(func(t *counts) { t.failed++ })
 		return
 	}
-	c.count(func(t *count) { t.slowestRefusal = max(t.slowestRefusal, float64(now-c.received)) })
+	c.count(func(t *counts) { t.slowestRefusal = max(t.slowestRefusal, float64(now-c.received)) })
 	if c.resubmitted {
 		return
 	}
