--- a/core/cfbalance/attempts.go
+++ b/core/cfbalance/attempts.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// Attempts follows one request through the targets it is sent to.
+	// Attempts tracks the attempts to send one request to targets.
 	Attempts struct {
 		route      cfsite.Route
 		deadline   cf.Millis
@@ -17,21 +17,20 @@
 	}
 )
 
-// hedgeFraction is the part of a route's SLO after which an idempotent request
-// is also sent to another target: late enough that few are (the mean answer
-// takes a sixth of the SLO), early enough that the second answer is in time.
+// hedgeFraction is the fraction of a route's SLO after which an idempotent request is also sent to
+// a second target: late enough that few requests are hedged (the mean answer takes a sixth of the
+// SLO), and early enough that the second answer arrives in time.
 const hedgeFraction = 0.55
 
-// NewAttempts returns the state of a request that must be answered by
-// deadline.
+// NewAttempts returns the state of a request that must be answered by deadline.
 func NewAttempts(route cfsite.Route, deadline cf.Millis) *Attempts {
 	return &Attempts{route: route, deadline: deadline}
 }
 
-// Remaining returns how long the request may still take.
+// Remaining returns the time left until the deadline.
 func (a *Attempts) Remaining(now cf.Millis) cf.Millis { return a.deadline - now }
 
-// MaySend says whether the request may go to one more target.
+// MaySend reports whether the request may be sent to another target.
 func (a *Attempts) MaySend(now cf.Millis) bool {
 	if a.sends >= max(a.route.MaxAttempts, 1) || a.Remaining(now) <= 0 {
 		return false
@@ -42,9 +41,9 @@
 // Sent counts a send that reached a target.
 func (a *Attempts) Sent() { a.sends++ }
 
-// Classify takes the end of an attempt; good says that its answer is the caller's.
-// Whatever is not surely unrun counts as run: a bid sent once more, or refused
-// as not run, could be recorded twice.
+// Classify returns the outcome of an attempt; good is true if its answer is to be returned to the
+// caller. Unless a target has certainly not run the request, it counts as possibly run: a bid that
+// is sent again, or refused as not run, could be recorded twice.
 func (a *Attempts) Classify(answer cf.TargetAnswer, err error) (o Outcome, good bool) {
 	switch {
 	case errors.Is(err, cf.ErrNotRun):
@@ -62,8 +61,8 @@
 	}
 }
 
-// HedgeAfter returns how long to wait for an answer before the request is
-// also sent elsewhere, false where that is not allowed.
+// HedgeAfter returns how long to wait for an answer before the request is also sent to another
+// target, and false if that is not allowed.
 func (a *Attempts) HedgeAfter() (cf.Millis, bool) {
 	if a.route.Kind != cfsite.KindIdempotent || a.route.SLO <= 0 || a.sends >= a.route.MaxAttempts {
 		return 0, false
@@ -71,6 +70,6 @@
 	return cf.Millis(float64(a.route.SLO) * hedgeFraction), true
 }
 
-// MayHaveRun says whether a target may have run the request, or may yet: then it
-// is not to be refused, for a refusal promises that it has not and never will.
+// MayHaveRun reports whether a target may have run the request, or may still do so. Such a request
+// must not be refused, since a refusal promises that it has not run and will not.
 func (a *Attempts) MayHaveRun() bool { return a.mayHaveRun }
--- a/core/cfbalance/balance.go
+++ b/core/cfbalance/balance.go
@@ -1,19 +1,19 @@
-// Package cfbalance chooses the target of a single request, decides what a failed
-// attempt allows, and when a refused caller comes back. It makes no calls and has
-// no clock of its own.
+// Package cfbalance chooses the target of a single request, decides whether a failed attempt may be
+// repeated, and tells a refused caller when to come back. It makes no network calls and takes the
+// time as an argument.
 //
-// The load it answers: many short requests from entry instances that do not
-// see each other's work, targets of different speed, and targets that fail
-// while their entry in the instance list still looks well.
+// It is designed for many short requests from entry instances that do not see each other's
+// requests, for targets of different speed, and for targets that fail although they are still
+// listed as healthy.
 //
 // Usage:
 //
 //	b := cfbalance.New()
-//	t, ok := b.Choose(candidates, tried, now)
+//	t, ok := b.Choose(candidates, tried, draw, now)
 //	b.Sent(t.ID)
-//	outcome, good := attempts.Judge(answer, err)
+//	outcome, good := attempts.Classify(answer, err)
 //	b.Done(t.ID, outcome, answer.Load, took, now)
-//	b.Kept(t.ID, now+answer.Kept)
+//	b.ConnectionKept(t.ID, now+answer.Kept)
 package cfbalance
 
 import (
@@ -24,14 +24,14 @@
 )
 
 type (
-	// Outcome is what an attempt came to.
+	// Outcome is the outcome of an attempt.
 	Outcome int
 
-	// Balancer holds what an instance has learned of the targets from
-	// their answers. It is safe for concurrent use.
+	// Balancer holds what an instance has learned about targets from their answers. It is safe for
+	// concurrent use.
 	Balancer struct {
-		// IgnorePace leaves out what targets say of their pace, to measure what it brings.
-		// It is set before the first call.
+		// IgnorePace disregards the pace that targets report, to measure its benefit. It must be
+		// set before the first call.
 		IgnorePace bool
 
 		mu      sync.Mutex
@@ -39,64 +39,64 @@
 	}
 
 	targetState struct {
-		inFlight        int // requests of this instance in flight
+		inFlight        int // this instance's requests only
 		load            cf.TargetLoad
 		loadAt          cf.Millis
 		avoidUntil      cf.Millis
 		failures        int
 		meanTime        float64 // smoothed time of an answer, ms
-		meanServiceTime float64 // the same of answers that had not to queue
-		// usualTime is the same of answers at the target's usual pace, zero where it does not
-		// say its pace.
+		meanServiceTime float64 // the same for answers without queueing
+		// usualTime is the smoothed time of an answer at the target's usual pace, zero if the
+		// target does not report its pace.
 		usualTime float64
 		lastUsed  cf.Millis
-		// warmUntil is until when a connection is kept.
+		// A connection to the target is kept until warmUntil.
 		warmUntil cf.Millis
 	}
 )
 
 // Outcomes of an attempt.
 const (
-	// Answered: a whole answer came.
+	// Answered: a complete answer arrived.
 	Answered Outcome = iota
 	// NotRun: the target did not run the request.
 	NotRun
-	// Failed: the target or the connection failed, and may have run it.
+	// Failed: the target or the connection failed; the target may have run the request.
 	Failed
-	// Unreached: no connection could be had.
+	// Unreached: no connection could be opened.
 	Unreached
-	// Abandoned: the attempt was given up for reasons of our own.
+	// Abandoned: this instance gave up the attempt for reasons of its own.
 	Abandoned
 )
 
 const (
-	// loadMaxAge is how long a target's word on its load counts.
+	// loadMaxAge is the age up to which a target's load report is used.
 	loadMaxAge cf.Millis = 1000
-	// avoidNotRun and avoidFailed keep requests off a target that was full or
-	// failed; a second failure in a row doubles the span, up to avoidMost.
+	// avoidNotRun and avoidFailed are how long a target is avoided after it did not run a request
+	// or failed. avoidFailed doubles with each further failure in a row, up to maxAvoid.
 	avoidNotRun cf.Millis = 50
 	avoidFailed cf.Millis = 300
 	maxAvoid    cf.Millis = 2400
-	// usualPace is the pace of a machine that is as fast as usual, in percent. paceFade is
-	// over how long what a target said of it ceases to tell anything: machines' states are
-	// redrawn about so often.
+	// usualPace is the pace, in percent, of a machine at its usual speed. paceFade is the time
+	// constant with which a reported pace loses its weight; the speed of machines changes about
+	// that often.
 	usualPace           = 100
 	paceFade  cf.Millis = 600
-	// smoothing is the weight of the newest time in the smoothed one.
+	// smoothing is the weight of the newest sample in smoothed times.
 	smoothing = 0.2
-	// connectCost is what a new connection adds to a request's time, in ms: two round
-	// trips, and its handshake at the target. Small beside what targets differ by, it
-	// lets an instance stay with some of those that are alike, and so spares them
-	// the handshakes of all the others.
+	// connectCost is the time in ms that a new connection adds to a request: two round trips and
+	// the handshake at the target. It is small compared with the differences between targets. Among
+	// similar targets it makes an instance stay with a few of them, which saves the handshakes with
+	// all others.
 	connectCost = 4
-	// minKnown is from how many targets on that have answered the others are expected
+	// minKnown is the number of targets with answers from which on targets without any are expected
 	// to be like them.
 	minKnown = 2
-	// forgetAfter drops what is known of targets that are not heard of any more.
+	// forgetAfter is when the state of an unused target is dropped.
 	forgetAfter cf.Millis = 60000
 )
 
-// New returns a balancer that knows nothing.
+// New returns a balancer without any state.
 func New() *Balancer { return &Balancer{targets: map[cf.InstanceID]*targetState{}} }
 
 func (b *Balancer) stateOf(id cf.InstanceID) *targetState {
@@ -108,15 +108,15 @@
 	return s
 }
 
-// Choose returns the candidate that should answer soonest, leaving out those
-// in tried. Targets that failed lately are chosen only if no other is left.
+// Choose returns the candidate that is expected to answer soonest, except those in tried. Targets
+// that failed recently are chosen only if no other is left. draw is a random number from 0 up to 1.
 func (b *Balancer) Choose(candidates []cf.Target, tried map[cf.InstanceID]bool, draw float64, now cf.Millis) (cf.Target, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	best := -1
 	bestScore := 0.0
-	usual := b.expectedTime(candidates, now)
-	// Ties are broken by a random start, or all instances would send to the
+	expected := b.expectedTime(candidates, now)
+	// The search starts at a random candidate; otherwise ties would make all instances send to the
 	// same target.
 	n := len(candidates)
 	first := int(draw * float64(n))
@@ -126,7 +126,7 @@
 		if tried[t.ID] {
 			continue
 		}
-		score := b.targets[t.ID].score(t, usual, now)
+		score := b.targets[t.ID].score(t, expected, now)
 		if best < 0 || score < bestScore {
 			best, bestScore = j, score
 		}
@@ -138,12 +138,13 @@
 	return candidates[best], true
 }
 
-// expectedTime returns what an answer of a target takes that has not answered yet: the mean of
-// those that have, once there are some, else less than any, so that they are tried.
+// expectedTime returns the expected answer time of a target that has not answered yet: the mean
+// over the candidates that have, if there are at least minKnown, and otherwise less than any of
+// them, so that it is tried.
 //
-// The load it answers: hundreds of instances before hundreds of targets, each with a request
-// every second or two. With targets that are expected to be faster until they have answered,
-// each instance tried them all, and opened a connection for nearly every request.
+// With hundreds of instances and hundreds of targets, each instance receives a request every second
+// or two. If targets without answers were always expected to be faster, each instance would try
+// them all and open a connection for nearly every request.
 func (b *Balancer) expectedTime(candidates []cf.Target, now cf.Millis) float64 {
 	sum, known := 0.0, 0
 	for _, t := range candidates {
@@ -158,10 +159,11 @@
 	return max(sum/float64(known), 1)
 }
 
-// avoidPenalty puts targets that failed lately behind all others.
+// avoidPenalty ranks targets that failed recently behind all others.
 const avoidPenalty = 1e6
 
-// score is when a target is expected to answer; usual is for one that has not answered yet.
+// score returns the expected answer time in ms; expected is that of a target that has not answered
+// yet.
 func (s *targetState) score(t cf.Target, expected float64, now cf.Millis) float64 {
 	if s == nil {
 		return expected + connectCost
@@ -187,11 +189,11 @@
 	return score
 }
 
-// expectedSlowdown is how many times longer than usual work is expected to take at a target now, by what
-// it said last.
+// expectedSlowdown returns the expected ratio of the answer time at a target to its usual one, by
+// the pace that the target reported last.
 //
-// The load it answers: targets share their machines with other workloads, and each is 2.5 times
-// as slow for some 600 ms at a time. A smoothed time of answers shows that when it is over.
+// Targets share their machines with other workloads, and each is 2.5 times as slow for some 600 ms
+// at a time. A smoothed answer time shows such a period only when it is over.
 func (s *targetState) expectedSlowdown(now cf.Millis) float64 {
 	if s.load.Pace <= 0 {
 		return 1
@@ -203,14 +205,14 @@
 	return 1 + (float64(s.load.Pace)/usualPace-1)*math.Exp(-float64(max(now-reportedAt, 0))/float64(paceFade))
 }
 
-// Sent records that a request goes to a target.
+// Sent records that a request is sent to a target.
 func (b *Balancer) Sent(id cf.InstanceID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stateOf(id).inFlight++
 }
 
-// Done records what came of a request.
+// Done records the result of a request.
 func (b *Balancer) Done(id cf.InstanceID, o Outcome, load *cf.TargetLoad, took, now cf.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -243,7 +245,7 @@
 		s.avoidUntil = now + avoidFailed.Doubled(s.failures, maxAvoid)
 		s.failures++
 	case Abandoned:
-		// Slower than what we waited for, at least.
+		// The answer would have taken at least this long.
 		s.meanTime = max(s.meanTime, float64(took))
 		if s.usualTime > 0 {
 			s.usualTime = max(s.usualTime, float64(took)/max(s.expectedSlowdown(now), 1))
@@ -252,8 +254,8 @@
 	b.prune(now)
 }
 
-// updateUsualTime takes the time of an answer, and whether it said the target's load. One that does
-// not leaves the usual time as it is while what was said before may hold.
+// updateUsualTime updates the usual time with an answer. reported is true if the answer included
+// the target's load; otherwise the usual time is kept as long as the last report may still hold.
 func (s *targetState) updateUsualTime(took float64, reported bool, now cf.Millis) {
 	switch {
 	case s.load.Pace <= 0 || !reported && now-s.loadAt > loadMaxAge:
@@ -267,7 +269,7 @@
 	}
 }
 
-// ConnectionKept records that a connection to a target is kept until then.
+// ConnectionKept records until when a connection to a target is kept.
 func (b *Balancer) ConnectionKept(id cf.InstanceID, until cf.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/cfbalance/balance_test.go
+++ b/core/cfbalance/balance_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// sendToFour sends 200 requests at a pace to four targets, of which "a" ends
-// each in its own way, and returns how many reached "a".
+// sendToFour sends 200 requests at a fixed interval to four targets, where target "a" ends each
+// request with the given outcome, and returns how many reached "a".
 func sendToFour(every cf.Millis, outcome cfbalance.Outcome, took cf.Millis) int {
 	b := cfbalance.New()
 	reached := 0
@@ -37,23 +37,22 @@
 	return reached
 }
 
-// Load: one of four targets fails every request while its entry in the
-// instance list looks well. Few requests reach it.
+// One of four targets fails every request although it is still listed as healthy. Few requests may
+// reach it.
 func TestFailingTargetGetsLittleWork(t *testing.T) {
 	if n := sendToFour(20, cfbalance.Failed, 5); n > 20 {
-		t.Errorf("%d of 200 requests went to a target that fails all", n)
+		t.Errorf("%d of 200 requests went to a target that fails every request", n)
 	}
 }
 
-// Load: one target takes eight times as long. It gets a small part.
+// One target takes eight times as long as the others. It must get a small part of the requests.
 func TestSlowTargetGetsLessWork(t *testing.T) {
 	if n := sendToFour(50, cfbalance.Answered, 200); n > 30 {
 		t.Errorf("%d of 200 requests went to the slow target", n)
 	}
 }
 
-// When all targets have failed lately, one is still chosen: a refusal would be
-// worse than a try.
+// If all targets failed recently, one is still chosen: an attempt is better than a refusal.
 func TestFailedTargetsAreChosenWhenNoOtherIsLeft(t *testing.T) {
 	b := cfbalance.New()
 	for _, x := range targets(2) {
@@ -68,8 +67,8 @@
 	}
 }
 
-// A target that says it is busy gets less, also from an instance that has sent
-// it nothing.
+// A target that reports a high load gets fewer requests, also from an instance that has sent it
+// nothing.
 func TestReportedLoadCounts(t *testing.T) {
 	b := cfbalance.New()
 	for _, x := range targets(2) {
@@ -81,19 +80,20 @@
 		b.Done(x.ID, cfbalance.Answered, load, 25, 0)
 	}
 	if got, _ := b.Choose(targets(2), nil, 0, 10); got.ID != "b" {
-		t.Errorf("chose %s", got.ID)
+		t.Errorf("chose %s, want b", got.ID)
 	}
 }
 
-// What a request that can't be repeated allows after each kind of failure.
+// Tests whether a request may be sent again, and whether it may have run, after each kind of
+// failure.
 func TestAttemptsOfEachKind(t *testing.T) {
 	cases := []struct {
-		name  string
-		kind  cfsite.RouteKind
-		ran   bool
-		sends int
-		again bool
-		maybe bool
+		name       string
+		kind       cfsite.RouteKind
+		lost       bool
+		sends      int
+		maySend    bool
+		mayHaveRun bool
 	}{
 		{"idempotent, may have run", cfsite.KindIdempotent, true, 1, true, true},
 		{"idempotent, may have run, tried enough", cfsite.KindIdempotent, true, 2, false, true},
@@ -107,14 +107,14 @@
 		for range c.sends {
 			a.Sent()
 		}
-		if c.ran {
+		if c.lost {
 			a.Classify(cf.TargetAnswer{}, cf.ErrMaybeRan)
 		}
-		if got := a.MaySend(10); got != c.again {
-			t.Errorf("%s: may be sent again %t, want %t", c.name, got, c.again)
+		if got := a.MaySend(10); got != c.maySend {
+			t.Errorf("%s: MaySend %t, want %t", c.name, got, c.maySend)
 		}
-		if got := a.MayHaveRun(); got != c.maybe {
-			t.Errorf("%s: may have run %t, want %t", c.name, got, c.maybe)
+		if got := a.MayHaveRun(); got != c.mayHaveRun {
+			t.Errorf("%s: MayHaveRun %t, want %t", c.name, got, c.mayHaveRun)
 		}
 		if a.MaySend(1000) {
 			t.Errorf("%s: may be sent after its deadline", c.name)
@@ -122,18 +122,18 @@
 	}
 }
 
-// Only idempotent requests are sent twice at once.
+// Only idempotent requests are hedged.
 func TestOnlyIdempotentRequestsAreHedged(t *testing.T) {
 	for kind, want := range map[cfsite.RouteKind]bool{cfsite.KindIdempotent: true, cfsite.KindOnce: false, cfsite.KindStream: false} {
 		a := cfbalance.NewAttempts(cfsite.Route{Kind: kind, MaxAttempts: 2, SLO: 150}, 1000)
 		a.Sent()
 		if _, ok := a.HedgeAfter(); ok != want {
-			t.Errorf("kind %d hedged: %v", kind, ok)
+			t.Errorf("kind %d: hedged %v", kind, ok)
 		}
 	}
 }
 
-// BenchmarkChoose measures one choice at three sizes.
+// BenchmarkChoose measures one choice among 4, 64 and 1024 targets.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{4, 64, 1024} {
 		ts := make([]cf.Target, n)
@@ -150,9 +150,9 @@
 	}
 }
 
-// Load: an instance sends a request every two seconds, one of hundreds before hundreds of
-// targets, which keep connections for eight. It stays with a few that answer as the others
-// do, and leaves one that turns slow.
+// One of hundreds of instances sends a request every two seconds to hundreds of targets, which keep
+// connections for eight seconds. It must stay with a few targets as fast as the others, and leave
+// one that turns slow.
 func TestFewTargetsOfManyAreUsed(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
 	all := make([]cf.Target, 558)
--- a/core/cfbalance/explore_test.go
+++ b/core/cfbalance/explore_test.go
@@ -11,36 +11,36 @@
 )
 
 type (
-	// attemptSend is one message to a target in the specification of at-most-once.
+	// attemptSend is one message to a target in the model of at-most-once execution.
 	attemptSend struct {
-		pending   bool // the instance still waits for its answer
+		pending   bool // the instance still waits for the answer
 		inTransit bool // it has not reached its target and still may
 		ran       bool
 		resent    bool // the connection sent it again by itself
 	}
 
-	// result is what the caller of an attempt has heard.
+	// result is what the caller of an attempt has been answered.
 	result int
 
-	// callerAttempt is one attempt of a caller: an id of its own, at one instance. It
-	// is driven by the decisions of this package.
+	// callerAttempt is one attempt of a caller, with its own request ID, at one instance. It is
+	// driven by the decisions of cfbalance.
 	callerAttempt struct {
 		decisions cfbalance.Attempts
 		sends     []attemptSend
 		result    result
 	}
 
-	// systemState is a caller that asks again after each promise that nothing has
-	// run, with everything that is under way.
+	// systemState is the state of a caller that sends its request again after each refusal, and of
+	// all its messages.
 	systemState struct {
 		attempts []callerAttempt
 	}
 
-	// fault is what may be seeded into the world or the instance to see that
-	// the exploration finds what breaks then.
+	// fault is a fault that is seeded into the model to check that the exploration detects its
+	// effect.
 	fault int
 
-	// explorer plays every schedule of a kind of request.
+	// explorer visits every schedule of one kind of request.
 	explorer struct {
 		kind      cfsite.RouteKind
 		fault     fault
@@ -53,23 +53,23 @@
 const (
 	waiting result = iota
 	answered
-	refused // with the promise that nothing has run and nothing will
-	failed  // without one
+	refused // with the promise that nothing has run or will run
+	failed  // without such a promise
 )
 
 const (
 	noFault fault = iota
-	// lostCountsAsNotRun: a connection lost after the send is taken for none.
+	// lostCountsAsNotRun: a connection lost after the send counts as never opened.
 	lostCountsAsNotRun
 	// connectionResends: the connection sends a message a second time by itself.
 	connectionResends
-	// refusedAfterTimeout: a request whose time is up is refused.
+	// refusedAfterTimeout: a request whose deadline has passed is refused.
 	refusedAfterTimeout
 )
 
 const (
-	maxAttempts = 2 // of a caller
-	maxSends    = 3 // of a try
+	maxAttempts = 2 // attempts of a caller
+	maxSends    = 3 // sends of an attempt
 )
 
 func (x *explorer) newAttempt() callerAttempt {
@@ -108,7 +108,7 @@
 	return n
 }
 
-// visit follows every schedule from a world.
+// visit explores every schedule that starts from a state.
 func (x *explorer) visit(w systemState) {
 	if x.violation != "" {
 		return
@@ -117,7 +117,7 @@
 	if x.violation = x.check(w); x.violation != "" {
 		return
 	}
-	// A message under way arrives and is run, whatever became of its answer.
+	// A message in transit may arrive and run, even if its answer is no longer awaited.
 	for i := range w.attempts {
 		for j, s := range w.attempts[i].sends {
 			if s.inTransit && !s.pending {
@@ -138,7 +138,7 @@
 	}
 }
 
-// step follows what the instance of a try may do or hear next.
+// step explores what the instance of an attempt may do or receive next.
 func (x *explorer) step(w systemState, i int) {
 	t := &w.attempts[i]
 	maySend := t.decisions.MaySend(0) && len(t.sends) < x.targets
@@ -163,7 +163,7 @@
 			x.receive(w, i, j)
 		}
 	}
-	// The time is up.
+	// The deadline passes.
 	next := w.clone()
 	next.attempts[i].result = failed
 	if x.fault == refusedAfterTimeout {
@@ -183,7 +183,7 @@
 	x.visit(next)
 }
 
-// receive follows each way in which an attempt may end.
+// receive explores every way in which a send may end.
 func (x *explorer) receive(w systemState, i, j int) {
 	lost := cf.ErrMaybeRan
 	if x.fault == lostCountsAsNotRun {
@@ -195,13 +195,13 @@
 		err          error
 	}{
 		{err: cf.ErrNotRun},                                  // no connection
-		{transit: true, err: lost},                           // lost, and it may arrive yet
+		{transit: true, err: lost},                           // connection lost, and the message may still arrive
 		{ran: true, err: lost},                               // run, and its answer lost
-		{ran: true, err: cf.ErrBadAnswer},                    // run, and another's answer came
-		{answer: cf.TargetAnswer{Status: 503, NotRun: true}}, // full
-		{ran: true, answer: cf.TargetAnswer{Status: 500}},    // failed
-		{ran: true, answer: cf.TargetAnswer{Status: 200}},    // done
-		{ran: true, answer: cf.TargetAnswer{Status: 404}},    // the target's own refusal
+		{ran: true, err: cf.ErrBadAnswer},                    // run, and the answer to another request arrived
+		{answer: cf.TargetAnswer{Status: 503, NotRun: true}}, // target full
+		{ran: true, answer: cf.TargetAnswer{Status: 500}},    // target failed
+		{ran: true, answer: cf.TargetAnswer{Status: 200}},    // success
+		{ran: true, answer: cf.TargetAnswer{Status: 404}},    // error response of the target, for instance an unknown path
 	}
 	for _, o := range outcomes {
 		next := w.clone()
@@ -210,14 +210,14 @@
 		if _, good := t.decisions.Classify(o.answer, o.err); good {
 			t.result = answered
 			for k := range t.sends {
-				t.sends[k].pending = false // given up
+				t.sends[k].pending = false // abandoned
 			}
 		}
 		x.visit(next)
 	}
 }
 
-// check returns what is wrong with a world.
+// check returns the violation in a state, empty if there is none.
 func (x *explorer) check(w systemState) string {
 	total := 0
 	for i, t := range w.attempts {
@@ -225,15 +225,15 @@
 		total += runs
 		switch {
 		case t.result == refused && runs > 0:
-			return fmt.Sprintf("try %d was refused as not run, and ran %d times", i, runs)
+			return fmt.Sprintf("attempt %d was refused as not run, and ran %d times", i, runs)
 		case x.kind == cfsite.KindOnce && runs > 1:
-			return fmt.Sprintf("try %d ran %d times", i, runs)
+			return fmt.Sprintf("attempt %d ran %d times", i, runs)
 		case len(t.sends) > maxSends:
-			return fmt.Sprintf("try %d was sent %d times", i, len(t.sends))
+			return fmt.Sprintf("attempt %d was sent %d times", i, len(t.sends))
 		}
 	}
 	if x.kind == cfsite.KindOnce && total > 1 {
-		return fmt.Sprintf("the request ran %d times in all", total)
+		return fmt.Sprintf("the request ran %d times in total", total)
 	}
 	return ""
 }
@@ -244,14 +244,14 @@
 	return x
 }
 
-// Every schedule of a caller that asks again after each refusal, of up to three
-// targets, of lost, late, foreign and failed answers, and of the time running
-// out: a request that may run once does, and what is refused never runs.
+// Explores every schedule of a caller that sends its request again after each refusal, with up to
+// three targets, with lost, late, mismatched and failed answers, and with deadlines that pass: a
+// request of kind once runs at most once, and a refused request never runs.
 func TestEveryScheduleRunsAtMostOnce(t *testing.T) {
 	for _, kind := range []cfsite.RouteKind{cfsite.KindOnce, cfsite.KindIdempotent} {
 		for targets := 1; targets <= 2; targets++ {
 			x := explore(kind, noFault, targets)
-			t.Logf("kind %d, %d targets: %d worlds", kind, targets, x.states)
+			t.Logf("kind %d, %d targets: %d states", kind, targets, x.states)
 			if x.violation != "" {
 				t.Errorf("kind %d, %d targets: %s", kind, targets, x.violation)
 			}
@@ -262,16 +262,16 @@
 	}
 }
 
-// What is seeded into the world or the instance is found.
+// The exploration must detect each seeded fault.
 func TestExplorationFindsSeededFaults(t *testing.T) {
 	for name, b := range map[string]fault{
-		"a lost connection counts as none":     lostCountsAsNotRun,
-		"a connection sends again by itself":   connectionResends,
-		"a request is refused when time is up": refusedAfterTimeout,
+		"a lost connection counts as not run":  lostCountsAsNotRun,
+		"a connection resends a message":       connectionResends,
+		"a request is refused after a timeout": refusedAfterTimeout,
 	} {
 		x := explore(cfsite.KindOnce, b, 2)
 		if x.violation == "" {
-			t.Errorf("%s: nothing found", name)
+			t.Errorf("%s: no violation found", name)
 			continue
 		}
 		t.Logf("%s: %s", name, x.violation)
--- a/core/cfbalance/pace_test.go
+++ b/core/cfbalance/pace_test.go
@@ -9,9 +9,9 @@
 	"currantford/core/cfbalance"
 )
 
-// simulateSharedMachines sends requests of 21 ms from 30 instances to three targets of 6 slots, whose
-// machines are 2.5 times as slow for 15% of the time, redrawn every 600 ms. It returns the
-// mean time of an answer in ms, and the part of the requests begun at a slow target.
+// simulateSharedMachines sends requests of 21 ms from 30 instances to three targets with six slots,
+// whose machines are 2.5 times as slow for 15% of the time, drawn anew every 600 ms. It returns the
+// mean answer time in ms and the fraction of the requests that begin at a slow target.
 func simulateSharedMachines(perSecond float64, ignore bool) (mean, slow float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	candidates := targets(3)
@@ -72,21 +72,21 @@
 	return mean / float64(n), slow / float64(n)
 }
 
-// Symptom: requests wait at a target whose machine has just turned slow, beside others that
-// are fast. Guards against a pace that is decoded and not used, and against one that keeps
-// requests off a target long after it was said.
+// Guards against requests waiting at a target whose machine has just turned slow while other
+// targets are fast: the reported pace must be used, and must not keep requests away from a target
+// long after the report.
 func TestRequestsAvoidTargetsThatAreSlowNow(t *testing.T) {
 	for _, perSecond := range []float64{12, 108, 300, 600} {
-		before, slowBefore := simulateSharedMachines(perSecond, true)
-		now, slow := simulateSharedMachines(perSecond, false)
-		t.Logf("%3.0f requests a second: %.1f ms and %.3f at slow targets without the pace, %.1f ms and %.3f with it", perSecond, before, slowBefore, now, slow)
-		if now > before+0.5 {
-			t.Errorf("%.0f requests a second: answers take %.1f ms, %.1f without the pace", perSecond, now, before)
+		without, slowWithout := simulateSharedMachines(perSecond, true)
+		with, slowWith := simulateSharedMachines(perSecond, false)
+		t.Logf("%3.0f requests per second: without the pace %.1f ms and a fraction of %.3f at slow targets, with it %.1f ms and %.3f", perSecond, without, slowWithout, with, slowWith)
+		if with > without+0.5 {
+			t.Errorf("%.0f requests per second: answers take %.1f ms, %.1f without the pace", perSecond, with, without)
 		}
-		// Below, an instance hears of each target about once a second, and machines' states
-		// last 600 ms.
-		if perSecond >= 300 && slow > 0.9*slowBefore {
-			t.Errorf("%.0f requests a second: %.3f begin at slow targets, %.3f without the pace", perSecond, slow, slowBefore)
+		// At lower rates an instance receives an answer from each target only about once a second,
+		// while the speed of a machine lasts for 600 ms.
+		if perSecond >= 300 && slowWith > 0.9*slowWithout {
+			t.Errorf("%.0f requests per second: a fraction of %.3f begins at slow targets, %.3f without the pace", perSecond, slowWith, slowWithout)
 		}
 	}
 }
--- a/core/cfbalance/retryscheduler.go
+++ b/core/cfbalance/retryscheduler.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// minRetryAfter is the shortest that a refused caller is told to wait: its
-	// new connection alone takes some milliseconds.
+	// minRetryAfter is the shortest time that a refused caller is told to wait: its new connection
+	// alone takes some milliseconds.
 	minRetryAfter cf.Millis = 50
-	// maxRetryAfter bounds the promise where places free slowly; what a service
-	// does in three seconds is not known now.
+	// maxRetryAfter bounds the time where slots become free slowly; the load of a service in three
+	// seconds is not predictable.
 	maxRetryAfter cf.Millis = 3000
-	// timeLeftDivisor is the part of a caller's time left within which it heeds the
-	// time that it is told.
+	// timeLeftDivisor divides the time that a caller has left: callers wait as told only if that is
+	// at most this part of it.
 	timeLeftDivisor = 3
-	// firstFreeFraction is the part of an answer's time after which the first place
-	// of a full service frees: on average its requests are half done.
+	// firstFreeFraction is the fraction of the service time after which the first slot of a full
+	// service becomes free: on average its requests are half done.
 	firstFreeFraction = 0.5
 )
 
 type (
-	// Throughput is how a service frees places, as its answers have shown.
+	// Throughput is the rate at which slots of a service become free, as measured from its answers.
 	Throughput struct {
-		// ServiceTime is the mean time of an answer at a target without a queue,
-		// PerMs the places that free a millisecond over all targets.
+		// ServiceTime is the mean time in ms of an answer without queueing, PerMs the number of
+		// slots that become free per ms over all targets.
 		ServiceTime, PerMs float64
 	}
 
-	// RetryScheduler tells refused callers when to come back, each at a time of its
-	// own: a caller tries again once or twice only, and one that comes back
-	// before a place is free, or with all others at once, is lost.
+	// RetryScheduler tells each refused caller its own time to come back. Callers retry only once
+	// or twice; one that comes back before a slot is free, or at the same time as all others,
+	// fails. RetryScheduler is safe for concurrent use.
 	//
-	// The load it answers: a burst of several times what a service takes,
-	// refused within a fraction of the time of an answer. It is safe for
-	// concurrent use.
+	// It is designed for bursts of several times the capacity of a service, refused within a
+	// fraction of the service time.
 	RetryScheduler struct {
 		mu   sync.Mutex
-		next map[cf.ServiceName]float64 // Uptime of the next free place
+		next map[cf.ServiceName]float64 // Uptime of the next free slot
 	}
 )
 
-// NewRetryScheduler returns a plan without promises.
+// NewRetryScheduler returns a scheduler that has assigned no slots.
 func NewRetryScheduler() *RetryScheduler { return &RetryScheduler{next: map[cf.ServiceName]float64{}} }
 
-// RetryAfter returns when a caller with so much time left should come back to a full
-// service. instances is how many share the service's places.
+// RetryAfter returns how long a caller of a full service should wait before it comes back; left is
+// the time that the caller has left, and instances the number of instances that share the service's
+// slots.
 func (r *RetryScheduler) RetryAfter(service cf.ServiceName, t Throughput, instances int, left, now cf.Millis) cf.Millis {
 	if t.PerMs <= 0 {
 		return minRetryAfter
@@ -57,16 +57,15 @@
 	r.next[service] = at + float64(max(instances, 1))/t.PerMs
 	after := cf.Millis(at) - now
 	if most := min(maxRetryAfter, left/timeLeftDivisor); after > most {
-		// It comes back then in any case; the place goes to the next.
+		// The caller comes back at that time in any case, so the slot is assigned to the next one.
 		r.next[service] = at
 		after = most
 	}
 	return max(after, minRetryAfter)
 }
 
-// Throughput returns how the candidates free places; targets that have failed
-// lately or have not answered yet count for nothing. One that has failed frees no
-// place until it has answered again.
+// Throughput returns the throughput of the candidates. Targets that failed recently or have not
+// answered yet are left out. A target that failed adds nothing to PerMs until it answers again.
 func (b *Balancer) Throughput(candidates []cf.Target, now cf.Millis) Throughput {
 	b.mu.Lock()
 	defer b.mu.Unlock()
