--- a/core/cfslow/cfslow_test.go
+++ b/core/cfslow/cfslow_test.go
@@ -11,9 +11,9 @@
 
 const quietPace = 49
 
-// observeEngines shows twelve engines until an end, every 20 ms, each slow for 600 ms and quiet for 3,400,
-// one after the other, with an error of their paces. It returns the first, which has just
-// turned slow.
+// observeEngines simulates twelve engines that are observed every 20 ms, with a relative error of
+// the pace. Each is slow for 600 ms and then not for 3,400 ms, offset from each other. It returns
+// the first engine, which has just become slow.
 func observeEngines(p *cfslow.Periods, to cf.Millis, noise float64) *cfslow.EngineState {
 	random := rand.New(rand.NewPCG(2, 3))
 	var engines [12]cfslow.EngineState
@@ -29,22 +29,22 @@
 	return &engines[0]
 }
 
-// Guards against moves that go by a length, a share or a slowdown that periods do not have.
+// Guards against decisions based on a wrong mean length, fraction of time or slowdown of slow
+// periods.
 func TestPeriodsAreLearned(t *testing.T) {
 	for _, noise := range []float64{0, 0.08} {
 		p := &cfslow.Periods{}
 		s := observeEngines(p, 120000, noise)
 		if !p.Reliable(120000) || math.Abs(p.Mean()-600) > 120 || math.Abs(p.SlowFraction()-0.15) > 0.03 || math.Abs(p.Slowdown()-2.5) > 0.3 || math.Abs(s.BaselinePace()-quietPace) > 3 {
-			t.Errorf("noise %.2f: known %t, mean %.0f, share %.3f, slowdown %.2f, lasting pace %.1f", noise, p.Reliable(120000), p.Mean(), p.SlowFraction(), p.Slowdown(), s.BaselinePace())
+			t.Errorf("noise %.2f: reliable %t, mean %.0f ms, slow fraction %.3f, slowdown %.2f, baseline pace %.1f", noise, p.Reliable(120000), p.Mean(), p.SlowFraction(), p.Slowdown(), s.BaselinePace())
 		}
 		if late := p.Remaining(500); late > 250 {
-			t.Errorf("a period of 600 ms that has lasted 500 is expected to go on for %.0f", late)
+			t.Errorf("a period of 600 ms that has lasted 500 ms is expected to last %.0f ms more", late)
 		}
 	}
 }
 
-// Guards against a lasting pace that bursts and late events pull down until every engine looks
-// slow.
+// Guards against bursts and late events lowering the baseline pace until every engine appears slow.
 func TestBurstsDoNotChangeTheBaselinePace(t *testing.T) {
 	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(0); now < 60000; now += 20 {
@@ -58,11 +58,11 @@
 		s.Observe(p, pace, quietPace, now)
 	}
 	if math.Abs(s.BaselinePace()-quietPace) > 5 || p.Mean() > 2100 {
-		t.Errorf("lasting pace %.1f, periods of %.0f ms", s.BaselinePace(), p.Mean())
+		t.Errorf("baseline pace %.1f, periods of %.0f ms", s.BaselinePace(), p.Mean())
 	}
 }
 
-// Guards against an engine that is slow for good being taken for one that will be fast again.
+// Guards against expecting a permanently slow engine to become fast again.
 func TestLastingSlownessBecomesTheBaselinePace(t *testing.T) {
 	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(20); now < 20000; now += 20 {
@@ -73,29 +73,30 @@
 		s.Observe(p, pace, 0, now)
 	}
 	if s.Slow(20000) || math.Abs(s.BaselinePace()-2*quietPace) > 5 || p.Reliable(20000) {
-		t.Errorf("slow %t, lasting pace %.1f, known %t", s.Slow(20000), s.BaselinePace(), p.Reliable(20000))
+		t.Errorf("slow %t, baseline pace %.1f, reliable %t", s.Slow(20000), s.BaselinePace(), p.Reliable(20000))
 	}
 }
 
-// Guards against moves near the end of a period (the planner asks for 100 ms), of short texts, or to an engine as bad.
+// Guards against moves near the end of a period (the planner requires a saving of 100 ms), of runs
+// with little left, or to an engine that is equally slow.
 func TestTimeSavedByMove(t *testing.T) {
 	p := &cfslow.Periods{}
 	now := cf.Millis(120100)
 	s := observeEngines(p, now, 0)
-	place := cfslow.Destination{Pace: s.BaselinePace()} // as the planner takes it, unless it is clearly lower
-	saves := func(left float64, to cfslow.Destination, now cf.Millis) float64 {
+	destination := cfslow.Destination{Pace: s.BaselinePace()} // the planner assumes the same pace elsewhere, unless it is clearly lower
+	saved := func(left float64, to cfslow.Destination, now cf.Millis) float64 {
 		return p.TimeSaved(cfslow.Run{EventsLeft: left}, s, to, 80, now)
 	}
-	if early := saves(100, place, now); early < 80 || early > 280 {
-		t.Errorf("a long text saves %.0f ms at the start of a period", early)
+	if early := saved(100, destination, now); early < 80 || early > 280 {
+		t.Errorf("moving a long run saves %.0f ms at the start of a period", early)
 	}
-	if late := saves(100, place, now+350); late > 50 {
-		t.Errorf("a long text saves %.0f ms at the end of a period", late)
+	if late := saved(100, destination, now+350); late > 50 {
+		t.Errorf("moving a long run saves %.0f ms at the end of a period", late)
 	}
-	if short := saves(1, place, now); short > 0 {
-		t.Errorf("a text with one event left saves %.0f ms", short)
+	if short := saved(1, destination, now); short > 0 {
+		t.Errorf("moving a run with one event left saves %.0f ms", short)
 	}
-	if bad := saves(100, cfslow.Destination{Pace: s.BaselinePace(), Delay: p.Delay(s, 100*quietPace, now)}, now); bad > 0 {
-		t.Errorf("a long text saves %.0f ms at an engine that is as slow", bad)
+	if bad := saved(100, cfslow.Destination{Pace: s.BaselinePace(), Delay: p.Delay(s, 100*quietPace, now)}, now); bad > 0 {
+		t.Errorf("moving a long run to an equally slow engine saves %.0f ms", bad)
 	}
 }
