--- a/core/cfchange/cfchange.go
+++ b/core/cfchange/cfchange.go
@@ -1,11 +1,11 @@
-// Package cfchange remembers what the last changes of a view concern, so that a reader
-// that has missed a few is told these alone, at a cost that follows their number and not
-// the size of the view.
+// Package cfchange keeps a log of the keys that changed recently in a data set, so that a reader
+// that has missed a few changes is sent only these. The cost depends on the number of changes and
+// not on the size of the data set.
 //
 // Usage:
 //
-//	log.Note(count+1, id)
-//	ids, known := log.Since(heard)
+//	log.Append(seq+1, id)
+//	ids, known := log.Since(lastSeen)
 package cfchange
 
 import (
@@ -13,44 +13,43 @@
 	"sort"
 )
 
-// maxEntries bounds the changes that are remembered. A reader that has missed more takes
-// the whole view.
+// maxEntries bounds the length of the log. A reader that has missed more changes must read the
+// whole data set.
 const maxEntries = 4096
 
 type (
-	// Log remembers which keys changed when. The zero value is empty. It is not safe
-	// for concurrent use.
+	// Log records the sequence number at which each key changed. The zero value is empty. It is not
+	// safe for concurrent use.
 	Log[K comparable] struct {
-		// entries are sorted by their counts; changes up to forgotten are not known
-		// any more.
-		entries   []entry[K]
-		forgotten int64
+		// entries are sorted by seq. Changes up to droppedSeq may have been dropped.
+		entries    []entry[K]
+		droppedSeq int64
 	}
 
 	entry[K comparable] struct {
-		count int64
-		key   K
+		seq int64
+		key K
 	}
 )
 
-// Append records that a key changes with the change that is counted as at, which is not
-// lower than those before.
-func (l *Log[K]) Append(count int64, key K) {
-	l.entries = append(l.entries, entry[K]{count, key})
+// Append records that a key changed at a sequence number, which must not be lower than the previous
+// ones.
+func (l *Log[K]) Append(seq int64, key K) {
+	l.entries = append(l.entries, entry[K]{seq, key})
 	if len(l.entries) > maxEntries {
 		half := len(l.entries) / 2
-		l.forgotten = l.entries[half-1].count
+		l.droppedSeq = l.entries[half-1].seq
 		l.entries = slices.Clone(l.entries[half:])
 	}
 }
 
-// Since returns the keys that changed after a count, each once, false if that is not
-// known.
-func (l *Log[K]) Since(count int64) ([]K, bool) {
-	if count < l.forgotten {
+// Since returns the keys that changed after a sequence number, each once. It returns false if the
+// log no longer covers them all.
+func (l *Log[K]) Since(seq int64) ([]K, bool) {
+	if seq < l.droppedSeq {
 		return nil, false
 	}
-	first := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].count > count })
+	first := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].seq > seq })
 	var out []K
 	seen := map[K]bool{}
 	for _, e := range l.entries[first:] {
--- a/core/cfhold/cfhold.go
+++ b/core/cfhold/cfhold.go
@@ -1,19 +1,19 @@
-// Package cfhold decides what an instance may hold of answers that callers read slowly:
-// how many bytes in all and for each caller, and whose answer is cut off where they are not
-// enough. It has no sockets and no clock.
+// Package cfhold limits the memory that an instance spends on answers which callers have not read
+// yet: in total and per caller. It also decides which answers to cut off if the memory does not
+// suffice. It does no I/O and takes the time as an argument.
 //
-// The load it answers: callers that read a kilobyte a second, or nothing, beside others.
-// Each holds an answer of up to some megabytes in the memory of an instance that is killed
-// at 184 MB, and with it every other caller's request.
+// It is designed for callers that read a kilobyte a second, or nothing, among others. For each of
+// them an answer of up to some megabytes stays in the memory of an instance, which is killed at 184
+// MB together with the requests of all other callers.
 //
 // Usage:
 //
 //	l := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{})
-//	h := l.Open(caller, cfhold.Answer)
-//	verdict := l.Take(h, n, now)       // before n bytes are read
-//	l.Look(h, write, acknowledged, now) // while a write to the caller is under way
-//	for _, c := range l.Cuts(now) {}    // those to be cut off
-//	l.Close(h)
+//	r := l.Open(caller, cfhold.Answer)
+//	verdict := l.Take(r, n)                     // before n bytes are read
+//	l.ObserveWrite(r, write, acknowledged, now) // while a write to the caller is in progress
+//	for _, c := range l.Cuts(now) {}            // answers to be cut off
+//	l.Close(r)
 package cfhold
 
 import (
@@ -24,149 +24,156 @@
 )
 
 const (
-	// heldDivisor is the part of the process's memory that answers may take, as a divisor.
-	// Bodies of requests may take another quarter, and the process itself needs about 40
-	// MB: together they stay under the limit from which the collector works harder.
+	// heldDivisor divides the memory limit of the process: answers may take that part. Request
+	// bodies may take another quarter, and the process itself needs about 40 MB; together they stay
+	// below the limit from which the garbage collector works harder.
 	heldDivisor = 4
-	// callerDivisor is the part of it that one caller may always take, as a divisor. It may
-	// take more while as much is left for another caller.
+	// callerDivisor divides the total for answers: a caller may always take that part, and more as
+	// long as the same amount is left for another caller.
 	callerDivisor = 4
-	// spareDivisor is what answers of more than a smallPart of it leave free for the others, as
-	// a divisor: callers that read slowly take more room the larger their answers are, and
-	// those of the usual size (up to 0.7 MB on the smallest instances) go on beside them.
+	// spareDivisor and smallDivisor divide the total for answers. Answers larger than
+	// total/smallDivisor leave total/spareDivisor free: callers that read slowly take more memory
+	// the larger their answers are, and answers of the usual size (up to 0.7 MB on the smallest
+	// instances) are still served.
 	spareDivisor = 4
 	smallDivisor = 64
-	// uncountedBytes is up to which size an answer is held whatever else is: a refusal by a
-	// target, an error or an empty page must go on, and a connection takes more by itself.
+	// uncountedBytes is the size up to which an answer needs no reservation: a refusal by a target,
+	// an error or an empty page must always get through, and a connection takes more memory than
+	// that.
 	uncountedBytes = 4 << 10
-	// unboundedDivisor is the part of it that answers share which may have no end, as a divisor.
+	// unboundedDivisor divides the total for answers: answers of possibly unlimited length share
+	// that part.
 	unboundedDivisor = 2
-	// pageReserveDivisor is what is kept beside it for pages of results, so that trainers can
-	// read while answers to plain requests take all the room.
+	// pageReserveDivisor divides the total for answers: that much is reserved in addition for pages
+	// of results, so that trainers can read them while answers to plain requests take all of the
+	// total.
 	pageReserveDivisor = 8
 
-	// StallTimeout is how long a caller may read nothing while bytes wait for it, where half
-	// of the bound is taken or there is none. What a caller reads shows only when its
-	// machine announces room again, after 64 to 128 KB of a usual buffer: 20 s are a
-	// caller that reads less than 6 KB a second.
+	// StallTimeout is how long a caller may read nothing while data is waiting for it, if at least
+	// half of the bound is taken or there is no bound. Progress is visible only when the caller's
+	// machine announces a new receive window, after 64 to 128 KB with usual buffers: 20 s
+	// correspond to less than 6 KB a second.
 	StallTimeout cf.Millis = 20000
-	// maxStallTimeout is the same up to a quarter of the bound, and falls from there: while
-	// there is room waiting costs nobody anything, and at a kilobyte a second those 128 KB
-	// take 128 s.
+	// maxStallTimeout is the same while at most a quarter of the bound is taken; in between the
+	// timeout falls linearly. As long as memory is left, waiting costs nothing, and at a kilobyte a
+	// second those 128 KB take 128 s.
 	maxStallTimeout cf.Millis = 150000
-	// StreamWriteTimeout is how long one write of a stream may wait for its caller. The
-	// connection's buffers are full then, with more than a whole text, and what waits
-	// is held up at the target. With CheckInterval it ends within a second, before the stream
-	// counts as stalled at its target (1.2 s).
+	// StreamWriteTimeout is how long one write of a stream may wait for the caller. At that point
+	// the buffers of the connection are full, with more than a whole text, and the target is
+	// blocked. Together with CheckInterval the write ends within a second, before the target treats
+	// the stream as stalled (1.2 s).
 	StreamWriteTimeout cf.Millis = 400
-	// SlowWriteAfter is how long a write must have waited before its caller's pace is judged,
-	// where others wait for room: far over a round trip (16 ms), and so short that twenty
-	// slow answers of 2 MB a second take no more than the room of large ones.
+	// SlowWriteAfter is how long a write must have been blocked before the read rate of its caller
+	// is assessed, if other answers wait for memory. It is far longer than a round trip (16 ms),
+	// and so short that twenty slow answers of 2 MB each per second take no more than the memory
+	// for large answers.
 	SlowWriteAfter cf.Millis = 300
-	// CheckInterval is how often connections with a write under way are looked at, PressureCheckInterval
-	// the same while answers wait for room.
+	// CheckInterval is the interval at which connections with a write in progress are checked,
+	// PressureCheckInterval the same while answers wait for memory.
 	CheckInterval         cf.Millis = 500
 	PressureCheckInterval cf.Millis = 100
-	// MaxWait is how long an answer may wait for room; targets cut off what is unread
-	// for longer. It leaves time to tell the slowest, and to cut them.
+	// MaxWait is how long an answer may wait for memory. Targets close connections that are not
+	// read for longer. It leaves enough time to identify the slowest callers and cut them off.
 	MaxWait cf.Millis = 2000
 )
 
-// Kinds of holds.
+// Kinds of reservations.
 const (
-	// Answer is a target's answer, or an item's body.
+	// Answer is a target's answer, or the body of an item.
 	Answer Kind = iota
-	// Page is a page of results; it may use the reserve.
+	// Page is a page of results; it may use the reserve for pages.
 	Page
-	// Stream is an answer that is passed on as it arrives.
+	// Stream is an answer that is forwarded as it arrives.
 	Stream
 )
 
-// Verdicts on a take.
+// Results of Take and TakeUpTo.
 const (
-	// Granted: the bytes are held now.
+	// Granted: the bytes are reserved.
 	Granted Verdict = iota
-	// Wait: there is no room at present.
+	// Wait: there is not enough memory at present.
 	Wait
-	// TooLarge: it is over the bound by itself.
+	// TooLarge: the answer by itself exceeds the bound.
 	TooLarge
 )
 
-// Reasons of cuts.
+// Reasons for cutting off an answer.
 const (
-	// Stalled: the caller has read nothing for StallTimeout, or longer where there is room.
+	// Stalled: the caller has read nothing for StallTimeout, or for longer while memory is left.
 	Stalled Reason = "stalled"
-	// Slowest: others need the room, and this one would be in the way for longer than
-	// they can wait.
+	// Slowest: others wait for memory, and this answer would occupy it for longer than they can
+	// wait.
 	Slowest Reason = "slowest"
-	// SlowStream: the caller holds up a stream at its target.
+	// SlowStream: the caller blocks a stream at its target.
 	SlowStream Reason = "slow_stream"
 )
 
 type (
-	// Caller is whose answers count together.
+	// Caller identifies a caller, whose answers are counted together.
 	Caller string
-	// Kind is what is held.
+	// Kind is the kind of a reservation.
 	Kind int
-	// Verdict says whether bytes may be held.
+	// Verdict is the result of a request for memory.
 	Verdict int
-	// Reason says why an answer is cut off.
+	// Reason is the reason for cutting off an answer.
 	Reason string
 
-	// Bounds limit what is held, in bytes. A Total of zero is no bound.
+	// Bounds limit the reserved memory, in bytes. A Total of zero means no limit.
 	Bounds struct {
 		Total int64
-		// PerCaller is what one caller may take where no more than as much is left for
-		// others.
+		// PerCaller is what one caller may take in any case. Beyond that, PerCaller must be left
+		// for others.
 		PerCaller int64
-		// SmallAnswer is up to which size an answer may take the last Spare of Total.
+		// SmallAnswer is the size up to which an answer may use the last Spare bytes of Total.
 		SmallAnswer, Spare int64
-		// Unbounded is what answers that may have no end take at most.
+		// Unbounded is the limit for all answers of possibly unlimited length.
 		Unbounded int64
-		// PageReserve is what pages may take beyond Total.
+		// PageReserve is what pages may take in addition to Total.
 		PageReserve int64
 	}
 
-	// Policy turns the decision off, to measure what it brings.
+	// Policy can disable the limits, to measure their benefit.
 	Policy struct {
 		Disabled bool
 	}
 
-	// Reservation is one answer, from before it is read until its caller has it.
+	// Reservation is the memory reserved for one answer, from before it is read until the caller
+	// has received it.
 	Reservation struct {
 		id     uint64
 		caller Caller
 		kind   Kind
 		bytes  int64
-		// unbounded are those of them that were taken for an answer that may have no end.
+		// unbounded is the part of bytes that was taken by TakeUnbounded.
 		unbounded int64
-		// wanted is what waits for room, zero if nothing does.
+		// wanted is the number of bytes that the answer waits for, zero if it does not wait.
 		wanted int64
 		cut    bool
 
-		// write is the write to the caller that is under way, as numbered by its
-		// connection; blocked is when it was first seen, zero if none is.
+		// write is the write to the caller in progress, as numbered by its connection. blockedSince
+		// is when it was first observed, zero if there is none.
 		write        uint64
 		blockedSince cf.Millis
-		// acked are the bytes that the caller's machine has acknowledged, first as of
-		// blocked; moved is when that changed last.
+		// acked is the number of bytes acknowledged by the caller's machine, ackedAtStart the same
+		// as of blockedSince, and ackedAt when acked last changed.
 		acked, ackedAtStart int64
 		observedAt          cf.Millis
 		ackedAt             cf.Millis
 	}
 
-	// Cut is an answer that is to be cut off.
+	// Cut is an answer to be cut off.
 	Cut struct {
 		Reservation *Reservation
 		Reason      Reason
 		Caller      Caller
 		Bytes       int64
-		// Rate is how much its caller read, in bytes a second, in the time Blocked.
+		// Rate is the rate at which the caller read, in bytes a second, during the time Blocked.
 		Rate    int64
 		Blocked cf.Millis
 	}
 
-	// Ledger is what an instance holds. It is not safe for concurrent use.
+	// Ledger accounts for the memory that an instance has reserved for answers. It is not safe for
+	// concurrent use.
 	Ledger struct {
 		bounds    Bounds
 		policy    Policy
@@ -174,12 +181,12 @@
 		unbounded int64
 		lastID    uint64
 		callers   map[Caller]int64
-		// blocked and waiting are those holds of which it is so; both are empty while
-		// callers read at a usual pace.
+		// blocked are the reservations with a write in progress, waiting those that wait for
+		// memory. Both are empty as long as callers read at a usual rate.
 		blocked, waiting map[*Reservation]bool
 	}
 
-	// projection is what is held as it will be after some cuts.
+	// projection is the reserved memory as it will be after some cuts.
 	projection struct {
 		ledger  *Ledger
 		total   int64
@@ -187,137 +194,139 @@
 	}
 )
 
-// BoundsFor returns the bounds of a process with a memory limit in bytes, zero if it has none.
+// BoundsFor returns the bounds for a process with a memory limit in bytes, zero if it has none.
 func BoundsFor(memory int64) Bounds {
 	total := memory / heldDivisor
 	return Bounds{Total: total, PerCaller: total / callerDivisor, SmallAnswer: total / smallDivisor, Spare: total / spareDivisor, Unbounded: total / unboundedDivisor, PageReserve: total / pageReserveDivisor}
 }
 
-// New returns a ledger that holds nothing.
+// New returns a ledger without reservations.
 func New(b Bounds, p Policy) *Ledger {
 	return &Ledger{bounds: b, policy: p, callers: map[Caller]int64{}, blocked: map[*Reservation]bool{}, waiting: map[*Reservation]bool{}}
 }
 
-// Open begins an answer.
+// Open begins the reservation for an answer.
 func (l *Ledger) Open(c Caller, k Kind) *Reservation {
 	l.lastID++
 	return &Reservation{id: l.lastID, caller: c, kind: k}
 }
 
-// Held returns how many bytes are held.
+// Held returns the number of reserved bytes.
 func (l *Ledger) Held() int64 { return l.total }
 
-// Refuses says whether a caller's next request is turned away: what it has not read yet is
-// over its part, others need the room, and as much as half of its part waits already. What
-// waits has the slowest cut; a request beyond it would run for an answer that finds no room.
+// Refuses reports whether the next request of a caller is to be refused: its unread answers exceed
+// its part, little memory is left, and answers of half its part are waiting already. Waiting
+// answers cause the slowest to be cut off; a further request would run without getting memory for
+// its answer.
 func (l *Ledger) Refuses(c Caller) bool {
 	if !l.bounded() || l.callers[c] < l.bounds.PerCaller || l.total < l.bounds.Total-l.bounds.Spare-l.bounds.PerCaller {
 		return false
 	}
-	wants := int64(0)
-	for h := range l.waiting {
-		if h.caller == c {
-			wants += h.wanted
+	wanted := int64(0)
+	for r := range l.waiting {
+		if r.caller == c {
+			wanted += r.wanted
 		}
 	}
-	return wants >= l.bounds.PerCaller/2
+	return wanted >= l.bounds.PerCaller/2
 }
 
-// Take takes n more bytes for an answer. One that must wait counts as waiting until it is
-// granted or closed.
-func (l *Ledger) Take(h *Reservation, n int64) Verdict {
-	_, v := l.TakeUpTo(h, n, n)
+// Take reserves n more bytes for an answer. If there is not enough memory, the answer counts as
+// waiting until it is granted the bytes or closed, or StopWaiting is called.
+func (l *Ledger) Take(r *Reservation, n int64) Verdict {
+	_, v := l.TakeUpTo(r, n, n)
 	return v
 }
 
-// TakeUpTo takes between least and most bytes, as many as there is room for.
-func (l *Ledger) TakeUpTo(h *Reservation, least, most int64) (int64, Verdict) {
-	now := projection{l, l.total, l.callers}
+// TakeUpTo reserves between least and most bytes, as many as are available.
+func (l *Ledger) TakeUpTo(r *Reservation, least, most int64) (int64, Verdict) {
+	current := projection{l, l.total, l.callers}
 	var n int64
 	switch {
-	case most <= uncountedBytes && h.bytes == 0:
+	case most <= uncountedBytes && r.bytes == 0:
 		return most, Granted
-	case now.fits(h, most):
+	case current.fits(r, most):
 		n = most
-	case h.bytes+least > l.bounds.Total:
-		l.StopWaiting(h)
+	case r.bytes+least > l.bounds.Total:
+		l.StopWaiting(r)
 		return 0, TooLarge
-	case !now.fits(h, least):
-		h.wanted = least
-		l.waiting[h] = true
+	case !current.fits(r, least):
+		r.wanted = least
+		l.waiting[r] = true
 		return 0, Wait
 	default:
-		n = max(least, min(most, l.limit(h, least)-l.total, max(l.bounds.PerCaller-l.callers[h.caller], l.limit(h, least)-l.bounds.PerCaller-l.total)))
+		n = max(least, min(most, l.limit(r, least)-l.total, max(l.bounds.PerCaller-l.callers[r.caller], l.limit(r, least)-l.bounds.PerCaller-l.total)))
 	}
-	l.StopWaiting(h)
-	h.bytes += n
+	l.StopWaiting(r)
+	r.bytes += n
 	l.total += n
-	l.callers[h.caller] += n
+	l.callers[r.caller] += n
 	return n, Granted
 }
 
-// TakeUnbounded takes n more bytes for an answer that may have no end; false if they are too
-// many. It may become as large as what is left of its part of the room (a dynamic threshold),
-// so that a target that sends without end leaves room for answers of others.
-func (l *Ledger) TakeUnbounded(h *Reservation, n int64) bool {
-	now := projection{l, l.total, l.callers}
-	if l.bounded() && (h.unbounded+n > l.bounds.Unbounded-l.unbounded || !now.fits(h, n)) {
+// TakeUnbounded reserves n more bytes for an answer of possibly unlimited length, and returns false
+// if that is not possible. Such an answer may become as large as what is left of the part for these
+// answers (a dynamic threshold), so that a target that sends endlessly leaves memory for other
+// answers.
+func (l *Ledger) TakeUnbounded(r *Reservation, n int64) bool {
+	current := projection{l, l.total, l.callers}
+	if l.bounded() && (r.unbounded+n > l.bounds.Unbounded-l.unbounded || !current.fits(r, n)) {
 		return false
 	}
-	h.bytes += n
-	h.unbounded += n
+	r.bytes += n
+	r.unbounded += n
 	l.unbounded += n
 	l.total += n
-	l.callers[h.caller] += n
+	l.callers[r.caller] += n
 	return true
 }
 
-// Release gives n bytes of an answer back, those first that may have had no end.
-func (l *Ledger) Release(h *Reservation, n int64) {
-	n = min(n, h.bytes) // the first bytes of an answer are not counted
-	unsure := min(n, h.unbounded)
-	h.unbounded -= unsure
-	l.unbounded -= unsure
-	h.bytes -= n
+// Release releases n bytes of a reservation, first those taken by TakeUnbounded.
+func (l *Ledger) Release(r *Reservation, n int64) {
+	n = min(n, r.bytes) // the first uncountedBytes may not be counted
+	unbounded := min(n, r.unbounded)
+	r.unbounded -= unbounded
+	l.unbounded -= unbounded
+	r.bytes -= n
 	l.total -= n
-	if l.callers[h.caller] -= n; l.callers[h.caller] == 0 {
-		delete(l.callers, h.caller)
+	if l.callers[r.caller] -= n; l.callers[r.caller] == 0 {
+		delete(l.callers, r.caller)
 	}
 }
 
-// StopWaiting notes that an answer waits for room no longer.
-func (l *Ledger) StopWaiting(h *Reservation) {
-	h.wanted = 0
-	delete(l.waiting, h)
+// StopWaiting records that an answer no longer waits for memory.
+func (l *Ledger) StopWaiting(r *Reservation) {
+	r.wanted = 0
+	delete(l.waiting, r)
 }
 
-// Close gives an answer's bytes back.
-func (l *Ledger) Close(h *Reservation) {
-	l.StopWaiting(h)
-	delete(l.blocked, h)
-	l.Release(h, h.bytes)
+// Close releases the whole reservation.
+func (l *Ledger) Close(r *Reservation) {
+	l.StopWaiting(r)
+	delete(l.blocked, r)
+	l.Release(r, r.bytes)
 }
 
-// ObserveWrite notes that a write to an answer's caller is under way, and how many bytes the caller's
-// machine has acknowledged on the connection.
-func (l *Ledger) ObserveWrite(h *Reservation, write uint64, acked int64, now cf.Millis) {
-	if h.blockedSince == 0 || h.write != write {
-		h.write, h.blockedSince, h.ackedAt, h.ackedAtStart, h.acked = write, now, now, acked, acked
+// ObserveWrite records that a write to an answer's caller is in progress, and how many bytes the
+// caller's machine has acknowledged on the connection.
+func (l *Ledger) ObserveWrite(r *Reservation, write uint64, acked int64, now cf.Millis) {
+	if r.blockedSince == 0 || r.write != write {
+		r.write, r.blockedSince, r.ackedAt, r.ackedAtStart, r.acked = write, now, now, acked, acked
 	}
-	if acked != h.acked {
-		h.acked, h.ackedAt = acked, now
+	if acked != r.acked {
+		r.acked, r.ackedAt = acked, now
 	}
-	h.observedAt = now
-	l.blocked[h] = true
+	r.observedAt = now
+	l.blocked[r] = true
 }
 
-// WriteDone notes that no write to an answer's caller is under way.
-func (l *Ledger) WriteDone(h *Reservation) {
-	h.blockedSince = 0
-	delete(l.blocked, h)
+// WriteDone records that no write to an answer's caller is in progress.
+func (l *Ledger) WriteDone(r *Reservation) {
+	r.blockedSince = 0
+	delete(l.blocked, r)
 }
 
-// Cuts returns the answers to be cut off, each once. Their bytes count until they are closed.
+// Cuts returns the answers to be cut off, each once. Their bytes stay reserved until Close.
 func (l *Ledger) Cuts(now cf.Millis) []Cut {
 	if l.policy.Disabled || len(l.blocked) == 0 {
 		return nil
@@ -328,23 +337,23 @@
 	for c, n := range l.callers {
 		after.callers[c] = n
 	}
-	cut := func(h *Reservation, r Reason) {
-		h.cut = true
-		after.release(h)
-		cuts = append(cuts, Cut{Reservation: h, Reason: r, Caller: h.caller, Bytes: h.bytes, Rate: h.rate(), Blocked: now - h.blockedSince})
+	cut := func(r *Reservation, reason Reason) {
+		r.cut = true
+		after.release(r)
+		cuts = append(cuts, Cut{Reservation: r, Reason: reason, Caller: r.caller, Bytes: r.bytes, Rate: r.rate(), Blocked: now - r.blockedSince})
 	}
-	for _, h := range l.byAge(l.blocked) {
+	for _, r := range l.byAge(l.blocked) {
 		switch {
-		case now-h.observedAt > 2*CheckInterval:
-			l.WriteDone(h) // its connection has ended
-		case h.cut:
-			after.release(h) // it ends at any moment
-		case h.kind == Stream && now-h.blockedSince >= StreamWriteTimeout:
-			cut(h, SlowStream)
-		case now-h.ackedAt >= l.stallTimeout():
-			cut(h, Stalled)
-		case h.blocksWaiters(now):
-			slow = append(slow, h)
+		case now-r.observedAt > 2*CheckInterval:
+			l.WriteDone(r) // its connection has ended
+		case r.cut:
+			after.release(r) // it is about to be closed
+		case r.kind == Stream && now-r.blockedSince >= StreamWriteTimeout:
+			cut(r, SlowStream)
+		case now-r.ackedAt >= l.stallTimeout():
+			cut(r, Stalled)
+		case r.blocksWaiters(now):
+			slow = append(slow, r)
 		}
 	}
 	if len(l.waiting) == 0 {
@@ -353,7 +362,7 @@
 	slices.SortStableFunc(slow, l.compareForCut)
 	for _, w := range l.byAge(l.waiting) {
 		for !after.fits(w, w.wanted) {
-			i := slices.IndexFunc(slow, func(h *Reservation) bool { return !h.cut && after.freesRoomFor(w, h) })
+			i := slices.IndexFunc(slow, func(r *Reservation) bool { return !r.cut && after.freesRoomFor(w, r) })
 			if i < 0 {
 				break
 			}
@@ -374,11 +383,11 @@
 	return StallTimeout + (maxStallTimeout-StallTimeout)*cf.Millis(min(quarter, 2*quarter-l.total))/cf.Millis(quarter)
 }
 
-// compareForCut orders those that may be cut: callers over their part first, then by pace, and
-// of those that show none yet the one that has shown none for longest.
+// compareForCut orders the answers that may be cut off: first those of callers over their part,
+// then by read rate, then by how long their write has been blocked.
 func (l *Ledger) compareForCut(a, b *Reservation) int {
-	over := func(h *Reservation) int {
-		if l.callers[h.caller] > l.bounds.PerCaller {
+	over := func(r *Reservation) int {
+		if l.callers[r.caller] > l.bounds.PerCaller {
 			return 0
 		}
 		return 1
@@ -386,11 +395,11 @@
 	return cmp.Or(cmp.Compare(over(a), over(b)), cmp.Compare(a.rate(), b.rate()), cmp.Compare(a.blockedSince, b.blockedSince))
 }
 
-// byAge returns holds by age.
-func (l *Ledger) byAge(holds map[*Reservation]bool) []*Reservation {
-	out := make([]*Reservation, 0, len(holds))
-	for h := range holds {
-		out = append(out, h)
+// byAge returns reservations sorted by age.
+func (l *Ledger) byAge(reservations map[*Reservation]bool) []*Reservation {
+	out := make([]*Reservation, 0, len(reservations))
+	for r := range reservations {
+		out = append(out, r)
 	}
 	slices.SortFunc(out, func(a, b *Reservation) int { return cmp.Compare(a.id, b.id) })
 	return out
@@ -398,55 +407,56 @@
 
 func (l *Ledger) bounded() bool { return !l.policy.Disabled && l.bounds.Total > 0 }
 
-// limit returns what may be held in all with n more bytes of an answer.
-func (l *Ledger) limit(h *Reservation, n int64) int64 {
+// limit returns the limit on the total if an answer takes n more bytes.
+func (l *Ledger) limit(r *Reservation, n int64) int64 {
 	switch {
-	case h.kind == Page:
+	case r.kind == Page:
 		return l.bounds.Total + l.bounds.PageReserve
-	case h.bytes+n > l.bounds.SmallAnswer:
+	case r.bytes+n > l.bounds.SmallAnswer:
 		return l.bounds.Total - l.bounds.Spare
 	default:
 		return l.bounds.Total
 	}
 }
 
-// blocksWaiters says whether an answer's caller will not have it within the time for which others
-// can wait.
-func (h *Reservation) blocksWaiters(now cf.Millis) bool {
-	if now-h.blockedSince < SlowWriteAfter || h.observedAt == h.blockedSince {
+// blocksWaiters reports whether the caller will not have read the answer within the time that other
+// answers can wait.
+func (r *Reservation) blocksWaiters(now cf.Millis) bool {
+	if now-r.blockedSince < SlowWriteAfter || r.observedAt == r.blockedSince {
 		return false
 	}
-	return h.bytes-(h.acked-h.ackedAtStart) > h.rate()*int64(MaxWait)/1000
+	return r.bytes-(r.acked-r.ackedAtStart) > r.rate()*int64(MaxWait)/1000
 }
 
-// rate returns the pace of an answer's caller in bytes a second.
-func (h *Reservation) rate() int64 {
-	if h.observedAt <= h.blockedSince {
+// rate returns the rate at which the caller reads the answer, in bytes a second.
+func (r *Reservation) rate() int64 {
+	if r.observedAt <= r.blockedSince {
 		return 0
 	}
-	return (h.acked - h.ackedAtStart) * 1000 / int64(h.observedAt-h.blockedSince)
+	return (r.acked - r.ackedAtStart) * 1000 / int64(r.observedAt-r.blockedSince)
 }
 
-// fits says whether n more bytes may be taken for an answer: by what is held in all, and by
-// the part of its caller, or as much is left for another one. One that is alone may take all.
-func (p *projection) fits(h *Reservation, n int64) bool {
-	limit := p.ledger.limit(h, n)
+// fits reports whether n more bytes may be reserved for an answer: the total must stay within its
+// limit, and either the caller within its part or the same amount must be left for another caller.
+// An answer alone may take all memory.
+func (p *projection) fits(r *Reservation, n int64) bool {
+	limit := p.ledger.limit(r, n)
 	switch {
 	case !p.ledger.bounded():
 		return true
-	case p.total == h.bytes:
+	case p.total == r.bytes:
 		return p.total+n <= p.ledger.bounds.Total
 	default:
-		return p.total+n <= limit && (p.callers[h.caller]+n <= p.ledger.bounds.PerCaller || p.total+n <= limit-p.ledger.bounds.PerCaller)
+		return p.total+n <= limit && (p.callers[r.caller]+n <= p.ledger.bounds.PerCaller || p.total+n <= limit-p.ledger.bounds.PerCaller)
 	}
 }
 
-// freesRoomFor says whether a cut brings an answer that waits nearer to its room.
-func (p *projection) freesRoomFor(w, h *Reservation) bool {
-	return h.bytes > 0 && (p.total+w.wanted > p.ledger.limit(w, w.wanted) || h.caller == w.caller)
+// freesRoomFor reports whether cutting off r frees memory that w, which waits, can use.
+func (p *projection) freesRoomFor(w, r *Reservation) bool {
+	return r.bytes > 0 && (p.total+w.wanted > p.ledger.limit(w, w.wanted) || r.caller == w.caller)
 }
 
-func (p *projection) release(h *Reservation) {
-	p.total -= h.bytes
-	p.callers[h.caller] -= h.bytes
+func (p *projection) release(r *Reservation) {
+	p.total -= r.bytes
+	p.callers[r.caller] -= r.bytes
 }
--- a/core/cfhold/cfhold_test.go
+++ b/core/cfhold/cfhold_test.go
@@ -12,12 +12,12 @@
 	memory       = 184 << 20
 	tick         = 50 // ms
 	kernelBuffer = 256 << 10
-	// ackStep is how far apart it shows what a caller has read.
+	// ackStep is the granularity at which acknowledged bytes become visible.
 	ackStep = 128 << 10
 )
 
 type (
-	// answer is one on its way to a caller, in the replay.
+	// answer is an answer in transit to a caller.
 	answer struct {
 		reservation *cfhold.Reservation
 		size        int64
@@ -34,8 +34,8 @@
 	}
 )
 
-// simulate replays an instance before which some callers read a kilobyte a second, each of an
-// answer of its own, and others 4 MB a second.
+// simulate runs an instance with some callers that read a kilobyte a second, each with one answer,
+// and others that read 4 MB a second.
 func simulate(p cfhold.Policy, slowEvery cf.Millis, until cf.Millis) outcome {
 	l := cfhold.New(cfhold.BoundsFor(memory), p)
 	var inProgress []*answer
@@ -64,7 +64,7 @@
 	return out
 }
 
-// step goes on with an answer; false when it has ended.
+// step advances an answer by one tick; it returns false when the answer has ended.
 func (a *answer) step(l *cfhold.Ledger, now cf.Millis, out *outcome) bool {
 	if !a.granted {
 		if a.granted = l.Take(a.reservation, a.size) == cfhold.Granted; !a.granted && now-a.since > cfhold.MaxWait {
@@ -87,66 +87,66 @@
 	return false
 }
 
-// checkAll does what an instance does each CheckInterval.
+// checkAll does what an instance does at each CheckInterval.
 func checkAll(l *cfhold.Ledger, inProgress []*answer, now cf.Millis, out *outcome) []*answer {
-	byHold := map[*cfhold.Reservation]*answer{}
+	byReservation := map[*cfhold.Reservation]*answer{}
 	for _, a := range inProgress {
-		byHold[a.reservation] = a
+		byReservation[a.reservation] = a
 		if a.granted {
 			l.ObserveWrite(a.reservation, 1, a.read/ackStep*ackStep, now)
 		}
 	}
 	for _, c := range l.Cuts(now) {
-		if byHold[c.Reservation].slow {
+		if byReservation[c.Reservation].slow {
 			out.slowCut++
 		} else {
 			out.failed++
 		}
 		l.Close(c.Reservation)
-		delete(byHold, c.Reservation)
+		delete(byReservation, c.Reservation)
 	}
 	kept := inProgress[:0]
 	for _, a := range inProgress {
-		if byHold[a.reservation] != nil {
+		if byReservation[a.reservation] != nil {
 			kept = append(kept, a)
 		}
 	}
 	return kept
 }
 
-// Symptom: an instance is killed for its memory while callers read a kilobyte a second.
-// Load: five such callers a second, for a minute, beside others. Without the decision the
-// bound is passed.
+// Guards against an instance being killed for its memory while callers read a kilobyte a second.
+// Five such callers arrive per second for a minute, along with others. Without the limits the bound
+// is exceeded.
 func TestSlowReadersLeaveRoomForOthers(t *testing.T) {
 	bounds := cfhold.BoundsFor(memory)
 	got := simulate(cfhold.Policy{}, 200, 60000)
 	t.Logf("%+v", got)
 	if got.failed > 0 || got.served < 590 || got.most > bounds.Total || got.slowCut == 0 {
-		t.Errorf("%+v; want all others served and at most %d bytes held", got, bounds.Total)
+		t.Errorf("%+v; want all others served and at most %d bytes reserved", got, bounds.Total)
 	}
 	if off := simulate(cfhold.Policy{Disabled: true}, 200, 60000); off.most <= bounds.Total {
-		t.Errorf("without the decision %+v: the load does not call for it", off)
+		t.Errorf("without limits %+v: the load does not exceed the bound", off)
 	}
 }
 
-// Symptom guarded against: callers are cut off for their pace alone, while there is room.
+// Guards against callers being cut off for their read rate alone, while memory is left.
 func TestSteadyReadersAreServedWhileThereIsRoom(t *testing.T) {
 	if got := simulate(cfhold.Policy{}, 30000, 300000); got.slowCut > 0 || got.failed > 0 || got.slowLeft < 10 {
-		t.Errorf("%+v; want none cut", got)
+		t.Errorf("%+v; want no caller cut off", got)
 	}
 }
 
-// Each decision by itself: who is cut, and what is granted.
+// Tests single decisions: which callers are cut off, and what is granted.
 func TestCutsAndGrants(t *testing.T) {
 	const mb = 1 << 20
 	open := func(l *cfhold.Ledger, c cfhold.Caller, k cfhold.Kind, n int64) *cfhold.Reservation {
 		h := l.Open(c, k)
 		if v := l.Take(h, n); v != cfhold.Granted {
-			t.Errorf("%d bytes: %v", n, v)
+			t.Errorf("reservation of %d bytes: %v", n, v)
 		}
 		return h
 	}
-	// A caller that reads nothing is cut once, without any bound too.
+	// A caller that reads nothing is cut off once, even without a bound.
 	l := cfhold.New(cfhold.Bounds{}, cfhold.Policy{})
 	h := open(l, "a", cfhold.Answer, 999*mb)
 	cuts := 0
@@ -155,32 +155,32 @@
 		cuts += len(l.Cuts(now))
 	}
 	if cuts != 1 {
-		t.Errorf("a caller that reads nothing was cut %d times", cuts)
+		t.Errorf("a caller that reads nothing was cut off %d times", cuts)
 	}
-	// A write that has ended starts anew.
+	// The timeout starts again with each write.
 	h = open(l, "a", cfhold.Stream, 0)
 	for now := cf.Millis(0); now < 5000; now += cfhold.CheckInterval {
 		l.ObserveWrite(h, uint64(now), 5000, now)
 		if len(l.Cuts(now)) > 0 {
-			t.Error("a stream whose writes end was cut")
+			t.Error("a stream whose writes complete was cut off")
 		}
 	}
 	// One caller leaves a part for others.
 	l = cfhold.New(cfhold.Bounds{Total: 16 * mb, PerCaller: 4 * mb, PageReserve: 2 * mb}, cfhold.Policy{})
 	open(l, "a", cfhold.Answer, 12*mb)
-	waits := l.Open("a", cfhold.Answer)
-	if l.Refuses("a") || l.Take(waits, 2*mb) != cfhold.Wait || !l.Refuses("a") || l.Refuses("b") {
-		t.Errorf("a caller over its part: refused %t, another %t", l.Refuses("a"), l.Refuses("b"))
+	waiting := l.Open("a", cfhold.Answer)
+	if l.Refuses("a") || l.Take(waiting, 2*mb) != cfhold.Wait || !l.Refuses("a") || l.Refuses("b") {
+		t.Errorf("caller over its part refused %t, other caller refused %t", l.Refuses("a"), l.Refuses("b"))
 	}
-	l.StopWaiting(waits)
-	l.Close(open(l, "a", cfhold.Page, 2*mb)) // it can still read its results
+	l.StopWaiting(waiting)
+	l.Close(open(l, "a", cfhold.Page, 2*mb)) // the caller can still read its results
 	open(l, "b", cfhold.Answer, 2*mb)
 	open(l, "c", cfhold.Answer, 2*mb)
-	// Pages have a reserve, and are shortened to it.
+	// Pages have a reserve, and are shortened to fit into it.
 	if n, v := l.TakeUpTo(l.Open("d", cfhold.Page), 1*mb, 3*mb); v != cfhold.Granted || n != 2*mb {
 		t.Errorf("a page got %d bytes, %v", n, v)
 	}
-	open(l, "d", cfhold.Answer, 4000) // a refusal goes on
+	open(l, "d", cfhold.Answer, 4000) // small answers such as refusals always get through
 	if v := l.Take(l.Open("d", cfhold.Answer), 17*mb); v != cfhold.TooLarge {
 		t.Errorf("an answer over the bound: %v", v)
 	}
--- a/core/cfhold/pool.go
+++ b/core/cfhold/pool.go
@@ -1,30 +1,30 @@
 package cfhold
 
 const (
-	// PoolBytes is what answers without a hold share: reports, scores, and events that are
-	// not whole yet. With what is copied and not collected yet they take under a tenth of
-	// the smallest instances.
+	// PoolBytes is the size of the pool shared by answers without a reservation: reports, scores
+	// and incomplete events. Together with data that is copied and not garbage-collected yet they
+	// take less than a tenth of the memory of the smallest instances.
 	PoolBytes = 4 << 20
-	// poolExemptBytes is up to which size an answer takes nothing of a pool. Usual ones have some
-	// kilobytes, and go on whatever the others do.
+	// poolExemptBytes is the size up to which an answer takes nothing from a pool. Usual answers
+	// have some kilobytes, and are read even if the pool is exhausted.
 	poolExemptBytes = 16 << 10
 )
 
-// Pool is memory that answers share which wait for no room. An answer may become as large
-// as what is left (a dynamic threshold): those that grow without end stop each other, and
-// leave room for those that come later. It is not safe for concurrent use.
+// Pool is memory shared by answers that do not wait for memory. An answer may grow to the size of
+// what is left (a dynamic threshold): answers that grow endlessly stop each other, and leave memory
+// for later ones. It is not safe for concurrent use.
 //
-// The load it answers: a target that sends without end in reply to as many requests as are
-// under way. Each alone is within the bound for one answer; together they are not.
+// It is designed for a target that sends endless answers to all requests in progress. Each is
+// within the limit for a single answer, but their sum is not.
 type Pool struct {
 	size, used int64
 }
 
-// NewPool returns a pool of a size in bytes.
-func NewPool(most int64) *Pool { return &Pool{size: most} }
+// NewPool returns a pool with a size in bytes.
+func NewPool(size int64) *Pool { return &Pool{size: size} }
 
-// Grow makes an answer larger, from bytes to to; false if it may not be. It then holds what
-// it held.
+// Grow enlarges an answer from one size to another, in bytes. It returns false if that is not
+// possible; the answer then keeps its size.
 func (p *Pool) Grow(from, to int64) bool {
 	if to <= poolExemptBytes {
 		return true
@@ -36,13 +36,13 @@
 	return true
 }
 
-// Free gives back what an answer holds.
+// Free returns the memory of an answer of n bytes to the pool.
 func (p *Pool) Free(n int64) { p.used -= poolShare(n) }
 
-// Used returns how much of the pool is taken.
+// Used returns the number of bytes taken from the pool.
 func (p *Pool) Used() int64 { return p.used }
 
-// poolShare returns what an answer of n bytes takes of a pool.
+// poolShare returns the number of bytes that an answer of n bytes takes from a pool.
 func poolShare(n int64) int64 {
 	if n <= poolExemptBytes {
 		return 0
--- a/core/cfhold/pool_test.go
+++ b/core/cfhold/pool_test.go
@@ -6,37 +6,38 @@
 	"currantford/core/cfhold"
 )
 
-// Guards against answers without end that together take an instance's memory, or leave sound
-// ones no room. Load: 200 at a time, each read in steps of twice the size, and one that fails is
-// asked for again; beside them reports of 12 KB, and one of 200 KB once the target has gone.
-func TestAnswersWithoutEndLeaveRoomInThePool(t *testing.T) {
+// Guards against endless answers that together take an instance's memory or leave none for others.
+// 200 of them are read at a time, each in steps that double its size, and started again after
+// failing. Meanwhile reports of 12 KB are read, and one of 200 KB after the endless answers have
+// ended.
+func TestUnboundedAnswersLeaveRoomInThePool(t *testing.T) {
 	p := cfhold.NewPool(cfhold.PoolBytes)
-	endless := make([]int64, 200)
-	most, sound := int64(0), 0
+	unbounded := make([]int64, 200)
+	most, reports := int64(0), 0
 	for range 100 {
-		for i, n := range endless {
+		for i, n := range unbounded {
 			next := max(2*n, 4<<10)
 			if p.Grow(n, next) {
-				endless[i] = next
+				unbounded[i] = next
 			} else {
 				p.Free(n)
-				endless[i] = 0
+				unbounded[i] = 0
 			}
 			most = max(most, p.Used())
 		}
 		if p.Grow(0, 12<<10) {
-			sound++
+			reports++
 			p.Free(12 << 10)
 		}
 	}
-	t.Logf("%d bytes at most, %d of 100 reports", most, sound)
-	if most > cfhold.PoolBytes || sound != 100 {
-		t.Errorf("%d bytes at most of %d, %d of 100 reports found room", most, cfhold.PoolBytes, sound)
+	t.Logf("at most %d bytes used, %d of 100 reports read", most, reports)
+	if most > cfhold.PoolBytes || reports != 100 {
+		t.Errorf("at most %d bytes of %d used, %d of 100 reports read", most, cfhold.PoolBytes, reports)
 	}
-	for _, n := range endless {
+	for _, n := range unbounded {
 		p.Free(n)
 	}
 	if p.Used() != 0 || !p.Grow(0, 200<<10) {
-		t.Errorf("%d bytes are taken in the end", p.Used())
+		t.Errorf("%d bytes used at the end, or no memory for a report", p.Used())
 	}
 }
--- a/core/cfhold/usual.go
+++ b/core/cfhold/usual.go
@@ -5,30 +5,31 @@
 )
 
 const (
-	// minUnboundedBytes is up to which size no answer counts as one that may have no end.
+	// minUnboundedBytes is the size up to which no answer counts as possibly unbounded.
 	minUnboundedBytes = 128 << 10
-	// unboundedFactor is how many times the largest answer of a service an answer has that
-	// counts so.
+	// unboundedFactor is the ratio to the largest complete answer of a service from which on an
+	// answer counts as possibly unbounded.
 	unboundedFactor = 4
 )
 
-// SizeTracker tells how large a service's answers may become before they count as ones that may have
-// no end. It is not safe for concurrent use.
+// SizeTracker tracks the sizes of answers by service, to detect answers of possibly unlimited
+// length. It is not safe for concurrent use.
 type SizeTracker struct {
 	largest map[cf.ServiceName]int64
 }
 
-// NewSizeTracker returns one that has seen no answer.
+// NewSizeTracker returns a tracker without observations.
 func NewSizeTracker() *SizeTracker { return &SizeTracker{largest: map[cf.ServiceName]int64{}} }
 
-// Observe takes the size of an answer that was whole.
-func (u *SizeTracker) Observe(s cf.ServiceName, n int64) {
-	if n > u.largest[s] {
-		u.largest[s] = n
+// Observe records the size of a complete answer.
+func (t *SizeTracker) Observe(s cf.ServiceName, n int64) {
+	if n > t.largest[s] {
+		t.largest[s] = n
 	}
 }
 
-// MayBeUnbounded says whether an answer that has not told its length may have no end once it has n bytes.
-func (u *SizeTracker) MayBeUnbounded(s cf.ServiceName, n int64) bool {
-	return n > max(minUnboundedBytes, unboundedFactor*u.largest[s])
+// MayBeUnbounded reports whether an answer without a declared length may be of unlimited length
+// once it has n bytes.
+func (t *SizeTracker) MayBeUnbounded(s cf.ServiceName, n int64) bool {
+	return n > max(minUnboundedBytes, unboundedFactor*t.largest[s])
 }
--- a/core/cfpatch/cfpatch.go
+++ b/core/cfpatch/cfpatch.go
@@ -1,10 +1,10 @@
-// Package cfpatch makes small messages of large documents: packed by themselves, or as what
-// differs from a version that the recipient has.
+// Package cfpatch compresses large documents, either by themselves or as the difference from a
+// version that the recipient has.
 //
 // Usage:
 //
-//	packed, err := cfpatch.Pack(base, document) // base nil: by itself
-//	document, err := cfpatch.Unpack(base, packed, most)
+//	packed, err := cfpatch.Pack(base, document) // base nil: no difference
+//	document, err := cfpatch.Unpack(base, packed, maxBytes)
 package cfpatch
 
 import (
@@ -15,18 +15,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrCorrupt: what was packed can't be read, or not with this base.
+// ErrCorrupt is returned if a packed document is damaged, too large or was packed with another
+// base.
 var ErrCorrupt = errors.New("packed document can't be read")
 
 const (
-	// baseID names the base within a packed document. Which base it is, sender and recipient
-	// agree on by themselves.
+	// baseID is the ID of the base in the packed document. Sender and recipient must agree by other
+	// means on which version the base is.
 	baseID = 1
-	// minWindow is the smallest span in bytes that is searched for what is alike.
+	// minWindow is the smallest size in bytes of the window that is searched for matches.
 	minWindow = 32 << 10
 )
 
-// Pack returns document packed for a recipient that has base, nil if it has none.
+// Pack compresses document for a recipient that has base; base is nil if it has none.
 func Pack(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
@@ -43,8 +44,8 @@
 	return packed, eris.Wrap(enc.Close(), "pack")
 }
 
-// Unpack returns the document of at most most bytes that was packed with base. It is
-// ErrCorrupt if it differs from what was packed.
+// Unpack returns the document that was packed with base, of at most maxBytes bytes. If the document
+// would differ from the packed one, it returns ErrCorrupt.
 func Unpack(base, packed []byte, maxBytes int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(max(maxBytes, 1))),
@@ -64,7 +65,8 @@
 	return document, nil
 }
 
-// windowSize returns the span that reaches from the end of the document to the base's begin.
+// windowSize returns a window size that reaches from the end of the document back to the start of
+// the base.
 func windowSize(bytes int) int {
 	return min(max(minWindow, 1<<bits.Len(uint(bytes))), zstd.MaxWindowSize)
 }
--- a/core/cfpatch/cfpatch_test.go
+++ b/core/cfpatch/cfpatch_test.go
@@ -10,7 +10,8 @@
 	"currantford/core/cfpatch"
 )
 
-// document returns one of n entries as operators write them; edited are changed.
+// document returns a configuration document of n entries like those that operators write; the
+// entries in edited have another value.
 func document(n int, edited ...int) []byte {
 	random := rand.New(rand.NewPCG(1, 1))
 	var out bytes.Buffer
@@ -26,34 +27,36 @@
 	return out.Bytes()
 }
 
-// Load: a document of thousands of entries of which a few change.
+// In a document of thousands of entries of which a few change, the packed size must follow the size
+// of the change.
 func TestPackedSizeFollowsTheChange(t *testing.T) {
 	const maxBytes = 4 << 20
 	for _, n := range []int{0, 1, 40, 1400, 10_000} {
-		base, next := document(n), document(n, n/3, n/2)
-		whole, err := cfpatch.Pack(nil, next)
+		base, updated := document(n), document(n, n/3, n/2)
+		full, err := cfpatch.Pack(nil, updated)
 		if err != nil {
 			t.Fatal(err)
 		}
-		change, err := cfpatch.Pack(base, next)
+		delta, err := cfpatch.Pack(base, updated)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n >= 40 && (len(whole) > len(next)*2/5 || len(change) > 300+len(next)/500) {
-			t.Errorf("%d entries: %d bytes, whole %d, change %d", n, len(next), len(whole), len(change))
+		if n >= 40 && (len(full) > len(updated)*2/5 || len(delta) > 300+len(updated)/500) {
+			t.Errorf("%d entries, %d bytes: packed to %d bytes, with a base to %d bytes", n, len(updated), len(full), len(delta))
 		}
-		for name, c := range map[string]struct{ base, packed []byte }{"whole": {nil, whole}, "change": {base, change}} {
-			if got, err := cfpatch.Unpack(c.base, c.packed, maxBytes); err != nil || !bytes.Equal(got, next) {
+		for name, c := range map[string]struct{ base, packed []byte }{"whole": {nil, full}, "change": {base, delta}} {
+			if got, err := cfpatch.Unpack(c.base, c.packed, maxBytes); err != nil || !bytes.Equal(got, updated) {
 				t.Errorf("%d entries, %s: %d bytes, %v", n, name, len(got), err)
 			}
 		}
 	}
 }
 
-// What was packed with another base, is cut short, damaged or too large is an error.
+// A document that was packed with another base, cut short, damaged or too large must be reported as
+// corrupt.
 func TestUnpackDetectsDamage(t *testing.T) {
-	base, next := document(400), document(400, 7)
-	packed, err := cfpatch.Pack(base, next)
+	base, updated := document(400), document(400, 7)
+	packed, err := cfpatch.Pack(base, updated)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +70,7 @@
 		"no base":      {nil, packed, 1 << 20},
 		"cut short":    {base, packed[:len(packed)-1], 1 << 20},
 		"damaged":      {base, damaged, 1 << 20},
-		"too large":    {base, packed, len(next) - 1},
+		"too large":    {base, packed, len(updated) - 1},
 	} {
 		if got, err := cfpatch.Unpack(c.base, c.packed, c.maxBytes); !errors.Is(err, cfpatch.ErrCorrupt) {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
@@ -77,11 +80,11 @@
 
 func BenchmarkPack(b *testing.B) {
 	for _, n := range []int{40, 1400} {
-		base, next := document(n), document(n, n/2)
+		base, updated := document(n), document(n, n/2)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := cfpatch.Pack(base, next); err != nil {
+				if _, err := cfpatch.Pack(base, updated); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -91,8 +94,8 @@
 
 func BenchmarkUnpack(b *testing.B) {
 	for _, n := range []int{40, 1400} {
-		base, next := document(n), document(n, n/2)
-		packed, err := cfpatch.Pack(base, next)
+		base, updated := document(n), document(n, n/2)
+		packed, err := cfpatch.Pack(base, updated)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/core/cfpeak/cfpeak.go
+++ b/core/cfpeak/cfpeak.go
@@ -1,32 +1,32 @@
-// Package cfpeak remembers the most of a number over a while.
+// Package cfpeak tracks the maximum of a number over a time window.
 //
 // Usage:
 //
 //	var p cfpeak.Peak
-//	p.Note(running, now)
-//	most := p.Of(now)
+//	p.Observe(running, now)
+//	highest := p.Max(now)
 package cfpeak
 
 import cf "currantford"
 
-// span is for how long the most is remembered, at least: the steps of a trainer are
-// seconds apart, and what follows their size should not change between them.
+// span is the minimum time for which a maximum is kept: the steps of a trainer are seconds apart,
+// and decisions based on their size should not change between steps.
 const span cf.Millis = 30000
 
-// Peak is the most of a number in the last one or two spans. The zero value has seen
-// nothing.
+// Peak is the maximum of a number over the last one to two spans. The zero value has no
+// observations.
 type Peak struct {
 	current, previous int
 	startedAt         cf.Millis
 }
 
-// Observe takes the number as of at.
+// Observe records the number at the given time.
 func (p *Peak) Observe(n int, at cf.Millis) {
 	p.Max(at)
 	p.current = max(p.current, n)
 }
 
-// Max returns the most, as of at.
+// Max returns the maximum as of the given time.
 func (p *Peak) Max(at cf.Millis) int {
 	if at-p.startedAt > span {
 		p.previous, p.current, p.startedAt = p.current, 0, at
