--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -44,11 +44,11 @@
 // throttling afterwards would show in the answer times.
 func TestFloodIsAnsweredInTime(t *testing.T) {
 	for seed := range uint64(3) {
-		l := flood(seed)
-		r := simulate(l)
+		sc := flood(seed)
+		r := simulate(sc)
 		on, before, after := sum(r.byPhase), r.byPhase[0], r.byPhase[3]
-		l.disabled = true
-		off := sum(simulate(l).byPhase)
+		sc.disabled = true
+		off := sum(simulate(sc).byPhase)
 		t.Logf("seed %d: with admission control %+v, without %+v", seed, on, off)
 		if on.inTime < 3700 {
 			t.Errorf("seed %d: %d answered in time", seed, on.inTime)
@@ -75,12 +75,12 @@
 func TestFloodWithTargetsThatTurnSlow(t *testing.T) {
 	var on, off []counts
 	for seed := range uint64(4) {
-		l := flood(seed)
-		l.orgs, l.instances, l.answerTime, l.tailFraction, l.tailFactor, l.deadline, l.sharedMachines = 1, 30, 21, 0.03, 7, 1500, true
-		l.phases = []phase{{10000, func(int) float64 { return 12 }}, {18000, func(int) float64 { return 1080 }}, {24000, func(int) float64 { return 12 }}}
-		on = append(on, sum(simulate(l).byPhase))
-		l.disabled = true
-		off = append(off, sum(simulate(l).byPhase))
+		sc := flood(seed)
+		sc.orgs, sc.instances, sc.answerTime, sc.tailFraction, sc.tailFactor, sc.deadline, sc.sharedMachines = 1, 30, 21, 0.03, 7, 1500, true
+		sc.phases = []phase{{10000, func(int) float64 { return 12 }}, {18000, func(int) float64 { return 1080 }}, {24000, func(int) float64 { return 12 }}}
+		on = append(on, sum(simulate(sc).byPhase))
+		sc.disabled = true
+		off = append(off, sum(simulate(sc).byPhase))
 	}
 	with, without := sum(on), sum(off)
 	t.Logf("with admission control %+v, without %+v", with, without)
@@ -92,13 +92,13 @@
 // Simulates the flood with organisations of three priorities. If all had one rank, each priority
 // would get the same part.
 func TestFloodServesHigherPrioritiesFirst(t *testing.T) {
-	l := flood(5)
-	l.priorities = 3
-	r := simulate(l)
+	sc := flood(5)
+	sc.priorities = 3
+	r := simulate(sc)
 	var inTime [3]float64
 	for rank := range inTime {
 		var of []counts
-		for org := rank; org < l.orgs; org += l.priorities {
+		for org := rank; org < sc.orgs; org += sc.priorities {
 			of = append(of, r.byOrg[org])
 		}
 		x := sum(of)
@@ -113,19 +113,19 @@
 // One organisation of 73 sends ten times its usual rate, where usually 0.6 of the slots are in use.
 // Without shares it displaces all others.
 func TestBurstOfOneOrganisationLeavesOthersTheirShare(t *testing.T) {
-	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(36)}, {18000, func(org int) float64 {
+	sc := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(36)}, {18000, func(org int) float64 {
 		if org == 0 {
 			return 360 * usual(org)
 		}
 		return 36 * usual(org)
 	}}, {20000, scaled(36)}}}
-	others := func(r *simulation) float64 {
-		o := sum(r.byOrg[1:])
+	others := func(sim *simulation) float64 {
+		o := sum(sim.byOrg[1:])
 		return float64(o.inTime) / float64(o.asked)
 	}
-	on := others(simulate(l))
-	l.disabled = true
-	off := others(simulate(l))
+	on := others(simulate(sc))
+	sc.disabled = true
+	off := others(simulate(sc))
 	t.Logf("fraction of the others in time %.3f, without admission control %.3f", on, off)
 	if on < 0.95 || off >= 0.95 {
 		t.Errorf("fraction of the others in time %.3f, without admission control %.3f", on, off)
@@ -137,15 +137,15 @@
 // on refused connections or on evenly loaded instances fails here.
 func TestFloodVariants(t *testing.T) {
 	for name, change := range map[string]func(*scenario){
-		"no load header": func(l *scenario) { l.noHeader = true },
-		"silent":         func(l *scenario) { l.hangs = true },
-		"uneven":         func(l *scenario) { l.usedInstances = 10 },
+		"no load header": func(sc *scenario) { sc.noHeader = true },
+		"silent":         func(sc *scenario) { sc.hangs = true },
+		"uneven":         func(sc *scenario) { sc.usedInstances = 10 },
 	} {
-		l := flood(2)
-		change(&l)
-		on := sum(simulate(l).byPhase)
-		l.disabled = true
-		if off := sum(simulate(l).byPhase); on.inTime < off.inTime*3/2 {
+		sc := flood(2)
+		change(&sc)
+		on := sum(simulate(sc).byPhase)
+		sc.disabled = true
+		if off := sum(simulate(sc).byPhase); on.inTime < off.inTime*3/2 {
 			t.Errorf("%s: %d answered in time, %d without admission control", name, on.inTime, off.inTime)
 		}
 	}
@@ -153,10 +153,10 @@
 
 // At two thirds of the targets' capacity no request may be delayed.
 func TestNoEffectBelowSaturation(t *testing.T) {
-	l := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(20)}, {20000, scaled(36)}}}
-	on := sum(simulate(l).byPhase)
-	l.disabled = true
-	off := sum(simulate(l).byPhase)
+	sc := scenario{orgs: 73, instances: 50, targets: 3, answerTime: 25, tailFraction: 0.01, tailFactor: 5, deadline: 800, phases: []phase{{10000, scaled(20)}, {20000, scaled(36)}}}
+	on := sum(simulate(sc).byPhase)
+	sc.disabled = true
+	off := sum(simulate(sc).byPhase)
 	if a, b := on.answerTimes/float64(on.inTime), off.answerTimes/float64(off.inTime); a > b*1.03 || on.inTime*1000 < on.asked*997 {
 		t.Errorf("%d of %d in time, mean %.1f ms; %.1f ms without admission control", on.inTime, on.asked, a, b)
 	}
@@ -186,14 +186,14 @@
 			for i := range classes {
 				classes[i].Organisation = cf.Organisation(fmt.Sprintf("o%03d", i))
 			}
-			a := cfadmission.Request{Service: "s", Targets: candidates, Instances: 50, Objective: objective, Arrived: 1000, Deadline: 1800}
+			request := cfadmission.Request{Service: "s", Targets: candidates, Instances: 50, Objective: objective, Arrived: 1000, Deadline: 1800}
 			now := cf.Millis(1000)
 			for n := 0; b.Loop(); n++ {
 				if n%100 == 0 {
 					now++
 				}
-				a.Class, a.Arrived = classes[n%orgs], now
-				t := c.Enter(a, now)
+				request.Class, request.Arrived = classes[n%orgs], now
+				t := c.Enter(request, now)
 				if c.Poll(t, now).State == cfadmission.Send {
 					id := candidates[n%64].ID
 					c.Sent(t, id, now)
--- a/core/cfadmission/replay_test.go
+++ b/core/cfadmission/replay_test.go
@@ -93,7 +93,7 @@
 
 	// call is one attempt of a caller at an instance.
 	call struct {
-		r           *simulation
+		sim         *simulation
 		entry       *instance
 		org, phase  int
 		firstAsked  float64 // when the caller first asked
@@ -109,142 +109,142 @@
 )
 
 // schedule inserts an event. Events are sorted by time, the latest first.
-func (r *simulation) schedule(ms float64, do func()) {
-	i, _ := slices.BinarySearchFunc(r.events, ms, func(e event, at float64) int { return cmp.Compare(at, e.at) })
-	r.events = slices.Insert(r.events, i, event{ms, do})
+func (sim *simulation) schedule(ms float64, do func()) {
+	i, _ := slices.BinarySearchFunc(sim.events, ms, func(e event, at float64) int { return cmp.Compare(at, e.at) })
+	sim.events = slices.Insert(sim.events, i, event{ms, do})
 }
 
-func (r *simulation) scheduleAfter(ms float64, do func()) { r.schedule(r.now+ms, do) }
-func (r *simulation) clock() cf.Millis                    { return cf.Millis(r.now) + 100000 }
+func (sim *simulation) scheduleAfter(ms float64, do func()) { sim.schedule(sim.now+ms, do) }
+func (sim *simulation) clock() cf.Millis                    { return cf.Millis(sim.now) + 100000 }
 
 // simulate runs a scenario and counts its results by organisation and by phase.
-func simulate(l scenario) *simulation {
-	r := &simulation{scenario: l, random: rand.New(rand.NewPCG(l.seed, 9)), byOrg: make([]counts, l.orgs), byPhase: make([]counts, len(l.phases))}
-	for i := range l.targets {
-		r.servers = append(r.servers, &target{slowdown: 1})
-		r.listed = append(r.listed, cf.Target{ID: cf.InstanceID(rune('a' + i)), Service: "s", Slots: slots})
+func simulate(sc scenario) *simulation {
+	sim := &simulation{scenario: sc, random: rand.New(rand.NewPCG(sc.seed, 9)), byOrg: make([]counts, sc.orgs), byPhase: make([]counts, len(sc.phases))}
+	for i := range sc.targets {
+		sim.servers = append(sim.servers, &target{slowdown: 1})
+		sim.listed = append(sim.listed, cf.Target{ID: cf.InstanceID(rune('a' + i)), Service: "s", Slots: slots})
 	}
-	for range l.instances {
-		r.instances = append(r.instances, &instance{cfadmission.New(), cfbalance.New(), cfbalance.NewRetryScheduler()})
+	for range sc.instances {
+		sim.instances = append(sim.instances, &instance{cfadmission.New(), cfbalance.New(), cfbalance.NewRetryScheduler()})
 	}
 	begin := 0.0
-	for n, p := range l.phases {
-		for org := range l.orgs {
+	for n, p := range sc.phases {
+		for org := range sc.orgs {
 			if rate := p.rate(org); rate > 0 {
 				for at := begin; ; {
-					if at += r.random.ExpFloat64() * 1000 / rate; at >= p.until {
+					if at += sim.random.ExpFloat64() * 1000 / rate; at >= p.until {
 						break
 					}
-					r.schedule(at, func() { r.arrive(org, n) })
+					sim.schedule(at, func() { sim.arrive(org, n) })
 				}
 			}
 		}
 		begin = p.until
 	}
-	if l.lostAt > 0 {
-		r.schedule(l.lostAt, r.loseTarget)
-		r.schedule(l.lostAt+unlistedAfter, func() { r.listed = slices.Clone(r.listed[1:]) })
-		r.schedule(l.lostAt+restartedAfter, func() { *r.servers[0] = target{slowdown: 1} })
-		r.schedule(l.lostAt+restartedAfter+listedAfter, func() { r.listed = append([]cf.Target{{ID: "a", Service: "s", Slots: slots}}, r.listed...) })
+	if sc.lostAt > 0 {
+		sim.schedule(sc.lostAt, sim.loseTarget)
+		sim.schedule(sc.lostAt+unlistedAfter, func() { sim.listed = slices.Clone(sim.listed[1:]) })
+		sim.schedule(sc.lostAt+restartedAfter, func() { *sim.servers[0] = target{slowdown: 1} })
+		sim.schedule(sc.lostAt+restartedAfter+listedAfter, func() { sim.listed = append([]cf.Target{{ID: "a", Service: "s", Slots: slots}}, sim.listed...) })
 	}
-	if l.sharedMachines {
-		r.schedule(0, r.redrawSlowdowns)
+	if sc.sharedMachines {
+		sim.schedule(0, sim.redrawSlowdowns)
 	}
-	for len(r.events) > 0 {
-		e := r.events[len(r.events)-1]
-		r.events = r.events[:len(r.events)-1]
-		r.now = e.at
+	for len(sim.events) > 0 {
+		e := sim.events[len(sim.events)-1]
+		sim.events = sim.events[:len(sim.events)-1]
+		sim.now = e.at
 		e.do()
 	}
-	return r
+	return sim
 }
 
-func (r *simulation) redrawSlowdowns() {
-	for _, s := range r.servers {
-		if s.slowdown = 1; r.random.Float64() < 0.15 {
+func (sim *simulation) redrawSlowdowns() {
+	for _, s := range sim.servers {
+		if s.slowdown = 1; sim.random.Float64() < 0.15 {
 			s.slowdown = 2.5
 		}
 	}
-	if r.now < r.phases[len(r.phases)-1].until {
-		r.scheduleAfter(600, r.redrawSlowdowns)
+	if sim.now < sim.phases[len(sim.phases)-1].until {
+		sim.scheduleAfter(600, sim.redrawSlowdowns)
 	}
 }
 
-func (r *simulation) loseTarget() {
-	s := r.servers[0]
+func (sim *simulation) loseTarget() {
+	s := sim.servers[0]
 	s.down = true
-	if !r.hangs {
+	if !sim.hangs {
 		for _, end := range s.onLoss {
-			r.scheduleAfter(targetDelay, end)
+			sim.scheduleAfter(targetDelay, end)
 		}
 	}
 	s.onLoss, s.queue = nil, nil
 }
 
-func (r *simulation) arrive(org, phase int) {
-	r.byOrg[org].asked++
-	r.byPhase[phase].asked++
-	r.call(org, phase, r.now, false)
+func (sim *simulation) arrive(org, phase int) {
+	sim.byOrg[org].asked++
+	sim.byPhase[phase].asked++
+	sim.call(org, phase, sim.now, false)
 }
 
 // call sends a caller's request to a random instance.
-func (r *simulation) call(org, phase int, first float64, again bool) {
-	n := r.scenario.instances
-	if r.usedInstances > 0 {
-		n = r.usedInstances
+func (sim *simulation) call(org, phase int, firstAsked float64, resubmitted bool) {
+	n := sim.scenario.instances
+	if sim.usedInstances > 0 {
+		n = sim.usedInstances
 	}
 	// The callers of one failure domain, with a third of the instances, are twice as many.
-	at := r.random.IntN(n + n/3)
-	in := r.instances[at%n]
-	r.scheduleAfter(callerDelay, func() {
-		left := r.deadline - cf.Millis(r.now-callerDelay-first)
+	at := sim.random.IntN(n + n/3)
+	in := sim.instances[at%n]
+	sim.scheduleAfter(callerDelay, func() {
+		left := sim.deadline - cf.Millis(sim.now-callerDelay-firstAsked)
 		route := cfsite.Route{Kind: cfsite.KindIdempotent, MaxAttempts: 3, SLO: objective}
-		c := &call{r: r, entry: in, org: org, phase: phase, firstAsked: first, resubmitted: again, received: r.clock(),
-			attempts: cfbalance.NewAttempts(route, r.clock()+left), tried: map[cf.InstanceID]bool{}, notRun: map[cf.InstanceID]bool{}}
+		c := &call{sim: sim, entry: in, org: org, phase: phase, firstAsked: firstAsked, resubmitted: resubmitted, received: sim.clock(),
+			attempts: cfbalance.NewAttempts(route, sim.clock()+left), tried: map[cf.InstanceID]bool{}, notRun: map[cf.InstanceID]bool{}}
 		c.findTarget(false)
 	})
 }
 
 func (c *call) count(f func(*counts)) {
-	f(&c.r.byOrg[c.org])
-	f(&c.r.byPhase[c.phase])
+	f(&c.sim.byOrg[c.org])
+	f(&c.sim.byPhase[c.phase])
 }
 
 // findTarget seeks a target in the same way as io/cfingress.
 func (c *call) findTarget(hedge bool) {
-	r, now := c.r, c.r.clock()
+	sim, now := c.sim, c.sim.clock()
 	if c.done || !c.attempts.MaySend(now) {
 		c.finish()
 		return
 	}
-	if r.disabled {
+	if sim.disabled {
 		c.send(nil)
 		return
 	}
 	must := c.attempts.MayHaveRun()
 	if must && !hedge {
-		cfadmission.ReopenTargets(r.listed, c.tried, c.notRun)
+		cfadmission.ReopenTargets(sim.listed, c.tried, c.notRun)
 	}
 	if hedge && !c.entry.admission.MayHedge("s", now) || !hedge && len(c.tried) > 0 && !c.entry.admission.MayRetry("s", must, now) {
 		c.finish()
 		return
 	}
 	t := c.entry.admission.Enter(cfadmission.Request{
-		Service: "s", Class: cfadmission.Class{Organisation: cf.Organisation(rune('A' + c.org)), Priority: c.org % max(r.priorities, 1)}, Targets: r.listed, Tried: c.tried,
-		Instances: len(r.instances), Objective: objective, Spent: r.deadline - (c.attempts.Remaining(now) + now - c.received), Arrived: c.received,
+		Service: "s", Class: cfadmission.Class{Organisation: cf.Organisation(rune('A' + c.org)), Priority: c.org % max(sim.priorities, 1)}, Targets: sim.listed, Tried: c.tried,
+		Instances: len(sim.instances), Objective: objective, Spent: sim.deadline - (c.attempts.Remaining(now) + now - c.received), Arrived: c.received,
 		Deadline: now + c.attempts.Remaining(now), Resubmitted: c.resubmitted, Retry: len(c.tried) > 0, MayHaveRun: must, NoWait: hedge,
 	}, now)
 	c.poll(t, hedge)
 }
 
 func (c *call) poll(t *cfadmission.Ticket, hedge bool) {
-	r, now := c.r, c.r.clock()
+	sim, now := c.sim, c.sim.clock()
 	v := c.entry.admission.Poll(t, now)
 	switch {
 	case v.State == cfadmission.Send:
 		c.send(t)
 	case v.State == cfadmission.Wait && !hedge:
-		r.scheduleAfter(max(float64(v.Until-now), 0.5), func() { c.poll(t, hedge) })
+		sim.scheduleAfter(max(float64(v.Until-now), 0.5), func() { c.poll(t, hedge) })
 	default:
 		c.entry.admission.Cancel(t)
 		c.finish()
@@ -252,14 +252,14 @@
 }
 
 func (c *call) send(t *cfadmission.Ticket) {
-	r, now := c.r, c.r.clock()
+	sim, now := c.sim, c.sim.clock()
 	avoid := map[cf.InstanceID]bool{}
-	for _, x := range r.listed {
+	for _, x := range sim.listed {
 		if c.tried[x.ID] || t != nil && c.entry.admission.Excluded(t, x.ID, now) {
 			avoid[x.ID] = true
 		}
 	}
-	to, ok := c.entry.balancer.Choose(r.listed, avoid, r.random.Float64(), now)
+	to, ok := c.entry.balancer.Choose(sim.listed, avoid, sim.random.Float64(), now)
 	if !ok {
 		if t != nil {
 			c.entry.admission.Cancel(t)
@@ -275,14 +275,14 @@
 	}
 	c.pending++
 	sent := now
-	r.scheduleAfter(targetDelay+processingTime*r.random.ExpFloat64(), func() {
-		r.serve(r.servers[to.ID[0]-'a'], func(a cf.TargetAnswer, err error) {
-			r.scheduleAfter(targetDelay+processingTime*r.random.ExpFloat64(), func() { c.receive(to.ID, a, err, r.clock()-sent) })
+	sim.scheduleAfter(targetDelay+processingTime*sim.random.ExpFloat64(), func() {
+		sim.serve(sim.servers[to.ID[0]-'a'], func(a cf.TargetAnswer, err error) {
+			sim.scheduleAfter(targetDelay+processingTime*sim.random.ExpFloat64(), func() { c.receive(to.ID, a, err, sim.clock()-sent) })
 		})
 	})
 	if after, ok := c.attempts.HedgeAfter(); ok && !c.hedged && c.pending == 1 {
-		r.scheduleAfter(float64(after), func() {
-			if !c.done && c.pending == 1 && !c.hedged && c.attempts.MaySend(r.clock()) {
+		sim.scheduleAfter(float64(after), func() {
+			if !c.done && c.pending == 1 && !c.hedged && c.attempts.MaySend(sim.clock()) {
 				c.hedged = true
 				c.findTarget(true)
 			}
@@ -291,16 +291,16 @@
 }
 
 // serve runs a request at a target.
-func (r *simulation) serve(s *target, end func(cf.TargetAnswer, error)) {
+func (sim *simulation) serve(s *target, end func(cf.TargetAnswer, error)) {
 	answer := func(status int) cf.TargetAnswer {
 		a := cf.TargetAnswer{Status: status, NotRun: status == 503}
-		if !r.noHeader {
+		if !sim.noHeader {
 			a.Load = &cf.TargetLoad{Running: s.busy, Waiting: len(s.queue), Slots: slots}
 		}
 		return a
 	}
 	switch {
-	case s.down && r.hangs:
+	case s.down && sim.hangs:
 		return
 	case s.down:
 		end(cf.TargetAnswer{}, cf.ErrNotRun)
@@ -314,11 +314,11 @@
 	run := func() {
 		s.busy++
 		const sigma = 0.5 // standard deviation of the logarithm of the service time
-		took := s.slowdown * r.answerTime / (1 + (r.tailFactor-1)*r.tailFraction) * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
-		if r.random.Float64() < r.tailFraction {
-			took *= r.tailFactor
+		took := s.slowdown * sim.answerTime / (1 + (sim.tailFactor-1)*sim.tailFraction) * math.Exp(sigma*sim.random.NormFloat64()-sigma*sigma/2)
+		if sim.random.Float64() < sim.tailFraction {
+			took *= sim.tailFactor
 		}
-		r.scheduleAfter(took, func() {
+		sim.scheduleAfter(took, func() {
 			if s.down {
 				return
 			}
@@ -341,14 +341,14 @@
 
 // receive processes the result of a send at the instance.
 func (c *call) receive(id cf.InstanceID, a cf.TargetAnswer, err error, took cf.Millis) {
-	now := c.r.clock()
+	now := c.sim.clock()
 	c.pending--
 	outcome, good := c.attempts.Classify(a, err)
 	if c.done {
 		outcome = cfbalance.Abandoned
 	}
 	c.entry.balancer.Done(id, outcome, a.Load, took, now)
-	if !c.r.disabled {
+	if !c.sim.disabled {
 		c.entry.admission.Done("s", id, cfadmission.Result{Outcome: cfadmission.OutcomeOf(outcome, a.Status, err), Load: a.Load, Took: took, Status: a.Status}, now)
 	}
 	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
@@ -358,13 +358,13 @@
 	case c.done:
 	case good:
 		c.done = true
-		spent := c.r.now + callerDelay - c.firstAsked
+		spent := c.sim.now + callerDelay - c.firstAsked
 		c.count(func(t *counts) {
 			switch {
 			case spent <= float64(objective):
 				t.inTime++
 				t.answerTimes += spent
-			case spent <= float64(c.r.deadline):
+			case spent <= float64(c.sim.deadline):
 				t.late++
 			default:
 				t.failed++
@@ -381,7 +381,7 @@
 		return
 	}
 	c.done = true
-	r, now := c.r, c.r.clock()
+	sim, now := c.sim, c.sim.clock()
 	if c.attempts.MayHaveRun() {
 		c.count(func(t *counts) { t.failed++ })
 		return
@@ -390,10 +390,10 @@
 	if c.resubmitted {
 		return
 	}
-	tp := c.entry.balancer.Throughput(r.listed, now)
+	tp := c.entry.balancer.Throughput(sim.listed, now)
 	if perMs, w := c.entry.admission.Throughput("s", now); perMs > 0 {
 		tp = cfbalance.Throughput{PerMs: perMs, ServiceTime: w}
 	}
-	after := float64(c.entry.retries.RetryAfter("s", tp, len(r.instances), c.attempts.Remaining(now), now))
-	r.scheduleAfter(callerDelay+min(after, float64(c.attempts.Remaining(now))/3), func() { r.call(c.org, c.phase, c.firstAsked, true) })
+	after := float64(c.entry.retries.RetryAfter("s", tp, len(sim.instances), c.attempts.Remaining(now), now))
+	sim.scheduleAfter(callerDelay+min(after, float64(c.attempts.Remaining(now))/3), func() { sim.call(c.org, c.phase, c.firstAsked, true) })
 }
--- a/core/cfhold/cfhold_test.go
+++ b/core/cfhold/cfhold_test.go
@@ -42,8 +42,8 @@
 	var out outcome
 	for now := cf.Millis(0); now < until; now += tick {
 		if now%slowEvery == 0 {
-			h := l.Open(cfhold.Caller(fmt.Sprint("slow", now%7)), cfhold.Answer)
-			inProgress = append(inProgress, &answer{reservation: h, size: 900 << 10, rate: 1 << 10, since: now, slow: true})
+			r := l.Open(cfhold.Caller(fmt.Sprint("slow", now%7)), cfhold.Answer)
+			inProgress = append(inProgress, &answer{reservation: r, size: 900 << 10, rate: 1 << 10, since: now, slow: true})
 		}
 		if now%100 == 0 {
 			inProgress = append(inProgress, &answer{reservation: l.Open("other", cfhold.Answer), size: 300 << 10, rate: 4 << 20, since: now})
@@ -140,27 +140,27 @@
 func TestCutsAndGrants(t *testing.T) {
 	const mb = 1 << 20
 	open := func(l *cfhold.Ledger, c cfhold.Caller, k cfhold.Kind, n int64) *cfhold.Reservation {
-		h := l.Open(c, k)
-		if v := l.Take(h, n); v != cfhold.Granted {
+		r := l.Open(c, k)
+		if v := l.Take(r, n); v != cfhold.Granted {
 			t.Errorf("reservation of %d bytes: %v", n, v)
 		}
-		return h
+		return r
 	}
 	// A caller that reads nothing is cut off once, even without a bound.
 	l := cfhold.New(cfhold.Bounds{}, cfhold.Policy{})
-	h := open(l, "a", cfhold.Answer, 999*mb)
+	r := open(l, "a", cfhold.Answer, 999*mb)
 	cuts := 0
 	for now := cf.Millis(0); now <= 2*cfhold.StallTimeout; now += cfhold.CheckInterval {
-		l.ObserveWrite(h, 1, 5000, now)
+		l.ObserveWrite(r, 1, 5000, now)
 		cuts += len(l.Cuts(now))
 	}
 	if cuts != 1 {
 		t.Errorf("a caller that reads nothing was cut off %d times", cuts)
 	}
 	// The timeout starts again with each write.
-	h = open(l, "a", cfhold.Stream, 0)
+	r = open(l, "a", cfhold.Stream, 0)
 	for now := cf.Millis(0); now < 5000; now += cfhold.CheckInterval {
-		l.ObserveWrite(h, uint64(now), 5000, now)
+		l.ObserveWrite(r, uint64(now), 5000, now)
 		if len(l.Cuts(now)) > 0 {
 			t.Error("a stream whose writes complete was cut off")
 		}
--- a/core/cfhold/usual_test.go
+++ b/core/cfhold/usual_test.go
@@ -14,7 +14,7 @@
 // steps later.
 func TestUnboundedAnswersLeaveRoomForOthers(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
-		l, u := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
+		l, sizes := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
 		type unboundedAnswer struct {
 			reservation *cfhold.Reservation
 			read, room  int64
@@ -35,7 +35,7 @@
 				}
 				for e.read += 60 << 10; e.room < e.read; {
 					more := max(e.room, 4<<10)
-					unbounded := !disabled && u.MayBeUnbounded("endless", e.room+more)
+					unbounded := !disabled && sizes.MayBeUnbounded("endless", e.room+more)
 					if unbounded && l.TakeUnbounded(e.reservation, more) || !unbounded && l.Take(e.reservation, more) == cfhold.Granted {
 						e.room += more
 						continue
@@ -48,15 +48,15 @@
 					break
 				}
 			}
-			h := l.Open("caller", cfhold.Answer)
-			if l.Take(h, 300<<10) != cfhold.Granted {
-				l.Close(h)
+			r := l.Open("caller", cfhold.Answer)
+			if l.Take(r, 300<<10) != cfhold.Granted {
+				l.Close(r)
 				refused++
 				continue
 			}
 			served++
-			bounded = append(bounded, h)
-			u.Observe("sound", 300<<10)
+			bounded = append(bounded, r)
+			sizes.Observe("sound", 300<<10)
 		}
 		t.Logf("detection disabled %t: %d answers served, %d refused", disabled, served, refused)
 		if (refused > 0) != disabled {
@@ -68,23 +68,23 @@
 // Guards against rejecting the answers of a service that declare no length and are larger than
 // usual: they are read if they fit, and from then on answers of that size count as usual.
 func TestLargeAnswersWithoutALengthAreRead(t *testing.T) {
-	l, u := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
+	l, sizes := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
 	read := func(size int64) (unbounded bool) {
-		h := l.Open("caller", cfhold.Answer)
-		defer l.Close(h)
+		r := l.Open("caller", cfhold.Answer)
+		defer l.Close(r)
 		for n := int64(4 << 10); n < size; n *= 2 {
-			if u.MayBeUnbounded("s", 2*n) {
+			if sizes.MayBeUnbounded("s", 2*n) {
 				unbounded = true
-				if !l.TakeUnbounded(h, n) {
+				if !l.TakeUnbounded(r, n) {
 					t.Errorf("an answer of %d bytes was refused memory beyond %d bytes", size, n)
 					return
 				}
-			} else if l.Take(h, n) != cfhold.Granted {
+			} else if l.Take(r, n) != cfhold.Granted {
 				t.Errorf("an answer of %d bytes has to wait at %d bytes", size, n)
 				return
 			}
 		}
-		u.Observe("s", size)
+		sizes.Observe("s", size)
 		return unbounded
 	}
 	if !read(1<<20) || !read(8<<20) {
--- a/core/cfslow/cfslow.go
+++ b/core/cfslow/cfslow.go
@@ -1,12 +1,13 @@
 // Package cfslow estimates how long slow periods of engines last, and how much time a run saves by
-// moving away from an engine that has become slow. It makes no network calls and takes the time as
-// an argument.
+// moving away from an engine that has become slow. An engine is a target that serves a model, and a
+// run generates the text of one item at an engine, event by event. The package makes no network
+// calls and takes the time as an argument.
 //
 // Engines share their machines with other workloads: each is 2.5 times as slow for some 600 ms at a
-// time, 15% of the time. The longest text of a step takes 7.1 s on an engine without slow periods,
-// but encounters two or three of them, which delays its whole group by half a second. A smoothed
-// pace shows a slow period only when half of it is over, and does not distinguish it from a
-// permanent slowdown.
+// time, 15% of the time. The longest text of a trainer's step takes 7.1 s on an engine without slow
+// periods, but encounters two or three of them, which delays its whole group by half a second. A
+// smoothed pace shows a slow period only when half of it is over, and does not distinguish it from
+// a permanent slowdown.
 //
 // Usage:
 //
