--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -95,7 +95,8 @@
 	// 2, 0.3% more requests are answered in all, but 4.3% of them late instead of 3.7%.
 	queueTimeDivisor = 2.0
 	// limitDuration is how long a limit stays active after a target has last reported waiting
-	// requests or refused one: one of fifty instances hears from each target a few times a second.
+	// requests or refused one: one of fifty instances receives a few answers a second from each
+	// target.
 	limitDuration cf.Millis = 3000
 	// fullFraction is the fraction of the desired queue from which on a target counts as full:
 	// occasionally a few requests wait although there is capacity for all.
@@ -144,7 +145,7 @@
 	minShareFactor, maxShareFactor           = 0.25, 32.0
 	// maxTokens bounds the token bucket, in requests.
 	maxTokens = 2.0
-	// HTTP statuses of targets that did not run a request.
+	// These are the HTTP statuses of answers to requests that a target did not run.
 	statusMisdirected, statusTooMany, statusFull = 421, 429, 503
 	// statusFailed is the lowest HTTP status of a target's own failures.
 	statusFailed = 500
@@ -215,6 +216,8 @@
 	l.maxInFlight = max(2, int(math.Ceil(inFlight*inFlightSlack)))
 }
 
+// evenShare returns the rate of sends per ms of one instance if all instances use the target
+// equally.
 func (l *limit) evenShare(instances int) float64 {
 	return float64(l.slots) / max(l.serviceTime*l.effectiveSlowdown(), 1) / float64(max(instances, 1))
 }
@@ -228,8 +231,8 @@
 }
 
 // reset discards what is known of a target that is listed again after an absence or has restarted.
-func (l *limit) reset(born cf.Millis) {
-	*l = limit{id: l.id, slots: l.slots, inFlight: l.inFlight, startTime: born, serviceTimes: l.serviceTimes, shareFactor: 1, slowdown: 1, sendRate: l.sendRate, sendRateAt: l.sendRateAt}
+func (l *limit) reset(startTime cf.Millis) {
+	*l = limit{id: l.id, slots: l.slots, inFlight: l.inFlight, startTime: startTime, serviceTimes: l.serviceTimes, shareFactor: 1, slowdown: 1, sendRate: l.sendRate, sendRateAt: l.sendRateAt}
 }
 
 // activate makes the limit active. It starts from an equal share, or from the rate at which this
--- a/core/cfadmission/queue.go
+++ b/core/cfadmission/queue.go
@@ -70,9 +70,9 @@
 	return NoCapacity
 }
 
-// before reports whether t takes precedence over u: by priority, then by the tier of the
-// organisation, then resubmitted requests and retries first, then by how much each class has been
-// served.
+// before reports whether t takes precedence over u: requests that may have run come first and late
+// ones last, then the order is by priority, by the tier of the organisation, resubmitted requests
+// and retries before new ones, and by how much each class has been served.
 func (t *Ticket) before(u *Ticket, now cf.Millis) bool {
 	if t.request.MayHaveRun != u.request.MayHaveRun {
 		return t.request.MayHaveRun
--- a/core/cfadmission/shares.go
+++ b/core/cfadmission/shares.go
@@ -78,6 +78,7 @@
 	return x
 }
 
+// decay reduces the rates by the time since updatedAt.
 func (x *share) decay(now cf.Millis) {
 	if now > x.updatedAt {
 		f := math.Exp(-float64(now-x.updatedAt) / rateSpan)
@@ -102,6 +103,7 @@
 	}
 }
 
+// accrueCredit adds the credit accrued since creditAt.
 func (x *share) accrueCredit(now cf.Millis) {
 	x.credit = min(x.credit+x.allowed*float64(now-x.creditAt), maxCredit)
 	x.creditAt = now
