--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -1,24 +1,25 @@
-// Package cfadmission decides when a plain request may be sent to a target that other
-// instances use too, how long it may wait for that, and which one goes first. It makes no
-// calls and has no clock of its own.
+// Package cfadmission implements admission control for plain requests, the single requests outside
+// of batches that are forwarded to targets shared with other instances. It decides when a request
+// may be sent to a target, how long it may wait for that, and which request goes first. It makes no
+// network calls and takes the time as an argument.
 //
-// The load it answers: fifty instances before three targets of six slots and a queue of 24,
-// and for some seconds ninety times the usual requests. The queues of the targets hold a
-// request longer than callers want to wait for its answer, so that half of what is answered
-// is late, and an instance that only counts what it has in flight can't hold back: its part
-// of a target is a quarter of one request. Each instance therefore paces its sends by the
-// queue that the targets show in their load header, divides its pace among organisations,
-// and refuses at once what can't be in time.
+// It is designed for overload: fifty instances share three targets, each with six slots and a queue
+// of 24, and receive ninety times the usual request rate for some seconds. A full target queue
+// holds a request for longer than its caller wants to wait, so that without admission control half
+// of the answers are late. A limit on the requests in flight per instance does not help, since an
+// instance's share of a target is a quarter of one request. Each instance therefore limits its send
+// rate by the queue length that targets report in their load header, divides that rate among
+// organisations, and rejects at once any request that can't be answered in time.
 //
-// Nothing is limited until a target says that requests wait, or refuses one.
+// Nothing is limited until a target reports waiting requests or refuses a request.
 //
 // Usage:
 //
 //	c := cfadmission.New()
-//	t := c.Enter(ask, now)
-//	v := c.Poll(t, now) // again at v.Until, while v.State is Wait
-//	c.Sent(t, target, now) // or c.Leave(t)
-//	c.Done(service, target, end, now)
+//	t := c.Enter(request, now)
+//	d := c.Poll(t, now) // again at d.Until, while d.State is Wait
+//	c.Sent(t, target, now) // or c.Cancel(t)
+//	c.Done(service, target, result, now)
 package cfadmission
 
 import (
@@ -29,88 +30,95 @@
 )
 
 type (
-	// Request is a request that looks for a target.
+	// Request is a request that needs a target.
 	Request struct {
 		Service cf.ServiceName
 		Class   Class
-		// Targets are the service's targets; the slice is not changed afterwards.
-		// Tried are those that get the request no more.
+		// Targets are the targets of the service; the slice must not be modified afterwards. Tried
+		// are the targets to which the request must not be sent again.
 		Targets []cf.Target
 		Tried   map[cf.InstanceID]bool
-		// Instances is how many share the targets.
+		// Instances is the number of instances that share the targets.
 		Instances int
-		// Objective is the time in which an answer is worth most, Spent what the caller had
-		// used of it before the request arrived here.
+		// Objective is the response time objective. Spent is the part of it that the caller had
+		// used up before the request arrived at this instance.
 		Objective, Spent cf.Millis
 		Arrived          cf.Millis
-		// Deadline is the Uptime by which it must be answered.
+		// Deadline is the Uptime by which the request must be answered.
 		Deadline cf.Millis
-		// Resubmitted: the caller was told to come back. Retry: a target has had the request already,
-		// so that sending it, as a retry or a hedge, spends from the retry budget.
+		// Resubmitted is true if the caller was told to come back and sends the request again.
+		// Retry is true if a target has been sent the request already; sending it once more, as a
+		// retry or as a hedge, spends from the retry budget.
 		Resubmitted, Retry bool
-		// MayHaveRun: it may have run, so that it can't be refused any more.
+		// MayHaveRun is true if a target may have run the request, which therefore can't be refused
+		// any more.
 		MayHaveRun bool
-		// NoWait: it is refused where it would have to wait, as a hedge is.
+		// NoWait is true if the request is refused instead of queued, as hedges are.
 		NoWait bool
 	}
 
-	// State is what a request is to do.
+	// State tells what to do with a request.
 	State int
 
-	// Decision is what was decided, and what decided it.
+	// Decision is the decision on a request, with the figures that led to it.
 	Decision struct {
 		State State
-		// Until is when to ask again, for State Wait.
+		// Until is the time of the next Poll, for State Wait.
 		Until  cf.Millis
 		Reason Reason
-		// Limited says that the limits act; Waiting is how many requests wait here.
+		// Limited is true while limits are active for the service. Waiting is the number of
+		// requests that wait at this instance.
 		Limited bool
 		Waiting int
-		// SendPerS is what this instance sends to the service per second, DemandPerS what the
-		// request's organisation asks for, and SharePerS what it is allowed of that, zero
-		// while it may have all.
+		// SendPerS is the rate per second at which this instance may send to the service,
+		// DemandPerS the request rate of the organisation, and SharePerS the rate that the
+		// organisation is allowed, zero if it is not restricted.
 		SendPerS, DemandPerS, SharePerS float64
 	}
 
 	// Reason is why a request was refused.
 	Reason string
 
-	// Ticket is a request's place in the queue.
+	// Ticket represents a request between Enter and Sent or Cancel, whether it is queued or not.
 	Ticket struct {
-		ask     Request
+		request Request
 		service *service
 		share   *share
-		n       int64
+		seq     int64
 		queued  bool
 		evicted bool
-		// held is the limit whose token the ticket has, until it is sent or leaves.
-		held *limit
+		// granted is the limit of which the ticket holds a token, until Sent or Cancel.
+		granted *limit
 	}
 
-	// Controller limits what an instance sends. It is safe for concurrent use.
+	// Controller limits the requests that an instance sends to targets. It is safe for concurrent
+	// use.
 	Controller struct {
 		mu       sync.Mutex
 		services map[cf.ServiceName]*service
-		n        int64
+		lastSeq  int64
 	}
 
 	service struct {
 		limits map[cf.InstanceID]*limit
-		times  times
-		// quickest is the least time in ms in which a target should answer, by the last look.
-		quickest float64
-		// candidates are those of the last ask, ordered are their limits.
-		candidates  []cf.Target
-		ordered     []*limit
-		lists       int // counts changes of the candidates
-		instances   int
-		objective   cf.Millis
-		objectiveAt cf.Millis // as of when
-		shares      *shares
-		queue       []*Ticket
-		budget      budget
-		// until is the latest end of a target's limit, heldBackAt when a request was last kept back.
-		until, heldBackAt cf.Millis
+		times  serviceTimes
+		// minAnswerTime is the shortest time in ms in which a target is expected to answer, as of
+		// the last scan.
+		minAnswerTime float64
+		// targets are those of the last request, targetLimits the limits of these targets in the
+		// same order.
+		targets      []cf.Target
+		targetLimits []*limit
+		listVersion  int // incremented with each change of the targets
+		instances    int
+		objective    cf.Millis
+		objectiveAt  cf.Millis // when the objective was last confirmed by a request
+		shares       *shares
+		queue        []*Ticket
+		budget       retryBudget
+		// limitedUntil is when the last active limit of a target ends. throttledAt is when a
+		// request was last delayed or refused that could have been answered in time.
+		limitedUntil, throttledAt cf.Millis
 	}
 )
 
@@ -121,77 +129,81 @@
 	Refuse
 )
 
-// Reasons of a refusal.
+// Reasons for refusing a request.
 const (
-	// NoCapacity: it can't be sent early enough to be in time.
+	// NoCapacity: the request can't be sent early enough to be answered in time.
 	NoCapacity Reason = "the service is full"
-	// OverShare is the same for an organisation over its share.
+	// OverShare: the request can't be sent in time, as its organisation is over its share.
 	OverShare Reason = "the service is full, and the organisation over its share"
-	// TooLate: its objective has passed already, and there is no room to spare.
+	// TooLate: the objective can't be met any more, and no target has a free slot.
 	TooLate Reason = "the service is full, and an answer would be late"
-	// QueueFull: too many requests wait.
+	// QueueFull: too many requests are queued at this instance.
 	QueueFull Reason = "the service and the queue before it are full"
-	// TargetsRefused: each target has refused it.
+	// TargetsRefused: every target has been tried without success.
 	TargetsRefused Reason = "no target has room"
-	// NoRetryBudget: a target did not run it, and it may not be sent to another.
+	// NoRetryBudget: a target did not run the request, and the retry budget does not allow another
+	// send.
 	NoRetryBudget Reason = "the service is full, and the retry budget spent"
 )
 
 const (
-	// networkTime is what an answer needs beside the target's time, there and back.
+	// networkTime is the part of an answer's time that is spent outside the target, both ways.
 	networkTime cf.Millis = 15
-	// refusalPart is the part of the objective within which a caller hears of a refusal,
-	// less refusalTime, which a target's refusal after a wait takes.
-	refusalPart           = 4
-	refusalTime cf.Millis = 9
-	// maxQueued bounds the queue. At a refusal within 37 ms it is only reached from some
+	// refusalDivisor divides the objective: callers are to learn of a refusal within that part of
+	// it, less targetRefusalTime, the time that a refusal by a target takes after the wait.
+	refusalDivisor              = 4
+	targetRefusalTime cf.Millis = 9
+	// maxQueued bounds the queue. With refusals within 37 ms the bound is reached only from about
 	// two thousand requests per second on.
 	maxQueued = 64
-	// mostWait bounds an estimate of a wait that is never reached, in ms.
-	mostWait = 1e6
-	// minPoll spaces the looks of a waiting request.
+	// maxWait bounds an estimated wait that would otherwise be infinite, in ms.
+	maxWait = 1e6
+	// minPoll is the shortest interval between polls of a waiting request.
 	minPoll cf.Millis = 2
-	// mustPoll spaces the looks of one that can't be refused, and waits for a target that
-	// is less full.
-	mustPoll cf.Millis = 10
-	// heldBackSpan is how long a request that was kept back shows that this instance has
-	// more to send than it may.
-	heldBackSpan cf.Millis = 500
-	// lateSpan is for how many objectives nothing that could be in time may have been kept
-	// back here, and lateLevel what more than usual must be left over, before a request is
-	// sent that will be late: in a flood of twice what there is, an instance keeps back a
-	// dozen a second.
-	lateSpan  = 2
-	lateLevel = 0.9
-	// idleSpan is how long a target's load report of a free slot counts for those.
-	idleSpan cf.Millis = 50
-	// rankLevel is by how much the level of each further priority is higher, mostNeed bounds it.
-	rankLevel, mostNeed = 1.2, 1.9
-	// againLevel lets callers that have come back go a little before new ones.
-	againLevel = 0.25
-	// unheardLevel is the unused rate at a target that has not said how full it is.
-	unheardLevel = -0.25
-	// nearLevel is how much less unused rate a target may have than the one with most, to
-	// be chosen for its other merits.
-	nearLevel = 1.0
-	// objectiveSpan is how long the shortest objective of a service's requests counts.
-	objectiveSpan cf.Millis = 5000
-	// forgetTarget drops a target that is not listed any more.
-	forgetTarget cf.Millis = 60000
+	// mustSendPoll is the longest interval between polls of a request that can't be refused and
+	// waits for a less loaded target.
+	mustSendPoll cf.Millis = 10
+	// throttledSpan is for how long a delayed or refused request counts as a sign that this
+	// instance's demand exceeds its rate.
+	throttledSpan cf.Millis = 500
+	// A request that will be late is sent only if, for lateObjectives times the objective, no
+	// request that could be in time was delayed or refused here, and the bucket holds
+	// lateExtraLevel more tokens than requests over their share need. At twice the capacity an
+	// instance throttles a dozen requests a second.
+	lateObjectives = 2
+	lateExtraLevel = 0.9
+	// freeSlotMaxAge is the age up to which a load report that shows a free slot admits late
+	// requests.
+	freeSlotMaxAge cf.Millis = 50
+	// rankStep raises the send level for each lower priority, up to maxSendLevel.
+	rankStep, maxSendLevel = 1.2, 1.9
+	// resubmittedDiscount lowers the send level for resubmitted requests and retries, so that they
+	// go slightly ahead of new ones.
+	resubmittedDiscount = 0.25
+	// unreportedLevel bounds the tokens of a target that has not reported its load recently.
+	unreportedLevel = -0.25
+	// choiceTolerance is by how many tokens a target may be behind the one that granted the send
+	// and still be chosen, for instance for its shorter answer time.
+	choiceTolerance = 1.0
+	// objectiveMaxAge is for how long the shortest objective among a service's requests counts.
+	objectiveMaxAge cf.Millis = 5000
+	// forgetTargetAfter is when the limit of a target that is no longer listed is dropped.
+	forgetTargetAfter cf.Millis = 60000
 )
 
-// need is the level of a target's bucket from which on requests of a tier are sent. Organisations
-// under their share may borrow from the others' next sends: at a few sends a second for all, one
-// that waits for its turn behind a large organisation's burst is not in time any more.
-var need = [...]float64{underShare: -3, withinShare: 0, overShare: 1, noShare: 1.6}
+// sendLevel is the number of tokens that a target's bucket must hold for a request of a tier to be
+// sent. It is negative for organisations under their share, which may borrow from the next sends of
+// others: at a few sends a second in all, a request that waits behind a large organisation's burst
+// is no longer in time.
+var sendLevel = [...]float64{underShare: -3, withinShare: 0, overShare: 1, noShare: 1.6}
 
-// New returns a controller that knows nothing.
+// New returns a controller without any state.
 func New() *Controller { return &Controller{services: map[cf.ServiceName]*service{}} }
 
-func (c *Controller) of(name cf.ServiceName) *service {
+func (c *Controller) serviceFor(name cf.ServiceName) *service {
 	s := c.services[name]
 	if s == nil {
-		s = &service{limits: map[cf.InstanceID]*limit{}, shares: newShares(), instances: 1, budget: budget{left: mostBudget}}
+		s = &service{limits: map[cf.InstanceID]*limit{}, shares: newShares(), instances: 1, budget: retryBudget{balance: maxBalance}}
 		c.services[name] = s
 	}
 	return s
@@ -200,242 +212,242 @@
 func (s *service) limit(id cf.InstanceID, slots int) *limit {
 	l := s.limits[id]
 	if l == nil {
-		l = &limit{id: id, slots: max(slots, 1), shareFactor: 1, slow: 1, times: &s.times}
+		l = &limit{id: id, slots: max(slots, 1), shareFactor: 1, slowdown: 1, serviceTimes: &s.times}
 		s.limits[id] = l
 	}
 	return l
 }
 
-// take notes the targets and the objective of an ask.
-func (s *service) take(a Request, now cf.Millis) {
-	if s.objective == 0 || a.Objective < s.objective || now-s.objectiveAt > objectiveSpan {
-		s.objective = a.Objective
+// update records the targets and the objective of a request.
+func (s *service) update(r Request, now cf.Millis) {
+	if s.objective == 0 || r.Objective < s.objective || now-s.objectiveAt > objectiveMaxAge {
+		s.objective = r.Objective
 	}
-	if s.times.answers == 0 {
-		s.times.work = float64(a.Objective) / unknownWork
-		s.times.spread = s.times.work / 2
+	if s.times.samples == 0 {
+		s.times.serviceTime = float64(r.Objective) / initialDivisor
+		s.times.deviation = s.times.serviceTime / 2
 	}
-	if a.Objective == s.objective {
+	if r.Objective == s.objective {
 		s.objectiveAt = now
 	}
-	s.instances = max(a.Instances, 1)
-	if len(a.Targets) == len(s.candidates) && (len(a.Targets) == 0 || &a.Targets[0] == &s.candidates[0]) {
+	s.instances = max(r.Instances, 1)
+	if len(r.Targets) == len(s.targets) && (len(r.Targets) == 0 || &r.Targets[0] == &s.targets[0]) {
 		return
 	}
-	s.candidates, s.ordered = a.Targets, make([]*limit, len(a.Targets))
-	s.lists++
-	for i, t := range a.Targets {
+	s.targets, s.targetLimits = r.Targets, make([]*limit, len(r.Targets))
+	s.listVersion++
+	for i, t := range r.Targets {
 		l := s.limit(t.ID, t.Slots)
 		if t.Slots > 0 {
-			l.slots = t.Slots // a send to a target that is not listed creates its limit without them
+			l.slots = t.Slots // Sent may have created the limit of an unlisted target, without its slots.
 		}
-		if l.list != s.lists-1 || l.born != t.Born {
-			l.begin(t.Born)
+		if l.listVersion != s.listVersion-1 || l.startTime != t.Born {
+			l.reset(t.Born)
 		}
-		l.list = s.lists
-		s.ordered[i] = l
+		l.listVersion = s.listVersion
+		s.targetLimits[i] = l
 	}
 	for id, l := range s.limits {
-		if l.list != s.lists && l.sent <= 0 && now-l.ownAt > forgetTarget {
+		if l.listVersion != s.listVersion && l.inFlight <= 0 && now-l.sendRateAt > forgetTargetAfter {
 			delete(s.limits, id)
 		}
 	}
 }
 
-// Enter takes a request that looks for a target. Leave or Sent ends its ticket.
-func (c *Controller) Enter(a Request, now cf.Millis) *Ticket {
+// Enter registers a request that needs a target. The ticket ends with Sent or Cancel.
+func (c *Controller) Enter(r Request, now cf.Millis) *Ticket {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(a.Service)
-	s.take(a, now)
-	c.n++
-	x := s.shares.of(a.Class, now)
-	if !a.Resubmitted && !a.Retry {
-		x.ask(now)
-	}
-	return &Ticket{ask: a, service: s, share: x, n: c.n}
+	s := c.serviceFor(r.Service)
+	s.update(r, now)
+	c.lastSeq++
+	x := s.shares.shareOf(r.Class, now)
+	if !r.Resubmitted && !r.Retry {
+		x.recordArrival(now)
+	}
+	return &Ticket{request: r, service: s, share: x, seq: c.lastSeq}
 }
 
-// Poll decides what a ticket's request is to do now.
+// Poll decides what to do with a ticket's request now.
 func (c *Controller) Poll(t *Ticket, now cf.Millis) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := t.service
-	if t.held != nil {
+	if t.granted != nil {
 		return Decision{State: Send, Limited: true}
 	}
-	if now >= s.until {
-		s.drop(t)
+	if now >= s.limitedUntil {
+		s.remove(t)
 		return Decision{State: Send}
 	}
-	v := s.poll(t, now)
-	v.Limited, v.Waiting, v.DemandPerS = true, len(s.queue), t.share.asked*1000
-	if s.shares.contended && t.share.even {
-		v.SharePerS = t.share.level * 1000
+	d := s.poll(t, now)
+	d.Limited, d.Waiting, d.DemandPerS = true, len(s.queue), t.share.demand*1000
+	if s.shares.contended && t.share.capped {
+		d.SharePerS = t.share.allowed * 1000
 	}
-	if v.State != Wait {
-		s.drop(t)
+	if d.State != Wait {
+		s.remove(t)
 	}
-	if v.State != Send && !t.late(now) && !t.ask.NoWait {
-		s.heldBackAt = now
+	if d.State != Send && !t.late(now) && !t.request.NoWait {
+		s.throttledAt = now
 	}
-	return v
+	return d
 }
 
-// look is what one pass over a service's targets shows.
-type look struct {
-	// best is the target with most unused rate that may get the request, nil for none; open
-	// says that one is not limited.
-	best *limit
-	open bool
-	// candidates counts those that the request has not been to; total is the rate of all
-	// that are there.
-	candidates int
-	total      float64
+// targetScan is the result of one pass over a service's targets.
+type targetScan struct {
+	// best is the target with the most tokens that may be sent the request, nil if there is none.
+	// unlimited is true if a target without an active limit may be sent it.
+	best      *limit
+	unlimited bool
+	// untried is the number of targets that the request has not been sent to, totalRate the sum of
+	// the rates of all available targets.
+	untried   int
+	totalRate float64
 }
 
-// look passes over the targets, and notes the least time in which one should answer.
-func (s *service) look(t *Ticket, now cf.Millis) look {
-	var k look
-	var late *limit // the same where an answer would be late
-	quickest, left := math.Inf(1), t.left(now)
-	for i, l := range s.ordered {
-		tried := len(t.ask.Tried) > 0 && t.ask.Tried[s.candidates[i].ID]
+// scan passes over the targets and updates minAnswerTime.
+func (s *service) scan(t *Ticket, now cf.Millis) targetScan {
+	var found targetScan
+	var late *limit // like found.best, among the targets whose answer would be late
+	minAnswer, left := math.Inf(1), t.timeLeft(now)
+	for i, l := range s.targetLimits {
+		tried := len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID]
 		if !tried {
-			k.candidates++
+			found.untried++
 		}
-		if l.unavailable(now) {
+		if l.down(now) {
 			continue
 		}
-		if !l.limited(now) {
-			if now-l.reportedAt <= reportFresh {
-				k.open = k.open || !tried
+		if !l.active(now) {
+			if now-l.reportedAt <= reportMaxAge {
+				found.unlimited = found.unlimited || !tried
 				continue
 			}
 			l.activate(s.objective, s.instances, now)
-			l.until = min(l.until, s.until) // only a sign of fullness prolongs the limits
-			l.pace(s.objective, s.instances)
-			l.tokens = min(l.tokens, unheardLevel) // as all instances find it at once
+			l.activeUntil = min(l.activeUntil, s.limitedUntil) // only waiting or refused requests prolong the limits of a service
+			l.updateRate(s.objective, s.instances)
+			l.tokens = min(l.tokens, unreportedLevel) // all instances activate the limit at the same time
 		}
-		l.fill(now)
-		k.total += l.rate
+		l.refill(now)
+		found.totalRate += l.rate
 		answer := l.answerTime(now)
-		quickest = min(quickest, answer)
-		if tried || now < l.held || l.sent >= l.bound || t.ask.MayHaveRun && l.nearFull(s.objective, now) {
+		minAnswer = min(minAnswer, answer)
+		if tried || now < l.pausedUntil || l.inFlight >= l.maxInFlight || t.request.MayHaveRun && l.nearFull(s.objective, now) {
 			continue
 		}
 		if answer > left {
-			late = higher(late, l)
+			late = withMoreTokens(late, l)
 			continue
 		}
-		k.best = higher(k.best, l)
+		found.best = withMoreTokens(found.best, l)
 	}
-	if s.quickest = 0; k.total > 0 {
-		s.quickest = quickest
+	if s.minAnswerTime = 0; found.totalRate > 0 {
+		s.minAnswerTime = minAnswer
 	}
-	if t.ask.MayHaveRun || t.late(now) {
-		k.best = higher(late, k.best)
+	if t.request.MayHaveRun || t.late(now) {
+		found.best = withMoreTokens(late, found.best)
 	}
-	return k
+	return found
 }
 
-// higher returns which of two limits has more unused rate; either may be nil.
-func higher(a, b *limit) *limit {
+// withMoreTokens returns the limit that has more tokens; either may be nil.
+func withMoreTokens(a, b *limit) *limit {
 	if a == nil || b != nil && b.tokens > a.tokens {
 		return b
 	}
 	return a
 }
 
-// soonest returns in how many ms a target's unused rate comes to a level.
-func (s *service) soonest(t *Ticket, level float64, now cf.Millis) float64 {
+// timeToLevel returns the time in ms until the bucket of any target reaches a level.
+func (s *service) timeToLevel(t *Ticket, level float64, now cf.Millis) float64 {
 	soonest := math.Inf(1)
-	for i, l := range s.ordered {
-		if len(t.ask.Tried) > 0 && t.ask.Tried[s.candidates[i].ID] || l.unavailable(now) || l.sent >= l.bound || l.rate <= 0 {
+	for i, l := range s.targetLimits {
+		if len(t.request.Tried) > 0 && t.request.Tried[s.targets[i].ID] || l.down(now) || l.inFlight >= l.maxInFlight || l.rate <= 0 {
 			continue
 		}
-		soonest = min(soonest, max((level-l.tokens)/l.rate, float64(l.held-now), 0))
+		soonest = min(soonest, max((level-l.tokens)/l.rate, float64(l.pausedUntil-now), 0))
 	}
 	return soonest
 }
 
-// poll decides while the service is limited.
+// poll decides on a request while limits are active for the service.
 func (s *service) poll(t *Ticket, now cf.Millis) Decision {
-	k := s.look(t, now)
-	perS := k.total * 1000
+	found := s.scan(t, now)
+	perS := found.totalRate * 1000
 	switch {
-	case k.open:
+	case found.unlimited:
 		return Decision{State: Send}
-	case k.candidates == 0:
+	case found.untried == 0:
 		return Decision{State: Refuse, Reason: TargetsRefused, SendPerS: perS}
-	case k.total == 0:
-		return Decision{State: Send} // all are lost: a try is better than a refusal
-	}
-	s.shares.divide(k.total, now)
-	wanted := t.need(now)
-	ahead, blocked := s.ahead(t, k.best, now)
-	if k.best != nil && k.best.tokens >= wanted && !blocked && !t.evicted {
-		k.best.tokens--
-		t.held = k.best
+	case found.totalRate == 0:
+		return Decision{State: Send} // all targets are down; an attempt is better than a refusal
+	}
+	s.shares.divide(found.totalRate, now)
+	level := t.requiredLevel(now)
+	ahead, blocked := s.ahead(t, found.best, now)
+	if found.best != nil && found.best.tokens >= level && !blocked && !t.evicted {
+		found.best.tokens--
+		t.granted = found.best
 		return Decision{State: Send, SendPerS: perS}
 	}
-	at := now + max(cf.Millis(min(s.soonest(t, wanted, now)+float64(ahead)/k.total, mostWait)), minPoll)
-	last := t.last(now)
-	if t.ask.MayHaveRun {
-		if now >= last {
-			return Decision{State: Send} // a try is better than a failure
+	at := now + max(cf.Millis(min(s.timeToLevel(t, level, now)+float64(ahead)/found.totalRate, maxWait)), minPoll)
+	sendBy := t.sendBy(now)
+	if t.request.MayHaveRun {
+		if now >= sendBy {
+			return Decision{State: Send} // an attempt is better than a failure
 		}
-		at = min(at, now+mustPoll, last)
+		at = min(at, now+mustSendPoll, sendBy)
 	}
-	if t.evicted || at > last {
+	if t.evicted || at > sendBy {
 		return Decision{State: Refuse, Reason: t.reason(now), SendPerS: perS}
 	}
-	if t.ask.NoWait {
+	if t.request.NoWait {
 		return Decision{State: Refuse, Reason: NoCapacity, SendPerS: perS}
 	}
 	if !t.queued {
 		s.push(t, now)
 	}
-	return Decision{State: Wait, Until: min(at, last), SendPerS: perS}
+	return Decision{State: Wait, Until: min(at, sendBy), SendPerS: perS}
 }
 
-// Excluded says whether a request that may be sent can't go to a target now.
+// Excluded reports whether a request that was granted a send must not go to a given target now.
 func (c *Controller) Excluded(t *Ticket, id cf.InstanceID, now cf.Millis) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := t.service.limits[id]
 	switch {
-	case t.held == nil || l == nil || l == t.held:
+	case t.granted == nil || l == nil || l == t.granted:
 		return false
-	case l.unavailable(now) || now < l.held || l.sent >= l.bound && l.limited(now):
+	case l.down(now) || now < l.pausedUntil || l.inFlight >= l.maxInFlight && l.active(now):
 		return true
-	case !t.ask.MayHaveRun && !t.late(now) && l.answerTime(now) > t.left(now):
+	case !t.request.MayHaveRun && !t.late(now) && l.answerTime(now) > t.timeLeft(now):
 		return true
 	}
-	return l.limited(now) && l.tokens < t.held.tokens+1-nearLevel
+	return l.active(now) && l.tokens < t.granted.tokens+1-choiceTolerance
 }
 
-// Sent ends a ticket: its request goes to a target.
+// Sent ends a ticket: its request is sent to a target.
 func (c *Controller) Sent(t *Ticket, id cf.InstanceID, now cf.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := t.service
 	l := s.limit(id, 1)
-	if t.held != nil && t.held != l {
-		t.held.tokens++
+	if t.granted != nil && t.granted != l {
+		t.granted.tokens++
 	}
-	if t.held != l && l.limited(now) {
-		l.fill(now)
+	if t.granted != l && l.active(now) {
+		l.refill(now)
 		l.tokens--
 	}
-	t.held = nil
-	s.drop(t)
-	l.started(now)
-	t.share.serve(now)
-	if t.ask.Retry {
-		s.budget.spend(t.ask.MayHaveRun || now < s.until)
+	t.granted = nil
+	s.remove(t)
+	l.recordSend(now)
+	t.share.recordSend(now)
+	if t.request.Retry {
+		s.budget.spend(t.request.MayHaveRun || now < s.limitedUntil)
 	} else {
-		s.budget.earn(now < s.until)
+		s.budget.earn(now < s.limitedUntil)
 	}
 }
 
@@ -443,38 +455,39 @@
 func (c *Controller) Cancel(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.held != nil {
-		t.held.tokens++
-		t.held = nil
+	if t.granted != nil {
+		t.granted.tokens++
+		t.granted = nil
 	}
-	t.service.drop(t)
+	t.service.remove(t)
 }
 
-// Done takes the end of a send; acts says that the service's limits begin to act with it.
-func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, e Result, now cf.Millis) (acts bool) {
+// Done records the result of a send. activated is true if this result activates the limits of the
+// service.
+func (c *Controller) Done(name cf.ServiceName, id cf.InstanceID, r Result, now cf.Millis) (activated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(name)
+	s := c.serviceFor(name)
 	l := s.limit(id, 1)
-	l.ended(e, s.objective, s.instances, now-s.heldBackAt <= heldBackSpan, now)
-	acts = now >= s.until && now < l.until
-	s.until = max(s.until, l.until)
-	return acts
+	l.recordResult(r, s.objective, s.instances, now-s.throttledAt <= throttledSpan, now)
+	activated = now >= s.limitedUntil && now < l.activeUntil
+	s.limitedUntil = max(s.limitedUntil, l.activeUntil)
+	return activated
 }
 
-// Throughput returns what all instances together may send to a service per ms, and the mean
-// time of an answer; zero while nothing is limited.
-func (c *Controller) Throughput(name cf.ServiceName, now cf.Millis) (perMs, work float64) {
+// Throughput returns the rate per ms at which all instances together may send to a service, and the
+// mean answer time without queueing in ms. Both are zero while nothing is limited.
+func (c *Controller) Throughput(name cf.ServiceName, now cf.Millis) (perMs, meanTime float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(name)
-	if now >= s.until {
+	s := c.serviceFor(name)
+	if now >= s.limitedUntil {
 		return 0, 0
 	}
-	for _, l := range s.ordered {
-		if l.failures == 0 {
+	for _, l := range s.targetLimits {
+		if l.losses == 0 {
 			perMs += l.rate * float64(s.instances)
 		}
 	}
-	return perMs, s.times.work
+	return perMs, s.times.serviceTime
 }
--- a/core/cfadmission/callers.go
+++ b/core/cfadmission/callers.go
@@ -7,55 +7,56 @@
 )
 
 type (
-	// DeadlineTracker tells from the deadlines that requests bear what their callers have used of
-	// their time before: one that has been refused and comes back bears what it still has.
-	// The most that a route's requests bore lately is what a caller has that has just begun.
-	// One that gives itself less time than others looks like one that has come back. It is
+	// DeadlineTracker derives from the deadlines of requests how much of their time the callers
+	// have already used: a caller that was refused and comes back sends its remaining time. The
+	// longest deadline seen recently on a route is taken as the full time of a caller. A caller
+	// that allows less time than others is mistaken for one that has come back. DeadlineTracker is
 	// safe for concurrent use.
 	DeadlineTracker struct {
 		mu     sync.Mutex
-		routes map[string]*bearing
+		routes map[string]*window
 	}
 
-	// bearing is the longest deadline of a route's requests in a span and in the one before.
-	bearing struct {
-		last, before cf.Millis
-		since        cf.Millis
+	// window holds the longest deadline of a route's requests in the current and in the previous
+	// time span.
+	window struct {
+		current, previous cf.Millis
+		startedAt         cf.Millis
 	}
 )
 
-// bearingSpan is how long a deadline counts, at least: at usual load an instance of fifty has
-// a request of a route every few seconds.
-const bearingSpan cf.Millis = 15000
+// windowSpan is how long a deadline counts, at least: at the usual load one of fifty instances
+// receives a request of a route every few seconds.
+const windowSpan cf.Millis = 15000
 
-// NewDeadlineTracker returns one that has seen no request.
-func NewDeadlineTracker() *DeadlineTracker { return &DeadlineTracker{routes: map[string]*bearing{}} }
+// NewDeadlineTracker returns a tracker that has seen no requests.
+func NewDeadlineTracker() *DeadlineTracker { return &DeadlineTracker{routes: map[string]*window{}} }
 
-// Spent returns what a caller had used before a request on a route with a deadline, zero if
-// it bears none.
-func (c *DeadlineTracker) Spent(route string, deadline, now cf.Millis) cf.Millis {
+// Spent returns the time that a caller had used before it sent a request with a deadline on a
+// route, zero if the request has no deadline.
+func (d *DeadlineTracker) Spent(route string, deadline, now cf.Millis) cf.Millis {
 	if deadline <= 0 {
 		return 0
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	b := c.routes[route]
-	if b == nil {
-		b = &bearing{since: now}
-		c.routes[route] = b
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	w := d.routes[route]
+	if w == nil {
+		w = &window{startedAt: now}
+		d.routes[route] = w
 	}
-	if now-b.since >= 2*bearingSpan {
-		b.last = 0
+	if now-w.startedAt >= 2*windowSpan {
+		w.current = 0
 	}
-	if now-b.since >= bearingSpan {
-		b.before, b.last, b.since = b.last, 0, now
+	if now-w.startedAt >= windowSpan {
+		w.previous, w.current, w.startedAt = w.current, 0, now
 	}
-	b.last = max(b.last, deadline)
-	return max(b.last, b.before) - deadline
+	w.current = max(w.current, deadline)
+	return max(w.current, w.previous) - deadline
 }
 
-// ReopenTargets lets a request that may have run, and so can't be refused, go once more to the
-// targets that did not run it, if it has been to all others.
+// ReopenTargets makes a request that may have run, and therefore can't be refused, eligible again
+// for the targets that did not run it, once all candidates have been tried.
 func ReopenTargets(candidates []cf.Target, tried, notRun map[cf.InstanceID]bool) {
 	for _, t := range candidates {
 		if !tried[t.ID] {
--- a/core/cfadmission/shares.go
+++ b/core/cfadmission/shares.go
@@ -8,137 +8,140 @@
 )
 
 type (
-	// Class is whose request it is and how it is ranked, 0 first.
+	// Class is an organisation at a priority; 0 is the highest priority.
 	Class struct {
 		Organisation cf.Organisation
 		Priority     int
 	}
 
-	// share is what one class asks for and gets at this instance.
+	// share is what one class requests and is served at this instance.
 	share struct {
 		class Class
-		// asked and served are recent rates per ms, as of at.
-		asked, served float64
-		at            cf.Millis
-		// even says that it asks for more than its share, of which level per ms is allowed;
-		// credit is what it has not used of that, as of credited.
-		even     bool
-		rank     int // among the priorities that are there
-		level    float64
+		// demand and served are recent rates per ms, as of updatedAt.
+		demand, served float64
+		updatedAt      cf.Millis
+		// capped is true if the class requests more than its share, which is the rate allowed, per
+		// ms. credit is the unused part of that share in requests, as of creditAt.
+		capped   bool
+		rank     int // position of its priority among those present
+		allowed  float64
 		credit   float64
-		credited cf.Millis
+		creditAt cf.Millis
 	}
 
-	// shares divide an instance's part of a service among organisations: by priority, and
-	// among equals so that whoever asks for little gets all of it and the others get the
-	// same (max-min fairness).
+	// shares divide an instance's rate for a service among organisations: by priority, and within a
+	// priority by max-min fairness, that is, classes with a small demand get all of it and the
+	// others get equal parts of the rest.
 	shares struct {
-		classes map[Class]*share
-		sorted  []*share
-		at      cf.Millis
-		// contended says that together they ask for more than there is.
+		classes   map[Class]*share
+		sorted    []*share
+		dividedAt cf.Millis
+		// contended is true if the total demand exceeds the capacity.
 		contended bool
 	}
 
-	// tier is how a request's organisation stands against its share.
+	// tier is the standing of a request's organisation relative to its share.
 	tier int
 )
 
 const (
-	// underShare: the organisation asks for less than its share.
+	// underShare: the organisation requests less than its share.
 	underShare tier = iota
-	// withinShare: it asks for more, and this request is within its share.
+	// withinShare: the organisation requests more, and this request is within its share.
 	withinShare
-	// overShare: this request is over the organisation's share.
+	// overShare: this request exceeds the organisation's share.
 	overShare
-	// noShare: the more urgent priorities leave nothing for this one.
+	// noShare: higher priorities leave no capacity for this one.
 	noShare
 )
 
 const (
-	// shareSpan is the time constant of rates: one of 73 organisations is seen every few
-	// seconds at one of 51 instances.
-	shareSpan = 2000.0
-	// divideEvery spaces the divisions.
-	divideEvery cf.Millis = 200
-	// mostCredit bounds what a class may save up, in requests.
-	mostCredit = 1.5
-	// forgetShare drops a class that has asked for nothing.
-	forgetShare cf.Millis = 10000
+	// rateSpan is the time constant of the rates, in ms: one of 51 instances receives a request of
+	// one of 73 organisations every few seconds.
+	rateSpan = 2000.0
+	// divideInterval is the interval at which shares are recalculated.
+	divideInterval cf.Millis = 200
+	// maxCredit bounds the credit of a class, in requests.
+	maxCredit = 1.5
+	// forgetClassAfter is when a class without requests is dropped.
+	forgetClassAfter cf.Millis = 10000
 )
 
 func newShares() *shares { return &shares{classes: map[Class]*share{}} }
 
-func (s *shares) of(c Class, now cf.Millis) *share {
+func (s *shares) shareOf(c Class, now cf.Millis) *share {
 	x := s.classes[c]
 	if x == nil {
-		x = &share{class: c, at: now, credit: mostCredit, credited: now}
+		x = &share{class: c, updatedAt: now, credit: maxCredit, creditAt: now}
 		s.classes[c] = x
 	}
 	return x
 }
 
+// decay reduces the rates by the time since updatedAt.
 func (x *share) decay(now cf.Millis) {
-	if now > x.at {
-		f := math.Exp(-float64(now-x.at) / shareSpan)
-		x.asked, x.served, x.at = x.asked*f, x.served*f, now
+	if now > x.updatedAt {
+		f := math.Exp(-float64(now-x.updatedAt) / rateSpan)
+		x.demand, x.served, x.updatedAt = x.demand*f, x.served*f, now
 	}
 }
 
-// ask counts a request that arrives for the first time: one that comes back would make its
-// organisation ask for more than it does.
-func (x *share) ask(now cf.Millis) {
+// recordArrival counts a request that arrives for the first time. Resubmitted requests are not
+// counted, as they would overstate the organisation's demand.
+func (x *share) recordArrival(now cf.Millis) {
 	x.decay(now)
-	x.asked += 1 / shareSpan
+	x.demand += 1 / rateSpan
 }
 
-// serve counts a request that is sent.
-func (x *share) serve(now cf.Millis) {
+// recordSend counts a request that is sent.
+func (x *share) recordSend(now cf.Millis) {
 	x.decay(now)
-	x.served += 1 / shareSpan
-	if x.even {
-		x.save(now)
+	x.served += 1 / rateSpan
+	if x.capped {
+		x.accrueCredit(now)
 		x.credit = max(x.credit-1, -1)
 	}
 }
 
-func (x *share) save(now cf.Millis) {
-	x.credit = min(x.credit+x.level*float64(now-x.credited), mostCredit)
-	x.credited = now
+// accrueCredit adds the credit accrued since creditAt.
+func (x *share) accrueCredit(now cf.Millis) {
+	x.credit = min(x.credit+x.allowed*float64(now-x.creditAt), maxCredit)
+	x.creditAt = now
 }
 
-// stand returns how a class stands now.
-func (s *shares) stand(x *share, now cf.Millis) tier {
+// tierOf returns the current tier of a class.
+func (s *shares) tierOf(x *share, now cf.Millis) tier {
 	switch {
 	case !s.contended:
 		return withinShare
-	case !x.even:
+	case !x.capped:
 		return underShare
 	}
-	if x.save(now); x.credit >= 1 {
+	if x.accrueCredit(now); x.credit >= 1 {
 		return withinShare
 	}
-	if x.level <= 0 {
+	if x.allowed <= 0 {
 		return noShare
 	}
 	return overShare
 }
 
-// divide sets the shares anew of what the instance may send per ms, if it is time.
+// divide recalculates the shares of the rate per ms that the instance may send, once per
+// divideInterval.
 func (s *shares) divide(capacity float64, now cf.Millis) {
-	if s.at > 0 && now-s.at < divideEvery {
+	if s.dividedAt > 0 && now-s.dividedAt < divideInterval {
 		return
 	}
-	s.at = now
+	s.dividedAt = now
 	s.sorted = s.sorted[:0]
 	total := 0.0
 	for c, x := range s.classes {
-		if now-x.at > forgetShare {
+		if now-x.updatedAt > forgetClassAfter {
 			delete(s.classes, c)
 			continue
 		}
 		x.decay(now)
-		total += x.asked
+		total += x.demand
 		s.sorted = append(s.sorted, x)
 	}
 	s.contended = total > capacity
@@ -146,9 +149,9 @@
 		switch {
 		case a.class.Priority != b.class.Priority:
 			return a.class.Priority - b.class.Priority
-		case a.asked < b.asked:
+		case a.demand < b.demand:
 			return -1
-		case a.asked > b.asked:
+		case a.demand > b.demand:
 			return 1
 		}
 		return 0
@@ -159,27 +162,27 @@
 			s.sorted[n].rank = rank
 			n++
 		}
-		capacity = fillLevel(s.sorted[i:n], max(capacity, 0), now)
+		capacity = divideMaxMin(s.sorted[i:n], max(capacity, 0), now)
 		i = n
 	}
 }
 
-// fillLevel divides a capacity among classes of one priority, sorted by what they ask for,
-// and returns what is left.
-func fillLevel(classes []*share, capacity float64, now cf.Millis) float64 {
+// divideMaxMin divides a capacity among classes of one priority, sorted by demand, and returns what
+// is left.
+func divideMaxMin(classes []*share, capacity float64, now cf.Millis) float64 {
 	for i, x := range classes {
 		even := capacity / float64(len(classes)-i)
-		if x.asked <= even {
-			x.even = false
-			capacity -= x.asked
+		if x.demand <= even {
+			x.capped = false
+			capacity -= x.demand
 			continue
 		}
 		for _, y := range classes[i:] {
-			if !y.even {
-				y.even, y.credited = true, now
+			if !y.capped {
+				y.capped, y.creditAt = true, now
 			}
-			y.save(now)
-			y.level = even
+			y.accrueCredit(now)
+			y.allowed = even
 		}
 		return 0
 	}
