--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -26,15 +26,15 @@
 
 func (c *Coordinator) batchWatcher() *cfwatch.Watcher {
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: cf.KindBatch, Wait: batchWait, Log: c.Log, Change: c.takeBatch,
-		List: func(list cf.Records) error {
-			err := cfwatch.Each(c.takeBatch)(list)
+		Store: c.Store, Kind: cf.KindBatch, Wait: batchWait, Log: c.Log, OnChange: c.takeBatch,
+		OnList: func(list cf.Records) error {
+			err := cfwatch.ForEach(c.takeBatch)(list)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.takeover.listed = true
 			return err
 		},
-		CaughtUp: func() {
+		OnCaughtUp: func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.takeover.current = true
--- a/io/cfcoord/operator.go
+++ b/io/cfcoord/operator.go
@@ -20,8 +20,8 @@
 		return err
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWait, Log: c.Log, Change: take,
-		List: cfwatch.Each(take),
+		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWait, Log: c.Log, OnChange: take,
+		OnList: cfwatch.ForEach(take),
 	}
 }
 
@@ -40,8 +40,8 @@
 		return c.retire(r.Name)
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWait, Log: c.Log, Change: take,
-		List: cfwatch.Each(take),
+		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWait, Log: c.Log, OnChange: take,
+		OnList: cfwatch.ForEach(take),
 	}
 }
 
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -145,16 +145,16 @@
 	if w == nil {
 		return false, 0
 	}
-	fresh = w.config.Age(now) < cfwatch.SiteFresh && w.targets.Current(now, cfwatch.SiteFresh, cfwatch.SiteListed)
-	return fresh, w.config.Behind(now)
+	fresh = w.config.Age(now) < cfwatch.MaxViewAge && w.targets.Current(now, cfwatch.MaxViewAge, cfwatch.MaxRelistAge)
+	return fresh, w.config.Lag(now)
 }
 
 // listing says whether this instance, or whom it asks, is reading the store's lists and has no
 // current view until then.
 func (n *Node) listing(now cf.Millis) bool {
 	if w := n.watching.Load(); w != nil {
-		config, configVain := w.config.Listing()
-		targets, targetsVain := w.targets.Listing()
+		config, configVain := w.config.InitialList()
+		targets, targetsVain := w.targets.InitialList()
 		if (config || targets) && !configVain && !targetsVain {
 			return true
 		}
@@ -349,7 +349,7 @@
 	age := n.belief().Age
 	changed, err := n.site.ApplyConfigUpdate(*news)
 	if changed {
-		cfwatch.LogInForce(n.log, n.site, "coordinator", age)
+		cfwatch.LogConfigApplied(n.log, n.site, "coordinator", age)
 	}
 	return news.Latest && n.site.ConfigRecord().Rev >= news.Rev, err
 }
--- a/io/cfnode/belief.go
+++ b/io/cfnode/freshness.go
@@ -38,7 +38,7 @@
 	most := n.settings.Bounds.KeyTrustMs
 	shared := !n.settings.Bounds.StrictKeys && now-cf.Millis(n.feed.away.Load()) < outageShared
 	return cfingress.Belief{
-		ConfigFreshness: cfaccess.ConfigFreshness{Current: age < cfwatch.SiteFresh, KeysTrusted: most == 0 || age < most || shared},
+		ConfigFreshness: cfaccess.ConfigFreshness{Current: age < cfwatch.MaxViewAge, KeysTrusted: most == 0 || age < most || shared},
 		Age:             age,
 	}
 }
--- a/io/cfnode/announce.go
+++ b/io/cfnode/holder.go
@@ -91,7 +91,7 @@
 	w := n.watching.Load()
 	// The word of a coordinator that has none any more is no news.
 	told := n.feed.fresh(now) && n.feed.heard.Load() > n.feed.unsure.Load()
-	return holderAnswer{holder, rev, told || n.viewFresh(now), w != nil && w.config.InVain(now)}, nil
+	return holderAnswer{holder, rev, told || n.viewFresh(now), w != nil && w.config.StoreUnresponsive(now)}, nil
 }
 
 // askHolder asks another instance who the holder is, and how it stands with the store.
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -491,9 +491,9 @@
 func (n *Node) watch() *watching {
 	ctx, cancel := context.WithCancel(n.ctx)
 	w := &watching{cancel: cancel}
-	w.config, w.targets = cfwatch.ForSite(n.adapter.Store, n.site, n.adapter.Codec, n.watchMetrics, n.log)
+	w.config, w.targets = cfwatch.NewSiteWatchers(n.adapter.Store, n.site, n.adapter.Codec, n.watchMetrics, n.log)
 	if n.coord.Load() == nil && !n.scout() {
-		w.config.RetryMost, w.targets.RetryMost = watchLeft, watchLeft
+		w.config.MaxRetryDelay, w.targets.MaxRetryDelay = watchLeft, watchLeft
 	}
 	w.wg.Go(func() { w.config.Run(ctx) })
 	w.wg.Go(func() { w.targets.Run(ctx) })
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -21,7 +21,7 @@
 	Settings struct {
 		Entry  cf.EntryID       `json:"entry"`
 		Domain cf.FailureDomain `json:"failure_domain"`
-		Listen Listen           `json:"listen"`
+		Listen ListenSettings   `json:"listen"`
 		Store  StoreSettings    `json:"store"`
 		Bounds Bounds           `json:"bounds"`
 		Memory MemorySettings   `json:"memory"`
@@ -67,9 +67,9 @@
 		IgnorePace bool `json:"ignore_pace"`
 	}
 
-	// Listen holds the addresses to serve at, IP:PORT each. An empty one is
+	// ListenSettings holds the addresses to serve at, IP:PORT each. An empty one is
 	// not served.
-	Listen struct {
+	ListenSettings struct {
 		Callers   string `json:"callers"`
 		Ready     string `json:"ready"`
 		Directory string `json:"directory"`
--- a/io/cfwatch/site.go
+++ b/io/cfwatch/site.go
@@ -14,11 +14,11 @@
 	// watcher whose link to the store was cut believes itself current for
 	// this long, and a change must be in force within two seconds.
 	siteWait cf.Millis = 700
-	// SiteFresh is the age beyond which a view of the site is doubted: a
+	// MaxViewAge is the age beyond which a view of the site is doubted: a
 	// whole wait and a slow answer.
-	SiteFresh cf.Millis = 1100
-	// SiteListed is the same of a view of targets that is listed again.
-	SiteListed cf.Millis = 2200
+	MaxViewAge cf.Millis = 1100
+	// MaxRelistAge is the same of a view of targets that is listed again.
+	MaxRelistAge cf.Millis = 2200
 	// targetPause lets the changes of targets gather between calls.
 	targetPause cf.Millis = 100
 )
@@ -26,17 +26,17 @@
 // configName is the object that holds the newest configuration.
 const configName = "main"
 
-// LogInForce tells of a configuration that has come in force, from where, and how long ago
+// LogConfigApplied tells of a configuration that has come in force, from where, and how long ago
 // the one before was last known to be the newest.
-func LogInForce(log *zap.Logger, site *cfsite.Site, source string, age cf.Millis) {
+func LogConfigApplied(log *zap.Logger, site *cfsite.Site, source string, age cf.Millis) {
 	r := site.ConfigRecord()
 	log.Info("config_in_force", zap.Int64("config_version", int64(site.Config().Version)), zap.Int64("revision", int64(r.Rev)),
 		zap.String("source", source), zap.Int("bytes", len(r.Spec)), zap.Int64("config_age_ms", int64(age)))
 }
 
-// ForSite returns the watchers that keep site's configuration and targets
+// NewSiteWatchers returns the watchers that keep site's configuration and targets
 // current.
-func ForSite(store cf.Store, site *cfsite.Site, codec cfsite.Codec, metrics *Metrics, log *zap.Logger) (config, targets *Watcher) {
+func NewSiteWatchers(store cf.Store, site *cfsite.Site, codec cfsite.Codec, metrics *Metrics, log *zap.Logger) (config, targets *Watcher) {
 	kinds := codec.Kinds()
 	takeConfig := func(r cf.Record) error {
 		if r.Name != configName {
@@ -44,17 +44,17 @@
 		}
 		changed, err := site.ApplyConfig(r)
 		if changed {
-			LogInForce(log, site, "store", config.Age(cf.Uptime()))
+			LogConfigApplied(log, site, "store", config.Age(cf.Uptime()))
 		}
 		return err
 	}
 	config = &Watcher{
-		Store: store, Kind: kinds.Config, Wait: siteWait, Log: log, Metrics: metrics, Change: takeConfig,
-		List: Each(takeConfig),
+		Store: store, Kind: kinds.Config, Wait: siteWait, Log: log, Metrics: metrics, OnChange: takeConfig,
+		OnList: ForEach(takeConfig),
 	}
 	targets = &Watcher{
-		Store: store, Kind: kinds.Targets, Wait: siteWait, Pause: targetPause, Log: log, Metrics: metrics,
-		Change: func(r cf.Record) error {
+		Store: store, Kind: kinds.Targets, Wait: siteWait, CoalesceDelay: targetPause, Log: log, Metrics: metrics,
+		OnChange: func(r cf.Record) error {
 			t, changed, err := site.ApplyTarget(r, cf.Uptime())
 			if changed {
 				log.Info("target_changed", zap.String("target", r.Name), zap.String("service", string(t.Service)),
@@ -62,7 +62,7 @@
 			}
 			return err
 		},
-		List: func(list cf.Records) error {
+		OnList: func(list cf.Records) error {
 			var errs []error
 			var ts []cf.Target
 			for _, r := range list.Items {
@@ -78,8 +78,8 @@
 				zap.Int64("revision", int64(list.At)))
 			return errors.Join(errs...)
 		},
-		Contact:  site.Advance,
-		Regained: func() { site.StoreReconnected(cf.Uptime()) },
+		OnRevision:  site.Advance,
+		OnReconnect: func() { site.StoreReconnected(cf.Uptime()) },
 	}
 	return config, targets
 }
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -47,24 +47,24 @@
 	// Wait is the longest that a watch call stays open. A watch that went
 	// silent is noticed only after it.
 	Wait cf.Millis
-	// Pause lets changes gather before the next call, since each call is
+	// CoalesceDelay lets changes gather before the next call, since each call is
 	// paid for.
-	Pause cf.Millis
-	// List takes the whole kind, Change one change of it.
-	List   func(cf.Records) error
-	Change func(cf.Record) error
-	// CaughtUp is called once the changes since a list have been taken too:
+	CoalesceDelay cf.Millis
+	// OnList takes the whole kind, Change one change of it.
+	OnList   func(cf.Records) error
+	OnChange func(cf.Record) error
+	// OnCaughtUp is called once the changes since a list have been taken too:
 	// what a List does with a list may take seconds, and is then out of date.
-	CaughtUp func()
-	// Contact is called after each answer, with the revision as of which
+	OnCaughtUp func()
+	// OnRevision is called after each answer, with the revision as of which
 	// the view is current.
-	Contact func(at cf.Revision)
-	// Regained is called before the first answer after failed calls is
+	OnRevision func(at cf.Revision)
+	// OnReconnect is called before the first answer after failed calls is
 	// taken.
-	Regained func()
-	// RetryMost is the longest pause after failed calls, retryMost if it is zero.
-	RetryMost time.Duration
-	Log       *zap.Logger
+	OnReconnect func()
+	// MaxRetryDelay is the longest pause after failed calls, retryMost if it is zero.
+	MaxRetryDelay time.Duration
+	Log           *zap.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 
@@ -108,18 +108,18 @@
 	return now - at
 }
 
-// Behind returns by how much the answer is late that would show the next change: until then
+// Lag returns by how much the answer is late that would show the next change: until then
 // nothing has been missed.
-func (w *Watcher) Behind(now cf.Millis) cf.Millis { return max(w.Age(now)-w.Wait, 0) }
+func (w *Watcher) Lag(now cf.Millis) cf.Millis { return max(w.Age(now)-w.Wait, 0) }
 
-// InVain says whether the store is being asked, and does not answer.
-func (w *Watcher) InVain(now cf.Millis) bool {
+// StoreUnresponsive says whether the store is being asked, and does not answer.
+func (w *Watcher) StoreUnresponsive(now cf.Millis) bool {
 	contact, failed, due := w.contact.Load(), cf.Millis(w.failed.Load()), cf.Millis(w.due.Load())
 	return int64(failed) > contact && now-failed < vainFor || due > 0 && now >= due
 }
 
-// Listing says whether the first list is being read, in vain if a call for it has failed.
-func (w *Watcher) Listing() (listing, vain bool) {
+// InitialList says whether the first list is being read, in vain if a call for it has failed.
+func (w *Watcher) InitialList() (listing, vain bool) {
 	return w.contact.Load() == 0, w.failed.Load() > 0
 }
 
@@ -140,7 +140,7 @@
 		err := w.step(ctx)
 		if err == nil {
 			retry = retryFirst
-			cf.Sleep(ctx, w.Pause.Duration())
+			cf.Sleep(ctx, w.CoalesceDelay.Duration())
 			continue
 		}
 		if ctx.Err() != nil {
@@ -152,7 +152,7 @@
 		w.failing = true
 		w.failed.Store(int64(cf.Uptime()))
 		cf.Sleep(ctx, retry/2+rand.N(retry))
-		retry = min(2*retry, max(w.RetryMost, retryMost))
+		retry = min(2*retry, max(w.MaxRetryDelay, retryMost))
 	}
 }
 
@@ -163,8 +163,8 @@
 	}
 	w.failing = false
 	w.Log.Info("store_regained", zap.String("kind", w.Kind))
-	if w.Regained != nil {
-		w.Regained()
+	if w.OnReconnect != nil {
+		w.OnReconnect()
 	}
 }
 
@@ -179,10 +179,10 @@
 			return err
 		}
 		w.answered()
-		if err := w.List(list); err != nil {
+		if err := w.OnList(list); err != nil {
 			w.notTaken("list_not_taken", "", err)
 		}
-		w.listed, w.behind = true, w.CaughtUp != nil
+		w.listed, w.behind = true, w.OnCaughtUp != nil
 		w.reached(list.At, asked)
 		return nil
 	}
@@ -203,14 +203,14 @@
 	}
 	w.answered()
 	for _, r := range changes.Items {
-		if err := w.Change(r); err != nil {
+		if err := w.OnChange(r); err != nil {
 			w.notTaken("change_not_taken", r.Name, err)
 		}
 	}
 	w.reached(changes.At, cf.Uptime())
 	if w.behind {
 		w.behind = false
-		w.CaughtUp()
+		w.OnCaughtUp()
 	}
 	return nil
 }
@@ -219,13 +219,13 @@
 	w.at = max(w.at, at)
 	w.contact.Store(int64(when))
 	w.relisting.Store(false)
-	if w.Contact != nil {
-		w.Contact(w.at)
+	if w.OnRevision != nil {
+		w.OnRevision(w.at)
 	}
 }
 
-// Each returns a List that takes every record of a kind on its own.
-func Each(take func(cf.Record) error) func(cf.Records) error {
+// ForEach returns a List that takes every record of a kind on its own.
+func ForEach(take func(cf.Record) error) func(cf.Records) error {
 	return func(list cf.Records) error {
 		var errs []error
 		for _, r := range list.Items {
