--- a/core/cfaccess/cfaccess.go
+++ b/core/cfaccess/cfaccess.go
@@ -56,12 +56,12 @@
 	if d == nil {
 		return Accepted, cf.Access{} // the deployment keeps no organisations
 	}
-	o, found := d.lookUp(keys)
+	o, found := d.lookup(keys)
 	switch {
 	case found && (view.KeysTrusted || use.Public):
-		return Accepted, cf.Access{Organisation: o.Name, Priority: rank(o, use), Ranked: true}
+		return Accepted, cf.Access{Organisation: o.Name, Priority: effectivePriority(o, use), Ranked: true}
 	case use.Public:
-		return Accepted, cf.Access{Priority: rank(entry{}, use), Ranked: true}
+		return Accepted, cf.Access{Priority: effectivePriority(entry{}, use), Ranked: true}
 	case found || !view.Current:
 		return Undetermined, cf.Access{}
 	default:
@@ -69,11 +69,11 @@
 	}
 }
 
-func (d *Directory) lookUp(keys []cf.APIKey) (entry, bool) {
+func (d *Directory) lookup(keys []cf.APIKey) (entry, bool) {
 	if len(keys) != 1 || keys[0] == "" {
 		return entry{}, false
 	}
-	return d.find(keys[0])
+	return d.findByKey(keys[0])
 }
 
 // Access returns what an organisation's work ranks as on a route, for work whose caller
@@ -82,13 +82,13 @@
 	if d == nil {
 		return cf.Access{}
 	}
-	return cf.Access{Organisation: name, Priority: rank(d.named(name), use), Ranked: true}
+	return cf.Access{Organisation: name, Priority: effectivePriority(d.byName(name), use), Ranked: true}
 }
 
-// rank returns the priority of an organisation's request: its own goes before its
+// effectivePriority returns the priority of an organisation's request: its own goes before its
 // route's.
-func rank(o entry, use Use) int {
-	if o.ranked {
+func effectivePriority(o entry, use Use) int {
+	if o.hasPriority {
 		return o.priority
 	}
 	return use.Priority
--- a/core/cfaccess/cfaccess_test.go
+++ b/core/cfaccess/cfaccess_test.go
@@ -122,7 +122,7 @@
 				list = append(list, o)
 			}
 			if step > 0 && r.IntN(2) == 0 {
-				list = slices.Clone(d.listed) // one of them alone changes
+				list = slices.Clone(d.list) // one of them alone changes
 				i := r.IntN(len(list))
 				list[i].Keys = list[i].Keys[:r.IntN(len(list[i].Keys)+1)]
 			}
@@ -138,7 +138,7 @@
 			}
 			checkAgainst(t, d, list, keys)
 			if before != nil {
-				checkAgainst(t, before, before.listed, keys) // requests under way use it
+				checkAgainst(t, before, before.list, keys) // requests under way use it
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 				want = o.Name
 			}
 		}
-		if got, found := d.find(key); got.Name != want || found != (want != "") {
+		if got, found := d.findByKey(key); got.Name != want || found != (want != "") {
 			t.Fatalf("%q is of %q, want %q", string(key), got.Name, want)
 		}
 	}
@@ -188,20 +188,20 @@
 
 func TestTablesCostByTheirChanges(t *testing.T) {
 	d := directory(t, many(10_000)...)
-	list := slices.Clone(d.listed)
+	list := slices.Clone(d.list)
 	list[5000].Keys = []cf.APIKey{"another"}
 	next, err := d.Next(list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	copied := 0
-	for i := range shards {
+	for i := range shardCount {
 		if fmt.Sprintf("%p", d.keys[i]) != fmt.Sprintf("%p", next.keys[i]) {
 			copied++
 		}
 	}
 	if copied > 3 {
-		t.Errorf("%d of %d parts were copied for one organisation", copied, shards)
+		t.Errorf("%d of %d parts were copied for one organisation", copied, shardCount)
 	}
 }
 
@@ -219,7 +219,7 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := directory(b, many(n)...)
-			keys := [][]cf.APIKey{d.listed[n/2].Keys[:1]}
+			keys := [][]cf.APIKey{d.list[n/2].Keys[:1]}
 			b.ReportAllocs()
 			for b.Loop() {
 				if verdict, _ := d.Authenticate(keys[0], Use{}, sure); verdict != Accepted {
@@ -235,11 +235,11 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range sizes {
 		d := directory(b, many(n)...)
-		list := slices.Clone(d.listed)
+		list := slices.Clone(d.list)
 		list[n/2].Keys = []cf.APIKey{"another"}
 		b.Run(fmt.Sprint("change/", n), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := d.with(d.listed[n/2:n/2+1], list[n/2:n/2+1]); err != nil {
+				if _, err := d.withChanges(d.list[n/2:n/2+1], list[n/2:n/2+1]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/core/cfaccess/directory.go
+++ b/core/cfaccess/directory.go
@@ -27,17 +27,17 @@
 		salt [sha256.Size]byte
 		// keys holds the owner of each key, by a digest: how long a look-up takes tells
 		// nothing of how much of a key was right.
-		keys  table[digest, cf.Organisation]
-		names table[cf.Organisation, entry]
+		keys  shardedMap[digest, cf.Organisation]
+		names shardedMap[cf.Organisation, entry]
 		size  int
-		// listed are the organisations as the configuration lists them.
-		listed []Organisation
+		// list are the organisations as the configuration lists them.
+		list []Organisation
 	}
 
 	entry struct {
-		Name     cf.Organisation
-		priority int
-		ranked   bool
+		Name        cf.Organisation
+		priority    int
+		hasPriority bool
 	}
 
 	digest [sha256.Size / 2]byte
@@ -54,32 +54,32 @@
 // key twice, an empty key, or an organisation twice or not at all is refused as a whole:
 // whose a request is must not hang on which of two is read first.
 func (d *Directory) Next(organisations []Organisation) (*Directory, error) {
-	gone, come := changes(d.listed, organisations)
-	next, err := d.with(gone, come)
+	removed, added := diff(d.list, organisations)
+	next, err := d.withChanges(removed, added)
 	if err != nil {
 		return nil, err
 	}
-	next.listed = organisations
+	next.list = organisations
 	return next, nil
 }
 
-// with returns the directory without some of its organisations and with others. What it
+// withChanges returns the directory without some of its organisations and with others. What it
 // costs goes by their number alone.
-func (d *Directory) with(gone, come []Organisation) (*Directory, error) {
-	next := &Directory{salt: d.salt, size: d.size - len(gone) + len(come)}
+func (d *Directory) withChanges(removed, added []Organisation) (*Directory, error) {
+	next := &Directory{salt: d.salt, size: d.size - len(removed) + len(added)}
 	keys, names := d.keys.edit(), d.names.edit()
-	for _, o := range gone {
+	for _, o := range removed {
 		names.remove(shardOfName(o.Name), o.Name)
 		for _, key := range o.Keys {
 			k := d.digest(key)
 			keys.remove(k.shard(), k)
 		}
 	}
-	for i, o := range come {
+	for i, o := range added {
 		if o.Name == "" {
 			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %d has no name", i)
 		}
-		if _, twice := names.add(shardOfName(o.Name), o.Name, entry{o.Name, o.Priority, o.HasPriority}); twice {
+		if _, duplicate := names.add(shardOfName(o.Name), o.Name, entry{o.Name, o.Priority, o.HasPriority}); duplicate {
 			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %s stands twice", o.Name)
 		}
 		for j, key := range o.Keys {
@@ -96,38 +96,38 @@
 	return next, nil
 }
 
-// changes returns the organisations of before that are not the same any more, and those
+// diff returns the organisations of before that are not the same any more, and those
 // of after that are new or differ. Both lists are mostly in the same order.
-func changes(before, after []Organisation) (gone, come []Organisation) {
-	head, most := 0, min(len(before), len(after))
-	for head < most && same(before[head], after[head]) {
-		head++
+func diff(before, after []Organisation) (removed, added []Organisation) {
+	prefix, shorter := 0, min(len(before), len(after))
+	for prefix < shorter && equalOrganisations(before[prefix], after[prefix]) {
+		prefix++
 	}
-	tail := 0
-	for tail < most-head && same(before[len(before)-1-tail], after[len(after)-1-tail]) {
-		tail++
+	suffix := 0
+	for suffix < shorter-prefix && equalOrganisations(before[len(before)-1-suffix], after[len(after)-1-suffix]) {
+		suffix++
 	}
-	return before[head : len(before)-tail], after[head : len(after)-tail]
+	return before[prefix : len(before)-suffix], after[prefix : len(after)-suffix]
 }
 
-func same(a, b Organisation) bool {
+func equalOrganisations(a, b Organisation) bool {
 	return a.Name == b.Name && a.Priority == b.Priority && a.HasPriority == b.HasPriority && slices.Equal(a.Keys, b.Keys)
 }
 
 // Size returns the number of organisations.
 func (d *Directory) Size() int { return d.size }
 
-// find returns the organisation that holds a key.
-func (d *Directory) find(key cf.APIKey) (entry, bool) {
+// findByKey returns the organisation that holds a key.
+func (d *Directory) findByKey(key cf.APIKey) (entry, bool) {
 	k := d.digest(key)
 	name, found := d.keys[k.shard()][k]
 	if !found {
 		return entry{}, false
 	}
-	return d.named(name), true
+	return d.byName(name), true
 }
 
-func (d *Directory) named(name cf.Organisation) entry { return d.names[shardOfName(name)][name] }
+func (d *Directory) byName(name cf.Organisation) entry { return d.names[shardOfName(name)][name] }
 
 func (d *Directory) digest(key cf.APIKey) digest {
 	salted := append(make([]byte, 0, 2*sha256.Size), d.salt[:]...)
@@ -135,10 +135,10 @@
 	return digest(sum[:len(digest{})])
 }
 
-func (k digest) shard() int { return int(k[0]) % shards }
+func (k digest) shard() int { return int(k[0]) % shardCount }
 
 func shardOfName(o cf.Organisation) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(o)) // a hash takes everything
-	return int(h.Sum32() % shards)
+	return int(h.Sum32() % shardCount)
 }
--- a/core/cfaccess/table.go
+++ b/core/cfaccess/table.go
@@ -2,24 +2,24 @@
 
 import "maps"
 
-// shards divides a table: a change copies those parts alone in which it lies.
-const shards = 256
+// shardCount divides a table: a change copies those parts alone in which it lies.
+const shardCount = 256
 
 type (
-	// table is a map in parts, none of which is ever changed.
-	table[K comparable, V any] [shards]map[K]V
+	// shardedMap is a map in parts, none of which is ever changed.
+	shardedMap[K comparable, V any] [shardCount]map[K]V
 
-	// editor makes a table of another.
-	editor[K comparable, V any] struct {
-		table  table[K, V]
-		copied [shards]bool
+	// shardEditor makes a table of another.
+	shardEditor[K comparable, V any] struct {
+		table  shardedMap[K, V]
+		copied [shardCount]bool
 	}
 )
 
-func (t *table[K, V]) edit() *editor[K, V] { return &editor[K, V]{table: *t} }
+func (t *shardedMap[K, V]) edit() *shardEditor[K, V] { return &shardEditor[K, V]{table: *t} }
 
-// part returns a part that may be changed.
-func (e *editor[K, V]) part(shard int) map[K]V {
+// shardMap returns a part that may be changed.
+func (e *shardEditor[K, V]) shardMap(shard int) map[K]V {
 	if !e.copied[shard] {
 		e.table[shard], e.copied[shard] = maps.Clone(e.table[shard]), true
 	}
@@ -29,15 +29,15 @@
 	return e.table[shard]
 }
 
-func (e *editor[K, V]) remove(shard int, k K) { delete(e.part(shard), k) }
+func (e *shardEditor[K, V]) remove(shard int, k K) { delete(e.shardMap(shard), k) }
 
 // add adds a value; it returns the one that is there already, if any.
-func (e *editor[K, V]) add(shard int, k K, v V) (V, bool) {
-	part := e.part(shard)
-	if there, taken := part[k]; taken {
-		return there, true
+func (e *shardEditor[K, V]) add(shard int, k K, v V) (V, bool) {
+	shardMap := e.shardMap(shard)
+	if existing, taken := shardMap[k]; taken {
+		return existing, true
 	}
-	part[k] = v
-	var none V
-	return none, false
+	shardMap[k] = v
+	var zero V
+	return zero, false
 }
--- a/core/cfquarantine/evidence.go
+++ b/core/cfquarantine/evidence.go
@@ -11,187 +11,187 @@
 func (t *Table) Answered(k Key, target Incarnation, sent, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ended(k, target)
-	t.good.note(k, now)
-	var news []Strike
+	t.endSend(k, target)
+	t.served.add(k, now)
+	var updates []Strike
 	if s := t.suspects[k.Content]; s != nil {
-		s.answered = now
-		news = t.raise(s, now, func(st *strike) Scope {
+		s.lastCompleted = now
+		updates = t.narrowScopes(s, now, func(st *strike) Scope {
 			if st.Caller == k.Caller {
 				return Void
 			}
 			return SameCaller
 		})
 	}
-	t.alive(target, sent, now)
-	return news
+	t.noteAlive(target, sent, now)
+	return updates
 }
 
-// alive notes that a target was heard of: it has answered what it was sent after a loss. It
+// noteAlive notes that a target was heard of: it has answered what it was sent after a loss. It
 // may still be another start under the same id, which the instance list will tell.
-func (t *Table) alive(target Incarnation, sent, now cf.Millis) {
-	if t.struck[target] == 0 {
+func (t *Table) noteAlive(target Incarnation, sent, now cf.Millis) {
+	if t.strikesAt[target] == 0 {
 		return
 	}
 	for _, s := range t.suspects {
 		for i := range s.strikes {
-			if st := &s.strikes[i]; st.Target == target && st.at < sent && st.heard == 0 && !st.ended {
-				st.heard = now
+			if st := &s.strikes[i]; st.Target == target && st.pos < sent && st.aliveAt == 0 && !st.replaced {
+				st.aliveAt = now
 			}
 		}
 	}
 }
 
-// raise raises the standings of a suspect's strikes, and returns those that others must
+// narrowScopes raises the standings of a suspect's strikes, and returns those that others must
 // hear of. t.mu is held.
-func (t *Table) raise(s *suspect, now cf.Millis, standing func(*strike) Scope) []Strike {
-	var news []Strike
+func (t *Table) narrowScopes(s *suspect, now cf.Millis, scopeOf func(*strike) Scope) []Strike {
+	var updates []Strike
 	changed := false
 	for i := range s.strikes {
 		st := &s.strikes[i]
-		to := standing(st)
+		to := scopeOf(st)
 		if to <= st.Scope {
 			continue
 		}
 		if to == Void {
-			t.unstrike(st.Target)
+			t.decrementStrikes(st.Target)
 		}
 		st.Scope, changed = to, true
-		if st.shared() {
-			news = append(news, st.export(now))
+		if st.shareable() {
+			updates = append(updates, st.export(now))
 		}
 	}
 	if changed {
-		t.refresh(s)
+		t.suspectChanged(s)
 	}
-	return news
+	return updates
 }
 
-func (t *Table) unstrike(target Incarnation) {
-	if t.struck[target]--; t.struck[target] <= 0 {
-		delete(t.struck, target)
+func (t *Table) decrementStrikes(target Incarnation) {
+	if t.strikesAt[target]--; t.strikesAt[target] <= 0 {
+		delete(t.strikesAt, target)
 	}
 }
 
-// refresh takes a changed suspect into the sums and wakes who waits. t.mu is held.
-func (t *Table) refresh(s *suspect) {
-	t.sums.toggle(s.part)
-	s.part = Checksums{}
+// suspectChanged takes a changed suspect into the sums and wakes who waits. t.mu is held.
+func (t *Table) suspectChanged(s *suspect) {
+	t.checksums.xor(s.checksums)
+	s.checksums = Checksums{}
 	for i := range s.strikes {
-		if s.strikes[i].shared() {
-			s.part.All ^= s.strikes[i].sum()
+		if s.strikes[i].shareable() {
+			s.checksums.All ^= s.strikes[i].checksum()
 		}
 	}
-	if s.held() {
-		s.part.Held = s.part.All
+	if s.isHeld() {
+		s.checksums.Held = s.checksums.All
 	}
-	t.sums.toggle(s.part)
+	t.checksums.xor(s.checksums)
 	t.notify()
 }
 
-func (s *Checksums) toggle(part Checksums) {
+func (s *Checksums) xor(part Checksums) {
 	s.Held ^= part.Held
 	s.All ^= part.All
 }
 
-// held says whether the suspect has enough strikes that other instances know to be held
+// isHeld says whether the suspect has enough strikes that other instances know to be held
 // for some caller.
-func (s *suspect) held() bool {
+func (s *suspect) isHeld() bool {
 	n := 0
 	for i := range s.strikes {
-		if s.strikes[i].shared() && s.strikes[i].Scope < Void {
+		if s.strikes[i].shareable() && s.strikes[i].Scope < Void {
 			n++
 		}
 	}
-	return n >= crashesMost
+	return n >= maxCrashes
 }
 
 // Lost takes the end of a send to which a target gave no answer; alive says that it was
 // heard of after it was sent the request. The target is to be checked.
-func (t *Table) Lost(k Key, target Incarnation, alive bool, now cf.Millis) {
+func (t *Table) Lost(k Key, target Incarnation, aliveAfterSend bool, now cf.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.add(strike{
-		Strike: Strike{Content: k.Content, Caller: k.Caller, Target: target, SeenBy: t.self, Served: t.good.knows(k, now)},
-		at:     now, doubt: unchecked, alive: alive,
+	t.addStrike(strike{
+		Strike: Strike{Content: k.Content, Caller: k.Caller, Target: target, SeenBy: t.self, Served: t.served.contains(k, now)},
+		pos:    now, state: lossUnchecked, aliveAfterSend: aliveAfterSend,
 	})
-	t.ended(k, target)
+	t.endSend(k, target)
 }
 
-// add takes a strike that the table does not have, if there is room for it. It is news for
+// addStrike takes a strike that the table does not have, if there is room for it. It is news for
 // others only where it displaces none: two tables would else hand each other what each of them
 // has dropped. t.mu is held.
-func (t *Table) add(st strike) bool {
+func (t *Table) addStrike(st strike) bool {
 	s := t.suspects[st.Content]
 	if s == nil {
-		if len(t.suspects) >= suspectsMost {
-			t.evict()
+		if len(t.suspects) >= maxSuspects {
+			t.evictSuspect()
 		}
 		s = &suspect{}
 		t.suspects[st.Content] = s
 	}
-	if i := s.find(&st.Strike); i >= 0 {
+	if i := s.indexOf(&st.Strike); i >= 0 {
 		return false
 	}
-	full := len(s.strikes) >= strikesMost
-	if full && !t.displace(s, &st) {
+	full := len(s.strikes) >= maxStrikes
+	if full && !t.evictStrike(s, &st) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(s.strikes, st.at, func(x strike, at cf.Millis) int {
-		if x.at <= at {
+	pos, _ := slices.BinarySearchFunc(s.strikes, st.pos, func(x strike, pos cf.Millis) int {
+		if x.pos <= pos {
 			return -1
 		}
 		return 1
 	})
-	s.strikes = slices.Insert(s.strikes, at, st)
+	s.strikes = slices.Insert(s.strikes, pos, st)
 	if st.Scope < Void {
-		t.struck[st.Target]++
+		t.strikesAt[st.Target]++
 	}
-	t.refresh(s)
+	t.suspectChanged(s)
 	return !full
 }
 
-// displace makes room for a strike: one that does not count goes, or the first, as the latest
+// evictStrike makes room for a strike: one that does not count goes, or the first, as the latest
 // decide how long owed work pauses. Instances see the times of one moment in different orders,
 // so those do not displace each other. t.mu is held.
-func (t *Table) displace(s *suspect, st *strike) bool {
-	i := slices.IndexFunc(s.strikes, func(x strike) bool { return x.Scope == Void || x.doubt >= reached })
-	if st.Scope == Void || i < 0 && st.at <= s.strikes[0].at+moment {
+func (t *Table) evictStrike(s *suspect, st *strike) bool {
+	i := slices.IndexFunc(s.strikes, func(x strike) bool { return x.Scope == Void || x.state >= targetReached })
+	if st.Scope == Void || i < 0 && st.pos <= s.strikes[0].pos+crashWindow {
 		return false
 	}
-	t.forget(s, max(i, 0))
+	t.removeStrike(s, max(i, 0))
 	return true
 }
 
-func (s *suspect) find(st *Strike) int {
-	return slices.IndexFunc(s.strikes, func(x strike) bool { return x.is(st) })
+func (s *suspect) indexOf(st *Strike) int {
+	return slices.IndexFunc(s.strikes, func(x strike) bool { return x.sameLoss(st) })
 }
 
-// forget drops a strike. t.mu is held.
-func (t *Table) forget(s *suspect, i int) {
+// removeStrike drops a strike. t.mu is held.
+func (t *Table) removeStrike(s *suspect, i int) {
 	if s.strikes[i].Scope < Void {
-		t.unstrike(s.strikes[i].Target)
+		t.decrementStrikes(s.strikes[i].Target)
 	}
 	s.strikes = slices.Delete(s.strikes, i, i+1)
 }
 
 // Checked takes what a check of a target found: loss is how it is gone, empty if it took
 // a connection at checked or later. It returns what other instances must hear of.
-func (t *Table) Checked(target Incarnation, checked cf.Millis, loss Loss, now cf.Millis) []Strike {
+func (t *Table) Checked(target Incarnation, checkedAt cf.Millis, loss Loss, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.settle(target, now, func(st *strike) bool {
+	return t.resolveLosses(target, now, func(st *strike) bool {
 		switch {
-		case st.doubt != unchecked:
+		case st.state != lossUnchecked:
 			return false
-		case loss == LossUnreachable && !st.alive:
+		case loss == LossUnreachable && !st.aliveAfterSend:
 			// Its machine may have been lost before the request was sent, on a
 			// connection that was kept.
-			st.doubt = moot
+			st.state = lossInconclusive
 		case loss != "":
-			st.doubt, st.Loss = proven, loss
-		case st.at <= checked:
-			st.doubt = reached
+			st.state, st.Loss = lossConfirmed, loss
+		case st.pos <= checkedAt:
+			st.state = targetReached
 		default:
 			return false // it may have gone since
 		}
@@ -204,51 +204,51 @@
 func (t *Table) Replaced(target Incarnation, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.struck[target] == 0 {
+	if t.strikesAt[target] == 0 {
 		return nil
 	}
-	return t.settle(target, now, func(st *strike) bool {
-		st.heard, st.ended = 0, true
-		if st.doubt == proven || st.doubt == moot || now-st.at > replacedWithin {
+	return t.resolveLosses(target, now, func(st *strike) bool {
+		st.aliveAt, st.replaced = 0, true
+		if st.state == lossConfirmed || st.state == lossInconclusive || now-st.pos > replacementWindow {
 			return false
 		}
-		st.doubt, st.Loss = proven, LossReplaced
+		st.state, st.Loss = lossConfirmed, LossReplaced
 		return true
 	})
 }
 
-// settle takes what has become known of the losses at a target. t.mu is held.
-func (t *Table) settle(target Incarnation, now cf.Millis, learn func(*strike) bool) []Strike {
-	var news []Strike
+// resolveLosses takes what has become known of the losses at a target. t.mu is held.
+func (t *Table) resolveLosses(target Incarnation, now cf.Millis, update func(*strike) bool) []Strike {
+	var updates []Strike
 	for _, s := range t.suspects {
 		changed := false
 		for i := range s.strikes {
 			st := &s.strikes[i]
-			if st.Target != target || st.Scope == Void || !learn(st) {
+			if st.Target != target || st.Scope == Void || !update(st) {
 				continue
 			}
 			changed = true
-			if st.shared() {
-				news = append(news, st.export(now))
+			if st.shareable() {
+				updates = append(updates, st.export(now))
 			}
 		}
 		if changed {
-			t.refresh(s)
+			t.suspectChanged(s)
 		}
 	}
-	return news
+	return updates
 }
 
 // NeedsCheck says whether strikes wait for a check of their target.
 func (t *Table) NeedsCheck(target Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.struck[target] == 0 {
+	if t.strikesAt[target] == 0 {
 		return false
 	}
 	for _, s := range t.suspects {
 		if slices.ContainsFunc(s.strikes, func(st strike) bool {
-			return st.Target == target && st.doubt == unchecked && st.Scope < Void
+			return st.Target == target && st.state == lossUnchecked && st.Scope < Void
 		}) {
 			return true
 		}
@@ -256,17 +256,17 @@
 	return false
 }
 
-// explain voids the strikes that held suspects explain: whoever else ran at a target that
+// voidExplained voids the strikes that held suspects explain: whoever else ran at a target that
 // a held one has crashed was only there. It looks at crashes whose losses have all been
 // noted: of two that lost the same three targets neither explains the other. t.mu is held.
-func (t *Table) explain(now cf.Millis) []Strike {
+func (t *Table) voidExplained(now cf.Millis) []Strike {
 	explained := map[Incarnation]bool{}
 	for _, s := range t.suspects {
-		if !s.held() || now-s.lastAt() < explainAfter {
+		if !s.isHeld() || now-s.lastStrikeAt() < attributionDelay {
 			continue
 		}
 		for i := range s.strikes {
-			if s.strikes[i].shared() && s.strikes[i].Scope < Void {
+			if s.strikes[i].shareable() && s.strikes[i].Scope < Void {
 				explained[s.strikes[i].Target] = true
 			}
 		}
@@ -274,19 +274,19 @@
 	if len(explained) == 0 {
 		return nil
 	}
-	var news []Strike
+	var updates []Strike
 	for _, s := range t.suspects {
-		if s.held() {
+		if s.isHeld() {
 			continue
 		}
-		news = append(news, t.raise(s, now, func(st *strike) Scope {
-			if explained[st.Target] && st.doubt != unchecked {
+		updates = append(updates, t.narrowScopes(s, now, func(st *strike) Scope {
+			if explained[st.Target] && st.state != lossUnchecked {
 				return Void
 			}
 			return st.Scope
 		})...)
 	}
-	return news
+	return updates
 }
 
 // Release voids all strikes against a content, by hand.
@@ -297,5 +297,5 @@
 	if s == nil {
 		return nil
 	}
-	return t.raise(s, now, func(*strike) Scope { return Void })
+	return t.narrowScopes(s, now, func(*strike) Scope { return Void })
 }
--- a/core/cfquarantine/explore_test.go
+++ b/core/cfquarantine/explore_test.go
@@ -162,11 +162,11 @@
 		})
 	}
 	f.run()
-	if len(f.crashes) < crashesMost {
+	if len(f.crashes) < maxCrashes {
 		return len(f.crashes), 0
 	}
 	for _, at := range f.sends {
-		if at > f.crashes[crashesMost-1]+news+2 {
+		if at > f.crashes[maxCrashes-1]+news+2 {
 			late++
 		}
 	}
@@ -192,7 +192,7 @@
 			})
 		}
 		t.Logf("%d instances: %d crashes at most, in %d schedules", n, worst, schedules)
-		if most := max(crashesMost, attemptsMost*n); worst > most {
+		if most := max(maxCrashes, attemptsMost*n); worst > most {
 			t.Errorf("%d instances: %d crashes, want %d at most", n, worst, most)
 		}
 	}
--- a/core/cfquarantine/good.go
+++ b/core/cfquarantine/good.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// goodSlots bounds the requests that are remembered as served, 64 KB: a popular
+	// servedCacheSize bounds the requests that are remembered as served, 64 KB: a popular
 	// one is among the last 4,096 of its instance.
-	goodSlots = 4096
-	// goodFor is how long that counts: as long as a suspicion does.
-	goodFor = suspectFor
+	servedCacheSize = 4096
+	// servedCacheTTL is how long that counts: as long as a suspicion does.
+	servedCacheTTL = suspectTTL
 )
 
 type (
-	// good remembers which requests were run to their end here lately. Of two that
+	// servedCache remembers which requests were run to their end here lately. Of two that
 	// meet in a slot the later one is remembered.
-	good struct{ slots []goodSlot }
+	servedCache struct{ slots []servedSlot }
 
-	goodSlot struct {
+	servedSlot struct {
 		tag uint64
 		at  cf.Millis
 	}
 )
 
-func tagOf(k Key) uint64 {
+func servedTag(k Key) uint64 {
 	return binary.LittleEndian.Uint64(k.Content[:8]) ^ binary.LittleEndian.Uint64(k.Caller[:])
 }
 
-func (g *good) note(k Key, now cf.Millis) {
+func (g *servedCache) add(k Key, now cf.Millis) {
 	if g.slots == nil {
-		g.slots = make([]goodSlot, goodSlots)
+		g.slots = make([]servedSlot, servedCacheSize)
 	}
-	tag := tagOf(k)
-	g.slots[tag%goodSlots] = goodSlot{tag, now}
+	tag := servedTag(k)
+	g.slots[tag%servedCacheSize] = servedSlot{tag, now}
 }
 
-func (g *good) knows(k Key, now cf.Millis) bool {
+func (g *servedCache) contains(k Key, now cf.Millis) bool {
 	if g.slots == nil {
 		return false
 	}
-	tag := tagOf(k)
-	s := g.slots[tag%goodSlots]
-	return s.tag == tag && s.at > 0 && now-s.at < goodFor
+	tag := servedTag(k)
+	s := g.slots[tag%servedCacheSize]
+	return s.tag == tag && s.at > 0 && now-s.at < servedCacheTTL
 }
--- a/core/cfquarantine/key.go
+++ b/core/cfquarantine/key.go
@@ -37,28 +37,28 @@
 		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part)))) // a hash takes everything
 		_, _ = h.Write(part)
 	}
-	who := sha256.Sum256([]byte(caller))
-	return Key{Content: Digest(h.Sum(nil)[:16]), Caller: CallerDigest(who[:8])}
+	callerSum := sha256.Sum256([]byte(caller))
+	return Key{Content: Digest(h.Sum(nil)[:16]), Caller: CallerDigest(callerSum[:8])}
 }
 
 // CallerOf returns who a request counts as the caller of: its organisation, so that a
 // caller gets no fresh tries by another of its keys or from another machine; where there
 // is none, what tells senders apart.
-func CallerOf(a cf.Access, who cf.Credentials) string {
+func CallerOf(a cf.Access, credentials cf.Credentials) string {
 	if a.Organisation != "" {
-		return callerOfOrganisation(a.Organisation)
+		return organisationCaller(a.Organisation)
 	}
-	return who.Machine
+	return credentials.Machine
 }
 
-func callerOfOrganisation(o cf.Organisation) string { return "organisation " + string(o) }
+func organisationCaller(o cf.Organisation) string { return "organisation " + string(o) }
 
 // KeyOfItem returns the key of an item of a batch. The batch's host stands for a caller
 // that belongs to no organisation.
 func KeyOfItem(sub *cf.Submission, item cf.Item) Key {
 	caller := sub.Host
 	if o := sub.ID.Organisation(); o != "" {
-		caller = callerOfOrganisation(o)
+		caller = organisationCaller(o)
 	}
 	return KeyOf(itemMethod, sub.Host, item.Path, caller, item.Body)
 }
@@ -86,11 +86,11 @@
 // UnmarshalText reads a digest in JSON.
 func (d *CallerDigest) UnmarshalText(text []byte) error { return decodeHex(d[:], text) }
 
-func decodeHex(to, text []byte) error {
-	if len(text) != 2*len(to) {
-		return eris.Wrapf(cf.ErrInvalid, "%q is no digest of %d hexadecimal digits", text, 2*len(to))
+func decodeHex(dst, text []byte) error {
+	if len(text) != 2*len(dst) {
+		return eris.Wrapf(cf.ErrInvalid, "%q is no digest of %d hexadecimal digits", text, 2*len(dst))
 	}
-	if _, err := hex.Decode(to, text); err != nil {
+	if _, err := hex.Decode(dst, text); err != nil {
 		return eris.Wrapf(cf.ErrInvalid, "%q: %v", text, err)
 	}
 	return nil
--- a/core/cfquarantine/owed_test.go
+++ b/core/cfquarantine/owed_test.go
@@ -22,12 +22,12 @@
 	table := New("e")
 	k := keyOf("a", "x")
 	now := cf.Millis(0)
-	for n := range crashesMost {
+	for n := range maxCrashes {
 		loseOwed(t, table, k, target(n), now)
 	}
-	for n := crashesMost; n < 3*strikesMost; n++ {
-		pause, most := []cf.Millis{1000, 2000, 4000}[min(n-crashesMost, 2)], []int{4, 2, 1}[min(n-crashesMost, 2)]
-		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < crashesMost {
+	for n := maxCrashes; n < 3*maxStrikes; n++ {
+		pause, most := []cf.Millis{1000, 2000, 4000}[min(n-maxCrashes, 2)], []int{4, 2, 1}[min(n-maxCrashes, 2)]
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < maxCrashes {
 			t.Fatalf("before its pause after %d crashes is over: %+v", n, v)
 		}
 		began := now
@@ -47,7 +47,7 @@
 		table.Lost(k, target(n), true, now)
 		table.Checked(target(n), now, LossRefused, now)
 	}
-	now += pauseMost
+	now += maxPause
 	table.AdmitDeferred(k, target(99), DeferredWork{Isolated: true, WaitingSince: now}, now)
 	table.Answered(k, target(99), now, now+30)
 	if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: now}, now+40); !v.Pass || v.MaxRuns != 0 {
@@ -100,7 +100,7 @@
 func TestEqualOwedWorkDoesNotWaitForAnEnd(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
-	for n := range crashesMost - 1 {
+	for n := range maxCrashes - 1 {
 		loseOwed(t, table, k, target(n), 0)
 	}
 	if v := table.AdmitDeferred(k, target(5), DeferredWork{}, 10); !v.Pass {
@@ -110,7 +110,7 @@
 		t.Errorf("a second one at once: %+v", v)
 	}
 	for n := range 8 {
-		if v := table.AdmitDeferred(k, target(6+n), DeferredWork{}, 10+outlives); !v.Pass {
+		if v := table.AdmitDeferred(k, target(6+n), DeferredWork{}, 10+survivalTime); !v.Pass {
 			t.Errorf("others wait though one has lasted: %+v", v)
 		}
 	}
@@ -122,7 +122,7 @@
 	const took, every = 300, 100
 	table := New("e")
 	item, other := keyOf("a", "x"), keyOf("b", "x")
-	for n := range crashesMost {
+	for n := range maxCrashes {
 		loseOwed(t, table, item, target(n), 0)
 	}
 	for now := cf.Millis(every); now < 5*second; now += every {
@@ -145,7 +145,7 @@
 // counts from there on.
 func TestEqualOwedWorkIsBackWithinFiveSeconds(t *testing.T) {
 	const look, items, burst = 50, 16, 3 * second
-	for crashes := crashesMost; crashes <= items; crashes++ {
+	for crashes := maxCrashes; crashes <= items; crashes++ {
 		for _, spacing := range []cf.Millis{0, 100, 400} {
 			table := New("e")
 			k := keyOf("a", "x")
@@ -180,7 +180,7 @@
 func TestOwedWorkDoesNotWaitForOtherSuspects(t *testing.T) {
 	table := New("e")
 	a, b := keyOf("a", "x"), keyOf("a", "y")
-	for n := range crashesMost - 1 {
+	for n := range maxCrashes - 1 {
 		loseOwed(t, table, a, target(n), 0)
 		loseOwed(t, table, b, target(n), 0)
 	}
@@ -188,7 +188,7 @@
 	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, 20); !v.OtherTarget {
 		t.Errorf("two suspects meet at once: %+v", v)
 	}
-	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, apartFor); !v.Pass {
+	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, separationPeriod); !v.Pass {
 		t.Errorf("still waits for the other one's end: %+v", v)
 	}
 }
--- a/core/cfquarantine/share.go
+++ b/core/cfquarantine/share.go
@@ -12,44 +12,44 @@
 func (t *Table) Merge(in []Strike, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []Strike
+	var updates []Strike
 	for _, st := range in {
 		// Who has served the request may have seen none of its losses.
-		st.Served = st.Served || t.good.knows(Key{st.Content, st.Caller}, now)
-		if t.merge(st, now) {
-			news = append(news, st)
+		st.Served = st.Served || t.served.contains(Key{st.Content, st.Caller}, now)
+		if t.mergeStrike(st, now) {
+			updates = append(updates, st)
 		}
 	}
-	return news
+	return updates
 }
 
-// merge takes one strike; false if it changes nothing. t.mu is held.
-func (t *Table) merge(in Strike, now cf.Millis) bool {
+// mergeStrike takes one strike; false if it changes nothing. t.mu is held.
+func (t *Table) mergeStrike(in Strike, now cf.Millis) bool {
 	in.Age, in.Scope = max(in.Age, 0), min(max(in.Scope, AllCallers), Void)
 	s := t.suspects[in.Content]
 	i := -1
 	if s != nil {
-		i = s.find(&in)
+		i = s.indexOf(&in)
 	}
 	if i < 0 {
-		return t.add(strike{Strike: in, at: now - in.Age})
+		return t.addStrike(strike{Strike: in, pos: now - in.Age})
 	}
 	st := &s.strikes[i]
 	changed := false
-	if st.doubt != proven {
-		st.doubt, st.Loss, changed = proven, in.Loss, true
+	if st.state != lossConfirmed {
+		st.state, st.Loss, changed = lossConfirmed, in.Loss, true
 	}
 	if in.Served && !st.Served {
 		st.Served, changed = true, true
 	}
 	if in.Scope > st.Scope {
 		if in.Scope == Void {
-			t.unstrike(st.Target)
+			t.decrementStrikes(st.Target)
 		}
 		st.Scope, changed = in.Scope, true
 	}
 	if changed {
-		t.refresh(s)
+		t.suspectChanged(s)
 	}
 	return changed
 }
@@ -60,7 +60,7 @@
 	defer t.mu.Unlock()
 	rank := func(st Strike) int {
 		if s := t.suspects[st.Content]; s != nil {
-			return -s.standing()
+			return -s.activeStrikes()
 		}
 		return 0
 	}
@@ -73,34 +73,34 @@
 func (t *Table) Checksums() Checksums {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sums
+	return t.checksums
 }
 
 // HeldStrikes returns the strikes of at most so many held contents, those struck last first,
 // and how many contents are held.
-func (t *Table) HeldStrikes(most int, now cf.Millis) ([]Strike, int) {
+func (t *Table) HeldStrikes(limit int, now cf.Millis) ([]Strike, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held := t.foremost(true)
-	return exportsOf(held[:min(most, len(held))], now), len(held)
+	held := t.suspectsByPriority(true)
+	return exportAll(held[:min(limit, len(held))], now), len(held)
 }
 
 // StrikesByPriority returns the strikes of at most so many contents after the first few: those that
 // are held before others, and of these those struck last.
-func (t *Table) StrikesByPriority(after, most int, now cf.Millis) []Strike {
+func (t *Table) StrikesByPriority(offset, limit int, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.foremost(false)
-	all = all[min(max(after, 0), len(all)):]
-	return exportsOf(all[:min(most, len(all))], now)
+	all := t.suspectsByPriority(false)
+	all = all[min(max(offset, 0), len(all)):]
+	return exportAll(all[:min(limit, len(all))], now)
 }
 
-// foremost returns the suspects in the order in which others are to hear of them.
-func (t *Table) foremost(heldOnly bool) []*suspect {
+// suspectsByPriority returns the suspects in the order in which others are to hear of them.
+func (t *Table) suspectsByPriority(heldOnly bool) []*suspect {
 	var out []*suspect
 	held := map[*suspect]int{}
 	for _, s := range t.suspects {
-		if s.held() {
+		if s.isHeld() {
 			held[s] = 1
 		}
 		if held[s] > 0 || !heldOnly {
@@ -108,36 +108,36 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *suspect) int {
-		return cmp.Or(held[b]-held[a], cmp.Compare(b.lastAt(), a.lastAt()))
+		return cmp.Or(held[b]-held[a], cmp.Compare(b.lastStrikeAt(), a.lastStrikeAt()))
 	})
 	return out
 }
 
-func exportsOf(suspects []*suspect, now cf.Millis) []Strike {
+func exportAll(suspects []*suspect, now cf.Millis) []Strike {
 	var out []Strike
 	for _, s := range suspects {
-		out = append(out, s.exports(now)...)
+		out = append(out, s.exportStrikes(now)...)
 	}
 	return out
 }
 
 // ExchangeReply returns what an instance that holds other things must hear: what is foremost
 // here after the first few, and what is known of the contents it names.
-func (t *Table) ExchangeReply(theirs []Strike, after, most int, now cf.Millis) []Strike {
-	out := t.StrikesByPriority(after, most, now)
+func (t *Table) ExchangeReply(remote []Strike, offset, limit int, now cf.Millis) []Strike {
+	out := t.StrikesByPriority(offset, limit, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := map[Digest]bool{}
+	included := map[Digest]bool{}
 	for i := range out {
-		told[out[i].Content] = true
+		included[out[i].Content] = true
 	}
-	for i := range theirs {
-		s := t.suspects[theirs[i].Content]
-		if s == nil || told[theirs[i].Content] {
+	for i := range remote {
+		s := t.suspects[remote[i].Content]
+		if s == nil || included[remote[i].Content] {
 			continue
 		}
-		told[theirs[i].Content] = true
-		out = append(out, s.exports(now)...)
+		included[remote[i].Content] = true
+		out = append(out, s.exportStrikes(now)...)
 	}
 	return out
 }
@@ -151,11 +151,11 @@
 	return len(seen)
 }
 
-// exports returns the strikes that are shared.
-func (s *suspect) exports(now cf.Millis) []Strike {
+// exportStrikes returns the strikes that are shared.
+func (s *suspect) exportStrikes(now cf.Millis) []Strike {
 	var out []Strike
 	for i := range s.strikes {
-		if s.strikes[i].shared() {
+		if s.strikes[i].shareable() {
 			out = append(out, s.strikes[i].export(now))
 		}
 	}
@@ -164,6 +164,6 @@
 
 func (s *strike) export(now cf.Millis) Strike {
 	out := s.Strike
-	out.Age = now - s.at
+	out.Age = now - s.pos
 	return out
 }
--- a/core/cfquarantine/strike.go
+++ b/core/cfquarantine/strike.go
@@ -40,18 +40,18 @@
 	// strike is a strike as a table holds it.
 	strike struct {
 		Strike
-		at    cf.Millis // Uptime at which the loss was seen
-		doubt doubt
-		// heard is when the target was first heard of since, zero if it was not;
+		pos   cf.Millis // Uptime at which the loss was seen
+		state lossState
+		// aliveAt is when the target was first heard of since, zero if it was not;
 		// ended says that it was listed as gone or started again.
-		heard cf.Millis
-		ended bool
-		// alive: the target was heard of after it was sent the request.
-		alive bool
+		aliveAt  cf.Millis
+		replaced bool
+		// aliveAfterSend: the target was heard of after it was sent the request.
+		aliveAfterSend bool
 	}
 
-	// doubt is what is not known yet of a loss. Strikes in doubt are not shared.
-	doubt int
+	// lossState is what is not known yet of a loss. Strikes in doubt are not shared.
+	lossState int
 )
 
 // Ways in which targets were found gone.
@@ -79,52 +79,52 @@
 )
 
 const (
-	// proven: the target was found gone.
-	proven doubt = iota
-	// unchecked: the target has not been asked. What follows waits for that, here,
+	// lossConfirmed: the target was found gone.
+	lossConfirmed lossState = iota
+	// lossUnchecked: the target has not been asked. What follows waits for that, here,
 	// where the next send may be the one too many.
-	unchecked
-	// reached: the target took a connection. The strike does not count, unless the
+	lossUnchecked
+	// targetReached: the target took a connection. The strike does not count, unless the
 	// target is gone soon after: it may have been its successor that did.
-	reached
-	// moot: it tells nothing, and is forgotten at the next look.
-	moot
+	targetReached
+	// lossInconclusive: it tells nothing, and is forgotten at the next look.
+	lossInconclusive
 )
 
 // IncarnationOf returns the name of a target's present start.
 func IncarnationOf(t cf.Target) Incarnation { return Incarnation{t.ID, t.Born} }
 
-// is says whether two strikes are evidence of the same loss.
-func (s *Strike) is(o *Strike) bool {
+// sameLoss says whether two strikes are evidence of the same loss.
+func (s *Strike) sameLoss(o *Strike) bool {
 	return s.Content == o.Content && s.Caller == o.Caller && s.Target == o.Target
 }
 
-// counts says whether a strike speaks against requests of a caller, as far as it is for
+// countsAgainst says whether a strike speaks against requests of a caller, as far as it is for
 // itself to say.
-func (s *strike) counts(c CallerDigest) bool {
-	if s.Scope == Void || s.doubt >= reached {
+func (s *strike) countsAgainst(c CallerDigest) bool {
+	if s.Scope == Void || s.state >= targetReached {
 		return false
 	}
 	return s.Scope == AllCallers || s.Caller == c
 }
 
-// shared says whether other instances hear of the strike.
-func (s *strike) shared() bool { return s.doubt == proven }
+// shareable says whether other instances hear of the strike.
+func (s *strike) shareable() bool { return s.state == lossConfirmed }
 
 // servedBit is added to the standing in a strike's sum.
 const servedBit = 1 << 7
 
-// sum identifies a strike, its standing, and whether its request had been served.
-func (s *strike) sum() uint64 {
+// checksum identifies a strike, its standing, and whether its request had been served.
+func (s *strike) checksum() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(s.Content[:]) // a hash takes everything
 	_, _ = h.Write(s.Caller[:])
 	_, _ = h.Write([]byte(s.Target.ID))
 	raw := binary.LittleEndian.AppendUint64(nil, uint64(s.Target.Born))
-	standing := byte(s.Scope)
+	scope := byte(s.Scope)
 	if s.Served {
-		standing |= servedBit
+		scope |= servedBit
 	}
-	_, _ = h.Write(append(raw, standing))
+	_, _ = h.Write(append(raw, scope))
 	return h.Sum64()
 }
--- a/core/cfquarantine/sweep.go
+++ b/core/cfquarantine/sweep.go
@@ -7,11 +7,11 @@
 	cf "currantford"
 )
 
-func (s *suspect) lastAt() cf.Millis {
+func (s *suspect) lastStrikeAt() cf.Millis {
 	if len(s.strikes) == 0 {
 		return 0
 	}
-	return s.strikes[len(s.strikes)-1].at
+	return s.strikes[len(s.strikes)-1].pos
 }
 
 // Sweep forgets what is over, and voids the strikes at targets that live, and those that
@@ -21,62 +21,62 @@
 func (t *Table) Sweep(current bool, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := t.explain(now)
+	updates := t.voidExplained(now)
 	for d, s := range t.suspects {
 		if current {
-			news = append(news, t.raise(s, now, func(st *strike) Scope {
-				if st.heard > 0 && now-st.heard > heardFor {
+			updates = append(updates, t.narrowScopes(s, now, func(st *strike) Scope {
+				if st.aliveAt > 0 && now-st.aliveAt > restartDetection {
 					return Void
 				}
 				return st.Scope
 			})...)
 		}
 		for i := len(s.strikes) - 1; i >= 0; i-- {
-			if d := s.strikes[i].doubt; d == moot || d == reached && now-s.strikes[i].at > replacedWithin {
-				t.forget(s, i)
+			if state := s.strikes[i].state; state == lossInconclusive || state == targetReached && now-s.strikes[i].pos > replacementWindow {
+				t.removeStrike(s, i)
 			}
 		}
-		keep := suspectFor
-		if n := s.standing(); n >= crashesMost {
-			keep = 2 * holdFor(n) // its trial may come late
+		keep := suspectTTL
+		if n := s.activeStrikes(); n >= maxCrashes {
+			keep = 2 * holdDuration(n) // its trial may come late
 		}
-		if len(s.strikes) == 0 || now-s.lastAt() > keep {
-			t.remove(d, s)
+		if len(s.strikes) == 0 || now-s.lastStrikeAt() > keep {
+			t.removeSuspect(d, s)
 		}
 	}
-	return news
+	return updates
 }
 
-// standing counts the strikes that count for some caller.
-func (s *suspect) standing() int {
+// activeStrikes counts the strikes that count for some caller.
+func (s *suspect) activeStrikes() int {
 	n := 0
 	for i := range s.strikes {
-		if s.strikes[i].counts(s.strikes[i].Caller) {
+		if s.strikes[i].countsAgainst(s.strikes[i].Caller) {
 			n++
 		}
 	}
 	return n
 }
 
-// evict drops the suspect with the fewest strikes, of these the one that was struck
+// evictSuspect drops the suspect with the fewest strikes, of these the one that was struck
 // first: requests that each crash one target, as of a caller that changes a byte each
 // time, must not push out those that are held. t.mu is held.
-func (t *Table) evict() {
+func (t *Table) evictSuspect() {
 	var drop Digest
 	var least *suspect
 	for d, s := range t.suspects {
-		if least == nil || s.standing() < least.standing() || s.standing() == least.standing() && s.lastAt() < least.lastAt() {
+		if least == nil || s.activeStrikes() < least.activeStrikes() || s.activeStrikes() == least.activeStrikes() && s.lastStrikeAt() < least.lastStrikeAt() {
 			drop, least = d, s
 		}
 	}
-	t.remove(drop, least)
+	t.removeSuspect(drop, least)
 }
 
-func (t *Table) remove(d Digest, s *suspect) {
-	t.sums.toggle(s.part)
+func (t *Table) removeSuspect(d Digest, s *suspect) {
+	t.checksums.xor(s.checksums)
 	for i := range s.strikes {
 		if s.strikes[i].Scope < Void {
-			t.unstrike(s.strikes[i].Target)
+			t.decrementStrikes(s.strikes[i].Target)
 		}
 	}
 	delete(t.suspects, d)
@@ -93,5 +93,5 @@
 func (t *Table) StruckTargets() []Incarnation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Collect(maps.Keys(t.struck))
+	return slices.Collect(maps.Keys(t.strikesAt))
 }
--- a/core/cfquarantine/table.go
+++ b/core/cfquarantine/table.go
@@ -55,35 +55,35 @@
 )
 
 const (
-	// crashesMost is how many targets may crash under a request before it is held.
+	// maxCrashes is how many targets may crash under a request before it is held.
 	// One crash in a row is bad luck, two may be; a service has three targets and
 	// more, and should not lose them all.
-	crashesMost = 3
-	// holdFirst is how long a request is held. Callers come again for seconds and
+	maxCrashes = 3
+	// initialHold is how long a request is held. Callers come again for seconds and
 	// minutes; each further crash makes it four times as long, up to holdMost, so
 	// that a request which never gets well costs a target a day in the end.
-	holdFirst cf.Millis = 10 * 60 * 1000
-	holdMost  cf.Millis = 24 * 60 * 60 * 1000
-	// suspectFor is how long strikes are remembered that do not hold a request.
-	suspectFor cf.Millis = 10 * 60 * 1000
-	// moment is the span in which crashes count as one for a request that was run to
+	initialHold cf.Millis = 10 * 60 * 1000
+	maxHold     cf.Millis = 24 * 60 * 60 * 1000
+	// suspectTTL is how long strikes are remembered that do not hold a request.
+	suspectTTL cf.Millis = 10 * 60 * 1000
+	// crashWindow is the span in which crashes count as one for a request that was run to
 	// its end here before: a failure domain is lost at once, with all that it ran.
-	moment cf.Millis = 1000
-	// replacedWithin is how soon after its loss a target must be gone for it to have
+	crashWindow cf.Millis = 1000
+	// replacementWindow is how soon after its loss a target must be gone for it to have
 	// been a crash: an entry lapses after three heartbeats.
-	replacedWithin cf.Millis = 10000
-	// heardFor is how long after its first answer since a loss a target counts as the
+	replacementWindow cf.Millis = 10000
+	// restartDetection is how long after its first answer since a loss a target counts as the
 	// same start that it was: one that has started again is listed so within a
 	// heartbeat or two.
-	heardFor cf.Millis = 4000
-	// explainAfter is how long after a crash the losses of all its requests are noted.
-	explainAfter cf.Millis = 400
-	// trialSpread spreads the ends of a request's time over the instances, as a part of
+	restartDetection cf.Millis = 4000
+	// attributionDelay is how long after a crash the losses of all its requests are noted.
+	attributionDelay cf.Millis = 400
+	// trialJitter spreads the ends of a request's time over the instances, as a part of
 	// it: one of them tries, and the others hear what came of it.
-	trialSpread = 0.25
-	// suspectsMost and strikesMost bound the table, at about a kilobyte a suspect.
-	suspectsMost = 1024
-	strikesMost  = 8
+	trialJitter = 0.25
+	// maxSuspects and strikesMost bound the table, at about a kilobyte a suspect.
+	maxSuspects = 1024
+	maxStrikes  = 8
 )
 
 type (
@@ -110,31 +110,31 @@
 	Table struct {
 		self cf.EntryID
 		mu   sync.Mutex
-		// informed: what other instances hold has been taken.
-		informed bool
+		// synced: what other instances hold has been taken.
+		synced   bool
 		suspects map[Digest]*suspect
-		// underWay are the sends without an end, by content and target.
-		underWay map[Digest]map[Incarnation]sends
-		// struck counts the strikes at each target that are not void.
-		struck  map[Incarnation]int
-		good    good
-		sums    Checksums
-		changed chan struct{}
+		// inFlight are the sends without an end, by content and target.
+		inFlight map[Digest]map[Incarnation]sendCount
+		// strikesAt counts the strikes at each target that are not void.
+		strikesAt map[Incarnation]int
+		served    servedCache
+		checksums Checksums
+		changed   chan struct{}
 	}
 
-	// sends are those of a content to a target that have no end yet.
-	sends struct {
-		n      int
-		latest cf.Millis // when the latest of them began
+	// sendCount are those of a content to a target that have no end yet.
+	sendCount struct {
+		n         int
+		lastStart cf.Millis // when the latest of them began
 	}
 
 	// suspect is a content with strikes against it.
 	suspect struct {
 		strikes []strike
-		// answered is when a request of it was last run to its end here, for any caller.
-		answered cf.Millis
-		// part is its part of the table's sums.
-		part Checksums
+		// lastCompleted is when a request of it was last run to its end here, for any caller.
+		lastCompleted cf.Millis
+		// checksums is its part of the table's sums.
+		checksums Checksums
 	}
 
 	// Checksums identify what a table holds: tables with equal sums hold the same.
@@ -147,7 +147,7 @@
 // New returns an instance's table, without evidence.
 func New(self cf.EntryID) *Table {
 	t := NewUnsynced(self)
-	t.informed = true
+	t.synced = true
 	return t
 }
 
@@ -155,7 +155,7 @@
 // until Inform: any request may be one that the others hold.
 func NewUnsynced(self cf.EntryID) *Table {
 	return &Table{
-		self: self, suspects: map[Digest]*suspect{}, underWay: map[Digest]map[Incarnation]sends{}, struck: map[Incarnation]int{}, changed: make(chan struct{}),
+		self: self, suspects: map[Digest]*suspect{}, inFlight: map[Digest]map[Incarnation]sendCount{}, strikesAt: map[Incarnation]int{}, changed: make(chan struct{}),
 	}
 }
 
@@ -163,8 +163,8 @@
 func (t *Table) MarkSynced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	first := !t.informed
-	t.informed = true
+	first := !t.synced
+	t.synced = true
 	return first
 }
 
@@ -172,7 +172,7 @@
 func (t *Table) Synced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.informed
+	return t.synced
 }
 
 // Changed returns a channel that is closed at the next change of the evidence, or end of
@@ -192,7 +192,7 @@
 func (t *Table) Evaluate(k Key, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.judge(k, now)
+	return t.evaluate(k, now)
 }
 
 // Admit judges a request that is about to be sent to a target. One that passes counts as
@@ -200,140 +200,140 @@
 func (t *Table) Admit(k Key, target Incarnation, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.judge(k, now)
-	if v.Pass && t.meets(k, target) {
+	v := t.evaluate(k, now)
+	if v.Pass && t.meetsSuspect(k, target) {
 		v = Verdict{OtherTarget: true}
 	}
 	if v.Pass {
-		t.begin(k, target, now)
+		t.startSend(k, target, now)
 	}
 	return v
 }
 
-// begin counts a send as under way. t.mu is held.
-func (t *Table) begin(k Key, target Incarnation, now cf.Millis) {
-	at := t.underWay[k.Content]
-	if at == nil {
-		at = map[Incarnation]sends{}
-		t.underWay[k.Content] = at
+// startSend counts a send as under way. t.mu is held.
+func (t *Table) startSend(k Key, target Incarnation, now cf.Millis) {
+	byTarget := t.inFlight[k.Content]
+	if byTarget == nil {
+		byTarget = map[Incarnation]sendCount{}
+		t.inFlight[k.Content] = byTarget
 	}
-	at[target] = sends{at[target].n + 1, now}
+	byTarget[target] = sendCount{byTarget[target].n + 1, now}
 }
 
-// judge is Judge with t.mu held. As long as it is not known whether a suspect crashes
+// evaluate is Judge with t.mu held. As long as it is not known whether a suspect crashes
 // targets, no more of it are under way than may crash one each.
-func (t *Table) judge(k Key, now cf.Millis) Verdict {
-	if !t.informed {
+func (t *Table) evaluate(k Key, now cf.Millis) Verdict {
+	if !t.synced {
 		return Verdict{Unsynced: true}
 	}
 	s := t.suspects[k.Content]
 	if s == nil {
 		return Verdict{Pass: true}
 	}
-	served := t.good.knows(k, now) || s.servedFor(k.Caller)
-	proofs, last := s.crashes(k.Caller, served, true)
-	crashes, _ := s.crashes(k.Caller, served, false)
-	until := last + t.holdHere(k.Content, proofs)
-	under := 0
-	for _, at := range t.underWay[k.Content] {
-		under += at.n
+	served := t.served.contains(k, now) || s.servedToCaller(k.Caller)
+	confirmed, last := s.countCrashes(k.Caller, served, true)
+	crashes, _ := s.countCrashes(k.Caller, served, false)
+	heldUntil := last + t.jitteredHold(k.Content, confirmed)
+	inFlight := 0
+	for _, sent := range t.inFlight[k.Content] {
+		inFlight += sent.n
 	}
 	switch {
-	case proofs >= crashesMost && now < until:
-		return Verdict{RetryAt: until, Strikes: s.against(k.Caller, now)}
-	case proofs < crashesMost && crashes >= crashesMost:
+	case confirmed >= maxCrashes && now < heldUntil:
+		return Verdict{RetryAt: heldUntil, Strikes: s.strikesAgainst(k.Caller, now)}
+	case confirmed < maxCrashes && crashes >= maxCrashes:
 		return Verdict{Wait: true} // for the checks of the targets
-	case crashes >= crashesMost: // its time is over: one tries
-		return Verdict{Pass: under == 0, Wait: under > 0}
-	case crashes == 0 || served || under < crashesMost-crashes:
+	case crashes >= maxCrashes: // its time is over: one tries
+		return Verdict{Pass: inFlight == 0, Wait: inFlight > 0}
+	case crashes == 0 || served || inFlight < maxCrashes-crashes:
 		return Verdict{Pass: true}
 	default:
 		return Verdict{Wait: true}
 	}
 }
 
-// meets says whether a strong suspect would meet another one at a target. Two that have
+// meetsSuspect says whether a strong suspect would meet another one at a target. Two that have
 // lost the same targets can't be told apart by a third that they lose together: the items
 // of a step that fill each engine beside the one that crashes it would be held with it.
-func (t *Table) meets(k Key, target Incarnation) bool {
-	if !t.strong(k.Content) {
+func (t *Table) meetsSuspect(k Key, target Incarnation) bool {
+	if !t.oneCrashFromHold(k.Content) {
 		return false
 	}
 	for other := range t.suspects {
-		if other != k.Content && t.underWay[other][target].n > 0 && t.strong(other) {
+		if other != k.Content && t.inFlight[other][target].n > 0 && t.oneCrashFromHold(other) {
 			return true
 		}
 	}
 	return false
 }
 
-// strong says whether one more crash would hold a content. t.mu is held.
-func (t *Table) strong(d Digest) bool {
+// oneCrashFromHold says whether one more crash would hold a content. t.mu is held.
+func (t *Table) oneCrashFromHold(d Digest) bool {
 	s := t.suspects[d]
-	return s != nil && s.standing() >= crashesMost-1
+	return s != nil && s.activeStrikes() >= maxCrashes-1
 }
 
-// holdFor returns how long a request is held after so many crashes.
-func holdFor(crashes int) cf.Millis {
-	span := holdFirst
-	for ; crashes > crashesMost && span < holdMost; crashes-- {
-		span *= 4
+// holdDuration returns how long a request is held after so many crashes.
+func holdDuration(crashes int) cf.Millis {
+	hold := initialHold
+	for ; crashes > maxCrashes && hold < maxHold; crashes-- {
+		hold *= 4
 	}
-	return min(span, holdMost)
+	return min(hold, maxHold)
 }
 
-// holdHere is holdFor at this instance.
-func (t *Table) holdHere(d Digest, crashes int) cf.Millis {
+// jitteredHold is holdFor at this instance.
+func (t *Table) jitteredHold(d Digest, crashes int) cf.Millis {
 	h := fnv.New32a()
 	_, _ = h.Write(append(d[:], t.self...)) // a hash takes everything
-	draw := float64(h.Sum32()) / (1 << 32)
-	span := holdFor(crashes)
-	return span + cf.Millis(float64(span)*trialSpread*draw)
+	fraction := float64(h.Sum32()) / (1 << 32)
+	hold := holdDuration(crashes)
+	return hold + cf.Millis(float64(hold)*trialJitter*fraction)
 }
 
-// crashes counts the crashes under a caller's requests, and says when the last was: those
+// countCrashes counts the crashes under a caller's requests, and says when the last was: those
 // that are proven, or those in doubt as well. Those of one moment count as one if the
 // request was served before.
-func (s *suspect) crashes(c CallerDigest, served, provenOnly bool) (n int, last cf.Millis) {
-	others := s.callers() > 1
-	began := cf.Millis(0)      // of the moment
-	for i := range s.strikes { // in the order of their times
+func (s *suspect) countCrashes(c CallerDigest, served, confirmedOnly bool) (n int, last cf.Millis) {
+	severalCallers := s.countCallers() > 1
+	windowStart := cf.Millis(0) // of the moment
+	for i := range s.strikes {  // in the order of their times
 		st := &s.strikes[i]
-		if !st.counts(c) || st.Caller != c && !others || provenOnly && st.doubt != proven {
+		if !st.countsAgainst(c) || st.Caller != c && !severalCallers || confirmedOnly && st.state != lossConfirmed {
 			continue
 		}
-		if !served || n == 0 || st.at-began > moment {
+		if !served || n == 0 || st.pos-windowStart > crashWindow {
 			n++
-			began = st.at
+			windowStart = st.pos
 		}
-		last = st.at
+		last = st.pos
 	}
 	return n, last
 }
 
-// servedFor says whether a caller's request had been run to its end at an instance that knows of
+// servedToCaller says whether a caller's request had been run to its end at an instance that knows of
 // its losses: one that has just started has served nothing itself.
-func (s *suspect) servedFor(c CallerDigest) bool {
+func (s *suspect) servedToCaller(c CallerDigest) bool {
 	return slices.ContainsFunc(s.strikes, func(st strike) bool { return st.Caller == c && st.Served })
 }
 
-// callers counts the callers whose requests have crashed targets, as far as these strikes
+// countCallers counts the callers whose requests have crashed targets, as far as these strikes
 // count for all.
-func (s *suspect) callers() int {
+func (s *suspect) countCallers() int {
 	seen := map[CallerDigest]bool{}
 	for i := range s.strikes {
-		if st := &s.strikes[i]; st.Scope == AllCallers && st.doubt < reached {
+		if st := &s.strikes[i]; st.Scope == AllCallers && st.state < targetReached {
 			seen[st.Caller] = true
 		}
 	}
 	return len(seen)
 }
 
-// against returns the strikes that count against a caller's requests.
-func (s *suspect) against(c CallerDigest, now cf.Millis) []Strike {
+// strikesAgainst returns the strikes that count against a caller's requests.
+func (s *suspect) strikesAgainst(c CallerDigest, now cf.Millis) []Strike {
 	var out []Strike
 	for i := range s.strikes {
-		if s.strikes[i].counts(c) {
+		if s.strikes[i].countsAgainst(c) {
 			out = append(out, s.strikes[i].export(now))
 		}
 	}
@@ -344,20 +344,20 @@
 func (t *Table) Dropped(k Key, target Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ended(k, target)
+	t.endSend(k, target)
 }
 
-// ended takes a send from those under way. t.mu is held.
-func (t *Table) ended(k Key, target Incarnation) {
-	if at := t.underWay[k.Content]; at != nil {
-		if left := at[target]; left.n > 1 {
+// endSend takes a send from those under way. t.mu is held.
+func (t *Table) endSend(k Key, target Incarnation) {
+	if byTarget := t.inFlight[k.Content]; byTarget != nil {
+		if left := byTarget[target]; left.n > 1 {
 			left.n--
-			at[target] = left
+			byTarget[target] = left
 		} else {
-			delete(at, target)
+			delete(byTarget, target)
 		}
-		if len(at) == 0 {
-			delete(t.underWay, k.Content)
+		if len(byTarget) == 0 {
+			delete(t.inFlight, k.Content)
 		}
 	}
 	if t.suspects[k.Content] != nil {
--- a/core/cfquarantine/table_test.go
+++ b/core/cfquarantine/table_test.go
@@ -43,7 +43,7 @@
 		crash(t, table, k, target(n), cf.Millis(n)*100)
 	}
 	v := table.Admit(k, anywhere, 300)
-	if v.Pass || v.RetryAt < 200+holdFirst || len(v.Strikes) != 3 {
+	if v.Pass || v.RetryAt < 200+initialHold || len(v.Strikes) != 3 {
 		t.Errorf("after three crashes: %+v", v)
 	}
 	if !passes(table, keyOf("a", "y"), 300) {
@@ -172,7 +172,7 @@
 		if passes(table, k, 2*second) {
 			t.Error("freed before the instance list can show a new start")
 		}
-		if void := table.Sweep(true, second+20+heardFor+1); len(void) != 1 || void[0].Scope != Void {
+		if void := table.Sweep(true, second+20+restartDetection+1); len(void) != 1 || void[0].Scope != Void {
 			t.Errorf("a target that lives: %v", void)
 		}
 		if !passes(table, k, 7*second) {
@@ -258,7 +258,7 @@
 	if v := table.Evaluate(guilty, 300); v.RetryAt == 0 {
 		t.Errorf("the guilty one is not held: %+v", v)
 	}
-	table.Sweep(true, 242+explainAfter)
+	table.Sweep(true, 242+attributionDelay)
 	if v := table.Evaluate(many, 1000); !v.Pass {
 		t.Errorf("the others are not freed: %+v", v)
 	}
@@ -341,8 +341,8 @@
 	}
 	for n := 3; n < 7; n++ {
 		v := table.Admit(k, anywhere, now+1)
-		if v.RetryAt < now+holdFor(n) || v.RetryAt > now+holdFor(n)*5/4 {
-			t.Fatalf("after %d crashes held for %d ms, want %d and a quarter more at most", n, v.RetryAt-now, holdFor(n))
+		if v.RetryAt < now+holdDuration(n) || v.RetryAt > now+holdDuration(n)*5/4 {
+			t.Fatalf("after %d crashes held for %d ms, want %d and a quarter more at most", n, v.RetryAt-now, holdDuration(n))
 		}
 		now = v.RetryAt
 		if v := table.Admit(k, target(n), now); !v.Pass {
@@ -354,7 +354,7 @@
 		table.Lost(k, target(n), true, now)
 		table.Checked(target(n), now, LossRefused, now)
 	}
-	now += holdFor(7) * 2
+	now += holdDuration(7) * 2
 	table.Admit(k, target(99), now)
 	table.Answered(k, target(99), now, now+30)
 	if !passes(table, k, now+40) {
@@ -377,10 +377,10 @@
 	for n := range 6_000 {
 		crash(t, table, keyOf("a", fmt.Sprint(n)), target(n+10), cf.Millis(n))
 	}
-	if n := len(table.suspects); n > suspectsMost {
-		t.Errorf("%d suspects, want %d at most", n, suspectsMost)
+	if n := len(table.suspects); n > maxSuspects {
+		t.Errorf("%d suspects, want %d at most", n, maxSuspects)
 	}
-	if n := len(table.struck); n > suspectsMost*strikesMost {
+	if n := len(table.strikesAt); n > maxSuspects*maxStrikes {
 		t.Errorf("%d targets noted", n)
 	}
 	if passes(table, held, 30*second) {
@@ -390,13 +390,13 @@
 		table.Admit(held, target(100_000+n), 0)
 		table.Lost(held, target(100_000+n), true, cf.Millis(n))
 	}
-	if n := len(table.suspects[held.Content].strikes); n > strikesMost {
+	if n := len(table.suspects[held.Content].strikes); n > maxStrikes {
 		t.Errorf("%d strikes of one request", n)
 	}
-	table.Sweep(true, 30*second+3*holdMost)
-	if len(table.suspects)+len(table.struck)+len(table.underWay) != 0 || table.sums != (Checksums{}) {
+	table.Sweep(true, 30*second+3*maxHold)
+	if len(table.suspects)+len(table.strikesAt)+len(table.inFlight) != 0 || table.checksums != (Checksums{}) {
 		t.Errorf("left after all is over: %d suspects, %d targets, %d under way, sums %v",
-			len(table.suspects), len(table.struck), len(table.underWay), table.sums)
+			len(table.suspects), len(table.strikesAt), len(table.inFlight), table.checksums)
 	}
 }
 
@@ -404,7 +404,7 @@
 func TestStartingInstanceLetsNothingPass(t *testing.T) {
 	a, b := New("a"), NewUnsynced("b")
 	held, sound := keyOf("x", "1"), keyOf("y", "1")
-	for n := range crashesMost {
+	for n := range maxCrashes {
 		a.Admit(held, target(n), 0)
 		a.Lost(held, target(n), true, cf.Millis(n))
 		a.Checked(target(n), cf.Millis(n), LossRefused, 10)
@@ -436,13 +436,13 @@
 		// served and sees are the instances that have served the request, and that see the
 		// losses of the three targets.
 		served []int
-		sees   [crashesMost]int
+		sees   [maxCrashes]int
 		passes bool
 	}{
-		{"served where the losses are seen", []int{0}, [crashesMost]int{0, 0, 1}, true},
-		{"served where one of them is seen", []int{0}, [crashesMost]int{1, 0, 2}, true},
-		{"served where none is seen", []int{0}, [crashesMost]int{1, 2, 1}, true},
-		{"served nowhere", nil, [crashesMost]int{0, 1, 2}, false},
+		{"served where the losses are seen", []int{0}, [maxCrashes]int{0, 0, 1}, true},
+		{"served where one of them is seen", []int{0}, [maxCrashes]int{1, 0, 2}, true},
+		{"served where none is seen", []int{0}, [maxCrashes]int{1, 2, 1}, true},
+		{"served nowhere", nil, [maxCrashes]int{0, 1, 2}, false},
 	} {
 		tables := []*Table{New("a"), New("b"), New("c")}
 		k := keyOf("x", "popular")
@@ -535,7 +535,7 @@
 		if n%2 == 0 {
 			table = b
 		}
-		for i := range crashesMost {
+		for i := range maxCrashes {
 			table.Admit(k, target(10*n+i), 0)
 			table.Lost(k, target(10*n+i), true, cf.Millis(n))
 			table.Checked(target(10*n+i), cf.Millis(n), LossRefused, cf.Millis(n))
--- a/core/cfsite/config.go
+++ b/core/cfsite/config.go
@@ -128,14 +128,14 @@
 	KindBatch
 )
 
-// directed sets the directory of the organisations, by that of the configuration before.
-func (c *Config) directed(before *Config) error {
+// setDirectory sets the directory of the organisations, by that of the configuration before.
+func (c *Config) setDirectory(previous *Config) error {
 	if c.Organisations == nil {
 		return nil
 	}
 	var err error
-	if before != nil && before.Directory != nil {
-		c.Directory, err = before.Directory.Next(c.Organisations)
+	if previous != nil && previous.Directory != nil {
+		c.Directory, err = previous.Directory.Next(c.Organisations)
 	} else {
 		c.Directory, err = cfaccess.NewDirectory(c.Organisations)
 	}
--- a/core/cfsite/confignews.go
+++ b/core/cfsite/confignews.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// basesKept is how many configurations are remembered, the one in force among them: an
+	// maxConfigs is how many configurations are remembered, the one in force among them: an
 	// instance that has one of them is told what differs.
-	basesKept = 4
-	// newsPart is the most of a configuration that one answer brings, in bytes: answers to
+	maxConfigs = 4
+	// maxPartBytes is the most of a configuration that one answer brings, in bytes: answers to
 	// all that ask a weak instance must leave its link within the time of a call.
-	newsPart = 32 << 10
-	// configMost bounds a configuration in bytes; the store's objects are smaller.
-	configMost = 16 << 20
+	maxPartBytes = 32 << 10
+	// maxConfigBytes bounds a configuration in bytes; the store's objects are smaller.
+	maxConfigBytes = 16 << 20
 )
 
 type (
@@ -50,25 +50,25 @@
 		Latest bool `cbor:"newest,omitempty"`
 	}
 
-	// configTeller makes news of the configurations in force. It is safe for concurrent
+	// configSource makes news of the configurations in force. It is safe for concurrent
 	// use.
 	//
 	// The load it answers: a configuration of a thousand routes that changes several times
 	// a second, before a hundred instances that ask at once. Each gets what differs from
 	// what it has, made once for all, and goes on from what has arrived.
-	configTeller struct {
+	configSource struct {
 		mu sync.Mutex
 		// records are the last ones in force, the newest last.
 		records []cf.Record
-		packed  map[newsKey][]byte
+		data    map[updateKey][]byte
 	}
 
-	newsKey struct{ base, rev cf.Revision }
+	updateKey struct{ base, rev cf.Revision }
 
-	// partNews is what has arrived of news.
-	partNews struct {
-		newsKey
-		packed []byte
+	// partialUpdate is what has arrived of news.
+	partialUpdate struct {
+		updateKey
+		data []byte
 	}
 )
 
@@ -76,16 +76,16 @@
 // none that may come in force.
 var ErrUpdateRejected = errors.New("configuration news not taken")
 
-// note takes a configuration that has come in force.
-func (t *configTeller) note(r cf.Record) {
+// add takes a configuration that has come in force.
+func (t *configSource) add(r cf.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.records) == basesKept {
-		gone := t.records[0].Rev
+	if len(t.records) == maxConfigs {
+		oldest := t.records[0].Rev
 		t.records = slices.Clone(t.records[1:])
-		for k := range t.packed {
-			if k.rev == gone || k.base == gone {
-				delete(t.packed, k)
+		for k := range t.data {
+			if k.rev == oldest || k.base == oldest {
+				delete(t.data, k)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // record returns a configuration that is remembered. t.mu is held.
-func (t *configTeller) record(rev cf.Revision) (cf.Record, bool) {
+func (t *configSource) record(rev cf.Revision) (cf.Record, bool) {
 	i := slices.IndexFunc(t.records, func(r cf.Record) bool { return r.Rev == rev })
 	if i < 0 {
 		return cf.Record{}, false
@@ -102,7 +102,7 @@
 }
 
 // next returns the news for an instance, nil if it has the newest.
-func (t *configTeller) next(held ConfigState) (*ConfigUpdate, error) {
+func (t *configSource) next(held ConfigState) (*ConfigUpdate, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.records) == 0 {
@@ -114,58 +114,58 @@
 	}
 	// What has begun is ended first: by newer ones alone an instance on a slow link would
 	// never have any.
-	k, at := newsKey{held.Base, held.Next}, held.Bytes
-	packed, begun := t.packed[k]
-	if !begun || k.rev <= held.Rev || k.base != 0 && k.base != held.Rev || at <= 0 || at >= len(packed) {
+	k, offset := updateKey{held.Base, held.Next}, held.Bytes
+	data, inProgress := t.data[k]
+	if !inProgress || k.rev <= held.Rev || k.base != 0 && k.base != held.Rev || offset <= 0 || offset >= len(data) {
 		var err error
-		if k, at = (newsKey{held.Rev, newest.Rev}), 0; k.base != 0 {
+		if k, offset = (updateKey{held.Rev, newest.Rev}), 0; k.base != 0 {
 			if _, known := t.record(k.base); !known {
 				k.base = 0
 			}
 		}
-		if packed, err = t.pack(k); err != nil {
+		if data, err = t.patch(k); err != nil {
 			return nil, err
 		}
 	}
 	r, _ := t.record(k.rev)
 	return &ConfigUpdate{
-		Name: r.Name, Rev: k.rev, Base: k.base, Data: packed[at:min(at+newsPart, len(packed))], Offset: at, Size: len(packed),
+		Name: r.Name, Rev: k.rev, Base: k.base, Data: data[offset:min(offset+maxPartBytes, len(data))], Offset: offset, Size: len(data),
 		Latest: k.rev == newest.Rev,
 	}, nil
 }
 
-// pack returns news, which are made once. t.mu is held.
-func (t *configTeller) pack(k newsKey) ([]byte, error) {
-	if packed, known := t.packed[k]; known {
-		return packed, nil
+// patch returns news, which are made once. t.mu is held.
+func (t *configSource) patch(k updateKey) ([]byte, error) {
+	if data, known := t.data[k]; known {
+		return data, nil
 	}
 	base, _ := t.record(k.base)
 	r, _ := t.record(k.rev)
-	packed, err := cfpatch.Pack(base.Spec, r.Spec)
+	data, err := cfpatch.Pack(base.Spec, r.Spec)
 	if err != nil {
 		return nil, eris.Wrapf(err, "configuration at %d", k.rev)
 	}
-	if t.packed == nil {
-		t.packed = map[newsKey][]byte{}
+	if t.data == nil {
+		t.data = map[updateKey][]byte{}
 	}
-	t.packed[k] = packed
-	return packed, nil
+	t.data[k] = data
+	return data, nil
 }
 
 // ConfigUpdate returns what an instance must hear of the configuration, nil if it has the one
 // in force here.
-func (s *Site) ConfigUpdate(held ConfigState) (*ConfigUpdate, error) { return s.teller.next(held) }
+func (s *Site) ConfigUpdate(held ConfigState) (*ConfigUpdate, error) { return s.configs.next(held) }
 
 // ConfigState returns what this instance has of configurations.
 func (s *Site) ConfigState() ConfigState {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	held := ConfigState{Rev: s.configAt.Rev}
-	if s.wholeConfig {
+	held := ConfigState{Rev: s.configRecord.Rev}
+	if s.needFullConfig {
 		held.Rev = 0
 	}
-	if p := s.arriving; len(p.packed) > 0 {
-		held.Next, held.Base, held.Bytes = p.rev, p.base, len(p.packed)
+	if p := s.partialConfig; len(p.data) > 0 {
+		held.Next, held.Base, held.Bytes = p.rev, p.base, len(p.data)
 	}
 	return held
 }
@@ -173,52 +173,52 @@
 // ApplyConfigUpdate takes a part of a configuration, and the configuration once it is whole,
 // unless a newer one is in force. It returns whether one has come in force. News that can't
 // be taken are an error; after those that are damaged the whole configuration is asked for.
-func (s *Site) ApplyConfigUpdate(n ConfigUpdate) (bool, error) {
-	r, whole, err := s.arrive(n)
-	if err != nil || !whole {
+func (s *Site) ApplyConfigUpdate(u ConfigUpdate) (bool, error) {
+	r, complete, err := s.addConfigPart(u)
+	if err != nil || !complete {
 		return false, err
 	}
 	changed, err := s.ApplyConfig(r)
-	if err == nil && s.ConfigRecord().Rev < n.Rev {
-		err = eris.Wrapf(ErrUpdateRejected, "an older version at %d", n.Rev)
+	if err == nil && s.ConfigRecord().Rev < u.Rev {
+		err = eris.Wrapf(ErrUpdateRejected, "an older version at %d", u.Rev)
 	}
 	return changed, err
 }
 
-// arrive adds a part to what has arrived. It returns the configuration if that is all of it.
-func (s *Site) arrive(n ConfigUpdate) (r cf.Record, whole bool, err error) {
+// addConfigPart adds a part to what has arrived. It returns the configuration if that is all of it.
+func (s *Site) addConfigPart(u ConfigUpdate) (r cf.Record, complete bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Rev <= s.configAt.Rev {
-		s.arriving, s.wholeConfig = partNews{}, false
+	if u.Rev <= s.configRecord.Rev {
+		s.partialConfig, s.needFullConfig = partialUpdate{}, false
 		return cf.Record{}, false, nil // this instance has watched the store itself
 	}
-	if n.Base != 0 && n.Base != s.configAt.Rev {
-		s.arriving = partNews{}
+	if u.Base != 0 && u.Base != s.configRecord.Rev {
+		s.partialConfig = partialUpdate{}
 		return cf.Record{}, false, nil // it has changed since this instance asked
 	}
-	k := newsKey{n.Base, n.Rev}
-	if n.Offset == 0 {
-		s.arriving = partNews{newsKey: k}
+	k := updateKey{u.Base, u.Rev}
+	if u.Offset == 0 {
+		s.partialConfig = partialUpdate{updateKey: k}
 	}
-	if k != s.arriving.newsKey || n.Offset != len(s.arriving.packed) || len(n.Data) == 0 {
-		s.arriving = partNews{}
-		return cf.Record{}, false, eris.Wrapf(ErrUpdateRejected, "%d bytes at %d of %d to %d", len(n.Data), n.Offset, n.Base, n.Rev)
+	if k != s.partialConfig.updateKey || u.Offset != len(s.partialConfig.data) || len(u.Data) == 0 {
+		s.partialConfig = partialUpdate{}
+		return cf.Record{}, false, eris.Wrapf(ErrUpdateRejected, "%d bytes at %d of %d to %d", len(u.Data), u.Offset, u.Base, u.Rev)
 	}
-	s.arriving.packed = append(s.arriving.packed, n.Data...)
-	if len(s.arriving.packed) < n.Size {
+	s.partialConfig.data = append(s.partialConfig.data, u.Data...)
+	if len(s.partialConfig.data) < u.Size {
 		return cf.Record{}, false, nil
 	}
-	packed := s.arriving.packed
-	s.arriving = partNews{}
+	data := s.partialConfig.data
+	s.partialConfig = partialUpdate{}
 	var base []byte
-	if n.Base != 0 {
-		base = s.configAt.Spec
+	if u.Base != 0 {
+		base = s.configRecord.Spec
 	}
-	spec, err := cfpatch.Unpack(base, packed, configMost)
-	s.wholeConfig = err != nil
+	spec, err := cfpatch.Unpack(base, data, maxConfigBytes)
+	s.needFullConfig = err != nil
 	if err != nil {
-		return cf.Record{}, false, eris.Wrapf(err, "configuration at %d from %d", n.Rev, n.Base)
+		return cf.Record{}, false, eris.Wrapf(err, "configuration at %d from %d", u.Rev, u.Base)
 	}
-	return cf.Record{Name: n.Name, Rev: n.Rev, Spec: spec}, true, nil
+	return cf.Record{Name: u.Name, Rev: u.Rev, Spec: spec}, true, nil
 }
--- a/core/cfsite/relay.go
+++ b/core/cfsite/relay.go
@@ -17,15 +17,15 @@
 	// serves, and not the number of engines.
 	relay struct {
 		// count numbers the changes, next is closed at the next one.
-		count int64
-		next  chan struct{}
-		log   cfchange.Log[cf.InstanceID]
+		count   int64
+		changed chan struct{}
+		log     cfchange.Log[cf.InstanceID]
 		// pending: a target has changed since the last count.
 		pending bool
 		// forwarded are the services, nil before a configuration is known: then all are.
 		forwarded map[cf.ServiceName]bool
-		// sums identify the targets of each service, whatever their order.
-		sums map[cf.ServiceName]uint64
+		// checksums identify the targets of each service, whatever their order.
+		checksums map[cf.ServiceName]uint64
 	}
 
 	// TargetUpdate is what has changed in the view of targets, or all of it.
@@ -43,14 +43,14 @@
 )
 
 func newRelay() relay {
-	return relay{next: make(chan struct{}), sums: map[cf.ServiceName]uint64{}}
+	return relay{changed: make(chan struct{}), checksums: map[cf.ServiceName]uint64{}}
 }
 
 func (r *relay) notify() {
 	r.count++
 	r.pending = false
-	close(r.next)
-	r.next = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // flush notifies if a target has changed of which others must hear.
@@ -60,12 +60,12 @@
 	}
 }
 
-// tells says whether others hear of a service's targets.
-func (r *relay) tells(service cf.ServiceName) bool { return r.forwarded == nil || r.forwarded[service] }
+// sends says whether others hear of a service's targets.
+func (r *relay) sends(service cf.ServiceName) bool { return r.forwarded == nil || r.forwarded[service] }
 
-// note records that a target changes with the change that is notified next.
-func (r *relay) note(service cf.ServiceName, id cf.InstanceID) {
-	if r.tells(service) {
+// noteChange records that a target changes with the change that is notified next.
+func (r *relay) noteChange(service cf.ServiceName, id cf.InstanceID) {
+	if r.sends(service) {
 		r.log.Append(r.count+1, id)
 		r.pending = true
 	}
@@ -79,40 +79,40 @@
 	return slices.AppendSeq(make([]cf.ServiceName, 0, len(r.forwarded)), maps.Keys(r.forwarded))
 }
 
-// sumOver returns the sum of the targets of services, of all if that is nil.
-func (r *relay) sumOver(services []cf.ServiceName) uint64 {
+// checksum returns the sum of the targets of services, of all if that is nil.
+func (r *relay) checksum(services []cf.ServiceName) uint64 {
 	sum := uint64(0)
 	if services == nil {
-		for _, s := range r.sums {
+		for _, s := range r.checksums {
 			sum ^= s
 		}
 	}
 	for _, s := range services {
-		sum ^= r.sums[s]
+		sum ^= r.checksums[s]
 	}
 	return sum
 }
 
-// forward takes the services to which a new configuration lets requests go. The targets
+// setForwarded takes the services to which a new configuration lets requests go. The targets
 // of those that were not told of before are told with the next change.
-func (s *Site) forward(services map[cf.ServiceName]bool) {
-	before := s.relay.forwarded
+func (s *Site) setForwarded(services map[cf.ServiceName]bool) {
+	previous := s.relay.forwarded
 	s.relay.forwarded = services
-	if before == nil {
+	if previous == nil {
 		return // they were told of all
 	}
 	for service := range services {
-		if before[service] {
+		if previous[service] {
 			continue
 		}
-		for _, t := range s.sorted(maps.Keys(s.services[service])) {
-			s.relay.note(service, t.ID)
+		for _, t := range s.sortedTargets(maps.Keys(s.targetsOf[service])) {
+			s.relay.noteChange(service, t.ID)
 		}
 	}
 }
 
-// sumOf returns a target's part of its service's sum.
-func sumOf(t cf.Target) uint64 {
+// targetChecksum returns a target's part of its service's sum.
+func targetChecksum(t cf.Target) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{string(t.ID), string(t.Service), t.Addr, string(t.Domain)} {
 		_, _ = h.Write([]byte(s)) // a hash takes everything
@@ -131,7 +131,7 @@
 func (s *Site) TargetUpdates() (int64, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.relay.count, s.relay.next
+	return s.relay.count, s.relay.changed
 }
 
 // Checksum identifies the targets in the view that others hear of: equal sums mean equal
@@ -139,7 +139,7 @@
 func (s *Site) Checksum() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.relay.sumOver(s.relay.services())
+	return s.relay.checksum(s.relay.services())
 }
 
 // TargetUpdateSince returns what has changed since the count of an earlier answer.
@@ -148,17 +148,17 @@
 	defer s.mu.RUnlock()
 	ids, known := s.relay.log.Since(count)
 	if !known || count > s.relay.count {
-		return s.whole()
+		return s.fullUpdate()
 	}
-	n := s.news()
+	u := s.newUpdate()
 	for _, id := range ids {
-		if e, up := s.targets[id]; up && s.relay.tells(e.target.Service) {
-			n.Targets = append(n.Targets, withoutWeights(e.target))
+		if e, up := s.targets[id]; up && s.relay.sends(e.target.Service) {
+			u.Targets = append(u.Targets, withoutWeights(e.target))
 		} else {
-			n.Removed = append(n.Removed, id)
+			u.Removed = append(u.Removed, id)
 		}
 	}
-	return n
+	return u
 }
 
 // FullTargetUpdate returns the whole view, for an instance that has heard nothing from
@@ -166,34 +166,34 @@
 func (s *Site) FullTargetUpdate(sum uint64) TargetUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if n := s.news(); sum == n.Checksum {
-		return n
+	if u := s.newUpdate(); sum == u.Checksum {
+		return u
 	}
-	return s.whole()
+	return s.fullUpdate()
 }
 
-func (s *Site) news() TargetUpdate {
+func (s *Site) newUpdate() TargetUpdate {
 	services := s.relay.services()
-	return TargetUpdate{Count: s.relay.count, Rev: s.at, Services: services, Checksum: s.relay.sumOver(services)}
+	return TargetUpdate{Count: s.relay.count, Rev: s.targetsRev, Services: services, Checksum: s.relay.checksum(services)}
 }
 
-func (s *Site) whole() TargetUpdate {
-	n := s.news()
-	n.Full = true
-	for _, service := range s.told() {
-		for _, t := range s.sorted(maps.Keys(s.services[service])) {
-			n.Targets = append(n.Targets, withoutWeights(t))
+func (s *Site) fullUpdate() TargetUpdate {
+	u := s.newUpdate()
+	u.Full = true
+	for _, service := range s.relayedServices() {
+		for _, t := range s.sortedTargets(maps.Keys(s.targetsOf[service])) {
+			u.Targets = append(u.Targets, withoutWeights(t))
 		}
 	}
-	return n
+	return u
 }
 
-// told returns the services whose targets others hear of.
-func (s *Site) told() []cf.ServiceName {
+// relayedServices returns the services whose targets others hear of.
+func (s *Site) relayedServices() []cf.ServiceName {
 	if s.relay.forwarded != nil {
 		return s.relay.services()
 	}
-	return slices.Sorted(maps.Keys(s.services))
+	return slices.Sorted(maps.Keys(s.targetsOf))
 }
 
 func withoutWeights(t cf.Target) cf.Target {
@@ -208,8 +208,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.targets {
-		if !s.relay.tells(e.target.Service) {
-			s.remove(id)
+		if !s.relay.sends(e.target.Service) {
+			s.removeTarget(id)
 			dropped++
 		}
 	}
@@ -222,29 +222,29 @@
 // ApplyTargetUpdate takes news of an instance that watches the store, or has them from one that
 // does, unless they are older than the view. It returns false if the view then differs
 // from the sender's, which must send all of it.
-func (s *Site) ApplyTargetUpdate(n TargetUpdate, now cf.Millis) (same bool) {
-	if n.Full {
-		s.ReplaceTargets(n.Targets, n.Rev, now)
+func (s *Site) ApplyTargetUpdate(u TargetUpdate, now cf.Millis) (same bool) {
+	if u.Full {
+		s.ReplaceTargets(u.Targets, u.Rev, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Rev < s.at {
+	if u.Rev < s.targetsRev {
 		return true // this instance has watched the store itself
 	}
-	if !n.Full {
-		for _, t := range n.Targets {
-			s.put(entry{target: t, rev: n.Rev})
+	if !u.Full {
+		for _, t := range u.Targets {
+			s.putTarget(targetEntry{target: t, rev: u.Rev})
 		}
-		for _, id := range n.Removed {
+		for _, id := range u.Removed {
 			if _, known := s.targets[id]; known {
-				s.remove(id)
+				s.removeTarget(id)
 			}
 		}
-		s.at = n.Rev
+		s.targetsRev = u.Rev
 	}
 	if s.relay.pending {
 		s.notify()
 		s.relay.notify()
 	}
-	return s.relay.sumOver(n.Services) == n.Checksum
+	return s.relay.checksum(u.Services) == u.Checksum
 }
--- a/core/cfsite/site.go
+++ b/core/cfsite/site.go
@@ -16,36 +16,36 @@
 type Site struct {
 	codec Codec
 
-	mu       sync.RWMutex
-	config   *Config
-	configAt cf.Record
-	targets  map[cf.InstanceID]entry
-	at       cf.Revision
-	versions map[cf.ModelName]cf.WeightVersion
-	changed  chan struct{}
-	changes  int64
-	// grace is until when an entry that vanishes is kept as lapsed.
-	grace cf.Millis
-	relay relay
-	// teller makes news of the configuration for other instances; arriving is what has come
+	mu           sync.RWMutex
+	config       *Config
+	configRecord cf.Record
+	targets      map[cf.InstanceID]targetEntry
+	targetsRev   cf.Revision
+	versions     map[cf.ModelName]cf.WeightVersion
+	changed      chan struct{}
+	changes      int64
+	// graceUntil is until when an entry that vanishes is kept as lapsed.
+	graceUntil cf.Millis
+	relay      relay
+	// configs makes news of the configuration for other instances; arriving is what has come
 	// of such news, and wholeConfig that they can't be taken as changes.
-	teller      configTeller
-	arriving    partNews
-	wholeConfig bool
-	// log tells which targets the last changes concern.
-	log cfchange.Log[cf.InstanceID]
-	// services are the ids of the targets of each service, usable the lists of
+	configs        configSource
+	partialConfig  partialUpdate
+	needFullConfig bool
+	// changeLog tells which targets the last changes concern.
+	changeLog cfchange.Log[cf.InstanceID]
+	// targetsOf are the ids of the targets of each service, usable the lists of
 	// Usable that were asked for since a target of the service changed.
-	services map[cf.ServiceName]map[cf.InstanceID]bool
-	usable   map[cf.ServiceName][]cf.Target
+	targetsOf map[cf.ServiceName]map[cf.InstanceID]bool
+	usable    map[cf.ServiceName][]cf.Target
 }
 
-type entry struct {
+type targetEntry struct {
 	target cf.Target
 	rev    cf.Revision
 	lapsed bool
-	// sum is the target's part of its service's sum.
-	sum uint64
+	// checksum is the target's part of its service's sum.
+	checksum uint64
 }
 
 // Delta is what has changed in the view of targets since an earlier count of changes.
@@ -66,9 +66,9 @@
 // New returns a view that knows nothing.
 func New(codec Codec) *Site {
 	return &Site{
-		codec: codec, targets: map[cf.InstanceID]entry{}, versions: map[cf.ModelName]cf.WeightVersion{},
+		codec: codec, targets: map[cf.InstanceID]targetEntry{}, versions: map[cf.ModelName]cf.WeightVersion{},
 		changed: make(chan struct{}), relay: newRelay(),
-		services: map[cf.ServiceName]map[cf.InstanceID]bool{}, usable: map[cf.ServiceName][]cf.Target{},
+		targetsOf: map[cf.ServiceName]map[cf.InstanceID]bool{}, usable: map[cf.ServiceName][]cf.Target{},
 	}
 }
 
@@ -92,83 +92,83 @@
 	s.changed = make(chan struct{})
 }
 
-// put takes a target into the view, and into the relay if others must hear of
+// putTarget takes a target into the view, and into the relay if others must hear of
 // its change.
-func (s *Site) put(e entry) {
+func (s *Site) putTarget(e targetEntry) {
 	id, service := e.target.ID, e.target.Service
 	old, known := s.targets[id]
-	e.sum = sumOf(e.target)
+	e.checksum = targetChecksum(e.target)
 	s.targets[id] = e
 	if known && old.target.Service != service {
-		s.leave(old)
+		s.leaveService(old)
 	}
-	if known && old.sum == e.sum && reflect.DeepEqual(old.target, e.target) {
+	if known && old.checksum == e.checksum && reflect.DeepEqual(old.target, e.target) {
 		return
 	}
-	s.log.Append(s.changes+1, id)
-	if known && old.sum == e.sum {
+	s.changeLog.Append(s.changes+1, id)
+	if known && old.checksum == e.checksum {
 		return // its weights alone
 	}
-	if s.services[service] == nil {
-		s.services[service] = map[cf.InstanceID]bool{}
+	if s.targetsOf[service] == nil {
+		s.targetsOf[service] = map[cf.InstanceID]bool{}
 	}
-	s.services[service][id] = true
+	s.targetsOf[service][id] = true
 	delete(s.usable, service)
 	if known && old.target.Service == service {
-		s.relay.sums[service] ^= old.sum
+		s.relay.checksums[service] ^= old.checksum
 	}
-	s.relay.sums[service] ^= e.sum
-	s.relay.note(service, id)
+	s.relay.checksums[service] ^= e.checksum
+	s.relay.noteChange(service, id)
 }
 
-// remove takes a target out of the view.
-func (s *Site) remove(id cf.InstanceID) {
+// removeTarget takes a target out of the view.
+func (s *Site) removeTarget(id cf.InstanceID) {
 	old := s.targets[id]
 	delete(s.targets, id)
-	s.leave(old)
-	s.log.Append(s.changes+1, id)
+	s.leaveService(old)
+	s.changeLog.Append(s.changes+1, id)
 }
 
-// leave takes a target out of its service.
-func (s *Site) leave(e entry) {
+// leaveService takes a target out of its service.
+func (s *Site) leaveService(e targetEntry) {
 	service := e.target.Service
-	delete(s.services[service], e.target.ID)
+	delete(s.targetsOf[service], e.target.ID)
 	delete(s.usable, service)
-	s.relay.sums[service] ^= e.sum
-	s.relay.note(service, e.target.ID)
+	s.relay.checksums[service] ^= e.checksum
+	s.relay.noteChange(service, e.target.ID)
 }
 
 // StoreReconnected records that the store answers again after it did not.
 func (s *Site) StoreReconnected(now cf.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grace = now + lapseGrace
+	s.graceUntil = now + lapseGrace
 }
 
 // DropLapsed drops the entries that lapsed and did not come back. It returns them.
 func (s *Site) DropLapsed(now cf.Millis) []cf.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now < s.grace {
+	if now < s.graceUntil {
 		return nil
 	}
-	var gone []cf.Target
+	var removed []cf.Target
 	for id, e := range s.targets {
 		if e.lapsed {
-			gone = append(gone, e.target)
-			s.remove(id)
+			removed = append(removed, e.target)
+			s.removeTarget(id)
 		}
 	}
-	if len(gone) > 0 {
+	if len(removed) > 0 {
 		s.notify()
 		s.relay.flush()
 	}
-	return gone
+	return removed
 }
 
-// lapse says whether a vanished entry is kept for now.
-func (s *Site) lapse(e entry, now cf.Millis) bool {
-	return now < s.grace && !e.target.Draining
+// keepLapsed says whether a vanished entry is kept for now.
+func (s *Site) keepLapsed(e targetEntry, now cf.Millis) bool {
+	return now < s.graceUntil && !e.target.Draining
 }
 
 // Config returns the configuration in force, nil before any is known.
@@ -182,7 +182,7 @@
 func (s *Site) ConfigRecord() cf.Record {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.configAt
+	return s.configRecord
 }
 
 // ApplyConfig takes a configuration unless a newer one is in force. Without
@@ -190,7 +190,7 @@
 // back, and callers would see dropped routes answer again.
 func (s *Site) ApplyConfig(r cf.Record) (bool, error) {
 	s.mu.RLock()
-	known := s.configAt.Rev
+	known := s.configRecord.Rev
 	s.mu.RUnlock()
 	if r.Deleted || r.Rev <= known {
 		return false, nil
@@ -203,19 +203,19 @@
 	defer s.mu.Unlock()
 	switch {
 	case s.config == nil:
-	case r.Rev <= s.configAt.Rev || c.Version < s.config.Version:
+	case r.Rev <= s.configRecord.Rev || c.Version < s.config.Version:
 		return false, nil
 	case c.Version == s.config.Version:
-		s.configAt = r // written once more
-		s.teller.note(r)
+		s.configRecord = r // written once more
+		s.configs.add(r)
 		return false, nil
 	}
-	if err := c.directed(s.config); err != nil {
+	if err := c.setDirectory(s.config); err != nil {
 		return false, err // as a whole: the one in force goes on
 	}
-	s.config, s.configAt = &c, r
-	s.teller.note(r)
-	s.forward(c.ForwardedServices())
+	s.config, s.configRecord = &c, r
+	s.configs.add(r)
+	s.setForwarded(c.ForwardedServices())
 	s.notify()
 	s.relay.notify()
 	return true, nil
@@ -233,16 +233,16 @@
 	}
 	if r.Deleted {
 		// A relayed list, or an event from before, must not bring it back.
-		s.at = max(s.at, r.Rev)
+		s.targetsRev = max(s.targetsRev, r.Rev)
 		if !known {
 			return old.target, false, nil
 		}
-		if s.lapse(old, now) {
+		if s.keepLapsed(old, now) {
 			old.lapsed = true
 			s.targets[id] = old
 			return old.target, false, nil
 		}
-		s.remove(id)
+		s.removeTarget(id)
 		s.notify()
 		s.relay.flush()
 		return old.target, true, nil
@@ -250,15 +250,15 @@
 	t, err := s.codec.Target(r)
 	if err != nil {
 		// What can't be read names no target, whatever stood there before.
-		s.at = max(s.at, r.Rev)
+		s.targetsRev = max(s.targetsRev, r.Rev)
 		if known {
-			s.remove(id)
+			s.removeTarget(id)
 			s.notify()
 			s.relay.flush()
 		}
 		return old.target, known, err
 	}
-	if r.Rev < s.at && !known {
+	if r.Rev < s.targetsRev && !known {
 		// Gone since: a later list did not hold it.
 		return t, false, nil
 	}
@@ -267,7 +267,7 @@
 		s.targets[id] = old
 		return t, false, nil // a heartbeat alone
 	}
-	s.put(entry{target: t, rev: r.Rev})
+	s.putTarget(targetEntry{target: t, rev: r.Rev})
 	s.notify()
 	s.relay.flush()
 	return t, true, nil
@@ -275,60 +275,60 @@
 
 // ReplaceTargets takes a whole list of targets as of a revision. A list that
 // is older than the view is ignored. It returns the targets that are gone.
-func (s *Site) ReplaceTargets(list []cf.Target, at cf.Revision, now cf.Millis) (gone []cf.Target, applied bool) {
+func (s *Site) ReplaceTargets(list []cf.Target, rev cf.Revision, now cf.Millis) (removed []cf.Target, applied bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at < s.at {
+	if rev < s.targetsRev {
 		return nil, false
 	}
 	listed := make(map[cf.InstanceID]bool, len(list))
 	for _, t := range list {
 		listed[t.ID] = true
-		if old, ok := s.targets[t.ID]; !ok || old.rev <= at {
-			s.put(entry{target: t, rev: at})
+		if old, ok := s.targets[t.ID]; !ok || old.rev <= rev {
+			s.putTarget(targetEntry{target: t, rev: rev})
 		}
 	}
 	for id, old := range s.targets {
 		if listed[id] {
 			continue
 		}
-		if s.lapse(old, now) {
+		if s.keepLapsed(old, now) {
 			old.lapsed = true
 			s.targets[id] = old
 			continue
 		}
-		gone = append(gone, old.target)
-		s.remove(id)
+		removed = append(removed, old.target)
+		s.removeTarget(id)
 	}
-	s.at = at
+	s.targetsRev = rev
 	s.notify()
 	s.relay.flush()
-	return gone, true
+	return removed, true
 }
 
 // Advance records that the view of targets is current as of a revision.
-func (s *Site) Advance(at cf.Revision) {
+func (s *Site) Advance(rev cf.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at = max(s.at, at)
+	s.targetsRev = max(s.targetsRev, rev)
 }
 
 // TargetsRevision returns the revision as of which the view of targets is current.
 func (s *Site) TargetsRevision() cf.Revision {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.at
+	return s.targetsRev
 }
 
 // Targets returns all targets, sorted by id.
 func (s *Site) Targets() []cf.Target {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.sorted(maps.Keys(s.targets))
+	return s.sortedTargets(maps.Keys(s.targets))
 }
 
-// sorted returns the targets with these ids, sorted by id. s.mu is held.
-func (s *Site) sorted(ids iter.Seq[cf.InstanceID]) []cf.Target {
+// sortedTargets returns the targets with these ids, sorted by id. s.mu is held.
+func (s *Site) sortedTargets(ids iter.Seq[cf.InstanceID]) []cf.Target {
 	out := []cf.Target{}
 	for id := range ids {
 		out = append(out, s.targets[id].target)
@@ -343,10 +343,10 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	d := Delta{Count: s.changes}
-	ids, known := s.log.Since(count)
+	ids, known := s.changeLog.Since(count)
 	if count <= 0 || !known {
 		d.Full = true
-		d.Targets = s.sorted(maps.Keys(s.targets))
+		d.Targets = s.sortedTargets(maps.Keys(s.targets))
 		return d
 	}
 	for _, id := range ids {
@@ -370,7 +370,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out = slices.DeleteFunc(s.sorted(maps.Keys(s.services[service])), func(t cf.Target) bool { return t.Draining })
+	out = slices.DeleteFunc(s.sortedTargets(maps.Keys(s.targetsOf[service])), func(t cf.Target) bool { return t.Draining })
 	s.usable[service] = out
 	return out
 }
