--- a/core/cfaccess/cfaccess_test.go
+++ b/core/cfaccess/cfaccess_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	sure = ConfigFreshness{Current: true, KeysTrusted: true}
-	cut  = ConfigFreshness{KeysTrusted: true} // cut off, and its keys are believed still
-	lost = ConfigFreshness{}                  // cut off for too long
+	current = ConfigFreshness{Current: true, KeysTrusted: true}
+	stale   = ConfigFreshness{KeysTrusted: true} // cut off, and its keys are believed still
+	expired = ConfigFreshness{}                  // cut off for too long
 )
 
 func org(name string, keys ...cf.APIKey) Organisation {
@@ -32,49 +32,49 @@
 
 // Who a request comes from, by what it bears, what its route asks for, and how far the
 // instance can rely on its configuration.
-func TestWhoARequestComesFrom(t *testing.T) {
+func TestAuthenticate(t *testing.T) {
 	d := directory(t, org("a", "a1", "a2"), org("b", "b1"), org("none"))
 	for _, c := range []struct {
-		name    string
-		keys    []cf.APIKey
-		public  bool
-		view    ConfigFreshness
-		verdict Verdict
-		who     cf.Organisation
+		name         string
+		keys         []cf.APIKey
+		public       bool
+		freshness    ConfigFreshness
+		verdict      Verdict
+		organisation cf.Organisation
 	}{
-		{"a key", []cf.APIKey{"a1"}, false, sure, Accepted, "a"},
-		{"another of its keys", []cf.APIKey{"a2"}, false, sure, Accepted, "a"},
-		{"none", nil, false, sure, Rejected, ""},
-		{"an empty one", []cf.APIKey{""}, false, sure, Rejected, ""},
-		{"not in force", []cf.APIKey{"a3"}, false, sure, Rejected, ""},
-		{"part of one", []cf.APIKey{"a"}, false, sure, Rejected, ""},
-		{"an organisation's name", []cf.APIKey{"none"}, false, sure, Rejected, ""},
-		{"doubled", []cf.APIKey{"a1", "a1"}, false, sure, Rejected, ""},
-		{"two organisations' keys", []cf.APIKey{"a1", "b1"}, false, sure, Rejected, ""},
-		{"public, none", nil, true, sure, Accepted, ""},
-		{"public, a key", []cf.APIKey{"b1"}, true, sure, Accepted, "b"},
-		{"public, not in force", []cf.APIKey{"a3"}, true, sure, Accepted, ""},
-		{"public, doubled", []cf.APIKey{"a1", "b1"}, true, sure, Accepted, ""},
-		{"cut off, a key", []cf.APIKey{"a1"}, false, cut, Accepted, "a"},
-		{"cut off, not known here", []cf.APIKey{"a3"}, false, cut, Undetermined, ""},
-		{"cut off, none", nil, false, cut, Undetermined, ""},
-		{"cut off for long, a key", []cf.APIKey{"a1"}, false, lost, Undetermined, ""},
-		{"cut off for long, public", nil, true, lost, Accepted, ""},
+		{"a key", []cf.APIKey{"a1"}, false, current, Accepted, "a"},
+		{"another of its keys", []cf.APIKey{"a2"}, false, current, Accepted, "a"},
+		{"none", nil, false, current, Rejected, ""},
+		{"an empty one", []cf.APIKey{""}, false, current, Rejected, ""},
+		{"not in force", []cf.APIKey{"a3"}, false, current, Rejected, ""},
+		{"part of one", []cf.APIKey{"a"}, false, current, Rejected, ""},
+		{"an organisation's name", []cf.APIKey{"none"}, false, current, Rejected, ""},
+		{"doubled", []cf.APIKey{"a1", "a1"}, false, current, Rejected, ""},
+		{"two organisations' keys", []cf.APIKey{"a1", "b1"}, false, current, Rejected, ""},
+		{"public, none", nil, true, current, Accepted, ""},
+		{"public, a key", []cf.APIKey{"b1"}, true, current, Accepted, "b"},
+		{"public, not in force", []cf.APIKey{"a3"}, true, current, Accepted, ""},
+		{"public, doubled", []cf.APIKey{"a1", "b1"}, true, current, Accepted, ""},
+		{"cut off, a key", []cf.APIKey{"a1"}, false, stale, Accepted, "a"},
+		{"cut off, not known here", []cf.APIKey{"a3"}, false, stale, Undetermined, ""},
+		{"cut off, none", nil, false, stale, Undetermined, ""},
+		{"cut off for long, a key", []cf.APIKey{"a1"}, false, expired, Undetermined, ""},
+		{"cut off for long, public", nil, true, expired, Accepted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			verdict, access := d.Authenticate(c.keys, Use{Public: c.public}, c.view)
-			if verdict != c.verdict || access.Organisation != c.who {
-				t.Errorf("verdict %d for %q, want %d for %q", verdict, access.Organisation, c.verdict, c.who)
+			verdict, access := d.Authenticate(c.keys, Use{Public: c.public}, c.freshness)
+			if verdict != c.verdict || access.Organisation != c.organisation {
+				t.Errorf("verdict %d for %q, want %d for %q", verdict, access.Organisation, c.verdict, c.organisation)
 			}
 		})
 	}
-	var none *Directory
-	if verdict, access := none.Authenticate([]cf.APIKey{"a1"}, Use{}, sure); verdict != Accepted || access != (cf.Access{}) {
+	var noDirectory *Directory
+	if verdict, access := noDirectory.Authenticate([]cf.APIKey{"a1"}, Use{}, current); verdict != Accepted || access != (cf.Access{}) {
 		t.Errorf("without organisations: verdict %d, %+v", verdict, access)
 	}
 }
 
-func TestAnOrganisationsPriorityGoesFirst(t *testing.T) {
+func TestOrganisationPriorityOverridesRoute(t *testing.T) {
 	first := org("first", "k")
 	first.HasPriority = true
 	d := directory(t, first, org("other", "l"))
@@ -86,7 +86,7 @@
 	}{
 		{"k", 2, Interactive, 0}, {"k", 2, ShortItem, 2}, {"l", 2, Interactive, 6}, {"l", 0, LongItem, 1}, {"l", 1, Interactive, 3}, {"l", 9, ShortItem, 8}, {"l", -1, Interactive, 0},
 	} {
-		_, access := d.Authenticate([]cf.APIKey{c.key}, Use{Priority: c.route}, sure)
+		_, access := d.Authenticate([]cf.APIKey{c.key}, Use{Priority: c.route}, current)
 		if got := Urgency(access, c.class); got != c.urgency {
 			t.Errorf("key %q on a route of priority %d, class %d: %d, want %d", string(c.key), c.route, c.class, got, c.urgency)
 		}
@@ -103,7 +103,7 @@
 // with a key in force. Sequence: configurations that follow each other change some
 // organisations: keys move, go and come back, names change, the order changes.
 // Cause it looks for: what is shared with the configuration before is not the same.
-func TestConfigurationsThatFollowEachOther(t *testing.T) {
+func TestSuccessiveDirectories(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		keys := make([]cf.APIKey, 30)
@@ -117,8 +117,8 @@
 			r.Shuffle(len(free), func(i, j int) { free[i], free[j] = free[j], free[i] })
 			for n := range 1 + r.IntN(8) {
 				o := Organisation{Name: cf.Organisation(fmt.Sprint("o", (n + r.IntN(2)*10))), Priority: r.IntN(2), HasPriority: r.IntN(2) == 0}
-				take := r.IntN(4)
-				o.Keys, free = free[:take:take], free[take:]
+				keyCount := r.IntN(4)
+				o.Keys, free = free[:keyCount:keyCount], free[keyCount:]
 				list = append(list, o)
 			}
 			if step > 0 && r.IntN(2) == 0 {
@@ -127,7 +127,7 @@
 				list[i].Keys = list[i].Keys[:r.IntN(len(list[i].Keys)+1)]
 			}
 			var err error
-			before := d
+			previous := d
 			if d == nil {
 				d, err = NewDirectory(list)
 			} else {
@@ -136,15 +136,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkAgainst(t, d, list, keys)
-			if before != nil {
-				checkAgainst(t, before, before.list, keys) // requests under way use it
+			checkDirectory(t, d, list, keys)
+			if previous != nil {
+				checkDirectory(t, previous, previous.list, keys) // requests under way use it
 			}
 		}
 	}
 }
 
-func checkAgainst(t *testing.T, d *Directory, list []Organisation, keys []cf.APIKey) {
+func checkDirectory(t *testing.T, d *Directory, list []Organisation, keys []cf.APIKey) {
 	t.Helper()
 	for _, key := range keys {
 		want := cf.Organisation("")
@@ -163,9 +163,9 @@
 }
 
 // What is refused is refused as a whole, and the error shows no key.
-func TestRefusedConfigurations(t *testing.T) {
-	good := []Organisation{org("a", "secret-a"), org("b", "secret-b")}
-	d := directory(t, good...)
+func TestInvalidDirectoriesAreRejected(t *testing.T) {
+	valid := []Organisation{org("a", "secret-a"), org("b", "secret-b")}
+	d := directory(t, valid...)
 	for name, list := range map[string][]Organisation{
 		"a key of two":             {org("a", "secret-a"), org("b", "secret-a")},
 		"a key of two, one is old": {org("a", "secret-a"), org("b", "secret-b"), org("c", "secret-a")},
@@ -183,11 +183,11 @@
 			t.Errorf("%s: the error shows a key: %v", name, err)
 		}
 	}
-	checkAgainst(t, d, good, []cf.APIKey{"secret-a", "secret-b", "secret-c", ""})
+	checkDirectory(t, d, valid, []cf.APIKey{"secret-a", "secret-b", "secret-c", ""})
 }
 
-func TestTablesCostByTheirChanges(t *testing.T) {
-	d := directory(t, many(10_000)...)
+func TestUpdateCopiesOnlyChangedShards(t *testing.T) {
+	d := directory(t, manyOrganisations(10_000)...)
 	list := slices.Clone(d.list)
 	list[5000].Keys = []cf.APIKey{"another"}
 	next, err := d.Next(list)
@@ -205,7 +205,7 @@
 	}
 }
 
-func many(n int) []Organisation {
+func manyOrganisations(n int) []Organisation {
 	out := make([]Organisation, n)
 	for i := range out {
 		out[i] = org(fmt.Sprint("organisation", i), cf.APIKey(fmt.Sprintf("key-%019d-1", i)), cf.APIKey(fmt.Sprintf("key-%019d-2", i)))
@@ -215,14 +215,14 @@
 
 var sizes = []int{85, 10_000}
 
-func BenchmarkLookUp(b *testing.B) {
+func BenchmarkAuthenticate(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := directory(b, many(n)...)
+			d := directory(b, manyOrganisations(n)...)
 			keys := [][]cf.APIKey{d.list[n/2].Keys[:1]}
 			b.ReportAllocs()
 			for b.Loop() {
-				if verdict, _ := d.Authenticate(keys[0], Use{}, sure); verdict != Accepted {
+				if verdict, _ := d.Authenticate(keys[0], Use{}, current); verdict != Accepted {
 					b.Fatal(verdict)
 				}
 			}
@@ -230,11 +230,11 @@
 	}
 }
 
-// BenchmarkChange takes a configuration over that changes one organisation: as a change,
+// BenchmarkDirectoryUpdate takes a configuration over that changes one organisation: as a change,
 // and as a whole list.
-func BenchmarkChange(b *testing.B) {
+func BenchmarkDirectoryUpdate(b *testing.B) {
 	for _, n := range sizes {
-		d := directory(b, many(n)...)
+		d := directory(b, manyOrganisations(n)...)
 		list := slices.Clone(d.list)
 		list[n/2].Keys = []cf.APIKey{"another"}
 		b.Run(fmt.Sprint("change/", n), func(b *testing.B) {
--- a/core/cfquarantine/caller_test.go
+++ b/core/cfquarantine/caller_test.go
@@ -8,19 +8,19 @@
 
 // A request that crashes its targets gets no fresh tries by another key of its caller,
 // from another machine or in a batch; another organisation's is another's.
-func TestCallersOfOneOrganisationAreOne(t *testing.T) {
-	of := func(o cf.Organisation, machine string, keys ...cf.APIKey) Key {
+func TestOrganisationIsOneCaller(t *testing.T) {
+	keyFor := func(o cf.Organisation, machine string, keys ...cf.APIKey) Key {
 		return KeyOf("POST", "h", "/p", CallerOf(cf.Access{Organisation: o}, cf.Credentials{Keys: keys, Machine: machine}), []byte("x"))
 	}
-	first := of("a", "m1", "k1")
+	first := keyFor("a", "m1", "k1")
 	for name, c := range map[string]struct {
 		key  Key
 		same bool
 	}{
-		"another key and machine":            {of("a", "m2", "k2"), true},
-		"another organisation":               {of("b", "m1", "k1"), false},
-		"none, a machine of the same name":   {of("", "a"), false},
-		"none, a machine":                    {of("", "m1"), false},
+		"another key and machine":            {keyFor("a", "m2", "k2"), true},
+		"another organisation":               {keyFor("b", "m1", "k1"), false},
+		"none, a machine of the same name":   {keyFor("", "a"), false},
+		"none, a machine":                    {keyFor("", "m1"), false},
 		"an item of its batch":               {KeyOfItem(&cf.Submission{ID: cf.Organisation("a").Batch("b1"), Host: "h"}, cf.Item{Path: "/p", Body: []byte("x")}), true},
 		"an item of another's batch":         {KeyOfItem(&cf.Submission{ID: cf.Organisation("b").Batch("b1"), Host: "h"}, cf.Item{Path: "/p", Body: []byte("x")}), false},
 		"an item of a batch that has none":   {KeyOfItem(&cf.Submission{ID: "b1", Host: "h"}, cf.Item{Path: "/p", Body: []byte("x")}), false},
--- a/core/cfquarantine/explore_test.go
+++ b/core/cfquarantine/explore_test.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// attemptsMost is how many targets one try of a caller may be sent to, hedgeAt when
+	// maxAttempts is how many targets one try of a caller may be sent to, hedgeAt when
 	// a second one is asked beside the first, in ms.
-	attemptsMost    = 2
-	hedgeAt         = 82
-	roundsOfCallers = 4
+	maxAttempts = 2
+	hedgeDelay  = 82
+	rounds      = 4
 )
 
 type (
-	// fleet plays instances that all receive a request which crashes its targets, in
+	// simulation plays instances that all receive a request which crashes its targets, in
 	// rounds, with the times of one schedule.
-	fleet struct {
+	simulation struct {
 		tables []*Table
 		key    Key
 		events events
 		seq    int
 		now    cf.Millis
 		target int
-		// schedule draws the next time from a few.
-		schedule func(of ...cf.Millis) cf.Millis
-		crashes  []cf.Millis
-		sends    []cf.Millis
-		news     cf.Millis // how long news take from one instance to another
+		// choose draws the next time from a few.
+		choose      func(of ...cf.Millis) cf.Millis
+		crashes     []cf.Millis
+		sends       []cf.Millis
+		propagation cf.Millis // how long news take from one instance to another
 	}
 
-	// try is one try of a caller at an instance.
-	try struct {
-		at          int
-		sent, under int
-		again       bool
+	// attempt is one try of a caller at an instance.
+	attempt struct {
+		instance       int
+		sent, inFlight int
+		retried        bool
 	}
 
 	event struct {
@@ -62,12 +62,12 @@
 	return last
 }
 
-func (f *fleet) after(wait cf.Millis, do func()) {
+func (f *simulation) after(wait cf.Millis, do func()) {
 	f.seq++
 	heap.Push(&f.events, event{f.now + wait, f.seq, do})
 }
 
-func (f *fleet) run() {
+func (f *simulation) run() {
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
@@ -76,88 +76,88 @@
 }
 
 // send sends a try to one more target, if its instance's table lets it.
-func (f *fleet) send(tr *try, hedge bool) {
-	if tr.sent >= attemptsMost {
+func (f *simulation) send(a *attempt, hedge bool) {
+	if a.sent >= maxAttempts {
 		return
 	}
-	at := target(f.target + 1)
-	v := f.tables[tr.at].Admit(f.key, at, f.now)
+	dst := target(f.target + 1)
+	v := f.tables[a.instance].Admit(f.key, dst, f.now)
 	switch {
 	case v.Wait && !hedge:
-		changed := f.tables[tr.at].Changed()
-		f.await(tr, changed)
+		changed := f.tables[a.instance].Changed()
+		f.sendOnChange(a, changed)
 		return
 	case !v.Pass:
 		return
 	}
-	tr.sent++
-	tr.under++
+	a.sent++
+	a.inFlight++
 	f.target++
 	f.sends = append(f.sends, f.now)
-	f.after(f.schedule(40, 110), func() { f.crash(tr, at) })
-	if tr.under == 1 {
-		f.after(hedgeAt, func() {
-			if tr.under == 1 {
-				f.send(tr, true)
+	f.after(f.choose(40, 110), func() { f.crash(a, dst) })
+	if a.inFlight == 1 {
+		f.after(hedgeDelay, func() {
+			if a.inFlight == 1 {
+				f.send(a, true)
 			}
 		})
 	}
 }
 
-// await sends again once the table has changed.
-func (f *fleet) await(tr *try, changed <-chan struct{}) {
+// sendOnChange sends again once the table has changed.
+func (f *simulation) sendOnChange(a *attempt, changed <-chan struct{}) {
 	f.after(1, func() {
 		select {
 		case <-changed:
-			f.send(tr, false)
+			f.send(a, false)
 		default:
-			f.await(tr, changed)
+			f.sendOnChange(a, changed)
 		}
 	})
 }
 
-func (f *fleet) crash(tr *try, at Incarnation) {
+func (f *simulation) crash(a *attempt, dst Incarnation) {
 	f.crashes = append(f.crashes, f.now)
-	table := f.tables[tr.at]
-	table.Lost(f.key, at, true, f.now)
-	tr.under--
+	table := f.tables[a.instance]
+	table.Lost(f.key, dst, true, f.now)
+	a.inFlight--
 	f.after(2, func() {
-		f.tell(tr.at, table.Checked(at, f.now, LossRefused, f.now))
+		f.share(a.instance, table.Checked(dst, f.now, LossRefused, f.now))
 	})
-	if tr.under > 0 {
+	if a.inFlight > 0 {
 		return
 	}
-	f.send(tr, false)
-	if tr.under == 0 && !tr.again { // its caller tries once more, at another instance
-		tr.again = true
-		f.after(60, func() { f.send(&try{at: (tr.at + 1) % len(f.tables), again: true}, false) })
+	f.send(a, false)
+	if a.inFlight == 0 && !a.retried { // its caller tries once more, at another instance
+		a.retried = true
+		f.after(60, func() { f.send(&attempt{instance: (a.instance + 1) % len(f.tables), retried: true}, false) })
 	}
 }
 
-// tell hands news to all others, and they what is news to them.
-func (f *fleet) tell(from int, news []Strike) {
-	if len(news) == 0 {
+// share hands news to all others, and they what is news to them.
+func (f *simulation) share(from int, strikes []Strike) {
+	if len(strikes) == 0 {
 		return
 	}
 	for i := range f.tables {
 		if i == from {
 			continue
 		}
-		f.after(f.news, func() { f.tables[i].Merge(news, f.now) })
+		f.after(f.propagation, func() { f.tables[i].Merge(strikes, f.now) })
 	}
 }
 
-// play returns the crashes of one schedule, and how many were sent later than all could
+// simulate returns the crashes of one schedule, and how many were sent later than all could
 // know of the third.
-func play(n int, news cf.Millis, draw func(of ...cf.Millis) cf.Millis) (crashes, late int) {
-	f := &fleet{key: keyOf("a", "x"), schedule: draw, news: news}
+func simulate(n int, propagation cf.Millis, choose func(of ...cf.Millis) cf.Millis) (crashes, late int) {
+	f := &simulation{key: keyOf("a", "x"), choose: choose, propagation: propagation}
 	for i := range n {
 		f.tables = append(f.tables, New(cf.EntryID(fmt.Sprint("e", i))))
 	}
-	for round := range roundsOfCallers {
+	for round := range rounds {
 		f.after(cf.Millis(round)*5*second, func() {
 			for i := range n {
-				f.send(&try{at: i}, false)
+				f.send(&attempt{instance: i}, false)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 		return len(f.crashes), 0
 	}
 	for _, at := range f.sends {
-		if at > f.crashes[maxCrashes-1]+news+2 {
+		if at > f.crashes[maxCrashes-1]+propagation+2 {
 			late++
 		}
 	}
@@ -177,29 +177,29 @@
 // four rounds 5 s apart, each with a hedge and its caller's retry; times of a crash of 40
 // or 110 ms, news of 5 or 35 ms. Beyond three instances, 3,000 drawn schedules. What is
 // under way when the third crash becomes known crashes too; nothing is sent after it.
-func TestCrashesOfAWholeFleet(t *testing.T) {
+func TestCrashesAreBoundedAcrossInstances(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		worst, schedules := 0, 0
-		for _, news := range []cf.Millis{5, 35} {
-			each(n, func(draw func(of ...cf.Millis) cf.Millis) bool {
+		for _, propagation := range []cf.Millis{5, 35} {
+			forEachSchedule(n, func(choose func(of ...cf.Millis) cf.Millis) bool {
 				schedules++
-				crashes, late := play(n, news, draw)
+				crashes, late := simulate(n, propagation, choose)
 				worst = max(worst, crashes)
 				if late > 0 {
-					t.Errorf("%d instances, news of %d ms: %d sends after all could know of the third crash", n, news, late)
+					t.Errorf("%d instances, news of %d ms: %d sends after all could know of the third crash", n, propagation, late)
 				}
 				return !t.Failed()
 			})
 		}
 		t.Logf("%d instances: %d crashes at most, in %d schedules", n, worst, schedules)
-		if most := max(maxCrashes, attemptsMost*n); worst > most {
-			t.Errorf("%d instances: %d crashes, want %d at most", n, worst, most)
+		if limit := max(maxCrashes, maxAttempts*n); worst > limit {
+			t.Errorf("%d instances: %d crashes, want %d at most", n, worst, limit)
 		}
 	}
 }
 
-// each calls do with every schedule for a few instances, with drawn ones for many.
-func each(n int, do func(draw func(of ...cf.Millis) cf.Millis) bool) {
+// forEachSchedule calls do with every schedule for a few instances, with drawn ones for many.
+func forEachSchedule(n int, do func(draw func(of ...cf.Millis) cf.Millis) bool) {
 	if n > 3 {
 		state := uint64(n)
 		for range 1500 {
--- a/core/cfquarantine/full_test.go
+++ b/core/cfquarantine/full_test.go
@@ -12,12 +12,12 @@
 
 // Guards against: strikes that instances hand round for ever, each of whose full tables drops
 // one for another and takes the first back later.
-func TestNewsOfManyStrikesComesToAnEnd(t *testing.T) {
-	const instances, strikes, most = 20, 24, 20_000
+func TestStrikePropagationTerminates(t *testing.T) {
+	const instances, strikes, maxMessages = 20, 24, 20_000
 	type message struct {
-		at   cf.Millis
-		to   int
-		news []cfquarantine.Strike
+		at      cf.Millis
+		to      int
+		strikes []cfquarantine.Strike
 	}
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -26,20 +26,20 @@
 			tables[i] = cfquarantine.New(cf.EntryID(fmt.Sprint("entry-", i)))
 		}
 		var queue []message
-		send := func(from int, news []cfquarantine.Strike, now cf.Millis) {
-			if len(news) == 0 {
+		send := func(from int, batch []cfquarantine.Strike, now cf.Millis) {
+			if len(batch) == 0 {
 				return
 			}
 			for _, to := range []int{0, (from + 1) % instances, (from + instances - 1) % instances} {
 				if to != from {
-					queue = append(queue, message{now + 1 + cf.Millis(rng.IntN(16)), to, news})
+					queue = append(queue, message{now + 1 + cf.Millis(rng.IntN(16)), to, batch})
 				}
 			}
 		}
 		now := cf.Millis(1000)
 		deliver := func(after string) {
 			n := 0
-			for ; len(queue) > 0 && n < most; n++ {
+			for ; len(queue) > 0 && n < maxMessages; n++ {
 				next := 0
 				for i := range queue {
 					if queue[i].at < queue[next].at {
@@ -49,7 +49,7 @@
 				m := queue[next]
 				queue = slices.Delete(queue, next, next+1)
 				now = m.at
-				send(m.to, tables[m.to].Merge(m.news, now), now)
+				send(m.to, tables[m.to].Merge(m.strikes, now), now)
 			}
 			if len(queue) > 0 {
 				t.Fatalf("seed %d, %s: %d messages are under way after %d", seed, after, len(queue), n)
@@ -64,8 +64,8 @@
 			send(from, tables[from].Checked(target, at+1, cfquarantine.LossRefused, at+2), at+2)
 		}
 		deliver("crashes")
-		sound := cfquarantine.Incarnation{ID: "sound", Born: 1}
-		send(1, tables[1].Answered(key, sound, now, now+1), now+1)
+		healthy := cfquarantine.Incarnation{ID: "sound", Born: 1}
+		send(1, tables[1].Answered(key, healthy, now, now+1), now+1)
 		deliver("an answer")
 	}
 }
--- a/core/cfquarantine/owed_test.go
+++ b/core/cfquarantine/owed_test.go
@@ -6,42 +6,42 @@
 	cf "currantford"
 )
 
-// loseOwed sends owed work that passes, and loses its target.
-func loseOwed(t *testing.T, table *Table, k Key, at Incarnation, now cf.Millis) {
+// loseDeferred sends owed work that passes, and loses its target.
+func loseDeferred(t *testing.T, table *Table, k Key, dst Incarnation, now cf.Millis) {
 	t.Helper()
-	if v := table.AdmitDeferred(k, at, DeferredWork{Isolated: true, WaitingSince: now}, now); !v.Pass {
-		t.Fatalf("not sent to %s at %d: %+v", at.ID, now, v)
+	if v := table.AdmitDeferred(k, dst, DeferredWork{Isolated: true, WaitingSince: now}, now); !v.Pass {
+		t.Fatalf("not sent to %s at %d: %+v", dst.ID, now, v)
 	}
-	table.Lost(k, at, true, now)
-	table.Checked(at, now, LossRefused, now)
+	table.Lost(k, dst, true, now)
+	table.Checked(dst, now, LossRefused, now)
 }
 
 // Guards against: an item that is never sent again because targets crashed under it, and one that
 // crashes target after target without a pause.
-func TestOwedWorkIsTriedAgainAfterPauses(t *testing.T) {
+func TestDeferredWorkIsRetriedAfterPauses(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	now := cf.Millis(0)
 	for n := range maxCrashes {
-		loseOwed(t, table, k, target(n), now)
+		loseDeferred(t, table, k, target(n), now)
 	}
 	for n := maxCrashes; n < 3*maxStrikes; n++ {
-		pause, most := []cf.Millis{1000, 2000, 4000}[min(n-maxCrashes, 2)], []int{4, 2, 1}[min(n-maxCrashes, 2)]
+		pause, maxRuns := []cf.Millis{1000, 2000, 4000}[min(n-maxCrashes, 2)], []int{4, 2, 1}[min(n-maxCrashes, 2)]
 		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < maxCrashes {
 			t.Fatalf("before its pause after %d crashes is over: %+v", n, v)
 		}
-		began := now
+		lastCrash := now
 		now += pause
-		if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: began}, now); v.Pass || v.MaxRuns != most {
-			t.Fatalf("after %d crashes, at any target: %+v, want to be set apart with %d at most", n, v, most)
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: lastCrash}, now); v.Pass || v.MaxRuns != maxRuns {
+			t.Fatalf("after %d crashes, at any target: %+v, want to be set apart with %d at most", n, v, maxRuns)
 		}
 		if v := table.Admit(k, anywhere, now); v.Pass {
 			t.Fatalf("a caller's request of the same content passes after %d crashes: %+v", n, v)
 		}
-		if v := table.AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: began}, now); !v.Pass {
+		if v := table.AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: lastCrash}, now); !v.Pass {
 			t.Fatalf("not tried after %d crashes: %+v", n, v)
 		}
-		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: began}, now); !v.Wait {
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: lastCrash}, now); !v.Wait {
 			t.Fatalf("two tries at once after %d crashes: %+v", n, v)
 		}
 		table.Lost(k, target(n), true, now)
@@ -57,26 +57,26 @@
 
 // Guards against: pauses that begin anew, or are forgotten, when another instance goes on with
 // the work. An item that crashes each target is sent to it at once whenever it may be.
-func TestPausesOfOwedWorkOutliveItsInstance(t *testing.T) {
-	const took, news = 100, 20
+func TestDeferredPausesSurviveInstanceChange(t *testing.T) {
+	const runTime, propagation = 100, 20
 	tables := []*Table{New("a"), New("b"), New("c")}
 	k := keyOf("x", "1")
 	within := map[cf.Millis]int{}
 	n, ended := 0, cf.Millis(0)
 	for now := cf.Millis(0); now < 60*second; now += 10 {
-		at := n % len(tables)
-		if v := tables[at].AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: ended}, now); !v.Pass {
+		current := n % len(tables)
+		if v := tables[current].AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: ended}, now); !v.Pass {
 			continue
 		}
-		now += took
+		now += runTime
 		ended = now
-		tables[at].Lost(k, target(n), true, now)
-		strikes := tables[at].Checked(target(n), now, LossRefused, now)
-		now += news
+		tables[current].Lost(k, target(n), true, now)
+		strikes := tables[current].Checked(target(n), now, LossRefused, now)
+		now += propagation
 		for i, table := range tables {
-			if i != at {
+			if i != current {
 				for j := range strikes {
-					strikes[j].Age = news
+					strikes[j].Age = propagation
 				}
 				table.Merge(strikes, now)
 			}
@@ -97,11 +97,11 @@
 }
 
 // Guards against: equal items of a step that wait for one another though one of them runs on.
-func TestEqualOwedWorkDoesNotWaitForAnEnd(t *testing.T) {
+func TestEqualDeferredWorkDoesNotWaitForCompletion(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	for n := range maxCrashes - 1 {
-		loseOwed(t, table, k, target(n), 0)
+		loseDeferred(t, table, k, target(n), 0)
 	}
 	if v := table.AdmitDeferred(k, target(5), DeferredWork{}, 10); !v.Pass {
 		t.Fatalf("none is sent: %+v", v)
@@ -118,19 +118,19 @@
 
 // Guards against: an item that is never tried as short requests of another caller with its
 // content are always under way.
-func TestOwedWorkDoesNotWaitForOtherCallers(t *testing.T) {
-	const took, every = 300, 100
+func TestDeferredWorkDoesNotWaitForOtherCallers(t *testing.T) {
+	const runTime, interval = 300, 100
 	table := New("e")
 	item, other := keyOf("a", "x"), keyOf("b", "x")
 	for n := range maxCrashes {
-		loseOwed(t, table, item, target(n), 0)
+		loseDeferred(t, table, item, target(n), 0)
 	}
-	for now := cf.Millis(every); now < 5*second; now += every {
-		at := target(100 + int(now/every))
-		if now > took {
-			table.Answered(other, target(100+int((now-took)/every)), now-took, now)
+	for now := cf.Millis(interval); now < 5*second; now += interval {
+		dst := target(100 + int(now/interval))
+		if now > runTime {
+			table.Answered(other, target(100+int((now-runTime)/interval)), now-runTime, now)
 		}
-		if v := table.Admit(other, at, now); !v.Pass {
+		if v := table.Admit(other, dst, now); !v.Pass {
 			t.Fatalf("the other caller's request at %d: %+v", now, v)
 		}
 		if table.AdmitDeferred(item, target(90), DeferredWork{Isolated: true, WaitingSince: 0}, now).Pass {
@@ -143,8 +143,8 @@
 // Guards against: equal items that are at no target for 5 s, though all of them are sound. They
 // lose their targets one after the other; what was lost before the last seconds of the crashes
 // counts from there on.
-func TestEqualOwedWorkIsBackWithinFiveSeconds(t *testing.T) {
-	const look, items, burst = 50, 16, 3 * second
+func TestEqualDeferredWorkIsResentWithinFiveSeconds(t *testing.T) {
+	const interval, items, burstWindow = 50, 16, 3 * second
 	for crashes := maxCrashes; crashes <= items; crashes++ {
 		for _, spacing := range []cf.Millis{0, 100, 400} {
 			table := New("e")
@@ -153,18 +153,18 @@
 				table.Lost(k, target(n), true, spacing*cf.Millis(n))
 				table.Checked(target(n), spacing*cf.Millis(n), LossRefused, spacing*cf.Millis(n))
 			}
-			calm := spacing * cf.Millis(crashes-1)
+			lastCrash := spacing * cf.Millis(crashes-1)
 			waiting := map[int]cf.Millis{}
 			for n := range crashes {
 				waiting[n] = spacing * cf.Millis(n)
 			}
-			for now := calm; len(waiting) > 0 && now < calm+60*second; now += look {
+			for now := lastCrash; len(waiting) > 0 && now < lastCrash+60*second; now += interval {
 				for n, since := range waiting {
 					if !table.AdmitDeferred(k, target(100+n), DeferredWork{Isolated: true, WaitingSince: since}, now).Pass {
 						continue
 					}
 					delete(waiting, n)
-					if waited := now - max(since, calm-burst); waited >= 5*second-look {
+					if waited := now - max(since, lastCrash-burstWindow); waited >= 5*second-interval {
 						t.Errorf("%d crashes %d ms apart: an item waits for %d ms", crashes, spacing, waited)
 					}
 				}
@@ -177,12 +177,12 @@
 }
 
 // Guards against: items that wait for an engine at which no other item runs that has lost two.
-func TestOwedWorkDoesNotWaitForOtherSuspects(t *testing.T) {
+func TestDeferredWorkDoesNotWaitForOtherSuspects(t *testing.T) {
 	table := New("e")
 	a, b := keyOf("a", "x"), keyOf("a", "y")
 	for n := range maxCrashes - 1 {
-		loseOwed(t, table, a, target(n), 0)
-		loseOwed(t, table, b, target(n), 0)
+		loseDeferred(t, table, a, target(n), 0)
+		loseDeferred(t, table, b, target(n), 0)
 	}
 	table.AdmitDeferred(a, target(5), DeferredWork{}, 10)
 	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, 20); !v.OtherTarget {
--- a/core/cfquarantine/table_test.go
+++ b/core/cfquarantine/table_test.go
@@ -17,13 +17,13 @@
 func keyOf(caller, body string) Key { return KeyOf("POST", "h", "/p", caller, []byte(body)) }
 
 // crash sends a request that passes, and loses its target.
-func crash(t *testing.T, table *Table, k Key, at Incarnation, now cf.Millis) {
+func crash(t *testing.T, table *Table, k Key, dst Incarnation, now cf.Millis) {
 	t.Helper()
-	if v := table.Admit(k, at, now); !v.Pass {
-		t.Fatalf("held or waiting before its crash at %s: %+v", at.ID, v)
+	if v := table.Admit(k, dst, now); !v.Pass {
+		t.Fatalf("held or waiting before its crash at %s: %+v", dst.ID, v)
 	}
-	table.Lost(k, at, true, now)
-	table.Checked(at, now, LossRefused, now)
+	table.Lost(k, dst, true, now)
+	table.Checked(dst, now, LossRefused, now)
 }
 
 // passes sends a request that is dropped.
@@ -58,7 +58,7 @@
 // at once.
 // Sequence: retries and hedges of equal requests are under way when the first crashes.
 // Cause guarded against: a count of crashes alone says nothing of those to come.
-func TestNoMoreAreUnderWayThanMayCrash(t *testing.T) {
+func TestInFlightSendsAreBoundedByRemainingCrashes(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	crash(t, table, k, target(0), 0)
@@ -94,7 +94,7 @@
 
 // Symptom: an innocent request is refused because its targets were lost three times.
 // Sequence: its targets are killed; it is run to its end between or after.
-func TestARunToItsEndVoidsTheStrikes(t *testing.T) {
+func TestCompletionVoidsStrikes(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	for n := range 9 {
@@ -114,7 +114,7 @@
 // Sequence: a whole failure domain is lost, with three targets that run it.
 // Cause guarded against: the three crashes are one event, and the request was served
 // before.
-func TestPopularRequestOutlivesTheLossOfAFailureDomain(t *testing.T) {
+func TestPopularRequestSurvivesFailureDomainLoss(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "GET /popular")
 	table.Admit(k, target(9), 0)
@@ -142,15 +142,15 @@
 // Symptom: requests are refused because the links to three targets were cut, or their
 // connections reset.
 // Sequence: connections end without an answer; new ones fail, later the targets answer.
-func TestTargetsThatLiveAreNoEvidence(t *testing.T) {
+func TestLiveTargetsAreNotEvidence(t *testing.T) {
 	t.Run("reached at once", func(t *testing.T) {
 		table := New("e")
 		k := keyOf("a", "x")
 		for n := range 5 {
 			table.Admit(k, target(n), 0)
 			table.Lost(k, target(n), true, cf.Millis(n))
-			if news := table.Checked(target(n), cf.Millis(n), "", cf.Millis(n)+2); len(news) > 0 {
-				t.Errorf("a loss at a target that lives is shared: %v", news)
+			if strikes := table.Checked(target(n), cf.Millis(n), "", cf.Millis(n)+2); len(strikes) > 0 {
+				t.Errorf("a loss at a target that lives is shared: %v", strikes)
 			}
 		}
 		if !passes(table, k, 10) {
@@ -172,8 +172,8 @@
 		if passes(table, k, 2*second) {
 			t.Error("freed before the instance list can show a new start")
 		}
-		if void := table.Sweep(true, second+20+restartDetection+1); len(void) != 1 || void[0].Scope != Void {
-			t.Errorf("a target that lives: %v", void)
+		if voided := table.Sweep(true, second+20+restartDetection+1); len(voided) != 1 || voided[0].Scope != Void {
+			t.Errorf("a target that lives: %v", voided)
 		}
 		if !passes(table, k, 7*second) {
 			t.Error("held by strikes of targets of which one lives")
@@ -216,12 +216,12 @@
 			table.Lost(k, target(n), true, 0)
 			table.Checked(target(n), 0, "", 2) // the successor takes connections already
 		}
-		news := 0
+		shared := 0
 		for n := range 3 {
-			news += len(table.Replaced(target(n), second))
+			shared += len(table.Replaced(target(n), second))
 		}
-		if news != 3 || passes(table, k, 2*second) {
-			t.Errorf("targets that started again at once: %d strikes shared", news)
+		if shared != 3 || passes(table, k, 2*second) {
+			t.Errorf("targets that started again at once: %d strikes shared", shared)
 		}
 	})
 }
@@ -230,65 +230,65 @@
 // Sequence: many items of equal content fill each engine beside the one; three engines
 // crash before any item is done.
 // Cause: both had lost the same engines, and which was held first explained the other.
-func TestEqualSuspectsDoNotMeet(t *testing.T) {
+func TestSuspectsWithSameLossesAreSeparated(t *testing.T) {
 	table := New("e")
-	guilty, many := keyOf("a", "x"), keyOf("a", "y")
+	culprit, bystanders := keyOf("a", "x"), keyOf("a", "y")
 	for n := range 3 {
-		table.Admit(many, target(n), 0)
+		table.Admit(bystanders, target(n), 0)
 	}
 	for n := range 2 {
 		at := cf.Millis(n) * 100
-		table.Admit(guilty, target(n), at)
-		table.Lost(guilty, target(n), true, at+40)
-		table.Lost(many, target(n), true, at+40)
+		table.Admit(culprit, target(n), at)
+		table.Lost(culprit, target(n), true, at+40)
+		table.Lost(bystanders, target(n), true, at+40)
 		table.Checked(target(n), at+41, LossRefused, at+42)
 	}
 	// The many run on at target 2.
-	if v := table.Admit(guilty, target(2), 200); !v.OtherTarget {
+	if v := table.Admit(culprit, target(2), 200); !v.OtherTarget {
 		t.Errorf("two that have lost the same targets meet at a third: %+v", v)
 	}
-	if v := table.Admit(guilty, target(3), 200); !v.Pass {
+	if v := table.Admit(culprit, target(3), 200); !v.Pass {
 		t.Errorf("not even alone: %+v", v)
 	}
-	if v := table.Admit(many, target(3), 200); v.Pass {
+	if v := table.Admit(bystanders, target(3), 200); v.Pass {
 		t.Error("they meet at a third after all")
 	}
-	table.Lost(guilty, target(3), true, 240)
+	table.Lost(culprit, target(3), true, 240)
 	table.Checked(target(3), 241, LossRefused, 242)
-	if v := table.Evaluate(guilty, 300); v.RetryAt == 0 {
+	if v := table.Evaluate(culprit, 300); v.RetryAt == 0 {
 		t.Errorf("the guilty one is not held: %+v", v)
 	}
 	table.Sweep(true, 242+attributionDelay)
-	if v := table.Evaluate(many, 1000); !v.Pass {
+	if v := table.Evaluate(bystanders, 1000); !v.Pass {
 		t.Errorf("the others are not freed: %+v", v)
 	}
 }
 
 // Symptom: a request that ran beside one that crashes targets is held as well.
 // Sequence: both lose two targets together; the third goes under one of them.
-func TestHeldRequestExplainsTheCrashes(t *testing.T) {
+func TestCrashesAreAttributedToHeldRequest(t *testing.T) {
 	table := New("e")
-	guilty, beside := keyOf("a", "x"), keyOf("b", "y")
+	culprit, bystander := keyOf("a", "x"), keyOf("b", "y")
 	for n := range 2 {
 		at := cf.Millis(n) * second
-		table.Admit(beside, target(n), at)
-		table.Lost(beside, target(n), true, at)
-		crash(t, table, guilty, target(n), at)
+		table.Admit(bystander, target(n), at)
+		table.Lost(bystander, target(n), true, at)
+		crash(t, table, culprit, target(n), at)
 	}
-	crash(t, table, guilty, target(2), 2*second)
+	crash(t, table, culprit, target(2), 2*second)
 	table.Sweep(true, 3*second)
-	crash(t, table, beside, target(3), 3*second)
-	if !passes(table, beside, 4*second) {
+	crash(t, table, bystander, target(3), 3*second)
+	if !passes(table, bystander, 4*second) {
 		t.Error("held by crashes that another request explains")
 	}
-	if passes(table, guilty, 4*second) {
+	if passes(table, culprit, 4*second) {
 		t.Error("the other is not held")
 	}
 }
 
 // Symptom: a caller's request is refused because of another caller's.
 // Sequence: the same content crashes targets for one caller, and runs for another.
-func TestAnotherCallersRequest(t *testing.T) {
+func TestStrikesOfOtherCallers(t *testing.T) {
 	table := New("e")
 	a, b, c := keyOf("a", "x"), keyOf("b", "x"), keyOf("c", "x")
 	for n := range 3 {
@@ -320,7 +320,7 @@
 }
 
 // A request that moves from caller to caller is held after its third crash as well.
-func TestCallersThatChange(t *testing.T) {
+func TestThirdCrashHoldsAcrossCallers(t *testing.T) {
 	table := New("e")
 	for n := range 3 {
 		crash(t, table, keyOf(fmt.Sprint("caller ", n), "x"), target(n), cf.Millis(n))
@@ -332,7 +332,7 @@
 
 // Symptom: one that was wrongly held is refused for ever, or one that is rightly held
 // costs a target a minute.
-func TestTheTimeOfAHeldRequest(t *testing.T) {
+func TestHoldDuration(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	now := cf.Millis(0)
@@ -368,7 +368,7 @@
 
 // Symptom: memory or links fill up, or a held request is forgotten.
 // Sequence: a caller crashes targets with bodies that differ in a byte each.
-func TestManyBodiesFillNothing(t *testing.T) {
+func TestTableStaysBounded(t *testing.T) {
 	table := New("e")
 	held := keyOf("a", "held")
 	for n := range 3 {
@@ -401,36 +401,36 @@
 }
 
 // Guards against: a request that others hold, sent on by an instance that has just started.
-func TestStartingInstanceLetsNothingPass(t *testing.T) {
+func TestUnsyncedInstanceSendsNothing(t *testing.T) {
 	a, b := New("a"), NewUnsynced("b")
-	held, sound := keyOf("x", "1"), keyOf("y", "1")
+	held, healthy := keyOf("x", "1"), keyOf("y", "1")
 	for n := range maxCrashes {
 		a.Admit(held, target(n), 0)
 		a.Lost(held, target(n), true, cf.Millis(n))
 		a.Checked(target(n), cf.Millis(n), LossRefused, 10)
 	}
-	for _, k := range []Key{held, sound} {
+	for _, k := range []Key{held, healthy} {
 		if v := b.Admit(k, target(9), 100); v.Pass || !v.Unsynced || v.Wait {
 			t.Errorf("before it knows what is held: %+v", v)
 		}
 	}
-	news, _ := a.HeldStrikes(1, 200)
-	b.Merge(news, 200)
-	if v := b.Evaluate(sound, 200); v.Pass {
+	strikes, _ := a.HeldStrikes(1, 200)
+	b.Merge(strikes, 200)
+	if v := b.Evaluate(healthy, 200); v.Pass {
 		t.Error("sends before it knows that it has heard all")
 	}
 	if !b.MarkSynced() || b.MarkSynced() {
 		t.Error("it is informed once")
 	}
-	if passes(b, held, 300) || !passes(b, sound, 300) {
+	if passes(b, held, 300) || !passes(b, healthy, 300) {
 		t.Error("informed, it holds what the others hold, and nothing else")
 	}
 }
 
 // Guards against: a popular request that is refused where nobody has served it since the start,
 // as several targets are lost at once.
-func TestStartedInstanceKnowsWhatOthersHaveServed(t *testing.T) {
-	const at = second
+func TestServedStateIsSharedWithStrikes(t *testing.T) {
+	const lossTime = second
 	for _, c := range []struct {
 		name string
 		// served and sees are the instances that have served the request, and that see the
@@ -450,22 +450,22 @@
 			tables[i].Admit(k, target(9), 0)
 			tables[i].Answered(k, target(9), 0, 10)
 		}
-		var news []Strike
+		var strikes []Strike
 		for n, i := range c.sees {
-			seen := at + cf.Millis(30*n)
-			tables[i].Admit(k, target(n), at-10)
+			seen := lossTime + cf.Millis(30*n)
+			tables[i].Admit(k, target(n), lossTime-10)
 			tables[i].Lost(k, target(n), true, seen)
-			news = append(news, tables[i].Checked(target(n), seen, LossRefused, seen+2)...)
+			strikes = append(strikes, tables[i].Checked(target(n), seen, LossRefused, seen+2)...)
 		}
-		for len(news) > 0 { // as they are handed on
+		for len(strikes) > 0 { // as they are handed on
 			var next []Strike
 			for _, table := range tables {
-				next = append(next, table.Merge(news, at+100)...)
+				next = append(next, table.Merge(strikes, lossTime+100)...)
 			}
-			news = next
+			strikes = next
 		}
 		for i, table := range tables {
-			if got := passes(table, k, at+200); got != c.passes {
+			if got := passes(table, k, lossTime+200); got != c.passes {
 				t.Errorf("%s: passes %v at instance %d", c.name, got, i)
 			}
 			if table.Checksums() != tables[0].Checksums() {
@@ -476,33 +476,33 @@
 }
 
 // Instances that hear of the same strikes in any order, some twice, hold the same.
-func TestInstancesComeToAgree(t *testing.T) {
+func TestInstancesConverge(t *testing.T) {
 	a, b, c := New("a"), New("b"), New("c")
 	k, other := keyOf("x", "1"), keyOf("y", "1")
-	var news []Strike
+	var strikes []Strike
 	for n := range 3 {
 		a.Admit(k, target(n), 0)
 		a.Lost(k, target(n), true, cf.Millis(n))
-		news = append(news, a.Checked(target(n), cf.Millis(n), LossRefused, 10)...)
+		strikes = append(strikes, a.Checked(target(n), cf.Millis(n), LossRefused, 10)...)
 	}
-	for i := range news {
-		b.Merge(news[len(news)-1-i:len(news)-i], 500)
+	for i := range strikes {
+		b.Merge(strikes[len(strikes)-1-i:len(strikes)-i], 500)
 	}
 	if a.Checksums().Held == 0 || a.Checksums() != b.Checksums() {
 		t.Errorf("sums %v and %v of the same strikes", a.Checksums(), b.Checksums())
 	}
-	if again := b.Merge(news, 600); len(again) > 0 {
+	if again := b.Merge(strikes, 600); len(again) > 0 {
 		t.Errorf("news that were known are passed on: %v", again)
 	}
 	if passes(b, k, 600) {
 		t.Error("not held at another instance")
 	}
 	// The third has seen the request run for another caller, and hears of it late.
-	c.Merge(news[:1], 100)
+	c.Merge(strikes[:1], 100)
 	c.Admit(other, target(9), 200)
-	news = append(news, c.Answered(other, target(9), 200, 230)...)
+	strikes = append(strikes, c.Answered(other, target(9), 200, 230)...)
 	for _, table := range []*Table{a, b, c} {
-		table.Merge(news, 700)
+		table.Merge(strikes, 700)
 	}
 	if a.Checksums() != b.Checksums() || a.Checksums() != c.Checksums() {
 		t.Errorf("sums %v, %v and %v after all heard all", a.Checksums(), b.Checksums(), c.Checksums())
@@ -527,8 +527,8 @@
 
 // Guards against: instances that go on holding different requests, as each exchange shows the
 // same few.
-func TestExchangesInPartsBringInstancesToAgree(t *testing.T) {
-	const held, part = 40, 16
+func TestPartialExchangesConverge(t *testing.T) {
+	const held, limit = 40, 16
 	a, b := New("a"), New("b")
 	for n := range 2 * held {
 		table, k := a, keyOf("caller", fmt.Sprint(n))
@@ -542,12 +542,12 @@
 		}
 	}
 	exchanges := 0
-	for after := 0; a.Checksums() != b.Checksums(); after += part {
-		if exchanges++; exchanges > 2*held/part {
+	for offset := 0; a.Checksums() != b.Checksums(); offset += limit {
+		if exchanges++; exchanges > 2*held/limit {
 			t.Fatalf("no agreement after %d exchanges", exchanges)
 		}
-		ours := a.StrikesByPriority(after, part, 1000)
+		ours := a.StrikesByPriority(offset, limit, 1000)
 		b.Merge(ours, 1000)
-		a.Merge(b.ExchangeReply(ours, after, part, 1000), 1000)
+		a.Merge(b.ExchangeReply(ours, offset, limit, 1000), 1000)
 	}
 }
--- a/core/cfsite/confignews_test.go
+++ b/core/cfsite/confignews_test.go
@@ -33,47 +33,47 @@
 	}
 }
 
-// hear lets follower take one answer of source; it returns the answer.
-func hear(t *testing.T, source, follower *cfsite.Site) *cfsite.ConfigUpdate {
+// applyNext lets follower take one answer of source; it returns the answer.
+func applyNext(t *testing.T, source, follower *cfsite.Site) *cfsite.ConfigUpdate {
 	t.Helper()
-	news, err := source.ConfigUpdate(follower.ConfigState())
+	update, err := source.ConfigUpdate(follower.ConfigState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if news == nil {
+	if update == nil {
 		return nil
 	}
-	if _, err := follower.ApplyConfigUpdate(*news); err != nil {
+	if _, err := follower.ApplyConfigUpdate(*update); err != nil {
 		t.Fatal(err)
 	}
-	return news
+	return update
 }
 
 // An instance that hears of configurations in parts, misses answers, watches the store itself
 // now and then and changes whom it asks always ends at the newest, and never goes back.
-func TestConfigurationsArriveWhateverIsLost(t *testing.T) {
+func TestConfigurationArrivesDespiteLostAnswers(t *testing.T) {
 	for seed := range uint64(24) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		sources := []*cfsite.Site{cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})}
 		follower := cfsite.New(cfstandin.Codec{})
-		config, rev, before := manyRoutes(1, 1+random.IntN(1600), seed), cf.Revision(1), cfsite.ConfigVersion(0)
+		config, rev, lastVersion := manyRoutes(1, 1+random.IntN(1600), seed), cf.Revision(1), cfsite.ConfigVersion(0)
 		step := func() {
-			held := follower.ConfigState()
-			news, err := sources[random.IntN(2)].ConfigUpdate(held)
+			state := follower.ConfigState()
+			update, err := sources[random.IntN(2)].ConfigUpdate(state)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if news == nil || random.IntN(4) == 0 {
+			if update == nil || random.IntN(4) == 0 {
 				return // the answer is lost
 			}
-			if _, err := follower.ApplyConfigUpdate(*news); err != nil && !errors.Is(err, cfsite.ErrUpdateRejected) {
+			if _, err := follower.ApplyConfigUpdate(*update); err != nil && !errors.Is(err, cfsite.ErrUpdateRejected) {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			if c := follower.Config(); c != nil {
-				if c.Version < before {
-					t.Fatalf("seed %d: version %d after %d", seed, c.Version, before)
+				if c.Version < lastVersion {
+					t.Fatalf("seed %d: version %d after %d", seed, c.Version, lastVersion)
 				}
-				before = c.Version
+				lastVersion = c.Version
 			}
 		}
 		for range 60 {
@@ -100,7 +100,7 @@
 		}
 		apply(t, sources[0], rev, config)
 		for range 100 {
-			if hear(t, sources[0], follower) == nil {
+			if applyNext(t, sources[0], follower) == nil {
 				break
 			}
 		}
@@ -112,10 +112,10 @@
 
 // Load: a configuration of thousands of routes that changes with each answer. An instance that
 // has none must get one all the same.
-func TestConfigurationArrivesInAStormOfChanges(t *testing.T) {
+func TestConfigurationArrivesDuringFrequentChanges(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	config := manyRoutes(1, 5000, 1)
-	answers, most := 0, 0
+	answers, largest := 0, 0
 	for ; follower.Config() == nil && answers < 100; answers++ {
 		config.Version++
 		if answers%2 == 0 {
@@ -123,55 +123,55 @@
 			config.Routes[answers].Timeout++
 			apply(t, source, cf.Revision(10+answers), config)
 		}
-		most = max(most, len(hear(t, source, follower).Data))
+		largest = max(largest, len(applyNext(t, source, follower).Data))
 	}
-	if answers > 8 || most > 32<<10 {
-		t.Errorf("after %d answers of at most %d bytes it has one", answers, most)
+	if answers > 8 || largest > 32<<10 {
+		t.Errorf("after %d answers of at most %d bytes it has one", answers, largest)
 	}
 }
 
 // News that are damaged, or made for another base, are followed by the whole configuration.
-func TestDamagedConfigurationNewsAreReplaced(t *testing.T) {
+func TestInvalidConfigurationUpdateIsReplaced(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	apply(t, source, 1, manyRoutes(1, 100, 1))
 	apply(t, follower, 1, manyRoutes(1, 100, 2)) // as if the store had shown it something else
 	apply(t, source, 2, manyRoutes(2, 100, 1))
-	news, err := source.ConfigUpdate(follower.ConfigState())
-	if err != nil || news.Base != 1 {
-		t.Fatalf("news %+v, %v", news, err)
+	update, err := source.ConfigUpdate(follower.ConfigState())
+	if err != nil || update.Base != 1 {
+		t.Fatalf("news %+v, %v", update, err)
 	}
-	if _, err := follower.ApplyConfigUpdate(*news); err == nil {
+	if _, err := follower.ApplyConfigUpdate(*update); err == nil {
 		t.Fatal("news of another base are taken")
 	}
-	if news = hear(t, source, follower); news == nil || news.Base != 0 || follower.Config().Version != 2 || follower.ConfigState().Rev != 2 {
-		t.Errorf("news %+v, at version %d", news, follower.Config().Version)
+	if update = applyNext(t, source, follower); update == nil || update.Base != 0 || follower.Config().Version != 2 || follower.ConfigState().Rev != 2 {
+		t.Errorf("news %+v, at version %d", update, follower.Config().Version)
 	}
 }
 
 // A configuration that is written once more unchanged, or with an older version, makes no
 // instance ask for ever.
-func TestRewrittenConfigurationIsToldOnce(t *testing.T) {
+func TestRewrittenConfigurationIsSentOnce(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	apply(t, source, 1, manyRoutes(5, 10, 1))
-	hear(t, source, follower)
+	applyNext(t, source, follower)
 	apply(t, source, 2, manyRoutes(5, 10, 1))
-	hear(t, source, follower)
-	if news := hear(t, source, follower); news != nil || follower.Config().Version != 5 {
-		t.Errorf("told again: %+v", news)
+	applyNext(t, source, follower)
+	if update := applyNext(t, source, follower); update != nil || follower.Config().Version != 5 {
+		t.Errorf("told again: %+v", update)
 	}
 	behind := cfsite.New(cfstandin.Codec{})
 	apply(t, behind, 3, manyRoutes(4, 10, 1))
-	news, err := behind.ConfigUpdate(follower.ConfigState())
+	update, err := behind.ConfigUpdate(follower.ConfigState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := follower.ApplyConfigUpdate(*news); !errors.Is(err, cfsite.ErrUpdateRejected) || follower.Config().Version != 5 {
+	if _, err := follower.ApplyConfigUpdate(*update); !errors.Is(err, cfsite.ErrUpdateRejected) || follower.Config().Version != 5 {
 		t.Errorf("an older version: %v, at version %d", err, follower.Config().Version)
 	}
 }
 
 // Cost of a change for the one that tells a hundred others.
-func BenchmarkConfigNews(b *testing.B) {
+func BenchmarkConfigUpdate(b *testing.B) {
 	config := manyRoutes(1, 1400, 1)
 	source := cfsite.New(cfstandin.Codec{})
 	records := make([]cf.Record, 2)
@@ -183,7 +183,7 @@
 		}
 	}
 	for b.Loop() {
-		if news, err := source.ConfigUpdate(cfsite.ConfigState{Rev: 1}); err != nil || news == nil {
+		if update, err := source.ConfigUpdate(cfsite.ConfigState{Rev: 1}); err != nil || update == nil {
 			b.Fatal(err)
 		}
 	}
--- a/core/cfsite/relay_test.go
+++ b/core/cfsite/relay_test.go
@@ -27,20 +27,20 @@
 
 // An instance that hears of changes only, at any moments, has the view of the one
 // that watches the store: targets come, drain, change hands and go.
-func TestNewsKeepViewsEqual(t *testing.T) {
+func TestTargetUpdatesKeepViewsEqual(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 		count, known := int64(0), false
-		hear := func() {
-			news := source.FullTargetUpdate(follower.Checksum())
+		applyUpdate := func() {
+			update := source.FullTargetUpdate(follower.Checksum())
 			if known {
-				news = source.TargetUpdateSince(count)
+				update = source.TargetUpdateSince(count)
 			}
-			if !follower.ApplyTargetUpdate(news, 0) {
-				t.Fatalf("seed %d: the views differ after news %+v", seed, news)
+			if !follower.ApplyTargetUpdate(update, 0) {
+				t.Fatalf("seed %d: the views differ after news %+v", seed, update)
 			}
-			count, known = news.Count, random.IntN(20) > 0 // it forgets now and then
+			count, known = update.Count, random.IntN(20) > 0 // it forgets now and then
 		}
 		for rev := cf.Revision(1); rev < 200; rev++ {
 			name := fmt.Sprintf("t%d", random.IntN(12))
@@ -54,7 +54,7 @@
 			}
 			source.Advance(rev)
 			if random.IntN(3) == 0 {
-				hear()
+				applyUpdate()
 				if !sameTargets(source, follower) {
 					t.Fatalf("seed %d, revision %d: the views differ", seed, rev)
 				}
@@ -65,7 +65,7 @@
 
 // Symptom: an instance that was cut off for long keeps targets that are gone.
 // Sequence: more targets leave than are remembered.
-func TestNewsBeyondMemoryAreTheWholeView(t *testing.T) {
+func TestUpdateBeyondChangeLogIsFull(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	var list []cf.Target
 	for i := range 6000 {
@@ -83,31 +83,31 @@
 			t.Fatal(err)
 		}
 	}
-	if news := source.TargetUpdateSince(first.Count); !news.Full || !follower.ApplyTargetUpdate(news, 0) || !sameTargets(source, follower) {
-		t.Errorf("whole %t, %d targets left at the follower", news.Full, len(follower.Targets()))
+	if update := source.TargetUpdateSince(first.Count); !update.Full || !follower.ApplyTargetUpdate(update, 0) || !sameTargets(source, follower) {
+		t.Errorf("whole %t, %d targets left at the follower", update.Full, len(follower.Targets()))
 	}
 }
 
 // An instance with the same targets, from its own watch, is sent no list by a
 // coordinator that it hears for the first time; one that differs is sent all.
-func TestEqualViewsNeedNoList(t *testing.T) {
+func TestEqualViewsNeedNoTargetList(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	list := []cf.Target{{ID: "a", Service: "s", Slots: 4}, {ID: "b", Service: "s", Slots: 4}}
 	source.ReplaceTargets(list, 5, 0)
 	follower.ReplaceTargets(list, 4, 0)
-	if news := source.FullTargetUpdate(follower.Checksum()); news.Full || len(news.Targets) > 0 || !follower.ApplyTargetUpdate(news, 0) {
-		t.Errorf("equal views: news %+v", news)
+	if update := source.FullTargetUpdate(follower.Checksum()); update.Full || len(update.Targets) > 0 || !follower.ApplyTargetUpdate(update, 0) {
+		t.Errorf("equal views: news %+v", update)
 	}
 	follower.ReplaceTargets(list[:1], 6, 0)
 	source.Advance(7)
-	if news := source.FullTargetUpdate(follower.Checksum()); !news.Full || !follower.ApplyTargetUpdate(news, 0) || !sameTargets(source, follower) {
-		t.Errorf("differing views: news %+v", news)
+	if update := source.FullTargetUpdate(follower.Checksum()); !update.Full || !follower.ApplyTargetUpdate(update, 0) || !sameTargets(source, follower) {
+		t.Errorf("differing views: news %+v", update)
 	}
 }
 
 // Symptom: the coordinator spends its processor on instances that are all well.
 // Load: 3,000 targets write their entries every second, unchanged.
-func TestHeartbeatsAloneChangeNothing(t *testing.T) {
+func TestHeartbeatIsNotAChange(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "s", Models: []cf.ModelState{{Name: "m", Version: 1}}}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 1, target), 0)
@@ -131,7 +131,7 @@
 
 // An instance hears of the targets to which it forwards requests alone: with 10,000 engines
 // beside them it is sent none of these, nor any change of one.
-func TestNewsAreOfForwardedServices(t *testing.T) {
+func TestUpdatesCoverForwardedServicesOnly(t *testing.T) {
 	source, follower := cfsite.New(forwardingCodec{}), cfsite.New(forwardingCodec{})
 	list := []cf.Target{{ID: "log-1", Service: "log"}, {ID: "log-2", Service: "log"}, {ID: "mail-1", Service: "mail"}}
 	for i := range 10_000 {
@@ -146,43 +146,43 @@
 	}
 	configure(1, "log")
 	source.ReplaceTargets(list, 5, 0)
-	news := source.FullTargetUpdate(follower.Checksum())
-	if !follower.ApplyTargetUpdate(news, 0) || len(follower.Targets()) != 2 {
+	update := source.FullTargetUpdate(follower.Checksum())
+	if !follower.ApplyTargetUpdate(update, 0) || len(follower.Targets()) != 2 {
 		t.Fatalf("told of %d targets", len(follower.Targets()))
 	}
-	count := news.Count
+	count := update.Count
 	change := func(rev cf.Revision, target cf.Target) {
 		if _, _, err := source.ApplyTarget(cfstandin.Record(string(target.ID), rev, target), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	change(6, cf.Target{ID: "e00007", Service: "engines", Draining: true})
-	if now, _ := source.TargetUpdates(); now != count {
+	if current, _ := source.TargetUpdates(); current != count {
 		t.Error("the change of an engine is told")
 	}
 	change(7, cf.Target{ID: "log-1", Service: "log", Draining: true})
-	news = source.TargetUpdateSince(count)
-	if !follower.ApplyTargetUpdate(news, 0) || len(news.Targets) != 1 || len(follower.Usable("log")) != 1 {
-		t.Errorf("news %+v", news)
+	update = source.TargetUpdateSince(count)
+	if !follower.ApplyTargetUpdate(update, 0) || len(update.Targets) != 1 || len(follower.Usable("log")) != 1 {
+		t.Errorf("news %+v", update)
 	}
 	// A route to another service: its targets are told with the configuration.
 	configure(8, "log mail")
-	news = source.TargetUpdateSince(news.Count)
-	if !follower.ApplyTargetUpdate(news, 0) || news.Full || len(follower.Usable("mail")) != 1 {
-		t.Errorf("news %+v after a route to another service", news)
+	update = source.TargetUpdateSince(update.Count)
+	if !follower.ApplyTargetUpdate(update, 0) || update.Full || len(follower.Usable("mail")) != 1 {
+		t.Errorf("news %+v after a route to another service", update)
 	}
 	configure(9, "")
-	news = source.TargetUpdateSince(news.Count)
-	if !follower.ApplyTargetUpdate(news, 0) || news.Full {
-		t.Errorf("news %+v without any route for single requests", news)
+	update = source.TargetUpdateSince(update.Count)
+	if !follower.ApplyTargetUpdate(update, 0) || update.Full {
+		t.Errorf("news %+v without any route for single requests", update)
 	}
 	// The address of an engine is used again by a service that is told of, and back.
 	configure(10, "log")
 	for i, service := range []cf.ServiceName{"log", "engines"} {
 		change(cf.Revision(11+i), cf.Target{ID: "e00009", Service: service})
-		news = source.TargetUpdateSince(news.Count)
-		if !follower.ApplyTargetUpdate(news, 0) || news.Full {
-			t.Errorf("news %+v of a target that is now of %s", news, service)
+		update = source.TargetUpdateSince(update.Count)
+		if !follower.ApplyTargetUpdate(update, 0) || update.Full {
+			t.Errorf("news %+v of a target that is now of %s", update, service)
 		}
 	}
 	if n := len(follower.Usable("log")); n != 1 {
@@ -191,7 +191,7 @@
 }
 
 // Cost of a change: readers are told of it, whatever the number of targets.
-func TestChangesAreTellable(t *testing.T) {
+func TestTargetsSinceReturnsChanges(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	var list []cf.Target
 	for i := range 10_000 {
@@ -218,7 +218,7 @@
 
 // Guards against: targets that an instance holds and nobody keeps current, after it has watched
 // the store for a while.
-func TestTargetsThatNobodyTellsAreDropped(t *testing.T) {
+func TestUnrelayedTargetsAreDropped(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	config := cfsite.Config{Version: 1, Routes: []cfsite.Route{
 		{Host: "h", Prefix: "/log/", Kind: cfsite.KindIdempotent, Split: []cfsite.Share{{Service: "log", Weight: 1}}},
--- a/core/cfsite/site_test.go
+++ b/core/cfsite/site_test.go
@@ -11,7 +11,7 @@
 // Symptom: a dropped route answers again.
 // Sequence: a new configuration is in force; a stale list, or a relay from an
 // instance that was cut off, brings an older one.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationNeverRegresses(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	apply := func(rev cf.Revision, v cfsite.ConfigVersion) bool {
 		changed, err := s.ApplyConfig(cfstandin.Record("main", rev, cfsite.Config{Version: v}))
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	c := cfsite.Config{Routes: []cfsite.Route{
 		{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}, {Name: "other", Host: "i", Prefix: "/a/b/c/"},
 	}}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSplitFollowsItsWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	r := cfsite.Route{Split: []cfsite.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[cf.ServiceName]int{}
 	for i := range 1000 {
@@ -82,7 +82,7 @@
 // seconds.
 // Sequence: entries lapse while the store is away; it returns; those whose
 // targets live are listed again within two seconds, the others are gone.
-func TestLapsedTargetsAreKeptForAWhile(t *testing.T) {
+func TestLapsedTargetsAreKeptForGracePeriod(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	a, b := cf.Target{ID: "a", Service: "x"}, cf.Target{ID: "b", Service: "x"}
 	s.ReplaceTargets([]cf.Target{a, b}, 10, 0)
@@ -104,7 +104,7 @@
 }
 
 // Weight versions that trainers name only rise.
-func TestNamedVersionsOnlyRise(t *testing.T) {
+func TestWeightVersionsOnlyRise(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	for i, v := range []cf.WeightVersion{2, 4, 3} {
 		_, _ = s.ApplyWeightVersion(cfstandin.Record("m", cf.Revision(i+1), cf.ModelState{Name: "m", Version: v}))
@@ -119,7 +119,7 @@
 
 // A change of weights alone is not passed on to the other instances: it would
 // wake all of them several times a second for nothing.
-func TestWeightsAloneAreNotRelayed(t *testing.T) {
+func TestWeightChangesAreNotRelayed(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "x", Models: []cf.ModelState{{Name: "m", Version: 1}}}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 1, target), 0)
