--- a/core/cfaccess/cfaccess.go
+++ b/core/cfaccess/cfaccess.go
@@ -52,17 +52,17 @@
 // none: which one counts would be a guess. An instance that can't tell whether its
 // configuration is current refuses no key for good, since the key may have been added
 // meanwhile; and it believes those that it knows only as long as View says.
-func (d *Directory) Authenticate(keys []cf.APIKey, use Use, view ConfigFreshness) (Verdict, cf.Access) {
+func (d *Directory) Authenticate(keys []cf.APIKey, use Use, freshness ConfigFreshness) (Verdict, cf.Access) {
 	if d == nil {
 		return Accepted, cf.Access{} // the deployment keeps no organisations
 	}
 	o, found := d.lookup(keys)
 	switch {
-	case found && (view.KeysTrusted || use.Public):
+	case found && (freshness.KeysTrusted || use.Public):
 		return Accepted, cf.Access{Organisation: o.Name, Priority: effectivePriority(o, use), Ranked: true}
 	case use.Public:
 		return Accepted, cf.Access{Priority: effectivePriority(entry{}, use), Ranked: true}
-	case found || !view.Current:
+	case found || !freshness.Current:
 		return Undetermined, cf.Access{}
 	default:
 		return Rejected, cf.Access{}
--- a/core/cfaccess/table.go
+++ b/core/cfaccess/table.go
@@ -18,8 +18,8 @@
 
 func (t *shardedMap[K, V]) edit() *shardEditor[K, V] { return &shardEditor[K, V]{table: *t} }
 
-// shardMap returns a part that may be changed.
-func (e *shardEditor[K, V]) shardMap(shard int) map[K]V {
+// writableShard returns a part that may be changed.
+func (e *shardEditor[K, V]) writableShard(shard int) map[K]V {
 	if !e.copied[shard] {
 		e.table[shard], e.copied[shard] = maps.Clone(e.table[shard]), true
 	}
@@ -29,15 +29,15 @@
 	return e.table[shard]
 }
 
-func (e *shardEditor[K, V]) remove(shard int, k K) { delete(e.shardMap(shard), k) }
+func (e *shardEditor[K, V]) remove(shard int, k K) { delete(e.writableShard(shard), k) }
 
 // add adds a value; it returns the one that is there already, if any.
 func (e *shardEditor[K, V]) add(shard int, k K, v V) (V, bool) {
-	shardMap := e.shardMap(shard)
-	if existing, taken := shardMap[k]; taken {
+	m := e.writableShard(shard)
+	if existing, taken := m[k]; taken {
 		return existing, true
 	}
-	shardMap[k] = v
+	m[k] = v
 	var zero V
 	return zero, false
 }
--- a/core/cfquarantine/evidence.go
+++ b/core/cfquarantine/evidence.go
@@ -6,8 +6,8 @@
 	cf "currantford"
 )
 
-// Answered takes the end of a send that a target answered. It returns what other
-// instances must hear of.
+// Answered ends a send that the target answered. It returns the strikes that other instances must
+// receive.
 func (t *Table) Answered(k Key, target Incarnation, sent, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,36 +27,36 @@
 	return updates
 }
 
-// noteAlive notes that a target was heard of: it has answered what it was sent after a loss. It
-// may still be another start under the same id, which the instance list will tell.
+// noteAlive records that a target answered a request that was sent after a loss. The answer may
+// still come from another incarnation under the same id, which the instance list will show.
 func (t *Table) noteAlive(target Incarnation, sent, now cf.Millis) {
 	if t.strikesAt[target] == 0 {
 		return
 	}
 	for _, s := range t.suspects {
 		for i := range s.strikes {
-			if st := &s.strikes[i]; st.Target == target && st.pos < sent && st.aliveAt == 0 && !st.replaced {
+			if st := &s.strikes[i]; st.Target == target && st.lostAt < sent && st.aliveAt == 0 && !st.replaced {
 				st.aliveAt = now
 			}
 		}
 	}
 }
 
-// narrowScopes raises the standings of a suspect's strikes, and returns those that others must
-// hear of. t.mu is held.
+// narrowScopes narrows the scopes of a suspect's strikes, and returns those that other instances
+// must receive. t.mu is held.
 func (t *Table) narrowScopes(s *suspect, now cf.Millis, scopeOf func(*strike) Scope) []Strike {
 	var updates []Strike
 	changed := false
 	for i := range s.strikes {
 		st := &s.strikes[i]
-		to := scopeOf(st)
-		if to <= st.Scope {
+		scope := scopeOf(st)
+		if scope <= st.Scope {
 			continue
 		}
-		if to == Void {
+		if scope == Void {
 			t.decrementStrikes(st.Target)
 		}
-		st.Scope, changed = to, true
+		st.Scope, changed = scope, true
 		if st.shareable() {
 			updates = append(updates, st.export(now))
 		}
@@ -73,7 +73,8 @@
 	}
 }
 
-// suspectChanged takes a changed suspect into the sums and wakes who waits. t.mu is held.
+// suspectChanged updates the checksums after a change of a suspect and wakes waiting requests. t.mu
+// is held.
 func (t *Table) suspectChanged(s *suspect) {
 	t.checksums.xor(s.checksums)
 	s.checksums = Checksums{}
@@ -89,13 +90,12 @@
 	t.notify()
 }
 
-func (s *Checksums) xor(part Checksums) {
-	s.Held ^= part.Held
-	s.All ^= part.All
+func (s *Checksums) xor(other Checksums) {
+	s.Held ^= other.Held
+	s.All ^= other.All
 }
 
-// isHeld says whether the suspect has enough strikes that other instances know to be held
-// for some caller.
+// isHeld reports whether the suspect has enough shared strikes to be held for some caller.
 func (s *suspect) isHeld() bool {
 	n := 0
 	for i := range s.strikes {
@@ -106,21 +106,22 @@
 	return n >= maxCrashes
 }
 
-// Lost takes the end of a send to which a target gave no answer; alive says that it was
-// heard of after it was sent the request. The target is to be checked.
+// Lost ends a send to which the target gave no answer. aliveAfterSend reports that the target
+// showed activity after the request was sent to it. The target must then be checked.
 func (t *Table) Lost(k Key, target Incarnation, aliveAfterSend bool, now cf.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.addStrike(strike{
 		Strike: Strike{Content: k.Content, Caller: k.Caller, Target: target, SeenBy: t.self, Served: t.served.contains(k, now)},
-		pos:    now, state: lossUnchecked, aliveAfterSend: aliveAfterSend,
+		lostAt: now, state: lossUnchecked, aliveAfterSend: aliveAfterSend,
 	})
 	t.endSend(k, target)
 }
 
-// addStrike takes a strike that the table does not have, if there is room for it. It is news for
-// others only where it displaces none: two tables would else hand each other what each of them
-// has dropped. t.mu is held.
+// addStrike adds a strike that the table does not have, if there is room. It returns true, so that
+// the strike is passed on to other instances, only if no strike was evicted for it: otherwise two
+// full tables would keep sending each other the strikes that each of them has dropped. t.mu is
+// held.
 func (t *Table) addStrike(st strike) bool {
 	s := t.suspects[st.Content]
 	if s == nil {
@@ -137,8 +138,8 @@
 	if full && !t.evictStrike(s, &st) {
 		return false
 	}
-	pos, _ := slices.BinarySearchFunc(s.strikes, st.pos, func(x strike, pos cf.Millis) int {
-		if x.pos <= pos {
+	pos, _ := slices.BinarySearchFunc(s.strikes, st.lostAt, func(x strike, pos cf.Millis) int {
+		if x.lostAt <= pos {
 			return -1
 		}
 		return 1
@@ -151,12 +152,12 @@
 	return !full
 }
 
-// evictStrike makes room for a strike: one that does not count goes, or the first, as the latest
-// decide how long owed work pauses. Instances see the times of one moment in different orders,
-// so those do not displace each other. t.mu is held.
+// evictStrike makes room for a strike. It removes a strike that does not count, or else the first
+// one, since the latest strikes determine the pause of deferred work. Instances see the losses of
+// one crashWindow in different orders, so these do not evict each other. t.mu is held.
 func (t *Table) evictStrike(s *suspect, st *strike) bool {
 	i := slices.IndexFunc(s.strikes, func(x strike) bool { return x.Scope == Void || x.state >= targetReached })
-	if st.Scope == Void || i < 0 && st.pos <= s.strikes[0].pos+crashWindow {
+	if st.Scope == Void || i < 0 && st.lostAt <= s.strikes[0].lostAt+crashWindow {
 		return false
 	}
 	t.removeStrike(s, max(i, 0))
@@ -175,8 +176,9 @@
 	s.strikes = slices.Delete(s.strikes, i, i+1)
 }
 
-// Checked takes what a check of a target found: loss is how it is gone, empty if it took
-// a connection at checked or later. It returns what other instances must hear of.
+// Checked records the result of checking a target. loss tells how the target is gone; it is empty
+// if the target accepted a connection at checkedAt or later. Checked returns the strikes that other
+// instances must receive.
 func (t *Table) Checked(target Incarnation, checkedAt cf.Millis, loss Loss, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,22 +187,22 @@
 		case st.state != lossUnchecked:
 			return false
 		case loss == LossUnreachable && !st.aliveAfterSend:
-			// Its machine may have been lost before the request was sent, on a
-			// connection that was kept.
+			// The request was sent on an open connection, so its machine may have been lost before
+			// that.
 			st.state = lossInconclusive
 		case loss != "":
 			st.state, st.Loss = lossConfirmed, loss
-		case st.pos <= checkedAt:
+		case st.lostAt <= checkedAt:
 			st.state = targetReached
 		default:
-			return false // it may have gone since
+			return false // the target may have gone after the check
 		}
 		return true
 	})
 }
 
-// Replaced takes the word of the instance list that a target is gone, or has started
-// again, though it was not draining.
+// Replaced records that, according to the instance list, a target is gone or has restarted without
+// draining. It returns the strikes that other instances must receive.
 func (t *Table) Replaced(target Incarnation, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,7 +211,7 @@
 	}
 	return t.resolveLosses(target, now, func(st *strike) bool {
 		st.aliveAt, st.replaced = 0, true
-		if st.state == lossConfirmed || st.state == lossInconclusive || now-st.pos > replacementWindow {
+		if st.state == lossConfirmed || st.state == lossInconclusive || now-st.lostAt > replacementWindow {
 			return false
 		}
 		st.state, st.Loss = lossConfirmed, LossReplaced
@@ -217,7 +219,7 @@
 	})
 }
 
-// resolveLosses takes what has become known of the losses at a target. t.mu is held.
+// resolveLosses applies new information on the losses at a target. t.mu is held.
 func (t *Table) resolveLosses(target Incarnation, now cf.Millis, update func(*strike) bool) []Strike {
 	var updates []Strike
 	for _, s := range t.suspects {
@@ -239,7 +241,7 @@
 	return updates
 }
 
-// NeedsCheck says whether strikes wait for a check of their target.
+// NeedsCheck reports whether there are strikes at a target that wait for its check.
 func (t *Table) NeedsCheck(target Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -256,9 +258,10 @@
 	return false
 }
 
-// voidExplained voids the strikes that held suspects explain: whoever else ran at a target that
-// a held one has crashed was only there. It looks at crashes whose losses have all been
-// noted: of two that lost the same three targets neither explains the other. t.mu is held.
+// voidExplained voids the strikes that held suspects account for: any other request that ran at a
+// target which a held request crashed was a bystander. It considers crashes only after
+// attributionDelay, when all their losses have been recorded. Of two held requests that lost the
+// same three targets, neither accounts for the other. t.mu is held.
 func (t *Table) voidExplained(now cf.Millis) []Strike {
 	explained := map[Incarnation]bool{}
 	for _, s := range t.suspects {
@@ -289,7 +292,7 @@
 	return updates
 }
 
-// Release voids all strikes against a content, by hand.
+// Release voids all strikes against a content, on an operator's request.
 func (t *Table) Release(content Digest, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/cfquarantine/explore_test.go
+++ b/core/cfquarantine/explore_test.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxAttempts is how many targets one try of a caller may be sent to, hedgeAt when
-	// a second one is asked beside the first, in ms.
+	// maxAttempts is the number of targets that one attempt of a caller may be sent to. hedgeDelay
+	// is when a second target is asked in parallel with the first, in ms.
 	maxAttempts = 2
 	hedgeDelay  = 82
 	rounds      = 4
 )
 
 type (
-	// simulation plays instances that all receive a request which crashes its targets, in
-	// rounds, with the times of one schedule.
+	// simulation runs instances that all receive, in rounds, a request which crashes its targets.
+	// The times follow one schedule.
 	simulation struct {
 		tables []*Table
 		key    Key
@@ -26,14 +26,14 @@
 		seq    int
 		now    cf.Millis
 		target int
-		// choose draws the next time from a few.
+		// choose selects the next time from a few alternatives.
 		choose      func(of ...cf.Millis) cf.Millis
 		crashes     []cf.Millis
 		sends       []cf.Millis
-		propagation cf.Millis // how long news take from one instance to another
+		propagation cf.Millis // time for strikes to reach another instance
 	}
 
-	// attempt is one try of a caller at an instance.
+	// attempt is one attempt of a caller at an instance.
 	attempt struct {
 		instance       int
 		sent, inFlight int
@@ -75,7 +75,7 @@
 	}
 }
 
-// send sends a try to one more target, if its instance's table lets it.
+// send sends an attempt to one more target, if the table of its instance admits it.
 func (f *simulation) send(a *attempt, hedge bool) {
 	if a.sent >= maxAttempts {
 		return
@@ -128,13 +128,13 @@
 		return
 	}
 	f.send(a, false)
-	if a.inFlight == 0 && !a.retried { // its caller tries once more, at another instance
+	if a.inFlight == 0 && !a.retried { // the caller retries once, at another instance
 		a.retried = true
 		f.after(60, func() { f.send(&attempt{instance: (a.instance + 1) % len(f.tables), retried: true}, false) })
 	}
 }
 
-// share hands news to all others, and they what is news to them.
+// share sends strikes to all other instances.
 func (f *simulation) share(from int, strikes []Strike) {
 	if len(strikes) == 0 {
 		return
@@ -147,8 +147,8 @@
 	}
 }
 
-// simulate returns the crashes of one schedule, and how many were sent later than all could
-// know of the third.
+// simulate runs one schedule. It returns the number of crashes, and the number of sends after all
+// instances could know of the third crash.
 func simulate(n int, propagation cf.Millis, choose func(of ...cf.Millis) cf.Millis) (crashes, late int) {
 	f := &simulation{key: keyOf("a", "x"), choose: choose, propagation: propagation}
 	for i := range n {
@@ -173,10 +173,11 @@
 	return len(f.crashes), late
 }
 
-// Every schedule of up to three instances that receive a request at the same moment, in
-// four rounds 5 s apart, each with a hedge and its caller's retry; times of a crash of 40
-// or 110 ms, news of 5 or 35 ms. Beyond three instances, 3,000 drawn schedules. What is
-// under way when the third crash becomes known crashes too; nothing is sent after it.
+// Checks that a request which crashes its targets costs a bounded number of targets when many
+// instances receive it at the same moment. Up to three instances run every schedule; more instances
+// run 3,000 random ones. Each schedule has four rounds, 5 s apart, each with a hedge and a retry by
+// the caller. Crashes take 40 or 110 ms, and strikes take 5 or 35 ms to reach the other instances.
+// The sends in flight when the third crash becomes known crash too; nothing may be sent after it.
 func TestCrashesAreBoundedAcrossInstances(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		worst, schedules := 0, 0
@@ -186,7 +187,7 @@
 				crashes, late := simulate(n, propagation, choose)
 				worst = max(worst, crashes)
 				if late > 0 {
-					t.Errorf("%d instances, news of %d ms: %d sends after all could know of the third crash", n, propagation, late)
+					t.Errorf("%d instances, propagation of %d ms: %d sends after all could know of the third crash", n, propagation, late)
 				}
 				return !t.Failed()
 			})
@@ -198,7 +199,8 @@
 	}
 }
 
-// forEachSchedule calls do with every schedule for a few instances, with drawn ones for many.
+// forEachSchedule calls do with every schedule if there are up to three instances, and with random
+// ones otherwise.
 func forEachSchedule(n int, do func(draw func(of ...cf.Millis) cf.Millis) bool) {
 	if n > 3 {
 		state := uint64(n)
--- a/core/cfquarantine/full_test.go
+++ b/core/cfquarantine/full_test.go
@@ -10,8 +10,8 @@
 	"currantford/core/cfquarantine"
 )
 
-// Guards against: strikes that instances hand round for ever, each of whose full tables drops
-// one for another and takes the first back later.
+// Guards against strikes that circulate between instances for ever: each instance with a full table
+// drops one strike for another, and later accepts the first again.
 func TestStrikePropagationTerminates(t *testing.T) {
 	const instances, strikes, maxMessages = 20, 24, 20_000
 	type message struct {
@@ -52,7 +52,7 @@
 				send(m.to, tables[m.to].Merge(m.strikes, now), now)
 			}
 			if len(queue) > 0 {
-				t.Fatalf("seed %d, %s: %d messages are under way after %d", seed, after, len(queue), n)
+				t.Fatalf("seed %d, %s: %d messages are in flight after %d were delivered", seed, after, len(queue), n)
 			}
 		}
 		key := cfquarantine.KeyOf("POST", "host", "/path", "caller", []byte("body"))
--- a/core/cfquarantine/good.go
+++ b/core/cfquarantine/good.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// servedCacheSize bounds the requests that are remembered as served, 64 KB: a popular
-	// one is among the last 4,096 of its instance.
+	// servedCacheSize bounds the number of requests that are remembered as served, in 64 KB: a
+	// popular request is among the last 4,096 of its instance.
 	servedCacheSize = 4096
-	// servedCacheTTL is how long that counts: as long as a suspicion does.
+	// servedCacheTTL is how long a completion is remembered: as long as the strikes against a
+	// suspect.
 	servedCacheTTL = suspectTTL
 )
 
 type (
-	// servedCache remembers which requests were run to their end here lately. Of two that
-	// meet in a slot the later one is remembered.
+	// servedCache remembers which requests completed here recently. If two requests share a slot,
+	// the later one is remembered.
 	servedCache struct{ slots []servedSlot }
 
 	servedSlot struct {
@@ -29,19 +30,19 @@
 	return binary.LittleEndian.Uint64(k.Content[:8]) ^ binary.LittleEndian.Uint64(k.Caller[:])
 }
 
-func (g *servedCache) add(k Key, now cf.Millis) {
-	if g.slots == nil {
-		g.slots = make([]servedSlot, servedCacheSize)
+func (c *servedCache) add(k Key, now cf.Millis) {
+	if c.slots == nil {
+		c.slots = make([]servedSlot, servedCacheSize)
 	}
 	tag := servedTag(k)
-	g.slots[tag%servedCacheSize] = servedSlot{tag, now}
+	c.slots[tag%servedCacheSize] = servedSlot{tag, now}
 }
 
-func (g *servedCache) contains(k Key, now cf.Millis) bool {
-	if g.slots == nil {
+func (c *servedCache) contains(k Key, now cf.Millis) bool {
+	if c.slots == nil {
 		return false
 	}
 	tag := servedTag(k)
-	s := g.slots[tag%servedCacheSize]
+	s := c.slots[tag%servedCacheSize]
 	return s.tag == tag && s.at > 0 && now-s.at < servedCacheTTL
 }
--- a/core/cfquarantine/key.go
+++ b/core/cfquarantine/key.go
@@ -11,15 +11,14 @@
 )
 
 type (
-	// Digest identifies what a target sees of a request. The request itself is
-	// neither kept nor sent nor logged for it.
+	// Digest identifies the part of a request that a target sees. The request itself is not stored,
+	// sent or logged for this purpose.
 	Digest [16]byte
 
-	// CallerDigest identifies who sends a request.
+	// CallerDigest identifies the caller of a request.
 	CallerDigest [8]byte
 
-	// Key names a request across the ids that its tries bear: its content, and
-	// its caller.
+	// Key identifies a request across the request ids of its retries, by content and caller.
 	Key struct {
 		Content Digest
 		Caller  CallerDigest
@@ -29,21 +28,21 @@
 // itemMethod is the method of items and of reward calls.
 const itemMethod = "POST"
 
-// KeyOf returns the key of a request. Every part counts with its length, so that
-// no two requests differ only in where one part ends.
+// KeyOf returns the key of a request. Every part is hashed with its length, so that requests which
+// differ only in where one part ends have different keys.
 func KeyOf(method, host, path, caller string, body []byte) Key {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(host), []byte(path), body} {
-		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part)))) // a hash takes everything
+		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part)))) // Write of a hash never fails
 		_, _ = h.Write(part)
 	}
 	callerSum := sha256.Sum256([]byte(caller))
 	return Key{Content: Digest(h.Sum(nil)[:16]), Caller: CallerDigest(callerSum[:8])}
 }
 
-// CallerOf returns who a request counts as the caller of: its organisation, so that a
-// caller gets no fresh tries by another of its keys or from another machine; where there
-// is none, what tells senders apart.
+// CallerOf returns the caller that a request is attributed to. It is the organisation, so that a
+// caller gains no extra attempts by using another of its keys or another machine. Without an
+// organisation it is the machine that sent the request.
 func CallerOf(a cf.Access, credentials cf.Credentials) string {
 	if a.Organisation != "" {
 		return organisationCaller(a.Organisation)
@@ -53,8 +52,8 @@
 
 func organisationCaller(o cf.Organisation) string { return "organisation " + string(o) }
 
-// KeyOfItem returns the key of an item of a batch. The batch's host stands for a caller
-// that belongs to no organisation.
+// KeyOfItem returns the key of an item of a batch. If the caller belongs to no organisation, the
+// host of the batch stands for the caller.
 func KeyOfItem(sub *cf.Submission, item cf.Item) Key {
 	caller := sub.Host
 	if o := sub.ID.Organisation(); o != "" {
@@ -68,27 +67,27 @@
 	return KeyOf(itemMethod, call.Host, call.Path, call.Host, call.Body)
 }
 
-// String returns the digest as logs and operators write it.
+// String returns the hexadecimal form of the digest, as used in logs and by operators.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// String returns the digest as logs write it.
+// String returns the hexadecimal form of the digest, as used in logs.
 func (d CallerDigest) String() string { return hex.EncodeToString(d[:]) }
 
-// MarshalText writes a digest in JSON.
+// MarshalText encodes a digest for JSON.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a digest in JSON.
+// UnmarshalText decodes a digest from JSON.
 func (d *Digest) UnmarshalText(text []byte) error { return decodeHex(d[:], text) }
 
-// MarshalText writes a digest in JSON.
+// MarshalText encodes a digest for JSON.
 func (d CallerDigest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a digest in JSON.
+// UnmarshalText decodes a digest from JSON.
 func (d *CallerDigest) UnmarshalText(text []byte) error { return decodeHex(d[:], text) }
 
 func decodeHex(dst, text []byte) error {
 	if len(text) != 2*len(dst) {
-		return eris.Wrapf(cf.ErrInvalid, "%q is no digest of %d hexadecimal digits", text, 2*len(dst))
+		return eris.Wrapf(cf.ErrInvalid, "%q is not a digest of %d hexadecimal digits", text, 2*len(dst))
 	}
 	if _, err := hex.Decode(dst, text); err != nil {
 		return eris.Wrapf(cf.ErrInvalid, "%q: %v", text, err)
@@ -96,7 +95,7 @@
 	return nil
 }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the form that String returns.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	err := d.UnmarshalText([]byte(s))
--- a/core/cfquarantine/owed.go
+++ b/core/cfquarantine/owed.go
@@ -5,38 +5,38 @@
 )
 
 const (
-	// initialPause is the pause of owed work after its last crash, once there are
-	// crashesMost. Each further crash doubles it, up to pauseMost: work that is at no
-	// target for 5 s counts as lost, and a check, a look and a placement take their part.
+	// initialPause is the pause of deferred work after its last crash, once there are maxCrashes.
+	// Each further crash doubles it, up to maxPause: work that is at no target for 5 s counts as
+	// lost, and a target check, a planning round and a placement take part of that time.
 	initialPause cf.Millis = 1000
 	maxPause     cf.Millis = 4000
-	// initialMaxRuns is how many runs a target may have with owed work after crashesMost
-	// crashes. Each further crash halves it, so that what keeps crashing its targets is
-	// alone after a few tries.
+	// initialMaxRuns is the most runs that a target may have, including the deferred work, after
+	// maxCrashes crashes. Each further crash halves it, so that work which keeps crashing its
+	// targets runs alone after a few retries.
 	initialMaxRuns = 4
-	// survivalTime is how long a send must have been under way for others of its content to
-	// be sent beside it. A request that crashes its targets does so within some 100 ms.
+	// survivalTime is how long a send must have been in flight before other sends of the same
+	// content may join it. A request that crashes its targets does so within about 100 ms.
 	survivalTime cf.Millis = 500
-	// separationPeriod is how long after a crash owed work avoids targets at which other strong
-	// suspects run.
+	// separationPeriod is how long after a crash deferred work avoids targets that run another
+	// suspect which is one crash from being held.
 	separationPeriod cf.Millis = 1000
 )
 
-// DeferredWork is what AdmitDeferred must know of a piece of work.
+// DeferredWork describes a piece of work to AdmitDeferred.
 type DeferredWork struct {
-	// Isolated: the target is set apart for it, or none can be.
+	// Isolated: the target is reserved for this work, or no target can be reserved.
 	Isolated bool
-	// WaitingSince is when it was last at a target, or came.
+	// WaitingSince is when the work was last at a target, or when it was submitted.
 	WaitingSince cf.Millis
 }
 
-// AdmitDeferred judges work that was handed in for later, as the items of batches and their
-// reward calls are. It is not held: after crashesMost crashes it pauses, and is then tried
-// again at a target that it has to itself or with a few others. Work that passes counts as
-// under way there until Answered, Lost or Dropped.
+// AdmitDeferred evaluates work that was submitted for later execution, such as the items of batches
+// and their reward calls. The work is not held: after maxCrashes crashes it pauses, and is then
+// retried at a target where it runs alone or beside a few others. Work that passes counts as in
+// flight there until Answered, Lost or Dropped is called.
 //
-// The load it answers: several targets end in a burst, each with all that it runs, and some
-// sound items meet them all. To hold these as a caller's request is held would lose them.
+// When several targets end in a burst, each with everything that it runs, some innocent items are
+// lost at every one of them. Holding these items as a caller's request is held would lose them.
 func (t *Table) AdmitDeferred(k Key, target Incarnation, work DeferredWork, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,9 +54,9 @@
 	return v
 }
 
-// evaluateDeferred is AdmitDeferred for any target. The pause follows from the strikes, so that another
-// instance which knows them goes on with it; crashes under equal work do not prolong it beyond
-// pauseMost after the work's own last run. t.mu is held.
+// evaluateDeferred is AdmitDeferred for any target. The pause is computed from the strikes, so that
+// another instance with the same strikes continues it. Crashes under equal work do not prolong it
+// beyond maxPause after this work's own last run. t.mu is held.
 func (t *Table) evaluateDeferred(k Key, work DeferredWork, now cf.Millis) Verdict {
 	if !t.synced {
 		return Verdict{Unsynced: true}
@@ -81,23 +81,24 @@
 	return Verdict{Wait: true}
 }
 
-// unprovenInFlight counts the sends of a content under way that may yet crash their targets, zero
-// where one has lasted or was run to its end since the last crash. t.mu is held.
+// unprovenInFlight counts the sends of a content in flight that may still crash their targets. It
+// returns zero if one of them has lasted for survivalTime, or if a request with the content has
+// completed since the last crash. t.mu is held.
 func (t *Table) unprovenInFlight(d Digest, now cf.Millis) int {
 	if s := t.suspects[d]; s != nil && s.lastCompleted > s.lastStrikeAt() {
 		return 0
 	}
 	n := 0
-	for _, sent := range t.inFlight[d] {
-		if now-sent.lastStart >= survivalTime {
+	for _, stats := range t.inFlight[d] {
+		if now-stats.lastStart >= survivalTime {
 			return 0
 		}
-		n += sent.n
+		n += stats.n
 	}
 	return n
 }
 
-// lastStrikeAt returns when the last strike against a content was. t.mu is held.
+// lastStrikeAt returns the time of the last strike against a content. t.mu is held.
 func (t *Table) lastStrikeAt(d Digest) cf.Millis {
 	if s := t.suspects[d]; s != nil {
 		return s.lastStrikeAt()
--- a/core/cfquarantine/owed_test.go
+++ b/core/cfquarantine/owed_test.go
@@ -6,7 +6,7 @@
 	cf "currantford"
 )
 
-// loseDeferred sends owed work that passes, and loses its target.
+// loseDeferred sends deferred work that passes, and loses its target.
 func loseDeferred(t *testing.T, table *Table, k Key, dst Incarnation, now cf.Millis) {
 	t.Helper()
 	if v := table.AdmitDeferred(k, dst, DeferredWork{Isolated: true, WaitingSince: now}, now); !v.Pass {
@@ -16,8 +16,8 @@
 	table.Checked(dst, now, LossRefused, now)
 }
 
-// Guards against: an item that is never sent again because targets crashed under it, and one that
-// crashes target after target without a pause.
+// Guards against an item that is never sent again because targets crashed under it, and against one
+// that crashes target after target without a pause.
 func TestDeferredWorkIsRetriedAfterPauses(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -28,21 +28,21 @@
 	for n := maxCrashes; n < 3*maxStrikes; n++ {
 		pause, maxRuns := []cf.Millis{1000, 2000, 4000}[min(n-maxCrashes, 2)], []int{4, 2, 1}[min(n-maxCrashes, 2)]
 		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < maxCrashes {
-			t.Fatalf("before its pause after %d crashes is over: %+v", n, v)
+			t.Fatalf("verdict 1 ms before the end of the pause after %d crashes: %+v", n, v)
 		}
 		lastCrash := now
 		now += pause
 		if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: lastCrash}, now); v.Pass || v.MaxRuns != maxRuns {
-			t.Fatalf("after %d crashes, at any target: %+v, want to be set apart with %d at most", n, v, maxRuns)
+			t.Fatalf("verdict at any target after %d crashes: %+v, want no pass and at most %d runs at the target", n, v, maxRuns)
 		}
 		if v := table.Admit(k, anywhere, now); v.Pass {
 			t.Fatalf("a caller's request of the same content passes after %d crashes: %+v", n, v)
 		}
 		if v := table.AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: lastCrash}, now); !v.Pass {
-			t.Fatalf("not tried after %d crashes: %+v", n, v)
+			t.Fatalf("not retried after %d crashes: %+v", n, v)
 		}
 		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: lastCrash}, now); !v.Wait {
-			t.Fatalf("two tries at once after %d crashes: %+v", n, v)
+			t.Fatalf("verdict on a second retry in parallel after %d crashes: %+v, want a wait", n, v)
 		}
 		table.Lost(k, target(n), true, now)
 		table.Checked(target(n), now, LossRefused, now)
@@ -51,12 +51,12 @@
 	table.AdmitDeferred(k, target(99), DeferredWork{Isolated: true, WaitingSince: now}, now)
 	table.Answered(k, target(99), now, now+30)
 	if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: now}, now+40); !v.Pass || v.MaxRuns != 0 {
-		t.Errorf("after it was run to its end: %+v", v)
+		t.Errorf("verdict after the work completed: %+v", v)
 	}
 }
 
-// Guards against: pauses that begin anew, or are forgotten, when another instance goes on with
-// the work. An item that crashes each target is sent to it at once whenever it may be.
+// Guards against pauses that restart, or are forgotten, when another instance continues the work.
+// The item crashes every target and is sent again as soon as it is admitted.
 func TestDeferredPausesSurviveInstanceChange(t *testing.T) {
 	const runTime, propagation = 100, 20
 	tables := []*Table{New("a"), New("b"), New("c")}
@@ -96,7 +96,8 @@
 	}
 }
 
-// Guards against: equal items of a step that wait for one another though one of them runs on.
+// Guards against equal items of a step that wait for one another although one of them keeps
+// running.
 func TestEqualDeferredWorkDoesNotWaitForCompletion(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -104,20 +105,20 @@
 		loseDeferred(t, table, k, target(n), 0)
 	}
 	if v := table.AdmitDeferred(k, target(5), DeferredWork{}, 10); !v.Pass {
-		t.Fatalf("none is sent: %+v", v)
+		t.Fatalf("the first item is not sent: %+v", v)
 	}
 	if v := table.AdmitDeferred(k, target(6), DeferredWork{}, 20); !v.Wait {
-		t.Errorf("a second one at once: %+v", v)
+		t.Errorf("verdict on a second item at once: %+v, want a wait", v)
 	}
 	for n := range 8 {
 		if v := table.AdmitDeferred(k, target(6+n), DeferredWork{}, 10+survivalTime); !v.Pass {
-			t.Errorf("others wait though one has lasted: %+v", v)
+			t.Errorf("other items wait although one has run for survivalTime: %+v", v)
 		}
 	}
 }
 
-// Guards against: an item that is never tried as short requests of another caller with its
-// content are always under way.
+// Guards against an item that is never retried because short requests of another caller with the
+// same content are always in flight.
 func TestDeferredWorkDoesNotWaitForOtherCallers(t *testing.T) {
 	const runTime, interval = 300, 100
 	table := New("e")
@@ -131,18 +132,18 @@
 			table.Answered(other, target(100+int((now-runTime)/interval)), now-runTime, now)
 		}
 		if v := table.Admit(other, dst, now); !v.Pass {
-			t.Fatalf("the other caller's request at %d: %+v", now, v)
+			t.Fatalf("the other caller's request does not pass at %d: %+v", now, v)
 		}
 		if table.AdmitDeferred(item, target(90), DeferredWork{Isolated: true, WaitingSince: 0}, now).Pass {
 			return
 		}
 	}
-	t.Error("the item was not tried for 5 s")
+	t.Error("the item was not retried within 5 s")
 }
 
-// Guards against: equal items that are at no target for 5 s, though all of them are sound. They
-// lose their targets one after the other; what was lost before the last seconds of the crashes
-// counts from there on.
+// Guards against equal, innocent items that are at no target for 5 s. They lose their targets one
+// after the other; the wait of items that were lost earlier than burstWindow before the last crash
+// is counted from burstWindow before it.
 func TestEqualDeferredWorkIsResentWithinFiveSeconds(t *testing.T) {
 	const interval, items, burstWindow = 50, 16, 3 * second
 	for crashes := maxCrashes; crashes <= items; crashes++ {
@@ -176,7 +177,7 @@
 	}
 }
 
-// Guards against: items that wait for an engine at which no other item runs that has lost two.
+// Guards against items that wait for an engine without any other item that has lost two engines.
 func TestDeferredWorkDoesNotWaitForOtherSuspects(t *testing.T) {
 	table := New("e")
 	a, b := keyOf("a", "x"), keyOf("a", "y")
@@ -186,9 +187,9 @@
 	}
 	table.AdmitDeferred(a, target(5), DeferredWork{}, 10)
 	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, 20); !v.OtherTarget {
-		t.Errorf("two suspects meet at once: %+v", v)
+		t.Errorf("verdict on a second suspect at the same target: %+v, want another target", v)
 	}
 	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, separationPeriod); !v.Pass {
-		t.Errorf("still waits for the other one's end: %+v", v)
+		t.Errorf("still kept apart from the other suspect after separationPeriod: %+v", v)
 	}
 }
--- a/core/cfquarantine/share.go
+++ b/core/cfquarantine/share.go
@@ -7,14 +7,14 @@
 	cf "currantford"
 )
 
-// Merge takes strikes that other instances share. It returns those that were news here,
+// Merge adds strikes that other instances have shared. It returns those that changed this table,
 // which are to be passed on.
 func (t *Table) Merge(in []Strike, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var updates []Strike
 	for _, st := range in {
-		// Who has served the request may have seen none of its losses.
+		// The instance that has served the request may have seen none of its losses.
 		st.Served = st.Served || t.served.contains(Key{st.Content, st.Caller}, now)
 		if t.mergeStrike(st, now) {
 			updates = append(updates, st)
@@ -23,7 +23,7 @@
 	return updates
 }
 
-// mergeStrike takes one strike; false if it changes nothing. t.mu is held.
+// mergeStrike merges one strike; it returns false if that changes nothing. t.mu is held.
 func (t *Table) mergeStrike(in Strike, now cf.Millis) bool {
 	in.Age, in.Scope = max(in.Age, 0), min(max(in.Scope, AllCallers), Void)
 	s := t.suspects[in.Content]
@@ -32,7 +32,7 @@
 		i = s.indexOf(&in)
 	}
 	if i < 0 {
-		return t.addStrike(strike{Strike: in, pos: now - in.Age})
+		return t.addStrike(strike{Strike: in, lostAt: now - in.Age})
 	}
 	st := &s.strikes[i]
 	changed := false
@@ -54,30 +54,31 @@
 	return changed
 }
 
-// SortHeldFirst returns strikes with those of held contents before the others.
+// SortHeldFirst returns the strikes ordered by the number of strikes that count against their
+// content, so that those of held contents come first.
 func (t *Table) SortHeldFirst(in []Strike) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rank := func(st Strike) int {
+	order := func(st Strike) int {
 		if s := t.suspects[st.Content]; s != nil {
 			return -s.activeStrikes()
 		}
 		return 0
 	}
 	out := slices.Clone(in)
-	slices.SortStableFunc(out, func(a, b Strike) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(out, func(a, b Strike) int { return order(a) - order(b) })
 	return out
 }
 
-// Checksums identify what this instance holds.
+// Checksums returns the checksums of the shared strikes of this instance.
 func (t *Table) Checksums() Checksums {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.checksums
 }
 
-// HeldStrikes returns the strikes of at most so many held contents, those struck last first,
-// and how many contents are held.
+// HeldStrikes returns the strikes of at most limit held contents, the most recently struck first,
+// and the number of all held contents.
 func (t *Table) HeldStrikes(limit int, now cf.Millis) ([]Strike, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,8 +86,8 @@
 	return exportAll(held[:min(limit, len(held))], now), len(held)
 }
 
-// StrikesByPriority returns the strikes of at most so many contents after the first few: those that
-// are held before others, and of these those struck last.
+// StrikesByPriority returns the strikes of at most limit contents after the first offset ones. Held
+// contents come before others, and among each the most recently struck come first.
 func (t *Table) StrikesByPriority(offset, limit int, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +96,8 @@
 	return exportAll(all[:min(limit, len(all))], now)
 }
 
-// suspectsByPriority returns the suspects in the order in which others are to hear of them.
+// suspectsByPriority returns the suspects in the order in which they are sent to other instances.
+// t.mu is held.
 func (t *Table) suspectsByPriority(heldOnly bool) []*suspect {
 	var out []*suspect
 	held := map[*suspect]int{}
@@ -121,8 +123,8 @@
 	return out
 }
 
-// ExchangeReply returns what an instance that holds other things must hear: what is foremost
-// here after the first few, and what is known of the contents it names.
+// ExchangeReply returns the strikes to send to an instance whose checksums differ: those of at most
+// limit contents from offset on, and those of the contents that its strikes name.
 func (t *Table) ExchangeReply(remote []Strike, offset, limit int, now cf.Millis) []Strike {
 	out := t.StrikesByPriority(offset, limit, now)
 	t.mu.Lock()
@@ -142,7 +144,7 @@
 	return out
 }
 
-// CountContents counts the contents that strikes are against.
+// CountContents counts the different contents that strikes are against.
 func CountContents(strikes []Strike) int {
 	seen := map[Digest]bool{}
 	for i := range strikes {
@@ -151,7 +153,7 @@
 	return len(seen)
 }
 
-// exportStrikes returns the strikes that are shared.
+// exportStrikes returns the strikes that are shared with other instances.
 func (s *suspect) exportStrikes(now cf.Millis) []Strike {
 	var out []Strike
 	for i := range s.strikes {
@@ -164,6 +166,6 @@
 
 func (s *strike) export(now cf.Millis) Strike {
 	out := s.Strike
-	out.Age = now - s.pos
+	out.Age = now - s.lostAt
 	return out
 }
--- a/core/cfquarantine/strike.go
+++ b/core/cfquarantine/strike.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// Incarnation names one start of a target.
+	// Incarnation identifies one start of a target.
 	Incarnation struct {
 		ID   cf.InstanceID `cbor:"id" json:"id"`
 		Born cf.Millis     `cbor:"born,omitempty" json:"born_ms,omitempty"`
@@ -17,11 +17,11 @@
 	// Loss tells how a target was found gone after it lost a request.
 	Loss string
 
-	// Scope is for whom a strike counts. It only rises, so instances that hear
-	// of its changes in different orders come to agree.
+	// Scope tells against which callers a strike counts. It only narrows (its value only grows), so
+	// instances that receive its changes in different orders converge.
 	Scope int
 
-	// Strike is evidence against a request: a target that ended while it had it.
+	// Strike is evidence against a request: a target ended while it had the request.
 	Strike struct {
 		Content Digest       `cbor:"content" json:"content"`
 		Caller  CallerDigest `cbor:"caller" json:"caller"`
@@ -29,78 +29,79 @@
 		Loss    Loss         `cbor:"loss" json:"loss"`
 		SeenBy  cf.EntryID   `cbor:"seen_by" json:"seen_by"`
 		Scope   Scope        `cbor:"standing,omitempty" json:"standing,omitempty"`
-		// Served: the caller's request had been run to its end lately, where the loss was
-		// seen or where it was heard of.
+		// Served reports that the caller's request had completed recently, either at the instance
+		// that saw the loss or at one that received the strike.
 		Served bool `cbor:"served,omitempty" json:"served,omitempty"`
-		// Age is how long ago the loss was seen, as of when the strike was handed
-		// out: instances' clocks differ.
+		// Age is the time between the loss and the export of the strike. It is relative because the
+		// clocks of instances differ.
 		Age cf.Millis `cbor:"age" json:"age_ms"`
 	}
 
-	// strike is a strike as a table holds it.
+	// strike is a Strike with the local state of a table.
 	strike struct {
 		Strike
-		pos   cf.Millis // Uptime at which the loss was seen
-		state lossState
-		// aliveAt is when the target was first heard of since, zero if it was not;
-		// ended says that it was listed as gone or started again.
+		lostAt cf.Millis // Uptime at which the loss was seen
+		state  lossState
+		// aliveAt is when the target first answered after the loss, zero if it has not; replaced
+		// reports that it was listed as gone or restarted.
 		aliveAt  cf.Millis
 		replaced bool
-		// aliveAfterSend: the target was heard of after it was sent the request.
+		// aliveAfterSend: the target showed activity after the request was sent to it.
 		aliveAfterSend bool
 	}
 
-	// lossState is what is not known yet of a loss. Strikes in doubt are not shared.
+	// lossState tells how far a loss has been verified. Only strikes with confirmed losses are
+	// shared.
 	lossState int
 )
 
-// Ways in which targets were found gone.
+// Ways in which a target is found gone.
 const (
-	// LossRefused: the target's machine refuses connections, so its process has ended.
+	// LossRefused: the target's machine refuses connections, so the target's process has ended.
 	LossRefused Loss = "refused"
-	// LossUnreachable: nothing answers at its address: its machine is gone, or a link is.
+	// LossUnreachable: nothing answers at the target's address, so the machine or a link is down.
 	LossUnreachable Loss = "silent"
-	// LossReplaced: it is not listed any more, or has started again since, though it
-	// was not draining.
+	// LossReplaced: the target is no longer listed, or has restarted since, although it was not
+	// draining.
 	LossReplaced Loss = "replaced"
 )
 
-// Standings of a strike.
+// Scopes of a strike, from the widest to the narrowest.
 const (
-	// AllCallers: for every caller of the same content.
+	// AllCallers: the strike counts against every caller of the content.
 	AllCallers Scope = iota
-	// SameCaller: for the caller whose request it was; the same content was run
-	// to its end for another.
+	// SameCaller: the strike counts only against the caller whose request was lost, because the
+	// content has completed for another caller.
 	SameCaller
-	// Void: not at all. The caller's request was run to its end since, or the
-	// target has answered since, or another request was the cause, or an operator
-	// has freed it.
+	// Void: the strike counts against no caller. The caller's request has completed since, the
+	// target has answered since, another request was the cause, or an operator has released the
+	// request.
 	Void
 )
 
 const (
 	// lossConfirmed: the target was found gone.
 	lossConfirmed lossState = iota
-	// lossUnchecked: the target has not been asked. What follows waits for that, here,
-	// where the next send may be the one too many.
+	// lossUnchecked: the target has not been checked yet. Further sends from this instance wait for
+	// the check if one of them could exceed the limit.
 	lossUnchecked
-	// targetReached: the target took a connection. The strike does not count, unless the
-	// target is gone soon after: it may have been its successor that did.
+	// targetReached: the target accepted a connection. The strike does not count, unless the target
+	// is listed as gone soon after: its successor may have accepted the connection.
 	targetReached
-	// lossInconclusive: it tells nothing, and is forgotten at the next look.
+	// lossInconclusive: the loss is no evidence; Sweep removes the strike.
 	lossInconclusive
 )
 
-// IncarnationOf returns the name of a target's present start.
+// IncarnationOf returns the current incarnation of a target.
 func IncarnationOf(t cf.Target) Incarnation { return Incarnation{t.ID, t.Born} }
 
-// sameLoss says whether two strikes are evidence of the same loss.
+// sameLoss reports whether two strikes are evidence of the same loss.
 func (s *Strike) sameLoss(o *Strike) bool {
 	return s.Content == o.Content && s.Caller == o.Caller && s.Target == o.Target
 }
 
-// countsAgainst says whether a strike speaks against requests of a caller, as far as it is for
-// itself to say.
+// countsAgainst reports whether a strike counts against requests of a caller, by its own scope and
+// state alone.
 func (s *strike) countsAgainst(c CallerDigest) bool {
 	if s.Scope == Void || s.state >= targetReached {
 		return false
@@ -108,16 +109,16 @@
 	return s.Scope == AllCallers || s.Caller == c
 }
 
-// shareable says whether other instances hear of the strike.
+// shareable reports whether the strike is sent to other instances.
 func (s *strike) shareable() bool { return s.state == lossConfirmed }
 
-// servedBit is added to the standing in a strike's sum.
+// servedBit is combined with the scope in a strike's checksum.
 const servedBit = 1 << 7
 
-// checksum identifies a strike, its standing, and whether its request had been served.
+// checksum identifies a strike, its scope, and whether its request had been served.
 func (s *strike) checksum() uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(s.Content[:]) // a hash takes everything
+	_, _ = h.Write(s.Content[:]) // Write of a hash never fails
 	_, _ = h.Write(s.Caller[:])
 	_, _ = h.Write([]byte(s.Target.ID))
 	raw := binary.LittleEndian.AppendUint64(nil, uint64(s.Target.Born))
--- a/core/cfquarantine/sweep.go
+++ b/core/cfquarantine/sweep.go
@@ -11,13 +11,13 @@
 	if len(s.strikes) == 0 {
 		return 0
 	}
-	return s.strikes[len(s.strikes)-1].pos
+	return s.strikes[len(s.strikes)-1].lostAt
 }
 
-// Sweep forgets what is over, and voids the strikes at targets that live, and those that
-// others explain. current says
-// that the instance list is: it would show their successors. It returns what other
-// instances must hear of.
+// Sweep drops expired strikes and suspects. It voids the strikes at targets that are alive, and
+// those that a held request accounts for. current reports that the instance list is up to date, so
+// that it would show restarted targets. Sweep returns the strikes that other instances must
+// receive.
 func (t *Table) Sweep(current bool, now cf.Millis) []Strike {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,13 +32,13 @@
 			})...)
 		}
 		for i := len(s.strikes) - 1; i >= 0; i-- {
-			if state := s.strikes[i].state; state == lossInconclusive || state == targetReached && now-s.strikes[i].pos > replacementWindow {
+			if state := s.strikes[i].state; state == lossInconclusive || state == targetReached && now-s.strikes[i].lostAt > replacementWindow {
 				t.removeStrike(s, i)
 			}
 		}
 		keep := suspectTTL
 		if n := s.activeStrikes(); n >= maxCrashes {
-			keep = 2 * holdDuration(n) // its trial may come late
+			keep = 2 * holdDuration(n) // the send on trial may come late
 		}
 		if len(s.strikes) == 0 || now-s.lastStrikeAt() > keep {
 			t.removeSuspect(d, s)
@@ -47,7 +47,7 @@
 	return updates
 }
 
-// activeStrikes counts the strikes that count for some caller.
+// activeStrikes counts the strikes that count against at least one caller.
 func (s *suspect) activeStrikes() int {
 	n := 0
 	for i := range s.strikes {
@@ -58,9 +58,9 @@
 	return n
 }
 
-// evictSuspect drops the suspect with the fewest strikes, of these the one that was struck
-// first: requests that each crash one target, as of a caller that changes a byte each
-// time, must not push out those that are held. t.mu is held.
+// evictSuspect drops the suspect with the fewest strikes and, among equals, the one whose last
+// strike is oldest. Requests that crash one target each, such as those of a caller that changes one
+// byte each time, must not displace the held ones. t.mu is held.
 func (t *Table) evictSuspect() {
 	var drop Digest
 	var least *suspect
@@ -82,7 +82,7 @@
 	delete(t.suspects, d)
 }
 
-// Empty says that there is no evidence against anything.
+// Empty reports whether there are no strikes against any request.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/cfquarantine/table.go
+++ b/core/cfquarantine/table.go
@@ -1,49 +1,51 @@
-// Package cfquarantine decides which requests may still be sent to targets: one under
-// which targets have crashed again and again is held. It makes no calls and has no clock
-// of its own.
+// Package cfquarantine decides which requests may still be sent to targets. A request under which
+// several targets have crashed is held: it is refused until a retry time. The package makes no
+// calls and has no clock of its own.
 //
-// The load it answers: a request that crashes each target that begins to run it comes
-// again and again, under new ids, at any instance; each round leaves a service without
-// targets for seconds. Beside it stand innocent requests, which lose their targets too:
-// those that ran beside it, those whose target was killed, replaced or cut off, and equal
-// requests of many callers, of which a crash of a whole failure domain meets several at
-// once.
+// The failure it guards against is a request that crashes every target that begins to run it. Such
+// a request is submitted again and again, under new ids and at any instance, and each round leaves
+// a service without targets for seconds. Innocent requests lose their targets at the same time:
+// requests that ran beside the faulty one; requests whose target was killed, replaced or cut off;
+// and equal requests of many callers, several of which are hit at once when a whole failure domain
+// crashes.
 //
-// What counts. A strike is one start of a target that was sent a request, gave no answer
-// and was found gone right after by a new connection. Three of them hold the request.
-// What tells the innocent from the guilty is that they are run to their end: that voids
-// the strikes of the caller's request, and leaves those of other callers to count for
-// these alone. A target that answers once more, and is not listed as started again, voids
-// the strikes that it gave (its link was cut). A request that is held for the same crashes explains them, and voids what
-// they gave to others.
+// Strikes. A strike records that one incarnation (one start) of a target was sent a request, gave
+// no answer and was found gone right after by a new connection. Three strikes hold the request.
+// Innocent requests are told apart because they complete: a completion voids the strikes of the
+// same caller's request, and makes the strikes of other callers with the same content count for
+// those callers alone. A target that answers again, and is not listed as restarted, voids the
+// strikes recorded at it, because only its link was cut. If a held request accounts for the same
+// crashes, the strikes that these crashes added to other requests are voided.
 //
-// Whose. Targets see no caller, so the same content of two callers should fare alike; but
-// as long as one caller's requests alone have crashed targets, another's may still run.
+// Callers. Targets do not see the caller, so the same content of two callers should be treated
+// alike. However, as long as only one caller's requests have crashed targets, another caller's
+// request may still run.
 //
-// What is told apart. A connection that a target closes while it lives, an answer that is
-// lost, a refusal, a drain: none is a strike, as the target is reached again. A link that
-// is cut: a strike until the target answers anyone. Begun or queued: a sender can't tell;
-// both count, and the queued ones are run to their end elsewhere.
+// Losses that are not strikes. After a connection that a live target closes, a lost answer, a
+// refusal or a drain, the target can be reached again, so none of these is a strike. A cut link is
+// a strike until the target answers any request. A sender can't tell whether a lost request was
+// running or queued at the target; both count, and queued requests complete elsewhere.
 //
-// Owed. Work that was handed in for later, as the items of batches and their reward calls are,
-// is not held. It is tried again after a pause of a few seconds, with few others or none at
-// its target, until it is done or its batch is over.
+// Deferred work. Work that was submitted for later execution, such as the items of batches and
+// their reward calls, is not held. It is retried after a pause of a few seconds, on a target that
+// runs few other requests or none, until it completes or its batch ends.
 //
-// At a start. An instance that has just started knows nothing, and any request may be one
-// that the others hold: it sends none before it has taken what they hold.
+// Startup. An instance that has just started has no evidence, and any request may be one that other
+// instances hold. It sends no request before it has merged the strikes of the requests held
+// elsewhere.
 //
 // Usage:
 //
 //	table := cfquarantine.NewUnsynced(self)
 //	table.Merge(heldByOthers, now)
-//	table.Inform()
+//	table.MarkSynced()
 //	v := table.Admit(key, target, now)
-//	v = table.AdmitDeferred(key, target, owed, now) // for items and reward calls
+//	v = table.AdmitDeferred(key, target, work, now) // for items and reward calls
 //	if v.Pass { ... send; then one of: }
-//	news := table.Answered(key, target, sentAt, now)
-//	table.Lost(key, target, now); news = table.Checked(target, checkedAt, loss)
+//	updates := table.Answered(key, target, sentAt, now)
+//	table.Lost(key, target, aliveAfterSend, now); updates = table.Checked(target, checkedAt, loss, now)
 //	table.Dropped(key, target)
-//	fresh := table.Merge(newsOfOthers, now)
+//	relay := table.Merge(updatesOfOthers, now)
 package cfquarantine
 
 import (
@@ -55,66 +57,70 @@
 )
 
 const (
-	// maxCrashes is how many targets may crash under a request before it is held.
-	// One crash in a row is bad luck, two may be; a service has three targets and
-	// more, and should not lose them all.
+	// maxCrashes is the number of targets that may crash under a request before it is held. One
+	// crash, or even two, can be a coincidence; a service has three targets or more and should not
+	// lose all of them.
 	maxCrashes = 3
-	// initialHold is how long a request is held. Callers come again for seconds and
-	// minutes; each further crash makes it four times as long, up to holdMost, so
-	// that a request which never gets well costs a target a day in the end.
+	// initialHold is how long a request is held first. Callers retry for seconds and minutes. Each
+	// further crash multiplies the time by four, up to maxHold, so that a request which never
+	// completes costs one target a day in the end.
 	initialHold cf.Millis = 10 * 60 * 1000
 	maxHold     cf.Millis = 24 * 60 * 60 * 1000
-	// suspectTTL is how long strikes are remembered that do not hold a request.
+	// suspectTTL is how long strikes are kept that do not hold a request.
 	suspectTTL cf.Millis = 10 * 60 * 1000
-	// crashWindow is the span in which crashes count as one for a request that was run to
-	// its end here before: a failure domain is lost at once, with all that it ran.
+	// crashWindow is the period in which crashes count as one for a request that has completed here
+	// before: a failure domain is lost at once, with everything that runs in it.
 	crashWindow cf.Millis = 1000
-	// replacementWindow is how soon after its loss a target must be gone for it to have
-	// been a crash: an entry lapses after three heartbeats.
+	// replacementWindow is how soon after a loss its target must be listed as gone for the loss to
+	// count as a crash: an entry lapses after three missed heartbeats.
 	replacementWindow cf.Millis = 10000
-	// restartDetection is how long after its first answer since a loss a target counts as the
-	// same start that it was: one that has started again is listed so within a
-	// heartbeat or two.
+	// restartDetection is how long after the first answer that follows a loss the target is taken
+	// to be the same incarnation: a restarted target is listed as such within one or two
+	// heartbeats.
 	restartDetection cf.Millis = 4000
-	// attributionDelay is how long after a crash the losses of all its requests are noted.
+	// attributionDelay is how long after a crash all requests that were lost in it have been
+	// recorded.
 	attributionDelay cf.Millis = 400
-	// trialJitter spreads the ends of a request's time over the instances, as a part of
-	// it: one of them tries, and the others hear what came of it.
+	// trialJitter spreads the end of a hold over the instances, as a fraction of the hold: one
+	// instance sends the request on trial, and the others receive the result.
 	trialJitter = 0.25
-	// maxSuspects and strikesMost bound the table, at about a kilobyte a suspect.
+	// maxSuspects and maxStrikes (per suspect) bound the table, which takes about a kilobyte per
+	// suspect.
 	maxSuspects = 1024
 	maxStrikes  = 8
 )
 
 type (
-	// Verdict is what may be done with a request now.
+	// Verdict tells what may be done with a request now.
 	Verdict struct {
-		// Pass: it may be sent, and counts as under way.
+		// Pass: the request may be sent, and counts as in flight.
 		Pass bool
-		// Wait: as many as may be are under way; their ends decide.
+		// Wait: as many sends as allowed are in flight or being checked; the request must wait for
+		// their results.
 		Wait bool
-		// OtherTarget: not at this target, where another suspect runs.
+		// OtherTarget: the request may not be sent to this target, where another suspect runs.
 		OtherTarget bool
-		// Unsynced: it is not known yet what other instances hold.
+		// Unsynced: the strikes of requests held by other instances are not known yet.
 		Unsynced bool
-		// RetryAt is when a held request may come back, or owed work is tried again; zero if
-		// neither holds.
+		// RetryAt is when a held request may be sent again, or deferred work is retried; zero if
+		// the request is neither held nor paused.
 		RetryAt cf.Millis
-		// MaxRuns is how many runs the target of owed work may have with it, zero for no bound.
+		// MaxRuns is the most runs that the target may have, including this one, if the work is
+		// deferred; zero for no limit.
 		MaxRuns int
-		// Strikes are the evidence against it.
+		// Strikes are the evidence against the request.
 		Strikes []Strike
 	}
 
-	// Table holds the evidence. It is safe for concurrent use.
+	// Table holds the strikes against requests. It is safe for concurrent use.
 	Table struct {
 		self cf.EntryID
 		mu   sync.Mutex
-		// synced: what other instances hold has been taken.
+		// synced: the strikes of requests held by other instances have been merged.
 		synced   bool
 		suspects map[Digest]*suspect
-		// inFlight are the sends without an end, by content and target.
-		inFlight map[Digest]map[Incarnation]sendCount
+		// inFlight holds the unfinished sends, by content and target.
+		inFlight map[Digest]map[Incarnation]sendStats
 		// strikesAt counts the strikes at each target that are not void.
 		strikesAt map[Incarnation]int
 		served    servedCache
@@ -122,44 +128,45 @@
 		changed   chan struct{}
 	}
 
-	// sendCount are those of a content to a target that have no end yet.
-	sendCount struct {
+	// sendStats describes the unfinished sends of one content to one target.
+	sendStats struct {
 		n         int
-		lastStart cf.Millis // when the latest of them began
+		lastStart cf.Millis // start time of the latest send
 	}
 
 	// suspect is a content with strikes against it.
 	suspect struct {
 		strikes []strike
-		// lastCompleted is when a request of it was last run to its end here, for any caller.
+		// lastCompleted is when a request with this content last completed here, for any caller.
 		lastCompleted cf.Millis
-		// checksums is its part of the table's sums.
+		// checksums is the suspect's contribution to the table's checksums.
 		checksums Checksums
 	}
 
-	// Checksums identify what a table holds: tables with equal sums hold the same.
+	// Checksums identify the strikes of a table: tables with equal checksums hold the same strikes.
 	Checksums struct {
-		Held uint64 `cbor:"held,omitempty"` // of the strikes against what is held
-		All  uint64 `cbor:"all,omitempty"`  // of all that is shared
+		Held uint64 `cbor:"held,omitempty"` // over the strikes of held contents
+		All  uint64 `cbor:"all,omitempty"`  // over all strikes that are shared with other instances
 	}
 )
 
-// New returns an instance's table, without evidence.
+// New returns an instance's table, without strikes.
 func New(self cf.EntryID) *Table {
 	t := NewUnsynced(self)
 	t.synced = true
 	return t
 }
 
-// NewUnsynced returns the table of an instance that has just started. It lets nothing pass
-// until Inform: any request may be one that the others hold.
+// NewUnsynced returns the table of an instance that has just started. No request passes until
+// MarkSynced is called, because any request may be one that other instances hold.
 func NewUnsynced(self cf.EntryID) *Table {
 	return &Table{
-		self: self, suspects: map[Digest]*suspect{}, inFlight: map[Digest]map[Incarnation]sendCount{}, strikesAt: map[Incarnation]int{}, changed: make(chan struct{}),
+		self: self, suspects: map[Digest]*suspect{}, inFlight: map[Digest]map[Incarnation]sendStats{}, strikesAt: map[Incarnation]int{}, changed: make(chan struct{}),
 	}
 }
 
-// MarkSynced notes that what other instances hold has been taken; false if it was before.
+// MarkSynced records that the strikes of requests held by other instances have been merged. It
+// returns false if that was recorded before.
 func (t *Table) MarkSynced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,15 +175,15 @@
 	return first
 }
 
-// Synced says whether what other instances hold has been taken.
+// Synced reports whether the strikes of requests held by other instances have been merged.
 func (t *Table) Synced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.synced
 }
 
-// Changed returns a channel that is closed at the next change of the evidence, or end of
-// a suspect's send.
+// Changed returns a channel that is closed at the next change of the strikes, or when the next send
+// of a suspect ends.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,15 +195,15 @@
 	t.changed = make(chan struct{})
 }
 
-// Evaluate says whether a request may be sent to some target.
+// Evaluate reports whether a request may be sent to any target.
 func (t *Table) Evaluate(k Key, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.evaluate(k, now)
 }
 
-// Admit judges a request that is about to be sent to a target. One that passes counts as
-// under way there until Answered, Lost or Dropped.
+// Admit evaluates a request that is about to be sent to a target. A request that passes counts as
+// in flight there until Answered, Lost or Dropped is called.
 func (t *Table) Admit(k Key, target Incarnation, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -210,18 +217,19 @@
 	return v
 }
 
-// startSend counts a send as under way. t.mu is held.
+// startSend records a send as in flight. t.mu is held.
 func (t *Table) startSend(k Key, target Incarnation, now cf.Millis) {
 	byTarget := t.inFlight[k.Content]
 	if byTarget == nil {
-		byTarget = map[Incarnation]sendCount{}
+		byTarget = map[Incarnation]sendStats{}
 		t.inFlight[k.Content] = byTarget
 	}
-	byTarget[target] = sendCount{byTarget[target].n + 1, now}
+	byTarget[target] = sendStats{byTarget[target].n + 1, now}
 }
 
-// evaluate is Judge with t.mu held. As long as it is not known whether a suspect crashes
-// targets, no more of it are under way than may crash one each.
+// evaluate is Evaluate with t.mu held. As long as it is not known whether a suspect crashes
+// targets, the number of its sends in flight is limited to the crashes that are left before it is
+// held.
 func (t *Table) evaluate(k Key, now cf.Millis) Verdict {
 	if !t.synced {
 		return Verdict{Unsynced: true}
@@ -235,15 +243,15 @@
 	crashes, _ := s.countCrashes(k.Caller, served, false)
 	heldUntil := last + t.jitteredHold(k.Content, confirmed)
 	inFlight := 0
-	for _, sent := range t.inFlight[k.Content] {
-		inFlight += sent.n
+	for _, stats := range t.inFlight[k.Content] {
+		inFlight += stats.n
 	}
 	switch {
 	case confirmed >= maxCrashes && now < heldUntil:
 		return Verdict{RetryAt: heldUntil, Strikes: s.strikesAgainst(k.Caller, now)}
 	case confirmed < maxCrashes && crashes >= maxCrashes:
-		return Verdict{Wait: true} // for the checks of the targets
-	case crashes >= maxCrashes: // its time is over: one tries
+		return Verdict{Wait: true} // for the checks of the lost targets
+	case crashes >= maxCrashes: // the hold is over: one send on trial
 		return Verdict{Pass: inFlight == 0, Wait: inFlight > 0}
 	case crashes == 0 || served || inFlight < maxCrashes-crashes:
 		return Verdict{Pass: true}
@@ -252,9 +260,10 @@
 	}
 }
 
-// meetsSuspect says whether a strong suspect would meet another one at a target. Two that have
-// lost the same targets can't be told apart by a third that they lose together: the items
-// of a step that fill each engine beside the one that crashes it would be held with it.
+// meetsSuspect reports whether a send to target would place a suspect that is one crash from being
+// held beside another such suspect. Two requests that have lost the same targets can't be told
+// apart by a third target that they lose together: the items of a step that fill every engine
+// beside the item that crashes the engines would be held with it. t.mu is held.
 func (t *Table) meetsSuspect(k Key, target Incarnation) bool {
 	if !t.oneCrashFromHold(k.Content) {
 		return false
@@ -267,13 +276,13 @@
 	return false
 }
 
-// oneCrashFromHold says whether one more crash would hold a content. t.mu is held.
+// oneCrashFromHold reports whether one more crash would hold a content. t.mu is held.
 func (t *Table) oneCrashFromHold(d Digest) bool {
 	s := t.suspects[d]
 	return s != nil && s.activeStrikes() >= maxCrashes-1
 }
 
-// holdDuration returns how long a request is held after so many crashes.
+// holdDuration returns how long a request is held after a number of crashes.
 func holdDuration(crashes int) cf.Millis {
 	hold := initialHold
 	for ; crashes > maxCrashes && hold < maxHold; crashes-- {
@@ -282,43 +291,43 @@
 	return min(hold, maxHold)
 }
 
-// jitteredHold is holdFor at this instance.
+// jitteredHold returns holdDuration with the jitter of this instance.
 func (t *Table) jitteredHold(d Digest, crashes int) cf.Millis {
 	h := fnv.New32a()
-	_, _ = h.Write(append(d[:], t.self...)) // a hash takes everything
+	_, _ = h.Write(append(d[:], t.self...)) // Write of a hash never fails
 	fraction := float64(h.Sum32()) / (1 << 32)
 	hold := holdDuration(crashes)
 	return hold + cf.Millis(float64(hold)*trialJitter*fraction)
 }
 
-// countCrashes counts the crashes under a caller's requests, and says when the last was: those
-// that are proven, or those in doubt as well. Those of one moment count as one if the
-// request was served before.
+// countCrashes counts the crashes under a caller's requests and returns the time of the last one.
+// It counts confirmed losses, and those not yet checked as well unless confirmedOnly is set.
+// Crashes within one crashWindow count as one if the request was served before.
 func (s *suspect) countCrashes(c CallerDigest, served, confirmedOnly bool) (n int, last cf.Millis) {
 	severalCallers := s.countCallers() > 1
-	windowStart := cf.Millis(0) // of the moment
-	for i := range s.strikes {  // in the order of their times
+	windowStart := cf.Millis(0) // of the current crash window
+	for i := range s.strikes {  // ordered by time
 		st := &s.strikes[i]
 		if !st.countsAgainst(c) || st.Caller != c && !severalCallers || confirmedOnly && st.state != lossConfirmed {
 			continue
 		}
-		if !served || n == 0 || st.pos-windowStart > crashWindow {
+		if !served || n == 0 || st.lostAt-windowStart > crashWindow {
 			n++
-			windowStart = st.pos
+			windowStart = st.lostAt
 		}
-		last = st.pos
+		last = st.lostAt
 	}
 	return n, last
 }
 
-// servedToCaller says whether a caller's request had been run to its end at an instance that knows of
-// its losses: one that has just started has served nothing itself.
+// servedToCaller reports whether a caller's request had completed at any instance that knows of its
+// losses: an instance that has just started has completed no request itself.
 func (s *suspect) servedToCaller(c CallerDigest) bool {
 	return slices.ContainsFunc(s.strikes, func(st strike) bool { return st.Caller == c && st.Served })
 }
 
-// countCallers counts the callers whose requests have crashed targets, as far as these strikes
-// count for all.
+// countCallers counts the callers whose requests have crashed targets, over the strikes that count
+// for all callers.
 func (s *suspect) countCallers() int {
 	seen := map[CallerDigest]bool{}
 	for i := range s.strikes {
@@ -340,19 +349,19 @@
 	return out
 }
 
-// Dropped takes the end of a send that tells nothing: it was not run, or given up here.
+// Dropped ends a send that gives no evidence: the request was not run, or it was cancelled here.
 func (t *Table) Dropped(k Key, target Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.endSend(k, target)
 }
 
-// endSend takes a send from those under way. t.mu is held.
+// endSend removes a send from those in flight and wakes waiting requests. t.mu is held.
 func (t *Table) endSend(k Key, target Incarnation) {
 	if byTarget := t.inFlight[k.Content]; byTarget != nil {
-		if left := byTarget[target]; left.n > 1 {
-			left.n--
-			byTarget[target] = left
+		if stats := byTarget[target]; stats.n > 1 {
+			stats.n--
+			byTarget[target] = stats
 		} else {
 			delete(byTarget, target)
 		}
--- a/core/cfquarantine/table_test.go
+++ b/core/cfquarantine/table_test.go
@@ -9,7 +9,7 @@
 
 const second cf.Millis = 1000
 
-// anywhere is a target that nothing is lost at.
+// anywhere is a target at which nothing is lost.
 var anywhere = target(-1)
 
 func target(n int) Incarnation { return Incarnation{ID: cf.InstanceID(fmt.Sprint("t", n))} }
@@ -26,7 +26,7 @@
 	table.Checked(dst, now, LossRefused, now)
 }
 
-// passes sends a request that is dropped.
+// passes reports whether a request may be sent, and drops the send.
 func passes(table *Table, k Key, now cf.Millis) bool {
 	v := table.Admit(k, anywhere, now)
 	if v.Pass {
@@ -35,7 +35,7 @@
 	return v.Pass
 }
 
-// A request is held after its third crash and no sooner; others are not.
+// A request is held after its third crash and not before; other requests are not held.
 func TestThirdCrashHoldsARequest(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -44,7 +44,7 @@
 	}
 	v := table.Admit(k, anywhere, 300)
 	if v.Pass || v.RetryAt < 200+initialHold || len(v.Strikes) != 3 {
-		t.Errorf("after three crashes: %+v", v)
+		t.Errorf("verdict after three crashes: %+v", v)
 	}
 	if !passes(table, keyOf("a", "y"), 300) {
 		t.Error("another request of the caller is held")
@@ -54,46 +54,45 @@
 	}
 }
 
-// Symptom: a service loses all its targets to one request that is sent to each of them
-// at once.
-// Sequence: retries and hedges of equal requests are under way when the first crashes.
-// Cause guarded against: a count of crashes alone says nothing of those to come.
+// Guards against a service that loses all its targets to one request because the request is sent to
+// each of them at once: retries and hedges of equal requests are in flight when the first one
+// crashes its target. A count of past crashes alone does not include those to come.
 func TestInFlightSendsAreBoundedByRemainingCrashes(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	crash(t, table, k, target(0), 0)
 	if v := table.Admit(k, anywhere, 1); !v.Pass {
-		t.Errorf("after one crash one may run: %+v", v)
+		t.Errorf("verdict on the first send after one crash: %+v, want a pass", v)
 	}
 	if v := table.Admit(k, anywhere, 1); !v.Pass {
-		t.Errorf("after one crash two may run: %+v", v)
+		t.Errorf("verdict on the second send after one crash: %+v, want a pass", v)
 	}
 	if v := table.Admit(k, anywhere, 1); !v.Wait {
-		t.Errorf("after one crash a third waits: %+v", v)
+		t.Errorf("verdict on the third send after one crash: %+v, want a wait", v)
 	}
 	changed := table.Changed()
 	table.Lost(k, target(1), true, 2)
 	select {
 	case <-changed:
 	default:
-		t.Error("who waits is not woken by a crash")
+		t.Error("waiting requests are not woken by a crash")
 	}
 	if v := table.Admit(k, anywhere, 2); !v.Wait {
-		t.Errorf("after two crashes, with one under way, the next waits: %+v", v)
+		t.Errorf("verdict after two crashes, with one send in flight: %+v, want a wait", v)
 	}
 	table.Lost(k, target(2), true, 3)
 	if v := table.Admit(k, anywhere, 3); !v.Wait {
-		t.Errorf("after three losses whose targets are being checked: %+v", v)
+		t.Errorf("verdict after three losses whose targets are being checked: %+v, want a wait", v)
 	}
 	table.Checked(target(1), 4, LossRefused, 5)
 	table.Checked(target(2), 4, LossRefused, 5)
 	if v := table.Admit(k, anywhere, 6); v.RetryAt == 0 {
-		t.Errorf("after three crashes: %+v", v)
+		t.Errorf("verdict after three crashes: %+v", v)
 	}
 }
 
-// Symptom: an innocent request is refused because its targets were lost three times.
-// Sequence: its targets are killed; it is run to its end between or after.
+// Guards against an innocent request that is refused because its targets were lost three times: the
+// targets are killed, and the request completes between the losses or after them.
 func TestCompletionVoidsStrikes(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -106,13 +105,12 @@
 		}
 	}
 	if !passes(table, k, 20*second) {
-		t.Error("held, though it was run to its end between its crashes")
+		t.Error("held, although it completed between its crashes")
 	}
 }
 
-// Symptom: a popular request is refused everywhere.
-// Sequence: a whole failure domain is lost, with three targets that run it.
-// Cause guarded against: the three crashes are one event, and the request was served
+// Guards against a popular request that is refused everywhere after a whole failure domain is lost
+// with three targets that run it. The three crashes are one event, and the request was served
 // before.
 func TestPopularRequestSurvivesFailureDomainLoss(t *testing.T) {
 	table := New("e")
@@ -131,7 +129,7 @@
 		}
 		defer table.Dropped(k, anywhere)
 	}
-	// Crashes at other moments, without a run to its end, do hold it.
+	// Crashes at other times, without a completion, do hold the request.
 	crash(t, table, k, target(10), 5*second)
 	crash(t, table, k, target(11), 9*second)
 	if passes(table, k, 10*second) {
@@ -139,9 +137,9 @@
 	}
 }
 
-// Symptom: requests are refused because the links to three targets were cut, or their
-// connections reset.
-// Sequence: connections end without an answer; new ones fail, later the targets answer.
+// Guards against requests that are refused because the links to three targets were cut, or their
+// connections reset: connections end without an answer, new ones fail, and later the targets
+// answer.
 func TestLiveTargetsAreNotEvidence(t *testing.T) {
 	t.Run("reached at once", func(t *testing.T) {
 		table := New("e")
@@ -150,14 +148,14 @@
 			table.Admit(k, target(n), 0)
 			table.Lost(k, target(n), true, cf.Millis(n))
 			if strikes := table.Checked(target(n), cf.Millis(n), "", cf.Millis(n)+2); len(strikes) > 0 {
-				t.Errorf("a loss at a target that lives is shared: %v", strikes)
+				t.Errorf("a loss at a live target is shared: %v", strikes)
 			}
 		}
 		if !passes(table, k, 10) {
-			t.Error("held, though every target was reached")
+			t.Error("held, although every target was reached")
 		}
 	})
-	t.Run("heard of later", func(t *testing.T) {
+	t.Run("answers later", func(t *testing.T) {
 		table := New("e")
 		k, other := keyOf("a", "x"), keyOf("a", "y")
 		for n := range 3 {
@@ -170,32 +168,32 @@
 		table.Answered(other, target(1), second, second+20)
 		table.Sweep(true, 2*second)
 		if passes(table, k, 2*second) {
-			t.Error("freed before the instance list can show a new start")
+			t.Error("released before the instance list can show a restart")
 		}
 		if voided := table.Sweep(true, second+20+restartDetection+1); len(voided) != 1 || voided[0].Scope != Void {
-			t.Errorf("a target that lives: %v", voided)
+			t.Errorf("strikes voided for a live target: %v, want one", voided)
 		}
 		if !passes(table, k, 7*second) {
-			t.Error("held by strikes of targets of which one lives")
+			t.Error("held by strikes at three targets, one of which is alive")
 		}
 	})
-	t.Run("started again under its id", func(t *testing.T) {
+	t.Run("restarted under its id", func(t *testing.T) {
 		table := New("e")
 		k, other := keyOf("a", "x"), keyOf("a", "y")
 		for n := range 3 {
 			crash(t, table, k, target(n), cf.Millis(n))
 		}
 		table.Admit(other, target(1), second)
-		table.Answered(other, target(1), second, second+20) // by its successor
+		table.Answered(other, target(1), second, second+20) // by the successor
 		table.Replaced(target(1), 2*second)
 		table.Sweep(true, 9*second)
 		if passes(table, k, 9*second) {
-			t.Error("freed by an answer of the target's successor")
+			t.Error("released by an answer of the target's successor")
 		}
 	})
-	t.Run("silent before the send", func(t *testing.T) {
-		// Machines go dark with connections open; requests are sent on these and wait
-		// in vain, at one target after the other.
+	t.Run("unreachable before the send", func(t *testing.T) {
+		// Machines stop responding while connections to them are open. The request is sent on these
+		// connections and gets no answer, at one target after the other.
 		table := New("e")
 		k := keyOf("a", "x")
 		for n := range 3 {
@@ -205,7 +203,7 @@
 			table.Replaced(target(n), 4*second)
 		}
 		if !passes(table, k, 5*second) {
-			t.Error("held by targets that may have been gone before")
+			t.Error("held by losses of targets that may have been gone before the send")
 		}
 	})
 	t.Run("gone soon after it was reached", func(t *testing.T) {
@@ -214,22 +212,22 @@
 		for n := range 3 {
 			table.Admit(k, target(n), 0)
 			table.Lost(k, target(n), true, 0)
-			table.Checked(target(n), 0, "", 2) // the successor takes connections already
+			table.Checked(target(n), 0, "", 2) // the successor already accepts connections
 		}
 		shared := 0
 		for n := range 3 {
 			shared += len(table.Replaced(target(n), second))
 		}
 		if shared != 3 || passes(table, k, 2*second) {
-			t.Errorf("targets that started again at once: %d strikes shared", shared)
+			t.Errorf("targets that restarted at once: %d strikes shared, want 3 and the request held", shared)
 		}
 	})
 }
 
-// Symptom: all items of a step are held, and the one that crashes its engines goes on.
-// Sequence: many items of equal content fill each engine beside the one; three engines
-// crash before any item is done.
-// Cause: both had lost the same engines, and which was held first explained the other.
+// Guards against holding all items of a step while the one item that crashes its engines continues.
+// Many items of equal content fill each engine beside that item, and three engines crash before any
+// item completes. Both contents have then lost the same engines, and the one that is held first
+// would account for the losses of the other.
 func TestSuspectsWithSameLossesAreSeparated(t *testing.T) {
 	table := New("e")
 	culprit, bystanders := keyOf("a", "x"), keyOf("a", "y")
@@ -243,29 +241,29 @@
 		table.Lost(bystanders, target(n), true, at+40)
 		table.Checked(target(n), at+41, LossRefused, at+42)
 	}
-	// The many run on at target 2.
+	// The bystanders keep running at target 2.
 	if v := table.Admit(culprit, target(2), 200); !v.OtherTarget {
-		t.Errorf("two that have lost the same targets meet at a third: %+v", v)
+		t.Errorf("verdict on a third target that runs a suspect with the same losses: %+v, want another target", v)
 	}
 	if v := table.Admit(culprit, target(3), 200); !v.Pass {
-		t.Errorf("not even alone: %+v", v)
+		t.Errorf("verdict on a target without other suspects: %+v, want a pass", v)
 	}
 	if v := table.Admit(bystanders, target(3), 200); v.Pass {
-		t.Error("they meet at a third after all")
+		t.Error("the bystanders are sent to the target that runs the culprit")
 	}
 	table.Lost(culprit, target(3), true, 240)
 	table.Checked(target(3), 241, LossRefused, 242)
 	if v := table.Evaluate(culprit, 300); v.RetryAt == 0 {
-		t.Errorf("the guilty one is not held: %+v", v)
+		t.Errorf("the culprit is not held: %+v", v)
 	}
 	table.Sweep(true, 242+attributionDelay)
 	if v := table.Evaluate(bystanders, 1000); !v.Pass {
-		t.Errorf("the others are not freed: %+v", v)
+		t.Errorf("the bystanders are not released: %+v", v)
 	}
 }
 
-// Symptom: a request that ran beside one that crashes targets is held as well.
-// Sequence: both lose two targets together; the third goes under one of them.
+// Guards against holding a request that ran beside one that crashes targets: both lose two targets
+// together, and the third target is lost under the other one alone.
 func TestCrashesAreAttributedToHeldRequest(t *testing.T) {
 	table := New("e")
 	culprit, bystander := keyOf("a", "x"), keyOf("b", "y")
@@ -279,15 +277,15 @@
 	table.Sweep(true, 3*second)
 	crash(t, table, bystander, target(3), 3*second)
 	if !passes(table, bystander, 4*second) {
-		t.Error("held by crashes that another request explains")
+		t.Error("held by crashes that a held request accounts for")
 	}
 	if passes(table, culprit, 4*second) {
-		t.Error("the other is not held")
+		t.Error("the culprit is not held")
 	}
 }
 
-// Symptom: a caller's request is refused because of another caller's.
-// Sequence: the same content crashes targets for one caller, and runs for another.
+// Guards against refusing a caller's request because of another caller's: the same content crashes
+// targets for one caller and completes for another.
 func TestStrikesOfOtherCallers(t *testing.T) {
 	table := New("e")
 	a, b, c := keyOf("a", "x"), keyOf("b", "x"), keyOf("c", "x")
@@ -295,14 +293,14 @@
 		crash(t, table, a, target(n), cf.Millis(n))
 	}
 	if passes(table, a, 10) {
-		t.Error("its own caller's is not held")
+		t.Error("the request of the crashing caller is not held")
 	}
 	if !passes(table, b, 10) {
-		t.Error("held though only one caller's requests crashed targets")
+		t.Error("held although only another caller's requests crashed targets")
 	}
 	crash(t, table, b, target(3), 20)
 	if passes(table, c, 30) {
-		t.Error("a third caller may crash a target more, though two callers' requests did")
+		t.Error("a third caller's request passes although two callers' requests crashed targets")
 	}
 	table = New("e")
 	for n := range 3 {
@@ -311,15 +309,15 @@
 	table.Admit(b, target(9), 10)
 	table.Answered(b, target(9), 10, 20)
 	if passes(table, a, 30) {
-		t.Error("freed by a run of another caller's")
+		t.Error("released by a completion of another caller's request")
 	}
 	crash(t, table, b, target(4), 40)
 	if !passes(table, c, 50) {
-		t.Error("held for all, though it ran for one")
+		t.Error("held for all callers although it completed for one")
 	}
 }
 
-// A request that moves from caller to caller is held after its third crash as well.
+// Requests with the same content from different callers are held after the third crash as well.
 func TestThirdCrashHoldsAcrossCallers(t *testing.T) {
 	table := New("e")
 	for n := range 3 {
@@ -330,8 +328,8 @@
 	}
 }
 
-// Symptom: one that was wrongly held is refused for ever, or one that is rightly held
-// costs a target a minute.
+// Guards against a wrongly held request that is refused for ever, and against a rightly held one
+// that costs a target every minute.
 func TestHoldDuration(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -342,14 +340,14 @@
 	for n := 3; n < 7; n++ {
 		v := table.Admit(k, anywhere, now+1)
 		if v.RetryAt < now+holdDuration(n) || v.RetryAt > now+holdDuration(n)*5/4 {
-			t.Fatalf("after %d crashes held for %d ms, want %d and a quarter more at most", n, v.RetryAt-now, holdDuration(n))
+			t.Fatalf("after %d crashes held for %d ms, want at least %d and at most a quarter more", n, v.RetryAt-now, holdDuration(n))
 		}
 		now = v.RetryAt
 		if v := table.Admit(k, target(n), now); !v.Pass {
-			t.Fatalf("no trial: %+v", v)
+			t.Fatalf("no send on trial: %+v", v)
 		}
 		if v := table.Admit(k, anywhere, now); !v.Wait {
-			t.Fatalf("two trials at once: %+v", v)
+			t.Fatalf("verdict on a second trial in parallel: %+v, want a wait", v)
 		}
 		table.Lost(k, target(n), true, now)
 		table.Checked(target(n), now, LossRefused, now)
@@ -358,16 +356,16 @@
 	table.Admit(k, target(99), now)
 	table.Answered(k, target(99), now, now+30)
 	if !passes(table, k, now+40) {
-		t.Error("still held after it was run to its end")
+		t.Error("still held after it completed")
 	}
 	table.Release(k.Content, now)
 	if !passes(table, k, now+50) {
-		t.Error("held after it was freed")
+		t.Error("held after its release")
 	}
 }
 
-// Symptom: memory or links fill up, or a held request is forgotten.
-// Sequence: a caller crashes targets with bodies that differ in a byte each.
+// Guards against memory or links that fill up, and against a held request that is dropped, when a
+// caller crashes targets with bodies that differ in one byte each.
 func TestTableStaysBounded(t *testing.T) {
 	table := New("e")
 	held := keyOf("a", "held")
@@ -381,10 +379,10 @@
 		t.Errorf("%d suspects, want %d at most", n, maxSuspects)
 	}
 	if n := len(table.strikesAt); n > maxSuspects*maxStrikes {
-		t.Errorf("%d targets noted", n)
+		t.Errorf("strikes counted at %d targets", n)
 	}
 	if passes(table, held, 30*second) {
-		t.Error("the one that is held was pushed out")
+		t.Error("the held request was evicted")
 	}
 	for n := range 100 {
 		table.Admit(held, target(100_000+n), 0)
@@ -395,12 +393,13 @@
 	}
 	table.Sweep(true, 30*second+3*maxHold)
 	if len(table.suspects)+len(table.strikesAt)+len(table.inFlight) != 0 || table.checksums != (Checksums{}) {
-		t.Errorf("left after all is over: %d suspects, %d targets, %d under way, sums %v",
+		t.Errorf("left after everything expired: %d suspects, %d targets, %d contents in flight, checksums %v",
 			len(table.suspects), len(table.strikesAt), len(table.inFlight), table.checksums)
 	}
 }
 
-// Guards against: a request that others hold, sent on by an instance that has just started.
+// Guards against a request that other instances hold and that an instance sends which has just
+// started.
 func TestUnsyncedInstanceSendsNothing(t *testing.T) {
 	a, b := New("a"), NewUnsynced("b")
 	held, healthy := keyOf("x", "1"), keyOf("y", "1")
@@ -411,29 +410,29 @@
 	}
 	for _, k := range []Key{held, healthy} {
 		if v := b.Admit(k, target(9), 100); v.Pass || !v.Unsynced || v.Wait {
-			t.Errorf("before it knows what is held: %+v", v)
+			t.Errorf("verdict before the strikes of others are merged: %+v, want unsynced", v)
 		}
 	}
 	strikes, _ := a.HeldStrikes(1, 200)
 	b.Merge(strikes, 200)
 	if v := b.Evaluate(healthy, 200); v.Pass {
-		t.Error("sends before it knows that it has heard all")
+		t.Error("sends before it is marked as synced")
 	}
 	if !b.MarkSynced() || b.MarkSynced() {
-		t.Error("it is informed once")
+		t.Error("MarkSynced does not return true exactly once")
 	}
 	if passes(b, held, 300) || !passes(b, healthy, 300) {
-		t.Error("informed, it holds what the others hold, and nothing else")
+		t.Error("a synced instance does not hold exactly what the others hold")
 	}
 }
 
-// Guards against: a popular request that is refused where nobody has served it since the start,
-// as several targets are lost at once.
+// Guards against a popular request that is refused by instances that have not served it since their
+// start, when several targets are lost at once.
 func TestServedStateIsSharedWithStrikes(t *testing.T) {
 	const lossTime = second
 	for _, c := range []struct {
 		name string
-		// served and sees are the instances that have served the request, and that see the
+		// served lists the instances that have served the request; sees lists those that see the
 		// losses of the three targets.
 		served []int
 		sees   [maxCrashes]int
@@ -457,7 +456,7 @@
 			tables[i].Lost(k, target(n), true, seen)
 			strikes = append(strikes, tables[i].Checked(target(n), seen, LossRefused, seen+2)...)
 		}
-		for len(strikes) > 0 { // as they are handed on
+		for len(strikes) > 0 { // until no instance passes strikes on
 			var next []Strike
 			for _, table := range tables {
 				next = append(next, table.Merge(strikes, lossTime+100)...)
@@ -469,13 +468,13 @@
 				t.Errorf("%s: passes %v at instance %d", c.name, got, i)
 			}
 			if table.Checksums() != tables[0].Checksums() {
-				t.Errorf("%s: instance %d does not agree: %v and %v", c.name, i, table.Checksums(), tables[0].Checksums())
+				t.Errorf("%s: instance %d has not converged: %v and %v", c.name, i, table.Checksums(), tables[0].Checksums())
 			}
 		}
 	}
 }
 
-// Instances that hear of the same strikes in any order, some twice, hold the same.
+// Instances that receive the same strikes in any order, some of them twice, converge.
 func TestInstancesConverge(t *testing.T) {
 	a, b, c := New("a"), New("b"), New("c")
 	k, other := keyOf("x", "1"), keyOf("y", "1")
@@ -489,15 +488,16 @@
 		b.Merge(strikes[len(strikes)-1-i:len(strikes)-i], 500)
 	}
 	if a.Checksums().Held == 0 || a.Checksums() != b.Checksums() {
-		t.Errorf("sums %v and %v of the same strikes", a.Checksums(), b.Checksums())
+		t.Errorf("checksums %v and %v of the same strikes", a.Checksums(), b.Checksums())
 	}
 	if again := b.Merge(strikes, 600); len(again) > 0 {
-		t.Errorf("news that were known are passed on: %v", again)
+		t.Errorf("known strikes are passed on: %v", again)
 	}
 	if passes(b, k, 600) {
 		t.Error("not held at another instance")
 	}
-	// The third has seen the request run for another caller, and hears of it late.
+	// The third instance has seen the request complete for another caller, and receives the strikes
+	// late.
 	c.Merge(strikes[:1], 100)
 	c.Admit(other, target(9), 200)
 	strikes = append(strikes, c.Answered(other, target(9), 200, 230)...)
@@ -505,10 +505,10 @@
 		table.Merge(strikes, 700)
 	}
 	if a.Checksums() != b.Checksums() || a.Checksums() != c.Checksums() {
-		t.Errorf("sums %v, %v and %v after all heard all", a.Checksums(), b.Checksums(), c.Checksums())
+		t.Errorf("checksums %v, %v and %v after all instances received all strikes", a.Checksums(), b.Checksums(), c.Checksums())
 	}
-	// One that holds nothing asks, and is answered with what is held, and with what is
-	// known of what it holds itself.
+	// An instance without strikes asks for an exchange. The reply contains the strikes of held
+	// contents, and those of the contents that the asking instance names.
 	d := New("d")
 	held, n := a.HeldStrikes(10, 800)
 	if n != 1 {
@@ -516,17 +516,17 @@
 	}
 	d.Merge(a.ExchangeReply(nil, 0, 10, 800), 800)
 	if d.Checksums() != a.Checksums() {
-		t.Error("an exchange does not bring the two to agree")
+		t.Error("two instances differ after an exchange")
 	}
 	a.Release(k.Content, 900)
 	d.Merge(a.ExchangeReply(held, 0, 10, 900), 900)
 	if !passes(d, k, 900) {
-		t.Error("held where the exchange shows that it was freed")
+		t.Error("held although the exchange shows that it was released")
 	}
 }
 
-// Guards against: instances that go on holding different requests, as each exchange shows the
-// same few.
+// Guards against instances that never converge because each exchange contains the same few
+// requests.
 func TestPartialExchangesConverge(t *testing.T) {
 	const held, limit = 40, 16
 	a, b := New("a"), New("b")
@@ -544,7 +544,7 @@
 	exchanges := 0
 	for offset := 0; a.Checksums() != b.Checksums(); offset += limit {
 		if exchanges++; exchanges > 2*held/limit {
-			t.Fatalf("no agreement after %d exchanges", exchanges)
+			t.Fatalf("instances differ after %d exchanges", exchanges)
 		}
 		ours := a.StrikesByPriority(offset, limit, 1000)
 		b.Merge(ours, 1000)
--- a/core/cfsite/confignews.go
+++ b/core/cfsite/confignews.go
@@ -60,7 +60,7 @@
 		mu sync.Mutex
 		// records are the last ones in force, the newest last.
 		records []cf.Record
-		data    map[updateKey][]byte
+		patches map[updateKey][]byte
 	}
 
 	updateKey struct{ base, rev cf.Revision }
@@ -77,57 +77,57 @@
 var ErrUpdateRejected = errors.New("configuration news not taken")
 
 // add takes a configuration that has come in force.
-func (t *configSource) add(r cf.Record) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.records) == maxConfigs {
-		oldest := t.records[0].Rev
-		t.records = slices.Clone(t.records[1:])
-		for k := range t.data {
+func (c *configSource) add(r cf.Record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.records) == maxConfigs {
+		oldest := c.records[0].Rev
+		c.records = slices.Clone(c.records[1:])
+		for k := range c.patches {
 			if k.rev == oldest || k.base == oldest {
-				delete(t.data, k)
+				delete(c.patches, k)
 			}
 		}
 	}
-	t.records = append(t.records, r)
+	c.records = append(c.records, r)
 }
 
 // record returns a configuration that is remembered. t.mu is held.
-func (t *configSource) record(rev cf.Revision) (cf.Record, bool) {
-	i := slices.IndexFunc(t.records, func(r cf.Record) bool { return r.Rev == rev })
+func (c *configSource) record(rev cf.Revision) (cf.Record, bool) {
+	i := slices.IndexFunc(c.records, func(r cf.Record) bool { return r.Rev == rev })
 	if i < 0 {
 		return cf.Record{}, false
 	}
-	return t.records[i], true
+	return c.records[i], true
 }
 
 // next returns the news for an instance, nil if it has the newest.
-func (t *configSource) next(held ConfigState) (*ConfigUpdate, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.records) == 0 {
+func (c *configSource) next(state ConfigState) (*ConfigUpdate, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.records) == 0 {
 		return nil, nil
 	}
-	newest := t.records[len(t.records)-1]
-	if held.Rev >= newest.Rev {
+	newest := c.records[len(c.records)-1]
+	if state.Rev >= newest.Rev {
 		return nil, nil
 	}
 	// What has begun is ended first: by newer ones alone an instance on a slow link would
 	// never have any.
-	k, offset := updateKey{held.Base, held.Next}, held.Bytes
-	data, inProgress := t.data[k]
-	if !inProgress || k.rev <= held.Rev || k.base != 0 && k.base != held.Rev || offset <= 0 || offset >= len(data) {
+	k, offset := updateKey{state.Base, state.Next}, state.Bytes
+	data, inProgress := c.patches[k]
+	if !inProgress || k.rev <= state.Rev || k.base != 0 && k.base != state.Rev || offset <= 0 || offset >= len(data) {
 		var err error
-		if k, offset = (updateKey{held.Rev, newest.Rev}), 0; k.base != 0 {
-			if _, known := t.record(k.base); !known {
+		if k, offset = (updateKey{state.Rev, newest.Rev}), 0; k.base != 0 {
+			if _, known := c.record(k.base); !known {
 				k.base = 0
 			}
 		}
-		if data, err = t.patch(k); err != nil {
+		if data, err = c.patch(k); err != nil {
 			return nil, err
 		}
 	}
-	r, _ := t.record(k.rev)
+	r, _ := c.record(k.rev)
 	return &ConfigUpdate{
 		Name: r.Name, Rev: k.rev, Base: k.base, Data: data[offset:min(offset+maxPartBytes, len(data))], Offset: offset, Size: len(data),
 		Latest: k.rev == newest.Rev,
@@ -135,20 +135,20 @@
 }
 
 // patch returns news, which are made once. t.mu is held.
-func (t *configSource) patch(k updateKey) ([]byte, error) {
-	if data, known := t.data[k]; known {
+func (c *configSource) patch(k updateKey) ([]byte, error) {
+	if data, known := c.patches[k]; known {
 		return data, nil
 	}
-	base, _ := t.record(k.base)
-	r, _ := t.record(k.rev)
+	base, _ := c.record(k.base)
+	r, _ := c.record(k.rev)
 	data, err := cfpatch.Pack(base.Spec, r.Spec)
 	if err != nil {
 		return nil, eris.Wrapf(err, "configuration at %d", k.rev)
 	}
-	if t.data == nil {
-		t.data = map[updateKey][]byte{}
+	if c.patches == nil {
+		c.patches = map[updateKey][]byte{}
 	}
-	t.data[k] = data
+	c.patches[k] = data
 	return data, nil
 }
 
@@ -160,14 +160,14 @@
 func (s *Site) ConfigState() ConfigState {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	held := ConfigState{Rev: s.configRecord.Rev}
+	state := ConfigState{Rev: s.configRecord.Rev}
 	if s.needFullConfig {
-		held.Rev = 0
+		state.Rev = 0
 	}
 	if p := s.partialConfig; len(p.data) > 0 {
-		held.Next, held.Base, held.Bytes = p.rev, p.base, len(p.data)
+		state.Next, state.Base, state.Bytes = p.rev, p.base, len(p.data)
 	}
-	return held
+	return state
 }
 
 // ApplyConfigUpdate takes a part of a configuration, and the configuration once it is whole,
--- a/core/cfsite/relay.go
+++ b/core/cfsite/relay.go
@@ -152,7 +152,7 @@
 	}
 	u := s.newUpdate()
 	for _, id := range ids {
-		if e, up := s.targets[id]; up && s.relay.sends(e.target.Service) {
+		if e, present := s.targets[id]; present && s.relay.sends(e.target.Service) {
 			u.Targets = append(u.Targets, withoutWeights(e.target))
 		} else {
 			u.Removed = append(u.Removed, id)
--- a/core/cfsite/site.go
+++ b/core/cfsite/site.go
@@ -350,7 +350,7 @@
 		return d
 	}
 	for _, id := range ids {
-		if e, up := s.targets[id]; up {
+		if e, present := s.targets[id]; present {
 			d.Targets = append(d.Targets, e.target)
 		} else {
 			d.Removed = append(d.Removed, id)
