--- a/core/cfsite/config.go
+++ b/core/cfsite/config.go
@@ -1,7 +1,6 @@
-// Package cfsite holds what an instance believes of its site: the
-// configuration in force, the targets with their drain state, and the weight
-// versions that trainers have named. It has no clock and no connections: the
-// watchers feed it records, the deciders read it.
+// Package cfsite holds an instance's view of its site: the configuration in force, the targets with
+// their drain state, and the weight versions that trainers have named. It has no clock and no
+// connections: watchers feed it records, and the decision logic reads it.
 //
 // Usage:
 //
@@ -18,10 +17,10 @@
 )
 
 type (
-	// ConfigVersion numbers configurations; a higher one replaces a lower.
+	// ConfigVersion numbers configurations; a higher one replaces a lower one.
 	ConfigVersion int64
 
-	// RouteKind says what may be repeated.
+	// RouteKind tells how often a request may run.
 	RouteKind int
 
 	// Config is one version of the operator's configuration.
@@ -30,8 +29,8 @@
 		Routes   []Route
 		Services []Service
 		Limits   Limits
-		// Organisations are those that callers belong to, nil where the deployment
-		// keeps none; Directory finds them by their keys.
+		// Organisations are those that callers belong to, nil if the deployment defines none.
+		// Directory finds them by their keys.
 		Organisations []cfaccess.Organisation
 		Directory     *cfaccess.Directory
 	}
@@ -43,28 +42,27 @@
 		Prefix string
 		Kind   RouteKind
 		Split  []Share
-		// Timeout is the longest time a request is kept waiting.
+		// Timeout is the longest time that a request is kept waiting.
 		Timeout cf.Millis
-		// SLO is the time in which an answer is worth most.
+		// SLO is the answer time objective; answers within it are worth most.
 		SLO         cf.Millis
-		MaxAttempts int // most targets that one attempt may be sent to
-		// MaxWait and SingleVersion concern batches: when an item may be
-		// given up, and whether one weight version must have produced a
-		// sample.
+		MaxAttempts int // limit on the targets that one attempt may be sent to
+		// MaxWait and SingleVersion concern batches: when an item may be given up, and whether a
+		// single weight version must have produced a sample.
 		MaxWait       cf.Millis
 		SingleVersion bool
-		// ResultsSLO is how long after a batch was handed in its results are
-		// needed, zero if that is not said.
+		// ResultsSLO is how long after the submission of a batch its results are needed, zero if
+		// unspecified.
 		ResultsSLO cf.Millis
-		// Resumable streams may go on at another target.
+		// Resumable streams may be continued at another target.
 		Resumable bool
-		// Public routes ask callers for no key.
+		// Public routes require no key from callers.
 		Public bool
 		// Priority ranks the route's requests, 0 first.
 		Priority int
 	}
 
-	// Share is one service of a split route.
+	// Share is one service of a split route, with its weight.
 	Share struct {
 		Service cf.ServiceName
 		Weight  float64
@@ -75,29 +73,29 @@
 		Name cf.ServiceName
 		// Models is set for model targets.
 		Models []cf.ModelName
-		// Scaling says which of them may be ordered, nil where none may.
+		// Scaling bounds the engines that may be ordered for the service, nil if none may be.
 		Scaling *Scaling
 	}
 
-	// Scaling bounds what is ordered of a service's engines.
+	// Scaling bounds the orders of a service's engines.
 	Scaling struct {
-		// Min and Max bound the engines of each failure domain, of both kinds together.
+		// Min and Max bound the engines of each failure domain, over both kinds together.
 		Min, Max int
 		// BootTime is how long after an order an engine is in service.
 		BootTime cf.Millis
-		// SpotPrice is the price of a reclaimable engine as a part of a firm one's, zero
-		// where there are none; DomainPrices multiply both.
+		// SpotPrice is the price of a reclaimable engine as a fraction of a firm one's, zero if
+		// there are none. DomainPrices are factors on both prices, by failure domain.
 		SpotPrice    float64
 		DomainPrices map[cf.FailureDomain]float64
 	}
 
-	// Limits bound what a caller may send.
+	// Limits bounds what a caller may send.
 	Limits struct {
 		BodyBytes   int64
 		IdleTimeout cf.Millis
 	}
 
-	// Kinds names the kinds of the store that others write.
+	// Kinds names the store's record kinds that other components write.
 	Kinds struct {
 		Config      string
 		Targets     string
@@ -105,7 +103,7 @@
 		Retirements string
 	}
 
-	// Codec decodes the records that others write.
+	// Codec decodes the records that other components write.
 	Codec interface {
 		Kinds() Kinds
 		Config(cf.Record) (Config, error)
@@ -121,14 +119,15 @@
 	KindOnce RouteKind = iota
 	// KindIdempotent requests may run more than once.
 	KindIdempotent
-	// KindStream answers are streams; they run at most once unless the
-	// route is resumable.
+	// KindStream requests are answered by streams; they run at most once unless the route is
+	// resumable.
 	KindStream
-	// KindBatch routes take batches.
+	// KindBatch routes accept batches.
 	KindBatch
 )
 
-// setDirectory sets the directory of the organisations, by that of the configuration before.
+// setDirectory sets the directory of the organisations, derived from that of the previous
+// configuration if there is one.
 func (c *Config) setDirectory(previous *Config) error {
 	if c.Organisations == nil {
 		return nil
@@ -142,8 +141,7 @@
 	return err
 }
 
-// Match returns the route of host whose prefix is the longest that begins
-// path.
+// Match returns the route of host with the longest prefix of path.
 func (c *Config) Match(host, path string) (Route, bool) {
 	best := -1
 	for i := range c.Routes {
@@ -161,7 +159,7 @@
 	return c.Routes[best], true
 }
 
-// PickService chooses a service of a split route; draw is uniform in [0, 1).
+// PickService selects a service of a split route by weight; draw is uniform in [0, 1).
 func (r *Route) PickService(draw float64) cf.ServiceName {
 	total := 0.0
 	for _, s := range r.Split {
@@ -179,16 +177,16 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Use returns what a request on the route asks for.
+// Use returns the access settings of the route for its requests.
 func (r *Route) Use() cfaccess.Use { return cfaccess.Use{Public: r.Public, Priority: r.Priority} }
 
-// Idempotent says whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindBatch || r.Kind == KindStream && r.Resumable
 }
 
 // ForwardedServices returns the services to which instances forward single requests. Items of
-// batches go to targets by the coordinator alone.
+// batches are sent to targets by the coordinator only.
 func (c *Config) ForwardedServices() map[cf.ServiceName]bool {
 	out := map[cf.ServiceName]bool{}
 	for _, r := range c.Routes {
--- a/core/cfsite/confignews.go
+++ b/core/cfsite/confignews.go
@@ -12,71 +12,73 @@
 )
 
 const (
-	// maxConfigs is how many configurations are remembered, the one in force among them: an
-	// instance that has one of them is told what differs.
+	// maxConfigs is how many configurations are kept, including the one in force: an instance that
+	// has one of them receives a patch against it.
 	maxConfigs = 4
-	// maxPartBytes is the most of a configuration that one answer brings, in bytes: answers to
-	// all that ask a weak instance must leave its link within the time of a call.
+	// maxPartBytes is the most bytes of a configuration update in one answer: the answers to all
+	// instances that ask must leave the link of an instance with low bandwidth within the time of a
+	// call.
 	maxPartBytes = 32 << 10
-	// maxConfigBytes bounds a configuration in bytes; the store's objects are smaller.
+	// maxConfigBytes bounds the size of a configuration; the store's objects are smaller.
 	maxConfigBytes = 16 << 20
 )
 
 type (
-	// ConfigState is what an instance has of configurations: the one in force, and the
-	// begin of the next one.
+	// ConfigState tells which configurations an instance has: the one in force, and the received
+	// part of the next one.
 	ConfigState struct {
-		// Rev is that of the configuration in force, zero if none is or if the next one
-		// can't be made of it.
+		// Rev is the revision of the configuration in force, zero if there is none or if an update
+		// can't be applied to it.
 		Rev cf.Revision `cbor:"rev"`
-		// Next, Base and Bytes are that of the news of which a part has arrived, none
-		// if Next is zero.
+		// Next, Base and Bytes are the revision, the base and the received bytes of a partially
+		// received update. Next is zero if there is none.
 		Next  cf.Revision `cbor:"next,omitempty"`
 		Base  cf.Revision `cbor:"base,omitempty"`
 		Bytes int         `cbor:"bytes,omitempty"`
 	}
 
-	// ConfigUpdate is a part of what brings an instance to another configuration.
+	// ConfigUpdate is a part of an update that takes an instance to another configuration.
 	ConfigUpdate struct {
 		Name string      `cbor:"name"`
 		Rev  cf.Revision `cbor:"rev"`
-		// Base is the configuration that the recipient has, zero if the news is whole.
+		// Base is the configuration that the update applies to, which the recipient has; zero if
+		// the update is complete by itself.
 		Base cf.Revision `cbor:"base,omitempty"`
-		// Data is the part that begins At bytes into the news of Size bytes.
+		// Data is the part that begins at Offset in the update of Size bytes.
 		Data   []byte `cbor:"packed"`
 		Offset int    `cbor:"at,omitempty"`
 		Size   int    `cbor:"size"`
-		// Latest says that there is no newer configuration.
+		// Latest reports that there is no newer configuration.
 		Latest bool `cbor:"newest,omitempty"`
 	}
 
-	// configSource makes news of the configurations in force. It is safe for concurrent
-	// use.
+	// configSource creates updates to the configurations in force. It is safe for concurrent use.
 	//
-	// The load it answers: a configuration of a thousand routes that changes several times
-	// a second, before a hundred instances that ask at once. Each gets what differs from
-	// what it has, made once for all, and goes on from what has arrived.
+	// It is built for a configuration of a thousand routes that changes several times a second,
+	// with a hundred instances that ask at once. Each instance receives a patch against the
+	// configuration that it has, which is computed once for all of them, and resumes a partially
+	// received update.
 	configSource struct {
 		mu sync.Mutex
-		// records are the last ones in force, the newest last.
+		// records holds the last configurations in force, the newest last.
 		records []cf.Record
 		patches map[updateKey][]byte
 	}
 
 	updateKey struct{ base, rev cf.Revision }
 
-	// partialUpdate is what has arrived of news.
+	// partialUpdate is the received part of an update.
 	partialUpdate struct {
 		updateKey
 		data []byte
 	}
 )
 
-// ErrUpdateRejected: a part of news does not follow what has arrived, or the configuration is
-// none that may come in force.
-var ErrUpdateRejected = errors.New("configuration news not taken")
+// ErrUpdateRejected is returned if a part of an update does not follow the received part, or if its
+// configuration may not come into force.
+var ErrUpdateRejected = errors.New("configuration update rejected")
 
-// add takes a configuration that has come in force.
+// add records a configuration that has come into force.
 func (c *configSource) add(r cf.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,7 @@
 	c.records = append(c.records, r)
 }
 
-// record returns a configuration that is remembered. t.mu is held.
+// record returns a configuration that is still kept. c.mu is held.
 func (c *configSource) record(rev cf.Revision) (cf.Record, bool) {
 	i := slices.IndexFunc(c.records, func(r cf.Record) bool { return r.Rev == rev })
 	if i < 0 {
@@ -101,7 +103,8 @@
 	return c.records[i], true
 }
 
-// next returns the news for an instance, nil if it has the newest.
+// next returns the next part of an update for an instance, or nil if it has the newest
+// configuration.
 func (c *configSource) next(state ConfigState) (*ConfigUpdate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,8 +115,8 @@
 	if state.Rev >= newest.Rev {
 		return nil, nil
 	}
-	// What has begun is ended first: by newer ones alone an instance on a slow link would
-	// never have any.
+	// An update in progress is completed first: if each newer configuration replaced it, an
+	// instance on a slow link would never complete any.
 	k, offset := updateKey{state.Base, state.Next}, state.Bytes
 	data, inProgress := c.patches[k]
 	if !inProgress || k.rev <= state.Rev || k.base != 0 && k.base != state.Rev || offset <= 0 || offset >= len(data) {
@@ -134,7 +137,7 @@
 	}, nil
 }
 
-// patch returns news, which are made once. t.mu is held.
+// patch returns the data of an update, which is computed once. c.mu is held.
 func (c *configSource) patch(k updateKey) ([]byte, error) {
 	if data, known := c.patches[k]; known {
 		return data, nil
@@ -152,11 +155,11 @@
 	return data, nil
 }
 
-// ConfigUpdate returns what an instance must hear of the configuration, nil if it has the one
-// in force here.
+// ConfigUpdate returns the next part of the configuration update for an instance, or nil if it has
+// the configuration in force here.
 func (s *Site) ConfigUpdate(held ConfigState) (*ConfigUpdate, error) { return s.configs.next(held) }
 
-// ConfigState returns what this instance has of configurations.
+// ConfigState returns which configurations this instance has.
 func (s *Site) ConfigState() ConfigState {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -170,9 +173,10 @@
 	return state
 }
 
-// ApplyConfigUpdate takes a part of a configuration, and the configuration once it is whole,
-// unless a newer one is in force. It returns whether one has come in force. News that can't
-// be taken are an error; after those that are damaged the whole configuration is asked for.
+// ApplyConfigUpdate adds a part of a configuration update. Once the update is complete, it puts the
+// configuration in force, unless a newer one is. It returns whether a configuration has come into
+// force. An update that can't be applied is an error; after a damaged one the full configuration is
+// requested.
 func (s *Site) ApplyConfigUpdate(u ConfigUpdate) (bool, error) {
 	r, complete, err := s.addConfigPart(u)
 	if err != nil || !complete {
@@ -180,22 +184,23 @@
 	}
 	changed, err := s.ApplyConfig(r)
 	if err == nil && s.ConfigRecord().Rev < u.Rev {
-		err = eris.Wrapf(ErrUpdateRejected, "an older version at %d", u.Rev)
+		err = eris.Wrapf(ErrUpdateRejected, "revision %d has an older version", u.Rev)
 	}
 	return changed, err
 }
 
-// addConfigPart adds a part to what has arrived. It returns the configuration if that is all of it.
+// addConfigPart adds a part to the received part of an update. It returns the configuration if the
+// update is complete.
 func (s *Site) addConfigPart(u ConfigUpdate) (r cf.Record, complete bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u.Rev <= s.configRecord.Rev {
 		s.partialConfig, s.needFullConfig = partialUpdate{}, false
-		return cf.Record{}, false, nil // this instance has watched the store itself
+		return cf.Record{}, false, nil // this instance has read the newer configuration from the store
 	}
 	if u.Base != 0 && u.Base != s.configRecord.Rev {
 		s.partialConfig = partialUpdate{}
-		return cf.Record{}, false, nil // it has changed since this instance asked
+		return cf.Record{}, false, nil // the configuration in force has changed since this instance asked
 	}
 	k := updateKey{u.Base, u.Rev}
 	if u.Offset == 0 {
@@ -203,7 +208,7 @@
 	}
 	if k != s.partialConfig.updateKey || u.Offset != len(s.partialConfig.data) || len(u.Data) == 0 {
 		s.partialConfig = partialUpdate{}
-		return cf.Record{}, false, eris.Wrapf(ErrUpdateRejected, "%d bytes at %d of %d to %d", len(u.Data), u.Offset, u.Base, u.Rev)
+		return cf.Record{}, false, eris.Wrapf(ErrUpdateRejected, "%d bytes at offset %d of the update from revision %d to %d", len(u.Data), u.Offset, u.Base, u.Rev)
 	}
 	s.partialConfig.data = append(s.partialConfig.data, u.Data...)
 	if len(s.partialConfig.data) < u.Size {
@@ -218,7 +223,7 @@
 	spec, err := cfpatch.Unpack(base, data, maxConfigBytes)
 	s.needFullConfig = err != nil
 	if err != nil {
-		return cf.Record{}, false, eris.Wrapf(err, "configuration at %d from %d", u.Rev, u.Base)
+		return cf.Record{}, false, eris.Wrapf(err, "configuration at revision %d from base revision %d", u.Rev, u.Base)
 	}
 	return cf.Record{Name: u.Name, Rev: u.Rev, Spec: spec}, true, nil
 }
--- a/core/cfsite/confignews_test.go
+++ b/core/cfsite/confignews_test.go
@@ -12,7 +12,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// manyRoutes returns a configuration of n routes; salt makes others of them.
+// manyRoutes returns a configuration of n routes; different salts give different routes.
 func manyRoutes(version cfsite.ConfigVersion, n int, salt uint64) cfsite.Config {
 	random := rand.New(rand.NewPCG(salt, 1))
 	c := cfsite.Config{Version: version}
@@ -33,7 +33,7 @@
 	}
 }
 
-// applyNext lets follower take one answer of source; it returns the answer.
+// applyNext applies the next answer of source to follower; it returns the answer.
 func applyNext(t *testing.T, source, follower *cfsite.Site) *cfsite.ConfigUpdate {
 	t.Helper()
 	update, err := source.ConfigUpdate(follower.ConfigState())
@@ -49,8 +49,9 @@
 	return update
 }
 
-// An instance that hears of configurations in parts, misses answers, watches the store itself
-// now and then and changes whom it asks always ends at the newest, and never goes back.
+// An instance that receives configurations in parts, misses answers, sometimes watches the store
+// itself and changes its source always ends at the newest configuration, and never goes back to an
+// older one.
 func TestConfigurationArrivesDespiteLostAnswers(t *testing.T) {
 	for seed := range uint64(24) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -92,7 +93,7 @@
 				}
 			case 3:
 				if random.IntN(4) == 0 {
-					sources[random.IntN(2)] = cfsite.New(cfstandin.Codec{}) // started again
+					sources[random.IntN(2)] = cfsite.New(cfstandin.Codec{}) // restarted
 				}
 			default:
 				step()
@@ -110,8 +111,8 @@
 	}
 }
 
-// Load: a configuration of thousands of routes that changes with each answer. An instance that
-// has none must get one all the same.
+// An instance without a configuration must receive one even while a configuration of thousands of
+// routes changes with every other answer.
 func TestConfigurationArrivesDuringFrequentChanges(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	config := manyRoutes(1, 5000, 1)
@@ -126,30 +127,30 @@
 		largest = max(largest, len(applyNext(t, source, follower).Data))
 	}
 	if answers > 8 || largest > 32<<10 {
-		t.Errorf("after %d answers of at most %d bytes it has one", answers, largest)
+		t.Errorf("the follower has a configuration only after %d answers of at most %d bytes", answers, largest)
 	}
 }
 
-// News that are damaged, or made for another base, are followed by the whole configuration.
+// An update that is damaged, or was made for another base, is followed by the full configuration.
 func TestInvalidConfigurationUpdateIsReplaced(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	apply(t, source, 1, manyRoutes(1, 100, 1))
-	apply(t, follower, 1, manyRoutes(1, 100, 2)) // as if the store had shown it something else
+	apply(t, follower, 1, manyRoutes(1, 100, 2)) // as if the store had returned another content
 	apply(t, source, 2, manyRoutes(2, 100, 1))
 	update, err := source.ConfigUpdate(follower.ConfigState())
 	if err != nil || update.Base != 1 {
-		t.Fatalf("news %+v, %v", update, err)
+		t.Fatalf("update %+v, error %v", update, err)
 	}
 	if _, err := follower.ApplyConfigUpdate(*update); err == nil {
-		t.Fatal("news of another base are taken")
+		t.Fatal("an update for another base is applied")
 	}
 	if update = applyNext(t, source, follower); update == nil || update.Base != 0 || follower.Config().Version != 2 || follower.ConfigState().Rev != 2 {
-		t.Errorf("news %+v, at version %d", update, follower.Config().Version)
+		t.Errorf("update %+v, at version %d", update, follower.Config().Version)
 	}
 }
 
-// A configuration that is written once more unchanged, or with an older version, makes no
-// instance ask for ever.
+// A configuration that is written again unchanged, or with an older version, makes no instance
+// request it for ever.
 func TestRewrittenConfigurationIsSentOnce(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	apply(t, source, 1, manyRoutes(5, 10, 1))
@@ -157,7 +158,7 @@
 	apply(t, source, 2, manyRoutes(5, 10, 1))
 	applyNext(t, source, follower)
 	if update := applyNext(t, source, follower); update != nil || follower.Config().Version != 5 {
-		t.Errorf("told again: %+v", update)
+		t.Errorf("sent again: %+v", update)
 	}
 	behind := cfsite.New(cfstandin.Codec{})
 	apply(t, behind, 3, manyRoutes(4, 10, 1))
@@ -166,11 +167,12 @@
 		t.Fatal(err)
 	}
 	if _, err := follower.ApplyConfigUpdate(*update); !errors.Is(err, cfsite.ErrUpdateRejected) || follower.Config().Version != 5 {
-		t.Errorf("an older version: %v, at version %d", err, follower.Config().Version)
+		t.Errorf("update to an older version: error %v, at version %d", err, follower.Config().Version)
 	}
 }
 
-// Cost of a change for the one that tells a hundred others.
+// BenchmarkConfigUpdate measures the cost of a change for an instance that sends updates to a
+// hundred others.
 func BenchmarkConfigUpdate(b *testing.B) {
 	config := manyRoutes(1, 1400, 1)
 	source := cfsite.New(cfstandin.Codec{})
--- a/core/cfsite/relay.go
+++ b/core/cfsite/relay.go
@@ -11,29 +11,30 @@
 )
 
 type (
-	// relay is what other instances must hear of: the targets of the services to which
-	// they forward requests. Those that only the coordinator uses are not part of it,
-	// nor are a target's weights. So what an instance hears and holds follows what it
-	// serves, and not the number of engines.
+	// relay holds the part of the view that other instances receive: the targets of the services to
+	// which they forward requests. It excludes targets that only the coordinator uses, and the
+	// weights of targets. The updates that an instance receives, and the targets that it stores,
+	// therefore depend on the services that it forwards to and not on the number of engines.
 	relay struct {
-		// count numbers the changes, next is closed at the next one.
+		// count is the number of changes; changed is closed at the next one.
 		count   int64
 		changed chan struct{}
 		log     cfchange.Log[cf.InstanceID]
-		// pending: a target has changed since the last count.
+		// pending reports that a target has changed since count was last increased.
 		pending bool
-		// forwarded are the services, nil before a configuration is known: then all are.
+		// forwarded holds the services that requests are forwarded to. It is nil before a
+		// configuration is known; all services are then included.
 		forwarded map[cf.ServiceName]bool
-		// checksums identify the targets of each service, whatever their order.
+		// checksums identify the targets of each service, regardless of their order.
 		checksums map[cf.ServiceName]uint64
 	}
 
-	// TargetUpdate is what has changed in the view of targets, or all of it.
+	// TargetUpdate contains the changes of the view of targets, or the full view.
 	TargetUpdate struct {
-		Count int64       `cbor:"count"` // of the changes, as of this
+		Count int64       `cbor:"count"` // change count as of this update
 		Rev   cf.Revision `cbor:"at"`
-		// Services are those whose targets are told, nil for all; Sum is that of their
-		// targets after this.
+		// Services are those whose targets are included, nil for all. Checksum is that of their
+		// targets after the update.
 		Services []cf.ServiceName `cbor:"services"`
 		Checksum uint64           `cbor:"sum"`
 		Full     bool             `cbor:"whole,omitempty"`
@@ -53,17 +54,17 @@
 	r.changed = make(chan struct{})
 }
 
-// flush notifies if a target has changed of which others must hear.
+// flush notifies if a target has changed that other instances receive.
 func (r *relay) flush() {
 	if r.pending {
 		r.notify()
 	}
 }
 
-// sends says whether others hear of a service's targets.
+// sends reports whether other instances receive the targets of a service.
 func (r *relay) sends(service cf.ServiceName) bool { return r.forwarded == nil || r.forwarded[service] }
 
-// noteChange records that a target changes with the change that is notified next.
+// noteChange records that a target is part of the next notified change.
 func (r *relay) noteChange(service cf.ServiceName, id cf.InstanceID) {
 	if r.sends(service) {
 		r.log.Append(r.count+1, id)
@@ -71,7 +72,7 @@
 	}
 }
 
-// services returns the services that others hear of, nil for all.
+// services returns the services whose targets other instances receive, nil for all.
 func (r *relay) services() []cf.ServiceName {
 	if r.forwarded == nil {
 		return nil
@@ -79,7 +80,7 @@
 	return slices.AppendSeq(make([]cf.ServiceName, 0, len(r.forwarded)), maps.Keys(r.forwarded))
 }
 
-// checksum returns the sum of the targets of services, of all if that is nil.
+// checksum returns the checksum of the targets of services, or of all targets if services is nil.
 func (r *relay) checksum(services []cf.ServiceName) uint64 {
 	sum := uint64(0)
 	if services == nil {
@@ -93,29 +94,29 @@
 	return sum
 }
 
-// setForwarded takes the services to which a new configuration lets requests go. The targets
-// of those that were not told of before are told with the next change.
+// setForwarded sets the services that requests are forwarded to under a new configuration. The
+// targets of services that were not included before become part of the next change. s.mu is held.
 func (s *Site) setForwarded(services map[cf.ServiceName]bool) {
 	previous := s.relay.forwarded
 	s.relay.forwarded = services
 	if previous == nil {
-		return // they were told of all
+		return // all targets were included
 	}
 	for service := range services {
 		if previous[service] {
 			continue
 		}
-		for _, t := range s.sortedTargets(maps.Keys(s.targetsOf[service])) {
+		for _, t := range s.sortedTargets(maps.Keys(s.serviceTargets[service])) {
 			s.relay.noteChange(service, t.ID)
 		}
 	}
 }
 
-// targetChecksum returns a target's part of its service's sum.
+// targetChecksum returns a target's contribution to the checksum of its service.
 func targetChecksum(t cf.Target) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{string(t.ID), string(t.Service), t.Addr, string(t.Domain)} {
-		_, _ = h.Write([]byte(s)) // a hash takes everything
+		_, _ = h.Write([]byte(s)) // Write of a hash never fails
 		_, _ = h.Write([]byte{0})
 	}
 	draining := uint64(0)
@@ -126,23 +127,24 @@
 	return h.Sum64()
 }
 
-// TargetUpdates returns the count of the changes that other instances must hear of, and
-// a channel that is closed at the next one.
+// TargetUpdates returns the number of changes that concern other instances, and a channel that is
+// closed at the next one.
 func (s *Site) TargetUpdates() (int64, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.relay.count, s.relay.changed
 }
 
-// Checksum identifies the targets in the view that others hear of: equal sums mean equal
-// targets.
+// Checksum identifies the targets that other instances receive from this view: equal checksums mean
+// equal targets.
 func (s *Site) Checksum() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.relay.checksum(s.relay.services())
 }
 
-// TargetUpdateSince returns what has changed since the count of an earlier answer.
+// TargetUpdateSince returns the changes since the count of an earlier update, or the full view if
+// they are no longer recorded.
 func (s *Site) TargetUpdateSince(count int64) TargetUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -161,8 +163,8 @@
 	return u
 }
 
-// FullTargetUpdate returns the whole view, for an instance that has heard nothing from
-// this one. One whose own view has the same sum already needs no list.
+// FullTargetUpdate returns the full view, for an instance that has received nothing from this one.
+// If the instance's own view already has the same checksum, the update contains no targets.
 func (s *Site) FullTargetUpdate(sum uint64) TargetUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -181,19 +183,20 @@
 	u := s.newUpdate()
 	u.Full = true
 	for _, service := range s.relayedServices() {
-		for _, t := range s.sortedTargets(maps.Keys(s.targetsOf[service])) {
+		for _, t := range s.sortedTargets(maps.Keys(s.serviceTargets[service])) {
 			u.Targets = append(u.Targets, withoutWeights(t))
 		}
 	}
 	return u
 }
 
-// relayedServices returns the services whose targets others hear of.
+// relayedServices returns the services whose targets other instances receive, never nil. s.mu is
+// held.
 func (s *Site) relayedServices() []cf.ServiceName {
 	if s.relay.forwarded != nil {
 		return s.relay.services()
 	}
-	return slices.Sorted(maps.Keys(s.targetsOf))
+	return slices.Sorted(maps.Keys(s.serviceTargets))
 }
 
 func withoutWeights(t cf.Target) cf.Target {
@@ -201,9 +204,9 @@
 	return t
 }
 
-// DropUnrelayed drops the targets of services that others do not tell of, for an instance that has
-// watched the store for a while and is told from now on: nothing would keep them current. It
-// returns how many.
+// DropUnrelayed removes the targets of services that other instances do not send updates for. It is
+// for an instance that has watched the store for a while and receives updates from now on, since
+// nothing would keep these targets current. It returns the number of removed targets.
 func (s *Site) DropUnrelayed() (dropped int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,9 +222,9 @@
 	return dropped
 }
 
-// ApplyTargetUpdate takes news of an instance that watches the store, or has them from one that
-// does, unless they are older than the view. It returns false if the view then differs
-// from the sender's, which must send all of it.
+// ApplyTargetUpdate applies an update from an instance that watches the store, or that received it
+// from one that does, unless the update is older than the view. It returns false if the view then
+// differs from the sender's, which must send the full view.
 func (s *Site) ApplyTargetUpdate(u TargetUpdate, now cf.Millis) (same bool) {
 	if u.Full {
 		s.ReplaceTargets(u.Targets, u.Rev, now)
@@ -229,7 +232,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u.Rev < s.targetsRev {
-		return true // this instance has watched the store itself
+		return true // this instance has read newer targets from the store
 	}
 	if !u.Full {
 		for _, t := range u.Targets {
--- a/core/cfsite/relay_test.go
+++ b/core/cfsite/relay_test.go
@@ -11,7 +11,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// sameTargets says whether two views show the same targets, weights left out.
+// sameTargets reports whether two views have the same targets, without their weights.
 func sameTargets(a, b *cfsite.Site) bool {
 	x, y := a.Targets(), b.Targets()
 	if len(x) != len(y) || a.Checksum() != b.Checksum() {
@@ -25,8 +25,8 @@
 	return true
 }
 
-// An instance that hears of changes only, at any moments, has the view of the one
-// that watches the store: targets come, drain, change hands and go.
+// An instance that receives only changes, at any times, has the same view as the one that watches
+// the store while targets come, drain, change their address and go.
 func TestTargetUpdatesKeepViewsEqual(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -38,9 +38,9 @@
 				update = source.TargetUpdateSince(count)
 			}
 			if !follower.ApplyTargetUpdate(update, 0) {
-				t.Fatalf("seed %d: the views differ after news %+v", seed, update)
+				t.Fatalf("seed %d: the views differ after update %+v", seed, update)
 			}
-			count, known = update.Count, random.IntN(20) > 0 // it forgets now and then
+			count, known = update.Count, random.IntN(20) > 0 // sometimes the follower loses its count and asks for the full view
 		}
 		for rev := cf.Revision(1); rev < 200; rev++ {
 			name := fmt.Sprintf("t%d", random.IntN(12))
@@ -63,8 +63,8 @@
 	}
 }
 
-// Symptom: an instance that was cut off for long keeps targets that are gone.
-// Sequence: more targets leave than are remembered.
+// Guards against an instance that keeps targets which are gone after it was cut off for long: more
+// targets leave than the change log records.
 func TestUpdateBeyondChangeLogIsFull(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	var list []cf.Target
@@ -74,7 +74,7 @@
 	source.ReplaceTargets(list, 1, 0)
 	first := source.FullTargetUpdate(follower.Checksum())
 	if !first.Full || !follower.ApplyTargetUpdate(first, 0) {
-		t.Fatal("the first news are not the whole view")
+		t.Fatal("the first update is not the full view")
 	}
 	for i := range 5000 {
 		r := cfstandin.Record(fmt.Sprint(i), cf.Revision(i+2), nil)
@@ -84,29 +84,29 @@
 		}
 	}
 	if update := source.TargetUpdateSince(first.Count); !update.Full || !follower.ApplyTargetUpdate(update, 0) || !sameTargets(source, follower) {
-		t.Errorf("whole %t, %d targets left at the follower", update.Full, len(follower.Targets()))
+		t.Errorf("full %t, %d targets left at the follower", update.Full, len(follower.Targets()))
 	}
 }
 
-// An instance with the same targets, from its own watch, is sent no list by a
-// coordinator that it hears for the first time; one that differs is sent all.
+// An instance that has the same targets from its own watch receives no list from a coordinator that
+// it contacts for the first time; an instance whose targets differ receives all of them.
 func TestEqualViewsNeedNoTargetList(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	list := []cf.Target{{ID: "a", Service: "s", Slots: 4}, {ID: "b", Service: "s", Slots: 4}}
 	source.ReplaceTargets(list, 5, 0)
 	follower.ReplaceTargets(list, 4, 0)
 	if update := source.FullTargetUpdate(follower.Checksum()); update.Full || len(update.Targets) > 0 || !follower.ApplyTargetUpdate(update, 0) {
-		t.Errorf("equal views: news %+v", update)
+		t.Errorf("equal views: update %+v", update)
 	}
 	follower.ReplaceTargets(list[:1], 6, 0)
 	source.Advance(7)
 	if update := source.FullTargetUpdate(follower.Checksum()); !update.Full || !follower.ApplyTargetUpdate(update, 0) || !sameTargets(source, follower) {
-		t.Errorf("differing views: news %+v", update)
+		t.Errorf("differing views: update %+v", update)
 	}
 }
 
-// Symptom: the coordinator spends its processor on instances that are all well.
-// Load: 3,000 targets write their entries every second, unchanged.
+// Guards against a coordinator that spends processor time on instances without changes: 3,000
+// targets write their entries every second, unchanged.
 func TestHeartbeatIsNotAChange(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "s", Models: []cf.ModelState{{Name: "m", Version: 1}}}
@@ -117,7 +117,7 @@
 	}
 }
 
-// forwardingCodec decodes configurations that have one batch route to "engines" and
+// forwardingCodec decodes configurations that have one batch route to "engines", and routes for
 // single requests to the services named in the record.
 type forwardingCodec struct{ cfstandin.Codec }
 
@@ -129,8 +129,8 @@
 	return c, nil
 }
 
-// An instance hears of the targets to which it forwards requests alone: with 10,000 engines
-// beside them it is sent none of these, nor any change of one.
+// An instance receives only the targets to which it forwards requests: with 10,000 engines in the
+// view, it receives none of them and no change of one.
 func TestUpdatesCoverForwardedServicesOnly(t *testing.T) {
 	source, follower := cfsite.New(forwardingCodec{}), cfsite.New(forwardingCodec{})
 	list := []cf.Target{{ID: "log-1", Service: "log"}, {ID: "log-2", Service: "log"}, {ID: "mail-1", Service: "mail"}}
@@ -148,7 +148,7 @@
 	source.ReplaceTargets(list, 5, 0)
 	update := source.FullTargetUpdate(follower.Checksum())
 	if !follower.ApplyTargetUpdate(update, 0) || len(follower.Targets()) != 2 {
-		t.Fatalf("told of %d targets", len(follower.Targets()))
+		t.Fatalf("the follower has %d targets, want 2", len(follower.Targets()))
 	}
 	count := update.Count
 	change := func(rev cf.Revision, target cf.Target) {
@@ -158,31 +158,31 @@
 	}
 	change(6, cf.Target{ID: "e00007", Service: "engines", Draining: true})
 	if current, _ := source.TargetUpdates(); current != count {
-		t.Error("the change of an engine is told")
+		t.Error("the change of an engine is counted as an update")
 	}
 	change(7, cf.Target{ID: "log-1", Service: "log", Draining: true})
 	update = source.TargetUpdateSince(count)
 	if !follower.ApplyTargetUpdate(update, 0) || len(update.Targets) != 1 || len(follower.Usable("log")) != 1 {
-		t.Errorf("news %+v", update)
+		t.Errorf("update %+v", update)
 	}
-	// A route to another service: its targets are told with the configuration.
+	// The targets of a service that a new route leads to are sent with the configuration.
 	configure(8, "log mail")
 	update = source.TargetUpdateSince(update.Count)
 	if !follower.ApplyTargetUpdate(update, 0) || update.Full || len(follower.Usable("mail")) != 1 {
-		t.Errorf("news %+v after a route to another service", update)
+		t.Errorf("update %+v after a route to another service", update)
 	}
 	configure(9, "")
 	update = source.TargetUpdateSince(update.Count)
 	if !follower.ApplyTargetUpdate(update, 0) || update.Full {
-		t.Errorf("news %+v without any route for single requests", update)
+		t.Errorf("update %+v without any route for single requests", update)
 	}
-	// The address of an engine is used again by a service that is told of, and back.
+	// The id of an engine is reused by a forwarded service, and then by the engines again.
 	configure(10, "log")
 	for i, service := range []cf.ServiceName{"log", "engines"} {
 		change(cf.Revision(11+i), cf.Target{ID: "e00009", Service: service})
 		update = source.TargetUpdateSince(update.Count)
 		if !follower.ApplyTargetUpdate(update, 0) || update.Full {
-			t.Errorf("news %+v of a target that is now of %s", update, service)
+			t.Errorf("update %+v of a target that now belongs to %s", update, service)
 		}
 	}
 	if n := len(follower.Usable("log")); n != 1 {
@@ -190,7 +190,8 @@
 	}
 }
 
-// Cost of a change: readers are told of it, whatever the number of targets.
+// The cost of a change does not depend on the number of targets: readers receive only what has
+// changed.
 func TestTargetsSinceReturnsChanges(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	var list []cf.Target
@@ -212,12 +213,12 @@
 	list = list[:4]
 	s.ReplaceTargets(list, 8, 0)
 	if d := s.TargetsSince(first.Count); !d.Full || len(d.Targets) != 4 {
-		t.Errorf("after more changes than are remembered: whole %t, %d targets", d.Full, len(d.Targets))
+		t.Errorf("after more changes than the log records: full %t, %d targets", d.Full, len(d.Targets))
 	}
 }
 
-// Guards against: targets that an instance holds and nobody keeps current, after it has watched
-// the store for a while.
+// Guards against targets that nothing keeps current after an instance has stopped watching the
+// store.
 func TestUnrelayedTargetsAreDropped(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	config := cfsite.Config{Version: 1, Routes: []cfsite.Route{
--- a/core/cfsite/site.go
+++ b/core/cfsite/site.go
@@ -24,51 +24,51 @@
 	versions     map[cf.ModelName]cf.WeightVersion
 	changed      chan struct{}
 	changes      int64
-	// graceUntil is until when an entry that vanishes is kept as lapsed.
+	// graceUntil is when the grace period ends in which an entry that vanishes is kept as lapsed.
 	graceUntil cf.Millis
 	relay      relay
-	// configs makes news of the configuration for other instances; arriving is what has come
-	// of such news, and wholeConfig that they can't be taken as changes.
+	// configs creates configuration updates for other instances. partialConfig is the received part
+	// of such an update. needFullConfig is set when updates against the configuration in force
+	// can't be applied, so that the full one is requested.
 	configs        configSource
 	partialConfig  partialUpdate
 	needFullConfig bool
-	// changeLog tells which targets the last changes concern.
+	// changeLog records which targets the last changes concern.
 	changeLog cfchange.Log[cf.InstanceID]
-	// targetsOf are the ids of the targets of each service, usable the lists of
-	// Usable that were asked for since a target of the service changed.
-	targetsOf map[cf.ServiceName]map[cf.InstanceID]bool
-	usable    map[cf.ServiceName][]cf.Target
+	// serviceTargets holds the ids of the targets of each service. usable caches the results of
+	// Usable until a target of the service changes.
+	serviceTargets map[cf.ServiceName]map[cf.InstanceID]bool
+	usable         map[cf.ServiceName][]cf.Target
 }
 
 type targetEntry struct {
 	target cf.Target
 	rev    cf.Revision
 	lapsed bool
-	// checksum is the target's part of its service's sum.
+	// checksum is the target's contribution to the checksum of its service.
 	checksum uint64
 }
 
-// Delta is what has changed in the view of targets since an earlier count of changes.
+// Delta lists what has changed in the view of targets since an earlier change count.
 type Delta struct {
-	Count int64 // of the changes, as of this
-	// Full says that Targets are all that there are.
+	Count int64 // change count as of this delta
+	// Full reports that Targets is the complete list.
 	Full    bool
 	Targets []cf.Target
 	Removed []cf.InstanceID
 }
 
-// lapseGrace is how long after the store's return an entry may be missing:
-// entries lapse while the store is away, and targets that live are listed
-// again within two seconds. Dropping them at once would leave a service
-// without targets just after each outage.
+// lapseGrace is how long after the store's return an entry may be missing. Entries lapse while the
+// store is unavailable, and live targets are listed again within two seconds. Dropping the entries
+// at once would leave services without targets just after each outage.
 const lapseGrace cf.Millis = 2200
 
-// New returns a view that knows nothing.
+// New returns an empty view.
 func New(codec Codec) *Site {
 	return &Site{
 		codec: codec, targets: map[cf.InstanceID]targetEntry{}, versions: map[cf.ModelName]cf.WeightVersion{},
 		changed: make(chan struct{}), relay: newRelay(),
-		targetsOf: map[cf.ServiceName]map[cf.InstanceID]bool{}, usable: map[cf.ServiceName][]cf.Target{},
+		serviceTargets: map[cf.ServiceName]map[cf.InstanceID]bool{}, usable: map[cf.ServiceName][]cf.Target{},
 	}
 }
 
@@ -79,7 +79,7 @@
 	return s.changed
 }
 
-// Changes counts the changes of the view; equal counts mean equal views.
+// Changes returns the number of changes of the view; equal counts mean equal views.
 func (s *Site) Changes() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -92,8 +92,8 @@
 	s.changed = make(chan struct{})
 }
 
-// putTarget takes a target into the view, and into the relay if others must hear of
-// its change.
+// putTarget stores a target in the view, and in the relay if the change concerns other instances.
+// s.mu is held.
 func (s *Site) putTarget(e targetEntry) {
 	id, service := e.target.ID, e.target.Service
 	old, known := s.targets[id]
@@ -107,12 +107,12 @@
 	}
 	s.changeLog.Append(s.changes+1, id)
 	if known && old.checksum == e.checksum {
-		return // its weights alone
+		return // only the weights changed
 	}
-	if s.targetsOf[service] == nil {
-		s.targetsOf[service] = map[cf.InstanceID]bool{}
+	if s.serviceTargets[service] == nil {
+		s.serviceTargets[service] = map[cf.InstanceID]bool{}
 	}
-	s.targetsOf[service][id] = true
+	s.serviceTargets[service][id] = true
 	delete(s.usable, service)
 	if known && old.target.Service == service {
 		s.relay.checksums[service] ^= old.checksum
@@ -121,7 +121,7 @@
 	s.relay.noteChange(service, id)
 }
 
-// removeTarget takes a target out of the view.
+// removeTarget removes a target from the view. s.mu is held.
 func (s *Site) removeTarget(id cf.InstanceID) {
 	old := s.targets[id]
 	delete(s.targets, id)
@@ -129,23 +129,24 @@
 	s.changeLog.Append(s.changes+1, id)
 }
 
-// leaveService takes a target out of its service.
+// leaveService removes a target from its service. s.mu is held.
 func (s *Site) leaveService(e targetEntry) {
 	service := e.target.Service
-	delete(s.targetsOf[service], e.target.ID)
+	delete(s.serviceTargets[service], e.target.ID)
 	delete(s.usable, service)
 	s.relay.checksums[service] ^= e.checksum
 	s.relay.noteChange(service, e.target.ID)
 }
 
-// StoreReconnected records that the store answers again after it did not.
+// StoreReconnected records that the store answers again after an outage.
 func (s *Site) StoreReconnected(now cf.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.graceUntil = now + lapseGrace
 }
 
-// DropLapsed drops the entries that lapsed and did not come back. It returns them.
+// DropLapsed removes the lapsed entries that were not listed again during the grace period. It
+// returns them.
 func (s *Site) DropLapsed(now cf.Millis) []cf.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,28 +167,28 @@
 	return removed
 }
 
-// keepLapsed says whether a vanished entry is kept for now.
+// keepLapsed reports whether a vanished entry is kept for now. s.mu is held.
 func (s *Site) keepLapsed(e targetEntry, now cf.Millis) bool {
 	return now < s.graceUntil && !e.target.Draining
 }
 
-// Config returns the configuration in force, nil before any is known.
+// Config returns the configuration in force, or nil if none is known yet.
 func (s *Site) Config() *Config {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.config
 }
 
-// ConfigRecord returns the record that the configuration in force came from.
+// ConfigRecord returns the record of the configuration in force.
 func (s *Site) ConfigRecord() cf.Record {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.configRecord
 }
 
-// ApplyConfig takes a configuration unless a newer one is in force. Without
-// this check a stale list or a late relay would bring an old configuration
-// back, and callers would see dropped routes answer again.
+// ApplyConfig puts a configuration in force unless a newer one is. Without this check a stale list
+// or a late relay could restore an old configuration, and callers would see removed routes answer
+// again.
 func (s *Site) ApplyConfig(r cf.Record) (bool, error) {
 	s.mu.RLock()
 	known := s.configRecord.Rev
@@ -206,12 +207,12 @@
 	case r.Rev <= s.configRecord.Rev || c.Version < s.config.Version:
 		return false, nil
 	case c.Version == s.config.Version:
-		s.configRecord = r // written once more
+		s.configRecord = r // the same version was written again
 		s.configs.add(r)
 		return false, nil
 	}
 	if err := c.setDirectory(s.config); err != nil {
-		return false, err // as a whole: the one in force goes on
+		return false, err // rejected as a whole: the current configuration stays in force
 	}
 	s.config, s.configRecord = &c, r
 	s.configs.add(r)
@@ -221,8 +222,8 @@
 	return true, nil
 }
 
-// ApplyTarget takes one change of the instance list. It returns the target
-// and whether the view changed. Records older than the one held are ignored.
+// ApplyTarget applies one change of the instance list. It returns the target and whether the view
+// changed. Records older than the known one are ignored.
 func (s *Site) ApplyTarget(r cf.Record, now cf.Millis) (cf.Target, bool, error) {
 	id := cf.InstanceID(r.Name)
 	s.mu.Lock()
@@ -232,7 +233,7 @@
 		return cf.Target{}, false, nil
 	}
 	if r.Deleted {
-		// A relayed list, or an event from before, must not bring it back.
+		// The revision keeps a relayed list or an earlier event from restoring the target.
 		s.targetsRev = max(s.targetsRev, r.Rev)
 		if !known {
 			return old.target, false, nil
@@ -249,7 +250,7 @@
 	}
 	t, err := s.codec.Target(r)
 	if err != nil {
-		// What can't be read names no target, whatever stood there before.
+		// A record that can't be decoded names no target, whatever the previous record contained.
 		s.targetsRev = max(s.targetsRev, r.Rev)
 		if known {
 			s.removeTarget(id)
@@ -259,13 +260,13 @@
 		return old.target, known, err
 	}
 	if r.Rev < s.targetsRev && !known {
-		// Gone since: a later list did not hold it.
+		// The target was removed since: a later list did not contain it.
 		return t, false, nil
 	}
 	if known && !old.lapsed && reflect.DeepEqual(old.target, t) {
 		old.rev = r.Rev
 		s.targets[id] = old
-		return t, false, nil // a heartbeat alone
+		return t, false, nil // only a heartbeat
 	}
 	s.putTarget(targetEntry{target: t, rev: r.Rev})
 	s.notify()
@@ -273,8 +274,8 @@
 	return t, true, nil
 }
 
-// ReplaceTargets takes a whole list of targets as of a revision. A list that
-// is older than the view is ignored. It returns the targets that are gone.
+// ReplaceTargets applies a complete list of targets as of a revision. A list that is older than the
+// view is ignored. It returns the targets that were removed.
 func (s *Site) ReplaceTargets(list []cf.Target, rev cf.Revision, now cf.Millis) (removed []cf.Target, applied bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -337,8 +338,9 @@
 	return out
 }
 
-// TargetsSince returns what has changed in the view of targets since the count of an earlier
-// answer; of a view that was never asked for, all of it. Its cost is that of the changes.
+// TargetsSince returns the changes of the view of targets since a count that an earlier Delta
+// returned, or all targets if count is zero or too old. Its cost depends on the number of changes
+// only.
 func (s *Site) TargetsSince(count int64) Delta {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -359,8 +361,8 @@
 	return d
 }
 
-// Usable returns the targets of a service that take new work, sorted by id. The list
-// is kept until one of them changes, and not to be changed.
+// Usable returns the targets of a service that accept new work, sorted by id. The list is cached
+// until one of them changes; callers must not modify it.
 func (s *Site) Usable(service cf.ServiceName) []cf.Target {
 	s.mu.RLock()
 	out, known := s.usable[service]
@@ -370,7 +372,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out = slices.DeleteFunc(s.sortedTargets(maps.Keys(s.targetsOf[service])), func(t cf.Target) bool { return t.Draining })
+	out = slices.DeleteFunc(s.sortedTargets(maps.Keys(s.serviceTargets[service])), func(t cf.Target) bool { return t.Draining })
 	s.usable[service] = out
 	return out
 }
@@ -383,7 +385,7 @@
 	return e.target, ok
 }
 
-// ApplyWeightVersion takes a version that a trainer has named; versions only rise.
+// ApplyWeightVersion records a weight version that a trainer has named. Versions only rise.
 func (s *Site) ApplyWeightVersion(r cf.Record) (bool, error) {
 	if r.Deleted {
 		return false, nil
@@ -402,8 +404,8 @@
 	return true, nil
 }
 
-// WeightVersion returns the newest version that a trainer has named for a model,
-// or 1, the version that targets start with.
+// WeightVersion returns the newest version that a trainer has named for a model, or 1, the version
+// that targets start with.
 func (s *Site) WeightVersion(m cf.ModelName) cf.WeightVersion {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/core/cfsite/site_test.go
+++ b/core/cfsite/site_test.go
@@ -8,9 +8,8 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Symptom: a dropped route answers again.
-// Sequence: a new configuration is in force; a stale list, or a relay from an
-// instance that was cut off, brings an older one.
+// Guards against removed routes that answer again: after a new configuration is in force, a stale
+// list, or a relay from an instance that was cut off, delivers an older one.
 func TestConfigurationNeverRegresses(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	apply := func(rev cf.Revision, v cfsite.ConfigVersion) bool {
@@ -21,10 +20,10 @@
 		return changed
 	}
 	if !apply(10, 7) || apply(9, 6) || apply(10, 7) || apply(11, 7) || apply(12, 3) {
-		t.Error("an older configuration was taken")
+		t.Error("an older configuration was applied")
 	}
 	if !apply(13, 12) || s.Config().Version != 12 {
-		t.Error("a newer configuration was not taken")
+		t.Error("a newer configuration was not applied")
 	}
 }
 
@@ -50,38 +49,37 @@
 	}
 }
 
-// Symptom: a request goes to a target that is leaving, or is gone.
+// Guards against requests that are sent to a target which is draining or gone.
 func TestDrainingTargetsAreNotUsable(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	up := cf.Target{ID: "a", Service: "x"}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 1, up), 0)
 	_, _, _ = s.ApplyTarget(cfstandin.Record("b", 2, cf.Target{ID: "b", Service: "x", Draining: true}), 0)
 	if got := s.Usable("x"); len(got) != 1 || got[0].ID != "a" {
-		t.Fatalf("usable: %v", got)
+		t.Fatalf("usable targets: %v", got)
 	}
 	gone := cfstandin.Record("a", 3, up)
 	gone.Deleted = true
 	_, _, _ = s.ApplyTarget(gone, 0)
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 1, up), 0) // an older event again
 	if got := s.Usable("x"); len(got) != 0 {
-		t.Errorf("usable after its removal: %v", got)
+		t.Errorf("usable targets after the removal: %v", got)
 	}
 }
 
-// Symptom: a target that is gone comes back.
-// Sequence: an instance lists the targets, another's older list arrives.
+// Guards against targets that are gone and come back: an instance lists the targets, and then
+// receives an older list from another instance.
 func TestOlderListIsIgnored(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	s.ReplaceTargets([]cf.Target{{ID: "a", Service: "x"}}, 10, 0)
 	if _, applied := s.ReplaceTargets([]cf.Target{{ID: "b", Service: "x"}}, 9, 0); applied {
-		t.Error("an older list was taken")
+		t.Error("an older list was applied")
 	}
 }
 
-// Symptom: after each outage of the store, services have no targets for two
-// seconds.
-// Sequence: entries lapse while the store is away; it returns; those whose
-// targets live are listed again within two seconds, the others are gone.
+// Guards against services that have no targets for two seconds after each outage of the store.
+// Entries lapse while the store is unavailable. After its return, live targets are listed again
+// within two seconds; the others are gone.
 func TestLapsedTargetsAreKeptForGracePeriod(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	a, b := cf.Target{ID: "a", Service: "x"}, cf.Target{ID: "b", Service: "x"}
@@ -89,17 +87,17 @@
 	s.StoreReconnected(1000)
 	s.ReplaceTargets(nil, 20, 1000)
 	if n := len(s.Usable("x")); n != 2 {
-		t.Fatalf("%d usable right after the store's return", n)
+		t.Fatalf("%d usable targets right after the store's return", n)
 	}
 	_, _, _ = s.ApplyTarget(cfstandin.Record("a", 21, a), 2000)
 	if gone := s.DropLapsed(2500); len(gone) != 0 {
-		t.Errorf("dropped too soon: %v", gone)
+		t.Errorf("dropped during the grace period: %v", gone)
 	}
 	if gone := s.DropLapsed(3300); len(gone) != 1 || gone[0].ID != "b" {
-		t.Errorf("dropped %v, want the one that did not come back", gone)
+		t.Errorf("dropped %v, want the one that was not listed again", gone)
 	}
 	if got := s.Usable("x"); len(got) != 1 || got[0].ID != "a" {
-		t.Errorf("usable: %v", got)
+		t.Errorf("usable targets: %v", got)
 	}
 }
 
@@ -113,12 +111,12 @@
 		t.Errorf("version %d, want 4", v)
 	}
 	if v := s.WeightVersion("other"); v != 1 {
-		t.Errorf("version %d of a model without a name, want 1", v)
+		t.Errorf("version %d of a model without a named version, want 1", v)
 	}
 }
 
-// A change of weights alone is not passed on to the other instances: it would
-// wake all of them several times a second for nothing.
+// A change of weights alone is not sent to the other instances: it would wake all of them several
+// times a second for no use.
 func TestWeightChangesAreNotRelayed(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "x", Models: []cf.ModelState{{Name: "m", Version: 1}}}
