--- a/core/cfaccess/cfaccess.go
+++ b/core/cfaccess/cfaccess.go
@@ -1,16 +1,16 @@
-// Package cfaccess decides who a request comes from and what it may use: which
-// organisation a key belongs to under the configuration in force, and what becomes of
-// a request whose key is not known. It has no sockets and no clock.
+// Package cfaccess authenticates callers and decides what their requests may use: which
+// organisation a key belongs to under the configuration in force, and how a request with an unknown
+// key is handled. It has no sockets and no clock.
 //
-// The load it answers: a key that is taken away from callers who go on with it on kept
-// connections; two configurations within a second; instances that are cut off and
-// can't tell whether what they know is in force; ten thousand organisations of which
-// each change concerns one.
+// It is built for these conditions: keys that are revoked while callers keep using them on open
+// connections; two configurations within a second; instances that are cut off and can't tell
+// whether their configuration is still in force; and ten thousand organisations, with changes that
+// concern one each.
 //
 // Usage:
 //
-//	d, err := cfaccess.NewDirectory(organisations) // or before.Next(organisations)
-//	verdict, access := d.Judge(keys, use, view)
+//	d, err := cfaccess.NewDirectory(organisations) // or previous.Next(organisations)
+//	verdict, access := d.Authenticate(keys, use, freshness)
 package cfaccess
 
 import (
@@ -18,43 +18,43 @@
 )
 
 type (
-	// Verdict is what becomes of a request.
+	// Verdict is the result of authenticating a request.
 	Verdict int
 
-	// Use is what a request asks for.
+	// Use holds the access settings of the route of a request.
 	Use struct {
-		// Public: its route asks for no key.
+		// Public: the route requires no key.
 		Public bool
-		// Priority is that of its route, 0 first.
+		// Priority is the priority of the route, 0 first.
 		Priority int
 	}
 
-	// ConfigFreshness is how far an instance can rely on its configuration.
+	// ConfigFreshness tells how far an instance can rely on its configuration.
 	ConfigFreshness struct {
 		// Current: the configuration was known to be the newest a moment ago.
 		Current bool
-		// KeysTrusted: keys that it knows are believed.
+		// KeysTrusted: keys in the configuration are accepted.
 		KeysTrusted bool
 	}
 )
 
-// Verdicts.
+// Verdicts of Authenticate.
 const (
-	// Accepted: the request is its organisation's, or needs none.
+	// Accepted: the key belongs to an organisation, or the request needs none.
 	Accepted Verdict = iota
-	// Rejected: no key, or one that is not in force.
+	// Rejected: the request has no key, or one that is not in force.
 	Rejected
-	// Undetermined: this instance can't tell; another may.
+	// Undetermined: this instance can't tell whether the key is in force; another instance may.
 	Undetermined
 )
 
-// Authenticate says who a request comes from. A request that needs a key and bears two has
-// none: which one counts would be a guess. An instance that can't tell whether its
-// configuration is current refuses no key for good, since the key may have been added
-// meanwhile; and it believes those that it knows only as long as View says.
+// Authenticate determines which organisation a request comes from. A request that needs a key and
+// carries two is treated as having none, since it is not clear which one counts. An instance that
+// can't tell whether its configuration is current does not reject a key, since the key may have
+// been added meanwhile; and it accepts the keys that it knows only as long as freshness allows.
 func (d *Directory) Authenticate(keys []cf.APIKey, use Use, freshness ConfigFreshness) (Verdict, cf.Access) {
 	if d == nil {
-		return Accepted, cf.Access{} // the deployment keeps no organisations
+		return Accepted, cf.Access{} // the deployment defines no organisations
 	}
 	o, found := d.lookup(keys)
 	switch {
@@ -76,8 +76,8 @@
 	return d.findByKey(keys[0])
 }
 
-// Access returns what an organisation's work ranks as on a route, for work whose caller
-// was found before, such as a batch: a key that is taken away does not end it.
+// Access returns the access of an organisation's work on a route. It is for work whose caller was
+// authenticated before, such as a batch: revoking a key does not end that work.
 func (d *Directory) Access(name cf.Organisation, use Use) cf.Access {
 	if d == nil {
 		return cf.Access{}
@@ -85,8 +85,8 @@
 	return cf.Access{Organisation: name, Priority: effectivePriority(d.byName(name), use), Ranked: true}
 }
 
-// effectivePriority returns the priority of an organisation's request: its own goes before its
-// route's.
+// effectivePriority returns the priority of an organisation's request: that of the organisation
+// overrides that of the route.
 func effectivePriority(o entry, use Use) int {
 	if o.hasPriority {
 		return o.priority
--- a/core/cfaccess/cfaccess_test.go
+++ b/core/cfaccess/cfaccess_test.go
@@ -13,7 +13,7 @@
 
 var (
 	current = ConfigFreshness{Current: true, KeysTrusted: true}
-	stale   = ConfigFreshness{KeysTrusted: true} // cut off, and its keys are believed still
+	stale   = ConfigFreshness{KeysTrusted: true} // cut off, but keys are still accepted
 	expired = ConfigFreshness{}                  // cut off for too long
 )
 
@@ -30,8 +30,8 @@
 	return d
 }
 
-// Who a request comes from, by what it bears, what its route asks for, and how far the
-// instance can rely on its configuration.
+// Checks the result for the keys that a request carries, the settings of its route, and the
+// freshness of the instance's configuration.
 func TestAuthenticate(t *testing.T) {
 	d := directory(t, org("a", "a1", "a2"), org("b", "b1"), org("none"))
 	for _, c := range []struct {
@@ -45,21 +45,21 @@
 		{"a key", []cf.APIKey{"a1"}, false, current, Accepted, "a"},
 		{"another of its keys", []cf.APIKey{"a2"}, false, current, Accepted, "a"},
 		{"none", nil, false, current, Rejected, ""},
-		{"an empty one", []cf.APIKey{""}, false, current, Rejected, ""},
+		{"an empty key", []cf.APIKey{""}, false, current, Rejected, ""},
 		{"not in force", []cf.APIKey{"a3"}, false, current, Rejected, ""},
-		{"part of one", []cf.APIKey{"a"}, false, current, Rejected, ""},
+		{"part of a key", []cf.APIKey{"a"}, false, current, Rejected, ""},
 		{"an organisation's name", []cf.APIKey{"none"}, false, current, Rejected, ""},
 		{"doubled", []cf.APIKey{"a1", "a1"}, false, current, Rejected, ""},
 		{"two organisations' keys", []cf.APIKey{"a1", "b1"}, false, current, Rejected, ""},
-		{"public, none", nil, true, current, Accepted, ""},
+		{"public, no key", nil, true, current, Accepted, ""},
 		{"public, a key", []cf.APIKey{"b1"}, true, current, Accepted, "b"},
 		{"public, not in force", []cf.APIKey{"a3"}, true, current, Accepted, ""},
-		{"public, doubled", []cf.APIKey{"a1", "b1"}, true, current, Accepted, ""},
+		{"public, two keys", []cf.APIKey{"a1", "b1"}, true, current, Accepted, ""},
 		{"cut off, a key", []cf.APIKey{"a1"}, false, stale, Accepted, "a"},
-		{"cut off, not known here", []cf.APIKey{"a3"}, false, stale, Undetermined, ""},
-		{"cut off, none", nil, false, stale, Undetermined, ""},
-		{"cut off for long, a key", []cf.APIKey{"a1"}, false, expired, Undetermined, ""},
-		{"cut off for long, public", nil, true, expired, Accepted, ""},
+		{"cut off, an unknown key", []cf.APIKey{"a3"}, false, stale, Undetermined, ""},
+		{"cut off, no key", nil, false, stale, Undetermined, ""},
+		{"cut off too long, a key", []cf.APIKey{"a1"}, false, expired, Undetermined, ""},
+		{"cut off too long, public", nil, true, expired, Accepted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			verdict, access := d.Authenticate(c.keys, Use{Public: c.public}, c.freshness)
@@ -91,18 +91,18 @@
 			t.Errorf("key %q on a route of priority %d, class %d: %d, want %d", string(c.key), c.route, c.class, got, c.urgency)
 		}
 		if batch := d.Access(access.Organisation, Use{Priority: c.route}); batch != access {
-			t.Errorf("its batch ranks as %+v, a request as %+v", batch, access)
+			t.Errorf("access %+v of a batch, %+v of a request", batch, access)
 		}
 	}
 	if got := Urgency(cf.Access{}, Interactive); got != 5 {
-		t.Errorf("nothing is ranked: %d", got)
+		t.Errorf("urgency %d without ranking, want 5", got)
 	}
 }
 
-// Symptom: a request counts for an organisation that does not hold its key, or is refused
-// with a key in force. Sequence: configurations that follow each other change some
-// organisations: keys move, go and come back, names change, the order changes.
-// Cause it looks for: what is shared with the configuration before is not the same.
+// Guards against a request that is attributed to an organisation which does not own its key, or
+// that is refused with a key in force. In a series of configurations keys move, go and come back,
+// names change, and the order changes; the fault would be in the parts that a directory shares with
+// the previous one.
 func TestSuccessiveDirectories(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -122,7 +122,7 @@
 				list = append(list, o)
 			}
 			if step > 0 && r.IntN(2) == 0 {
-				list = slices.Clone(d.list) // one of them alone changes
+				list = slices.Clone(d.list) // only one of them changes
 				i := r.IntN(len(list))
 				list[i].Keys = list[i].Keys[:r.IntN(len(list[i].Keys)+1)]
 			}
@@ -138,7 +138,7 @@
 			}
 			checkDirectory(t, d, list, keys)
 			if previous != nil {
-				checkDirectory(t, previous, previous.list, keys) // requests under way use it
+				checkDirectory(t, previous, previous.list, keys) // requests in flight still use it
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 			}
 		}
 		if got, found := d.findByKey(key); got.Name != want || found != (want != "") {
-			t.Fatalf("%q is of %q, want %q", string(key), got.Name, want)
+			t.Fatalf("key %q belongs to %q, want %q", string(key), got.Name, want)
 		}
 	}
 	if d.Size() != len(list) {
@@ -162,17 +162,17 @@
 	}
 }
 
-// What is refused is refused as a whole, and the error shows no key.
+// Invalid configurations are rejected as a whole, and the error contains no key.
 func TestInvalidDirectoriesAreRejected(t *testing.T) {
 	valid := []Organisation{org("a", "secret-a"), org("b", "secret-b")}
 	d := directory(t, valid...)
 	for name, list := range map[string][]Organisation{
-		"a key of two":             {org("a", "secret-a"), org("b", "secret-a")},
-		"a key of two, one is old": {org("a", "secret-a"), org("b", "secret-b"), org("c", "secret-a")},
-		"a key twice":              {org("a", "secret-a", "secret-a")},
-		"an empty key":             {org("a", "secret-a", "")},
-		"no name":                  {org("", "secret-c")},
-		"a name twice":             {org("a", "secret-a"), org("b", "secret-b"), org("a", "secret-c")},
+		"a key of two":                        {org("a", "secret-a"), org("b", "secret-a")},
+		"a key of two, one of them unchanged": {org("a", "secret-a"), org("b", "secret-b"), org("c", "secret-a")},
+		"a key twice":                         {org("a", "secret-a", "secret-a")},
+		"an empty key":                        {org("a", "secret-a", "")},
+		"no name":                             {org("", "secret-c")},
+		"a name twice":                        {org("a", "secret-a"), org("b", "secret-b"), org("a", "secret-c")},
 	} {
 		next, err := d.Next(list)
 		if !errors.Is(err, cf.ErrInvalid) || next != nil {
@@ -201,7 +201,7 @@
 		}
 	}
 	if copied > 3 {
-		t.Errorf("%d of %d parts were copied for one organisation", copied, shardCount)
+		t.Errorf("%d of %d shards were copied for one organisation", copied, shardCount)
 	}
 }
 
@@ -230,8 +230,8 @@
 	}
 }
 
-// BenchmarkDirectoryUpdate takes a configuration over that changes one organisation: as a change,
-// and as a whole list.
+// BenchmarkDirectoryUpdate measures applying a configuration that changes one organisation, from
+// the changed entries and from the full list.
 func BenchmarkDirectoryUpdate(b *testing.B) {
 	for _, n := range sizes {
 		d := directory(b, manyOrganisations(n)...)
--- a/core/cfaccess/directory.go
+++ b/core/cfaccess/directory.go
@@ -12,25 +12,25 @@
 )
 
 type (
-	// Organisation is one as the configuration has it.
+	// Organisation is an organisation as the configuration defines it.
 	Organisation struct {
 		Name cf.Organisation
 		Keys []cf.APIKey
-		// Priority goes before the route's, where Ranked says that there is one.
+		// Priority overrides the route's priority if HasPriority is set.
 		Priority    int
 		HasPriority bool
 	}
 
-	// Directory is the organisations of one configuration. It does not change: the
-	// next configuration makes another one of it, which shares what is the same.
+	// Directory contains the organisations of one configuration. It is immutable: Next creates the
+	// directory of the next configuration, which shares the unchanged parts.
 	Directory struct {
 		salt [sha256.Size]byte
-		// keys holds the owner of each key, by a digest: how long a look-up takes tells
-		// nothing of how much of a key was right.
+		// keys maps a digest of each key to its owner. It uses digests so that the time of a lookup
+		// reveals nothing about how much of a guessed key is right.
 		keys  shardedMap[digest, cf.Organisation]
 		names shardedMap[cf.Organisation, entry]
 		size  int
-		// list are the organisations as the configuration lists them.
+		// list holds the organisations in the order of the configuration.
 		list []Organisation
 	}
 
@@ -43,16 +43,16 @@
 	digest [sha256.Size / 2]byte
 )
 
-// NewDirectory returns the organisations of a first configuration.
+// NewDirectory returns the directory of a first configuration.
 func NewDirectory(organisations []Organisation) (*Directory, error) {
 	d := &Directory{}
-	_, _ = rand.Read(d.salt[:]) // it never fails
+	_, _ = rand.Read(d.salt[:]) // Read of crypto/rand never fails
 	return d.Next(organisations)
 }
 
-// Next returns the organisations of the configuration after this one. One that names a
-// key twice, an empty key, or an organisation twice or not at all is refused as a whole:
-// whose a request is must not hang on which of two is read first.
+// Next returns the directory of the configuration that follows this one. A configuration with a
+// duplicate key, an empty key, a duplicate organisation or one without a name is rejected as a
+// whole: the organisation of a request must not depend on which of two entries is read first.
 func (d *Directory) Next(organisations []Organisation) (*Directory, error) {
 	removed, added := diff(d.list, organisations)
 	next, err := d.withChanges(removed, added)
@@ -63,8 +63,8 @@
 	return next, nil
 }
 
-// withChanges returns the directory without some of its organisations and with others. What it
-// costs goes by their number alone.
+// withChanges returns the directory without the removed organisations and with the added ones. Its
+// cost depends only on the number of these.
 func (d *Directory) withChanges(removed, added []Organisation) (*Directory, error) {
 	next := &Directory{salt: d.salt, size: d.size - len(removed) + len(added)}
 	keys, names := d.keys.edit(), d.names.edit()
@@ -80,15 +80,15 @@
 			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %d has no name", i)
 		}
 		if _, duplicate := names.add(shardOfName(o.Name), o.Name, entry{o.Name, o.Priority, o.HasPriority}); duplicate {
-			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %s stands twice", o.Name)
+			return nil, eris.Wrapf(cf.ErrInvalid, "organisation %s is listed twice", o.Name)
 		}
 		for j, key := range o.Keys {
 			if key == "" {
 				return nil, eris.Wrapf(cf.ErrInvalid, "key %d of organisation %s is empty", j, o.Name)
 			}
 			k := d.digest(key)
-			if holder, taken := keys.add(k.shard(), k, o.Name); taken {
-				return nil, eris.Wrapf(cf.ErrInvalid, "key %d of organisation %s is also one of %s", j, o.Name, holder)
+			if owner, taken := keys.add(k.shard(), k, o.Name); taken {
+				return nil, eris.Wrapf(cf.ErrInvalid, "key %d of organisation %s also belongs to %s", j, o.Name, owner)
 			}
 		}
 	}
@@ -96,8 +96,8 @@
 	return next, nil
 }
 
-// diff returns the organisations of before that are not the same any more, and those
-// of after that are new or differ. Both lists are mostly in the same order.
+// diff returns the organisations of before that have changed or are gone, and those of after that
+// have changed or are new. It relies on both lists being mostly in the same order.
 func diff(before, after []Organisation) (removed, added []Organisation) {
 	prefix, shorter := 0, min(len(before), len(after))
 	for prefix < shorter && equalOrganisations(before[prefix], after[prefix]) {
@@ -117,7 +117,7 @@
 // Size returns the number of organisations.
 func (d *Directory) Size() int { return d.size }
 
-// findByKey returns the organisation that holds a key.
+// findByKey returns the organisation that owns a key.
 func (d *Directory) findByKey(key cf.APIKey) (entry, bool) {
 	k := d.digest(key)
 	name, found := d.keys[k.shard()][k]
@@ -139,6 +139,6 @@
 
 func shardOfName(o cf.Organisation) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(o)) // a hash takes everything
+	_, _ = h.Write([]byte(o)) // Write of a hash never fails
 	return int(h.Sum32() % shardCount)
 }
--- a/core/cfaccess/table.go
+++ b/core/cfaccess/table.go
@@ -2,14 +2,16 @@
 
 import "maps"
 
-// shardCount divides a table: a change copies those parts alone in which it lies.
+// shardCount is the number of shards of a map: a change copies only the shards that it affects.
 const shardCount = 256
 
 type (
-	// shardedMap is a map in parts, none of which is ever changed.
+	// shardedMap is a map that is divided into shards. Its shards are never modified, so maps can
+	// share them.
 	shardedMap[K comparable, V any] [shardCount]map[K]V
 
-	// shardEditor makes a table of another.
+	// shardEditor builds a modified map from another one. It copies each shard before the first
+	// change.
 	shardEditor[K comparable, V any] struct {
 		table  shardedMap[K, V]
 		copied [shardCount]bool
@@ -18,7 +20,7 @@
 
 func (t *shardedMap[K, V]) edit() *shardEditor[K, V] { return &shardEditor[K, V]{table: *t} }
 
-// writableShard returns a part that may be changed.
+// writableShard returns a copy of a shard that may be modified.
 func (e *shardEditor[K, V]) writableShard(shard int) map[K]V {
 	if !e.copied[shard] {
 		e.table[shard], e.copied[shard] = maps.Clone(e.table[shard]), true
@@ -31,7 +33,7 @@
 
 func (e *shardEditor[K, V]) remove(shard int, k K) { delete(e.writableShard(shard), k) }
 
-// add adds a value; it returns the one that is there already, if any.
+// add adds a value. If the key already exists, it returns the existing value and true.
 func (e *shardEditor[K, V]) add(shard int, k K, v V) (V, bool) {
 	m := e.writableShard(shard)
 	if existing, taken := m[k]; taken {
--- a/core/cfaccess/urgency.go
+++ b/core/cfaccess/urgency.go
@@ -2,28 +2,29 @@
 
 import cf "currantford"
 
-// Class is what a request is to whoever waits for it.
+// Class tells what waits for the answer of a request.
 type Class int
 
 // Classes of requests, the most urgent first.
 const (
-	// Interactive requests have somebody waiting for each.
+	// Interactive requests each have a caller that waits for the answer.
 	Interactive Class = iota
-	// LongItem: a step is never whole before its longest texts.
+	// LongItem marks items with long texts: a step is complete only when its longest texts are.
 	LongItem
-	// ShortItem: a text that costs least when an engine whose memory is full puts it
-	// back.
+	// ShortItem marks items with short texts, which cost least to preempt when an engine's memory
+	// is full.
 	ShortItem
 	classCount
 )
 
-// priorityLevels is how many priorities are told apart at a target: with the classes of each they
-// fill the ten that targets know.
+// priorityLevels is the number of priorities that are distinguished at a target. With the classes
+// of each they fit the ten urgency values that targets accept.
 const priorityLevels = 3
 
-// Urgency returns what a request ranks as at a target, 0 first of 0 to 9: by its
-// priority, and by its class among those of the same. Where nothing is ranked callers'
-// requests say nothing, which targets take for 5, and items follow them.
+// Urgency returns the urgency of a request at a target, from 0 to 9 with 0 first: by its priority,
+// and by its class among requests of the same priority. If the access is not ranked, interactive
+// requests get the urgency that targets assume for requests without one, which is 5, and items
+// follow them.
 func Urgency(a cf.Access, c Class) int {
 	if !a.Ranked {
 		return defaultUrgency + int(c)
@@ -31,5 +32,5 @@
 	return min(max(a.Priority, 0), priorityLevels-1)*int(classCount) + int(c)
 }
 
-// defaultUrgency is what targets take a request for that says nothing.
+// defaultUrgency is the urgency that targets assume for requests without one.
 const defaultUrgency = 5
