--- a/core/cfaccess/directory.go
+++ b/core/cfaccess/directory.go
@@ -46,7 +46,7 @@
 // NewDirectory returns the directory of a first configuration.
 func NewDirectory(organisations []Organisation) (*Directory, error) {
 	d := &Directory{}
-	_, _ = rand.Read(d.salt[:]) // Read of crypto/rand never fails
+	_, _ = rand.Read(d.salt[:]) // crypto/rand.Read never returns an error
 	return d.Next(organisations)
 }
 
@@ -139,6 +139,6 @@
 
 func shardOfName(o cf.Organisation) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(o)) // Write of a hash never fails
+	_, _ = h.Write([]byte(o)) // hash.Hash.Write never returns an error
 	return int(h.Sum32() % shardCount)
 }
--- a/core/cfaccess/urgency.go
+++ b/core/cfaccess/urgency.go
@@ -2,7 +2,7 @@
 
 import cf "currantford"
 
-// Class tells what waits for the answer of a request.
+// Class tells how urgently the answer of a request is needed, among requests of the same priority.
 type Class int
 
 // Classes of requests, the most urgent first.
--- a/core/cfquarantine/key.go
+++ b/core/cfquarantine/key.go
@@ -33,7 +33,7 @@
 func KeyOf(method, host, path, caller string, body []byte) Key {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(host), []byte(path), body} {
-		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part)))) // Write of a hash never fails
+		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part)))) // hash.Hash.Write never returns an error
 		_, _ = h.Write(part)
 	}
 	callerSum := sha256.Sum256([]byte(caller))
--- a/core/cfquarantine/owed.go
+++ b/core/cfquarantine/owed.go
@@ -54,7 +54,7 @@
 	return v
 }
 
-// evaluateDeferred is AdmitDeferred for any target. The pause is computed from the strikes, so that
+// evaluateDeferred is AdmitDeferred regardless of the target. The pause is computed from the strikes, so that
 // another instance with the same strikes continues it. Crashes under equal work do not prolong it
 // beyond maxPause after this work's own last run. t.mu is held.
 func (t *Table) evaluateDeferred(k Key, work DeferredWork, now cf.Millis) Verdict {
--- a/core/cfquarantine/strike.go
+++ b/core/cfquarantine/strike.go
@@ -118,7 +118,7 @@
 // checksum identifies a strike, its scope, and whether its request had been served.
 func (s *strike) checksum() uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(s.Content[:]) // Write of a hash never fails
+	_, _ = h.Write(s.Content[:]) // hash.Hash.Write never returns an error
 	_, _ = h.Write(s.Caller[:])
 	_, _ = h.Write([]byte(s.Target.ID))
 	raw := binary.LittleEndian.AppendUint64(nil, uint64(s.Target.Born))
--- a/core/cfquarantine/table.go
+++ b/core/cfquarantine/table.go
@@ -195,7 +195,7 @@
 	t.changed = make(chan struct{})
 }
 
-// Evaluate reports whether a request may be sent to any target.
+// Evaluate reports whether a request may be sent, regardless of the target.
 func (t *Table) Evaluate(k Key, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -294,7 +294,7 @@
 // jitteredHold returns holdDuration with the jitter of this instance.
 func (t *Table) jitteredHold(d Digest, crashes int) cf.Millis {
 	h := fnv.New32a()
-	_, _ = h.Write(append(d[:], t.self...)) // Write of a hash never fails
+	_, _ = h.Write(append(d[:], t.self...)) // hash.Hash.Write never returns an error
 	fraction := float64(h.Sum32()) / (1 << 32)
 	hold := holdDuration(crashes)
 	return hold + cf.Millis(float64(hold)*trialJitter*fraction)
--- a/core/cfsite/config.go
+++ b/core/cfsite/config.go
@@ -79,7 +79,7 @@
 
 	// Scaling bounds the orders of a service's engines.
 	Scaling struct {
-		// Min and Max bound the engines of each failure domain, over both kinds together.
+		// Min and Max bound the engines of each failure domain, firm and reclaimable ones together.
 		Min, Max int
 		// BootTime is how long after an order an engine is in service.
 		BootTime cf.Millis
--- a/core/cfsite/relay.go
+++ b/core/cfsite/relay.go
@@ -116,7 +116,7 @@
 func targetChecksum(t cf.Target) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{string(t.ID), string(t.Service), t.Addr, string(t.Domain)} {
-		_, _ = h.Write([]byte(s)) // Write of a hash never fails
+		_, _ = h.Write([]byte(s)) // hash.Hash.Write never returns an error
 		_, _ = h.Write([]byte{0})
 	}
 	draining := uint64(0)
--- a/core/cfsite/site.go
+++ b/core/cfsite/site.go
@@ -233,7 +233,8 @@
 		return cf.Target{}, false, nil
 	}
 	if r.Deleted {
-		// The revision keeps a relayed list or an earlier event from restoring the target.
+		// Advancing the revision keeps a relayed list or an earlier event from restoring the
+		// target.
 		s.targetsRev = max(s.targetsRev, r.Rev)
 		if !known {
 			return old.target, false, nil
