--- a/core/cfquarantine/owed.go
+++ b/core/cfquarantine/owed.go
@@ -54,9 +54,9 @@
 	return v
 }
 
-// evaluateDeferred is AdmitDeferred regardless of the target. The pause is computed from the strikes, so that
-// another instance with the same strikes continues it. Crashes under equal work do not prolong it
-// beyond maxPause after this work's own last run. t.mu is held.
+// evaluateDeferred is AdmitDeferred regardless of the target. The pause is computed from the
+// strikes, so that another instance with the same strikes continues it. Crashes under equal work do
+// not prolong it beyond maxPause after this work's own last run. t.mu is held.
 func (t *Table) evaluateDeferred(k Key, work DeferredWork, now cf.Millis) Verdict {
 	if !t.synced {
 		return Verdict{Unsynced: true}
