--- a/core/cfaccess/table.go
+++ b/core/cfaccess/table.go
@@ -2,24 +2,26 @@
 
 import "maps"
 
-// shards divides a table: a change copies those parts alone in which it lies.
-const shards = 256
+// shardCount is the number of shards of a map: a change copies only the shards that it affects.
+const shardCount = 256
 
 type (
-	// table is a map in parts, none of which is ever changed.
-	table[K comparable, V any] [shards]map[K]V
-
-	// editor makes a table of another.
-	editor[K comparable, V any] struct {
-		table  table[K, V]
-		copied [shards]bool
+	// shardedMap is a map that is divided into shards. Its shards are never modified, so maps can
+	// share them.
+	shardedMap[K comparable, V any] [shardCount]map[K]V
+
+	// shardEditor builds a modified map from another one. It copies each shard before the first
+	// change.
+	shardEditor[K comparable, V any] struct {
+		table  shardedMap[K, V]
+		copied [shardCount]bool
 	}
 )
 
-func (t *table[K, V]) edit() *editor[K, V] { return &editor[K, V]{table: *t} }
+func (t *shardedMap[K, V]) edit() *shardEditor[K, V] { return &shardEditor[K, V]{table: *t} }
 
-// part returns a part that may be changed.
-func (e *editor[K, V]) part(shard int) map[K]V {
+// writableShard returns a copy of a shard that may be modified.
+func (e *shardEditor[K, V]) writableShard(shard int) map[K]V {
 	if !e.copied[shard] {
 		e.table[shard], e.copied[shard] = maps.Clone(e.table[shard]), true
 	}
@@ -29,15 +31,15 @@
 	return e.table[shard]
 }
 
-func (e *editor[K, V]) remove(shard int, k K) { delete(e.part(shard), k) }
+func (e *shardEditor[K, V]) remove(shard int, k K) { delete(e.writableShard(shard), k) }
 
-// add adds a value; it returns the one that is there already, if any.
-func (e *editor[K, V]) add(shard int, k K, v V) (V, bool) {
-	part := e.part(shard)
-	if there, taken := part[k]; taken {
-		return there, true
+// add adds a value. If the key already exists, it returns the existing value and true.
+func (e *shardEditor[K, V]) add(shard int, k K, v V) (V, bool) {
+	m := e.writableShard(shard)
+	if existing, taken := m[k]; taken {
+		return existing, true
 	}
-	part[k] = v
-	var none V
-	return none, false
+	m[k] = v
+	var zero V
+	return zero, false
 }
--- a/core/cfquarantine/owed.go
+++ b/core/cfquarantine/owed.go
@@ -5,106 +5,107 @@
 )
 
 const (
-	// pauseFirst is the pause of owed work after its last crash, once there are
-	// crashesMost. Each further crash doubles it, up to pauseMost: work that is at no
-	// target for 5 s counts as lost, and a check, a look and a placement take their part.
-	pauseFirst cf.Millis = 1000
-	pauseMost  cf.Millis = 4000
-	// companyFirst is how many runs a target may have with owed work after crashesMost
-	// crashes. Each further crash halves it, so that what keeps crashing its targets is
-	// alone after a few tries.
-	companyFirst = 4
-	// outlives is how long a send must have been under way for others of its content to
-	// be sent beside it. A request that crashes its targets does so within some 100 ms.
-	outlives cf.Millis = 500
-	// apartFor is how long after a crash owed work avoids targets at which other strong
-	// suspects run.
-	apartFor cf.Millis = 1000
+	// initialPause is the pause of deferred work after its last crash, once there are maxCrashes.
+	// Each further crash doubles it, up to maxPause: work that is at no target for 5 s counts as
+	// lost, and a target check, a planning round and a placement take part of that time.
+	initialPause cf.Millis = 1000
+	maxPause     cf.Millis = 4000
+	// initialMaxRuns is the most runs that a target may have, including the deferred work, after
+	// maxCrashes crashes. Each further crash halves it, so that work which keeps crashing its
+	// targets runs alone after a few retries.
+	initialMaxRuns = 4
+	// survivalTime is how long a send must have been in flight before other sends of the same
+	// content may join it. A request that crashes its targets does so within about 100 ms.
+	survivalTime cf.Millis = 500
+	// separationPeriod is how long after a crash deferred work avoids targets that run another
+	// suspect which is one crash from being held.
+	separationPeriod cf.Millis = 1000
 )
 
-// DeferredWork is what AdmitDeferred must know of a piece of work.
+// DeferredWork describes a piece of work to AdmitDeferred.
 type DeferredWork struct {
-	// Isolated: the target is set apart for it, or none can be.
+	// Isolated: the target is reserved for this work, or no target can be reserved.
 	Isolated bool
-	// WaitingSince is when it was last at a target, or came.
+	// WaitingSince is when the work was last at a target, or when it was submitted.
 	WaitingSince cf.Millis
 }
 
-// AdmitDeferred judges work that was handed in for later, as the items of batches and their
-// reward calls are. It is not held: after crashesMost crashes it pauses, and is then tried
-// again at a target that it has to itself or with a few others. Work that passes counts as
-// under way there until Answered, Lost or Dropped.
+// AdmitDeferred evaluates work that was submitted for later execution, such as the items of batches
+// and their reward calls. The work is not held: after maxCrashes crashes it pauses, and is then
+// retried at a target where it runs alone or beside a few others. Work that passes counts as in
+// flight there until Answered, Lost or Dropped is called.
 //
-// The load it answers: several targets end in a burst, each with all that it runs, and some
-// sound items meet them all. To hold these as a caller's request is held would lose them.
-func (t *Table) AdmitDeferred(k Key, target Incarnation, w DeferredWork, now cf.Millis) Verdict {
+// When several targets end in a burst, each with everything that it runs, some innocent items are
+// lost at every one of them. Holding these items as a caller's request is held would lose them.
+func (t *Table) AdmitDeferred(k Key, target Incarnation, work DeferredWork, now cf.Millis) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.judgeOwed(k, w, now)
+	v := t.evaluateDeferred(k, work, now)
 	switch {
 	case !v.Pass:
 		return v
-	case v.MaxRuns > 0 && !w.Isolated:
+	case v.MaxRuns > 0 && !work.Isolated:
 		v.Pass = false
 		return v
-	case v.MaxRuns == 0 && now-t.lastAt(k.Content) < apartFor && t.meets(k, target):
+	case v.MaxRuns == 0 && now-t.lastStrikeAt(k.Content) < separationPeriod && t.meetsSuspect(k, target):
 		return Verdict{OtherTarget: true}
 	}
-	t.begin(k, target, now)
+	t.startSend(k, target, now)
 	return v
 }
 
-// judgeOwed is AdmitDeferred for any target. The pause follows from the strikes, so that another
-// instance which knows them goes on with it; crashes under equal work do not prolong it beyond
-// pauseMost after the work's own last run. t.mu is held.
-func (t *Table) judgeOwed(k Key, w DeferredWork, now cf.Millis) Verdict {
-	if !t.informed {
+// evaluateDeferred is AdmitDeferred regardless of the target. The pause is computed from the
+// strikes, so that another instance with the same strikes continues it. Crashes under equal work do
+// not prolong it beyond maxPause after this work's own last run. t.mu is held.
+func (t *Table) evaluateDeferred(k Key, work DeferredWork, now cf.Millis) Verdict {
+	if !t.synced {
 		return Verdict{Unsynced: true}
 	}
 	s := t.suspects[k.Content]
 	if s == nil {
 		return Verdict{Pass: true}
 	}
-	served := t.good.knows(k, now) || s.servedFor(k.Caller)
-	crashes, last := s.crashes(k.Caller, served, false)
-	if crashes >= crashesMost {
-		until := max(min(last+pauseFor(crashes), w.WaitingSince+pauseMost), last+pauseFirst)
-		if now < until {
-			return Verdict{RetryAt: until, Strikes: s.against(k.Caller, now)}
+	served := t.served.contains(k, now) || s.servedToCaller(k.Caller)
+	crashes, last := s.countCrashes(k.Caller, served, false)
+	if crashes >= maxCrashes {
+		retryAt := max(min(last+pauseFor(crashes), work.WaitingSince+maxPause), last+initialPause)
+		if now < retryAt {
+			return Verdict{RetryAt: retryAt, Strikes: s.strikesAgainst(k.Caller, now)}
 		}
-		tried := t.unproved(k.Content, now) == 0
-		return Verdict{Pass: tried, Wait: !tried, MaxRuns: companyFor(crashes)}
+		retry := t.unprovenInFlight(k.Content, now) == 0
+		return Verdict{Pass: retry, Wait: !retry, MaxRuns: maxRunsAfter(crashes)}
 	}
-	if crashes == 0 || served || t.unproved(k.Content, now) < crashesMost-crashes {
+	if crashes == 0 || served || t.unprovenInFlight(k.Content, now) < maxCrashes-crashes {
 		return Verdict{Pass: true}
 	}
 	return Verdict{Wait: true}
 }
 
-// unproved counts the sends of a content under way that may yet crash their targets, zero
-// where one has lasted or was run to its end since the last crash. t.mu is held.
-func (t *Table) unproved(d Digest, now cf.Millis) int {
-	if s := t.suspects[d]; s != nil && s.answered > s.lastAt() {
+// unprovenInFlight counts the sends of a content in flight that may still crash their targets. It
+// returns zero if one of them has lasted for survivalTime, or if a request with the content has
+// completed since the last crash. t.mu is held.
+func (t *Table) unprovenInFlight(d Digest, now cf.Millis) int {
+	if s := t.suspects[d]; s != nil && s.lastCompleted > s.lastStrikeAt() {
 		return 0
 	}
 	n := 0
-	for _, at := range t.underWay[d] {
-		if now-at.latest >= outlives {
+	for _, stats := range t.inFlight[d] {
+		if now-stats.lastStart >= survivalTime {
 			return 0
 		}
-		n += at.n
+		n += stats.n
 	}
 	return n
 }
 
-// lastAt returns when the last strike against a content was. t.mu is held.
-func (t *Table) lastAt(d Digest) cf.Millis {
+// lastStrikeAt returns the time of the last strike against a content. t.mu is held.
+func (t *Table) lastStrikeAt(d Digest) cf.Millis {
 	if s := t.suspects[d]; s != nil {
-		return s.lastAt()
+		return s.lastStrikeAt()
 	}
 	return 0
 }
 
-func pauseFor(crashes int) cf.Millis { return pauseFirst.Doubled(crashes-crashesMost, pauseMost) }
+func pauseFor(crashes int) cf.Millis { return initialPause.Doubled(crashes-maxCrashes, maxPause) }
 
-func companyFor(crashes int) int { return max(companyFirst>>(crashes-crashesMost), 1) }
+func maxRunsAfter(crashes int) int { return max(initialMaxRuns>>(crashes-maxCrashes), 1) }
--- a/core/cfquarantine/owed_test.go
+++ b/core/cfquarantine/owed_test.go
@@ -6,77 +6,77 @@
 	cf "currantford"
 )
 
-// loseOwed sends owed work that passes, and loses its target.
-func loseOwed(t *testing.T, table *Table, k Key, at Incarnation, now cf.Millis) {
+// loseDeferred sends deferred work that passes, and loses its target.
+func loseDeferred(t *testing.T, table *Table, k Key, dst Incarnation, now cf.Millis) {
 	t.Helper()
-	if v := table.AdmitDeferred(k, at, DeferredWork{Isolated: true, WaitingSince: now}, now); !v.Pass {
-		t.Fatalf("not sent to %s at %d: %+v", at.ID, now, v)
+	if v := table.AdmitDeferred(k, dst, DeferredWork{Isolated: true, WaitingSince: now}, now); !v.Pass {
+		t.Fatalf("not sent to %s at %d: %+v", dst.ID, now, v)
 	}
-	table.Lost(k, at, true, now)
-	table.Checked(at, now, LossRefused, now)
+	table.Lost(k, dst, true, now)
+	table.Checked(dst, now, LossRefused, now)
 }
 
-// Guards against: an item that is never sent again because targets crashed under it, and one that
-// crashes target after target without a pause.
-func TestOwedWorkIsTriedAgainAfterPauses(t *testing.T) {
+// Guards against an item that is never sent again because targets crashed under it, and against one
+// that crashes target after target without a pause.
+func TestDeferredWorkIsRetriedAfterPauses(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
 	now := cf.Millis(0)
-	for n := range crashesMost {
-		loseOwed(t, table, k, target(n), now)
+	for n := range maxCrashes {
+		loseDeferred(t, table, k, target(n), now)
 	}
-	for n := crashesMost; n < 3*strikesMost; n++ {
-		pause, most := []cf.Millis{1000, 2000, 4000}[min(n-crashesMost, 2)], []int{4, 2, 1}[min(n-crashesMost, 2)]
-		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < crashesMost {
-			t.Fatalf("before its pause after %d crashes is over: %+v", n, v)
+	for n := maxCrashes; n < 3*maxStrikes; n++ {
+		pause, maxRuns := []cf.Millis{1000, 2000, 4000}[min(n-maxCrashes, 2)], []int{4, 2, 1}[min(n-maxCrashes, 2)]
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: now}, now+pause-1); v.Pass || v.RetryAt != now+pause || len(v.Strikes) < maxCrashes {
+			t.Fatalf("verdict 1 ms before the end of the pause after %d crashes: %+v", n, v)
 		}
-		began := now
+		lastCrash := now
 		now += pause
-		if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: began}, now); v.Pass || v.MaxRuns != most {
-			t.Fatalf("after %d crashes, at any target: %+v, want to be set apart with %d at most", n, v, most)
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: lastCrash}, now); v.Pass || v.MaxRuns != maxRuns {
+			t.Fatalf("verdict at any target after %d crashes: %+v, want no pass and at most %d runs at the target", n, v, maxRuns)
 		}
 		if v := table.Admit(k, anywhere, now); v.Pass {
 			t.Fatalf("a caller's request of the same content passes after %d crashes: %+v", n, v)
 		}
-		if v := table.AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: began}, now); !v.Pass {
-			t.Fatalf("not tried after %d crashes: %+v", n, v)
+		if v := table.AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: lastCrash}, now); !v.Pass {
+			t.Fatalf("not retried after %d crashes: %+v", n, v)
 		}
-		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: began}, now); !v.Wait {
-			t.Fatalf("two tries at once after %d crashes: %+v", n, v)
+		if v := table.AdmitDeferred(k, anywhere, DeferredWork{Isolated: true, WaitingSince: lastCrash}, now); !v.Wait {
+			t.Fatalf("verdict on a second retry in parallel after %d crashes: %+v, want a wait", n, v)
 		}
 		table.Lost(k, target(n), true, now)
 		table.Checked(target(n), now, LossRefused, now)
 	}
-	now += pauseMost
+	now += maxPause
 	table.AdmitDeferred(k, target(99), DeferredWork{Isolated: true, WaitingSince: now}, now)
 	table.Answered(k, target(99), now, now+30)
 	if v := table.AdmitDeferred(k, anywhere, DeferredWork{WaitingSince: now}, now+40); !v.Pass || v.MaxRuns != 0 {
-		t.Errorf("after it was run to its end: %+v", v)
+		t.Errorf("verdict after the work completed: %+v", v)
 	}
 }
 
-// Guards against: pauses that begin anew, or are forgotten, when another instance goes on with
-// the work. An item that crashes each target is sent to it at once whenever it may be.
-func TestPausesOfOwedWorkOutliveItsInstance(t *testing.T) {
-	const took, news = 100, 20
+// Guards against pauses that restart, or are forgotten, when another instance continues the work.
+// The item crashes every target and is sent again as soon as it is admitted.
+func TestDeferredPausesSurviveInstanceChange(t *testing.T) {
+	const runTime, propagation = 100, 20
 	tables := []*Table{New("a"), New("b"), New("c")}
 	k := keyOf("x", "1")
 	within := map[cf.Millis]int{}
 	n, ended := 0, cf.Millis(0)
 	for now := cf.Millis(0); now < 60*second; now += 10 {
-		at := n % len(tables)
-		if v := tables[at].AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: ended}, now); !v.Pass {
+		current := n % len(tables)
+		if v := tables[current].AdmitDeferred(k, target(n), DeferredWork{Isolated: true, WaitingSince: ended}, now); !v.Pass {
 			continue
 		}
-		now += took
+		now += runTime
 		ended = now
-		tables[at].Lost(k, target(n), true, now)
-		strikes := tables[at].Checked(target(n), now, LossRefused, now)
-		now += news
+		tables[current].Lost(k, target(n), true, now)
+		strikes := tables[current].Checked(target(n), now, LossRefused, now)
+		now += propagation
 		for i, table := range tables {
-			if i != at {
+			if i != current {
 				for j := range strikes {
-					strikes[j].Age = news
+					strikes[j].Age = propagation
 				}
 				table.Merge(strikes, now)
 			}
@@ -96,56 +96,57 @@
 	}
 }
 
-// Guards against: equal items of a step that wait for one another though one of them runs on.
-func TestEqualOwedWorkDoesNotWaitForAnEnd(t *testing.T) {
+// Guards against equal items of a step that wait for one another although one of them keeps
+// running.
+func TestEqualDeferredWorkDoesNotWaitForCompletion(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
-	for n := range crashesMost - 1 {
-		loseOwed(t, table, k, target(n), 0)
+	for n := range maxCrashes - 1 {
+		loseDeferred(t, table, k, target(n), 0)
 	}
 	if v := table.AdmitDeferred(k, target(5), DeferredWork{}, 10); !v.Pass {
-		t.Fatalf("none is sent: %+v", v)
+		t.Fatalf("the first item is not sent: %+v", v)
 	}
 	if v := table.AdmitDeferred(k, target(6), DeferredWork{}, 20); !v.Wait {
-		t.Errorf("a second one at once: %+v", v)
+		t.Errorf("verdict on a second item at once: %+v, want a wait", v)
 	}
 	for n := range 8 {
-		if v := table.AdmitDeferred(k, target(6+n), DeferredWork{}, 10+outlives); !v.Pass {
-			t.Errorf("others wait though one has lasted: %+v", v)
+		if v := table.AdmitDeferred(k, target(6+n), DeferredWork{}, 10+survivalTime); !v.Pass {
+			t.Errorf("other items wait although one has run for survivalTime: %+v", v)
 		}
 	}
 }
 
-// Guards against: an item that is never tried as short requests of another caller with its
-// content are always under way.
-func TestOwedWorkDoesNotWaitForOtherCallers(t *testing.T) {
-	const took, every = 300, 100
+// Guards against an item that is never retried because short requests of another caller with the
+// same content are always in flight.
+func TestDeferredWorkDoesNotWaitForOtherCallers(t *testing.T) {
+	const runTime, interval = 300, 100
 	table := New("e")
 	item, other := keyOf("a", "x"), keyOf("b", "x")
-	for n := range crashesMost {
-		loseOwed(t, table, item, target(n), 0)
+	for n := range maxCrashes {
+		loseDeferred(t, table, item, target(n), 0)
 	}
-	for now := cf.Millis(every); now < 5*second; now += every {
-		at := target(100 + int(now/every))
-		if now > took {
-			table.Answered(other, target(100+int((now-took)/every)), now-took, now)
+	for now := cf.Millis(interval); now < 5*second; now += interval {
+		dst := target(100 + int(now/interval))
+		if now > runTime {
+			table.Answered(other, target(100+int((now-runTime)/interval)), now-runTime, now)
 		}
-		if v := table.Admit(other, at, now); !v.Pass {
-			t.Fatalf("the other caller's request at %d: %+v", now, v)
+		if v := table.Admit(other, dst, now); !v.Pass {
+			t.Fatalf("the other caller's request does not pass at %d: %+v", now, v)
 		}
 		if table.AdmitDeferred(item, target(90), DeferredWork{Isolated: true, WaitingSince: 0}, now).Pass {
 			return
 		}
 	}
-	t.Error("the item was not tried for 5 s")
+	t.Error("the item was not retried within 5 s")
 }
 
-// Guards against: equal items that are at no target for 5 s, though all of them are sound. They
-// lose their targets one after the other; what was lost before the last seconds of the crashes
-// counts from there on.
-func TestEqualOwedWorkIsBackWithinFiveSeconds(t *testing.T) {
-	const look, items, burst = 50, 16, 3 * second
-	for crashes := crashesMost; crashes <= items; crashes++ {
+// Guards against equal, innocent items that are at no target for 5 s. They lose their targets one
+// after the other; the wait of items that were lost earlier than burstWindow before the last crash
+// is counted from burstWindow before it.
+func TestEqualDeferredWorkIsResentWithinFiveSeconds(t *testing.T) {
+	const interval, items, burstWindow = 50, 16, 3 * second
+	for crashes := maxCrashes; crashes <= items; crashes++ {
 		for _, spacing := range []cf.Millis{0, 100, 400} {
 			table := New("e")
 			k := keyOf("a", "x")
@@ -153,18 +154,18 @@
 				table.Lost(k, target(n), true, spacing*cf.Millis(n))
 				table.Checked(target(n), spacing*cf.Millis(n), LossRefused, spacing*cf.Millis(n))
 			}
-			calm := spacing * cf.Millis(crashes-1)
+			lastCrash := spacing * cf.Millis(crashes-1)
 			waiting := map[int]cf.Millis{}
 			for n := range crashes {
 				waiting[n] = spacing * cf.Millis(n)
 			}
-			for now := calm; len(waiting) > 0 && now < calm+60*second; now += look {
+			for now := lastCrash; len(waiting) > 0 && now < lastCrash+60*second; now += interval {
 				for n, since := range waiting {
 					if !table.AdmitDeferred(k, target(100+n), DeferredWork{Isolated: true, WaitingSince: since}, now).Pass {
 						continue
 					}
 					delete(waiting, n)
-					if waited := now - max(since, calm-burst); waited >= 5*second-look {
+					if waited := now - max(since, lastCrash-burstWindow); waited >= 5*second-interval {
 						t.Errorf("%d crashes %d ms apart: an item waits for %d ms", crashes, spacing, waited)
 					}
 				}
@@ -176,19 +177,19 @@
 	}
 }
 
-// Guards against: items that wait for an engine at which no other item runs that has lost two.
-func TestOwedWorkDoesNotWaitForOtherSuspects(t *testing.T) {
+// Guards against items that wait for an engine without any other item that has lost two engines.
+func TestDeferredWorkDoesNotWaitForOtherSuspects(t *testing.T) {
 	table := New("e")
 	a, b := keyOf("a", "x"), keyOf("a", "y")
-	for n := range crashesMost - 1 {
-		loseOwed(t, table, a, target(n), 0)
-		loseOwed(t, table, b, target(n), 0)
+	for n := range maxCrashes - 1 {
+		loseDeferred(t, table, a, target(n), 0)
+		loseDeferred(t, table, b, target(n), 0)
 	}
 	table.AdmitDeferred(a, target(5), DeferredWork{}, 10)
 	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, 20); !v.OtherTarget {
-		t.Errorf("two suspects meet at once: %+v", v)
+		t.Errorf("verdict on a second suspect at the same target: %+v, want another target", v)
 	}
-	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, apartFor); !v.Pass {
-		t.Errorf("still waits for the other one's end: %+v", v)
+	if v := table.AdmitDeferred(b, target(5), DeferredWork{}, separationPeriod); !v.Pass {
+		t.Errorf("still kept apart from the other suspect after separationPeriod: %+v", v)
 	}
 }
