--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -29,27 +29,27 @@
 
 // begin begins the duty under the coordinator's term; follows says that another instance, or
 // this one before it started again, had it.
-func (a *autoscale) begin(c *cfcoord.Coordinator, follows bool) {
+func (a *autoscale) begin(c *cfcoord.Coordinator, succeeds bool) {
 	if a == nil {
 		return
 	}
 	n := a.node
 	term, _ := n.candidate.MayOrder()
 	d := cfautoscale.New(cfautoscale.Options{
-		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Follows: follows, Store: n.adapter.Store, Scaling: n.adapter.Scaling,
+		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Follows: succeeds, Store: n.adapter.Store, Scaling: n.adapter.Scaling,
 		MayAct: func() bool {
 			now, ok := n.candidate.MayOrder()
 			return ok && now == term
 		},
-		Ordered: n.candidate.Ordered, Demand: c.Demand, Terms: a.terms, Metrics: a.metrics, Log: n.log,
+		Ordered: n.candidate.Ordered, Demand: c.Demand, Terms: a.policies, Metrics: a.metrics, Log: n.log,
 	})
 	a.duty.Store(d)
 	d.Start()
 }
 
-// terms returns what the configuration in force says of the services whose engines may be
+// policies returns what the configuration in force says of the services whose engines may be
 // ordered.
-func (a *autoscale) terms() map[cf.ServiceName]cfscale.Policy {
+func (a *autoscale) policies() map[cf.ServiceName]cfscale.Policy {
 	out := map[cf.ServiceName]cfscale.Policy{}
 	config := a.node.site.Config()
 	if config == nil {
--- a/io/cfnode/candidate.go
+++ b/io/cfnode/candidate.go
@@ -59,15 +59,15 @@
 	addr  string
 	store cf.Store
 	log   *zap.Logger
-	// word returns when the coordinator was last heard from.
-	word func() cf.Millis
-	// patience is how long without word of the coordinator this instance leaves the
+	// lastUpdate returns when the coordinator was last heard from.
+	lastUpdate func() cf.Millis
+	// watchDelay is how long without word of the coordinator this instance leaves the
 	// lease to others, zero if it does not.
-	patience func(now cf.Millis) cf.Millis
-	// outranked says whether stronger instances may take the duty; better gives
+	watchDelay func(now cf.Millis) cf.Millis
+	// strongerExists says whether stronger instances may take the duty; better gives
 	// a duty that was held for a time to one of them.
-	outranked func() bool
-	better    func(held cf.Millis)
+	strongerExists     func() bool
+	handOverToStronger func(held cf.Millis)
 	// state returns what a successor should know of the duty here: the loads of
 	// weights that may run at once, where copies of texts are, and what else it leaves.
 	state func() (loads int, copies string, left json.RawMessage)
@@ -253,7 +253,7 @@
 		}
 		return
 	}
-	silent, left := now-c.word(), c.patience(now)
+	silent, left := now-c.lastUpdate(), c.watchDelay(now)
 	if left == 0 && !abandoned && !doubted && silent < probeEvery || silent < left {
 		return
 	}
@@ -267,7 +267,7 @@
 		if !named {
 			cf.Sleep(ctx, rand.N(takeSpread))
 		}
-		if c.outranked() {
+		if c.strongerExists() {
 			c.probe(ctx)
 			if c.storeAway || !cf.Sleep(ctx, outrankedWait) {
 				return
@@ -309,7 +309,7 @@
 		return
 	}
 	if valid {
-		c.better(now - c.heldAt)
+		c.handOverToStronger(now - c.heldAt)
 	}
 }
 
--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -97,7 +97,7 @@
 // long as a call may take.
 // Cause: the pause after such a call was short, whatever the calls before it came to.
 func TestCallsThatNobodyCanRelayArePassedOnLessAndLess(t *testing.T) {
-	var r relays
+	var r relayTable
 	tries := 0
 	for now := cf.Millis(0); now < 10000; now += 100 {
 		if !r.resting(now) {
--- a/io/cfnode/fallback_test.go
+++ b/io/cfnode/fallback_test.go
@@ -67,20 +67,20 @@
 			store := &awayStore{MemStore: cfstandin.NewMemStore()}
 			n := newTestNode(t, store)
 			now := cf.Uptime()
-			n.started = now - 60_000
+			n.startedAt = now - 60_000
 			n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: c.members})
-			n.feed.heard.Store(int64(now - c.silent))
+			n.feed.asOf.Store(int64(now - c.silent))
 			if c.unsure {
-				n.feed.unsure.Store(int64(now))
+				n.feed.uncertainAt.Store(int64(now))
 			}
 			if c.away {
-				n.feed.away.Store(int64(now))
+				n.feed.outageConfirmedAt.Store(int64(now))
 			}
 			if c.denies {
 				n.candidate.doubt()
 			}
 			n.candidate.observe(5, cflease.Holder{Entry: "strong-0", Term: 1})
-			if got := n.alone(now); got != c.asks {
+			if got := n.watchDue(now); got != c.asks {
 				t.Errorf("watches the store itself: %v, want %v", got, c.asks)
 			}
 			n.candidate.step(ctx)
@@ -134,19 +134,19 @@
 	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: entries})
 	n.candidate.observe(5, cflease.Holder{Entry: "weak-0", Term: 1})
 	now := cf.Uptime()
-	n.started = now - 60_000
+	n.startedAt = now - 60_000
 	for silent, want := range map[cf.Millis]bool{1200: false, 1800: true} {
-		n.feed.heard.Store(int64(now - silent))
-		if got := n.alone(now); !n.scout() || got != want {
+		n.feed.asOf.Store(int64(now - silent))
+		if got := n.watchDue(now); !n.isFallbackWatcher() || got != want {
 			t.Errorf("a hub without word for %d ms lists for itself: %v", silent, got)
 		}
 	}
 	n = newTestNode(t, cfstandin.NewMemStore())
-	if n.alone(cf.Uptime()) {
+	if n.watchDue(cf.Uptime()) {
 		t.Error("a starting instance lists all targets before it has asked the coordinator")
 	}
-	n.started -= 300
-	if !n.alone(cf.Uptime()) {
+	n.startedAt -= 300
+	if !n.watchDue(cf.Uptime()) {
 		t.Error("one that finds no coordinator does not look by itself")
 	}
 }
@@ -204,7 +204,7 @@
 // then has current news.
 func TestAnOutageIsConfirmedByAnother(t *testing.T) {
 	there := newTestNode(t, &awayStore{MemStore: cfstandin.NewMemStore()})
-	there.started -= 60_000
+	there.startedAt -= 60_000
 	there.candidate.observe(8, cflease.Holder{Entry: "y", Term: 8, Addr: "127.0.0.1:1"})
 	addr := serve(t, there)
 	n := newFollower(t, addr, 9)
@@ -217,10 +217,10 @@
 			n.hearsNothingNew()
 		}
 	}
-	there.watching.Store(there.watch()) // it asks the store itself, which does not answer
-	ask(func() bool { return n.feed.away.Load() > 0 })
-	there.feed.heard.Store(int64(cf.Uptime()) + 60_000)
-	ask(func() bool { return n.feed.away.Load() == 0 && n.feed.denied.Load() > 0 })
+	there.watchers.Store(there.startWatchers()) // it asks the store itself, which does not answer
+	ask(func() bool { return n.feed.outageConfirmedAt.Load() > 0 })
+	there.feed.asOf.Store(int64(cf.Uptime()) + 60_000)
+	ask(func() bool { return n.feed.outageConfirmedAt.Load() == 0 && n.feed.outageDeniedAt.Load() > 0 })
 	if h, _ := n.candidate.holder(); h.Entry != "y" {
 		t.Errorf("the holder is %s, want the one that the other knows", h.Entry)
 	}
@@ -242,8 +242,8 @@
 
 // hearsNothingNew lets a follower hear that x knows nothing new, and ask another.
 func (n *Node) hearsNothingNew() {
-	n.feed.askedAt.Store(0)
-	_ = n.takeFeed(feedAnswer{Holder: cflease.Holder{Entry: "x", Term: 5}, Rev: 5, Unsure: true}, cf.Uptime(), cf.Uptime())
+	n.feed.outageAskedAt.Store(0)
+	_ = n.applyFeed(feedAnswer{Holder: cflease.Holder{Entry: "x", Term: 5}, Rev: 5, Uncertain: true}, cf.Uptime(), cf.Uptime())
 }
 
 // serve lets a node answer other instances.
--- a/io/cfnode/feedmetrics.go
+++ b/io/cfnode/feedmetrics.go
@@ -10,8 +10,8 @@
 
 // feedMetrics show how an instance hears how things stand, and how old what it goes by is.
 type feedMetrics struct {
-	calls *prometheus.CounterVec
-	told  *prometheus.CounterVec
+	calls       *prometheus.CounterVec
+	configBytes *prometheus.CounterVec
 }
 
 func newFeedMetrics(reg prometheus.Registerer, n *Node) feedMetrics {
@@ -19,11 +19,11 @@
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "currantford_feed_calls_total", Help: "Calls for news to the coordinator or a hub, by outcome.",
 		}, []string{"outcome"}),
-		told: prometheus.NewCounterVec(prometheus.CounterOpts{
+		configBytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "currantford_config_told_bytes_total", Help: "Bytes of configurations told to other instances, by what was told.",
 		}, []string{"part"}),
 	}
-	reg.MustRegister(m.calls, m.told,
+	reg.MustRegister(m.calls, m.configBytes,
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "currantford_instance_restarts_total", Help: "Starts of other instances' processes after the first, as the coordinator here heard of them.",
 		}, func() float64 { return float64(n.members.Restarts()) }),
@@ -37,17 +37,17 @@
 		}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "currantford_config_age_seconds", Help: "Time since the configuration here was last known to be the newest.",
-		}, func() float64 { return float64(n.belief().Age) / 1000 }),
+		}, func() float64 { return float64(n.configBelief().Age) / 1000 }),
 	)
 	return m
 }
 
-// called counts a call for news; late says that its time was up.
-func (m feedMetrics) called(a feedAnswer, err error, late bool) {
-	m.calls.WithLabelValues(feedOutcome(a, err, late)).Inc()
+// countCall counts a call for news; late says that its time was up.
+func (m feedMetrics) countCall(a feedAnswer, err error, timedOut bool) {
+	m.calls.WithLabelValues(feedOutcome(a, err, timedOut)).Inc()
 }
 
-func feedOutcome(a feedAnswer, err error, late bool) string {
+func feedOutcome(a feedAnswer, err error, timedOut bool) string {
 	switch {
 	case err == nil && a.Hub != nil:
 		return "hub_named"
@@ -59,7 +59,7 @@
 		return "not_holder"
 	case errors.Is(err, cf.ErrNoProcess):
 		return "no_process"
-	case late:
+	case timedOut:
 		return "late"
 	default:
 		return "no_answer"
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -17,18 +17,18 @@
 	// A holder that can't renew, as the store is away, still is the holder, and says
 	// that it knows nothing new: were it silent, all others would ask the store.
 	holds := n.candidate.Held()
-	if !holds && !call.Hub {
+	if !holds && !call.AllowHub {
 		return nil, cf.ErrNotLeader
 	}
-	groupSum := n.hear(call, holds)
+	groupSum := n.recordReport(call, holds)
 	if holds {
-		if hub, other := n.hubOf(call); other {
+		if hub, assigned := n.assignedHub(call); assigned {
 			holder, rev := n.candidate.holder()
 			return feedAnswer{Holder: holder, Rev: rev, Hub: &hub}, nil
 		}
 	}
-	taken, settled := n.usage.hear(call.Usage)
-	if err := n.awaitNews(ctx, call); err != nil {
+	taken, settled := n.usage.receive(call.Usage)
+	if err := n.awaitUpdate(ctx, call); err != nil {
 		return nil, err
 	}
 	if holds && !n.candidate.Held() {
@@ -37,21 +37,21 @@
 	if !holds {
 		settled = n.feed.usageSettled()
 	}
-	a := n.answerFeed(call)
-	a.GroupSum, a.Wall, a.UsageTaken, a.UsageSettled = groupSum, n.timeOfDay(holds), taken, settled
+	a := n.newFeedAnswer(call)
+	a.GroupSum, a.WallTime, a.UsageTaken, a.UsageSettled = groupSum, n.timeOfDay(holds), taken, settled
 	return a, nil
 }
 
-// awaitNews holds a call until there is something to tell, for a while.
-func (n *Node) awaitNews(ctx context.Context, call feedCall) error {
-	count, changed := n.site.TargetUpdates()
+// awaitUpdate holds a call until there is something to tell, for a while.
+func (n *Node) awaitUpdate(ctx context.Context, call feedCall) error {
+	targetUpdates, changed := n.site.TargetUpdates()
 	wait := cfmember.PollWait.Duration()
-	switch fresh, _ := n.word(cf.Uptime()); {
+	switch fresh, _ := n.servedView(cf.Uptime()); {
 	case !fresh:
-		wait = staleWait // nothing can be told yet
+		wait = stalePollWait // nothing can be told yet
 	case !n.guard.Informed():
-		wait = uninformedWait
-	case call.Origin != n.origin || call.News != count || call.Config.Rev < n.site.ConfigRecord().Rev:
+		wait = unsyncedPollWait
+	case call.Origin != n.origin || call.TargetUpdates != targetUpdates || call.Config.Rev < n.site.ConfigRecord().Rev:
 		return nil
 	}
 	timer := time.NewTimer(wait)
@@ -65,86 +65,86 @@
 	return nil
 }
 
-// word says whether this instance may tell others how things stand, and as of how long
+// servedView says whether this instance may tell others how things stand, and as of how long
 // ago.
-func (n *Node) word(now cf.Millis) (fresh bool, age cf.Millis) {
-	held := n.candidate.Held()
-	switch fresh, behind := n.view(now); {
-	case fresh && (!held || n.candidate.Valid()):
-		return true, behind
-	case held:
+func (n *Node) servedView(now cf.Millis) (fresh bool, age cf.Millis) {
+	holds := n.candidate.Held()
+	switch fresh, lag := n.ownView(now); {
+	case fresh && (!holds || n.candidate.Valid()):
+		return true, lag
+	case holds:
 		return false, 0
 	default:
-		return n.feed.fresh(now), now - cf.Millis(n.feed.heard.Load())
+		return n.feed.fresh(now), now - cf.Millis(n.feed.asOf.Load())
 	}
 }
 
-// answerFeed tells an instance what it does not know.
-func (n *Node) answerFeed(call feedCall) feedAnswer {
+// newFeedAnswer tells an instance what it does not know.
+func (n *Node) newFeedAnswer(call feedCall) feedAnswer {
 	now := cf.Uptime()
 	holder, rev := n.candidate.holder()
-	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Checksums(), Informed: n.guard.Informed()}
-	a.Fresh, a.Age = n.word(now)
+	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Checksums(), Synced: n.guard.Informed()}
+	a.Fresh, a.Age = n.servedView(now)
 	if n.candidate.Held() {
-		a.Unsure = !a.Fresh
+		a.Uncertain = !a.Fresh
 	} else {
 		a.HolderAge = now - cf.Millis(n.candidate.answered.Load())
-		a.Unsure = !a.Fresh && cfmember.AnswerIsRecent(cf.Millis(n.feed.unsure.Load()), now)
+		a.Uncertain = !a.Fresh && cfmember.AnswerIsRecent(cf.Millis(n.feed.uncertainAt.Load()), now)
 	}
 	a.Listing = !a.Fresh && n.listing(now)
-	same := call.Origin == n.origin
-	a.Members = n.members.Update(same, call.Members, call.MembersSum, n.self(), now)
+	sameOrigin := call.Origin == n.origin
+	a.Members = n.members.Update(sameOrigin, call.MembersVersion, call.MembersSum, n.self(), now)
 	if !a.Fresh {
 		return a
 	}
-	config, err := n.configNews(call.Config)
+	config, err := n.configUpdate(call.Config)
 	if err != nil {
 		n.log.Error("config_not_told", zap.Int64("held_revision", int64(call.Config.Rev)), cflog.Error(err))
 		a.Fresh = false
 		return a
 	}
 	a.Config = config
-	if count, _ := n.site.TargetUpdates(); !same || call.News != count {
-		news := n.newsFor(call, same)
-		a.News = &news
+	if count, _ := n.site.TargetUpdates(); !sameOrigin || call.TargetUpdates != count {
+		update := n.targetUpdate(call, sameOrigin)
+		a.Targets = &update
 	}
 	return a
 }
 
-// configNews returns what an instance must hear of the configuration.
-func (n *Node) configNews(held cfsite.ConfigState) (*cfsite.ConfigUpdate, error) {
-	news, err := n.site.ConfigUpdate(held)
-	if news == nil {
+// configUpdate returns what an instance must hear of the configuration.
+func (n *Node) configUpdate(known cfsite.ConfigState) (*cfsite.ConfigUpdate, error) {
+	update, err := n.site.ConfigUpdate(known)
+	if update == nil {
 		return nil, err
 	}
 	part := "change"
-	if news.Base == 0 {
+	if update.Base == 0 {
 		part = "whole"
 	}
-	n.feedMetrics.told.WithLabelValues(part).Add(float64(len(news.Data)))
-	return news, nil
+	n.feedMetrics.configBytes.WithLabelValues(part).Add(float64(len(update.Data)))
+	return update, nil
 }
 
-// newsFor returns what an instance must hear of the targets.
-func (n *Node) newsFor(call feedCall, same bool) cfsite.TargetUpdate {
-	if same {
-		return n.site.TargetUpdateSince(call.News)
+// targetUpdate returns what an instance must hear of the targets.
+func (n *Node) targetUpdate(call feedCall, sameOrigin bool) cfsite.TargetUpdate {
+	if sameOrigin {
+		return n.site.TargetUpdateSince(call.TargetUpdates)
 	}
-	return n.site.FullTargetUpdate(call.Sum)
+	return n.site.FullTargetUpdate(call.TargetsSum)
 }
 
-// hear takes an instance's report: as the coordinator, or as its hub. It returns the sum of
+// recordReport takes an instance's report: as the coordinator, or as its hub. It returns the sum of
 // its group as it is known now.
-func (n *Node) hear(call feedCall, holds bool) (groupSum uint64) {
+func (n *Node) recordReport(call feedCall, holds bool) (groupSum uint64) {
 	now := cf.Uptime()
 	call.Entry.Ready = call.Entry.Ready && !call.Leaving
 	if !holds {
 		n.members.RecordClient(call.Entry, now)
 		return 0
 	}
-	if call.Wall > 0 {
+	if call.WallTime > 0 {
 		n.clockMu.Lock()
-		n.clocks.Record(call.Entry.ID, call.Wall, now)
+		n.clocks.Record(call.Entry.ID, call.WallTime, now)
 		n.clockMu.Unlock()
 	}
 	return n.members.RecordReport(call.Entry, call.Group, now)
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -317,7 +317,7 @@
 	f.settled("start", fleetLogs)
 	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
 	for _, n := range f.nodes {
-		for !n.lastWord(cf.Uptime()).StartupOver(cf.Uptime()) {
+		for !n.status(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
--- a/io/cfnode/heldrequests.go
+++ b/io/cfnode/heldrequests.go
@@ -50,7 +50,7 @@
 	}
 	_, n := q.guard.Table.HeldStrikes(0, cf.Uptime())
 	q.node.log.Info("held_requests_known", zap.String("source", source), zap.Int("held", n),
-		zap.Int64("since_start_ms", int64(cf.Uptime()-q.node.started)))
+		zap.Int64("since_start_ms", int64(cf.Uptime()-q.node.startedAt)))
 }
 
 // informBy informs a starting instance by one with current word, before it takes the
@@ -97,7 +97,7 @@
 	if err = errors.Join(err, <-loaded); err != nil {
 		return err
 	}
-	silent := q.node.feed.silent.Load()
+	silent := q.node.feed.unresponsiveAddr.Load()
 	if holder.Entry != "" && holder.Entry != q.node.settings.Entry && (silent == nil || *silent != holder.Addr) {
 		answer, err := q.askHeld(holder.Addr)
 		if err != nil {
--- a/io/cfnode/holder.go
+++ b/io/cfnode/holder.go
@@ -34,17 +34,17 @@
 // holderAnswer is what an instance knows of the holder, and of the store: whether its view
 // of it is current, and whether it asks the store itself, in vain.
 type holderAnswer struct {
-	Holder cflease.Holder `cbor:"holder"`
-	Rev    cf.Revision    `cbor:"rev"`
-	Fresh  bool           `cbor:"fresh"`
-	InVain bool           `cbor:"in_vain,omitempty"`
+	Holder            cflease.Holder `cbor:"holder"`
+	Rev               cf.Revision    `cbor:"rev"`
+	Fresh             bool           `cbor:"fresh"`
+	StoreUnresponsive bool           `cbor:"in_vain,omitempty"`
 }
 
 // announce tells the others that this instance is the coordinator.
 func (n *Node) announce() {
 	holder, rev := n.candidate.holder()
 	if holder.Entry == n.settings.Entry {
-		n.tellHolder(holderMessage{holder, rev})
+		n.gossipHolder(holderMessage{holder, rev})
 	}
 }
 
@@ -54,33 +54,33 @@
 		return true, nil
 	}
 	n.candidate.observe(m.Rev, m.Holder)
-	n.telling.Go(func() { n.tellHolder(m) })
+	n.gossip.Go(func() { n.gossipHolder(m) })
 	return true, nil
 }
 
-// tellHolder passes the word on.
-func (n *Node) tellHolder(m holderMessage) {
+// gossipHolder passes the word on.
+func (n *Node) gossipHolder(m holderMessage) {
 	for _, e := range cfmember.GossipPeers(n.Live(), n.self()) {
 		if e.ID == m.Holder.Entry {
 			continue
 		}
-		n.telling.Go(func() {
+		n.gossip.Go(func() {
 			ctx, cancel := context.WithTimeout(n.ctx, announceTimeout)
 			defer cancel()
 			var ok bool
 			if err := n.peers.Call(ctx, e.PeerAddr, opHolder, m, &ok); err != nil {
 				n.log.Info("holder_not_told", zap.String("entry", string(e.ID)), cflog.Error(err))
-				n.noteRefused(e.PeerAddr, err)
+				n.removeRefused(e.PeerAddr, err)
 			}
 		})
 	}
 }
 
-// noteRefused takes an instance whose address refuses connections from the list that a new
+// removeRefused takes an instance whose address refuses connections from the list that a new
 // coordinator has adopted.
-func (n *Node) noteRefused(peers string, err error) {
+func (n *Node) removeRefused(peerAddr string, err error) {
 	if errors.Is(err, cf.ErrNoProcess) {
-		n.members.RemoveRefused(peers)
+		n.members.RemoveRefused(peerAddr)
 	}
 }
 
@@ -88,10 +88,10 @@
 func (n *Node) serveAskHolder(context.Context, struct{}) (any, error) {
 	holder, rev := n.candidate.holder()
 	now := cf.Uptime()
-	w := n.watching.Load()
+	w := n.watchers.Load()
 	// The word of a coordinator that has none any more is no news.
-	told := n.feed.fresh(now) && n.feed.heard.Load() > n.feed.unsure.Load()
-	return holderAnswer{holder, rev, told || n.viewFresh(now), w != nil && w.config.StoreUnresponsive(now)}, nil
+	current := n.feed.fresh(now) && n.feed.asOf.Load() > n.feed.uncertainAt.Load()
+	return holderAnswer{holder, rev, current || n.ownViewCurrent(now), w != nil && w.config.StoreUnresponsive(now)}, nil
 }
 
 // askHolder asks another instance who the holder is, and how it stands with the store.
@@ -122,43 +122,43 @@
 // seconds with a configuration that is not in force any more.
 func (n *Node) confirmOutage() {
 	now := cf.Uptime()
-	if now-cf.Millis(n.feed.askedAt.Load()) < outageAsk {
+	if now-cf.Millis(n.feed.outageAskedAt.Load()) < outageAskInterval {
 		return
 	}
-	n.feed.askedAt.Store(int64(now))
+	n.feed.outageAskedAt.Store(int64(now))
 	holder, _ := n.candidate.holder()
 	self := n.self()
-	scouts := slices.DeleteFunc(slices.Clone(n.members.FallbackWatchers(self)), func(e cfmember.Entry) bool { return e.ID == holder.Entry || e.ID == self.ID })
-	if len(scouts) == 0 {
+	fallbacks := slices.DeleteFunc(slices.Clone(n.members.FallbackWatchers(self)), func(e cfmember.Entry) bool { return e.ID == holder.Entry || e.ID == self.ID })
+	if len(fallbacks) == 0 {
 		return
 	}
-	e := scouts[rand.IntN(len(scouts))]
+	e := fallbacks[rand.IntN(len(fallbacks))]
 	n.wg.Go(func() {
 		a, err := n.askHolder(n.ctx, e.PeerAddr)
 		if err != nil {
 			n.log.Info("outage_not_confirmed", zap.String("entry", string(e.ID)), cflog.Error(err))
 			return
 		}
-		n.takeWitness(e.ID, a)
+		n.recordOutageAnswer(e.ID, a)
 	})
 }
 
-// takeWitness takes another instance's word of the store.
-func (n *Node) takeWitness(from cf.EntryID, a holderAnswer) {
+// recordOutageAnswer takes another instance's word of the store.
+func (n *Node) recordOutageAnswer(from cf.EntryID, a holderAnswer) {
 	now := cf.Uptime()
 	var at *atomic.Int64
 	msg := "outage_confirmed"
 	switch {
 	case a.Fresh:
-		n.feed.away.Store(0)
-		at, msg = &n.feed.denied, "outage_denied"
-	case a.InVain:
-		n.feed.denied.Store(0)
-		at = &n.feed.away
+		n.feed.outageConfirmedAt.Store(0)
+		at, msg = &n.feed.outageDeniedAt, "outage_denied"
+	case a.StoreUnresponsive:
+		n.feed.outageDeniedAt.Store(0)
+		at = &n.feed.outageConfirmedAt
 	default:
 		return // it has heard nothing either, and does not know
 	}
-	if before := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerIsRecent(before, now) {
+	if previous := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerIsRecent(previous, now) {
 		n.log.Info(msg, zap.String("entry", string(from)))
 	}
 }
--- a/io/cfnode/hub.go
+++ b/io/cfnode/hub.go
@@ -13,18 +13,18 @@
 	"currantford/io/cflog"
 )
 
-// errNoWord: a hub has had no current word for a while.
-var errNoWord = errors.New("no current word")
+// errHubStale: a hub has had no current word for a while.
+var errHubStale = errors.New("no current word")
 
-// hubOf returns the hub that an instance which asks the coordinator is to ask instead,
+// assignedHub returns the hub that an instance which asks the coordinator is to ask instead,
 // false if there is none.
-func (n *Node) hubOf(call feedCall) (cfmember.Entry, bool) {
+func (n *Node) assignedHub(call feedCall) (cfmember.Entry, bool) {
 	hubs := n.members.Hubs(n.self(), cf.Uptime())
 	if call.Group != nil || cfmember.Contains(hubs, call.Entry.ID) {
 		return cfmember.Entry{}, false
 	}
 	choices := cfmember.HubCandidates(hubs, call.Entry, func(id cf.EntryID) bool {
-		return id == n.settings.Entry || slices.Contains(call.Without, id)
+		return id == n.settings.Entry || slices.Contains(call.AvoidedHubs, id)
 	})
 	if len(choices) == 0 {
 		return cfmember.Entry{}, false
@@ -32,28 +32,28 @@
 	return choices[0], true
 }
 
-// hubToAsk returns the hub to ask, false if the coordinator is to be asked.
-func (n *Node) hubToAsk(holder cflease.Holder) (cfmember.Entry, bool) {
+// hubToPoll returns the hub to ask, false if the coordinator is to be asked.
+func (n *Node) hubToPoll(holder cflease.Holder) (cfmember.Entry, bool) {
 	now := cf.Uptime()
 	return n.feed.upstream.HubToAsk(n.members.Hubs(n.self(), now), holder.Entry, n.members.ClientCount(now) > 0, now)
 }
 
-// findHub chooses the hub to ask from now on, if there are any.
-func (n *Node) findHub(holder cflease.Holder) {
+// chooseHub chooses the hub to ask from now on, if there are any.
+func (n *Node) chooseHub(holder cflease.Holder) {
 	now := cf.Uptime()
 	n.feed.upstream.ChooseHub(n.members.Hubs(n.self(), now), holder.Entry, now)
 }
 
-func (n *Node) hubChosen(hub cfmember.Entry) {
+func (n *Node) onHubChange(hub cfmember.Entry) {
 	n.log.Info("hub_chosen", zap.String("entry", string(hub.ID)), zap.String("failure_domain", string(hub.Domain)))
 }
 
-// askPast asks the coordinator where a hub has had no current word for a while.
-func (n *Node) askPast(ctx context.Context, holder cflease.Holder, hub cfmember.Entry) {
+// bypassHub asks the coordinator where a hub has had no current word for a while.
+func (n *Node) bypassHub(ctx context.Context, holder cflease.Holder, hub cfmember.Entry) {
 	if !n.feed.upstream.BypassHub(hub.ID, cf.Uptime()) {
 		return
 	}
-	if err := n.feedOnce(ctx, holder.Addr, false); err != nil {
+	if err := n.pollOnce(ctx, holder.Addr, false); err != nil {
 		n.log.Info("hub_kept", zap.String("entry", string(hub.ID)), cflog.Error(err))
 		n.feed.upstream.RestoreHub(hub, cf.Uptime())
 	}
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -45,13 +45,13 @@
 )
 
 const (
-	// watchTick is how often an instance checks whether it must watch the store
+	// watchCheckInterval is how often an instance checks whether it must watch the store
 	// itself.
-	watchTick = 100 * time.Millisecond
-	// watchLeft is the longest pause between the tries of an instance that is no scout,
+	watchCheckInterval = 100 * time.Millisecond
+	// maxWatchRetryDelay is the longest pause between the tries of an instance that is no scout,
 	// drawn from half of it to half more: what a store that is back shows is to be in
 	// force within two seconds.
-	watchLeft = 1300 * time.Millisecond
+	maxWatchRetryDelay = 1300 * time.Millisecond
 )
 
 type (
@@ -78,25 +78,25 @@
 
 		candidate *candidate
 		coord     atomic.Pointer[cfcoord.Coordinator]
-		watching  atomic.Pointer[watching]
+		watchers  atomic.Pointer[watchers]
 		// watchMetrics are those of all watchers of the site.
 		watchMetrics *cfwatch.Metrics
 		feed         feed
 		feedMetrics  feedMetrics
-		// known is when the configuration was last seen to be the newest.
-		known   atomic.Int64
-		peers   *cfpeer.Client
-		peerSrv *cfpeer.Server
-		leaving atomic.Bool
-		started cf.Millis
-		// texts are what this instance had generated when its duty ended.
-		texts   atomic.Pointer[keptTexts]
-		mirrors mirrors
-		relays  relays
-		pages   *cfcoord.LinkBudget
-		// host holds streams for the coordinator, pool this instance's own runs
+		// lastCurrentAt is when the configuration was last seen to be the newest.
+		lastCurrentAt atomic.Int64
+		peers         *cfpeer.Client
+		peerSrv       *cfpeer.Server
+		leaving       atomic.Bool
+		startedAt     cf.Millis
+		// savedTexts are what this instance had generated when its duty ended.
+		savedTexts atomic.Pointer[savedTexts]
+		replicas   textReplicas
+		relays     relayTable
+		linkBudget *cfcoord.LinkBudget
+		// runnerHost holds streams for the coordinator, pool this instance's own runs
 		// while it is the coordinator.
-		host *cfrunner.Host
+		runnerHost *cfrunner.Host
 		// guard decides which requests may go to targets; quarantine shares what it
 		// learns.
 		guard      *cfguard.Guard
@@ -105,10 +105,10 @@
 		// those of the instances, as the holder hears them.
 		usage *usage
 		// autoscale orders engines, nil where that is not asked for.
-		autoscale *autoscale
-		clockMu   sync.Mutex
-		clocks    cfusage.MedianClock
-		pool      atomic.Pointer[cfrunner.Pool]
+		autoscale  *autoscale
+		clockMu    sync.Mutex
+		clocks     cfusage.MedianClock
+		runnerPool atomic.Pointer[cfrunner.Pool]
 
 		// origin identifies the counts of this process's answers to feed calls.
 		origin  uint64
@@ -117,22 +117,22 @@
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
-		// telling are calls that handlers of other instances' calls have started.
-		telling cflog.Group
+		// gossip are calls that handlers of other instances' calls have started.
+		gossip cflog.Group
 		// candidacy ends before the rest at a planned stop.
 		candidacy     context.Context
 		endCandidacy  context.CancelFunc
 		candidateDone chan struct{}
 	}
 
-	// watching is a running pair of watchers.
-	watching struct {
+	// watchers is a running pair of watchers.
+	watchers struct {
 		config, targets *cfwatch.Watcher
 		cancel          context.CancelFunc
 		wg              cflog.Group
-		// led: this instance had the duty meanwhile. What it knows of engines then decides
+		// coordinated: this instance had the duty meanwhile. What it knows of engines then decides
 		// how losses of its runs are judged, and is kept.
-		led bool
+		coordinated bool
 	}
 )
 
@@ -142,8 +142,8 @@
 	n := &Node{
 		settings: s, adapter: a, log: log, site: cfsite.New(a.Codec), metrics: cfcoord.NewMetrics(reg),
 		peers: cfpeer.NewClient(), peerSrv: cfpeer.NewServer(), ctx: ctx, cancel: cancel,
-		started: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubsFrom), candidateDone: make(chan struct{}), pages: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
-		host: cfrunner.NewHost(a.Targets, log), watchMetrics: cfwatch.NewMetrics(reg),
+		startedAt: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubsFrom), candidateDone: make(chan struct{}), linkBudget: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
+		runnerHost: cfrunner.NewHost(a.Targets, log), watchMetrics: cfwatch.NewMetrics(reg),
 	}
 	n.feedMetrics = newFeedMetrics(reg, n)
 	n.quarantine = newQuarantine(n)
@@ -158,17 +158,17 @@
 	})
 	n.quarantine.guard = n.guard
 	n.candidacy, n.endCandidacy = context.WithCancel(ctx)
-	n.feed.upstream = cfmember.NewUpstream(cfmember.Entry{ID: s.Entry, Domain: s.Domain}, rand.Float64, n.hubChosen)
+	n.feed.upstream = cfmember.NewUpstream(cfmember.Entry{ID: s.Entry, Domain: s.Domain}, rand.Float64, n.onHubChange)
 	bounds := cflease.DefaultTiming
-	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverSlack
+	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverMargin
 	n.candidate = &candidate{
 		self: s.Entry, addr: s.Listen.Peers, store: a.Store, log: log, lease: cflease.New(s.Entry, bounds),
-		word: func() cf.Millis { return cf.Millis(n.feed.heard.Load()) }, acquired: n.beginDuty, lost: n.endDuty,
-		patience: n.leaves, outranked: n.outranked, better: n.betterHolder, state: n.dutyState,
+		lastUpdate: func() cf.Millis { return cf.Millis(n.feed.asOf.Load()) }, acquired: n.beginDuty, lost: n.endDuty,
+		watchDelay: n.watchDelay, strongerExists: n.strongerExists, handOverToStronger: n.handOverToStronger, state: n.dutyState,
 	}
 	n.ingress = cfingress.New(cfingress.Options{
 		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: reader{n}, Members: n, Guard: n.guard, Feasibility: n.refusals(),
-		Believes: n.belief, Count: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
+		Believes: n.configBelief, Count: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
 		ValueBytes: s.Store.ValueBytes, MemoryBytes: s.Memory.LimitMB << 20,
 		IgnorePace: s.Policy.IgnorePace, Metrics: cfingress.NewMetrics(reg), Log: log,
 	})
@@ -187,8 +187,8 @@
 	n.peerSrv.Handle(opAskHolder, decoded(n.serveAskHolder))
 	n.peerSrv.Handle(opAlive, func(context.Context, cbor.RawMessage) (any, error) { return true, nil })
 	n.peerSrv.Handle(opMirror, decoded(n.serveMirror))
-	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.host.Orders(ctx, o) }))
-	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.Collect) (any, error) { return n.host.Collect(ctx, c) }))
+	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.runnerHost.Orders(ctx, o) }))
+	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.Collect) (any, error) { return n.runnerHost.Collect(ctx, c) }))
 	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.Relayed(ctx, body) })
 	n.peerSrv.Handle(opStrikes, decoded(n.quarantine.serve))
 	n.peerSrv.Handle(opHeld, decoded(n.quarantine.serveHeld))
@@ -198,9 +198,9 @@
 	return n
 }
 
-// handoverSlack is added to the span between two holders' orders, for what an
+// handoverMargin is added to the span between two holders' orders, for what an
 // order may be under way.
-const handoverSlack cf.Millis = 200
+const handoverMargin cf.Millis = 200
 
 // Ingress returns what the node offers to callers.
 func (n *Node) Ingress() cf.Ingress { return n.ingress }
@@ -233,7 +233,7 @@
 	n.leaving.Store(true)
 	n.candidate.leaving.Store(true)
 	n.ingress.Stop()
-	n.hear(feedCall{Entry: n.self(), Leaving: true}, true)
+	n.recordReport(feedCall{Entry: n.self(), Leaving: true}, true)
 }
 
 // HandOver gives up the coordinator's duty, if the instance has it, and does not
@@ -241,41 +241,41 @@
 func (n *Node) HandOver(ctx context.Context) {
 	n.endCandidacy()
 	<-n.candidateDone // its calls to the store end with their context
-	n.handTo(ctx, n.reachedSuccessor(ctx))
+	n.handOverTo(ctx, n.reachableSuccessor(ctx))
 }
 
 const (
-	// successorTries is how many instances are asked whether they are there.
-	successorTries = 3
-	// successorTime bounds each question; the longest round trip takes 16 ms.
-	successorTime = 120 * time.Millisecond
+	// maxSuccessorProbes is how many instances are asked whether they are there.
+	maxSuccessorProbes = 3
+	// successorTimeout bounds each question; the longest round trip takes 16 ms.
+	successorTimeout = 120 * time.Millisecond
 )
 
-// reachedSuccessor returns the instance that should take the duty over, of those that
+// reachableSuccessor returns the instance that should take the duty over, of those that
 // answer: one that was cut off a moment ago still counts as alive, and the duty, named for
 // it, would be nobody's for a while.
-func (n *Node) reachedSuccessor(ctx context.Context) cfmember.Entry {
-	var silent []cf.EntryID
-	for range successorTries {
-		e := n.successor(silent...)
+func (n *Node) reachableSuccessor(ctx context.Context) cfmember.Entry {
+	var unreachable []cf.EntryID
+	for range maxSuccessorProbes {
+		e := n.successor(unreachable...)
 		if e.ID == "" {
 			break
 		}
 		var ok bool
-		call, cancel := context.WithTimeout(ctx, successorTime)
+		call, cancel := context.WithTimeout(ctx, successorTimeout)
 		err := n.peers.Call(call, e.PeerAddr, opAlive, struct{}{}, &ok)
 		cancel()
 		if err == nil {
 			return e
 		}
 		n.log.Info("successor_silent", zap.String("entry", string(e.ID)), cflog.Error(err))
-		silent = append(silent, e.ID)
+		unreachable = append(unreachable, e.ID)
 	}
 	return cfmember.Entry{}
 }
 
-// handTo releases the coordinator's duty to another instance and tells it.
-func (n *Node) handTo(ctx context.Context, successor cfmember.Entry) {
+// handOverTo releases the coordinator's duty to another instance and tells it.
+func (n *Node) handOverTo(ctx context.Context, successor cfmember.Entry) {
 	if !n.candidate.release(ctx, successor.ID) || successor.ID == "" {
 		return
 	}
@@ -285,8 +285,8 @@
 	}
 }
 
-// outranked says whether instances with more capacity are there to take a duty.
-func (n *Node) outranked() bool {
+// strongerExists says whether instances with more capacity are there to take a duty.
+func (n *Node) strongerExists() bool {
 	if n.settings.Policy.DutyAnywhere {
 		return false
 	}
@@ -294,22 +294,22 @@
 }
 
 const (
-	// keepIdle and keepBusy are how long a holder keeps a duty for which
+	// minIdleHold and keepBusy are how long a holder keeps a duty for which
 	// another has more capacity: with nothing open a change costs nothing,
 	// else some tenths of a second of each step, and the weights wait 3 s.
 	// Before the first of them has passed, instances count as alive by the
 	// word of the holder before alone.
-	keepIdle           = cfmember.ReportTimeout + 500
-	keepBusy cf.Millis = 10000
-	// handoverTimeout bounds the release to a better holder.
-	handoverTimeout = 2 * time.Second
+	minIdleHold           = cfmember.ReportTimeout + 500
+	minBusyHold cf.Millis = 10000
+	// strongerHandoverTimeout bounds the release to a better holder.
+	strongerHandoverTimeout = 2 * time.Second
 )
 
-// betterHolder hands the duty to an instance with more capacity, if it has had it
+// handOverToStronger hands the duty to an instance with more capacity, if it has had it
 // for a while.
-func (n *Node) betterHolder(held cf.Millis) {
+func (n *Node) handOverToStronger(heldFor cf.Millis) {
 	c := n.coord.Load()
-	if c == nil || n.settings.Policy.DutyAnywhere || n.leaving.Load() || held < keepIdle || held < keepBusy && c.Busy() {
+	if c == nil || n.settings.Policy.DutyAnywhere || n.leaving.Load() || heldFor < minIdleHold || heldFor < minBusyHold && c.Busy() {
 		return
 	}
 	successor := n.successor()
@@ -317,10 +317,10 @@
 		return
 	}
 	n.log.Info("duty_handed_over", zap.String("to", string(successor.ID)), zap.Float64("capacity", n.settings.Machine.Capacity()),
-		zap.Float64("capacity_there", successor.Capacity), zap.Int64("held_ms", int64(held)))
-	ctx, cancel := context.WithTimeout(n.ctx, handoverTimeout)
+		zap.Float64("capacity_there", successor.Capacity), zap.Int64("held_ms", int64(heldFor)))
+	ctx, cancel := context.WithTimeout(n.ctx, strongerHandoverTimeout)
 	defer cancel()
-	n.handTo(ctx, successor)
+	n.handOverTo(ctx, successor)
 }
 
 // Close stops and waits for all that was started.
@@ -328,14 +328,14 @@
 	n.cancel()
 	n.wg.Wait()
 	n.endDuty()
-	if w := n.watching.Load(); w != nil {
+	if w := n.watchers.Load(); w != nil {
 		w.close()
 	}
-	_ = n.host.Close()
+	_ = n.runnerHost.Close()
 	_ = n.guard.Close()
 	_ = n.peers.Close()
 	err := n.peerSrv.Close()
-	n.telling.Wait()
+	n.gossip.Wait()
 	return err
 }
 
@@ -343,7 +343,7 @@
 func (n *Node) self() cfmember.Entry {
 	return cfmember.Entry{
 		ID: n.settings.Entry, Addr: n.settings.Listen.Callers, PeerAddr: n.settings.Listen.Peers, Domain: n.settings.Domain, Ready: n.ingress.Ready(),
-		Age: cf.Uptime() - n.started, Capacity: n.settings.Machine.Capacity(),
+		Age: cf.Uptime() - n.startedAt, Capacity: n.settings.Machine.Capacity(),
 	}
 }
 
@@ -352,9 +352,9 @@
 func (n *Node) Live() []cfmember.Entry {
 	self, ready := n.self(), n.ingress.Ready()
 	live := n.members.Live(self, cf.Uptime())
-	at, known := slices.BinarySearchFunc(live, self.ID, func(e cfmember.Entry, id cf.EntryID) int { return strings.Compare(string(e.ID), string(id)) })
+	at, listed := slices.BinarySearchFunc(live, self.ID, func(e cfmember.Entry, id cf.EntryID) int { return strings.Compare(string(e.ID), string(id)) })
 	switch {
-	case known == ready:
+	case listed == ready:
 		return live
 	case ready:
 		return slices.Insert(slices.Clone(live), at, self)
@@ -365,38 +365,38 @@
 
 // successor returns the instance that should take the duty over, other than those
 // left out.
-func (n *Node) successor(without ...cf.EntryID) cfmember.Entry {
-	fresh := slices.DeleteFunc(n.members.LiveWithAges(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(without, e.ID) })
-	e, _ := cfmember.Successor(fresh, n.settings.Entry)
+func (n *Node) successor(excluded ...cf.EntryID) cfmember.Entry {
+	candidates := slices.DeleteFunc(n.members.LiveWithAges(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(excluded, e.ID) })
+	e, _ := cfmember.Successor(candidates, n.settings.Entry)
 	return e
 }
 
-func (n *Node) beginDuty(before cflease.Holder, left json.RawMessage) {
+func (n *Node) beginDuty(previous cflease.Holder, inherited json.RawMessage) {
 	members := n.members.StartCoordinating(cf.Uptime())
 	pool := n.newPool()
-	n.pool.Store(pool)
+	n.runnerPool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, Streams: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
 		Duty: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), Neighbour: neighbour{n}, Metrics: n.metrics, Log: n.log,
-		Pages: n.pages, Loads: before.MaxLoads, Succeeds: before.Entry != "", Policy: n.settings.Policy.Policy,
+		Pages: n.linkBudget, Loads: previous.MaxLoads, Succeeds: previous.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
-	n.usage.begin(entryIDs(members), left)
-	n.autoscale.begin(c, before.Entry != "")
-	c.Start(func(ctx context.Context) map[cf.ItemID]cfrollout.Text { return n.gatherTexts(ctx, before, members) })
+	n.usage.begin(entryIDs(members), inherited)
+	n.autoscale.begin(c, previous.Entry != "")
+	c.Start(func(ctx context.Context) map[cf.ItemID]cfrollout.Text { return n.gatherTexts(ctx, previous, members) })
 }
 
 // dutyState returns how many engines may load weights at once, as the coordinator here
 // has learned, the address of the instance that has copies of its texts, and what it has
 // heard of use.
-func (n *Node) dutyState() (loads int, copies string, left json.RawMessage) {
+func (n *Node) dutyState() (maxLoads int, replicaAddr string, successorState json.RawMessage) {
 	if c := n.coord.Load(); c != nil {
-		loads = c.LearnedLoads()
+		maxLoads = c.LearnedLoads()
 	}
-	n.mirrors.mu.Lock()
-	defer n.mirrors.mu.Unlock()
-	return loads, n.mirrors.at, n.usage.base()
+	n.replicas.mu.Lock()
+	defer n.replicas.mu.Unlock()
+	return maxLoads, n.replicas.ownReplicaAddr, n.usage.reportedBase()
 }
 
 // newPool returns the pool for a duty that begins.
@@ -421,40 +421,40 @@
 	n.usage.end()
 	n.autoscale.end()
 	if c := n.coord.Swap(nil); c != nil {
-		pool := n.pool.Swap(nil)
+		pool := n.runnerPool.Swap(nil)
 		pool.Hurry()
 		defer func() { _ = pool.Close() }()
 		n.members.StopCoordinating(n.self(), cf.Uptime())
 		_ = c.Close()
-		n.texts.Store(&keptTexts{pool.Term, c.Texts()})
+		n.savedTexts.Store(&savedTexts{pool.Term, c.Texts()})
 	}
 }
 
 // runWatch watches the store while this instance has the duty or hears
 // nothing from the coordinator.
 func (n *Node) runWatch() {
-	ticker := time.NewTicker(watchTick)
+	ticker := time.NewTicker(watchCheckInterval)
 	defer ticker.Stop()
 	for {
 		now := cf.Uptime()
-		w := n.watching.Load()
+		w := n.watchers.Load()
 		// The instance that has the duty serves the others by its watches.
-		need := n.alone(now)
+		needed := n.watchDue(now)
 		switch {
-		case need && w == nil:
+		case needed && w == nil:
 			n.logWatch("store_watched", now)
-			n.watching.Store(n.watch())
-		case !need && w != nil:
+			n.watchers.Store(n.startWatchers())
+		case !needed && w != nil:
 			n.logWatch("store_left", now)
-			n.watching.Store(nil)
+			n.watchers.Store(nil)
 			w.close()
-			if !w.led {
+			if !w.coordinated {
 				n.site.DropUnrelayed()
 			}
 		case w != nil && n.coord.Load() != nil:
-			w.led = true
+			w.coordinated = true
 		}
-		n.watchBelief(now)
+		n.updateBelief(now)
 		n.quarantine.tick(now)
 		for _, t := range n.site.DropLapsed(now) {
 			n.log.Info("target_changed", zap.String("target", string(t.ID)), zap.Bool("gone", true), zap.String("reason", "lapsed"))
@@ -474,10 +474,10 @@
 
 // logWatch tells why this instance begins or ends to watch the store itself.
 func (n *Node) logWatch(msg string, now cf.Millis) {
-	w := n.lastWord(now)
-	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", w.FallbackWatcher), zap.Bool("behind_hub", w.BehindHub), zap.Bool("holder_named", w.HolderNamed),
-		ageField("word_age_ms", w.UpdatedAt, now), ageField("unsure_age_ms", w.UncertainAt, now), ageField("away_age_ms", w.OutageConfirmedAt, now),
-		zap.Int64("config_age_ms", int64(n.belief().Age)))
+	state := n.status(now)
+	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", state.FallbackWatcher), zap.Bool("behind_hub", state.BehindHub), zap.Bool("holder_named", state.HolderNamed),
+		ageField("word_age_ms", state.UpdatedAt, now), ageField("unsure_age_ms", state.UncertainAt, now), ageField("away_age_ms", state.OutageConfirmedAt, now),
+		zap.Int64("config_age_ms", int64(n.configBelief().Age)))
 }
 
 // ageField is how long ago something was, left out if it never was.
@@ -488,19 +488,19 @@
 	return zap.Int64(name, int64(now-at))
 }
 
-func (n *Node) watch() *watching {
+func (n *Node) startWatchers() *watchers {
 	ctx, cancel := context.WithCancel(n.ctx)
-	w := &watching{cancel: cancel}
+	w := &watchers{cancel: cancel}
 	w.config, w.targets = cfwatch.NewSiteWatchers(n.adapter.Store, n.site, n.adapter.Codec, n.watchMetrics, n.log)
-	if n.coord.Load() == nil && !n.scout() {
-		w.config.MaxRetryDelay, w.targets.MaxRetryDelay = watchLeft, watchLeft
+	if n.coord.Load() == nil && !n.isFallbackWatcher() {
+		w.config.MaxRetryDelay, w.targets.MaxRetryDelay = maxWatchRetryDelay, maxWatchRetryDelay
 	}
 	w.wg.Go(func() { w.config.Run(ctx) })
 	w.wg.Go(func() { w.targets.Run(ctx) })
 	return w
 }
 
-func (w *watching) close() {
+func (w *watchers) close() {
 	w.cancel()
 	w.wg.Wait()
 }
--- a/io/cfnode/outage_test.go
+++ b/io/cfnode/outage_test.go
@@ -109,7 +109,7 @@
 func (f *testFleet) told() (bytes float64) {
 	for _, n := range f.nodes {
 		for _, part := range []string{"whole", "change"} {
-			bytes += testutil.ToFloat64(n.feedMetrics.told.WithLabelValues(part))
+			bytes += testutil.ToFloat64(n.feedMetrics.configBytes.WithLabelValues(part))
 		}
 	}
 	return bytes
@@ -165,7 +165,7 @@
 // coordinator, have no news either.
 func TestHearsayConfirmsNoOutage(t *testing.T) {
 	there := newTestNode(t, cfstandin.NewMemStore())
-	there.started -= 60_000
+	there.startedAt -= 60_000
 	there.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: "127.0.0.1:1"})
 	addr := serve(t, there)
 	n := newFollower(t, addr, 40)
@@ -173,7 +173,7 @@
 		n.hearsNothingNew()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if n.feed.away.Load() > 0 {
+	if n.feed.outageConfirmedAt.Load() > 0 {
 		t.Error("an instance that has not asked the store has confirmed that it is away")
 	}
 }
@@ -181,7 +181,7 @@
 // waiting returns how many instances leave the store alone because it is away.
 func (f *testFleet) waiting() (n int) {
 	for _, node := range f.nodes {
-		if cfmember.AnswerIsRecent(cf.Millis(node.feed.away.Load()), cf.Uptime()) {
+		if cfmember.AnswerIsRecent(cf.Millis(node.feed.outageConfirmedAt.Load()), cf.Uptime()) {
 			n++
 		}
 	}
@@ -191,7 +191,7 @@
 // watched returns how many instances watch the store themselves.
 func (f *testFleet) watched() (n int) {
 	for _, node := range f.nodes {
-		if node.watching.Load() != nil {
+		if node.watchers.Load() != nil {
 			n++
 		}
 	}
@@ -219,7 +219,7 @@
 	f.settled("start", fleetLogs)
 	scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
 	for _, n := range f.nodes {
-		for !n.lastWord(cf.Uptime()).StartupOver(cf.Uptime()) {
+		for !n.status(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -254,7 +254,7 @@
 	f.settled("start", fleetLogs)
 	h := f.holder()
 	f.outages(func() bool {
-		fresh, age := h.word(cf.Uptime())
+		fresh, age := h.servedView(cf.Uptime())
 		return fresh && age > 0
 	})
 }
--- a/io/cfnode/process.go
+++ b/io/cfnode/process.go
@@ -182,7 +182,7 @@
 		}
 		cancel()
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), min(flushBudget, max(0, grace-time.Since(began))))
+	ctx, cancel = context.WithTimeout(context.Background(), min(flushTimeout, max(0, grace-time.Since(began))))
 	p.node.usage.flush(ctx)
 	cancel()
 	_ = p.node.Close()
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -282,13 +282,13 @@
 func (q *quarantine) tick(now cf.Millis) {
 	n := q.node
 	fresh := n.feed.fresh(now)
-	q.guard.Sweep(n.coord.Load() != nil && n.viewFresh(now) || fresh, now)
+	q.guard.Sweep(n.coord.Load() != nil && n.ownViewCurrent(now) || fresh, now)
 	switch {
 	case n.coord.Load() != nil:
 		q.keep(now)
 	case fresh:
 	default:
-		if !q.guard.Informed() && n.alone(now) {
+		if !q.guard.Informed() && n.watchDue(now) {
 			q.informAlone(now, n.site.Config() != nil)
 		}
 		// No coordinator is there to compare with; any other instance will do.
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -33,8 +33,8 @@
 	relayQuiet cf.Millis = 2000
 )
 
-// relays is what an instance knows of its ways to the store through others.
-type relays struct {
+// relayTable is what an instance knows of its ways to the store through others.
+type relayTable struct {
 	mu sync.Mutex
 	// via is the instance that relayed a call last, at lastAt.
 	via    string
@@ -114,7 +114,7 @@
 
 // choose returns the instances to ask for one call, of those that may be, best first. Those
 // that are turned away as well come after the others, which may reach the store.
-func (r *relays) choose(addrs []string, now cf.Millis) []string {
+func (r *relayTable) choose(addrs []string, now cf.Millis) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var paths []string
@@ -129,14 +129,14 @@
 	return paths[:min(len(paths), relayMost)]
 }
 
-func (r *relays) resting(now cf.Millis) bool {
+func (r *relayTable) resting(now cf.Millis) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now < r.rest
 }
 
 // worked notes a relayed call; it returns true for the first one in a while.
-func (r *relays) worked(addr string, now cf.Millis) (first bool) {
+func (r *relayTable) worked(addr string, now cf.Millis) (first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first = now-r.lastAt > relayQuiet
@@ -148,7 +148,7 @@
 
 // notRelayed notes that an instance did not relay a call; it returns whether the call may have been
 // carried out there.
-func (r *relays) notRelayed(addr string, err error, now cf.Millis) (doubt bool) {
+func (r *relayTable) notRelayed(addr string, err error, now cf.Millis) (doubt bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.avoid == nil {
@@ -165,7 +165,7 @@
 	return doubt
 }
 
-func (r *relays) failed(now cf.Millis) {
+func (r *relayTable) failed(now cf.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.via, r.rest = "", now+relayRest.Doubled(r.failures, relayRestMost)
--- a/io/cfnode/relay_test.go
+++ b/io/cfnode/relay_test.go
@@ -12,7 +12,7 @@
 func TestRelaysGoOnToInstancesThatReachTheStore(t *testing.T) {
 	all := []string{"holder", "a", "b", "c", "d"}
 	for _, sound := range all {
-		var r relays
+		var r relayTable
 		now, tries := cf.Millis(10_000), 0
 		for served := false; !served; tries++ {
 			if tries == len(all) {
@@ -45,7 +45,7 @@
 // moment before.
 func TestRelayThatWorksAgainIsAskedFirst(t *testing.T) {
 	for _, err := range []error{cf.ErrRefused, cf.ErrUnavailable} {
-		var r relays
+		var r relayTable
 		r.notRelayed("a", err, 1000)
 		r.worked("a", 1100) // a call that was under way
 		if paths := r.choose([]string{"b", "c", "d"}, 1200); paths[0] != "a" {
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -64,18 +64,18 @@
 		addr string
 	}
 
-	// keptTexts are what this instance had generated when its duty ended.
-	keptTexts struct {
+	// savedTexts are what this instance had generated when its duty ended.
+	savedTexts struct {
 		term  cf.Revision
 		texts map[cf.ItemID]cfrollout.Text
 	}
 
-	// mirrors is what this instance holds for others, and where its own copies
+	// textReplicas is what this instance holds for others, and where its own copies
 	// go.
-	mirrors struct {
-		mu   sync.Mutex
-		held cfcoord.Mirror
-		at   string
+	textReplicas struct {
+		mu             sync.Mutex
+		received       cfcoord.Mirror
+		ownReplicaAddr string
 	}
 
 	// neighbour implements cfcoord.Neighbour.
@@ -86,9 +86,9 @@
 // there is one that can carry it, since traffic within it costs nothing.
 func (b neighbour) Choose(avoid string) string {
 	addr := cfmember.TextReplica(b.n.Live(), b.n.self(), avoid).PeerAddr
-	b.n.mirrors.mu.Lock()
-	defer b.n.mirrors.mu.Unlock()
-	b.n.mirrors.at = addr
+	b.n.replicas.mu.Lock()
+	defer b.n.replicas.mu.Unlock()
+	b.n.replicas.ownReplicaAddr = addr
 	return addr
 }
 
@@ -102,9 +102,9 @@
 }
 
 func (n *Node) serveMirror(_ context.Context, part cfcoord.Mirror) (any, error) {
-	n.mirrors.mu.Lock()
-	defer n.mirrors.mu.Unlock()
-	return n.mirrors.held.Take(part), nil
+	n.replicas.mu.Lock()
+	defer n.replicas.mu.Unlock()
+	return n.replicas.received.Take(part), nil
 }
 
 // serveTexts answers a coordinator that takes over with what this instance
@@ -112,12 +112,12 @@
 // that did not know of its successor yet stops its runs first.
 func (n *Node) serveTexts(_ context.Context, call textsCall) (any, error) {
 	n.candidate.depose(call.Term)
-	n.host.Fence(call.Term)
-	for waited := time.Duration(0); n.coord.Load() != nil; waited += watchTick / 4 {
+	n.runnerHost.Fence(call.Term)
+	for waited := time.Duration(0); n.coord.Load() != nil; waited += watchCheckInterval / 4 {
 		if waited >= deposeWait {
 			return nil, cf.ErrConflict
 		}
-		time.Sleep(watchTick / 4)
+		time.Sleep(watchCheckInterval / 4)
 	}
 	a := n.heldTexts()
 	if a.Size > textsInline && !call.Whole {
@@ -128,11 +128,11 @@
 
 func (n *Node) heldTexts() textsAnswer {
 	a := textsAnswer{Texts: map[cf.ItemID]cfrollout.Text{}}
-	n.mirrors.mu.Lock()
-	merge(a.Texts, n.mirrors.held.Snapshot())
-	a.Of = n.mirrors.held.Term
-	n.mirrors.mu.Unlock()
-	if own := n.texts.Load(); own != nil {
+	n.replicas.mu.Lock()
+	merge(a.Texts, n.replicas.received.Snapshot())
+	a.Of = n.replicas.received.Term
+	n.replicas.mu.Unlock()
+	if own := n.savedTexts.Load(); own != nil {
 		merge(a.Texts, own.texts)
 		a.Of = max(a.Of, own.term)
 	}
@@ -202,7 +202,7 @@
 		wg.Go(func() {
 			var a textsAnswer
 			if err := n.peers.Call(ctx, addr, opTexts, call, &a); err != nil {
-				n.noteRefused(addr, err)
+				n.removeRefused(addr, err)
 				return // a cache that is not reached is a cache miss
 			}
 			mu.Lock()
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -61,7 +61,7 @@
 		}
 		part.Texts[cf.ItemID(fmt.Sprint(i))] = text
 	}
-	holder.mirrors.held.Take(part)
+	holder.replicas.received.Take(part)
 
 	members := []cfmember.Entry{{ID: "b", PeerAddr: ln.Addr().String()}}
 	got := successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1"}, members)
@@ -100,7 +100,7 @@
 	if e := n.successor(); e.ID != "cut" {
 		t.Fatalf("the youngest is %q", e.ID)
 	}
-	if e := n.reachedSuccessor(context.Background()); e.ID != "old" {
+	if e := n.reachableSuccessor(context.Background()); e.ID != "old" {
 		t.Errorf("the duty goes to %q", e.ID)
 	}
 }
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -19,22 +19,22 @@
 const (
 	opUsage = "usage"
 
-	// usageReserve is what is left of the time for a report when it is kept at the
+	// usageHandoverReserve is what is left of the time for a report when it is kept at the
 	// latest: a change of the holder, the time between two holders' calls, and a call.
-	usageReserve cf.Millis = 6000
-	// usageRetry is the pause after a report that was not taken.
-	usageRetry cf.Millis = 400
-	// tellTimes is how often a second instances together may tell the holder at once of
+	usageHandoverReserve cf.Millis = 6000
+	// usageRetryDelay is the pause after a report that was not taken.
+	usageRetryDelay cf.Millis = 400
+	// maxUsageMessages is how often a second instances together may tell the holder at once of
 	// what they have counted; what is not told at once comes with the next report of
 	// life.
-	tellTimes = 100
-	// tellMost is the longest time until an instance tells what it has counted: its hub
+	maxUsageMessages = 100
+	// maxUsageDelay is the longest time until an instance tells what it has counted: its hub
 	// passes no counts on.
-	tellMost cf.Millis = 1000
-	// flushRetry is the pause between the tries of an instance that stops; flushBudget
+	maxUsageDelay cf.Millis = 1000
+	// flushRetryDelay is the pause between the tries of an instance that stops; flushBudget
 	// bounds them all.
-	flushRetry  = 50 * time.Millisecond
-	flushBudget = 800 * time.Millisecond
+	flushRetryDelay = 50 * time.Millisecond
+	flushTimeout    = 800 * time.Millisecond
 	// usageTimeout bounds such a message.
 	usageTimeout cf.Millis = 400
 )
@@ -47,7 +47,7 @@
 	metrics *cfmeter.Metrics
 	// duty is set while this instance reports.
 	duty   atomic.Pointer[cfmeter.Duty]
-	toldAt atomic.Int64 // Uptime
+	sentAt atomic.Int64 // Uptime
 }
 
 func newUsage(n *Node, metrics *cfmeter.Metrics) *usage {
@@ -59,24 +59,24 @@
 func (u *usage) now() cf.Millis { return u.clock.Now(cf.Now(), cf.Uptime()) }
 
 // count notes requests of an organisation that began to run at an Uptime.
-func (u *usage) count(o cf.Organisation, began cf.Millis, requests int64) {
+func (u *usage) count(o cf.Organisation, startedAt cf.Millis, requests int64) {
 	if u == nil || o == "" {
 		return
 	}
-	at := u.now() - (cf.Uptime() - began)
-	if !u.meter.Count(o, at, requests) {
-		u.node.log.Warn("usage_late", zap.String("organisation", string(o)), zap.Int64("began_ms", int64(at)), zap.Int64("requests", requests))
+	startedWall := u.now() - (cf.Uptime() - startedAt)
+	if !u.meter.Count(o, startedWall, requests) {
+		u.node.log.Warn("usage_late", zap.String("organisation", string(o)), zap.Int64("began_ms", int64(startedWall)), zap.Int64("requests", requests))
 		return
 	}
-	u.tell()
+	u.send()
 }
 
-// tell tells the holder what was counted, if it is this instance's turn: with an instance
+// send tells the holder what was counted, if it is this instance's turn: with an instance
 // that is lost, what it has not told is lost.
-func (u *usage) tell() {
+func (u *usage) send() {
 	n := u.node
-	now, last := cf.Uptime(), u.toldAt.Load()
-	if now-cf.Millis(last) < min(cf.Millis(1000*len(n.Live())/tellTimes), tellMost) || !u.toldAt.CompareAndSwap(last, int64(now)) {
+	now, last := cf.Uptime(), u.sentAt.Load()
+	if now-cf.Millis(last) < min(cf.Millis(1000*len(n.Live())/maxUsageMessages), maxUsageDelay) || !u.sentAt.CompareAndSwap(last, int64(now)) {
 		return
 	}
 	if u.duty.Load() != nil {
@@ -88,18 +88,18 @@
 		var taken bool
 		// Without an answer it goes with the next report of life.
 		_ = n.ask(n.ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
-		u.took(holder.Term, r, taken)
+		u.acknowledge(holder.Term, r, taken)
 	})
 }
 
-// tellCounted tells the holder what it has not taken yet, if there is anything.
-func (u *usage) tellCounted() {
+// sendPending tells the holder what it has not taken yet, if there is anything.
+func (u *usage) sendPending() {
 	if u == nil {
 		return
 	}
 	holder, _ := u.node.candidate.holder()
 	if len(u.meter.Report(holder.Term, u.now()).Windows) > 0 {
-		u.tell()
+		u.send()
 	}
 }
 
@@ -127,8 +127,8 @@
 	return &r
 }
 
-// hear takes what came with an instance's report of life.
-func (u *usage) hear(r *cfusage.MeterReport) (taken bool, settled cf.UsageWindow) {
+// receive takes what came with an instance's report of life.
+func (u *usage) receive(r *cfusage.MeterReport) (taken bool, settled cf.UsageWindow) {
 	if u == nil || r == nil {
 		return false, 0
 	}
@@ -139,17 +139,17 @@
 	return true, d.Take(*r)
 }
 
-// heard takes the answer to a report of life.
-func (u *usage) heard(a feedAnswer, call feedCall) {
+// applyAnswer takes the answer to a report of life.
+func (u *usage) applyAnswer(a feedAnswer, call feedCall) {
 	if u == nil {
 		return
 	}
-	if a.Wall > 0 {
-		u.clock.Adjust(a.Wall, cf.Now(), cf.Uptime())
+	if a.WallTime > 0 {
+		u.clock.Adjust(a.WallTime, cf.Now(), cf.Uptime())
 	}
 	u.meter.Settle(a.UsageSettled)
 	if call.Usage != nil && a.Holder.Term == call.Term { // another holder may lack what this one had
-		u.took(call.Term, *call.Usage, a.UsageTaken)
+		u.acknowledge(call.Term, *call.Usage, a.UsageTaken)
 	}
 }
 
@@ -170,8 +170,8 @@
 	return now
 }
 
-// took notes that the holder of a term has taken a report.
-func (u *usage) took(term cf.Revision, r cfusage.MeterReport, taken bool) {
+// acknowledge notes that the holder of a term has taken a report.
+func (u *usage) acknowledge(term cf.Revision, r cfusage.MeterReport, taken bool) {
 	if taken {
 		u.meter.Acknowledge(term, r)
 	}
@@ -179,28 +179,28 @@
 
 // begin begins the duty of reporting, under the coordinator's term. base is what the holder
 // before had heard.
-func (u *usage) begin(expect []cf.EntryID, base json.RawMessage) {
+func (u *usage) begin(expected []cf.EntryID, base json.RawMessage) {
 	if u == nil {
 		return
 	}
 	n := u.node
 	term, _ := n.candidate.MayOrder()
-	from := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverSlack
+	earliest := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverMargin
 	s := n.settings.Usage
 	d := cfmeter.New(cfmeter.Options{
 		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
-		Terms: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageReserve, 0), RetryDelay: usageRetry},
+		Terms: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
 		// A holder before may have called until its lease ran out.
-		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= from },
-		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.own(term) }, Settled: u.meter.Settle, Expect: expect, Base: base,
+		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= earliest },
+		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, Settled: u.meter.Settle, Expect: expected, Base: base,
 		Metrics: u.metrics, Log: n.log,
 	})
 	u.duty.Store(d)
 	d.Start()
 }
 
-// base returns what a successor needs, nothing while this instance does not report.
-func (u *usage) base() json.RawMessage {
+// reportedBase returns what a successor needs, nothing while this instance does not report.
+func (u *usage) reportedBase() json.RawMessage {
 	if u == nil {
 		return nil
 	}
@@ -225,19 +225,19 @@
 		}
 		var taken bool
 		err := u.node.ask(ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
-		u.took(holder.Term, r, taken)
+		u.acknowledge(holder.Term, r, taken)
 		if !taken {
 			err = u.node.findHolder(ctx) // it may have been this instance until now
 		}
-		if !taken && !cf.Sleep(ctx, flushRetry) {
+		if !taken && !cf.Sleep(ctx, flushRetryDelay) {
 			u.node.log.Warn("usage_not_told", zap.Int("windows", len(r.Windows)), cflog.Error(err))
 			return
 		}
 	}
 }
 
-// own hands this instance's counts to its own duty.
-func (u *usage) own(term cf.Revision) cfusage.MeterReport {
+// ownReport hands this instance's counts to its own duty.
+func (u *usage) ownReport(term cf.Revision) cfusage.MeterReport {
 	r := u.meter.Report(term, u.now())
 	u.meter.Acknowledge(term, r)
 	return r
--- a/io/cfwatch/site.go
+++ b/io/cfwatch/site.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// siteWait bounds the watches of the configuration and the targets. A
+	// siteWatchWait bounds the watches of the configuration and the targets. A
 	// watcher whose link to the store was cut believes itself current for
 	// this long, and a change must be in force within two seconds.
-	siteWait cf.Millis = 700
+	siteWatchWait cf.Millis = 700
 	// MaxViewAge is the age beyond which a view of the site is doubted: a
 	// whole wait and a slow answer.
 	MaxViewAge cf.Millis = 1100
 	// MaxRelistAge is the same of a view of targets that is listed again.
 	MaxRelistAge cf.Millis = 2200
-	// targetPause lets the changes of targets gather between calls.
-	targetPause cf.Millis = 100
+	// targetCoalesceDelay lets the changes of targets gather between calls.
+	targetCoalesceDelay cf.Millis = 100
 )
 
 // configName is the object that holds the newest configuration.
@@ -38,7 +38,7 @@
 // current.
 func NewSiteWatchers(store cf.Store, site *cfsite.Site, codec cfsite.Codec, metrics *Metrics, log *zap.Logger) (config, targets *Watcher) {
 	kinds := codec.Kinds()
-	takeConfig := func(r cf.Record) error {
+	applyConfig := func(r cf.Record) error {
 		if r.Name != configName {
 			return nil
 		}
@@ -49,11 +49,11 @@
 		return err
 	}
 	config = &Watcher{
-		Store: store, Kind: kinds.Config, Wait: siteWait, Log: log, Metrics: metrics, OnChange: takeConfig,
-		OnList: ForEach(takeConfig),
+		Store: store, Kind: kinds.Config, Wait: siteWatchWait, Log: log, Metrics: metrics, OnChange: applyConfig,
+		OnList: ForEach(applyConfig),
 	}
 	targets = &Watcher{
-		Store: store, Kind: kinds.Targets, Wait: siteWait, CoalesceDelay: targetPause, Log: log, Metrics: metrics,
+		Store: store, Kind: kinds.Targets, Wait: siteWatchWait, CoalesceDelay: targetCoalesceDelay, Log: log, Metrics: metrics,
 		OnChange: func(r cf.Record) error {
 			t, changed, err := site.ApplyTarget(r, cf.Uptime())
 			if changed {
@@ -73,8 +73,8 @@
 				}
 				ts = append(ts, t)
 			}
-			gone, applied := site.ReplaceTargets(ts, list.At, cf.Uptime())
-			log.Info("targets_listed", zap.Int("targets", len(ts)), zap.Int("gone", len(gone)), zap.Bool("applied", applied),
+			removed, applied := site.ReplaceTargets(ts, list.At, cf.Uptime())
+			log.Info("targets_listed", zap.Int("targets", len(ts)), zap.Int("gone", len(removed)), zap.Bool("applied", applied),
 				zap.Int64("revision", int64(list.At)))
 			return errors.Join(errs...)
 		},
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -27,17 +27,17 @@
 // down are paid for too, and all instances notice an outage together: the
 // pause grows and is drawn at random.
 const (
-	retryFirst = 150 * time.Millisecond
-	retryMost  = 900 * time.Millisecond
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 900 * time.Millisecond
 )
 
 const (
-	// overdue is how long after it should have come an answer counts as missing: a slow
+	// answerGrace is how long after it should have come an answer counts as missing: a slow
 	// store takes some hundred milliseconds.
-	overdue cf.Millis = 400
-	// vainFor is how long a failed call says that the store does not answer: the longest
+	answerGrace cf.Millis = 400
+	// failureLifetime is how long a failed call says that the store does not answer: the longest
 	// pause, and the next call.
-	vainFor cf.Millis = 2500
+	failureLifetime cf.Millis = 2500
 )
 
 // Watcher follows one kind. Its fields are set before Run.
@@ -68,40 +68,40 @@
 	// Metrics may be nil.
 	Metrics *Metrics
 
-	contact atomic.Int64
-	// failed is when a call failed last, and due as of when the answer of the call under
+	currentAt atomic.Int64
+	// failedAt is when a call failed last, and due as of when the answer of the call under
 	// way is missing, zero if there is none.
-	failed, due atomic.Int64
+	failedAt, answerDue atomic.Int64
 	// relisting: the store has dropped its history, and the list is being read again.
-	relisting atomic.Bool
-	at        cf.Revision
-	listed    bool
-	behind    bool // since the list no changes were asked for
-	failing   bool
+	relisting  atomic.Bool
+	rev        cf.Revision
+	listed     bool
+	catchingUp bool // since the list no changes were asked for
+	failing    bool
 }
 
 // Metrics are the watchers' counters.
-type Metrics struct{ notTaken *prometheus.CounterVec }
+type Metrics struct{ rejected *prometheus.CounterVec }
 
 // NewMetrics registers the watchers' metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "currantford_changes_not_taken_total", Help: "Objects of the store that could not be taken, by kind; what was there before goes on.",
 	}, []string{"kind"})}
-	reg.MustRegister(m.notTaken)
+	reg.MustRegister(m.rejected)
 	return m
 }
 
-func (w *Watcher) notTaken(msg, name string, err error) {
+func (w *Watcher) reject(msg, name string, err error) {
 	w.Log.Error(msg, zap.String("kind", w.Kind), zap.String("name", name), cflog.Error(err))
 	if w.Metrics != nil {
-		w.Metrics.notTaken.WithLabelValues(w.Kind).Inc()
+		w.Metrics.rejected.WithLabelValues(w.Kind).Inc()
 	}
 }
 
 // Age returns how long ago the view was known to be current.
 func (w *Watcher) Age(now cf.Millis) cf.Millis {
-	at := cf.Millis(w.contact.Load())
+	at := cf.Millis(w.currentAt.Load())
 	if at == 0 {
 		return 1 << 40
 	}
@@ -114,32 +114,32 @@
 
 // StoreUnresponsive says whether the store is being asked, and does not answer.
 func (w *Watcher) StoreUnresponsive(now cf.Millis) bool {
-	contact, failed, due := w.contact.Load(), cf.Millis(w.failed.Load()), cf.Millis(w.due.Load())
-	return int64(failed) > contact && now-failed < vainFor || due > 0 && now >= due
+	currentAt, failedAt, due := w.currentAt.Load(), cf.Millis(w.failedAt.Load()), cf.Millis(w.answerDue.Load())
+	return int64(failedAt) > currentAt && now-failedAt < failureLifetime || due > 0 && now >= due
 }
 
 // InitialList says whether the first list is being read, in vain if a call for it has failed.
-func (w *Watcher) InitialList() (listing, vain bool) {
-	return w.contact.Load() == 0, w.failed.Load() > 0
+func (w *Watcher) InitialList() (pending, failed bool) {
+	return w.currentAt.Load() == 0, w.failedAt.Load() > 0
 }
 
 // Current says whether the view was known to be current within fresh, or within listed while
 // it is listed again: what takes longer the more there is to list makes it no worse than it
 // was a moment before.
-func (w *Watcher) Current(now, fresh, listed cf.Millis) bool {
+func (w *Watcher) Current(now, maxAge, maxRelistAge cf.Millis) bool {
 	if w.relisting.Load() {
-		fresh = listed
+		maxAge = maxRelistAge
 	}
-	return w.Age(now) < fresh
+	return w.Age(now) < maxAge
 }
 
 // Run follows the kind until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	retry := retryFirst
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		err := w.step(ctx)
 		if err == nil {
-			retry = retryFirst
+			delay = minRetryDelay
 			cf.Sleep(ctx, w.CoalesceDelay.Duration())
 			continue
 		}
@@ -150,14 +150,14 @@
 			w.Log.Warn("store_lost", zap.String("kind", w.Kind), cflog.Error(err))
 		}
 		w.failing = true
-		w.failed.Store(int64(cf.Uptime()))
-		cf.Sleep(ctx, retry/2+rand.N(retry))
-		retry = min(2*retry, max(w.MaxRetryDelay, retryMost))
+		w.failedAt.Store(int64(cf.Uptime()))
+		cf.Sleep(ctx, delay/2+rand.N(delay))
+		delay = min(2*delay, max(w.MaxRetryDelay, maxRetryDelay))
 	}
 }
 
-// answered notes that the store answered.
-func (w *Watcher) answered() {
+// recordAnswer notes that the store answered.
+func (w *Watcher) recordAnswer() {
 	if !w.failing {
 		return
 	}
@@ -170,30 +170,30 @@
 
 func (w *Watcher) step(ctx context.Context) error {
 	// A list or an empty watch shows the view as of when it was asked for.
-	asked := cf.Uptime()
-	defer w.due.Store(0)
+	askedAt := cf.Uptime()
+	defer w.answerDue.Store(0)
 	if !w.listed {
-		w.due.Store(int64(asked + overdue))
+		w.answerDue.Store(int64(askedAt + answerGrace))
 		list, err := w.Store.List(ctx, w.Kind)
 		if err != nil {
 			return err
 		}
-		w.answered()
+		w.recordAnswer()
 		if err := w.OnList(list); err != nil {
-			w.notTaken("list_not_taken", "", err)
+			w.reject("list_not_taken", "", err)
 		}
-		w.listed, w.behind = true, w.OnCaughtUp != nil
-		w.reached(list.At, asked)
+		w.listed, w.catchingUp = true, w.OnCaughtUp != nil
+		w.recordRevision(list.At, askedAt)
 		return nil
 	}
 	wait := w.Wait
-	if w.behind {
+	if w.catchingUp {
 		wait = 1 // what is there now
 	}
-	w.due.Store(int64(asked + wait + overdue))
-	changes, err := w.Store.Watch(ctx, w.Kind, w.at, wait)
+	w.answerDue.Store(int64(askedAt + wait + answerGrace))
+	changes, err := w.Store.Watch(ctx, w.Kind, w.rev, wait)
 	if errors.Is(err, cf.ErrHistoryGone) {
-		w.Log.Info("watch_history_gone", zap.String("kind", w.Kind), zap.Int64("since", int64(w.at)))
+		w.Log.Info("watch_history_gone", zap.String("kind", w.Kind), zap.Int64("since", int64(w.rev)))
 		w.listed = false
 		w.relisting.Store(true)
 		return nil
@@ -201,26 +201,26 @@
 	if err != nil {
 		return err
 	}
-	w.answered()
+	w.recordAnswer()
 	for _, r := range changes.Items {
 		if err := w.OnChange(r); err != nil {
-			w.notTaken("change_not_taken", r.Name, err)
+			w.reject("change_not_taken", r.Name, err)
 		}
 	}
-	w.reached(changes.At, cf.Uptime())
-	if w.behind {
-		w.behind = false
+	w.recordRevision(changes.At, cf.Uptime())
+	if w.catchingUp {
+		w.catchingUp = false
 		w.OnCaughtUp()
 	}
 	return nil
 }
 
-func (w *Watcher) reached(at cf.Revision, when cf.Millis) {
-	w.at = max(w.at, at)
-	w.contact.Store(int64(when))
+func (w *Watcher) recordRevision(rev cf.Revision, currentAt cf.Millis) {
+	w.rev = max(w.rev, rev)
+	w.currentAt.Store(int64(currentAt))
 	w.relisting.Store(false)
 	if w.OnRevision != nil {
-		w.OnRevision(w.at)
+		w.OnRevision(w.rev)
 	}
 }
 
