--- a/io/cfnode/candidate.go
+++ b/io/cfnode/candidate.go
@@ -20,37 +20,37 @@
 
 const (
 	leaseName = "coordinator"
-	// candidateTick is how often a candidate or holder looks at its clock.
-	candidateTick = 100 * time.Millisecond
-	// probeEvery is how often a candidate without word of the coordinator
+	// candidateInterval is how often a candidate or holder looks at its clock.
+	candidateInterval = 100 * time.Millisecond
+	// probeInterval is how often a candidate without word of the coordinator
 	// reads the lease.
-	probeEvery cf.Millis = 600
-	// renewRetry is the pause after a renewal that failed: less than half of
+	probeInterval cf.Millis = 600
+	// renewRetryDelay is the pause after a renewal that failed: less than half of
 	// a lease's validity, and not a call at each tick of an outage.
-	renewRetry cf.Millis = 300
-	// lapseMost is how long a holder that can't renew goes on. All steps
+	renewRetryDelay cf.Millis = 300
+	// maxLapse is how long a holder that can't renew goes on. All steps
 	// that it knows are over by then.
-	lapseMost cf.Millis = 15000
-	// leftProbeEvery is how often an instance reads the lease that leaves that to the
+	maxLapse cf.Millis = 15000
+	// slowProbeInterval is how often an instance reads the lease that leaves that to the
 	// scouts for a while: a new holder tells all others.
-	leftProbeEvery cf.Millis = 2000
-	// doubtEvery is the same while the holder denies that it is: after a
+	slowProbeInterval cf.Millis = 2000
+	// deniedProbeInterval is the same while the holder denies that it is: after a
 	// planned stop the lease is free, and every moment of it is idle time.
-	doubtEvery cf.Millis = 250
-	// takeSpread draws the moment of a takeover at random, so that usually
+	deniedProbeInterval cf.Millis = 250
+	// maxAcquireDelay draws the moment of a takeover at random, so that usually
 	// one instance writes and the others see its lease.
-	takeSpread = 250 * time.Millisecond
-	// outrankedWait is how long an instance leaves a free duty to stronger ones, from
+	maxAcquireDelay = 250 * time.Millisecond
+	// strongerWait is how long an instance leaves a free duty to stronger ones, from
 	// when the store answers: one of their looks, and their draw. From a weak one it
 	// would go to a strong one with another pause of the orders.
-	outrankedWait = 900 * time.Millisecond
+	strongerWait = 900 * time.Millisecond
 )
 
 // leaseObject is the lease as it lies in the store, with what its holder leaves to a
 // successor. No instance tells that to another.
 type leaseObject struct {
 	cflease.Holder
-	Left json.RawMessage `json:"left,omitempty"`
+	SuccessorState json.RawMessage `json:"left,omitempty"`
 }
 
 // candidate competes for the coordinator's lease and keeps it renewed.
@@ -68,41 +68,41 @@
 	// a duty that was held for a time to one of them.
 	strongerExists     func() bool
 	handOverToStronger func(held cf.Millis)
-	// state returns what a successor should know of the duty here: the loads of
+	// dutyState returns what a successor should know of the duty here: the loads of
 	// weights that may run at once, where copies of texts are, and what else it leaves.
-	state func() (loads int, copies string, left json.RawMessage)
-	// acquired and lost start and end the duty.
-	acquired func(before cflease.Holder, left json.RawMessage)
-	lost     func()
+	dutyState func() (loads int, copies string, left json.RawMessage)
+	// onAcquire and lost start and end the duty.
+	onAcquire func(before cflease.Holder, left json.RawMessage)
+	onLose    func()
 
 	mu    sync.Mutex
 	lease *cflease.Lease
-	// seenAt is when the first read of the lease showed it, zero if none has.
-	seenAt cf.Millis
-
-	probed cf.Millis
-	// asked: the lease was read, or is being read, for the first time; asking: it is now.
-	asked   bool
-	asking  atomic.Bool
-	held    bool
-	heldAt  cf.Millis // since when
-	lapsed  bool      // held, and not renewed in time
-	renewAt cf.Millis // the next try to renew after one that failed
-	// left is what the holder of the lease at leftRev leaves to a successor.
-	left    json.RawMessage
-	leftRev cf.Revision
-	// storeAway: the last look at the lease had no answer.
-	storeAway bool
-	// doubted is set when the instance believed to be the holder says that
+	// firstSeenAt is when the first read of the lease showed it, zero if none has.
+	firstSeenAt cf.Millis
+
+	probedAt cf.Millis
+	// firstReadBegun: the lease was read, or is being read, for the first time; asking: it is now.
+	firstReadBegun   bool
+	firstReadPending atomic.Bool
+	held             bool
+	heldAt           cf.Millis // since when
+	lapsed           bool      // held, and not renewed in time
+	retryAt          cf.Millis // the next try to renew after one that failed
+	// successorState is what the holder of the lease at leftRev leaves to a successor.
+	successorState    json.RawMessage
+	successorStateRev cf.Revision
+	// storeUnreachable: the last look at the lease had no answer.
+	storeUnreachable bool
+	// denied is set when the instance believed to be the holder says that
 	// it is not.
-	doubted atomic.Bool
+	denied atomic.Bool
 	// offered is set when a holder has named this instance as its successor.
 	offered atomic.Bool
-	// answered is when the instance believed to be the holder last answered
+	// holderAnsweredAt is when the instance believed to be the holder last answered
 	// at all.
-	answered atomic.Int64
-	// deposed is set when a successor has called.
-	deposed atomic.Bool
+	holderAnsweredAt atomic.Int64
+	// superseded is set when a successor has called.
+	superseded atomic.Bool
 	// leaving is set when the instance stops: it keeps the duty for a while
 	// and does not take it.
 	leaving atomic.Bool
@@ -122,13 +122,13 @@
 	return c.lease.Held()
 }
 
-// depose makes this instance give up a duty that another has taken with a
+// supersede makes this instance give up a duty that another has taken with a
 // higher term.
-func (c *candidate) depose(term cf.Revision) {
+func (c *candidate) supersede(term cf.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lease.Held() && term > c.lease.Term() {
-		c.deposed.Store(true)
+		c.superseded.Store(true)
 	}
 }
 
@@ -153,31 +153,31 @@
 	return c.lease.Holder(), c.lease.Rev()
 }
 
-// doubt notes that the instance believed to be the holder denies it.
-func (c *candidate) doubt() {
-	c.doubted.Store(true)
-	c.heard()
+// recordDenial notes that the instance believed to be the holder denies it.
+func (c *candidate) recordDenial() {
+	c.denied.Store(true)
+	c.recordAnswer()
 }
 
-// heard notes that the instance believed to be the holder has answered.
-func (c *candidate) heard() { c.heardAt(cf.Uptime()) }
+// recordAnswer notes that the instance believed to be the holder has answered.
+func (c *candidate) recordAnswer() { c.recordAnswerAt(cf.Uptime()) }
 
-// heardAt is the same as of an earlier moment, by the word of a hub.
-func (c *candidate) heardAt(at cf.Millis) {
-	if int64(at) > c.answered.Load() {
-		c.answered.Store(int64(at))
+// recordAnswerAt is the same as of an earlier moment, by the word of a hub.
+func (c *candidate) recordAnswerAt(at cf.Millis) {
+	if int64(at) > c.holderAnsweredAt.Load() {
+		c.holderAnsweredAt.Store(int64(at))
 	}
 }
 
-// holderDead notes that the holder's process has ended.
-func (c *candidate) holderDead(h cflease.Holder) {
+// recordHolderExit notes that the holder's process has ended.
+func (c *candidate) recordHolderExit(h cflease.Holder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lease.HolderExited(h.Term, cf.Uptime())
 }
 
-// read returns the lease as last seen; one that was never seen is read.
-func (c *candidate) read(ctx context.Context) (cflease.Holder, error) {
+// readLease returns the lease as last seen; one that was never seen is read.
+func (c *candidate) readLease(ctx context.Context) (cflease.Holder, error) {
 	holder, rev := c.holder()
 	if rev > 0 {
 		return holder, nil
@@ -202,21 +202,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := cf.Uptime()
-	if c.asking.Load() && c.lease.Rev() == 0 {
-		c.seenAt = now
+	if c.firstReadPending.Load() && c.lease.Rev() == 0 {
+		c.firstSeenAt = now
 	}
 	c.lease.Observe(rev, h, now)
 }
 
-// awaits says whether the lease is being read for the first time, and else when that showed it.
-func (c *candidate) awaits() (unread bool, seen cf.Millis) {
+// firstRead says whether the lease is being read for the first time, and else when that showed it.
+func (c *candidate) firstRead() (pending bool, seenAt cf.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asking.Load() && c.lease.Rev() == 0, c.seenAt
+	return c.firstReadPending.Load() && c.lease.Rev() == 0, c.firstSeenAt
 }
 
 func (c *candidate) run(ctx context.Context) {
-	ticker := time.NewTicker(candidateTick)
+	ticker := time.NewTicker(candidateInterval)
 	defer ticker.Stop()
 	for {
 		c.step(ctx)
@@ -231,68 +231,68 @@
 func (c *candidate) step(ctx context.Context) {
 	now := cf.Uptime()
 	c.mu.Lock()
-	valid, renew, may, rev := c.lease.Valid(now), c.lease.RenewDue(now), c.lease.MayAcquire(now), c.lease.Rev()
-	abandoned, named := c.lease.Abandoned(), c.lease.Holder().Successor == c.self
+	valid, renewDue, mayAcquire, rev := c.lease.Valid(now), c.lease.RenewDue(now), c.lease.MayAcquire(now), c.lease.Rev()
+	abandoned, namedSuccessor := c.lease.Abandoned(), c.lease.Holder().Successor == c.self
 	c.mu.Unlock()
 	if c.held {
-		c.hold(ctx, now, valid, renew)
+		c.maintain(ctx, now, valid, renewDue)
 		return
 	}
 	if c.leaving.Load() {
 		return
 	}
-	doubted := c.doubted.Load()
+	denied := c.denied.Load()
 	if c.offered.Swap(false) {
-		c.takeFree(ctx)
+		c.acquireIfFree(ctx)
 		return
 	}
 	if rev == 0 {
-		if now-c.probed >= probeEvery {
-			c.probed = now
+		if now-c.probedAt >= probeInterval {
+			c.probedAt = now
 			c.probe(ctx)
 		}
 		return
 	}
-	silent, left := now-c.lastUpdate(), c.watchDelay(now)
-	if left == 0 && !abandoned && !doubted && silent < probeEvery || silent < left {
+	silence, delay := now-c.lastUpdate(), c.watchDelay(now)
+	if delay == 0 && !abandoned && !denied && silence < probeInterval || silence < delay {
 		return
 	}
-	if since := now - c.probed; left == 0 && (since >= probeEvery || doubted && since >= doubtEvery) || since >= leftProbeEvery {
-		c.probed = now
-		c.doubted.Store(false)
+	if since := now - c.probedAt; delay == 0 && (since >= probeInterval || denied && since >= deniedProbeInterval) || since >= slowProbeInterval {
+		c.probedAt = now
+		c.denied.Store(false)
 		c.probe(ctx)
 		return
 	}
-	if may {
-		if !named {
-			cf.Sleep(ctx, rand.N(takeSpread))
+	if mayAcquire {
+		if !namedSuccessor {
+			cf.Sleep(ctx, rand.N(maxAcquireDelay))
 		}
 		if c.strongerExists() {
 			c.probe(ctx)
-			if c.storeAway || !cf.Sleep(ctx, outrankedWait) {
+			if c.storeUnreachable || !cf.Sleep(ctx, strongerWait) {
 				return
 			}
 		}
-		c.takeFree(ctx)
+		c.acquireIfFree(ctx)
 	}
 }
 
-// takeFree looks at the lease and takes it if it may.
-func (c *candidate) takeFree(ctx context.Context) {
+// acquireIfFree looks at the lease and takes it if it may.
+func (c *candidate) acquireIfFree(ctx context.Context) {
 	c.probe(ctx)
 	c.mu.Lock()
-	may := c.lease.MayAcquire(cf.Uptime())
+	mayAcquire := c.lease.MayAcquire(cf.Uptime())
 	c.mu.Unlock()
-	if may {
+	if mayAcquire {
 		c.write(ctx)
 	}
 }
 
-// hold renews the lease. A holder that can't is not over while nobody else has
+// maintain renews the lease. A holder that can't is not over while nobody else has
 // taken it: it goes on with what needs no lease, such as the runs under way,
 // which would otherwise be lost in each outage of the store.
-func (c *candidate) hold(ctx context.Context, now cf.Millis, valid, renew bool) {
-	if c.deposed.Load() {
+func (c *candidate) maintain(ctx context.Context, now cf.Millis, valid, renewDue bool) {
+	if c.superseded.Load() {
 		c.stepDown("a successor has called")
 		return
 	}
@@ -300,11 +300,11 @@
 		c.lapsed = !valid
 		c.log.Warn("lease_validity_changed", zap.Bool("valid", valid))
 	}
-	if !valid && now-c.lastSent() > lapseMost {
+	if !valid && now-c.lastRenewal() > maxLapse {
 		c.stepDown("not renewed for too long")
 		return
 	}
-	if renew && now >= c.renewAt {
+	if renewDue && now >= c.retryAt {
 		c.write(ctx)
 		return
 	}
@@ -313,7 +313,7 @@
 	}
 }
 
-func (c *candidate) lastSent() cf.Millis {
+func (c *candidate) lastRenewal() cf.Millis {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.SentAt()
@@ -322,24 +322,24 @@
 // probe reads the lease; where there is none yet it is created.
 func (c *candidate) probe(ctx context.Context) {
 	get := c.get
-	if _, rev := c.holder(); rev == 0 && !c.asked {
-		c.asked = true
-		c.asking.Store(true)
-		defer c.asking.Store(false)
-		get = c.firstGet
+	if _, rev := c.holder(); rev == 0 && !c.firstReadBegun {
+		c.firstReadBegun = true
+		c.firstReadPending.Store(true)
+		defer c.firstReadPending.Store(false)
+		get = c.getFirst
 	}
 	r, err := get(ctx)
-	c.storeAway = err != nil && !errors.Is(err, cf.ErrNotFound)
+	c.storeUnreachable = err != nil && !errors.Is(err, cf.ErrNotFound)
 	switch {
 	case err == nil:
-		c.take(r)
+		c.applyRecord(r)
 	case errors.Is(err, cf.ErrNotFound):
 		c.write(ctx)
 		return
 	default:
 		// The watchers log that the store is lost.
 		c.mu.Lock()
-		c.lease.StoreUnreachable(cf.Uptime(), cf.Millis(c.answered.Load()))
+		c.lease.StoreUnreachable(cf.Uptime(), cf.Millis(c.holderAnsweredAt.Load()))
 		c.mu.Unlock()
 		return
 	}
@@ -354,9 +354,9 @@
 	return c.store.Get(ctx, cf.KindLease, leaseName)
 }
 
-// firstGet reads the lease until a read is answered, or refused. A slow store takes longer than
+// getFirst reads the lease until a read is answered, or refused. A slow store takes longer than
 // the first reads wait, and one whose answer is lost holds up no other.
-func (c *candidate) firstGet(ctx context.Context) (cf.Record, error) {
+func (c *candidate) getFirst(ctx context.Context) (cf.Record, error) {
 	type answer struct {
 		cf.Record
 		err error
@@ -366,14 +366,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan answer)
-	last, under := cf.Millis(0), 0
+	lastStart, pending := cf.Millis(0), 0
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for {
 		select {
 		case <-next.C:
-			last = cf.Uptime()
-			under++
+			lastStart = cf.Uptime()
+			pending++
 			reads.Go(func() {
 				r, err := c.get(ctx)
 				select {
@@ -386,8 +386,8 @@
 			if !errors.Is(a.err, cf.ErrUnavailable) {
 				return a.Record, a.err
 			}
-			if under--; under == 0 {
-				next.Reset((last + cfmember.MinLeaseReadInterval - cf.Uptime()).Duration())
+			if pending--; pending == 0 {
+				next.Reset((lastStart + cfmember.MinLeaseReadInterval - cf.Uptime()).Duration())
 			}
 		case <-ctx.Done():
 			return cf.Record{}, cf.ErrUnavailable
@@ -395,14 +395,14 @@
 	}
 }
 
-func (c *candidate) take(r cf.Record) {
+func (c *candidate) applyRecord(r cf.Record) {
 	var o leaseObject
 	if err := json.Unmarshal(r.Spec, &o); err != nil {
 		c.log.Error("lease_not_read", cflog.Error(err))
 		return
 	}
-	if r.Rev > c.leftRev {
-		c.left, c.leftRev = o.Left, r.Rev
+	if r.Rev > c.successorStateRev {
+		c.successorState, c.successorStateRev = o.SuccessorState, r.Rev
 	}
 	c.observe(r.Rev, o.Holder)
 }
@@ -419,16 +419,16 @@
 func (c *candidate) write(ctx context.Context) {
 	sent := cf.Uptime()
 	c.mu.Lock()
-	before := c.lease.Holder()
+	previous := c.lease.Holder()
 	next, rev := c.lease.Next(c.addr, sent), c.lease.Rev()
 	c.mu.Unlock()
-	var left json.RawMessage
+	var state json.RawMessage
 	if c.held {
-		next.MaxLoads, next.ReplicaAddr, left = c.state()
-	} else if rev == c.leftRev {
-		left = c.left // it goes on: this instance may be lost before its first renewal
+		next.MaxLoads, next.ReplicaAddr, state = c.dutyState()
+	} else if rev == c.successorStateRev {
+		state = c.successorState // it goes on: this instance may be lost before its first renewal
 	}
-	r, err := c.put(ctx, rev, leaseObject{next, left})
+	r, err := c.put(ctx, rev, leaseObject{next, state})
 	switch {
 	case err == nil:
 		c.mu.Lock()
@@ -437,17 +437,17 @@
 		if !c.held {
 			c.held, c.heldAt = true, cf.Uptime()
 			c.log.Info("lease_taken", zap.Int64("term", int64(next.Term)), zap.Int64("revision", int64(r.Rev)))
-			c.acquired(before, left)
+			c.onAcquire(previous, state)
 		}
 	case errors.Is(err, cf.ErrConflict):
 		// It may be this instance's own write, whose answer was lost.
-		c.take(r)
+		c.applyRecord(r)
 		if h, _ := c.holder(); c.held && h.Entry != c.self {
 			c.stepDown("taken by " + string(h.Entry))
 		}
 	default:
 		// Unknown: the next write shows whether it took effect.
-		c.renewAt = cf.Uptime() + renewRetry
+		c.retryAt = cf.Uptime() + renewRetryDelay
 		c.log.Warn("lease_write_failed", zap.Int64("revision", int64(rev)), cflog.Error(err))
 	}
 }
@@ -457,9 +457,9 @@
 	c.lease.Lost()
 	c.mu.Unlock()
 	c.held, c.lapsed = false, false
-	c.deposed.Store(false)
+	c.superseded.Store(false)
 	c.log.Warn("lease_lost", zap.String("reason", reason))
-	c.lost()
+	c.onLose()
 }
 
 // release gives the lease up at a planned stop, so that the successor takes over
@@ -469,18 +469,18 @@
 	if !c.held {
 		return false
 	}
-	_, _, left := c.state()
+	_, _, state := c.dutyState()
 	c.stepDown("planned stop")
 	c.mu.Lock()
 	next, rev := c.lease.Release(successor, cf.Uptime()), c.lease.Rev()
 	c.mu.Unlock()
 	c.log.Info("lease_released", zap.String("successor", string(successor)), zap.Int64("ordered_ago_ms", int64(next.SinceLastOrder)))
-	r, err := c.put(ctx, rev, leaseObject{next, left})
+	r, err := c.put(ctx, rev, leaseObject{next, state})
 	if errors.Is(err, cf.ErrConflict) {
 		// A renewal that was under way when run ended has taken effect.
-		c.take(r)
+		c.applyRecord(r)
 		if h, rev := c.holder(); h.Entry == c.self {
-			_, err = c.put(ctx, rev, leaseObject{next, left})
+			_, err = c.put(ctx, rev, leaseObject{next, state})
 		}
 	}
 	if err != nil {
--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -42,7 +42,7 @@
 	if !n.candidate.held || !n.candidate.release(ctx, "b") {
 		t.Fatal("the lease was not taken and released")
 	}
-	n.candidate.doubt()
+	n.candidate.recordDenial()
 	n.candidate.step(ctx)
 	r, err := store.Get(ctx, cf.KindLease, leaseName)
 	if err != nil {
@@ -100,17 +100,17 @@
 	var r relayTable
 	tries := 0
 	for now := cf.Millis(0); now < 10000; now += 100 {
-		if !r.resting(now) {
+		if !r.paused(now) {
 			tries++
-			r.failed(now)
+			r.pause(now)
 		}
 	}
 	if tries > 9 {
 		t.Errorf("%d calls were passed on in vain within 10 s", tries)
 	}
-	r.worked("a", 20000)
-	r.failed(20000)
-	if !r.resting(20100) || r.resting(20300) {
+	r.recordSuccess("a", 20000)
+	r.pause(20000)
+	if !r.paused(20100) || r.paused(20300) {
 		t.Error("one failure after a success costs more than the first pause")
 	}
 }
--- a/io/cfnode/fallback_test.go
+++ b/io/cfnode/fallback_test.go
@@ -77,7 +77,7 @@
 				n.feed.outageConfirmedAt.Store(int64(now))
 			}
 			if c.denies {
-				n.candidate.doubt()
+				n.candidate.recordDenial()
 			}
 			n.candidate.observe(5, cflease.Holder{Entry: "strong-0", Term: 1})
 			if got := n.watchDue(now); got != c.asks {
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -135,8 +135,8 @@
 	return f.settledWindow
 }
 
-// fresh says whether the view from the coordinator is current.
-func (f *feed) fresh(now cf.Millis) bool { return cfmember.IsCurrent(cf.Millis(f.asOf.Load()), now) }
+// current says whether the view from the coordinator is current.
+func (f *feed) current(now cf.Millis) bool { return cfmember.IsCurrent(cf.Millis(f.asOf.Load()), now) }
 
 // ownView says whether this instance's own watches are current, and by how much the answer is
 // late that would show the next configuration.
@@ -172,7 +172,7 @@
 func (n *Node) status(now cf.Millis) cfmember.WatchState {
 	f, self := &n.feed, n.self()
 	holder, _ := n.candidate.holder()
-	unread, seenAt := n.candidate.awaits()
+	unread, seenAt := n.candidate.firstRead()
 	return cfmember.WatchState{
 		StartedAt: n.startedAt, LeaseSeenAt: seenAt, UpdatedAt: cf.Millis(f.asOf.Load()), UncertainAt: cf.Millis(f.uncertainAt.Load()), OutageConfirmedAt: cf.Millis(f.outageConfirmedAt.Load()), OutageDeniedAt: cf.Millis(f.outageDeniedAt.Load()), ListingAt: cf.Millis(f.listingAt.Load()),
 		HolderNamed: holder.Entry != "", LeaseUnread: unread, HubsExist: len(n.members.Hubs(self, now)) > 0, BehindHub: f.upstream.UsesHub(), FallbackWatcher: n.members.IsFallbackWatcher(self),
@@ -219,9 +219,9 @@
 		case err != nil:
 			switch {
 			case errors.Is(err, cf.ErrNoProcess):
-				n.candidate.holderDead(holder)
+				n.candidate.recordHolderExit(holder)
 			case errors.Is(err, cf.ErrNotLeader):
-				n.candidate.doubt()
+				n.candidate.recordDenial()
 				// It may know its successor; if not, the store shows it.
 				if _, err := n.askHolder(ctx, holder.Addr); err != nil {
 					n.log.Info("holder_not_asked", zap.String("entry", string(holder.Entry)), cflog.Error(err))
@@ -255,7 +255,7 @@
 		return err
 	}
 	if a.Hub != nil {
-		n.candidate.heard()
+		n.candidate.recordAnswer()
 		n.candidate.observe(a.Rev, a.Holder)
 		n.feed.uncertainAt.Store(int64(cf.Uptime()))
 		n.feed.upstream.AssignHub(*a.Hub, cf.Uptime())
@@ -264,7 +264,7 @@
 	n.usage.applyAnswer(a, call)
 	// With the configuration this instance begins to forward.
 	if a.Synced && a.Fresh && !n.guard.Informed() {
-		n.quarantine.informBy(addr, a.Quarantine)
+		n.quarantine.syncFromPeer(addr, a.Quarantine)
 	}
 	if err := n.applyFeed(a, askedAt, answeredAt); err != nil {
 		n.log.Error("change_not_taken", zap.String("kind", "config"), cflog.Error(err))
@@ -306,7 +306,7 @@
 
 // applyFeed takes an answer that was asked for, and came, at these times.
 func (n *Node) applyFeed(a feedAnswer, askedAt, answeredAt cf.Millis) error {
-	n.candidate.heardAt(answeredAt - a.HolderAge)
+	n.candidate.recordAnswerAt(answeredAt - a.HolderAge)
 	n.candidate.observe(a.Rev, a.Holder)
 	n.feed.mu.Lock()
 	n.feed.groupSum, n.feed.settledWindow = a.GroupSum, a.UsageSettled
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -75,7 +75,7 @@
 	case holds:
 		return false, 0
 	default:
-		return n.feed.fresh(now), now - cf.Millis(n.feed.asOf.Load())
+		return n.feed.current(now), now - cf.Millis(n.feed.asOf.Load())
 	}
 }
 
@@ -88,7 +88,7 @@
 	if n.candidate.Held() {
 		a.Uncertain = !a.Fresh
 	} else {
-		a.HolderAge = now - cf.Millis(n.candidate.answered.Load())
+		a.HolderAge = now - cf.Millis(n.candidate.holderAnsweredAt.Load())
 		a.Uncertain = !a.Fresh && cfmember.AnswerIsRecent(cf.Millis(n.feed.uncertainAt.Load()), now)
 	}
 	a.Listing = !a.Fresh && n.listing(now)
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -211,7 +211,7 @@
 	f.t.Helper()
 	behind := func() string {
 		for id, n := range f.nodes {
-			if n.coord.Load() == nil && !n.feed.fresh(cf.Uptime()) {
+			if n.coord.Load() == nil && !n.feed.current(cf.Uptime()) {
 				return fmt.Sprint(id, " has no current word")
 			}
 			if live := n.Live(); len(live) != len(f.nodes) {
--- a/io/cfnode/heldrequests.go
+++ b/io/cfnode/heldrequests.go
@@ -16,17 +16,17 @@
 const (
 	opHeld = "held"
 
-	// heldName is the object that holds what is held, heldSource names it in logs.
-	heldName   = "held"
-	heldSource = "store"
-	// heldMost bounds the requests in it and in an answer, 1,000 bytes each at the most.
-	heldMost = 256
+	// heldObjectName is the object that holds what is held, heldSource names it in logs.
+	heldObjectName = "held"
+	heldSource     = "store"
+	// maxHeldStrikes bounds the requests in it and in an answer, 1,000 bytes each at the most.
+	maxHeldStrikes = 256
 	// heldTimeout bounds the question what another instance holds.
 	heldTimeout = 400 * time.Millisecond
-	// heldRetry spaces the tries to read or write what is held.
-	heldRetry cf.Millis = 500
-	// informEvery spaces the tries of a starting instance to learn what is held.
-	informEvery cf.Millis = 500
+	// heldRetryDelay spaces the tries to read or write what is held.
+	heldRetryDelay cf.Millis = 500
+	// selfSyncInterval spaces the tries of a starting instance to learn what is held.
+	selfSyncInterval cf.Millis = 500
 )
 
 type (
@@ -38,13 +38,13 @@
 
 	// heldAnswer is what another instance holds; Informed says that this is all.
 	heldAnswer struct {
-		Informed bool                  `cbor:"informed"`
-		Strikes  []cfquarantine.Strike `cbor:"strikes"`
+		Synced  bool                  `cbor:"informed"`
+		Strikes []cfquarantine.Strike `cbor:"strikes"`
 	}
 )
 
-// inform takes what others hold, all of it: requests may be sent on from then on.
-func (q *quarantine) inform(source string, held []cfquarantine.Strike) {
+// sync takes what others hold, all of it: requests may be sent on from then on.
+func (q *quarantine) sync(source string, held []cfquarantine.Strike) {
 	if !q.guard.Inform(source, held) {
 		return
 	}
@@ -53,64 +53,64 @@
 		zap.Int64("since_start_ms", int64(cf.Uptime()-q.node.startedAt)))
 }
 
-// informBy informs a starting instance by one with current word, before it takes the
+// syncFromPeer informs a starting instance by one with current word, before it takes the
 // configuration that comes with that word.
-func (q *quarantine) informBy(addr string, theirs cfquarantine.Checksums) {
+func (q *quarantine) syncFromPeer(addr string, theirs cfquarantine.Checksums) {
 	if q.guard.Table.Checksums().Held == theirs.Held {
-		q.inform(addr, nil)
+		q.sync(addr, nil)
 		return
 	}
-	answer, err := q.askHeld(addr)
+	answer, err := q.fetchHeld(addr)
 	switch {
 	case err != nil:
 		q.node.log.Info("held_not_told", zap.String("addr", addr), cflog.Error(err))
-	case answer.Informed:
-		q.inform(addr, answer.Strikes)
+	case answer.Synced:
+		q.sync(addr, answer.Strikes)
 	}
 }
 
-// informAlone informs a starting instance that nobody tells: it tries once as it begins to
+// startSelfSync informs a starting instance that nobody tells: it tries once as it begins to
 // ask the store for a configuration, and from then on when it has one, by which it could forward.
-func (q *quarantine) informAlone(now cf.Millis, configured bool) {
+func (q *quarantine) startSelfSync(now cf.Millis, configured bool) {
 	q.mu.Lock()
-	due := q.triedAlone == 0 || configured && (!q.triedConfigured || now-q.triedAlone >= informEvery)
+	due := q.selfSyncAt == 0 || configured && (!q.selfSyncConfigured || now-q.selfSyncAt >= selfSyncInterval)
 	if due {
-		q.triedAlone, q.triedConfigured = now, configured
+		q.selfSyncAt, q.selfSyncConfigured = now, configured
 	}
 	q.mu.Unlock()
 	if !due {
 		return
 	}
 	q.node.wg.Go(func() {
-		if err := q.learnAlone(); err != nil {
+		if err := q.selfSync(); err != nil {
 			q.node.log.Info("held_not_known", cflog.Error(err))
 		}
 	})
 }
 
-// learnAlone takes what is held from the store, and from the coordinator, if it answers: it
+// selfSync takes what is held from the store, and from the coordinator, if it answers: it
 // may know of what the store was not there to keep.
-func (q *quarantine) learnAlone() error {
+func (q *quarantine) selfSync() error {
 	loaded := make(chan error, 1)
 	q.node.wg.Go(func() { loaded <- q.load() })
-	holder, err := q.node.candidate.read(q.node.ctx)
+	holder, err := q.node.candidate.readLease(q.node.ctx)
 	if err = errors.Join(err, <-loaded); err != nil {
 		return err
 	}
-	silent := q.node.feed.unresponsiveAddr.Load()
-	if holder.Entry != "" && holder.Entry != q.node.settings.Entry && (silent == nil || *silent != holder.Addr) {
-		answer, err := q.askHeld(holder.Addr)
+	unresponsive := q.node.feed.unresponsiveAddr.Load()
+	if holder.Entry != "" && holder.Entry != q.node.settings.Entry && (unresponsive == nil || *unresponsive != holder.Addr) {
+		answer, err := q.fetchHeld(holder.Addr)
 		if err != nil {
 			q.node.log.Info("held_not_told", zap.String("addr", holder.Addr), cflog.Error(err))
 		}
 		q.guard.Learn(holder.Entry, answer.Strikes)
 	}
-	q.inform(heldSource, nil)
+	q.sync(heldSource, nil)
 	return nil
 }
 
-// askHeld asks another instance for all that it holds.
-func (q *quarantine) askHeld(addr string) (heldAnswer, error) {
+// fetchHeld asks another instance for all that it holds.
+func (q *quarantine) fetchHeld(addr string) (heldAnswer, error) {
 	ctx, cancel := context.WithTimeout(q.node.ctx, heldTimeout)
 	defer cancel()
 	var answer heldAnswer
@@ -120,67 +120,67 @@
 
 // serveHeld tells another instance what is held here.
 func (q *quarantine) serveHeld(context.Context, struct{}) (any, error) {
-	held, _ := q.guard.Table.HeldStrikes(heldMost, cf.Uptime())
-	return heldAnswer{Informed: q.guard.Informed(), Strikes: held}, nil
+	held, _ := q.guard.Table.HeldStrikes(maxHeldStrikes, cf.Uptime())
+	return heldAnswer{Synced: q.guard.Informed(), Strikes: held}, nil
 }
 
-// keep writes what is held to the store whenever it has changed. It first reads what a
+// persist writes what is held to the store whenever it has changed. It first reads what a
 // coordinator before has written.
-func (q *quarantine) keep(now cf.Millis) {
+func (q *quarantine) persist(now cf.Millis) {
 	sum := q.guard.Table.Checksums().Held
 	holder, _ := q.node.candidate.holder()
 	term := holder.Term
 	q.mu.Lock()
-	fresh := q.term != term
-	due := !q.busy && now >= q.storeAt && (fresh || sum != q.stored)
-	q.busy = q.busy || due
+	newTerm := q.loadedTerm != term
+	due := !q.persisting && now >= q.persistAt && (newTerm || sum != q.storedSum)
+	q.persisting = q.persisting || due
 	q.mu.Unlock()
 	if !due {
 		return
 	}
 	q.node.wg.Go(func() {
 		var err error
-		if fresh {
+		if newTerm {
 			if err = q.load(); err == nil {
-				q.inform(heldSource, nil)
+				q.sync(heldSource, nil)
 			}
 		} else {
 			err = q.save(sum)
 		}
-		q.done(err, term)
+		q.endPersist(err, term)
 	})
 }
 
-func (q *quarantine) done(err error, term cf.Revision) {
+func (q *quarantine) endPersist(err error, term cf.Revision) {
 	if err != nil {
 		q.node.log.Info("held_not_kept", cflog.Error(err))
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.busy = false
+	q.persisting = false
 	if err != nil {
-		q.storeAt = cf.Uptime() + heldRetry
+		q.persistAt = cf.Uptime() + heldRetryDelay
 		return
 	}
-	q.term = max(q.term, term)
+	q.loadedTerm = max(q.loadedTerm, term)
 }
 
 // load takes what lies in the store.
 func (q *quarantine) load() error {
-	r, err := q.node.adapter.Store.Get(q.node.ctx, cf.KindQuarantine, heldName)
+	r, err := q.node.adapter.Store.Get(q.node.ctx, cf.KindQuarantine, heldObjectName)
 	if errors.Is(err, cf.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	q.take(r)
+	q.applyStored(r)
 	return nil
 }
 
-// take takes the object with what is held. One that can't be read tells nothing, and is
+// applyStored takes the object with what is held. One that can't be read tells nothing, and is
 // replaced at the next change.
-func (q *quarantine) take(r cf.Record) {
+func (q *quarantine) applyStored(r cf.Record) {
 	q.mu.Lock()
 	q.storedRev = r.Rev
 	q.mu.Unlock()
@@ -189,16 +189,16 @@
 		q.node.log.Error("held_not_read", zap.Int64("revision", int64(r.Rev)), cflog.Error(err))
 		return
 	}
-	since := max(cf.Now()-o.SavedAt, 0)
+	elapsed := max(cf.Now()-o.SavedAt, 0)
 	for i := range o.Strikes {
-		o.Strikes[i].Age += since
+		o.Strikes[i].Age += elapsed
 	}
 	q.guard.Learn(heldSource, o.Strikes)
 }
 
 // save writes what is held, as of a sum.
 func (q *quarantine) save(sum uint64) error {
-	strikes, _ := q.guard.Table.HeldStrikes(heldMost, cf.Uptime())
+	strikes, _ := q.guard.Table.HeldStrikes(maxHeldStrikes, cf.Uptime())
 	o := heldObject{SavedAt: cf.Now(), Strikes: strikes}
 	q.mu.Lock()
 	rev := q.storedRev
@@ -207,9 +207,9 @@
 	var r cf.Record
 	var err error
 	if rev == 0 {
-		r, err = store.Create(q.node.ctx, cf.KindQuarantine, heldName, o)
+		r, err = store.Create(q.node.ctx, cf.KindQuarantine, heldObjectName, o)
 	} else {
-		r, err = store.Replace(q.node.ctx, cf.KindQuarantine, heldName, rev, o)
+		r, err = store.Replace(q.node.ctx, cf.KindQuarantine, heldObjectName, rev, o)
 	}
 	if err != nil {
 		// Another has written, or this write took effect without its answer: what
@@ -217,7 +217,7 @@
 		return errors.Join(err, q.load())
 	}
 	q.mu.Lock()
-	q.stored, q.storedRev = sum, r.Rev
+	q.storedSum, q.storedRev = sum, r.Rev
 	q.mu.Unlock()
 	if r.Rev == 0 { // it was a large one
 		return q.load()
--- a/io/cfnode/holder.go
+++ b/io/cfnode/holder.go
@@ -90,7 +90,7 @@
 	now := cf.Uptime()
 	w := n.watchers.Load()
 	// The word of a coordinator that has none any more is no news.
-	current := n.feed.fresh(now) && n.feed.asOf.Load() > n.feed.uncertainAt.Load()
+	current := n.feed.current(now) && n.feed.asOf.Load() > n.feed.uncertainAt.Load()
 	return holderAnswer{holder, rev, current || n.ownViewCurrent(now), w != nil && w.config.StoreUnresponsive(now)}, nil
 }
 
--- a/io/cfnode/infeasible.go
+++ b/io/cfnode/infeasible.go
@@ -21,23 +21,23 @@
 	}
 )
 
-// refusals answers other instances that ask whether a step is infeasible, and returns who is
+// feasibility answers other instances that ask whether a step is infeasible, and returns who is
 // asked here; nil where none is refused.
-func (n *Node) refusals() cfingress.Feasibility {
+func (n *Node) feasibility() cfingress.Feasibility {
 	n.peerSrv.Handle(opInfeasible, atCoordinator(n, n.serveInfeasible))
 	if n.settings.Policy.NoRefusals || n.settings.Policy.AllGroups {
 		return nil
 	}
-	return reader{n}
+	return coordinatorClient{n}
 }
 
 // Infeasible implements cfingress.Feasibility.
-func (r reader) Infeasible(ctx context.Context, sub cf.Submission) (cf.Millis, bool) {
+func (r coordinatorClient) Infeasible(ctx context.Context, sub cf.Submission) (cf.Millis, bool) {
 	if c := r.n.coord.Load(); c != nil {
 		return c.Infeasible(sub)
 	}
 	var a infeasibleAnswer
-	if err := r.n.ask(ctx, opInfeasible, tellTimeout, infeasibleCall{sub}, &a); err != nil {
+	if err := r.n.callCoordinator(ctx, opInfeasible, notifyTimeout, infeasibleCall{sub}, &a); err != nil {
 		return 0, false // the step is accepted as without the question
 	}
 	return a.RetryAfter, a.Infeasible
--- a/io/cfnode/keepalive_test.go
+++ b/io/cfnode/keepalive_test.go
@@ -42,7 +42,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			srv.closeWhere(func(since cf.Millis) bool { return since > 0 && rand.IntN(8) == 0 })
+			srv.closeIdleWhere(func(since cf.Millis) bool { return since > 0 && rand.IntN(8) == 0 })
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -163,11 +163,11 @@
 	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverMargin
 	n.candidate = &candidate{
 		self: s.Entry, addr: s.Listen.Peers, store: a.Store, log: log, lease: cflease.New(s.Entry, bounds),
-		lastUpdate: func() cf.Millis { return cf.Millis(n.feed.asOf.Load()) }, acquired: n.beginDuty, lost: n.endDuty,
-		watchDelay: n.watchDelay, strongerExists: n.strongerExists, handOverToStronger: n.handOverToStronger, state: n.dutyState,
+		lastUpdate: func() cf.Millis { return cf.Millis(n.feed.asOf.Load()) }, onAcquire: n.beginDuty, onLose: n.endDuty,
+		watchDelay: n.watchDelay, strongerExists: n.strongerExists, handOverToStronger: n.handOverToStronger, dutyState: n.dutyState,
 	}
 	n.ingress = cfingress.New(cfingress.Options{
-		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: reader{n}, Members: n, Guard: n.guard, Feasibility: n.refusals(),
+		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: coordinatorClient{n}, Members: n, Guard: n.guard, Feasibility: n.feasibility(),
 		Believes: n.configBelief, Count: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
 		ValueBytes: s.Store.ValueBytes, MemoryBytes: s.Memory.LimitMB << 20,
 		IgnorePace: s.Policy.IgnorePace, Metrics: cfingress.NewMetrics(reg), Log: log,
@@ -377,7 +377,7 @@
 	n.runnerPool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, Streams: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
-		Duty: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), Neighbour: neighbour{n}, Metrics: n.metrics, Log: n.log,
+		Duty: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), Neighbour: replicaClient{n}, Metrics: n.metrics, Log: n.log,
 		Pages: n.linkBudget, Loads: previous.MaxLoads, Succeeds: previous.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
--- a/io/cfnode/process.go
+++ b/io/cfnode/process.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	// leaveFor is how long a stopping instance still serves callers: three
+	// leaveTime is how long a stopping instance still serves callers: three
 	// times as long as they are told to keep an address list, and the time
 	// in which the other instances hear of it.
-	leaveFor = 5200 * time.Millisecond
-	// windDownAfter is when kept connections begin to be closed, each after
+	leaveTime = 5200 * time.Millisecond
+	// keepAliveTime is when kept connections begin to be closed, each after
 	// an answer.
-	windDownAfter = 2500 * time.Millisecond
+	keepAliveTime = 2500 * time.Millisecond
 	// graceReserve is kept of the grace for the end itself.
 	graceReserve = 600 * time.Millisecond
-	// handOverBudget bounds the handing over of the coordinator's duty.
-	handOverBudget = 800 * time.Millisecond
+	// stopHandoverTimeout bounds the handing over of the coordinator's duty.
+	stopHandoverTimeout = 800 * time.Millisecond
 	// gcPercent trades processor time for memory: a process holds a few
 	// megabytes and is billed for its peak.
 	gcPercent = 50
-	// memoryPart is the percentage of the process's limit from which on the
+	// memoryLimitPercent is the percentage of the process's limit from which on the
 	// collector works harder; beyond the limit the process is killed.
-	memoryPart = 80
+	memoryLimitPercent = 80
 )
 
 // Handlers are what the adapter serves for a node.
@@ -49,18 +49,18 @@
 
 // Process is a running process: its servers around a node.
 type Process struct {
-	settings Settings
-	node     *Node
-	log      *zap.Logger
-	callers  *Server
-	others   []*Server
+	settings     Settings
+	node         *Node
+	log          *zap.Logger
+	callers      *Server
+	otherServers []*Server
 }
 
 // StartProcess binds the settings' addresses and starts the node.
 func StartProcess(s Settings, node *Node, h Handlers, reg *prometheus.Registry, log *zap.Logger) (*Process, error) {
 	debug.SetGCPercent(gcPercent)
 	if s.Memory.LimitMB > 0 {
-		debug.SetMemoryLimit(s.Memory.LimitMB << 20 * memoryPart / 100)
+		debug.SetMemoryLimit(s.Memory.LimitMB << 20 * memoryLimitPercent / 100)
 	}
 	p := &Process{settings: s, node: node, log: log}
 	idle := func() cf.Millis {
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p.others = append(p.others, srv)
+		p.otherServers = append(p.otherServers, srv)
 	}
 	if s.Listen.Callers != "" {
 		srv, err := listen(s.Listen.Callers, h.Callers, idle, node.ingress.Rooms, log)
@@ -162,16 +162,16 @@
 	began := time.Now()
 	grace := time.Duration(p.settings.Bounds.GraceS*float64(time.Second)) - graceReserve
 	p.node.Leave()
-	leave := min(leaveFor, grace*3/4)
+	leave := min(leaveTime, grace*3/4)
 	if p.callers != nil {
-		time.Sleep(max(0, min(windDownAfter, grace/2)-time.Since(began)))
-		p.callers.windDown()
-		time.Sleep(max(0, leave-handOverBudget-time.Since(began)))
+		time.Sleep(max(0, min(keepAliveTime, grace/2)-time.Since(began)))
+		p.callers.disableKeepAlives()
+		time.Sleep(max(0, leave-stopHandoverTimeout-time.Since(began)))
 	}
 	// The duty is kept while the instance is there anyway: each change of it
 	// holds the weight orders up for seconds, and in a rolling restart those
 	// that could take it now are stopped next.
-	ctx, cancel := context.WithTimeout(context.Background(), handOverBudget)
+	ctx, cancel := context.WithTimeout(context.Background(), stopHandoverTimeout)
 	p.node.HandOver(ctx)
 	cancel()
 	if p.callers != nil {
@@ -188,7 +188,7 @@
 	_ = p.node.Close()
 	ctx, cancel = context.WithTimeout(context.Background(), graceReserve/3)
 	defer cancel()
-	for _, s := range p.others {
+	for _, s := range p.otherServers {
 		_ = s.Shutdown(ctx) // peers and scrapers may still be connected
 	}
 	p.log.Info("stopped", zap.Int64("took_ms", time.Since(began).Milliseconds()))
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -23,15 +23,15 @@
 	opFree    = "free"
 	opReach   = "reach"
 
-	// asked bounds the requests of one exchange, of 120 bytes for each of their crashes.
-	asked = 16
+	// exchangeSize bounds the requests of one exchange, of 120 bytes for each of their crashes.
+	exchangeSize = 16
 	// strikesRate and strikesBurst bound the strikes that an instance hands on, in
 	// strikes a second: of 120 bytes each to three neighbours, 2 KB/s. A crash of a
 	// whole failure domain brings a few hundred at once.
 	strikesRate  = 6
 	strikesBurst = 400
-	// strikesCall bounds one message.
-	strikesCall = 64
+	// maxStrikesPerCall bounds one message.
+	maxStrikesPerCall = 64
 	// strikesTimeout bounds a call to another instance.
 	strikesTimeout = 400 * time.Millisecond
 	// freeTimeout bounds the command that frees a request.
@@ -39,12 +39,12 @@
 	// witnessTimeout bounds a question whether a target is reached, with the time of
 	// the try there; witnessMost is how many instances are asked.
 	witnessTimeout = 450 * time.Millisecond
-	witnessMost    = 2
-	// exchangeEvery spaces the exchanges of an instance that holds other requests,
+	maxWitnesses   = 2
+	// heldExchangeInterval spaces the exchanges of an instance that holds other requests,
 	// exchangeRest those of one that has heard of other crashes: 1 KB/s at the most
 	// while a caller crashes targets by ever other requests.
-	exchangeEvery cf.Millis = 1000
-	exchangeRest  cf.Millis = 2000
+	heldExchangeInterval   cf.Millis = 1000
+	strikeExchangeInterval cf.Millis = 2000
 )
 
 type (
@@ -54,7 +54,7 @@
 		From    cf.EntryID            `cbor:"from"`
 		Strikes []cfquarantine.Strike `cbor:"strikes,omitempty"`
 		Ask     bool                  `cbor:"ask,omitempty"`
-		After   int                   `cbor:"after,omitempty"`
+		Offset  int                   `cbor:"after,omitempty"`
 	}
 
 	// freeMessage asks an instance to free a request by hand.
@@ -66,78 +66,78 @@
 	// go from neighbour to neighbour at once, an instance that has missed some sees it
 	// by the sum in the feed, and what is held lies in the store for the loss of all.
 	quarantine struct {
-		node  *Node
-		guard *cfguard.Guard
-		news  chan []cfquarantine.Strike
+		node     *Node
+		guard    *cfguard.Guard
+		outgoing chan []cfquarantine.Strike
 
-		mu        sync.Mutex
-		tokens    float64
-		filled    cf.Millis
-		exchanged cf.Millis
-		after     int    // the next exchange is about what follows so many requests
-		stored    uint64 // the sum of what lies in the store
-		storedRev cf.Revision
-		storeAt   cf.Millis // the next try
-		// triedAlone is the last try of a starting instance to learn what is held,
+		mu          sync.Mutex
+		tokens      float64
+		refilledAt  cf.Millis
+		exchangedAt cf.Millis
+		offset      int    // the next exchange is about what follows so many requests
+		storedSum   uint64 // the sum of what lies in the store
+		storedRev   cf.Revision
+		persistAt   cf.Millis // the next try
+		// selfSyncAt is the last try of a starting instance to learn what is held,
 		// triedConfigured says that it had a configuration then.
-		triedAlone      cf.Millis
-		triedConfigured bool
-		busy            bool // a read or write of the store is under way
-		term            cf.Revision
+		selfSyncAt         cf.Millis
+		selfSyncConfigured bool
+		persisting         bool // a read or write of the store is under way
+		loadedTerm         cf.Revision
 	}
 )
 
 func newQuarantine(n *Node) *quarantine {
-	return &quarantine{node: n, news: make(chan []cfquarantine.Strike, 256), tokens: strikesBurst}
+	return &quarantine{node: n, outgoing: make(chan []cfquarantine.Strike, 256), tokens: strikesBurst}
 }
 
 // share queues strikes for the neighbours. What does not fit is dropped: those of held
 // requests are exchanged later.
-func (q *quarantine) share(news []cfquarantine.Strike) {
+func (q *quarantine) share(strikes []cfquarantine.Strike) {
 	select {
-	case q.news <- news:
+	case q.outgoing <- strikes:
 	default:
-		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(news)))
+		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(strikes)))
 	}
 }
 
 // run hands strikes on until ctx ends.
 func (q *quarantine) run(ctx context.Context) {
 	for {
-		var news []cfquarantine.Strike
+		var strikes []cfquarantine.Strike
 		select {
 		case <-ctx.Done():
 			return
-		case news = <-q.news:
+		case strikes = <-q.outgoing:
 		}
-		for len(q.news) > 0 && len(news) < strikesCall {
-			news = append(news, <-q.news...)
+		for len(q.outgoing) > 0 && len(strikes) < maxStrikesPerCall {
+			strikes = append(strikes, <-q.outgoing...)
 		}
-		q.tell(ctx, q.within(news, cf.Uptime()))
+		q.send(ctx, q.limitRate(strikes, cf.Uptime()))
 	}
 }
 
-// within returns the strikes that may be handed on now, those of held requests first.
-func (q *quarantine) within(news []cfquarantine.Strike, now cf.Millis) []cfquarantine.Strike {
+// limitRate returns the strikes that may be handed on now, those of held requests first.
+func (q *quarantine) limitRate(strikes []cfquarantine.Strike, now cf.Millis) []cfquarantine.Strike {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tokens = min(strikesBurst, q.tokens+float64(now-q.filled)/1000*strikesRate)
-	q.filled = now
-	n := min(len(news), int(q.tokens))
-	if n < len(news) {
-		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(news)-n))
-		news = q.guard.Table.SortHeldFirst(news)
+	q.tokens = min(strikesBurst, q.tokens+float64(now-q.refilledAt)/1000*strikesRate)
+	q.refilledAt = now
+	n := min(len(strikes), int(q.tokens))
+	if n < len(strikes) {
+		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(strikes)-n))
+		strikes = q.guard.Table.SortHeldFirst(strikes)
 	}
 	q.tokens -= float64(n)
-	return news[:n]
+	return strikes[:n]
 }
 
-func (q *quarantine) tell(ctx context.Context, news []cfquarantine.Strike) {
-	if len(news) == 0 {
+func (q *quarantine) send(ctx context.Context, strikes []cfquarantine.Strike) {
+	if len(strikes) == 0 {
 		return
 	}
-	for _, addr := range q.neighbours() {
-		for part := range slices.Chunk(news, strikesCall) {
+	for _, addr := range q.gossipAddrs() {
+		for part := range slices.Chunk(strikes, maxStrikesPerCall) {
 			// A neighbour that does not answer must hold up nobody else's news.
 			q.node.wg.Go(func() {
 				if _, err := q.call(ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: part}); err != nil {
@@ -156,9 +156,9 @@
 	return answer, err
 }
 
-// neighbours returns the addresses of the instances to which this one hands strikes: the
+// gossipAddrs returns the addresses of the instances to which this one hands strikes: the
 // coordinator, with which all others compare, and those next to it.
-func (q *quarantine) neighbours() []string {
+func (q *quarantine) gossipAddrs() []string {
 	var out []string
 	if holder, _ := q.node.candidate.holder(); holder.Entry != "" && holder.Entry != q.node.settings.Entry {
 		out = append(out, holder.Addr)
@@ -177,25 +177,25 @@
 	if !m.Ask {
 		return []cfquarantine.Strike{}, nil
 	}
-	return q.guard.Table.ExchangeReply(m.Strikes, m.After, asked, cf.Uptime()), nil
+	return q.guard.Table.ExchangeReply(m.Strikes, m.Offset, exchangeSize, cf.Uptime()), nil
 }
 
 // witness asks others, of other failure domains if it can, whether they reach a target.
 func (q *quarantine) witness(ctx context.Context, target cf.Target) bool {
-	near := func(e cfmember.Entry) bool { return e.Domain == q.node.settings.Domain }
+	sameDomain := func(e cfmember.Entry) bool { return e.Domain == q.node.settings.Domain }
 	others := slices.DeleteFunc(slices.Clone(q.node.Live()), func(e cfmember.Entry) bool { return e.ID == q.node.settings.Entry })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	slices.SortStableFunc(others, func(a, b cfmember.Entry) int {
 		switch {
-		case near(a) == near(b):
+		case sameDomain(a) == sameDomain(b):
 			return 0
-		case near(b):
+		case sameDomain(b):
 			return -1
 		default:
 			return 1
 		}
 	})
-	others = others[:min(len(others), witnessMost)]
+	others = others[:min(len(others), maxWitnesses)]
 	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
 	answers := make(chan bool, len(others))
@@ -230,26 +230,26 @@
 	ours := q.guard.Table.Checksums()
 	switch {
 	case ours == theirs:
-		q.exchangedAll()
+		q.resetExchange()
 	case ours.Held == theirs.Held:
-		q.exchange([]string{addr}, exchangeRest)
+		q.exchange([]string{addr}, strikeExchangeInterval)
 	default:
-		q.exchange([]string{addr}, exchangeEvery)
+		q.exchange([]string{addr}, heldExchangeInterval)
 	}
 }
 
 // exchange asks the first of some instances that answers for what it has, unless one was
 // asked a moment ago.
-func (q *quarantine) exchange(addrs []string, spacing cf.Millis) {
+func (q *quarantine) exchange(addrs []string, interval cf.Millis) {
 	if len(addrs) == 0 {
 		return // the first instance that is known is asked at once
 	}
 	now := cf.Uptime()
 	q.mu.Lock()
-	due := q.exchanged == 0 || now-q.exchanged >= spacing
-	after := q.after
+	due := q.exchangedAt == 0 || now-q.exchangedAt >= interval
+	offset := q.offset
 	if due {
-		q.exchanged, q.after = now, after+asked
+		q.exchangedAt, q.offset = now, offset+exchangeSize
 	}
 	q.mu.Unlock()
 	if !due {
@@ -257,12 +257,12 @@
 	}
 	q.node.wg.Go(func() {
 		for _, addr := range addrs {
-			ours := q.guard.Table.StrikesByPriority(after, asked, cf.Uptime())
-			answer, err := q.call(q.node.ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: ours, Ask: true, After: after})
+			ours := q.guard.Table.StrikesByPriority(offset, exchangeSize, cf.Uptime())
+			answer, err := q.call(q.node.ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: ours, Ask: true, Offset: offset})
 			if err == nil {
 				q.guard.Learn("", answer)
-				if cfquarantine.CountContents(ours) < asked && cfquarantine.CountContents(answer) < asked {
-					q.exchangedAll()
+				if cfquarantine.CountContents(ours) < exchangeSize && cfquarantine.CountContents(answer) < exchangeSize {
+					q.resetExchange()
 				}
 				return
 			}
@@ -271,30 +271,30 @@
 	})
 }
 
-// exchangedAll lets the next exchange begin with what is foremost.
-func (q *quarantine) exchangedAll() {
+// resetExchange lets the next exchange begin with what is foremost.
+func (q *quarantine) resetExchange() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.after = 0
+	q.offset = 0
 }
 
 // tick looks after what is due. It is called several times a second.
 func (q *quarantine) tick(now cf.Millis) {
 	n := q.node
-	fresh := n.feed.fresh(now)
-	q.guard.Sweep(n.coord.Load() != nil && n.ownViewCurrent(now) || fresh, now)
+	current := n.feed.current(now)
+	q.guard.Sweep(n.coord.Load() != nil && n.ownViewCurrent(now) || current, now)
 	switch {
 	case n.coord.Load() != nil:
-		q.keep(now)
-	case fresh:
+		q.persist(now)
+	case current:
 	default:
 		if !q.guard.Informed() && n.watchDue(now) {
-			q.informAlone(now, n.site.Config() != nil)
+			q.startSelfSync(now, n.site.Config() != nil)
 		}
 		// No coordinator is there to compare with; any other instance will do.
-		others := q.neighbours()
+		others := q.gossipAddrs()
 		rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-		q.exchange(others, exchangeEvery)
+		q.exchange(others, heldExchangeInterval)
 	}
 }
 
--- a/io/cfnode/quarantine_test.go
+++ b/io/cfnode/quarantine_test.go
@@ -36,7 +36,7 @@
 			key := cfquarantine.KeyOf("POST", "h", "/", "c", []byte(fmt.Sprint(now, n)))
 			news = append(news, cfquarantine.Strike{Content: key.Content, Target: target(n)})
 		}
-		out := q.within(append(news, last[0]), now)
+		out := q.limitRate(append(news, last[0]), now)
 		sent += len(out)
 		if len(out) > 0 && len(out) < len(news) && out[0].Content != held.Content {
 			t.Fatal("news of what is held wait behind others")
@@ -51,8 +51,8 @@
 // is held.
 func TestExchangeWithNobodyDelaysNone(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
-	q.exchange(nil, exchangeEvery)
-	if q.exchanged != 0 {
+	q.exchange(nil, heldExchangeInterval)
+	if q.exchangedAt != 0 {
 		t.Error("the next exchange waits for one that asked nobody")
 	}
 }
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -17,35 +17,35 @@
 const (
 	// relayGrace is what a relayed call may take beyond the store's answer.
 	relayGrace cf.Millis = 150
-	// relayMost is how many instances are asked to relay one call.
-	relayMost = 2
-	// relayRest is the pause after a call that nobody could relay, which
+	// maxRelayTries is how many instances are asked to relay one call.
+	maxRelayTries = 2
+	// relayPause is the pause after a call that nobody could relay, which
 	// doubles up to relayRestMost: in an outage of the store each try finds out
 	// nothing, and holds up the next call of this instance itself, which would
 	// see that the store is back.
-	relayRest     cf.Millis = 250
-	relayRestMost cf.Millis = 2000
-	// relayAvoid keeps calls off an instance that did not answer one: each try
+	relayPause    cf.Millis = 250
+	maxRelayPause cf.Millis = 2000
+	// relayAvoidTime keeps calls off an instance that did not answer one: each try
 	// would wait for it again. One that relayed nothing otherwise is asked after the others.
-	relayAvoid cf.Millis = 2000
-	// relayQuiet is the span without relayed calls after which the next one
+	relayAvoidTime cf.Millis = 2000
+	// relayLogInterval is the span without relayed calls after which the next one
 	// is worth a log line.
-	relayQuiet cf.Millis = 2000
+	relayLogInterval cf.Millis = 2000
 )
 
 // relayTable is what an instance knows of its ways to the store through others.
 type relayTable struct {
 	mu sync.Mutex
-	// via is the instance that relayed a call last, at lastAt.
-	via    string
+	// last is the instance that relayed a call last, at lastAt.
+	last   string
 	lastAt cf.Millis
-	// rest is until when no call is passed on, failures counts those in a row
+	// pausedUntil is until when no call is passed on, failures counts those in a row
 	// that nobody could relay.
-	rest     cf.Millis
-	failures int
-	// avoid are instances that did not answer, deferred those that relayed nothing though
+	pausedUntil cf.Millis
+	failures    int
+	// avoidUntil are instances that did not answer, deferred those that relayed nothing though
 	// they did, or were not reached, both with until when.
-	avoid, deferred map[string]cf.Millis
+	avoidUntil, deferUntil map[string]cf.Millis
 }
 
 // relay passes a call to the store through another instance. The store may turn
@@ -61,7 +61,7 @@
 	if watch && n.coord.Load() == nil {
 		return cf.ErrRefused
 	}
-	if n.settings.Policy.NoStoreRelay || n.relays.resting(now) {
+	if n.settings.Policy.NoStoreRelay || n.relays.paused(now) {
 		return cf.ErrRefused
 	}
 	// All tries together take no longer than one: renewals and watches wait
@@ -69,47 +69,47 @@
 	ctx, cancel := context.WithTimeout(ctx, (timeout + relayGrace).Duration())
 	defer cancel()
 	failure := cf.ErrRefused
-	for _, addr := range n.relayPaths(now) {
+	for _, addr := range n.relayAddrs(now) {
 		if ctx.Err() != nil {
 			break
 		}
 		err := n.peers.Call(ctx, addr, opStore, body, answer)
 		if err == nil {
-			if n.relays.worked(addr, cf.Uptime()) {
+			if n.relays.recordSuccess(addr, cf.Uptime()) {
 				n.log.Warn("store_relayed", zap.String("via", addr))
 			}
 			return nil
 		}
-		if n.relays.notRelayed(addr, err, cf.Uptime()) {
+		if n.relays.recordFailure(addr, err, cf.Uptime()) {
 			failure = err
 		}
 	}
-	n.relays.failed(now)
+	n.relays.pause(now)
 	return failure
 }
 
-// relayPaths returns the instances to ask, best first: the one that relayed the
+// relayAddrs returns the instances to ask, best first: the one that relayed the
 // last call, the coordinator, which reaches the store as long as it has its
 // lease, then those of the same failure domain.
-func (n *Node) relayPaths(now cf.Millis) []string {
-	var near, far []string
+func (n *Node) relayAddrs(now cf.Millis) []string {
+	var sameDomain, otherDomains []string
 	live := n.Live()
 	for _, e := range live {
 		switch {
 		case e.ID == n.settings.Entry:
 		case e.Domain == n.settings.Domain && cfmember.HighCapacity(e.Capacity, live):
-			near = append([]string{e.PeerAddr}, near...)
+			sameDomain = append([]string{e.PeerAddr}, sameDomain...)
 		case e.Domain == n.settings.Domain:
-			near = append(near, e.PeerAddr)
+			sameDomain = append(sameDomain, e.PeerAddr)
 		default:
-			far = append(far, e.PeerAddr)
+			otherDomains = append(otherDomains, e.PeerAddr)
 		}
 	}
-	var paths []string
+	var coordinator []string
 	if holder, _ := n.candidate.holder(); holder.Entry != n.settings.Entry {
-		paths = append(paths, holder.Addr)
+		coordinator = append(coordinator, holder.Addr)
 	}
-	return n.relays.choose(slices.Concat(paths, near, far), now)
+	return n.relays.choose(slices.Concat(coordinator, sameDomain, otherDomains), now)
 }
 
 // choose returns the instances to ask for one call, of those that may be, best first. Those
@@ -117,57 +117,57 @@
 func (r *relayTable) choose(addrs []string, now cf.Millis) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var paths []string
-	for _, addr := range append([]string{r.via}, addrs...) {
-		if addr != "" && !slices.Contains(paths, addr) && now >= r.avoid[addr] {
-			paths = append(paths, addr)
+	var chosen []string
+	for _, addr := range append([]string{r.last}, addrs...) {
+		if addr != "" && !slices.Contains(chosen, addr) && now >= r.avoidUntil[addr] {
+			chosen = append(chosen, addr)
 		}
 	}
-	slices.SortStableFunc(paths, func(a, b string) int {
-		return cmp.Compare(max(r.deferred[a], now), max(r.deferred[b], now))
+	slices.SortStableFunc(chosen, func(a, b string) int {
+		return cmp.Compare(max(r.deferUntil[a], now), max(r.deferUntil[b], now))
 	})
-	return paths[:min(len(paths), relayMost)]
+	return chosen[:min(len(chosen), maxRelayTries)]
 }
 
-func (r *relayTable) resting(now cf.Millis) bool {
+func (r *relayTable) paused(now cf.Millis) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now < r.rest
+	return now < r.pausedUntil
 }
 
-// worked notes a relayed call; it returns true for the first one in a while.
-func (r *relayTable) worked(addr string, now cf.Millis) (first bool) {
+// recordSuccess notes a relayed call; it returns true for the first one in a while.
+func (r *relayTable) recordSuccess(addr string, now cf.Millis) (notable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first = now-r.lastAt > relayQuiet
-	r.via, r.lastAt, r.failures = addr, now, 0
-	delete(r.avoid, addr)
-	delete(r.deferred, addr)
-	return first
+	notable = now-r.lastAt > relayLogInterval
+	r.last, r.lastAt, r.failures = addr, now, 0
+	delete(r.avoidUntil, addr)
+	delete(r.deferUntil, addr)
+	return notable
 }
 
-// notRelayed notes that an instance did not relay a call; it returns whether the call may have been
+// recordFailure notes that an instance did not relay a call; it returns whether the call may have been
 // carried out there.
-func (r *relayTable) notRelayed(addr string, err error, now cf.Millis) (doubt bool) {
+func (r *relayTable) recordFailure(addr string, err error, now cf.Millis) (maybeRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.avoid == nil {
-		r.avoid, r.deferred = map[string]cf.Millis{}, map[string]cf.Millis{}
+	if r.avoidUntil == nil {
+		r.avoidUntil, r.deferUntil = map[string]cf.Millis{}, map[string]cf.Millis{}
 	}
-	over := func(_ string, until cf.Millis) bool { return now >= until }
-	maps.DeleteFunc(r.avoid, over)
-	maps.DeleteFunc(r.deferred, over)
-	if doubt = !errors.Is(err, cf.ErrRefused) && !errors.Is(err, cf.ErrNotRun); doubt {
-		r.avoid[addr] = now + relayAvoid
+	expired := func(_ string, until cf.Millis) bool { return now >= until }
+	maps.DeleteFunc(r.avoidUntil, expired)
+	maps.DeleteFunc(r.deferUntil, expired)
+	if maybeRun = !errors.Is(err, cf.ErrRefused) && !errors.Is(err, cf.ErrNotRun); maybeRun {
+		r.avoidUntil[addr] = now + relayAvoidTime
 	} else {
-		r.deferred[addr] = now + relayAvoid
+		r.deferUntil[addr] = now + relayAvoidTime
 	}
-	return doubt
+	return maybeRun
 }
 
-func (r *relayTable) failed(now cf.Millis) {
+func (r *relayTable) pause(now cf.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.via, r.rest = "", now+relayRest.Doubled(r.failures, relayRestMost)
+	r.last, r.pausedUntil = "", now+relayPause.Doubled(r.failures, maxRelayPause)
 	r.failures++
 }
--- a/io/cfnode/relay_test.go
+++ b/io/cfnode/relay_test.go
@@ -20,14 +20,14 @@
 			}
 			for _, addr := range r.choose(all, now) {
 				if served = addr == sound; served {
-					r.worked(addr, now)
+					r.recordSuccess(addr, now)
 					break
 				}
-				r.notRelayed(addr, cf.ErrRefused, now)
+				r.recordFailure(addr, cf.ErrRefused, now)
 			}
 			if !served {
-				r.failed(now)
-				for r.resting(now) {
+				r.pause(now)
+				for r.paused(now) {
 					now += 50
 				}
 			}
@@ -35,7 +35,7 @@
 		if paths := r.choose(all, now); !slices.Contains(paths, sound) || paths[0] != sound {
 			t.Errorf("the next call asks %v, not %s", paths, sound)
 		}
-		if took := now - 10_000; took > relayAvoid {
+		if took := now - 10_000; took > relayAvoidTime {
 			t.Errorf("%s was asked after %d ms", sound, took)
 		}
 	}
@@ -46,8 +46,8 @@
 func TestRelayThatWorksAgainIsAskedFirst(t *testing.T) {
 	for _, err := range []error{cf.ErrRefused, cf.ErrUnavailable} {
 		var r relayTable
-		r.notRelayed("a", err, 1000)
-		r.worked("a", 1100) // a call that was under way
+		r.recordFailure("a", err, 1000)
+		r.recordSuccess("a", 1100) // a call that was under way
 		if paths := r.choose([]string{"b", "c", "d"}, 1200); paths[0] != "a" {
 			t.Errorf("after %v the next call asks %v, not a first", err, paths)
 		}
--- a/io/cfnode/server.go
+++ b/io/cfnode/server.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head; callers are told
+	// readHeaderTimeout bounds the reading of a request's head; callers are told
 	// three seconds.
-	headerTimeout = 10 * time.Second
-	// maxHeader is over what any configuration allows; targets judge less.
-	maxHeader = 64 << 10
-	// reapEvery is how often idle connections are looked through.
-	reapEvery = 1 * time.Second
-	// reapSlack is added to the configuration's idle limit: a caller may
+	readHeaderTimeout = 10 * time.Second
+	// maxHeaderBytes is over what any configuration allows; targets judge less.
+	maxHeaderBytes = 64 << 10
+	// reapInterval is how often idle connections are looked through.
+	reapInterval = 1 * time.Second
+	// idleMargin is added to the configuration's idle limit: a caller may
 	// send a request on a kept connection until the limit.
-	reapSlack cf.Millis = 2000
-	// defaultIdle holds until a configuration is known.
-	defaultIdle cf.Millis = 60000
+	idleMargin cf.Millis = 2000
+	// defaultIdleTimeout holds until a configuration is known.
+	defaultIdleTimeout cf.Millis = 60000
 	// sendBuffer bounds what the system takes of an answer that its caller does not read,
 	// and with it what is out of cfhold's sight: 0.2 MB of a connection, 3.8 MB without it.
 	// At the longest round trip of 16 ms it lets 16 MB a second pass.
 	sendBuffer = 256 << 10
-	// answerTime is how long before the end of a stop the requests that are still under way
+	// finalAnswerTime is how long before the end of a stop the requests that are still under way
 	// are told, and answered.
-	answerTime = 200 * time.Millisecond
-	// stopTick is how often a stop looks whether the connections have ended.
-	stopTick = 10 * time.Millisecond
+	finalAnswerTime = 200 * time.Millisecond
+	// drainInterval is how often a stop looks whether the connections have ended.
+	drainInterval = 10 * time.Millisecond
 )
 
 type (
@@ -54,8 +54,8 @@
 		idle    func() cf.Millis
 		rooms   *cfroom.Rooms // nil where slow readers are not looked at
 		closing atomic.Bool   // answers end their connections
-		// end cancels all requests.
-		end context.CancelCauseFunc
+		// cancelRequests cancels all requests.
+		cancelRequests context.CancelCauseFunc
 
 		mu    sync.Mutex
 		conns map[*conn]cf.Millis // since when idle, zero while busy
@@ -190,8 +190,8 @@
 	}
 }
 
-// rest notes that a request was answered and the next one may come.
-func (c *conn) rest() {
+// endAnswer notes that a request was answered and the next one may come.
+func (c *conn) endAnswer() {
 	c.mu.Lock()
 	c.busy = false
 	c.answers++
@@ -213,38 +213,38 @@
 func listen(addr string, h http.Handler, idle func() cf.Millis, rooms *cfroom.Rooms, log *zap.Logger) (*Server, error) {
 	var config net.ListenConfig
 	if rooms.On() {
-		config.Control = bufferAnswers
+		config.Control = setSendBuffer
 	}
 	ln, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", addr)
 	}
 	ctx, end := context.WithCancelCause(context.Background())
-	s := &Server{ln: ln, idle: idle, rooms: rooms, end: end, conns: map[*conn]cf.Millis{}, stop: make(chan struct{})}
+	s := &Server{ln: ln, idle: idle, rooms: rooms, cancelRequests: end, conns: map[*conn]cf.Millis{}, stop: make(chan struct{})}
 	s.http = &http.Server{
-		Handler: cflog.Handler(s.ending(h)), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader, ConnState: s.track,
+		Handler: cflog.Handler(s.withConnectionClose(h)), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.track,
 		BaseContext: func(net.Listener) context.Context { return ctx },
 	}
 	if rooms.On() {
 		s.http.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
 			return cfroom.WithConn(ctx, nc.(*conn).reader)
 		}
-		s.wg.Go(s.look)
+		s.wg.Go(s.watchReaders)
 	}
 	s.wg.Go(func() { _ = s.http.Serve(listener{ln, log}) }) // ends with the listener
-	s.wg.Go(s.reap)
+	s.wg.Go(s.closeExpired)
 	return s, nil
 }
 
-// bufferAnswers sets the send buffer of a listener, which its connections inherit.
-func bufferAnswers(_, _ string, c syscall.RawConn) error {
+// setSendBuffer sets the send buffer of a listener, which its connections inherit.
+func setSendBuffer(_, _ string, c syscall.RawConn) error {
 	var optErr error
 	err := c.Control(func(fd uintptr) { optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBuffer) })
 	return errors.Join(err, optErr)
 }
 
-// ending lets answers end their connections once the server winds down.
-func (s *Server) ending(h http.Handler) http.Handler {
+// withConnectionClose lets answers end their connections once the server winds down.
+func (s *Server) withConnectionClose(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.closing.Load() {
 			w.Header().Set("Connection", "close")
@@ -271,13 +271,13 @@
 	}
 	s.mu.Unlock()
 	if st == http.StateIdle {
-		c.rest()
+		c.endAnswer()
 	}
 }
 
-// reap closes connections that were idle for longer than the limit.
-func (s *Server) reap() {
-	ticker := time.NewTicker(reapEvery)
+// closeExpired closes connections that were idle for longer than the limit.
+func (s *Server) closeExpired() {
+	ticker := time.NewTicker(reapInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -287,15 +287,15 @@
 		}
 		limit := s.idle()
 		if limit <= 0 {
-			limit = defaultIdle
+			limit = defaultIdleTimeout
 		}
 		now := cf.Uptime()
-		s.closeWhere(func(since cf.Millis) bool { return since > 0 && now-since > limit+reapSlack })
+		s.closeIdleWhere(func(since cf.Millis) bool { return since > 0 && now-since > limit+idleMargin })
 	}
 }
 
-// look looks for callers that read slowly.
-func (s *Server) look() {
+// watchReaders looks for callers that read slowly.
+func (s *Server) watchReaders() {
 	var busy []*cfroom.Conn
 	var last cf.Millis
 	timer := time.NewTimer(cfhold.CheckInterval.Duration())
@@ -305,8 +305,8 @@
 		case <-s.stop:
 			return
 		case <-s.rooms.Pressed():
-			if soon := last + cfhold.PressureCheckInterval - cf.Uptime(); soon > 0 {
-				timer.Reset(soon.Duration())
+			if remaining := last + cfhold.PressureCheckInterval - cf.Uptime(); remaining > 0 {
+				timer.Reset(remaining.Duration())
 				continue
 			}
 		case <-timer.C:
@@ -324,8 +324,8 @@
 	}
 }
 
-// closeWhere closes the connections that choose picks, if they are idle.
-func (s *Server) closeWhere(choose func(since cf.Millis) bool) {
+// closeIdleWhere closes the connections that choose picks, if they are idle.
+func (s *Server) closeIdleWhere(choose func(since cf.Millis) bool) {
 	s.mu.Lock()
 	var chosen []*conn
 	for c, since := range s.conns {
@@ -339,29 +339,29 @@
 	}
 }
 
-// windDown makes answers from now on end their connections.
-func (s *Server) windDown() { s.closing.Store(true) }
+// disableKeepAlives makes answers from now on end their connections.
+func (s *Server) disableKeepAlives() { s.closing.Store(true) }
 
 // Shutdown stops listening, closes what is idle, and waits for the requests
 // that have been read to be answered. Those that are still under way shortly
 // before ctx ends are cancelled with ErrStopping, for their handlers to answer.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.windDown()
+	s.disableKeepAlives()
 	_ = s.ln.Close()
-	patience := ctx
+	drainCtx := ctx
 	if end, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		patience, cancel = context.WithDeadline(ctx, end.Add(-min(answerTime, time.Until(end)/2)))
+		drainCtx, cancel = context.WithDeadline(ctx, end.Add(-min(finalAnswerTime, time.Until(end)/2)))
 		defer cancel()
 	}
 	var err error
-	if !s.drain(patience) {
-		err = eris.Errorf("%d connections were still in use", s.open())
-		s.end(cf.ErrStopping)
+	if !s.drain(drainCtx) {
+		err = eris.Errorf("%d connections were still in use", s.openConns())
+		s.cancelRequests(cf.ErrStopping)
 		s.drain(ctx)
 	}
 	_ = s.http.Close()
-	s.end(nil)
+	s.cancelRequests(nil)
 	close(s.stop)
 	s.wg.Wait()
 	return err
@@ -372,17 +372,17 @@
 func (s *Server) drain(ctx context.Context) bool {
 	for {
 		// Also those that were accepted at the last moment.
-		s.closeWhere(func(cf.Millis) bool { return true })
-		if s.open() == 0 {
+		s.closeIdleWhere(func(cf.Millis) bool { return true })
+		if s.openConns() == 0 {
 			return true
 		}
-		if !cf.Sleep(ctx, stopTick) {
+		if !cf.Sleep(ctx, drainInterval) {
 			return false
 		}
 	}
 }
 
-func (s *Server) open() int {
+func (s *Server) openConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
--- a/io/cfnode/server_test.go
+++ b/io/cfnode/server_test.go
@@ -58,7 +58,7 @@
 		wg.Go(func() { answered.Add(keepAsking(addr)) })
 	}
 	time.Sleep(20 * time.Millisecond)
-	srv.windDown()
+	srv.disableKeepAlives()
 	time.Sleep(5 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -100,7 +100,7 @@
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
 	c.Cut(c.Answer())
-	c.rest() // the answer had been written whole
+	c.endAnswer() // the answer had been written whole
 	if _, err := c.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("the connection was not closed: %v", err)
 	}
@@ -113,7 +113,7 @@
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
 	answer := c.Answer()
-	c.rest()
+	c.endAnswer()
 	go func() { _, _ = theirs.Write([]byte("x")) }()
 	if _, err := c.Read(make([]byte, 1)); err != nil { // of the next request
 		t.Fatal(err)
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -162,11 +162,11 @@
 // Check returns an error for each bad field.
 func (s *Settings) Check() error {
 	var errs []error
-	bad := func(path, format string, args ...any) {
+	addError := func(path, format string, args ...any) {
 		errs = append(errs, fmt.Errorf("%w: $.%s: %s", cf.ErrInvalid, path, fmt.Sprintf(format, args...)))
 	}
 	if s.Entry == "" {
-		bad("entry", "is missing")
+		addError("entry", "is missing")
 	}
 	addrs := []struct {
 		path, value string
@@ -185,35 +185,35 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			bad(a.path, "%q is not HOST:PORT", a.value)
+			addError(a.path, "%q is not HOST:PORT", a.value)
 		}
 	}
 	if s.Bounds.GraceS <= 0 {
-		bad("bounds.grace_s", "must be over 0")
+		addError("bounds.grace_s", "must be over 0")
 	}
 	if s.Bounds.KeepResultsS <= 0 {
-		bad("bounds.keep_results_s", "must be over 0")
+		addError("bounds.keep_results_s", "must be over 0")
 	}
 	if s.Bounds.LeaseMs <= 0 {
-		bad("bounds.lease_ms", "must be over 0")
+		addError("bounds.lease_ms", "must be over 0")
 	}
 	if s.Bounds.KeyTrustMs < 0 {
-		bad("bounds.key_trust_ms", "must not be under 0")
+		addError("bounds.key_trust_ms", "must not be under 0")
 	}
 	if s.Members.HubsFrom < 2 {
-		bad("members.hubs_from", "must be over 1")
+		addError("members.hubs_from", "must be over 1")
 	}
 	if s.Usage.WindowS < 0 || s.Usage.LateS < 0 {
-		bad("usage", "must not be under 0")
+		addError("usage", "must not be under 0")
 	}
 	if s.Scaling.EnginePrice < 0 || s.Scaling.GroupValue < 0 {
-		bad("scaling", "must not be under 0")
+		addError("scaling", "must not be under 0")
 	}
 	if s.Machine.CPUShare < 0 || s.Machine.Cores < 0 || s.Machine.LinkMbps < 0 {
-		bad("machine", "must not be under 0")
+		addError("machine", "must not be under 0")
 	}
 	if s.Store.ValueBytes <= 0 {
-		bad("store.value_bytes", "must be over 0")
+		addError("store.value_bytes", "must be over 0")
 	}
 	return errors.Join(errs...)
 }
@@ -230,9 +230,9 @@
 	return slices.Contains(s.Control.Duties, DutyAutoscale) && !s.Policy.NoAutoscale
 }
 
-func (u UsageSettings) length() cf.Millis { return cf.Millis(u.WindowS * 1000) }
+func (u UsageSettings) window() cf.Millis { return cf.Millis(u.WindowS * 1000) }
 
-func (u UsageSettings) late() cf.Millis { return cf.Millis(u.LateS * 1000) }
+func (u UsageSettings) maxDelay() cf.Millis { return cf.Millis(u.LateS * 1000) }
 
 // mbpsPerCore is the rate of the link that a coordinator uses beside a whole core,
 // in Mbit/s: 15 for the texts of a trainer at a tenth of a core.
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -115,7 +115,7 @@
 	store := cfstandin.NewMemStore()
 	n := newTestNode(t, store)
 	n.candidate.write(ctx)
-	n.candidate.state = func() (int, string, json.RawMessage) { return 9, "10.0.0.7:1", nil }
+	n.candidate.dutyState = func() (int, string, json.RawMessage) { return 9, "10.0.0.7:1", nil }
 	n.candidate.write(ctx) // a renewal
 	successor := newTestNode(t, store)
 	successor.candidate.probe(ctx)
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -52,7 +52,7 @@
 
 func newUsage(n *Node, metrics *cfmeter.Metrics) *usage {
 	source := cfusage.Source{Entry: n.settings.Entry, Start: rand.Uint32()}
-	return &usage{node: n, meter: cfusage.NewMeter(source, n.settings.Usage.length()), metrics: metrics}
+	return &usage{node: n, meter: cfusage.NewMeter(source, n.settings.Usage.window()), metrics: metrics}
 }
 
 // now returns the time of day.
@@ -87,7 +87,7 @@
 		r := u.meter.Report(holder.Term, u.now())
 		var taken bool
 		// Without an answer it goes with the next report of life.
-		_ = n.ask(n.ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
+		_ = n.callCoordinator(n.ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
 		u.acknowledge(holder.Term, r, taken)
 	})
 }
@@ -189,7 +189,7 @@
 	s := n.settings.Usage
 	d := cfmeter.New(cfmeter.Options{
 		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
-		Terms: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
+		Terms: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
 		// A holder before may have called until its lease ran out.
 		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= earliest },
 		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, Settled: u.meter.Settle, Expect: expected, Base: base,
@@ -224,7 +224,7 @@
 			return
 		}
 		var taken bool
-		err := u.node.ask(ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
+		err := u.node.callCoordinator(ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
 		u.acknowledge(holder.Term, r, taken)
 		if !taken {
 			err = u.node.findHolder(ctx) // it may have been this instance until now
