--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -34,7 +34,7 @@
 // Sequence: the holder releases its lease to a named successor; before that one
 // has looked at the store, the holder looks itself.
 // Cause: it took the lease for its own from before a restart.
-func TestReleasedDutyIsLeftToItsSuccessor(t *testing.T) {
+func TestReleasedLeaseIsLeftToTheSuccessor(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
 	n := newTestNode(t, store)
@@ -63,10 +63,10 @@
 // the duty and takes it again.
 // Cause: it began with the same list once more, as if all in it had just been
 // heard of.
-func TestDeadInstancesStayForgottenWhenTheDutyReturns(t *testing.T) {
+func TestDeadInstancesStayRemovedWhenTheDutyReturns(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
 	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: []cfmember.Entry{{ID: "dead", Addr: "10.0.0.9:1", Ready: true}}})
-	names := func() bool {
+	listed := func() bool {
 		for _, e := range n.Live() {
 			if e.ID == "dead" {
 				return true
@@ -75,17 +75,17 @@
 		return false
 	}
 	n.beginDuty(cflease.Holder{}, nil)
-	if !names() {
+	if !listed() {
 		t.Fatal("the list of the holder before is not taken")
 	}
-	for deadline := time.Now().Add(20 * time.Second); names(); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); listed(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the dead instance never drops out")
 		}
 	}
 	n.endDuty()
 	n.beginDuty(cflease.Holder{}, nil)
-	if names() {
+	if listed() {
 		t.Error("the dead instance is named again")
 	}
 	n.endDuty()
@@ -96,7 +96,7 @@
 // Load: the store is away for all; each call is passed on to others in vain, for as
 // long as a call may take.
 // Cause: the pause after such a call was short, whatever the calls before it came to.
-func TestCallsThatNobodyCanRelayArePassedOnLessAndLess(t *testing.T) {
+func TestFailedRelayCallsBackOff(t *testing.T) {
 	var r relayTable
 	tries := 0
 	for now := cf.Millis(0); now < 10000; now += 100 {
--- a/io/cfnode/endless_test.go
+++ b/io/cfnode/endless_test.go
@@ -27,10 +27,10 @@
 
 // Guards against one target's answers without end that take the room of others' answers: their
 // callers wait for seconds, and get 502 though another target would answer.
-func TestAnswersWithoutEndBesideOthers(t *testing.T) {
+func TestEndlessAnswersDoNotStarveOthers(t *testing.T) {
 	for _, shape := range []standin.EndlessShape{standin.EndlessBody, standin.EndlessChunks} {
 		t.Run(string(shape), func(t *testing.T) {
-			s, bad := newEndlessSite(t, shape, 0)
+			s, endless := newEndlessSite(t, shape, 0)
 			var served, failed, wrong atomic.Int64
 			var wg sync.WaitGroup
 			for range 32 {
@@ -49,8 +49,8 @@
 				})
 			}
 			wg.Wait()
-			t.Logf("%d served, %d failed, %d wrong, %d sent to the target without end", served.Load(), failed.Load(), wrong.Load(), bad.Requests())
-			if wrong.Load() > 0 || failed.Load() > 0 || bad.Requests() == 0 {
+			t.Logf("%d served, %d failed, %d wrong, %d sent to the target without end", served.Load(), failed.Load(), wrong.Load(), endless.Requests())
+			if wrong.Load() > 0 || failed.Load() > 0 || endless.Requests() == 0 {
 				t.Errorf("%d of %d requests failed, though another target answers; %d got what is no answer", failed.Load(), served.Load()+failed.Load(), wrong.Load())
 			}
 			for deadline := time.Now().Add(5 * time.Second); testutil.ToFloat64(s.metrics.Held) > 0; time.Sleep(10 * time.Millisecond) {
@@ -63,7 +63,7 @@
 }
 
 // ask sends a request and reads its answer; the status is zero where there is none that is whole.
-func (s *slowSite) ask(t *testing.T, path string) (status int, n int64) {
+func (s *testSite) ask(t *testing.T, path string) (status int, n int64) {
 	t.Helper()
 	conn := s.send(t, path)
 	if conn == nil {
@@ -82,19 +82,19 @@
 }
 
 // newEndlessSite starts an instance before two targets, of which one answers without end.
-func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*slowSite, *standin.Endless) {
+func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*testSite, *standin.Endless) {
 	t.Helper()
-	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	sound := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Currantford-Request-Id", r.Header.Get("Currantford-Request-Id"))
 		w.Header().Set("Currantford-Response-Stamp", "s")
-		sized(w, r)
+		writeSized(w, r)
 	}))
-	t.Cleanup(good.Close)
-	bad, err := standin.NewEndless(shape, pause)
+	t.Cleanup(sound.Close)
+	endless, err := standin.NewEndless(shape, pause)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(bad.Close)
+	t.Cleanup(endless.Close)
 	site := cfsite.New(cfstandin.Codec{})
 	config := cfsite.Config{Version: 1, Routes: []cfsite.Route{
 		{Host: "h", Prefix: "/x/", Kind: cfsite.KindIdempotent, Split: []cfsite.Share{{Service: "s", Weight: 1}}, Timeout: 4000, SLO: 1000, MaxAttempts: 3},
@@ -104,7 +104,7 @@
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 1, config)); err != nil {
 		t.Fatal(err)
 	}
-	for id, addr := range map[cf.InstanceID]string{"good": strings.TrimPrefix(good.URL, "http://"), "bad": bad.Addr()} {
+	for id, addr := range map[cf.InstanceID]string{"good": strings.TrimPrefix(sound.URL, "http://"), "bad": endless.Addr()} {
 		target := cf.Target{ID: id, Service: "s", Slots: 99, Addr: addr}
 		if _, _, err := site.ApplyTarget(cfstandin.Record(string(id), 1, target), cf.Uptime()); err != nil {
 			t.Fatal(err)
@@ -112,11 +112,11 @@
 	}
 	targets := platform.NewTargets(4, prometheus.NewRegistry())
 	t.Cleanup(func() { _ = targets.Close() })
-	s := &slowSite{metrics: cfroom.NewMetrics(prometheus.NewRegistry())}
+	s := &testSite{metrics: cfroom.NewMetrics(prometheus.NewRegistry())}
 	in := cfingress.New(cfingress.Options{
-		Members: alone{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
-		Rooms: cfroom.New(cfroom.Options{MemoryBytes: slowLimit, Policy: cfhold.Policy{}, Metrics: s.metrics, Log: zap.NewNop()}),
+		Members: noMembers{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
+		Rooms: cfroom.New(cfroom.Options{MemoryBytes: memoryLimit, Policy: cfhold.Policy{}, Metrics: s.metrics, Log: zap.NewNop()}),
 	})
 	s.listen(t, in, zap.NewNop())
-	return s, bad
+	return s, endless
 }
--- a/io/cfnode/fallback_test.go
+++ b/io/cfnode/fallback_test.go
@@ -15,23 +15,23 @@
 	"currantford/testbed/cfstandin"
 )
 
-// awayStore answers nothing, and counts what it is asked.
-type awayStore struct {
+// unavailableStore answers nothing, and counts what it is asked.
+type unavailableStore struct {
 	*cfstandin.MemStore
-	asked atomic.Int64
+	calls atomic.Int64
 }
 
-func (s *awayStore) Get(context.Context, string, string) (cf.Record, error) {
-	s.asked.Add(1)
+func (s *unavailableStore) Get(context.Context, string, string) (cf.Record, error) {
+	s.calls.Add(1)
 	return cf.Record{}, cf.ErrUnavailable
 }
 
-func (s *awayStore) List(context.Context, string) (cf.Records, error) {
+func (s *unavailableStore) List(context.Context, string) (cf.Records, error) {
 	return cf.Records{}, cf.ErrUnavailable
 }
 
-func (s *awayStore) Replace(context.Context, string, string, cf.Revision, any) (cf.Record, error) {
-	s.asked.Add(1)
+func (s *unavailableStore) Replace(context.Context, string, string, cf.Revision, any) (cf.Record, error) {
+	s.calls.Add(1)
 	return cf.Record{}, cf.ErrUnavailable
 }
 
@@ -40,20 +40,20 @@
 // Sequence: an outage on a deployment of 72 instances, of which each notices that the
 // coordinator has no news.
 // Cause: each looked after the store by itself, as one does on a deployment of seven.
-func TestOutagesAreLeftToScouts(t *testing.T) {
+func TestInstanceLeavesAnOutageToFallbackWatchers(t *testing.T) {
 	ctx := context.Background()
 	var members []cfmember.Entry
 	for i := range 40 {
 		members = append(members, cfmember.Entry{ID: cf.EntryID(fmt.Sprint("strong-", i)), Capacity: 9})
 	}
 	for _, c := range []struct {
-		name    string
-		members []cfmember.Entry
-		silent  cf.Millis // since the last current word
-		unsure  bool      // the coordinator says that it knows nothing new
-		away    bool      // another instance says so too
-		denies  bool      // whoever was the coordinator says that it is not
-		asks    bool
+		name      string
+		members   []cfmember.Entry
+		silence   cf.Millis // since the last current word
+		uncertain bool      // the coordinator says that it knows nothing new
+		confirmed bool      // another instance says so too
+		denied    bool      // whoever was the coordinator says that it is not
+		want      bool
 	}{
 		{"small deployment", members[:7], 1000, true, true, false, true},
 		{"large, a moment", members, 1000, false, false, false, false},
@@ -64,46 +64,46 @@
 		{"large, coordinator is none any more", members, 1600, false, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			store := &awayStore{MemStore: cfstandin.NewMemStore()}
+			store := &unavailableStore{MemStore: cfstandin.NewMemStore()}
 			n := newTestNode(t, store)
 			now := cf.Uptime()
 			n.startedAt = now - 60_000
 			n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: c.members})
-			n.feed.asOf.Store(int64(now - c.silent))
-			if c.unsure {
+			n.feed.asOf.Store(int64(now - c.silence))
+			if c.uncertain {
 				n.feed.uncertainAt.Store(int64(now))
 			}
-			if c.away {
+			if c.confirmed {
 				n.feed.outageConfirmedAt.Store(int64(now))
 			}
-			if c.denies {
+			if c.denied {
 				n.candidate.recordDenial()
 			}
 			n.candidate.observe(5, cflease.Holder{Entry: "strong-0", Term: 1})
-			if got := n.watchDue(now); got != c.asks {
-				t.Errorf("watches the store itself: %v, want %v", got, c.asks)
+			if got := n.watchDue(now); got != c.want {
+				t.Errorf("watches the store itself: %v, want %v", got, c.want)
 			}
 			n.candidate.step(ctx)
-			if got := store.asked.Load() > 0; got != c.asks {
-				t.Errorf("reads the lease: %v, want %v", got, c.asks)
+			if got := store.calls.Load() > 0; got != c.want {
+				t.Errorf("reads the lease: %v, want %v", got, c.want)
 			}
-			asked := store.asked.Load()
+			calls := store.calls.Load()
 			n.candidate.step(ctx)
-			if store.asked.Load() > asked {
+			if store.calls.Load() > calls {
 				t.Error("reads it again at once")
 			}
 		})
 	}
 }
 
-// deafStore leaves the first read without an answer.
-type deafStore struct {
+// lostReadStore leaves the first read without an answer.
+type lostReadStore struct {
 	*cfstandin.MemStore
-	asked atomic.Int64
+	reads atomic.Int64
 }
 
-func (s *deafStore) Get(ctx context.Context, kind, name string) (cf.Record, error) {
-	if s.asked.Add(1) == 1 {
+func (s *lostReadStore) Get(ctx context.Context, kind, name string) (cf.Record, error) {
+	if s.reads.Add(1) == 1 {
 		<-ctx.Done()
 		return cf.Record{}, cf.ErrUnavailable
 	}
@@ -113,20 +113,20 @@
 // Guards against: an instance that finds the coordinator seconds after its start, as its first
 // read of the lease had no answer.
 func TestStartingInstanceReadsTheLeaseAgain(t *testing.T) {
-	store := &deafStore{MemStore: cfstandin.NewMemStore()}
+	store := &lostReadStore{MemStore: cfstandin.NewMemStore()}
 	n := newTestNode(t, store)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	n.candidate.step(ctx)
 	if _, rev := n.candidate.holder(); rev == 0 || ctx.Err() != nil {
-		t.Errorf("the lease is not seen after %d reads", store.asked.Load())
+		t.Errorf("the lease is not seen after %d reads", store.reads.Load())
 	}
 }
 
 // Load: a fleet with hubs, one of which hears nothing, and an instance that starts and finds
 // no coordinator. Each looks after the store by itself when its word is too old.
-func TestOneWithoutWordListsForItself(t *testing.T) {
-	n := newTestNode(t, &awayStore{MemStore: cfstandin.NewMemStore()})
+func TestInstanceWithoutUpdatesWatchesTheStore(t *testing.T) {
+	n := newTestNode(t, &unavailableStore{MemStore: cfstandin.NewMemStore()})
 	entries := []cfmember.Entry{n.self()}
 	for i := range 120 {
 		entries = append(entries, cfmember.Entry{ID: cf.EntryID(fmt.Sprint("weak-", i)), Capacity: 0.2})
@@ -135,10 +135,10 @@
 	n.candidate.observe(5, cflease.Holder{Entry: "weak-0", Term: 1})
 	now := cf.Uptime()
 	n.startedAt = now - 60_000
-	for silent, want := range map[cf.Millis]bool{1200: false, 1800: true} {
-		n.feed.asOf.Store(int64(now - silent))
+	for silence, want := range map[cf.Millis]bool{1200: false, 1800: true} {
+		n.feed.asOf.Store(int64(now - silence))
 		if got := n.watchDue(now); !n.isFallbackWatcher() || got != want {
-			t.Errorf("a hub without word for %d ms lists for itself: %v", silent, got)
+			t.Errorf("a hub without word for %d ms lists for itself: %v", silence, got)
 		}
 	}
 	n = newTestNode(t, cfstandin.NewMemStore())
@@ -154,7 +154,7 @@
 // Symptom: after each change of the coordinator all instances read the lease, and some hear
 // nothing for a second.
 // Sequence: a new holder tells those next to it; each passes it on once.
-func TestTheHolderIsTold(t *testing.T) {
+func TestHolderMessagesApplyByRevision(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
 	n.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5})
 	for _, m := range []holderMessage{
@@ -176,10 +176,10 @@
 // Cause: a denial counted as the answer of a coordinator whose store is away, and the
 // instance left the store to the scouts; and whoever denied was not asked who the holder
 // is.
-func TestADenialLeadsToTheHolder(t *testing.T) {
-	there := newTestNode(t, cfstandin.NewMemStore())
-	there.candidate.observe(8, cflease.Holder{Entry: "y", Term: 8, Addr: "127.0.0.1:1"})
-	addr := serve(t, there)
+func TestDenialLeadsToTheNewHolder(t *testing.T) {
+	peer := newTestNode(t, cfstandin.NewMemStore())
+	peer.candidate.observe(8, cflease.Holder{Entry: "y", Term: 8, Addr: "127.0.0.1:1"})
+	addr := servePeers(t, peer)
 	n := newTestNode(t, cfstandin.NewMemStore())
 	n.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: addr})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -202,25 +202,25 @@
 // Symptom: the same, beside a holder that is cut off from the store and was replaced.
 // Sequence: it says that it knows nothing new; another instance asks the store in vain, and
 // then has current news.
-func TestAnOutageIsConfirmedByAnother(t *testing.T) {
-	there := newTestNode(t, &awayStore{MemStore: cfstandin.NewMemStore()})
-	there.startedAt -= 60_000
-	there.candidate.observe(8, cflease.Holder{Entry: "y", Term: 8, Addr: "127.0.0.1:1"})
-	addr := serve(t, there)
+func TestOutageIsConfirmedByAnotherInstance(t *testing.T) {
+	peer := newTestNode(t, &unavailableStore{MemStore: cfstandin.NewMemStore()})
+	peer.startedAt -= 60_000
+	peer.candidate.observe(8, cflease.Holder{Entry: "y", Term: 8, Addr: "127.0.0.1:1"})
+	addr := servePeers(t, peer)
 	n := newFollower(t, addr, 9)
-	ask := func(then func() bool) {
+	pollUntil := func(done func() bool) {
 		t.Helper()
-		for deadline := time.Now().Add(10 * time.Second); !then(); time.Sleep(5 * time.Millisecond) {
+		for deadline := time.Now().Add(10 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatal("no answer")
 			}
-			n.hearsNothingNew()
+			n.receiveUncertainAnswer()
 		}
 	}
-	there.watchers.Store(there.startWatchers()) // it asks the store itself, which does not answer
-	ask(func() bool { return n.feed.outageConfirmedAt.Load() > 0 })
-	there.feed.asOf.Store(int64(cf.Uptime()) + 60_000)
-	ask(func() bool { return n.feed.outageConfirmedAt.Load() == 0 && n.feed.outageDeniedAt.Load() > 0 })
+	peer.watchers.Store(peer.startWatchers()) // it asks the store itself, which does not answer
+	pollUntil(func() bool { return n.feed.outageConfirmedAt.Load() > 0 })
+	peer.feed.asOf.Store(int64(cf.Uptime()) + 60_000)
+	pollUntil(func() bool { return n.feed.outageConfirmedAt.Load() == 0 && n.feed.outageDeniedAt.Load() > 0 })
 	if h, _ := n.candidate.holder(); h.Entry != "y" {
 		t.Errorf("the holder is %s, want the one that the other knows", h.Entry)
 	}
@@ -240,14 +240,14 @@
 	return n
 }
 
-// hearsNothingNew lets a follower hear that x knows nothing new, and ask another.
-func (n *Node) hearsNothingNew() {
+// receiveUncertainAnswer lets a follower hear that x knows nothing new, and ask another.
+func (n *Node) receiveUncertainAnswer() {
 	n.feed.outageAskedAt.Store(0)
 	_ = n.applyFeed(feedAnswer{Holder: cflease.Holder{Entry: "x", Term: 5}, Rev: 5, Uncertain: true}, cf.Uptime(), cf.Uptime())
 }
 
-// serve lets a node answer other instances.
-func serve(t *testing.T, n *Node) string {
+// servePeers lets a node answer other instances.
+func servePeers(t *testing.T, n *Node) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -26,30 +26,30 @@
 	fleetEngines = 600
 )
 
-// countedStore is a store whose watches wait, and which counts the lists of targets and of
+// countingStore is a store whose watches wait, and which counts the lists of targets and of
 // configurations.
-type countedStore struct {
+type countingStore struct {
 	*cfstandin.MemStore
-	lists, configs, calls atomic.Int64
+	targetLists, configLists, calls atomic.Int64
 }
 
-func (s *countedStore) Get(ctx context.Context, kind, name string) (cf.Record, error) {
+func (s *countingStore) Get(ctx context.Context, kind, name string) (cf.Record, error) {
 	s.calls.Add(1)
 	return s.MemStore.Get(ctx, kind, name)
 }
 
-func (s *countedStore) List(ctx context.Context, kind string) (cf.Records, error) {
+func (s *countingStore) List(ctx context.Context, kind string) (cf.Records, error) {
 	s.calls.Add(1)
 	switch kind {
 	case cfstandin.Codec{}.Kinds().Targets:
-		s.lists.Add(1)
+		s.targetLists.Add(1)
 	case cfstandin.Codec{}.Kinds().Config:
-		s.configs.Add(1)
+		s.configLists.Add(1)
 	}
 	return s.MemStore.List(ctx, kind)
 }
 
-func (s *countedStore) Watch(ctx context.Context, kind string, since cf.Revision, wait cf.Millis) (cf.Records, error) {
+func (s *countingStore) Watch(ctx context.Context, kind string, since cf.Revision, wait cf.Millis) (cf.Records, error) {
 	s.calls.Add(1)
 	for deadline := cf.Uptime() + wait; ; {
 		out, err := s.MemStore.Watch(ctx, kind, since, 0)
@@ -59,12 +59,12 @@
 	}
 }
 
-// gatedStore is a store as one instance reaches it: while it is shut, calls that may take
+// outageStore is a store as one instance reaches it: while it is shut, calls that may take
 // long are not answered.
-type gatedStore struct {
-	*countedStore
-	shut  atomic.Bool
-	delay *storeDelay
+type outageStore struct {
+	*countingStore
+	unavailable atomic.Bool
+	delay       *storeDelay
 }
 
 // storeDelay is how late a store answers.
@@ -73,36 +73,36 @@
 	lease, lists atomic.Int64
 }
 
-// wait holds a call while the store is shut, for as long as its answer is waited for.
-func (s *gatedStore) wait(ctx context.Context, most time.Duration) error {
-	if !s.shut.Load() {
+// awaitTimeout holds a call while the store is shut, for as long as its answer is waited for.
+func (s *outageStore) awaitTimeout(ctx context.Context, timeout time.Duration) error {
+	if !s.unavailable.Load() {
 		return nil
 	}
-	cf.Sleep(ctx, most)
+	cf.Sleep(ctx, timeout)
 	return cf.ErrUnavailable
 }
 
-func (s *gatedStore) Get(ctx context.Context, kind, name string) (cf.Record, error) {
+func (s *outageStore) Get(ctx context.Context, kind, name string) (cf.Record, error) {
 	if kind == cf.KindLease {
 		cf.Sleep(ctx, time.Duration(s.delay.lease.Load()))
 	}
-	return s.countedStore.Get(ctx, kind, name)
+	return s.countingStore.Get(ctx, kind, name)
 }
 
-func (s *gatedStore) List(ctx context.Context, kind string) (cf.Records, error) {
-	if err := s.wait(ctx, 750*time.Millisecond); err != nil {
+func (s *outageStore) List(ctx context.Context, kind string) (cf.Records, error) {
+	if err := s.awaitTimeout(ctx, 750*time.Millisecond); err != nil {
 		return cf.Records{}, err
 	}
-	list, err := s.countedStore.List(ctx, kind)
+	list, err := s.countingStore.List(ctx, kind)
 	if kind == (cfstandin.Codec{}).Kinds().Targets && !cf.Sleep(ctx, time.Duration(s.delay.lists.Load())) {
 		return cf.Records{}, cf.ErrUnavailable
 	}
 	return list, err
 }
 
-func (s *gatedStore) Watch(ctx context.Context, kind string, since cf.Revision, wait cf.Millis) (cf.Records, error) {
-	out, err := s.countedStore.Watch(ctx, kind, since, wait)
-	if err := s.wait(ctx, 700*time.Millisecond); err != nil {
+func (s *outageStore) Watch(ctx context.Context, kind string, since cf.Revision, wait cf.Millis) (cf.Records, error) {
+	out, err := s.countingStore.Watch(ctx, kind, since, wait)
+	if err := s.awaitTimeout(ctx, 700*time.Millisecond); err != nil {
 		return cf.Records{}, err
 	}
 	return out, err
@@ -110,11 +110,11 @@
 
 // testFleet is a deployment of many instances in one process, before one store.
 type testFleet struct {
-	t     *testing.T
-	store *countedStore
-	nodes map[cf.EntryID]*Node
-	stop  map[cf.EntryID]func()
-	gates map[cf.EntryID]*gatedStore
+	t      *testing.T
+	store  *countingStore
+	nodes  map[cf.EntryID]*Node
+	stop   map[cf.EntryID]func()
+	stores map[cf.EntryID]*outageStore
 	// link is the rate of an instance's link in bytes a second, zero without bound.
 	link  int
 	delay *storeDelay
@@ -128,11 +128,11 @@
 // newDelayedFleet returns a fleet whose store is slow from its start on.
 func newDelayedFleet(t *testing.T, size, link int, delay *storeDelay) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, store: &countedStore{MemStore: cfstandin.NewMemStore()}, nodes: map[cf.EntryID]*Node{}, stop: map[cf.EntryID]func(){}, gates: map[cf.EntryID]*gatedStore{}, link: link, delay: delay}
+	f := &testFleet{t: t, store: &countingStore{MemStore: cfstandin.NewMemStore()}, nodes: map[cf.EntryID]*Node{}, stop: map[cf.EntryID]func(){}, stores: map[cf.EntryID]*outageStore{}, link: link, delay: delay}
 	kinds := cfstandin.Codec{}.Kinds()
 	f.create(kinds.Config, "main", fleetConfig(1))
 	for i := range fleetLogs {
-		f.create(kinds.Targets, fmt.Sprintf("log-%03d", i), f.log(i))
+		f.create(kinds.Targets, fmt.Sprintf("log-%03d", i), f.logTarget(i))
 	}
 	for i := range fleetEngines {
 		id := fmt.Sprintf("engine-%03d", i)
@@ -159,7 +159,7 @@
 	}, others...), Services: []cfsite.Service{{Name: "log"}, {Name: "engines", Models: []cf.ModelName{"m"}}}}
 }
 
-func (f *testFleet) log(i int) cf.Target {
+func (f *testFleet) logTarget(i int) cf.Target {
 	return cf.Target{ID: cf.InstanceID(fmt.Sprintf("log-%03d", i)), Service: "log", Slots: 4, Addr: fmt.Sprintf("10.0.0.%d:1", i)}
 }
 
@@ -185,8 +185,8 @@
 	if i/fleetDomains%5 == 0 {
 		s.Machine.CPUShare = 1
 	}
-	f.gates[s.Entry] = &gatedStore{countedStore: f.store, delay: f.delay}
-	n := New(s, Adapter{Store: f.gates[s.Entry], Codec: cfstandin.Codec{}, Relay: noRelay{}}, prometheus.NewRegistry(), zap.NewNop())
+	f.stores[s.Entry] = &outageStore{countingStore: f.store, delay: f.delay}
+	n := New(s, Adapter{Store: f.stores[s.Entry], Codec: cfstandin.Codec{}, Relay: noRelay{}}, prometheus.NewRegistry(), zap.NewNop())
 	if f.link > 0 {
 		l = &sharedLink{Listener: l, rate: f.link}
 	}
@@ -206,8 +206,8 @@
 	delete(f.nodes, id)
 }
 
-// settled waits until all instances know all others and the targets to which they forward.
-func (f *testFleet) settled(what string, logs int) {
+// awaitSettled waits until all instances know all others and the targets to which they forward.
+func (f *testFleet) awaitSettled(what string, logs int) {
 	f.t.Helper()
 	behind := func() string {
 		for id, n := range f.nodes {
@@ -224,12 +224,12 @@
 		return ""
 	}
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		why := behind()
-		if why == "" {
+		reason := behind()
+		if reason == "" {
 			return
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%s: %s", what, why)
+			f.t.Fatalf("%s: %s", what, reason)
 		}
 	}
 }
@@ -262,9 +262,9 @@
 // follows the hubs, and what an instance is told what it forwards to.
 func TestFleetIsToldByHubs(t *testing.T) {
 	f := newTestFleet(t, fleetSize, 0)
-	f.settled("start", fleetLogs)
+	f.awaitSettled("start", fleetLogs)
 	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
-	if lists := f.store.lists.Load(); lists > int64(hubs) {
+	if lists := f.store.targetLists.Load(); lists > int64(hubs) {
 		t.Errorf("the targets were listed %d times at the start, by a fleet with %d hubs", lists, hubs)
 	}
 	for id, n := range f.nodes {
@@ -272,7 +272,7 @@
 			t.Errorf("%s holds %d targets, and forwards to %d", id, len(n.site.Targets()), fleetLogs)
 		}
 	}
-	drained := f.log(7)
+	drained := f.logTarget(7)
 	drained.Draining = true
 	r, err := f.store.Get(context.Background(), cfstandin.Codec{}.Kinds().Targets, "log-007")
 	if err != nil {
@@ -281,40 +281,40 @@
 	if _, err := f.store.Replace(context.Background(), cfstandin.Codec{}.Kinds().Targets, "log-007", r.Rev, drained); err != nil {
 		t.Fatal(err)
 	}
-	f.settled("a target drains", fleetLogs-1)
+	f.awaitSettled("a target drains", fleetLogs-1)
 	f.kill(f.hub())
-	f.settled("a hub is lost", fleetLogs-1)
-	before := f.store.lists.Load()
+	f.awaitSettled("a hub is lost", fleetLogs-1)
+	before := f.store.targetLists.Load()
 	f.kill(f.holder().settings.Entry)
-	f.settled("the coordinator is lost", fleetLogs-1)
+	f.awaitSettled("the coordinator is lost", fleetLogs-1)
 	f.holder()
-	if lists := f.store.lists.Load() - before; lists > int64(hubs)+1 {
+	if lists := f.store.targetLists.Load() - before; lists > int64(hubs)+1 {
 		t.Errorf("the targets were listed %d times after the loss of the coordinator, by a fleet with %d hubs", lists, hubs)
 	}
 }
 
 // Guards against: a start at which each instance lists all targets, as the store takes longer
 // to show the lease than an instance waits for it.
-func TestSlowLeaseMakesNobodyList(t *testing.T) {
+func TestSlowLeaseReadCausesNoExtraTargetLists(t *testing.T) {
 	const size = 40
-	for _, late := range []time.Duration{350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
+	for _, latency := range []time.Duration{350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
 		delay := &storeDelay{}
-		delay.lease.Store(int64(late))
+		delay.lease.Store(int64(latency))
 		f := newDelayedFleet(t, size, 0, delay)
-		f.settled("start", fleetLogs)
-		scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
-		if lists := f.store.lists.Load(); lists > int64(scouts) {
-			t.Errorf("the lease is shown after %s: the targets were listed %d times, by %d instances with %d scouts", late, lists, size, scouts)
+		f.awaitSettled("start", fleetLogs)
+		fallbacks := len(f.holder().members.FallbackWatchers(f.holder().self()))
+		if lists := f.store.targetLists.Load(); lists > int64(fallbacks) {
+			t.Errorf("the lease is shown after %s: the targets were listed %d times, by %d instances with %d scouts", latency, lists, size, fallbacks)
 		}
 	}
 }
 
 // Guards against: a fleet each instance of which lists all targets after the loss of its
 // coordinator, as the lists that the new one and the hubs read take their time.
-func TestSlowListsAfterTheLossOfTheCoordinator(t *testing.T) {
+func TestSlowTargetListsAfterTheLossOfTheCoordinator(t *testing.T) {
 	const size = 100
 	f := newTestFleet(t, size, 0)
-	f.settled("start", fleetLogs)
+	f.awaitSettled("start", fleetLogs)
 	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
 	for _, n := range f.nodes {
 		for !n.status(cf.Uptime()).StartupOver(cf.Uptime()) {
@@ -322,24 +322,24 @@
 		}
 	}
 	f.delay.lists.Store(int64(2500 * time.Millisecond))
-	before := f.store.lists.Load()
+	before := f.store.targetLists.Load()
 	f.kill(f.holder().settings.Entry)
-	f.settled("the coordinator is lost", fleetLogs)
-	if lists := f.store.lists.Load() - before; lists > int64(hubs)+1 {
+	f.awaitSettled("the coordinator is lost", fleetLogs)
+	if lists := f.store.targetLists.Load() - before; lists > int64(hubs)+1 {
 		t.Errorf("the targets were listed %d times after the loss of the coordinator, by a fleet with %d hubs", lists, hubs)
 	}
 }
 
 // Guards against: a start at which each instance lists all targets, as the coordinator's first
 // list takes longer than the others wait for it.
-func TestSlowFirstListAtAStart(t *testing.T) {
+func TestSlowFirstTargetListAtStartup(t *testing.T) {
 	const size = 40
 	delay := &storeDelay{}
 	delay.lists.Store(int64(4 * time.Second))
 	f := newDelayedFleet(t, size, 0, delay)
-	f.settled("start", fleetLogs)
-	scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
-	if lists := f.store.lists.Load(); lists > int64(scouts) {
-		t.Errorf("the targets were listed %d times, by %d instances with %d scouts", lists, size, scouts)
+	f.awaitSettled("start", fleetLogs)
+	fallbacks := len(f.holder().members.FallbackWatchers(f.holder().self()))
+	if lists := f.store.targetLists.Load(); lists > int64(fallbacks) {
+		t.Errorf("the targets were listed %d times, by %d instances with %d scouts", lists, size, fallbacks)
 	}
 }
--- a/io/cfnode/fuzz_test.go
+++ b/io/cfnode/fuzz_test.go
@@ -20,11 +20,11 @@
 	"currantford/testbed/cfstandin"
 )
 
-const soundAnswer = "HTTP/1.1 200 OK\r\nCurrantford-Request-Id: r\r\nCurrantford-Response-Stamp: s\r\nContent-Length: 5\r\n\r\nsound"
+const validAnswer = "HTTP/1.1 200 OK\r\nCurrantford-Request-Id: r\r\nCurrantford-Response-Stamp: s\r\nContent-Length: 5\r\n\r\nsound"
 
-// serveBytes answers requests whose path ends in /sound with a sound answer, and any other
+// serveRawAnswers answers requests whose path ends in /sound with a sound answer, and any other
 // with the bytes in its body.
-func serveBytes(l net.Listener) {
+func serveRawAnswers(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -40,7 +40,7 @@
 				}
 				body, _ := io.ReadAll(req.Body)
 				if strings.HasSuffix(req.URL.Path, "/sound") {
-					_, _ = io.WriteString(conn, soundAnswer)
+					_, _ = io.WriteString(conn, validAnswer)
 					continue
 				}
 				_, _ = conn.Write(body)
@@ -50,14 +50,14 @@
 	}
 }
 
-// FuzzAnswersOfTargets sends arbitrary bytes as a target's answer. No such answer may end in a
+// FuzzTargetAnswers sends arbitrary bytes as a target's answer. No such answer may end in a
 // panic, or have the caller's next request on its connection answered by anything but its own
 // answer.
-func FuzzAnswersOfTargets(f *testing.F) {
-	for _, s := range []string{soundAnswer, strings.Replace(soundAnswer, "200", "042", 1), strings.Replace(soundAnswer, "200", "101", 1),
-		strings.Replace(soundAnswer, "200", "204", 1), strings.Replace(soundAnswer, "200", "304", 1), strings.Replace(soundAnswer, "5\r\n", "9\r\n", 1),
-		strings.Replace(soundAnswer, "Content-Length: 5", "Transfer-Encoding: chunked", 1), strings.Replace(soundAnswer, "Content-Length: 5\r\n\r\n", "Transfer-Encoding: chunked\r\nTrailer: A\r\n\r\n5\r\nsound\r\n0\r\nA: b\r\n\r\n", 1),
-		"HTTP/1.1 100 Continue\r\n\r\n" + soundAnswer, "HTTP/1.1 200 OK\r\nConnection: upgrade\r\nUpgrade: x\r\nCurrantford-Request-Id: r\r\nCurrantford-Response-Stamp: s\r\n\r\n", "garbage", "",
+func FuzzTargetAnswers(f *testing.F) {
+	for _, s := range []string{validAnswer, strings.Replace(validAnswer, "200", "042", 1), strings.Replace(validAnswer, "200", "101", 1),
+		strings.Replace(validAnswer, "200", "204", 1), strings.Replace(validAnswer, "200", "304", 1), strings.Replace(validAnswer, "5\r\n", "9\r\n", 1),
+		strings.Replace(validAnswer, "Content-Length: 5", "Transfer-Encoding: chunked", 1), strings.Replace(validAnswer, "Content-Length: 5\r\n\r\n", "Transfer-Encoding: chunked\r\nTrailer: A\r\n\r\n5\r\nsound\r\n0\r\nA: b\r\n\r\n", 1),
+		"HTTP/1.1 100 Continue\r\n\r\n" + validAnswer, "HTTP/1.1 200 OK\r\nConnection: upgrade\r\nUpgrade: x\r\nCurrantford-Request-Id: r\r\nCurrantford-Response-Stamp: s\r\n\r\n", "garbage", "",
 	} {
 		f.Add([]byte(s))
 	}
@@ -66,7 +66,7 @@
 		f.Fatal(err)
 	}
 	f.Cleanup(func() { _ = l.Close() })
-	go serveBytes(l)
+	go serveRawAnswers(l)
 	site := cfsite.New(cfstandin.Codec{})
 	routes := []cfsite.Route{{Host: "h", Prefix: "/x/", Split: []cfsite.Share{{Service: "s", Weight: 1}}, Timeout: 1000, MaxAttempts: 1}}
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 1, cfsite.Config{Version: 1, Routes: routes, Limits: cfsite.Limits{BodyBytes: 1 << 20}})); err != nil {
@@ -78,7 +78,7 @@
 	targets := platform.NewTargets(2, prometheus.NewRegistry())
 	f.Cleanup(func() { _ = targets.Close() })
 	callers := platform.NewCallers(cfingress.New(cfingress.Options{
-		Members: alone{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), NoAdmission: true, Log: zap.NewNop(),
+		Members: noMembers{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), NoAdmission: true, Log: zap.NewNop(),
 	}), zap.NewNop())
 	srv, err := Serve("127.0.0.1:0", callers, func() cf.Millis { return 0 })
 	if err != nil {
--- a/io/cfnode/keepalive_test.go
+++ b/io/cfnode/keepalive_test.go
@@ -22,7 +22,7 @@
 
 // Guards against a kept connection that is closed under a request which has been read, where
 // idle limits change and requests come in all shapes.
-func TestIdleLimitsCloseNoConnectionUnderARequest(t *testing.T) {
+func TestIdleTimeoutClosesNoConnectionWithARequest(t *testing.T) {
 	var handled, answered atomic.Int64
 	large := strings.Repeat("x", 64<<10)
 	srv, err := Serve("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +49,7 @@
 	for range 32 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				answered.Add(askOften(ctx, srv.ln.Addr().String()))
+				answered.Add(sendRequests(ctx, srv.ln.Addr().String()))
 			}
 		})
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// shapes are requests as callers send them, each part by itself.
-var shapes = [][]string{
+// requestParts are requests as callers send them, each part by itself.
+var requestParts = [][]string{
 	{"GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 	{"GET /large HTTP/1.1\r\nHost: x\r\n\r\n"},
 	{"G", "ET / HTTP/1.1\r\nHost: x\r\n\r\n"},
@@ -74,9 +74,9 @@
 	{"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n", "5\r\nhello\r\n", "0\r\n\r\n"},
 }
 
-// askOften sends requests on one connection until it ends; it returns how many got their
+// sendRequests sends requests on one connection until it ends; it returns how many got their
 // whole answer.
-func askOften(ctx context.Context, addr string) int64 {
+func sendRequests(ctx context.Context, addr string) int64 {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0
@@ -87,7 +87,7 @@
 		if ctx.Err() != nil {
 			return n
 		}
-		for _, part := range shapes[rand.IntN(len(shapes))] {
+		for _, part := range requestParts[rand.IntN(len(requestParts))] {
 			if _, err := fmt.Fprint(conn, part); err != nil {
 				return n
 			}
@@ -109,18 +109,18 @@
 
 // Guards against requests that end without an answer and without a line that names them.
 func TestAnswerThatCannotBeWrittenIsLogged(t *testing.T) {
-	s := newSlowSite(t, cfhold.Policy{}, sized)
+	s := newTestSite(t, cfhold.Policy{}, writeSized)
 	conn := s.send(t, "/x/8000000")
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	_ = conn.Close() // with bytes unread: a reset
-	body, err := net.Dial("tcp", s.addr)
+	partial, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = fmt.Fprint(body, "POST /x/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\nCurrantford-Request-Id: r\r\n\r\nhalf")
-	_ = body.Close()
+	_, _ = fmt.Fprint(partial, "POST /x/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\nCurrantford-Request-Id: r\r\n\r\nhalf")
+	_ = partial.Close()
 	for _, line := range []string{"answer_not_written", "request_answered", "body_not_read"} {
 		deadline := time.Now().Add(10 * time.Second)
 		for s.logs.FilterMessage(line).FilterField(zap.String("request_id", "r")).Len() == 0 && time.Now().Before(deadline) {
@@ -137,9 +137,9 @@
 
 // Guards against requests that a stop passes on to their targets and then cuts off: what is
 // still under way at its end is answered, too.
-func TestEndOfAStopAnswersWhatIsUnderWay(t *testing.T) {
+func TestShutdownAnswersRequestsInProgress(t *testing.T) {
 	reached := make(chan struct{}, 2)
-	s := newSlowSite(t, cfhold.Policy{}, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestSite(t, cfhold.Policy{}, func(_ http.ResponseWriter, r *http.Request) {
 		reached <- struct{}{}
 		<-r.Context().Done()
 	})
--- a/io/cfnode/outage_test.go
+++ b/io/cfnode/outage_test.go
@@ -23,8 +23,8 @@
 	net.Listener
 	rate int // bytes a second
 
-	mu   sync.Mutex
-	free time.Time // when what was sent so far has left
+	mu     sync.Mutex
+	freeAt time.Time // when what was sent so far has left
 }
 
 func (l *sharedLink) Accept() (net.Conn, error) {
@@ -47,11 +47,11 @@
 	for part := range slices.Chunk(p, packet) {
 		c.link.mu.Lock()
 		now := time.Now()
-		if c.link.free.Before(now) {
-			c.link.free = now
+		if c.link.freeAt.Before(now) {
+			c.link.freeAt = now
 		}
-		c.link.free = c.link.free.Add(time.Duration(len(part)) * time.Second / time.Duration(c.link.rate))
-		wait := c.link.free.Sub(now)
+		c.link.freeAt = c.link.freeAt.Add(time.Duration(len(part)) * time.Second / time.Duration(c.link.rate))
+		wait := c.link.freeAt.Sub(now)
 		c.link.mu.Unlock()
 		time.Sleep(wait)
 		n, err := c.Conn.Write(part)
@@ -91,7 +91,7 @@
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		behind := 0
 		for id, n := range f.nodes {
-			if now := n.site.Config(); !f.gates[id].shut.Load() && (now == nil || now.Version < c.Version) {
+			if now := n.site.Config(); !f.stores[id].unavailable.Load() && (now == nil || now.Version < c.Version) {
 				behind++
 			}
 		}
@@ -105,8 +105,8 @@
 	}
 }
 
-// told returns how many bytes of configurations the instances have told each other.
-func (f *testFleet) told() (bytes float64) {
+// sent returns how many bytes of configurations the instances have told each other.
+func (f *testFleet) sent() (bytes float64) {
 	for _, n := range f.nodes {
 		for _, part := range []string{"whole", "change"} {
 			bytes += testutil.ToFloat64(n.feedMetrics.configBytes.WithLabelValues(part))
@@ -121,7 +121,7 @@
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		for _, n := range f.nodes {
 			if n.coord.Load() != nil && cfmember.HighCapacity(n.self().Capacity, n.Live()) {
-				f.settled("a strong coordinator", fleetLogs)
+				f.awaitSettled("a strong coordinator", fleetLogs)
 				return
 			}
 		}
@@ -131,9 +131,9 @@
 	}
 }
 
-// toldMost is what an instance may be told of a changed route, in bytes: control may use as
+// maxConfigBytes is what an instance may be told of a changed route, in bytes: control may use as
 // much in a second, and there are changes nearly each second.
-const toldMost = 3 << 10
+const maxConfigBytes = 3 << 10
 
 // Load: a configuration of many routes before many instances on weak links. A change of one
 // route that goes whole to each fills the coordinator's link, its calls run out of time and
@@ -141,21 +141,21 @@
 func TestChangeOfALargeConfigurationReachesAllInTime(t *testing.T) {
 	const size = 72
 	f := newTestFleet(t, size, 750_000)
-	f.settled("start", fleetLogs)
+	f.awaitSettled("start", fleetLogs)
 	routes := manyRoutes(140)
 	f.configure(fleetConfig(2, routes...), func() {})
-	f.settled("a large configuration", fleetLogs)
+	f.awaitSettled("a large configuration", fleetLogs)
 	f.awaitStrongHolder() // a new coordinator reads the configuration, and a weak one is replaced
-	lists, told := f.store.configs.Load(), f.told()
+	lists, sent := f.store.configLists.Load(), f.sent()
 	for i := range 3 {
 		routes = slices.Clone(routes)
 		routes[70+i].Timeout = 900
 		f.configure(fleetConfig(cfsite.ConfigVersion(3+i), routes...), func() {})
 	}
-	if told := f.told() - told; told > 3*size*toldMost {
-		t.Errorf("%.0f bytes told to %d instances of three changes of a route", told, size)
+	if sent := f.sent() - sent; sent > 3*size*maxConfigBytes {
+		t.Errorf("%.0f bytes told to %d instances of three changes of a route", sent, size)
 	}
-	if lists := f.store.configs.Load() - lists; lists > 0 {
+	if lists := f.store.configLists.Load() - lists; lists > 0 {
 		t.Errorf("the configuration was read from the store %d times", lists)
 	}
 }
@@ -163,14 +163,14 @@
 // An instance beside a coordinator that is cut off from the store waits for seconds with a
 // configuration that is not in force any more, as its neighbours, which follow the same
 // coordinator, have no news either.
-func TestHearsayConfirmsNoOutage(t *testing.T) {
-	there := newTestNode(t, cfstandin.NewMemStore())
-	there.startedAt -= 60_000
-	there.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: "127.0.0.1:1"})
-	addr := serve(t, there)
+func TestInstanceThatDidNotAskTheStoreConfirmsNoOutage(t *testing.T) {
+	peer := newTestNode(t, cfstandin.NewMemStore())
+	peer.startedAt -= 60_000
+	peer.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: "127.0.0.1:1"})
+	addr := servePeers(t, peer)
 	n := newFollower(t, addr, 40)
 	for range 20 {
-		n.hearsNothingNew()
+		n.receiveUncertainAnswer()
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n.feed.outageConfirmedAt.Load() > 0 {
@@ -178,8 +178,8 @@
 	}
 }
 
-// waiting returns how many instances leave the store alone because it is away.
-func (f *testFleet) waiting() (n int) {
+// awaitingStore returns how many instances leave the store alone because it is away.
+func (f *testFleet) awaitingStore() (n int) {
 	for _, node := range f.nodes {
 		if cfmember.AnswerIsRecent(cf.Millis(node.feed.outageConfirmedAt.Load()), cf.Uptime()) {
 			n++
@@ -188,8 +188,8 @@
 	return n
 }
 
-// watched returns how many instances watch the store themselves.
-func (f *testFleet) watched() (n int) {
+// watchingStore returns how many instances watch the store themselves.
+func (f *testFleet) watchingStore() (n int) {
 	for _, node := range f.nodes {
 		if node.watchers.Load() != nil {
 			n++
@@ -200,12 +200,12 @@
 
 // A coordinator that keeps its lease and hears no changes says that it knows nothing new, and
 // is not replaced. The others must not take the store for away, as it answers them.
-func TestInstancesBesideACoordinatorWithoutNews(t *testing.T) {
+func TestUncertainCoordinatorIsNotTakenForAStoreOutage(t *testing.T) {
 	f := newTestFleet(t, 40, 0)
-	f.settled("start", fleetLogs)
-	f.gates[f.holder().settings.Entry].shut.Store(true)
+	f.awaitSettled("start", fleetLogs)
+	f.stores[f.holder().settings.Entry].unavailable.Store(true)
 	f.configure(fleetConfig(2), func() {
-		if n := f.waiting(); n > 0 {
+		if n := f.awaitingStore(); n > 0 {
 			t.Fatalf("%d instances take the store for away", n)
 		}
 	})
@@ -213,47 +213,47 @@
 
 // Load: the store is away for all. Those that look after it do, and the others leave it to
 // them by their word.
-func TestStoreThatIsAwayIsLeftToScouts(t *testing.T) {
+func TestFleetLeavesAnOutageToFallbackWatchers(t *testing.T) {
 	const size = 40
 	f := newTestFleet(t, size, 0)
-	f.settled("start", fleetLogs)
-	scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
+	f.awaitSettled("start", fleetLogs)
+	fallbacks := len(f.holder().members.FallbackWatchers(f.holder().self()))
 	for _, n := range f.nodes {
 		for !n.status(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	f.outages(func() bool { return f.waiting() >= size-scouts-1 && f.watched() <= scouts+1 })
+	f.playOutages(func() bool { return f.awaitingStore() >= size-fallbacks-1 && f.watchingStore() <= fallbacks+1 })
 }
 
-// outages plays outages, of a length in which nobody gives up waiting, until one shows what is
+// playOutages plays outages, of a length in which nobody gives up waiting, until one shows what is
 // asked for.
-func (f *testFleet) outages(shows func() bool) {
+func (f *testFleet) playOutages(reached func() bool) {
 	f.t.Helper()
 	for range 8 {
-		for _, g := range f.gates {
-			g.shut.Store(true)
+		for _, g := range f.stores {
+			g.unavailable.Store(true)
 		}
 		for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			if shows() {
+			if reached() {
 				return
 			}
 		}
-		for _, g := range f.gates {
-			g.shut.Store(false)
+		for _, g := range f.stores {
+			g.unavailable.Store(false)
 		}
-		f.settled("after an outage", fleetLogs)
+		f.awaitSettled("after an outage", fleetLogs)
 	}
-	f.t.Errorf("%d instances wait and %d watch the store", f.waiting(), f.watched())
+	f.t.Errorf("%d instances wait and %d watch the store", f.awaitingStore(), f.watchingStore())
 }
 
 // A coordinator whose watch is late tells its view as of when the answer was due, and not as
 // of now: a change may have been missed since.
-func TestWordOfALateWatchIsOld(t *testing.T) {
+func TestViewOfALateWatchReportsItsAge(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
-	f.settled("start", fleetLogs)
+	f.awaitSettled("start", fleetLogs)
 	h := f.holder()
-	f.outages(func() bool {
+	f.playOutages(func() bool {
 		fresh, age := h.servedView(cf.Uptime())
 		return fresh && age > 0
 	})
--- a/io/cfnode/quarantine_test.go
+++ b/io/cfnode/quarantine_test.go
@@ -15,7 +15,7 @@
 // Sequence: a caller crashes engines by ever other requests; each crash costs all that ran
 // there a strike.
 // Cause guarded against: news without a bound. What is held goes first.
-func TestNewsOfCrashesAreBounded(t *testing.T) {
+func TestStrikeSharingIsRateLimited(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
 	q.guard = &cfguard.Guard{Table: cfquarantine.New("e")}
 	target := func(n int) cfquarantine.Incarnation {
@@ -31,25 +31,25 @@
 	sent := 0
 	const seconds = 60
 	for now := cf.Millis(0); now < seconds*1000; now += 100 {
-		var news []cfquarantine.Strike
+		var strikes []cfquarantine.Strike
 		for n := range 50 {
 			key := cfquarantine.KeyOf("POST", "h", "/", "c", []byte(fmt.Sprint(now, n)))
-			news = append(news, cfquarantine.Strike{Content: key.Content, Target: target(n)})
+			strikes = append(strikes, cfquarantine.Strike{Content: key.Content, Target: target(n)})
 		}
-		out := q.limitRate(append(news, last[0]), now)
+		out := q.limitRate(append(strikes, last[0]), now)
 		sent += len(out)
-		if len(out) > 0 && len(out) < len(news) && out[0].Content != held.Content {
+		if len(out) > 0 && len(out) < len(strikes) && out[0].Content != held.Content {
 			t.Fatal("news of what is held wait behind others")
 		}
 	}
-	if most := strikesBurst + seconds*strikesRate; sent > most {
-		t.Errorf("%d strikes in %d s, want %d at most", sent, seconds, most)
+	if limit := strikesBurst + seconds*strikesRate; sent > limit {
+		t.Errorf("%d strikes in %d s, want %d at most", sent, seconds, limit)
 	}
 }
 
 // Guards against: a starting instance that knows no other one and so learns a second late what
 // is held.
-func TestExchangeWithNobodyDelaysNone(t *testing.T) {
+func TestExchangeWithoutPeersDelaysNoLaterOne(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
 	q.exchange(nil, heldExchangeInterval)
 	if q.exchangedAt != 0 {
--- a/io/cfnode/relay_test.go
+++ b/io/cfnode/relay_test.go
@@ -9,17 +9,17 @@
 
 // Guards against: an instance that the store turns away, and that asks the same two others
 // over and over which are turned away as well.
-func TestRelaysGoOnToInstancesThatReachTheStore(t *testing.T) {
+func TestRelayTriesReachEveryInstance(t *testing.T) {
 	all := []string{"holder", "a", "b", "c", "d"}
-	for _, sound := range all {
+	for _, working := range all {
 		var r relayTable
 		now, tries := cf.Millis(10_000), 0
 		for served := false; !served; tries++ {
 			if tries == len(all) {
-				t.Fatalf("%s is not asked in %d tries", sound, tries)
+				t.Fatalf("%s is not asked in %d tries", working, tries)
 			}
 			for _, addr := range r.choose(all, now) {
-				if served = addr == sound; served {
+				if served = addr == working; served {
 					r.recordSuccess(addr, now)
 					break
 				}
@@ -32,18 +32,18 @@
 				}
 			}
 		}
-		if paths := r.choose(all, now); !slices.Contains(paths, sound) || paths[0] != sound {
-			t.Errorf("the next call asks %v, not %s", paths, sound)
+		if paths := r.choose(all, now); !slices.Contains(paths, working) || paths[0] != working {
+			t.Errorf("the next call asks %v, not %s", paths, working)
 		}
 		if took := now - 10_000; took > relayAvoidTime {
-			t.Errorf("%s was asked after %d ms", sound, took)
+			t.Errorf("%s was asked after %d ms", working, took)
 		}
 	}
 }
 
 // Guards against: an instance that relays calls and is not asked, since it relayed nothing a
 // moment before.
-func TestRelayThatWorksAgainIsAskedFirst(t *testing.T) {
+func TestRelayThatWorksAgainIsTriedFirst(t *testing.T) {
 	for _, err := range []error{cf.ErrRefused, cf.ErrUnavailable} {
 		var r relayTable
 		r.recordFailure("a", err, 1000)
--- a/io/cfnode/server_test.go
+++ b/io/cfnode/server_test.go
@@ -55,7 +55,7 @@
 	}
 	var wg sync.WaitGroup
 	for range 16 {
-		wg.Go(func() { answered.Add(keepAsking(addr)) })
+		wg.Go(func() { answered.Add(sendUntilClosed(addr)) })
 	}
 	time.Sleep(20 * time.Millisecond)
 	srv.disableKeepAlives()
@@ -69,9 +69,9 @@
 	return int(handled.Load() - answered.Load())
 }
 
-// keepAsking sends requests on one connection until it ends; it returns how
+// sendUntilClosed sends requests on one connection until it ends; it returns how
 // many were answered.
-func keepAsking(addr string) int64 {
+func sendUntilClosed(addr string) int64 {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0
@@ -95,7 +95,7 @@
 
 // Guards against a connection that takes a further request after it was cut: its write
 // deadline would break off that request's answer.
-func TestConnectionThatWasCutTakesNoFurtherRequest(t *testing.T) {
+func TestCutConnectionTakesNoFurtherRequest(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
@@ -108,7 +108,7 @@
 
 // Guards against a cut that comes just after its answer has been written: it would break off the
 // answer to the next request, which is on its way by then.
-func TestCutOfAnAnswerThatHasEndedLeavesTheNext(t *testing.T) {
+func TestCutOfACompletedAnswerSparesTheNext(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
--- a/io/cfnode/signals_test.go
+++ b/io/cfnode/signals_test.go
@@ -11,7 +11,7 @@
 
 // Guards against: a stop that never comes, since reloads before the process serves take the
 // room in which it would wait.
-func TestStopAfterReloadsDuringAStart(t *testing.T) {
+func TestStopSignalAfterReloadsDuringStartup(t *testing.T) {
 	signals := CatchSignals()
 	send := func(sig syscall.Signal) {
 		if err := syscall.Kill(os.Getpid(), sig); err != nil {
--- a/io/cfnode/slowreader_test.go
+++ b/io/cfnode/slowreader_test.go
@@ -30,14 +30,14 @@
 	"currantford/testbed/cfstandin"
 )
 
-const slowLimit = 128 << 20
+const memoryLimit = 128 << 20
 
 type (
-	// alone is an instance alone.
-	alone struct{}
+	// noMembers is an instance alone.
+	noMembers struct{}
 
-	// slowSite is an instance before a target.
-	slowSite struct {
+	// testSite is an instance before a target.
+	testSite struct {
 		addr    string
 		metrics *cfroom.Metrics
 		srv     *Server
@@ -46,17 +46,17 @@
 	}
 )
 
-func (alone) Live() []cfmember.Entry { return nil }
+func (noMembers) Live() []cfmember.Entry { return nil }
 
-// newSlowSite starts an instance whose routes lead to a target that is answered by handler.
-func newSlowSite(t *testing.T, policy cfhold.Policy, handler http.HandlerFunc) *slowSite {
+// newTestSite starts an instance whose routes lead to a target that is answered by handler.
+func newTestSite(t *testing.T, policy cfhold.Policy, handler http.HandlerFunc) *testSite {
 	t.Helper()
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Currantford-Request-Id", r.Header.Get("Currantford-Request-Id"))
 		w.Header().Set("Currantford-Response-Stamp", "s")
 		handler(w, r)
 	}))
-	t.Cleanup(back.Close)
+	t.Cleanup(server.Close)
 	site := cfsite.New(cfstandin.Codec{})
 	routes := []cfsite.Route{
 		{Host: "h", Prefix: "/x/", Split: []cfsite.Share{{Service: "s", Weight: 1}}, Timeout: 20000, MaxAttempts: 1},
@@ -67,7 +67,7 @@
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 1, config)); err != nil {
 		t.Fatal(err)
 	}
-	target := cf.Target{ID: "t", Service: "s", Slots: 99, Addr: strings.TrimPrefix(back.URL, "http://")}
+	target := cf.Target{ID: "t", Service: "s", Slots: 99, Addr: strings.TrimPrefix(server.URL, "http://")}
 	if _, _, err := site.ApplyTarget(cfstandin.Record("t", 1, target), cf.Uptime()); err != nil {
 		t.Fatal(err)
 	}
@@ -75,17 +75,17 @@
 	t.Cleanup(func() { _ = targets.Close() })
 	core, logs := observer.New(zap.InfoLevel)
 	log := zap.New(core)
-	s := &slowSite{logs: logs, metrics: cfroom.NewMetrics(prometheus.NewRegistry())}
+	s := &testSite{logs: logs, metrics: cfroom.NewMetrics(prometheus.NewRegistry())}
 	in := cfingress.New(cfingress.Options{
-		Members: alone{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: log,
-		Rooms: cfroom.New(cfroom.Options{MemoryBytes: slowLimit, Policy: policy, Metrics: s.metrics, Log: log}),
+		Members: noMembers{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: log,
+		Rooms: cfroom.New(cfroom.Options{MemoryBytes: memoryLimit, Policy: policy, Metrics: s.metrics, Log: log}),
 	})
 	s.listen(t, in, log)
 	return s
 }
 
 // listen serves callers.
-func (s *slowSite) listen(t *testing.T, in *cfingress.Ingress, log *zap.Logger) {
+func (s *testSite) listen(t *testing.T, in *cfingress.Ingress, log *zap.Logger) {
 	t.Helper()
 	srv, err := listen("127.0.0.1:0", platform.NewCallers(in, log), func() cf.Millis { return 0 }, in.Rooms, log)
 	if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // send sends a request on a connection of its own.
-func (s *slowSite) send(t *testing.T, path string) net.Conn {
+func (s *testSite) send(t *testing.T, path string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -116,15 +116,15 @@
 	return conn
 }
 
-// sized answers with as many bytes as the path's last part says.
-func sized(w http.ResponseWriter, r *http.Request) {
+// writeSized answers with as many bytes as the path's last part says.
+func writeSized(w http.ResponseWriter, r *http.Request) {
 	n, _ := strconv.Atoi(r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:])
 	w.Header().Set("Content-Length", strconv.Itoa(n))
 	_, _ = w.Write(make([]byte, n))
 }
 
-// trickle reads a kilobyte a second until the connection ends.
-func trickle(conn net.Conn, stop <-chan struct{}) {
+// readSlowly reads a kilobyte a second until the connection ends.
+func readSlowly(conn net.Conn, stop <-chan struct{}) {
 	go func() {
 		<-stop
 		_ = conn.Close()
@@ -144,16 +144,16 @@
 
 // Symptom: an instance is killed for its memory, and all its callers' requests end.
 // Load: 60 callers that read a kilobyte a second, each of 2 MB, beside others.
-func TestSlowReadersBesideOthers(t *testing.T) {
-	s := newSlowSite(t, cfhold.Policy{}, sized)
+func TestSlowReadersDoNotStarveOthers(t *testing.T) {
+	s := newTestSite(t, cfhold.Policy{}, writeSized)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for range 60 {
 		if conn := s.send(t, "/x/2000000"); conn != nil {
-			wg.Go(func() { trickle(conn, stop) })
+			wg.Go(func() { readSlowly(conn, stop) })
 		}
 	}
-	most, served := 0.0, 0
+	maxHeld, served := 0.0, 0
 	for began := time.Now(); time.Since(began) < 4*time.Second; {
 		conn := s.send(t, "/x/300000")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -167,14 +167,14 @@
 		_ = resp.Body.Close()
 		_ = conn.Close()
 		served++
-		most = max(most, testutil.ToFloat64(s.metrics.Held))
+		maxHeld = max(maxHeld, testutil.ToFloat64(s.metrics.Held))
 	}
 	close(stop)
 	wg.Wait()
 	cut := testutil.ToFloat64(s.metrics.Cut.WithLabelValues(string(cfhold.Slowest)))
-	t.Logf("%d others served, %.0f bytes held at most, %.0f slow ones cut off", served, most, cut)
-	if bound := cfhold.BoundsFor(slowLimit).Total; most > float64(bound) || cut == 0 {
-		t.Errorf("%.0f bytes were held, want at most %d; %.0f cut off", most, bound, cut)
+	t.Logf("%d others served, %.0f bytes held at most, %.0f slow ones cut off", served, maxHeld, cut)
+	if bound := cfhold.BoundsFor(memoryLimit).Total; maxHeld > float64(bound) || cut == 0 {
+		t.Errorf("%.0f bytes were held, want at most %d; %.0f cut off", maxHeld, bound, cut)
 	}
 	for deadline := time.Now().Add(5 * time.Second); testutil.ToFloat64(s.metrics.Held) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -185,9 +185,9 @@
 
 // Symptom: a stream's target cuts it off, or is held up for seconds, as its caller does not
 // read. The stream is broken off for the caller, and its target is free within two seconds.
-func TestStreamOfASlowCallerEnds(t *testing.T) {
+func TestStreamToASlowCallerEnds(t *testing.T) {
 	ended := make(chan time.Duration, 1)
-	s := newSlowSite(t, cfhold.Policy{}, func(w http.ResponseWriter, _ *http.Request) {
+	s := newTestSite(t, cfhold.Policy{}, func(w http.ResponseWriter, _ *http.Request) {
 		var blocked time.Duration
 		data := strings.Repeat("x", 60<<10)
 		for id := 1; ; id++ {
@@ -223,7 +223,7 @@
 
 // Symptom: a target holds a request's bytes, and the instance too, until the deadline, as the
 // target does not read. The write ends when nothing was read for 1.5 s.
-func TestTargetThatDoesNotReadEndsTheSend(t *testing.T) {
+func TestSendEndsWhenTheTargetDoesNotRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -40,7 +40,7 @@
 // successor's link carries 60 Mbit/s.
 // Cause: the texts came with the first answers, which were waited for for 0.3 s
 // whatever their size.
-func TestLargeTextsAreGatheredOverAWeakLink(t *testing.T) {
+func TestLargeTextsAreGatheredOverASlowLink(t *testing.T) {
 	holder, successor := newTestNode(t, cfstandin.NewMemStore()), newTestNode(t, cfstandin.NewMemStore())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,12 +81,12 @@
 // stops names it as its successor.
 func TestDutyGoesToASuccessorThatAnswers(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
-	there := newTestNode(t, cfstandin.NewMemStore())
+	peer := newTestNode(t, cfstandin.NewMemStore())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: there.PeerHandler(), ReadHeaderTimeout: time.Second}
+	srv := &http.Server{Handler: peer.PeerHandler(), ReadHeaderTimeout: time.Second}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
@@ -110,7 +110,7 @@
 // Sequence: 44 engines may load nine at a time; the coordinator that has learned it is
 // lost.
 // Cause: each successor began with two at a time.
-func TestSuccessorBeginsWithTheLoadsThatWereLearned(t *testing.T) {
+func TestSuccessorStartsWithTheLearnedLoads(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
 	n := newTestNode(t, store)
