--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -11,15 +11,15 @@
 	"currantford/io/cfcoord"
 )
 
-// autoscale is an instance's part in ordering engines: the duty, while it is the
-// coordinator. A nil one orders nothing.
+// autoscale runs the duty of ordering engines while this instance is the coordinator. A nil
+// autoscale orders nothing.
 type autoscale struct {
 	node    *Node
 	metrics *cfautoscale.Metrics
 	duty    atomic.Pointer[cfautoscale.Duty]
 }
 
-// newAutoscale returns nil where no engines are to be ordered.
+// newAutoscale returns nil if no engines are to be ordered.
 func newAutoscale(n *Node, reg prometheus.Registerer) *autoscale {
 	if n.adapter.Scaling == nil || !n.settings.autoscales() {
 		return nil
@@ -27,8 +27,8 @@
 	return &autoscale{node: n, metrics: cfautoscale.NewMetrics(reg)}
 }
 
-// begin begins the duty under the coordinator's term; follows says that another instance, or
-// this one before it started again, had it.
+// begin starts the duty under the coordinator's term. succeeds reports that the duty was held
+// before, by another instance or by this one before a restart.
 func (a *autoscale) begin(c *cfcoord.Coordinator, succeeds bool) {
 	if a == nil {
 		return
@@ -47,8 +47,7 @@
 	d.Start()
 }
 
-// policies returns what the configuration in force says of the services whose engines may be
-// ordered.
+// policies returns the scaling policies of the configuration in force, by service.
 func (a *autoscale) policies() map[cf.ServiceName]cfscale.Policy {
 	out := map[cf.ServiceName]cfscale.Policy{}
 	config := a.node.site.Config()
@@ -68,7 +67,7 @@
 	return out
 }
 
-// end ends the duty and waits for the call under way.
+// end stops the duty and waits for its call in progress.
 func (a *autoscale) end() {
 	if a == nil {
 		return
--- a/io/cfnode/batchcalls.go
+++ b/io/cfnode/batchcalls.go
@@ -15,8 +15,8 @@
 	"currantford/io/cflog"
 )
 
-// coordinatorGrace is what a read at the coordinator may take beyond its wait before
-// the store is asked instead.
+// coordinatorGrace is how long a read at the coordinator may take beyond its wait before the store
+// is read instead.
 const coordinatorGrace cf.Millis = 500
 
 type (
@@ -28,7 +28,7 @@
 		Inline bool `cbor:"whole,omitempty"`
 	}
 
-	// resultsAnswer is a page, or where its results lie in the store.
+	// resultsAnswer is a page of results, or a reference to where they are stored.
 	resultsAnswer struct {
 		Page    cf.ResultPage    `cbor:"page"`
 		PageRef *cfbatch.PageRef `cbor:"places,omitempty"`
@@ -53,7 +53,8 @@
 		At    cf.Millis  `cbor:"at"`
 	}
 
-	// coordinatorClient reads batches at the coordinator, wherever it is.
+	// coordinatorClient calls the coordinator for batches, whether it is this instance or another
+	// one.
 	coordinatorClient struct{ n *Node }
 )
 
@@ -73,7 +74,7 @@
 	if err == nil {
 		return page, nil
 	}
-	// What is listed is given also while the store is away.
+	// Listed results are also returned while the store is unavailable.
 	call.Wait, call.Inline = 0, true
 	a = resultsAnswer{}
 	err = r.n.callCoordinator(ctx, opResults, coordinatorGrace, call, &a)
@@ -145,8 +146,8 @@
 	r.n.notifyCoordinator(opChanged, changedCall{id, ended})
 }
 
-// notifyCoordinator tells the coordinator something that the store shows too: nothing depends
-// on its arrival.
+// notifyCoordinator sends the coordinator information that it would also find in the store; nothing
+// depends on its arrival.
 func (n *Node) notifyCoordinator(op string, call any) {
 	n.wg.Go(func() {
 		var ok bool
@@ -154,7 +155,7 @@
 	})
 }
 
-// notifyTimeout bounds what is told: half a megabyte takes some tens of milliseconds.
+// notifyTimeout bounds a notification: half a megabyte takes some tens of milliseconds.
 const notifyTimeout cf.Millis = 800
 
 func (n *Node) servePrepare(_ context.Context, c *cfcoord.Coordinator, call prepareCall) (any, error) {
@@ -181,7 +182,7 @@
 	return c.ItemBody(call.Batch, call.Item)
 }
 
-// callCoordinator calls the coordinator.
+// callCoordinator calls the coordinator if it is another instance.
 func (n *Node) callCoordinator(ctx context.Context, op string, timeout cf.Millis, call, answer any) error {
 	holder, _ := n.candidate.holder()
 	if holder.Entry == "" || holder.Entry == n.settings.Entry {
--- a/io/cfnode/candidate.go
+++ b/io/cfnode/candidate.go
@@ -20,91 +20,89 @@
 
 const (
 	leaseName = "coordinator"
-	// candidateInterval is how often a candidate or holder looks at its clock.
+	// candidateInterval is how often a candidate or holder checks the lease.
 	candidateInterval = 100 * time.Millisecond
-	// probeInterval is how often a candidate without word of the coordinator
-	// reads the lease.
+	// probeInterval is how often a candidate without updates from the coordinator reads the lease.
 	probeInterval cf.Millis = 600
-	// renewRetryDelay is the pause after a renewal that failed: less than half of
-	// a lease's validity, and not a call at each tick of an outage.
+	// renewRetryDelay is the delay after a failed renewal. It is less than half of a lease's
+	// validity, and it avoids a call at each check during an outage.
 	renewRetryDelay cf.Millis = 300
-	// maxLapse is how long a holder that can't renew goes on. All steps
-	// that it knows are over by then.
+	// maxLapse is how long a holder that cannot renew the lease continues. All steps that it knows
+	// have ended by then.
 	maxLapse cf.Millis = 15000
-	// slowProbeInterval is how often an instance reads the lease that leaves that to the
-	// scouts for a while: a new holder tells all others.
+	// slowProbeInterval is how often an instance reads the lease while it leaves the store to the
+	// fallback watchers; a new holder notifies all other instances.
 	slowProbeInterval cf.Millis = 2000
-	// deniedProbeInterval is the same while the holder denies that it is: after a
-	// planned stop the lease is free, and every moment of it is idle time.
+	// deniedProbeInterval is the same while the instance named as the holder denies that it is:
+	// after a planned stop the lease is free, and work stands still until it is taken.
 	deniedProbeInterval cf.Millis = 250
-	// maxAcquireDelay draws the moment of a takeover at random, so that usually
-	// one instance writes and the others see its lease.
+	// maxAcquireDelay bounds the random delay before a takeover, so that usually one instance
+	// writes and the others see its lease.
 	maxAcquireDelay = 250 * time.Millisecond
-	// strongerWait is how long an instance leaves a free duty to stronger ones, from
-	// when the store answers: one of their looks, and their draw. From a weak one it
-	// would go to a strong one with another pause of the orders.
+	// strongerWait is how long an instance leaves a free lease to instances with more capacity,
+	// from when the store answers: one of their probe intervals and their random delay. A weak
+	// holder would later hand the duty over to a strong one, which pauses the orders once more.
 	strongerWait = 900 * time.Millisecond
 )
 
-// leaseObject is the lease as it lies in the store, with what its holder leaves to a
-// successor. No instance tells that to another.
+// leaseObject is the lease as stored, with the state that its holder passes on to a successor.
+// Instances do not send that state to each other.
 type leaseObject struct {
 	cflease.Holder
 	SuccessorState json.RawMessage `json:"left,omitempty"`
 }
 
-// candidate competes for the coordinator's lease and keeps it renewed.
+// candidate competes for the coordinator's lease and renews it.
 type candidate struct {
 	self  cf.EntryID
 	addr  string
 	store cf.Store
 	log   *zap.Logger
-	// lastUpdate returns when the coordinator was last heard from.
+	// lastUpdate returns the time of the last update from the coordinator.
 	lastUpdate func() cf.Millis
-	// watchDelay is how long without word of the coordinator this instance leaves the
-	// lease to others, zero if it does not.
+	// watchDelay returns how long after the last update this instance leaves the lease to others,
+	// zero if it does not.
 	watchDelay func(now cf.Millis) cf.Millis
-	// strongerExists says whether stronger instances may take the duty; better gives
-	// a duty that was held for a time to one of them.
+	// strongerExists reports whether instances with more capacity may take the duty.
+	// handOverToStronger hands a duty that has been held for a while over to one of them.
 	strongerExists     func() bool
 	handOverToStronger func(held cf.Millis)
-	// dutyState returns what a successor should know of the duty here: the loads of
-	// weights that may run at once, where copies of texts are, and what else it leaves.
+	// dutyState returns what a successor inherits from the holder here: the limit of concurrent
+	// weight loads, the address of the copies of its texts, and further state.
 	dutyState func() (loads int, copies string, left json.RawMessage)
-	// onAcquire and lost start and end the duty.
+	// onAcquire and onLose start and end the duty.
 	onAcquire func(before cflease.Holder, left json.RawMessage)
 	onLose    func()
 
 	mu    sync.Mutex
 	lease *cflease.Lease
-	// firstSeenAt is when the first read of the lease showed it, zero if none has.
+	// firstSeenAt is when the first read returned the lease, zero if none has.
 	firstSeenAt cf.Millis
 
 	probedAt cf.Millis
-	// firstReadBegun: the lease was read, or is being read, for the first time; asking: it is now.
+	// firstReadBegun is set once the lease has been read or is being read for the first time,
+	// firstReadPending while it is.
 	firstReadBegun   bool
 	firstReadPending atomic.Bool
 	held             bool
-	heldAt           cf.Millis // since when
-	lapsed           bool      // held, and not renewed in time
-	retryAt          cf.Millis // the next try to renew after one that failed
-	// successorState is what the holder of the lease at leftRev leaves to a successor.
+	heldAt           cf.Millis // when this instance acquired the lease
+	lapsed           bool      // held, but not renewed in time
+	retryAt          cf.Millis // next attempt after a failed renewal
+	// successorState is the state in the lease at successorStateRev.
 	successorState    json.RawMessage
 	successorStateRev cf.Revision
-	// storeUnreachable: the last look at the lease had no answer.
+	// storeUnreachable is set if the last read of the lease had no answer.
 	storeUnreachable bool
-	// denied is set when the instance believed to be the holder says that
-	// it is not.
-	denied atomic.Bool
-	// offered is set when a holder has named this instance as its successor.
+	// holderDenied is set when the instance named as the holder denies that it is.
+	holderDenied atomic.Bool
+	// offered is set when a holder has released the lease to this instance.
 	offered atomic.Bool
-	// holderAnsweredAt is when the instance believed to be the holder last answered
-	// at all.
+	// holderAnsweredAt is when the instance named as the holder last answered at all.
 	holderAnsweredAt atomic.Int64
-	// superseded is set when a successor has called.
+	// superseded is set when a successor with a higher term has called.
 	superseded atomic.Bool
-	// leaving is set when the instance stops: it keeps the duty for a while
-	// and does not take it.
+	// leaving is set when the instance stops. It keeps the duty for a while and does not take it
+	// any more.
 	leaving atomic.Bool
 }
 
@@ -122,8 +120,7 @@
 	return c.lease.Held()
 }
 
-// supersede makes this instance give up a duty that another has taken with a
-// higher term.
+// supersede makes this instance give up a duty that another one has taken with a higher term.
 func (c *candidate) supersede(term cf.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,30 +150,30 @@
 	return c.lease.Holder(), c.lease.Rev()
 }
 
-// recordDenial notes that the instance believed to be the holder denies it.
+// recordDenial records that the instance named as the holder denies that it is.
 func (c *candidate) recordDenial() {
-	c.denied.Store(true)
+	c.holderDenied.Store(true)
 	c.recordAnswer()
 }
 
-// recordAnswer notes that the instance believed to be the holder has answered.
+// recordAnswer records that the instance named as the holder has answered.
 func (c *candidate) recordAnswer() { c.recordAnswerAt(cf.Uptime()) }
 
-// recordAnswerAt is the same as of an earlier moment, by the word of a hub.
+// recordAnswerAt is like recordAnswer for an earlier time, as reported by a hub.
 func (c *candidate) recordAnswerAt(at cf.Millis) {
 	if int64(at) > c.holderAnsweredAt.Load() {
 		c.holderAnsweredAt.Store(int64(at))
 	}
 }
 
-// recordHolderExit notes that the holder's process has ended.
+// recordHolderExit records that the holder's process has ended.
 func (c *candidate) recordHolderExit(h cflease.Holder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lease.HolderExited(h.Term, cf.Uptime())
 }
 
-// readLease returns the lease as last seen; one that was never seen is read.
+// readLease returns the lease as last seen. It reads the lease if it has never been seen.
 func (c *candidate) readLease(ctx context.Context) (cflease.Holder, error) {
 	holder, rev := c.holder()
 	if rev > 0 {
@@ -197,7 +194,7 @@
 	return o.Holder, nil
 }
 
-// observe takes the lease as another instance or the store shows it.
+// observe records the lease as another instance or the store returned it.
 func (c *candidate) observe(rev cf.Revision, h cflease.Holder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +205,8 @@
 	c.lease.Observe(rev, h, now)
 }
 
-// firstRead says whether the lease is being read for the first time, and else when that showed it.
+// firstRead reports whether the first read of the lease is in progress, and when it returned the
+// lease.
 func (c *candidate) firstRead() (pending bool, seenAt cf.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,7 +239,7 @@
 	if c.leaving.Load() {
 		return
 	}
-	denied := c.denied.Load()
+	denied := c.holderDenied.Load()
 	if c.offered.Swap(false) {
 		c.acquireIfFree(ctx)
 		return
@@ -259,7 +257,7 @@
 	}
 	if since := now - c.probedAt; delay == 0 && (since >= probeInterval || denied && since >= deniedProbeInterval) || since >= slowProbeInterval {
 		c.probedAt = now
-		c.denied.Store(false)
+		c.holderDenied.Store(false)
 		c.probe(ctx)
 		return
 	}
@@ -277,7 +275,7 @@
 	}
 }
 
-// acquireIfFree looks at the lease and takes it if it may.
+// acquireIfFree reads the lease and takes it if it is free.
 func (c *candidate) acquireIfFree(ctx context.Context) {
 	c.probe(ctx)
 	c.mu.Lock()
@@ -288,9 +286,9 @@
 	}
 }
 
-// maintain renews the lease. A holder that can't is not over while nobody else has
-// taken it: it goes on with what needs no lease, such as the runs under way,
-// which would otherwise be lost in each outage of the store.
+// maintain renews the lease. A holder that cannot renew it remains the holder while no other
+// instance has taken the lease: it continues with work that needs no valid lease, such as streams
+// in progress, which each outage of the store would otherwise lose.
 func (c *candidate) maintain(ctx context.Context, now cf.Millis, valid, renewDue bool) {
 	if c.superseded.Load() {
 		c.stepDown("a successor has called")
@@ -319,7 +317,7 @@
 	return c.lease.SentAt()
 }
 
-// probe reads the lease; where there is none yet it is created.
+// probe reads the lease, and creates it if there is none yet.
 func (c *candidate) probe(ctx context.Context) {
 	get := c.get
 	if _, rev := c.holder(); rev == 0 && !c.firstReadBegun {
@@ -343,8 +341,8 @@
 		c.mu.Unlock()
 		return
 	}
-	// The instance that held the lease before its restart goes on at once; one
-	// that has given it up does not.
+	// An instance that held the lease before its restart continues at once, unless it had released
+	// it.
 	if h, _ := c.holder(); h.Entry == c.self && !h.Released {
 		c.write(ctx)
 	}
@@ -354,8 +352,9 @@
 	return c.store.Get(ctx, cf.KindLease, leaseName)
 }
 
-// getFirst reads the lease until a read is answered, or refused. A slow store takes longer than
-// the first reads wait, and one whose answer is lost holds up no other.
+// getFirst reads the lease until a read is answered or refused. A slow store takes longer than the
+// timeout of the first reads, so further reads start while earlier ones are pending, and a lost
+// answer delays no other read.
 func (c *candidate) getFirst(ctx context.Context) (cf.Record, error) {
 	type answer struct {
 		cf.Record
@@ -407,7 +406,7 @@
 	c.observe(r.Rev, o.Holder)
 }
 
-// put writes the lease's object, if it is still at rev.
+// put writes the lease if it is still at rev.
 func (c *candidate) put(ctx context.Context, rev cf.Revision, o leaseObject) (cf.Record, error) {
 	if rev == 0 {
 		return c.store.Create(ctx, cf.KindLease, leaseName, o)
@@ -415,7 +414,7 @@
 	return c.store.Replace(ctx, cf.KindLease, leaseName, rev, o)
 }
 
-// write takes or renews the lease.
+// write acquires or renews the lease.
 func (c *candidate) write(ctx context.Context) {
 	sent := cf.Uptime()
 	c.mu.Lock()
@@ -426,7 +425,7 @@
 	if c.held {
 		next.MaxLoads, next.ReplicaAddr, state = c.dutyState()
 	} else if rev == c.successorStateRev {
-		state = c.successorState // it goes on: this instance may be lost before its first renewal
+		state = c.successorState // It is passed on, as this instance may be lost before its first renewal.
 	}
 	r, err := c.put(ctx, rev, leaseObject{next, state})
 	switch {
@@ -440,13 +439,13 @@
 			c.onAcquire(previous, state)
 		}
 	case errors.Is(err, cf.ErrConflict):
-		// It may be this instance's own write, whose answer was lost.
+		// The conflict may be with this instance's own write, whose answer was lost.
 		c.applyRecord(r)
 		if h, _ := c.holder(); c.held && h.Entry != c.self {
 			c.stepDown("taken by " + string(h.Entry))
 		}
 	default:
-		// Unknown: the next write shows whether it took effect.
+		// The outcome is unknown; the next write shows whether this one took effect.
 		c.retryAt = cf.Uptime() + renewRetryDelay
 		c.log.Warn("lease_write_failed", zap.Int64("revision", int64(rev)), cflog.Error(err))
 	}
@@ -462,9 +461,9 @@
 	c.onLose()
 }
 
-// release gives the lease up at a planned stop, so that the successor takes over
-// at once; false if it did not hold it or could not. It is called after run has
-// ended.
+// release gives up the lease, so that the successor takes over at once. It returns false if this
+// instance did not hold the lease or could not release it. It is called from run, or after run has
+// returned.
 func (c *candidate) release(ctx context.Context, successor cf.EntryID) bool {
 	if !c.held {
 		return false
@@ -477,7 +476,7 @@
 	c.log.Info("lease_released", zap.String("successor", string(successor)), zap.Int64("ordered_ago_ms", int64(next.SinceLastOrder)))
 	r, err := c.put(ctx, rev, leaseObject{next, state})
 	if errors.Is(err, cf.ErrConflict) {
-		// A renewal that was under way when run ended has taken effect.
+		// A renewal that was in progress when run returned has taken effect.
 		c.applyRecord(r)
 		if h, rev := c.holder(); h.Entry == c.self {
 			_, err = c.put(ctx, rev, leaseObject{next, state})
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -32,114 +32,116 @@
 	opOffered  = "offered"
 	opAlive    = "alive"
 
-	// outageAskInterval spaces the questions to others whether the store is away for them too.
+	// outageAskInterval is the minimum time between two questions to other instances whether the
+	// store is unavailable to them too.
 	outageAskInterval cf.Millis = 300
-	// stalePollWait is how long the coordinator holds a call while it has no current
-	// view itself.
+	// stalePollWait is how long the coordinator holds a feed call while it has no current view
+	// itself.
 	stalePollWait = 300 * time.Millisecond
-	// unsyncedPollWait is the same while it does not know itself what is held: those that
-	// start beside it wait for that.
+	// unsyncedPollWait is the same while it does not know the held requests itself; instances that
+	// start at the same time wait for them.
 	unsyncedPollWait = 50 * time.Millisecond
-	// feedRetryDelay is the pause after a failed call.
+	// feedRetryDelay is the delay after a failed call.
 	feedRetryDelay = 150 * time.Millisecond
 )
 
 type (
-	// feedCall reports an instance and asks for what it does not know.
+	// feedCall reports an instance's state and asks for the updates that it lacks.
 	feedCall struct {
 		Entry   cfmember.Entry `cbor:"entry"`
 		Leaving bool           `cbor:"leaving,omitempty"`
-		// AllowHub says that the instance which is asked need not be the coordinator, Without
-		// which hubs did not answer.
+		// AllowHub reports that the called instance need not be the coordinator, AvoidedHubs which
+		// hubs did not answer.
 		AllowHub    bool         `cbor:"hub,omitempty"`
 		AvoidedHubs []cf.EntryID `cbor:"without,omitempty"`
-		// Origin, News and Members are those of the last answer; Sum is that
-		// of the view of targets, MembersSum that of the roster.
+		// Origin, TargetUpdates and MembersVersion repeat the last answer. TargetsSum is the
+		// checksum of the caller's view of the targets, MembersSum that of its roster.
 		Origin         uint64             `cbor:"origin"`
 		TargetUpdates  int64              `cbor:"news"`
 		TargetsSum     uint64             `cbor:"sum"`
 		MembersVersion int64              `cbor:"members"`
 		MembersSum     uint64             `cbor:"members_sum"`
 		Config         cfsite.ConfigState `cbor:"config"`
-		// Term is that of the coordinator as the caller knows it.
+		// Term is the coordinator's term as the caller knows it.
 		Term cf.Revision `cbor:"term"`
-		// Group are the instances that ask this one.
+		// Group lists the instances that poll this one.
 		Group *cfmember.Group `cbor:"group,omitempty"`
-		// WallTime is the instance's time of day, Usage what it has counted.
+		// WallTime is the instance's wall clock, Usage its request counts.
 		WallTime cf.Millis            `cbor:"wall,omitempty"`
 		Usage    *cfusage.MeterReport `cbor:"usage,omitempty"`
 	}
 
-	// feedAnswer brings an instance up to the view of the coordinator, or of a hub. What
-	// the instance has already is left out.
+	// feedAnswer brings an instance up to the view of the coordinator or of a hub. It omits what
+	// the instance has already.
 	feedAnswer struct {
 		Holder cflease.Holder `cbor:"holder"`
 		Rev    cf.Revision    `cbor:"rev"`
-		// Hub is who is to be asked instead; nothing else is told then.
+		// Hub is the hub to poll instead; the answer then contains no updates.
 		Hub *cfmember.Entry `cbor:"hub,omitempty"`
-		// Fresh says that this is how things stand, as of Age ago; Unsure that the
-		// coordinator answers and has no current view, which it last did HolderAge ago.
+		// Fresh reports that this is the current state as of Age ago. Uncertain reports that the
+		// coordinator answers but has no current view; it last answered HolderAge ago.
 		Fresh     bool      `cbor:"fresh"`
 		Age       cf.Millis `cbor:"age,omitempty"`
 		Uncertain bool      `cbor:"unsure,omitempty"`
 		HolderAge cf.Millis `cbor:"holder_age,omitempty"`
-		// Listing says that the store's lists are being read here, or by whom this instance
-		// asks, and that there is no current view until then.
+		// Listing reports that the called instance, or the one that it polls, is still listing the
+		// objects in the store and has no current view until then.
 		Listing bool `cbor:"listing,omitempty"`
-		// Origin identifies whose counts News and Members have.
+		// Origin identifies the process to which the counts in Targets and Members belong.
 		Origin  uint64                 `cbor:"origin"`
 		Config  *cfsite.ConfigUpdate   `cbor:"config,omitempty"`
 		Targets *cfsite.TargetUpdate   `cbor:"news,omitempty"`
 		Members *cfmember.RosterUpdate `cbor:"members,omitempty"`
-		// GroupSum is that of the caller's group as it is known here.
+		// GroupSum is the checksum of the caller's group as known to the called instance.
 		GroupSum uint64 `cbor:"group_sum,omitempty"`
-		// Quarantine identifies what is known here of requests that crash targets, where
-		// Informed says that this is all.
+		// Quarantine holds the checksums of what the called instance knows of requests that crash
+		// targets. Synced reports that it knows all held requests.
 		Quarantine cfquarantine.Checksums `cbor:"quarantine"`
 		Synced     bool                   `cbor:"informed,omitempty"`
-		// WallTime is the time of day by the clocks of all instances. UsageTaken says that
-		// the counts were taken, UsageSettled up to which window nobody needs them.
+		// WallTime is the median of the wall clocks of all instances. UsageTaken reports that the
+		// counts were accepted; UsageSettled is the last window whose counts are no longer needed.
 		WallTime     cf.Millis      `cbor:"wall,omitempty"`
 		UsageTaken   bool           `cbor:"usage_taken,omitempty"`
 		UsageSettled cf.UsageWindow `cbor:"usage_settled,omitempty"`
 	}
 
-	// feed is what an instance has from the coordinator or its hub.
+	// feed is the state that an instance has received from the coordinator or its hub.
 	feed struct {
 		asOf atomic.Int64 // Uptime as of which the last fresh answer is
-		// uncertainAt is that of the last answer of a holder that knew nothing new, away
-		// that of the last of another instance that asks the store in vain, denied of one
-		// that has current word; askedAt is when one was asked last. listing is that of the
-		// last answer that the store's lists are being read.
+		// uncertainAt is when a holder last answered that it has no current view. outageConfirmedAt
+		// is when another instance last answered that the store does not answer it, outageDeniedAt
+		// when another instance last answered that it has a current view, and outageAskedAt when
+		// one was last asked. listingAt is when the last answer reported that objects in the store
+		// are being listed.
 		uncertainAt, outageConfirmedAt, outageDeniedAt, outageAskedAt, listingAt atomic.Int64
-		// unresponsiveAddr is the address at which the last call for news had no answer.
+		// unresponsiveAddr is the address at which the last feed call had no answer.
 		unresponsiveAddr atomic.Pointer[string]
 		upstream         *cfmember.Upstream
 		mu               sync.Mutex
-		// origin, news and membersAt say what the instance has.
+		// origin, targetUpdates and membersVersion identify the updates that the instance has.
 		origin         uint64
 		targetUpdates  int64
 		membersVersion int64
-		// groupSum is that of the own group as the coordinator knows it.
+		// groupSum is the checksum of this instance's group as known to the coordinator.
 		groupSum uint64
-		// settledWindow is the last window of use that nobody needs, as told to those that ask
-		// this instance.
+		// settledWindow is the last usage window whose counts are no longer needed; it is passed on
+		// to the instances that poll this one.
 		settledWindow cf.UsageWindow
 	}
 )
 
-// usageSettled returns the last window of use that nobody needs.
+// usageSettled returns the last usage window whose counts are no longer needed.
 func (f *feed) usageSettled() cf.UsageWindow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.settledWindow
 }
 
-// current says whether the view from the coordinator is current.
+// current reports whether the view from the coordinator is current.
 func (f *feed) current(now cf.Millis) bool { return cfmember.IsCurrent(cf.Millis(f.asOf.Load()), now) }
 
-// ownView says whether this instance's own watches are current, and by how much the answer is
-// late that would show the next configuration.
+// ownView reports whether this instance's own watches are current, and by how much the answer that
+// would show the next configuration is late.
 func (n *Node) ownView(now cf.Millis) (current bool, lag cf.Millis) {
 	w := n.watchers.Load()
 	if w == nil {
@@ -149,9 +151,9 @@
 	return current, w.config.Lag(now)
 }
 
-// listing says whether this instance, or whom it asks, is reading the store's lists and has no
-// current view until then.
-func (n *Node) listing(now cf.Millis) bool {
+// isListing reports whether this instance, or the one that it polls, is listing the objects in the
+// store and has no current view until then.
+func (n *Node) isListing(now cf.Millis) bool {
 	if w := n.watchers.Load(); w != nil {
 		config, configFailed := w.config.InitialList()
 		targets, targetsFailed := w.targets.InitialList()
@@ -162,13 +164,14 @@
 	return cfmember.AnswerIsRecent(cf.Millis(n.feed.listingAt.Load()), now)
 }
 
-// ownViewCurrent says whether this instance's own watches are current.
+// ownViewCurrent reports whether this instance's own watches are current.
 func (n *Node) ownViewCurrent(now cf.Millis) bool {
 	fresh, _ := n.ownView(now)
 	return fresh
 }
 
-// status returns what this instance has heard from the coordinator.
+// status returns what decides whether this instance watches the store itself: what it has received
+// from the coordinator, the lease and its place among the hubs.
 func (n *Node) status(now cf.Millis) cfmember.WatchState {
 	f, self := &n.feed, n.self()
 	holder, _ := n.candidate.holder()
@@ -179,18 +182,18 @@
 	}
 }
 
-// watchDelay is how long this instance leaves the store to the coordinator and the scouts after
-// the last current word.
+// watchDelay returns how long after its last current update this instance leaves the store to the
+// coordinator and the fallback watchers.
 func (n *Node) watchDelay(now cf.Millis) cf.Millis { return n.status(now).WatchDelay(now) }
 
-// watchDue says whether this instance must watch the store itself.
+// watchDue reports whether this instance must watch the store itself.
 func (n *Node) watchDue(now cf.Millis) bool { return n.coord.Load() != nil || n.status(now).IsDue(now) }
 
-// isFallbackWatcher says whether this instance looks after the store as soon as the coordinator can't
-// tell how things stand.
+// isFallbackWatcher reports whether this instance watches the store as soon as the coordinator has
+// no current view.
 func (n *Node) isFallbackWatcher() bool { return n.members.IsFallbackWatcher(n.self()) }
 
-// runFeed asks the coordinator, or a hub, for news until ctx ends.
+// runFeed polls the coordinator or a hub for updates until ctx ends.
 func (n *Node) runFeed(ctx context.Context) {
 	connected := ""
 	for ctx.Err() == nil {
@@ -222,7 +225,7 @@
 				n.candidate.recordHolderExit(holder)
 			case errors.Is(err, cf.ErrNotLeader):
 				n.candidate.recordDenial()
-				// It may know its successor; if not, the store shows it.
+				// The called instance may know its successor; otherwise the store shows it.
 				if _, err := n.askHolder(ctx, holder.Addr); err != nil {
 					n.log.Info("holder_not_asked", zap.String("entry", string(holder.Entry)), cflog.Error(err))
 				}
@@ -262,7 +265,8 @@
 		return nil
 	}
 	n.usage.applyAnswer(a, call)
-	// With the configuration this instance begins to forward.
+	// The instance begins to forward with its first configuration, and must know the held requests
+	// by then.
 	if a.Synced && a.Fresh && !n.guard.Informed() {
 		n.quarantine.syncFromPeer(addr, a.Quarantine)
 	}
@@ -282,7 +286,7 @@
 	return nil
 }
 
-// newFeedCall returns the call that tells and asks how things stand.
+// newFeedCall returns a call that reports this instance's state and asks for updates.
 func (n *Node) newFeedCall(toHub bool, now cf.Millis) feedCall {
 	call := feedCall{Entry: n.self(), Leaving: n.leaving.Load(), AllowHub: toHub, TargetsSum: n.site.Checksum(), Config: n.site.ConfigState()}
 	n.feed.mu.Lock()
@@ -304,7 +308,7 @@
 	return call
 }
 
-// applyFeed takes an answer that was asked for, and came, at these times.
+// applyFeed applies an answer, given the times of the call and of the answer.
 func (n *Node) applyFeed(a feedAnswer, askedAt, answeredAt cf.Millis) error {
 	n.candidate.recordAnswerAt(answeredAt - a.HolderAge)
 	n.candidate.observe(a.Rev, a.Holder)
@@ -330,10 +334,10 @@
 	newest, err := n.applyConfig(a.Config)
 	n.applyTargets(a.Targets)
 	if err != nil || !newest {
-		return err // the next call brings the rest
+		return err // The next call brings the rest.
 	}
-	// The answer shows the view as of its sending. One that took longer than
-	// a call may was held up on the way, or this machine was suspended.
+	// The answer shows the view at the time it was sent. One that took longer than a call may take
+	// was delayed on the way, or this machine was suspended.
 	if answeredAt-askedAt > cfmember.PollWait+cfmember.PollGrace {
 		answeredAt = askedAt
 	}
@@ -341,7 +345,8 @@
 	return nil
 }
 
-// applyConfig takes what is told of the configuration; false if there is more to come.
+// applyConfig applies an update of the configuration. It returns false if further updates are to
+// follow.
 func (n *Node) applyConfig(update *cfsite.ConfigUpdate) (newest bool, err error) {
 	if update == nil {
 		return true, nil
@@ -354,8 +359,8 @@
 	return update.Latest && n.site.ConfigRecord().Rev >= update.Rev, err
 }
 
-// applyMembers takes what is told of the instances. A roster that differs afterwards is
-// asked for as a whole.
+// applyMembers applies an update of the roster. If the checksums differ afterwards, the next call
+// asks for the whole roster.
 func (n *Node) applyMembers(update *cfmember.RosterUpdate) {
 	if update == nil {
 		return
@@ -369,8 +374,8 @@
 	}
 }
 
-// applyTargets takes what is told of the targets. A view that differs afterwards is asked for
-// as a whole.
+// applyTargets applies an update of the targets. If the checksums differ afterwards, the next call
+// asks for all targets.
 func (n *Node) applyTargets(update *cfsite.TargetUpdate) {
 	if update == nil {
 		return
--- a/io/cfnode/feedmetrics.go
+++ b/io/cfnode/feedmetrics.go
@@ -8,7 +8,7 @@
 	cf "currantford"
 )
 
-// feedMetrics show how an instance hears how things stand, and how old what it goes by is.
+// feedMetrics counts the feed calls of an instance and the bytes of configurations that it sends.
 type feedMetrics struct {
 	calls       *prometheus.CounterVec
 	configBytes *prometheus.CounterVec
@@ -42,7 +42,7 @@
 	return m
 }
 
-// countCall counts a call for news; late says that its time was up.
+// countCall counts a feed call; timedOut reports that it exceeded its time limit.
 func (m feedMetrics) countCall(a feedAnswer, err error, timedOut bool) {
 	m.calls.WithLabelValues(feedOutcome(a, err, timedOut)).Inc()
 }
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -14,8 +14,9 @@
 
 // serveFeed answers another instance's feed call.
 func (n *Node) serveFeed(ctx context.Context, call feedCall) (any, error) {
-	// A holder that can't renew, as the store is away, still is the holder, and says
-	// that it knows nothing new: were it silent, all others would ask the store.
+	// A holder that cannot renew the lease, because the store is unavailable, remains the holder
+	// and answers that it has no current view. If it did not answer, all other instances would
+	// query the store.
 	holds := n.candidate.Held()
 	if !holds && !call.AllowHub {
 		return nil, cf.ErrNotLeader
@@ -42,13 +43,13 @@
 	return a, nil
 }
 
-// awaitUpdate holds a call until there is something to tell, for a while.
+// awaitUpdate holds a call until there is an update for it, for a limited time.
 func (n *Node) awaitUpdate(ctx context.Context, call feedCall) error {
 	targetUpdates, changed := n.site.TargetUpdates()
 	wait := cfmember.PollWait.Duration()
 	switch fresh, _ := n.servedView(cf.Uptime()); {
 	case !fresh:
-		wait = stalePollWait // nothing can be told yet
+		wait = stalePollWait // There is no current view to send yet.
 	case !n.guard.Informed():
 		wait = unsyncedPollWait
 	case call.Origin != n.origin || call.TargetUpdates != targetUpdates || call.Config.Rev < n.site.ConfigRecord().Rev:
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// servedView says whether this instance may tell others how things stand, and as of how long
-// ago.
+// servedView reports whether this instance may serve its view to other instances, and how old that
+// view is.
 func (n *Node) servedView(now cf.Millis) (fresh bool, age cf.Millis) {
 	holds := n.candidate.Held()
 	switch fresh, lag := n.ownView(now); {
@@ -79,7 +80,7 @@
 	}
 }
 
-// newFeedAnswer tells an instance what it does not know.
+// newFeedAnswer returns the updates that the calling instance lacks.
 func (n *Node) newFeedAnswer(call feedCall) feedAnswer {
 	now := cf.Uptime()
 	holder, rev := n.candidate.holder()
@@ -91,7 +92,7 @@
 		a.HolderAge = now - cf.Millis(n.candidate.holderAnsweredAt.Load())
 		a.Uncertain = !a.Fresh && cfmember.AnswerIsRecent(cf.Millis(n.feed.uncertainAt.Load()), now)
 	}
-	a.Listing = !a.Fresh && n.listing(now)
+	a.Listing = !a.Fresh && n.isListing(now)
 	sameOrigin := call.Origin == n.origin
 	a.Members = n.members.Update(sameOrigin, call.MembersVersion, call.MembersSum, n.self(), now)
 	if !a.Fresh {
@@ -111,7 +112,8 @@
 	return a
 }
 
-// configUpdate returns what an instance must hear of the configuration.
+// configUpdate returns the update from the configuration that an instance knows, or nil if it has
+// the newest.
 func (n *Node) configUpdate(known cfsite.ConfigState) (*cfsite.ConfigUpdate, error) {
 	update, err := n.site.ConfigUpdate(known)
 	if update == nil {
@@ -125,7 +127,7 @@
 	return update, nil
 }
 
-// targetUpdate returns what an instance must hear of the targets.
+// targetUpdate returns the update of the targets that an instance lacks.
 func (n *Node) targetUpdate(call feedCall, sameOrigin bool) cfsite.TargetUpdate {
 	if sameOrigin {
 		return n.site.TargetUpdateSince(call.TargetUpdates)
@@ -133,8 +135,8 @@
 	return n.site.FullTargetUpdate(call.TargetsSum)
 }
 
-// recordReport takes an instance's report: as the coordinator, or as its hub. It returns the sum of
-// its group as it is known now.
+// recordReport records an instance's report, as the coordinator or as the instance's hub. It
+// returns the checksum of the instance's group as known here.
 func (n *Node) recordReport(call feedCall, holds bool) (groupSum uint64) {
 	now := cf.Uptime()
 	call.Entry.Ready = call.Entry.Ready && !call.Leaving
--- a/io/cfnode/freshness.go
+++ b/io/cfnode/freshness.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// outageAskAge is how long an instance knows nothing new before it asks another
-	// whether it does.
+	// outageAskAge is the age of the configuration from which an instance asks another one whether
+	// it receives updates.
 	outageAskAge cf.Millis = 2000
-	// sharedOutageLifetime is how long the word of another counts that it knows nothing new
-	// either.
+	// sharedOutageLifetime is how long another instance's answer counts that the store does not
+	// answer it either.
 	sharedOutageLifetime cf.Millis = 5000
 )
 
@@ -27,11 +27,11 @@
 
 // configBelief returns how far this instance can rely on its configuration.
 //
-// One that is cut off goes on with the keys that it knows, as its callers may reach no
-// other; a key that was taken away meanwhile would serve there for as long. So it stops
-// after the time that its settings allow. While another instance knows nothing new
-// either the store is away for all, and no key can have been taken away: it goes on,
-// unless its settings say that revocations are strict.
+// An instance that is cut off continues with the keys that it knows, as its callers may not reach
+// another one. A key that has been revoked in the meantime would be accepted there for just as
+// long, so the instance stops after the time that its settings allow. While another instance has no
+// answer from the store either, the store is unavailable to all and no key can have been revoked:
+// the instance then continues, unless its settings make revocations strict.
 func (n *Node) configBelief() cfingress.Belief {
 	now := cf.Uptime()
 	age := now - n.configCurrentAt(now)
@@ -43,7 +43,7 @@
 	}
 }
 
-// updateBelief keeps what belief goes by. It is called several times a second.
+// updateBelief refreshes what configBelief depends on. It is called several times a second.
 func (n *Node) updateBelief(now cf.Millis) {
 	currentAt := n.configCurrentAt(now)
 	n.lastCurrentAt.Store(int64(currentAt))
--- a/io/cfnode/handlers.go
+++ b/io/cfnode/handlers.go
@@ -10,7 +10,7 @@
 	"currantford/io/cfpeer"
 )
 
-// decoded makes a handler of a function that takes a call of type T.
+// decoded returns a handler that decodes a call of type T and passes it to serve.
 func decoded[T any](serve func(context.Context, T) (any, error)) cfpeer.HandlerFunc {
 	return func(ctx context.Context, body cbor.RawMessage) (any, error) {
 		var call T
@@ -21,8 +21,7 @@
 	}
 }
 
-// atCoordinator makes a handler of a function that only the instance with the
-// coordinator's duty can carry out.
+// atCoordinator returns a handler like decoded for calls that only the coordinator can serve.
 func atCoordinator[T any](n *Node, serve func(context.Context, *cfcoord.Coordinator, T) (any, error)) cfpeer.HandlerFunc {
 	return decoded(func(ctx context.Context, call T) (any, error) {
 		c := n.coord.Load()
--- a/io/cfnode/heldrequests.go
+++ b/io/cfnode/heldrequests.go
@@ -16,34 +16,39 @@
 const (
 	opHeld = "held"
 
-	// heldObjectName is the object that holds what is held, heldSource names it in logs.
+	// heldObjectName is the name of the stored object with the held requests; heldSource names the
+	// store in logs.
 	heldObjectName = "held"
 	heldSource     = "store"
-	// maxHeldStrikes bounds the requests in it and in an answer, 1,000 bytes each at the most.
-	maxHeldStrikes = 256
-	// heldTimeout bounds the question what another instance holds.
+	// maxHeldRequests bounds the requests in that object and in an answer, of at most 1,000 bytes
+	// each.
+	maxHeldRequests = 256
+	// heldTimeout bounds the call that asks another instance for its held requests.
 	heldTimeout = 400 * time.Millisecond
-	// heldRetryDelay spaces the tries to read or write what is held.
+	// heldRetryDelay is the delay after a failed read or write of the held requests.
 	heldRetryDelay cf.Millis = 500
-	// selfSyncInterval spaces the tries of a starting instance to learn what is held.
+	// selfSyncInterval is the minimum time between the tries of a starting instance to learn the
+	// held requests by itself.
 	selfSyncInterval cf.Millis = 500
 )
 
 type (
-	// heldObject is what is held as it is kept in the store.
+	// heldObject is the stored form of the held requests.
 	heldObject struct {
-		SavedAt cf.Millis             `json:"saved_ms"` // wall clock, as of which the ages are
+		SavedAt cf.Millis             `json:"saved_ms"` // wall clock at which the strikes have their ages
 		Strikes []cfquarantine.Strike `json:"strikes"`
 	}
 
-	// heldAnswer is what another instance holds; Informed says that this is all.
+	// heldAnswer holds the strikes of an instance's held requests. Synced reports that the instance
+	// knows all held requests.
 	heldAnswer struct {
 		Synced  bool                  `cbor:"informed"`
 		Strikes []cfquarantine.Strike `cbor:"strikes"`
 	}
 )
 
-// sync takes what others hold, all of it: requests may be sent on from then on.
+// sync merges the strikes of all requests that other instances hold. Requests may be forwarded from
+// then on.
 func (q *quarantine) sync(source string, held []cfquarantine.Strike) {
 	if !q.guard.Inform(source, held) {
 		return
@@ -53,8 +58,8 @@
 		zap.Int64("since_start_ms", int64(cf.Uptime()-q.node.startedAt)))
 }
 
-// syncFromPeer informs a starting instance by one with current word, before it takes the
-// configuration that comes with that word.
+// syncFromPeer synchronises a starting instance with one that has a current view, before the
+// configuration of that view is applied.
 func (q *quarantine) syncFromPeer(addr string, theirs cfquarantine.Checksums) {
 	if q.guard.Table.Checksums().Held == theirs.Held {
 		q.sync(addr, nil)
@@ -69,8 +74,9 @@
 	}
 }
 
-// startSelfSync informs a starting instance that nobody tells: it tries once as it begins to
-// ask the store for a configuration, and from then on when it has one, by which it could forward.
+// startSelfSync synchronises a starting instance that receives no updates. It tries once when the
+// instance begins to read the configuration from the store, and repeatedly once there is a
+// configuration with which the instance could forward.
 func (q *quarantine) startSelfSync(now cf.Millis, configured bool) {
 	q.mu.Lock()
 	due := q.selfSyncAt == 0 || configured && (!q.selfSyncConfigured || now-q.selfSyncAt >= selfSyncInterval)
@@ -88,8 +94,8 @@
 	})
 }
 
-// selfSync takes what is held from the store, and from the coordinator, if it answers: it
-// may know of what the store was not there to keep.
+// selfSync merges the held requests in the store and those of the coordinator, if it answers: the
+// coordinator may know of some that were never stored, because the store was unavailable.
 func (q *quarantine) selfSync() error {
 	loaded := make(chan error, 1)
 	q.node.wg.Go(func() { loaded <- q.load() })
@@ -109,7 +115,7 @@
 	return nil
 }
 
-// fetchHeld asks another instance for all that it holds.
+// fetchHeld asks another instance for all requests that it holds.
 func (q *quarantine) fetchHeld(addr string) (heldAnswer, error) {
 	ctx, cancel := context.WithTimeout(q.node.ctx, heldTimeout)
 	defer cancel()
@@ -118,14 +124,14 @@
 	return answer, err
 }
 
-// serveHeld tells another instance what is held here.
+// serveHeld returns the requests held here to another instance.
 func (q *quarantine) serveHeld(context.Context, struct{}) (any, error) {
-	held, _ := q.guard.Table.HeldStrikes(maxHeldStrikes, cf.Uptime())
+	held, _ := q.guard.Table.HeldStrikes(maxHeldRequests, cf.Uptime())
 	return heldAnswer{Synced: q.guard.Informed(), Strikes: held}, nil
 }
 
-// persist writes what is held to the store whenever it has changed. It first reads what a
-// coordinator before has written.
+// persist writes the held requests to the store whenever they have changed. In a new term it first
+// reads what a previous coordinator has written.
 func (q *quarantine) persist(now cf.Millis) {
 	sum := q.guard.Table.Checksums().Held
 	holder, _ := q.node.candidate.holder()
@@ -165,7 +171,7 @@
 	q.loadedTerm = max(q.loadedTerm, term)
 }
 
-// load takes what lies in the store.
+// load merges the stored held requests.
 func (q *quarantine) load() error {
 	r, err := q.node.adapter.Store.Get(q.node.ctx, cf.KindQuarantine, heldObjectName)
 	if errors.Is(err, cf.ErrNotFound) {
@@ -178,8 +184,8 @@
 	return nil
 }
 
-// applyStored takes the object with what is held. One that can't be read tells nothing, and is
-// replaced at the next change.
+// applyStored merges the stored object. An unreadable object is ignored and replaced at the next
+// change.
 func (q *quarantine) applyStored(r cf.Record) {
 	q.mu.Lock()
 	q.storedRev = r.Rev
@@ -196,9 +202,9 @@
 	q.guard.Learn(heldSource, o.Strikes)
 }
 
-// save writes what is held, as of a sum.
+// save writes the held requests whose checksum is sum.
 func (q *quarantine) save(sum uint64) error {
-	strikes, _ := q.guard.Table.HeldStrikes(maxHeldStrikes, cf.Uptime())
+	strikes, _ := q.guard.Table.HeldStrikes(maxHeldRequests, cf.Uptime())
 	o := heldObject{SavedAt: cf.Now(), Strikes: strikes}
 	q.mu.Lock()
 	rev := q.storedRev
@@ -212,14 +218,14 @@
 		r, err = store.Replace(q.node.ctx, cf.KindQuarantine, heldObjectName, rev, o)
 	}
 	if err != nil {
-		// Another has written, or this write took effect without its answer: what
-		// lies there is read, and written once more with it.
+		// Another instance has written the object, or this write took effect without an answer. The
+		// stored object is merged and written again with the result.
 		return errors.Join(err, q.load())
 	}
 	q.mu.Lock()
 	q.storedSum, q.storedRev = sum, r.Rev
 	q.mu.Unlock()
-	if r.Rev == 0 { // it was a large one
+	if r.Rev == 0 { // The store returned no revision, as the object is large.
 		return q.load()
 	}
 	return nil
--- a/io/cfnode/holder.go
+++ b/io/cfnode/holder.go
@@ -19,20 +19,21 @@
 const (
 	opHolder    = "holder"
 	opAskHolder = "ask_holder"
-	// announceTimeout bounds a call that tells another instance of the holder.
+	// announceTimeout bounds a call that sends the holder to another instance, or asks for it.
 	announceTimeout = 400 * time.Millisecond
 )
 
-// holderMessage tells who holds the coordinator's lease. Each instance to which that is
-// news passes it on, so that all find a new coordinator within a few round trips and none
+// holderMessage names the holder of the coordinator's lease. Each instance forwards the message if
+// it is new to it, so that all instances find a new coordinator within a few round trips and none
 // asks the store for it.
 type holderMessage struct {
 	Holder cflease.Holder `cbor:"holder"`
 	Rev    cf.Revision    `cbor:"rev"`
 }
 
-// holderAnswer is what an instance knows of the holder, and of the store: whether its view
-// of it is current, and whether it asks the store itself, in vain.
+// holderAnswer states which holder an instance knows and how its access to the store is. Fresh
+// reports that its view of the store is current, StoreUnresponsive that it queries the store itself
+// without an answer.
 type holderAnswer struct {
 	Holder            cflease.Holder `cbor:"holder"`
 	Rev               cf.Revision    `cbor:"rev"`
@@ -40,7 +41,7 @@
 	StoreUnresponsive bool           `cbor:"in_vain,omitempty"`
 }
 
-// announce tells the others that this instance is the coordinator.
+// announce tells the other instances that this instance is the coordinator.
 func (n *Node) announce() {
 	holder, rev := n.candidate.holder()
 	if holder.Entry == n.settings.Entry {
@@ -48,7 +49,7 @@
 	}
 }
 
-// serveHolder takes the word of another instance.
+// serveHolder handles another instance's message about the holder.
 func (n *Node) serveHolder(_ context.Context, m holderMessage) (any, error) {
 	if _, known := n.candidate.holder(); m.Rev <= known {
 		return true, nil
@@ -58,7 +59,7 @@
 	return true, nil
 }
 
-// gossipHolder passes the word on.
+// gossipHolder forwards a message about the holder to the gossip peers.
 func (n *Node) gossipHolder(m holderMessage) {
 	for _, e := range cfmember.GossipPeers(n.Live(), n.self()) {
 		if e.ID == m.Holder.Entry {
@@ -76,25 +77,25 @@
 	}
 }
 
-// removeRefused takes an instance whose address refuses connections from the list that a new
-// coordinator has adopted.
+// removeRefused removes an instance whose address refuses connections from the list that a new
+// coordinator has inherited.
 func (n *Node) removeRefused(peerAddr string, err error) {
 	if errors.Is(err, cf.ErrNoProcess) {
 		n.members.RemoveRefused(peerAddr)
 	}
 }
 
-// serveAskHolder tells another instance what this one knows.
+// serveAskHolder answers another instance's question about the holder and the store.
 func (n *Node) serveAskHolder(context.Context, struct{}) (any, error) {
 	holder, rev := n.candidate.holder()
 	now := cf.Uptime()
 	w := n.watchers.Load()
-	// The word of a coordinator that has none any more is no news.
+	// An update of a coordinator that has become uncertain since does not count as current.
 	current := n.feed.current(now) && n.feed.asOf.Load() > n.feed.uncertainAt.Load()
 	return holderAnswer{holder, rev, current || n.ownViewCurrent(now), w != nil && w.config.StoreUnresponsive(now)}, nil
 }
 
-// askHolder asks another instance who the holder is, and how it stands with the store.
+// askHolder asks another instance who the holder is and how its access to the store is.
 func (n *Node) askHolder(ctx context.Context, addr string) (holderAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 	return a, nil
 }
 
-// findHolder asks another instance who the holder is.
+// findHolder asks a random instance who the holder is.
 func (n *Node) findHolder(ctx context.Context) error {
 	others := slices.DeleteFunc(slices.Clone(n.Live()), func(e cfmember.Entry) bool { return e.ID == n.settings.Entry })
 	if len(others) == 0 {
@@ -116,10 +117,10 @@
 	return err
 }
 
-// confirmOutage asks an instance that looks after the store by itself whether it is away,
-// when the coordinator has no news. A holder that is cut off from the store says so as well,
-// and may have been replaced: without another's word an instance would wait beside it for
-// seconds with a configuration that is not in force any more.
+// confirmOutage asks a fallback watcher whether the store is unavailable, when the coordinator has
+// no current view. A holder that is cut off from the store gives the same answer and may have been
+// replaced; without another instance's answer, the instances that poll it would wait for seconds
+// with a configuration that is no longer in force.
 func (n *Node) confirmOutage() {
 	now := cf.Uptime()
 	if now-cf.Millis(n.feed.outageAskedAt.Load()) < outageAskInterval {
@@ -143,7 +144,7 @@
 	})
 }
 
-// recordOutageAnswer takes another instance's word of the store.
+// recordOutageAnswer records another instance's answer about the store.
 func (n *Node) recordOutageAnswer(from cf.EntryID, a holderAnswer) {
 	now := cf.Uptime()
 	var at *atomic.Int64
@@ -156,7 +157,7 @@
 		n.feed.outageDeniedAt.Store(0)
 		at = &n.feed.outageConfirmedAt
 	default:
-		return // it has heard nothing either, and does not know
+		return // That instance has no updates either and does not know.
 	}
 	if previous := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerIsRecent(previous, now) {
 		n.log.Info(msg, zap.String("entry", string(from)))
--- a/io/cfnode/hub.go
+++ b/io/cfnode/hub.go
@@ -13,11 +13,11 @@
 	"currantford/io/cflog"
 )
 
-// errHubStale: a hub has had no current word for a while.
+// errHubStale reports that a hub has had no current view for a while.
 var errHubStale = errors.New("no current word")
 
-// assignedHub returns the hub that an instance which asks the coordinator is to ask instead,
-// false if there is none.
+// assignedHub returns the hub that the caller of the coordinator is to poll instead, or false if
+// there is none.
 func (n *Node) assignedHub(call feedCall) (cfmember.Entry, bool) {
 	hubs := n.members.Hubs(n.self(), cf.Uptime())
 	if call.Group != nil || cfmember.Contains(hubs, call.Entry.ID) {
@@ -32,13 +32,13 @@
 	return choices[0], true
 }
 
-// hubToPoll returns the hub to ask, false if the coordinator is to be asked.
+// hubToPoll returns the hub to poll, or false if the coordinator is to be polled.
 func (n *Node) hubToPoll(holder cflease.Holder) (cfmember.Entry, bool) {
 	now := cf.Uptime()
 	return n.feed.upstream.HubToAsk(n.members.Hubs(n.self(), now), holder.Entry, n.members.ClientCount(now) > 0, now)
 }
 
-// chooseHub chooses the hub to ask from now on, if there are any.
+// chooseHub chooses the hub to poll from now on, if there are any hubs.
 func (n *Node) chooseHub(holder cflease.Holder) {
 	now := cf.Uptime()
 	n.feed.upstream.ChooseHub(n.members.Hubs(n.self(), now), holder.Entry, now)
@@ -48,7 +48,7 @@
 	n.log.Info("hub_chosen", zap.String("entry", string(hub.ID)), zap.String("failure_domain", string(hub.Domain)))
 }
 
-// bypassHub asks the coordinator where a hub has had no current word for a while.
+// bypassHub polls the coordinator because a hub has had no current view for a while.
 func (n *Node) bypassHub(ctx context.Context, holder cflease.Holder, hub cfmember.Entry) {
 	if !n.feed.upstream.BypassHub(hub.ID, cf.Uptime()) {
 		return
--- a/io/cfnode/infeasible.go
+++ b/io/cfnode/infeasible.go
@@ -21,8 +21,8 @@
 	}
 )
 
-// feasibility answers other instances that ask whether a step is infeasible, and returns who is
-// asked here; nil where none is refused.
+// feasibility registers the handler for other instances that ask whether a step is infeasible. It
+// returns the checker for this instance, or nil if no step is refused as infeasible.
 func (n *Node) feasibility() cfingress.Feasibility {
 	n.peerSrv.Handle(opInfeasible, atCoordinator(n, n.serveInfeasible))
 	if n.settings.Policy.NoRefusals || n.settings.Policy.AllGroups {
@@ -38,7 +38,7 @@
 	}
 	var a infeasibleAnswer
 	if err := r.n.callCoordinator(ctx, opInfeasible, notifyTimeout, infeasibleCall{sub}, &a); err != nil {
-		return 0, false // the step is accepted as without the question
+		return 0, false // The step is accepted as it would be without the check.
 	}
 	return a.RetryAfter, a.Infeasible
 }
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -1,17 +1,17 @@
-// Package cfnode is one process of the deployment: it serves callers, shares
-// what it knows with the other entry instances, and competes for the
-// coordinator's duty.
+// Package cfnode implements one entry instance of the deployment: it serves callers, shares what it
+// knows with the other entry instances, and competes for the coordinator's lease.
 //
-// Only the coordinator watches the store all the time. The others ask it for
-// news (the feed); an instance that hears nothing from it watches the store
-// itself, and takes the duty over when the lease has not been renewed. So the
-// store's calls grow with the number of duties, not of instances, and no
-// instance depends on another to learn a configuration in time.
+// Only the coordinator watches the store permanently. The other instances poll it for updates (the
+// feed). An instance that receives no updates watches the store itself, and takes over the
+// coordinator's duty once the lease has expired. The number of store calls therefore grows with the
+// number of duties and not with the number of instances, and no instance depends on another one to
+// receive a configuration in time.
 //
 // Usage:
 //
 //	node := cfnode.New(settings, adapter, registry, log)
-//	err := node.Run(ctx) // returns after a planned stop
+//	node.Start()
+//	defer node.Close()
 package cfnode
 
 import (
@@ -45,29 +45,28 @@
 )
 
 const (
-	// watchCheckInterval is how often an instance checks whether it must watch the store
-	// itself.
+	// watchCheckInterval is how often an instance checks whether it must watch the store itself.
 	watchCheckInterval = 100 * time.Millisecond
-	// maxWatchRetryDelay is the longest pause between the tries of an instance that is no scout,
-	// drawn from half of it to half more: what a store that is back shows is to be in
-	// force within two seconds.
+	// maxWatchRetryDelay is the longest delay between the tries of an instance that is not a
+	// fallback watcher; each delay is drawn between half of it and one and a half times it. What
+	// the store holds once it is reachable again must be in force within two seconds.
 	maxWatchRetryDelay = 1300 * time.Millisecond
 )
 
 type (
-	// Adapter is what the process uses of its platform.
+	// Adapter holds the parts of the platform that the process uses.
 	Adapter struct {
 		Store   cf.Store
 		Targets cf.Targets
 		Codec   cfsite.Codec
 		Relay   cf.Relay
-		// Metering takes reports of use; nil where none are sent.
+		// Metering receives usage reports; it is nil if none are sent.
 		Metering cf.Metering
-		// Scaling takes orders of engines; nil where none are given.
+		// Scaling receives orders for engines; it is nil if none are given.
 		Scaling cf.Scaling
 	}
 
-	// Node is one entry instance. Close waits for all it started.
+	// Node is one entry instance.
 	Node struct {
 		settings Settings
 		adapter  Adapter
@@ -79,47 +78,48 @@
 		candidate *candidate
 		coord     atomic.Pointer[cfcoord.Coordinator]
 		watchers  atomic.Pointer[watchers]
-		// watchMetrics are those of all watchers of the site.
+		// watchMetrics counts for all watchers of the configuration and the targets.
 		watchMetrics *cfwatch.Metrics
 		feed         feed
 		feedMetrics  feedMetrics
-		// lastCurrentAt is when the configuration was last seen to be the newest.
+		// lastCurrentAt is when the configuration was last known to be the newest.
 		lastCurrentAt atomic.Int64
 		peers         *cfpeer.Client
 		peerSrv       *cfpeer.Server
 		leaving       atomic.Bool
 		startedAt     cf.Millis
-		// savedTexts are what this instance had generated when its duty ended.
+		// savedTexts holds the texts that this instance had generated when its duty ended.
 		savedTexts atomic.Pointer[savedTexts]
 		replicas   textReplicas
 		relays     relayTable
 		linkBudget *cfcoord.LinkBudget
-		// runnerHost holds streams for the coordinator, pool this instance's own runs
-		// while it is the coordinator.
+		// runnerHost runs streams for the coordinator. runnerPool distributes this instance's own
+		// streams while it is the coordinator.
 		runnerHost *cfrunner.Host
-		// guard decides which requests may go to targets; quarantine shares what it
-		// learns.
+		// guard decides which requests may go to targets; quarantine shares what guard learns with
+		// the other instances.
 		guard      *cfguard.Guard
 		quarantine *quarantine
-		// usage counts what callers use, nil where that is not asked for; clocks are
-		// those of the instances, as the holder hears them.
+		// usage counts the requests of each organisation; it is nil if usage is not reported.
+		// clocks holds the wall clocks of the instances as reported to the coordinator.
 		usage *usage
-		// autoscale orders engines, nil where that is not asked for.
+		// autoscale orders engines; it is nil if none are to be ordered.
 		autoscale  *autoscale
 		clockMu    sync.Mutex
 		clocks     cfusage.MedianClock
 		runnerPool atomic.Pointer[cfrunner.Pool]
 
-		// origin identifies the counts of this process's answers to feed calls.
+		// origin identifies this process in its answers to feed calls; the update counts in them
+		// are valid for this process only.
 		origin  uint64
 		members *cfmember.Membership
 
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
-		// gossip are calls that handlers of other instances' calls have started.
+		// gossip tracks the calls that handlers of other instances' calls have started.
 		gossip cflog.Group
-		// candidacy ends before the rest at a planned stop.
+		// candidacy is cancelled before ctx at a planned stop.
 		candidacy     context.Context
 		endCandidacy  context.CancelFunc
 		candidateDone chan struct{}
@@ -130,13 +130,13 @@
 		config, targets *cfwatch.Watcher
 		cancel          context.CancelFunc
 		wg              cflog.Group
-		// coordinated: this instance had the duty meanwhile. What it knows of engines then decides
-		// how losses of its runs are judged, and is kept.
+		// coordinated is set if this instance has had the duty since the watchers were started.
+		// What it knows of engines then decides how losses of its streams are judged, and is kept.
 		coordinated bool
 	}
 )
 
-// New returns a node that has not started.
+// New returns a node that has not been started.
 func New(s Settings, a Adapter, reg prometheus.Registerer, log *zap.Logger) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
@@ -198,14 +198,14 @@
 	return n
 }
 
-// handoverMargin is added to the span between two holders' orders, for what an
-// order may be under way.
+// handoverMargin is added to the minimum time between the orders of two holders, for an order that
+// may still be in transit.
 const handoverMargin cf.Millis = 200
 
-// Ingress returns what the node offers to callers.
+// Ingress returns the caller-facing interface of the node.
 func (n *Node) Ingress() cf.Ingress { return n.ingress }
 
-// Role names the duty that the node has.
+// Role returns the name of the node's current role.
 func (n *Node) Role() string {
 	if n.coord.Load() != nil {
 		return "coordinator"
@@ -213,10 +213,10 @@
 	return "entry"
 }
 
-// PeerHandler returns the handler for the other instances.
+// PeerHandler returns the handler for calls of other instances.
 func (n *Node) PeerHandler() *cfpeer.Server { return n.peerSrv }
 
-// Start begins to work.
+// Start starts the node's background work.
 func (n *Node) Start() {
 	n.wg.Go(func() {
 		defer close(n.candidateDone)
@@ -227,8 +227,8 @@
 	n.wg.Go(func() { n.quarantine.run(n.ctx) })
 }
 
-// Leave takes the instance out of the callers' address lists, and out of those
-// that take the coordinator's duty; requests are still served.
+// Leave removes the instance from the address lists of callers and from the instances that may take
+// over the coordinator's duty. Requests are still served.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	n.candidate.leaving.Store(true)
@@ -236,24 +236,23 @@
 	n.recordReport(feedCall{Entry: n.self(), Leaving: true}, true)
 }
 
-// HandOver gives up the coordinator's duty, if the instance has it, and does not
-// take it any more.
+// HandOver gives up the coordinator's duty if the instance has it, and stops competing for it.
 func (n *Node) HandOver(ctx context.Context) {
 	n.endCandidacy()
-	<-n.candidateDone // its calls to the store end with their context
+	<-n.candidateDone // The store calls of the candidate end with their context.
 	n.handOverTo(ctx, n.reachableSuccessor(ctx))
 }
 
 const (
-	// maxSuccessorProbes is how many instances are asked whether they are there.
+	// maxSuccessorProbes is how many instances are probed.
 	maxSuccessorProbes = 3
-	// successorTimeout bounds each question; the longest round trip takes 16 ms.
+	// successorTimeout bounds each probe; the longest round trip takes 16 ms.
 	successorTimeout = 120 * time.Millisecond
 )
 
-// reachableSuccessor returns the instance that should take the duty over, of those that
-// answer: one that was cut off a moment ago still counts as alive, and the duty, named for
-// it, would be nobody's for a while.
+// reachableSuccessor returns the best successor that answers a probe. An instance that has just
+// been cut off still counts as alive, and a lease released to it would stay without a holder for a
+// while.
 func (n *Node) reachableSuccessor(ctx context.Context) cfmember.Entry {
 	var unreachable []cf.EntryID
 	for range maxSuccessorProbes {
@@ -274,18 +273,18 @@
 	return cfmember.Entry{}
 }
 
-// handOverTo releases the coordinator's duty to another instance and tells it.
+// handOverTo releases the coordinator's lease to another instance and notifies it.
 func (n *Node) handOverTo(ctx context.Context, successor cfmember.Entry) {
 	if !n.candidate.release(ctx, successor.ID) || successor.ID == "" {
 		return
 	}
 	var ok bool
 	if err := n.peers.Call(ctx, successor.PeerAddr, opOffered, struct{}{}, &ok); err != nil {
-		n.log.Info("successor_not_told", cflog.Error(err)) // it looks at the store by itself
+		n.log.Info("successor_not_told", cflog.Error(err)) // The successor also finds the lease in the store.
 	}
 }
 
-// strongerExists says whether instances with more capacity are there to take a duty.
+// strongerExists reports whether instances with more capacity are available to take a duty.
 func (n *Node) strongerExists() bool {
 	if n.settings.Policy.DutyAnywhere {
 		return false
@@ -294,19 +293,18 @@
 }
 
 const (
-	// minIdleHold and keepBusy are how long a holder keeps a duty for which
-	// another has more capacity: with nothing open a change costs nothing,
-	// else some tenths of a second of each step, and the weights wait 3 s.
-	// Before the first of them has passed, instances count as alive by the
-	// word of the holder before alone.
+	// minIdleHold and minBusyHold are how long a holder keeps the duty although another instance
+	// has more capacity. With no open work a handover costs nothing; with open work it costs some
+	// tenths of a second of each step, and weight orders wait for 3 s. Until minIdleHold has
+	// passed, instances may count as alive merely because the previous holder listed them.
 	minIdleHold           = cfmember.ReportTimeout + 500
 	minBusyHold cf.Millis = 10000
-	// strongerHandoverTimeout bounds the release to a better holder.
+	// strongerHandoverTimeout bounds the release to an instance with more capacity.
 	strongerHandoverTimeout = 2 * time.Second
 )
 
-// handOverToStronger hands the duty to an instance with more capacity, if it has had it
-// for a while.
+// handOverToStronger hands the duty over to an instance with more capacity, if this instance has
+// held it long enough.
 func (n *Node) handOverToStronger(heldFor cf.Millis) {
 	c := n.coord.Load()
 	if c == nil || n.settings.Policy.DutyAnywhere || n.leaving.Load() || heldFor < minIdleHold || heldFor < minBusyHold && c.Busy() {
@@ -323,7 +321,7 @@
 	n.handOverTo(ctx, successor)
 }
 
-// Close stops and waits for all that was started.
+// Close stops the node and waits for everything that it has started.
 func (n *Node) Close() error {
 	n.cancel()
 	n.wg.Wait()
@@ -339,7 +337,7 @@
 	return err
 }
 
-// self describes this instance to the coordinator.
+// self returns this instance's entry as reported to the coordinator.
 func (n *Node) self() cfmember.Entry {
 	return cfmember.Entry{
 		ID: n.settings.Entry, Addr: n.settings.Listen.Callers, PeerAddr: n.settings.Listen.Peers, Domain: n.settings.Domain, Ready: n.ingress.Ready(),
@@ -347,8 +345,8 @@
 	}
 }
 
-// Live implements cfingress.Members: as coordinator from the instances' own
-// reports, else as the coordinator last told.
+// Live implements cfingress.Members. The coordinator uses the instances' own reports, any other
+// instance the list that the coordinator last sent.
 func (n *Node) Live() []cfmember.Entry {
 	self, ready := n.self(), n.ingress.Ready()
 	live := n.members.Live(self, cf.Uptime())
@@ -363,8 +361,7 @@
 	}
 }
 
-// successor returns the instance that should take the duty over, other than those
-// left out.
+// successor returns the instance that should take over the duty, except for the excluded ones.
 func (n *Node) successor(excluded ...cf.EntryID) cfmember.Entry {
 	candidates := slices.DeleteFunc(n.members.LiveWithAges(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(excluded, e.ID) })
 	e, _ := cfmember.Successor(candidates, n.settings.Entry)
@@ -387,9 +384,9 @@
 	c.Start(func(ctx context.Context) map[cf.ItemID]cfrollout.Text { return n.gatherTexts(ctx, previous, members) })
 }
 
-// dutyState returns how many engines may load weights at once, as the coordinator here
-// has learned, the address of the instance that has copies of its texts, and what it has
-// heard of use.
+// dutyState returns what a successor inherits from the coordinator here: the learned limit of
+// concurrent weight loads, the address of the instance that holds copies of its texts, and the
+// usage that was reported to it.
 func (n *Node) dutyState() (maxLoads int, replicaAddr string, successorState json.RawMessage) {
 	if c := n.coord.Load(); c != nil {
 		maxLoads = c.LearnedLoads()
@@ -430,15 +427,15 @@
 	}
 }
 
-// runWatch watches the store while this instance has the duty or hears
-// nothing from the coordinator.
+// runWatch watches the store while this instance has the duty or receives no updates from the
+// coordinator.
 func (n *Node) runWatch() {
 	ticker := time.NewTicker(watchCheckInterval)
 	defer ticker.Stop()
 	for {
 		now := cf.Uptime()
 		w := n.watchers.Load()
-		// The instance that has the duty serves the others by its watches.
+		// The coordinator serves the other instances from its watches.
 		needed := n.watchDue(now)
 		switch {
 		case needed && w == nil:
@@ -461,7 +458,7 @@
 		}
 		var changed <-chan struct{}
 		if !n.guard.Informed() {
-			changed = n.site.Changed() // by its first configuration it must know what is held
+			changed = n.site.Changed() // The held requests must be known by the time the first configuration is in force.
 		}
 		select {
 		case <-n.ctx.Done():
@@ -472,7 +469,7 @@
 	}
 }
 
-// logWatch tells why this instance begins or ends to watch the store itself.
+// logWatch logs why this instance starts or stops watching the store itself.
 func (n *Node) logWatch(msg string, now cf.Millis) {
 	state := n.status(now)
 	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", state.FallbackWatcher), zap.Bool("behind_hub", state.BehindHub), zap.Bool("holder_named", state.HolderNamed),
@@ -480,7 +477,7 @@
 		zap.Int64("config_age_ms", int64(n.configBelief().Age)))
 }
 
-// ageField is how long ago something was, left out if it never was.
+// ageField returns the time since at as a log field, or no field if at is zero.
 func ageField(name string, at, now cf.Millis) zap.Field {
 	if at == 0 {
 		return zap.Skip()
--- a/io/cfnode/process.go
+++ b/io/cfnode/process.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	// leaveTime is how long a stopping instance still serves callers: three
-	// times as long as they are told to keep an address list, and the time
-	// in which the other instances hear of it.
+	// leaveTime is how long a stopping instance still serves callers: three times as long as
+	// callers are told to keep an address list, plus the time in which the other instances learn of
+	// the stop.
 	leaveTime = 5200 * time.Millisecond
-	// keepAliveTime is when kept connections begin to be closed, each after
-	// an answer.
+	// keepAliveTime is how long after the start of a stop connections are kept alive; from then on
+	// each is closed after its next answer.
 	keepAliveTime = 2500 * time.Millisecond
-	// graceReserve is kept of the grace for the end itself.
+	// graceReserve is the part of the grace period that is reserved for the final shutdown.
 	graceReserve = 600 * time.Millisecond
-	// stopHandoverTimeout bounds the handing over of the coordinator's duty.
+	// stopHandoverTimeout bounds the handover of the coordinator's duty.
 	stopHandoverTimeout = 800 * time.Millisecond
-	// gcPercent trades processor time for memory: a process holds a few
-	// megabytes and is billed for its peak.
+	// gcPercent trades processor time for memory: a process uses a few megabytes and is billed for
+	// its peak.
 	gcPercent = 50
-	// memoryLimitPercent is the percentage of the process's limit from which on the
-	// collector works harder; beyond the limit the process is killed.
+	// memoryLimitPercent is the percentage of the process's memory limit from which the garbage
+	// collector works harder; a process that exceeds the limit is killed.
 	memoryLimitPercent = 80
 )
 
-// Handlers are what the adapter serves for a node.
+// Handlers holds the HTTP handlers that the adapter provides for a node.
 type Handlers struct {
 	Callers   http.Handler
 	Ready     http.Handler
 	Directory http.Handler
 }
 
-// Process is a running process: its servers around a node.
+// Process is a running process: a node and its servers.
 type Process struct {
 	settings     Settings
 	node         *Node
@@ -56,7 +56,7 @@
 	otherServers []*Server
 }
 
-// StartProcess binds the settings' addresses and starts the node.
+// StartProcess listens on the settings' addresses and starts the node.
 func StartProcess(s Settings, node *Node, h Handlers, reg *prometheus.Registry, log *zap.Logger) (*Process, error) {
 	debug.SetGCPercent(gcPercent)
 	if s.Memory.LimitMB > 0 {
@@ -104,15 +104,15 @@
 	return p, nil
 }
 
-// newRooms returns what bounds the answers that a process holds.
+// newRooms returns the limiter of the memory that answers occupy.
 func newRooms(s Settings, reg prometheus.Registerer, log *zap.Logger) *cfroom.Rooms {
 	return cfroom.New(cfroom.Options{
 		MemoryBytes: s.Memory.LimitMB << 20, Policy: cfhold.Policy{Disabled: s.Policy.NoHoldBounds}, Metrics: cfroom.NewMetrics(reg), Log: log,
 	})
 }
 
-// metricsHandler serves the metrics at any path, and profiles at their usual one if they are
-// asked for: they tell what the process holds in memory.
+// metricsHandler serves the metrics at any path and, if enabled, profiles at their usual paths.
+// Profiles reveal what the process holds in memory.
 func metricsHandler(reg *prometheus.Registry, profiles bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
@@ -124,12 +124,13 @@
 	return mux
 }
 
-// Signals are those that a process acts on. They wait apart, as a signal for which a channel
-// has no room is dropped: reloads before a process serves would else cost it its stop.
+// Signals receives the signals that a process handles. Stop and reload signals have separate
+// channels, as a signal is dropped if its channel is full: reloads before the process serves could
+// otherwise drop the stop signal.
 type Signals struct{ stop, reload chan os.Signal }
 
-// CatchSignals is called first of all: until then each of the signals ends the process, SIGHUP
-// too.
+// CatchSignals starts to receive signals. It is called before anything else, as until then each of
+// the signals ends the process, SIGHUP included.
 func CatchSignals() Signals {
 	s := Signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -137,7 +138,7 @@
 	return s
 }
 
-// wait calls reload as often as it is asked for, until a signal asks the process to stop.
+// wait calls reload for each reload signal and returns at a stop signal.
 func (s Signals) wait(reload func() error, log *zap.Logger) {
 	for {
 		select {
@@ -151,13 +152,13 @@
 	}
 }
 
-// Run serves until a signal asks it to stop, then stops as planned.
+// Run serves until a stop signal and then performs a planned stop.
 func (p *Process) Run(signals Signals, reload func() error) {
 	signals.wait(reload, p.log)
 	p.stop()
 }
 
-// stop takes the instance out of use without cutting off a request.
+// stop shuts the instance down without cutting off requests.
 func (p *Process) stop() {
 	began := time.Now()
 	grace := time.Duration(p.settings.Bounds.GraceS*float64(time.Second)) - graceReserve
@@ -168,9 +169,9 @@
 		p.callers.disableKeepAlives()
 		time.Sleep(max(0, leave-stopHandoverTimeout-time.Since(began)))
 	}
-	// The duty is kept while the instance is there anyway: each change of it
-	// holds the weight orders up for seconds, and in a rolling restart those
-	// that could take it now are stopped next.
+	// The duty is kept as long as the instance serves: each handover delays weight orders by
+	// seconds, and in a rolling restart the instances that could take the duty now are stopped
+	// next.
 	ctx, cancel := context.WithTimeout(context.Background(), stopHandoverTimeout)
 	p.node.HandOver(ctx)
 	cancel()
@@ -189,12 +190,12 @@
 	ctx, cancel = context.WithTimeout(context.Background(), graceReserve/3)
 	defer cancel()
 	for _, s := range p.otherServers {
-		_ = s.Shutdown(ctx) // peers and scrapers may still be connected
+		_ = s.Shutdown(ctx) // Other instances and scrapers may still be connected.
 	}
 	p.log.Info("stopped", zap.Int64("took_ms", time.Since(began).Milliseconds()))
 }
 
-// WaitForStop returns when a signal asks the process to stop.
+// WaitForStop returns at a stop signal.
 func WaitForStop(signals Signals, log *zap.Logger) {
 	signals.wait(func() error { return nil }, log)
 }
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -23,33 +23,34 @@
 	opFree    = "free"
 	opReach   = "reach"
 
-	// exchangeSize bounds the requests of one exchange, of 120 bytes for each of their crashes.
+	// exchangeSize bounds the requests of one exchange; each of their strikes takes 120 bytes.
 	exchangeSize = 16
-	// strikesRate and strikesBurst bound the strikes that an instance hands on, in
-	// strikes a second: of 120 bytes each to three neighbours, 2 KB/s. A crash of a
-	// whole failure domain brings a few hundred at once.
+	// strikesRate and strikesBurst bound the strikes that an instance sends, in strikes per second.
+	// At 120 bytes each to three neighbours that is 2 KB/s. The crash of a whole failure domain
+	// produces a few hundred strikes at once.
 	strikesRate  = 6
 	strikesBurst = 400
-	// maxStrikesPerCall bounds one message.
+	// maxStrikesPerCall bounds the strikes of one message.
 	maxStrikesPerCall = 64
 	// strikesTimeout bounds a call to another instance.
 	strikesTimeout = 400 * time.Millisecond
 	// freeTimeout bounds the command that frees a request.
 	freeTimeout = 5 * time.Second
-	// witnessTimeout bounds a question whether a target is reached, with the time of
-	// the try there; witnessMost is how many instances are asked.
+	// witnessTimeout bounds the question whether another instance reaches a target, including its
+	// connection attempt. maxWitnesses is how many instances are asked.
 	witnessTimeout = 450 * time.Millisecond
 	maxWitnesses   = 2
-	// heldExchangeInterval spaces the exchanges of an instance that holds other requests,
-	// exchangeRest those of one that has heard of other crashes: 1 KB/s at the most
-	// while a caller crashes targets by ever other requests.
+	// heldExchangeInterval is the minimum time between the exchanges of an instance that holds
+	// other requests than its peer, strikeExchangeInterval that of an instance that merely knows
+	// other strikes: at most 1 KB/s while a caller crashes targets with a different request each
+	// time.
 	heldExchangeInterval   cf.Millis = 1000
 	strikeExchangeInterval cf.Millis = 2000
 )
 
 type (
-	// strikesMessage hands strikes to another instance, and may ask for its own, but for
-	// those of the foremost After requests.
+	// strikesMessage sends strikes to another instance. It may ask for the strikes of that
+	// instance, except for those of its first Offset requests.
 	strikesMessage struct {
 		From    cf.EntryID            `cbor:"from"`
 		Strikes []cfquarantine.Strike `cbor:"strikes,omitempty"`
@@ -57,32 +58,32 @@
 		Offset  int                   `cbor:"after,omitempty"`
 	}
 
-	// freeMessage asks an instance to free a request by hand.
+	// freeMessage asks an instance to free a held request.
 	freeMessage struct {
 		Digest cfquarantine.Digest `cbor:"digest"`
 	}
 
-	// quarantine shares what the instances learn of requests that crash targets: news
-	// go from neighbour to neighbour at once, an instance that has missed some sees it
-	// by the sum in the feed, and what is held lies in the store for the loss of all.
+	// quarantine shares what the instances learn about requests that crash targets. New strikes are
+	// gossiped at once, an instance that has missed some detects it by the checksums in the feed,
+	// and the held requests are stored in case all instances are lost.
 	quarantine struct {
 		node     *Node
 		guard    *cfguard.Guard
 		outgoing chan []cfquarantine.Strike
 
-		mu          sync.Mutex
-		tokens      float64
-		refilledAt  cf.Millis
-		exchangedAt cf.Millis
-		offset      int    // the next exchange is about what follows so many requests
-		storedSum   uint64 // the sum of what lies in the store
-		storedRev   cf.Revision
-		persistAt   cf.Millis // the next try
-		// selfSyncAt is the last try of a starting instance to learn what is held,
-		// triedConfigured says that it had a configuration then.
+		mu             sync.Mutex
+		tokens         float64
+		refilledAt     cf.Millis
+		exchangedAt    cf.Millis
+		exchangeOffset int    // number of requests that the next exchange skips
+		storedSum      uint64 // checksum of the stored held requests
+		storedRev      cf.Revision
+		persistAt      cf.Millis // next attempt
+		// selfSyncAt is the last try of a starting instance to learn the held requests by itself;
+		// selfSyncConfigured is set if it had a configuration then.
 		selfSyncAt         cf.Millis
 		selfSyncConfigured bool
-		persisting         bool // a read or write of the store is under way
+		persisting         bool // a read or write of the store is in progress
 		loadedTerm         cf.Revision
 	}
 )
@@ -91,7 +92,7 @@
 	return &quarantine{node: n, outgoing: make(chan []cfquarantine.Strike, 256), tokens: strikesBurst}
 }
 
-// share queues strikes for the neighbours. What does not fit is dropped: those of held
+// share queues strikes for the neighbours. Strikes that exceed the queue are dropped; those of held
 // requests are exchanged later.
 func (q *quarantine) share(strikes []cfquarantine.Strike) {
 	select {
@@ -101,7 +102,7 @@
 	}
 }
 
-// run hands strikes on until ctx ends.
+// run sends queued strikes until ctx ends.
 func (q *quarantine) run(ctx context.Context) {
 	for {
 		var strikes []cfquarantine.Strike
@@ -117,7 +118,7 @@
 	}
 }
 
-// limitRate returns the strikes that may be handed on now, those of held requests first.
+// limitRate returns the strikes that the rate limit admits now, those of held requests first.
 func (q *quarantine) limitRate(strikes []cfquarantine.Strike, now cf.Millis) []cfquarantine.Strike {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 	for _, addr := range q.gossipAddrs() {
 		for part := range slices.Chunk(strikes, maxStrikesPerCall) {
-			// A neighbour that does not answer must hold up nobody else's news.
+			// A neighbour that does not answer must not delay the strikes for the others.
 			q.node.wg.Go(func() {
 				if _, err := q.call(ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: part}); err != nil {
 					q.node.log.Info("strikes_not_taken", zap.String("addr", addr), cflog.Error(err))
@@ -156,8 +157,8 @@
 	return answer, err
 }
 
-// gossipAddrs returns the addresses of the instances to which this one hands strikes: the
-// coordinator, with which all others compare, and those next to it.
+// gossipAddrs returns the addresses of the instances to which this one sends strikes: the
+// coordinator, with which all others compare checksums, and its gossip peers.
 func (q *quarantine) gossipAddrs() []string {
 	var out []string
 	if holder, _ := q.node.candidate.holder(); holder.Entry != "" && holder.Entry != q.node.settings.Entry {
@@ -171,7 +172,7 @@
 	return out
 }
 
-// serve takes another instance's strikes.
+// serve merges another instance's strikes and answers with its own if asked.
 func (q *quarantine) serve(_ context.Context, m strikesMessage) (any, error) {
 	q.guard.Learn(m.From, m.Strikes)
 	if !m.Ask {
@@ -180,7 +181,7 @@
 	return q.guard.Table.ExchangeReply(m.Strikes, m.Offset, exchangeSize, cf.Uptime()), nil
 }
 
-// witness asks others, of other failure domains if it can, whether they reach a target.
+// witness asks other instances whether they reach a target, those of other failure domains first.
 func (q *quarantine) witness(ctx context.Context, target cf.Target) bool {
 	sameDomain := func(e cfmember.Entry) bool { return e.Domain == q.node.settings.Domain }
 	others := slices.DeleteFunc(slices.Clone(q.node.Live()), func(e cfmember.Entry) bool { return e.ID == q.node.settings.Entry })
@@ -214,18 +215,18 @@
 	return false
 }
 
-// serveReach says whether this instance reaches a target.
+// serveReach reports to another instance whether this one reaches a target.
 func (q *quarantine) serveReach(ctx context.Context, target cf.Target) (any, error) {
 	return q.guard.Reached(ctx, target) == nil, nil
 }
 
-// serveFree frees a request by hand.
+// serveFree frees a held request at an operator's command.
 func (q *quarantine) serveFree(_ context.Context, m freeMessage) (any, error) {
 	return q.guard.Free(m.Digest), nil
 }
 
-// compare takes what identifies another instance's table. Where it differs the two exchange
-// what they have.
+// compare compares another instance's checksums with those of this one. If they differ, the two
+// exchange their strikes.
 func (q *quarantine) compare(addr string, theirs cfquarantine.Checksums) {
 	ours := q.guard.Table.Checksums()
 	switch {
@@ -238,18 +239,18 @@
 	}
 }
 
-// exchange asks the first of some instances that answers for what it has, unless one was
-// asked a moment ago.
+// exchange asks the first of some instances that answers for its strikes, unless an exchange took
+// place within interval.
 func (q *quarantine) exchange(addrs []string, interval cf.Millis) {
 	if len(addrs) == 0 {
-		return // the first instance that is known is asked at once
+		return // The first known instance is then asked at once.
 	}
 	now := cf.Uptime()
 	q.mu.Lock()
 	due := q.exchangedAt == 0 || now-q.exchangedAt >= interval
-	offset := q.offset
+	offset := q.exchangeOffset
 	if due {
-		q.exchangedAt, q.offset = now, offset+exchangeSize
+		q.exchangedAt, q.exchangeOffset = now, offset+exchangeSize
 	}
 	q.mu.Unlock()
 	if !due {
@@ -271,14 +272,14 @@
 	})
 }
 
-// resetExchange lets the next exchange begin with what is foremost.
+// resetExchange makes the next exchange start with the first requests.
 func (q *quarantine) resetExchange() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.offset = 0
+	q.exchangeOffset = 0
 }
 
-// tick looks after what is due. It is called several times a second.
+// tick starts what is due. It is called several times a second.
 func (q *quarantine) tick(now cf.Millis) {
 	n := q.node
 	current := n.feed.current(now)
@@ -291,15 +292,15 @@
 		if !q.guard.Informed() && n.watchDue(now) {
 			q.startSelfSync(now, n.site.Config() != nil)
 		}
-		// No coordinator is there to compare with; any other instance will do.
+		// There is no coordinator to compare with; any other instance will do.
 		others := q.gossipAddrs()
 		rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 		q.exchange(others, heldExchangeInterval)
 	}
 }
 
-// FreeRequest frees a held request at the running instance of the settings, which tells
-// the others. It returns ErrNotFound where the instance knows nothing of it.
+// FreeRequest frees a held request at the running instance of the settings, which informs the
+// others. It returns ErrNotFound if the instance does not know the request.
 func FreeRequest(s Settings, digest cfquarantine.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -15,47 +15,45 @@
 )
 
 const (
-	// relayGrace is what a relayed call may take beyond the store's answer.
+	// relayGrace is how long a relayed call may take beyond the store's answer.
 	relayGrace cf.Millis = 150
 	// maxRelayTries is how many instances are asked to relay one call.
 	maxRelayTries = 2
-	// relayPause is the pause after a call that nobody could relay, which
-	// doubles up to relayRestMost: in an outage of the store each try finds out
-	// nothing, and holds up the next call of this instance itself, which would
-	// see that the store is back.
+	// relayPause is the pause after a call that no instance could relay; it doubles up to
+	// maxRelayPause. In an outage of the store each try is useless and delays this instance's own
+	// next call, which would find that the store is back.
 	relayPause    cf.Millis = 250
 	maxRelayPause cf.Millis = 2000
-	// relayAvoidTime keeps calls off an instance that did not answer one: each try
-	// would wait for it again. One that relayed nothing otherwise is asked after the others.
+	// relayAvoidTime is how long an instance that did not answer a call is not asked again, as each
+	// try would wait for it. One that failed to relay a call in another way is asked after the
+	// others for the same time.
 	relayAvoidTime cf.Millis = 2000
-	// relayLogInterval is the span without relayed calls after which the next one
-	// is worth a log line.
+	// relayLogInterval is the time without relayed calls after which the next one is logged.
 	relayLogInterval cf.Millis = 2000
 )
 
-// relayTable is what an instance knows of its ways to the store through others.
+// relayTable records which other instances reach the store.
 type relayTable struct {
 	mu sync.Mutex
-	// last is the instance that relayed a call last, at lastAt.
+	// last is the instance that relayed the last call, at lastAt.
 	last   string
 	lastAt cf.Millis
-	// pausedUntil is until when no call is passed on, failures counts those in a row
-	// that nobody could relay.
+	// Until pausedUntil no call is relayed. failures counts the calls in a row that no instance
+	// could relay.
 	pausedUntil cf.Millis
 	failures    int
-	// avoidUntil are instances that did not answer, deferred those that relayed nothing though
-	// they did, or were not reached, both with until when.
+	// avoidUntil holds until when instances that did not answer are avoided, deferUntil until when
+	// those that answered without relaying, or were not reached, are asked last.
 	avoidUntil, deferUntil map[string]cf.Millis
 }
 
-// relay passes a call to the store through another instance. The store may turn
-// single instances away, or a link to it may be cut, for seconds; an instance
-// with the coordinator's duty that could not go on through others would lose its
-// lease, and each step under way the moments until a successor has its texts.
+// relay passes a store call through another instance. The store may refuse single instances, or the
+// link to it may be cut, for seconds. A coordinator that could not continue through other instances
+// would lose its lease, and each step in progress would stop until a successor has its texts.
 //
-// Watches are passed on for that instance alone. The others have its feed; one
-// whose watch hung at another instance in trouble would not look by itself when
-// the store is back, and serve an old configuration meanwhile.
+// Watches are relayed for the coordinator only. The other instances have its feed; one whose watch
+// hung at another instance in trouble would not find out by itself that the store is back, and
+// would serve an old configuration in the meantime.
 func (n *Node) relay(ctx context.Context, timeout cf.Millis, watch bool, body, answer any) error {
 	now := cf.Uptime()
 	if watch && n.coord.Load() == nil {
@@ -64,8 +62,7 @@
 	if n.settings.Policy.NoStoreRelay || n.relays.paused(now) {
 		return cf.ErrRefused
 	}
-	// All tries together take no longer than one: renewals and watches wait
-	// for them.
+	// All tries together take no longer than one, as renewals and watches wait for them.
 	ctx, cancel := context.WithTimeout(ctx, (timeout + relayGrace).Duration())
 	defer cancel()
 	failure := cf.ErrRefused
@@ -88,9 +85,9 @@
 	return failure
 }
 
-// relayAddrs returns the instances to ask, best first: the one that relayed the
-// last call, the coordinator, which reaches the store as long as it has its
-// lease, then those of the same failure domain.
+// relayAddrs returns the instances to ask, best first: the one that relayed the last call, the
+// coordinator, which reaches the store as long as it has its lease, then those of the same failure
+// domain.
 func (n *Node) relayAddrs(now cf.Millis) []string {
 	var sameDomain, otherDomains []string
 	live := n.Live()
@@ -112,8 +109,8 @@
 	return n.relays.choose(slices.Concat(coordinator, sameDomain, otherDomains), now)
 }
 
-// choose returns the instances to ask for one call, of those that may be, best first. Those
-// that are turned away as well come after the others, which may reach the store.
+// choose returns the instances to ask for one call, best first. Those that the store refuses as
+// well come after the others, which may reach it.
 func (r *relayTable) choose(addrs []string, now cf.Millis) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +132,7 @@
 	return now < r.pausedUntil
 }
 
-// recordSuccess notes a relayed call; it returns true for the first one in a while.
+// recordSuccess records a relayed call. It returns true for the first one in a while.
 func (r *relayTable) recordSuccess(addr string, now cf.Millis) (notable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,8 +143,8 @@
 	return notable
 }
 
-// recordFailure notes that an instance did not relay a call; it returns whether the call may have been
-// carried out there.
+// recordFailure records that an instance did not relay a call. It returns whether the call may have
+// been executed there.
 func (r *relayTable) recordFailure(addr string, err error, now cf.Millis) (maybeRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/cfnode/server.go
+++ b/io/cfnode/server.go
@@ -22,64 +22,62 @@
 )
 
 const (
-	// readHeaderTimeout bounds the reading of a request's head; callers are told
-	// three seconds.
+	// readHeaderTimeout bounds the time to read a request's header; callers are told three seconds.
 	readHeaderTimeout = 10 * time.Second
-	// maxHeaderBytes is over what any configuration allows; targets judge less.
+	// maxHeaderBytes is larger than any configured limit; targets accept less.
 	maxHeaderBytes = 64 << 10
-	// reapInterval is how often idle connections are looked through.
+	// reapInterval is how often connections are checked for the idle timeout.
 	reapInterval = 1 * time.Second
-	// idleMargin is added to the configuration's idle limit: a caller may
-	// send a request on a kept connection until the limit.
+	// idleMargin is added to the configured idle timeout, as a caller may send a request on a kept
+	// connection until that timeout.
 	idleMargin cf.Millis = 2000
-	// defaultIdleTimeout holds until a configuration is known.
+	// defaultIdleTimeout applies until a configuration is known.
 	defaultIdleTimeout cf.Millis = 60000
-	// sendBuffer bounds what the system takes of an answer that its caller does not read,
-	// and with it what is out of cfhold's sight: 0.2 MB of a connection, 3.8 MB without it.
-	// At the longest round trip of 16 ms it lets 16 MB a second pass.
+	// sendBuffer bounds the bytes of an answer that the kernel buffers while the caller does not
+	// read, and so the bytes that cfhold does not see: 0.2 MB per connection, and 3.8 MB without
+	// this bound. At the longest round trip of 16 ms it allows 16 MB per second.
 	sendBuffer = 256 << 10
-	// finalAnswerTime is how long before the end of a stop the requests that are still under way
-	// are told, and answered.
+	// finalAnswerTime is how long before the end of a shutdown the requests in progress are
+	// cancelled, so that they can still be answered.
 	finalAnswerTime = 200 * time.Millisecond
-	// drainInterval is how often a stop looks whether the connections have ended.
+	// drainInterval is how often a shutdown checks whether all connections have ended.
 	drainInterval = 10 * time.Millisecond
 )
 
 type (
-	// Server is an HTTP server whose idle limit may change while it runs, and
-	// which answers every request that it has read, also while it stops.
+	// Server is an HTTP server whose idle timeout may change while it runs, and which answers every
+	// request that it has read, even during a shutdown.
 	Server struct {
 		http    *http.Server
 		ln      net.Listener
 		idle    func() cf.Millis
-		rooms   *cfroom.Rooms // nil where slow readers are not looked at
-		closing atomic.Bool   // answers end their connections
-		// cancelRequests cancels all requests.
+		rooms   *cfroom.Rooms // nil if slow readers are not detected
+		closing atomic.Bool   // set once answers end their connections
+		// cancelRequests cancels the contexts of all requests.
 		cancelRequests context.CancelCauseFunc
 
 		mu    sync.Mutex
-		conns map[*conn]cf.Millis // since when idle, zero while busy
+		conns map[*conn]cf.Millis // when each became idle; zero while busy
 		stop  chan struct{}
 		wg    cflog.Group
 	}
 
-	// conn is a caller's connection that can be closed only while no request
-	// of it has been read. The library takes a connection for idle until it
-	// has read a request's whole head, and would close it under a request
-	// that is then passed on and never answered.
+	// conn is a caller's connection that is only closed as idle while no byte of a request has been
+	// read. net/http treats a connection as idle until it has read a request's whole header, and
+	// would close it under a request that is then forwarded and never answered.
 	conn struct {
 		net.Conn
 		mu      sync.Mutex
 		busy    bool // bytes of a request have been read
-		closing bool // nothing more is read: the connection is idle for too long, or cut
+		closing bool // set once nothing more is read: the connection was idle for too long, or was cut
 		answers uint64
-		// writes counts the beginnings and the ends of writes: odd while one is under way.
+		// writes counts the starts and the ends of writes; it is odd while a write is in progress.
 		writes atomic.Uint64
 		reader *cfroom.Conn
 		log    *zap.Logger
 	}
 
-	// listener hands out connections as conn.
+	// listener wraps the connections that it accepts in conn.
 	listener struct {
 		net.Listener
 		log *zap.Logger
@@ -97,8 +95,8 @@
 	return out, nil
 }
 
-// Write implements net.Conn. A write that waits for the caller to read is found by Look, at
-// no cost to the others.
+// Write implements net.Conn. A write that blocks because the caller does not read is detected by
+// Rooms.Look, at no cost to other writes.
 func (c *conn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	defer c.writes.Add(1)
@@ -129,7 +127,7 @@
 		return 0
 	}
 	var acked int64
-	_ = raw.Control(func(fd uintptr) { // it fails where the connection has been closed
+	_ = raw.Control(func(fd uintptr) { // fails if the connection has been closed
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			acked = int64(info.Bytes_acked)
 		}
@@ -144,9 +142,9 @@
 	return c.answers
 }
 
-// Cut implements cfroom.Delivery: the connection is reset, so that an answer without a
-// length does not look complete, and the system gives its buffers back at once. One whose
-// answer ends meanwhile takes no further request: the write deadline stays set.
+// Cut implements cfroom.Delivery. It resets the connection, so that an answer without a length does
+// not look complete and the kernel frees its buffers at once. A connection whose answer ends in the
+// meantime takes no further request, as the write deadline stays set.
 func (c *conn) Cut(answer uint64) bool {
 	c.mu.Lock()
 	if c.answers != answer {
@@ -156,14 +154,14 @@
 	c.closing = true
 	c.mu.Unlock()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails where the connection has been closed
+		_ = tcp.SetLinger(0) // fails if the connection has been closed
 	}
 	_ = c.SetWriteDeadline(time.Unix(1, 0))
 	return true
 }
 
-// Read implements net.Conn. Bytes that arrive after the connection was closed
-// as idle are dropped: a request that crosses the close is not passed on.
+// Read implements net.Conn. Bytes that arrive after the connection was closed as idle are dropped,
+// so that a request that crosses the close is not forwarded.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
@@ -178,7 +176,7 @@
 	return n, err
 }
 
-// closeIdle closes the connection if no request of it has been read; else it
+// closeIdle closes the connection if no byte of a request has been read; otherwise the connection
 // ends after its answer.
 func (c *conn) closeIdle() {
 	c.mu.Lock()
@@ -190,7 +188,7 @@
 	}
 }
 
-// endAnswer notes that a request was answered and the next one may come.
+// endAnswer records that a request was answered and the next one may follow.
 func (c *conn) endAnswer() {
 	c.mu.Lock()
 	c.busy = false
@@ -202,14 +200,13 @@
 	}
 }
 
-// Serve listens on addr. idle tells the longest that a connection may be
-// idle, zero when it is not known.
+// Serve listens on addr and serves h. idle returns the idle timeout, or zero if it is not known.
 func Serve(addr string, h http.Handler, idle func() cf.Millis) (*Server, error) {
 	return listen(addr, h, idle, nil, zap.NewNop())
 }
 
-// listen is Serve; where rooms bound what is held it looks for callers that read slowly. log
-// gets a line for each answer that could not be written.
+// listen is like Serve and also detects slow readers if rooms are enabled. It logs each answer that
+// could not be written.
 func listen(addr string, h http.Handler, idle func() cf.Millis, rooms *cfroom.Rooms, log *zap.Logger) (*Server, error) {
 	var config net.ListenConfig
 	if rooms.On() {
@@ -236,14 +233,14 @@
 	return s, nil
 }
 
-// setSendBuffer sets the send buffer of a listener, which its connections inherit.
+// setSendBuffer sets the send buffer of a listener; its connections inherit the size.
 func setSendBuffer(_, _ string, c syscall.RawConn) error {
 	var optErr error
 	err := c.Control(func(fd uintptr) { optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBuffer) })
 	return errors.Join(err, optErr)
 }
 
-// withConnectionClose lets answers end their connections once the server winds down.
+// withConnectionClose makes answers end their connections once keep-alives are disabled.
 func (s *Server) withConnectionClose(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.closing.Load() {
@@ -265,7 +262,7 @@
 	case http.StateActive:
 		s.conns[c] = 0
 		c.reader.Begun()
-	default: // closed, or taken over by another protocol
+	default: // closed or hijacked
 		delete(s.conns, c)
 		c.reader.Ended()
 	}
@@ -275,7 +272,7 @@
 	}
 }
 
-// closeExpired closes connections that were idle for longer than the limit.
+// closeExpired closes connections that have been idle for longer than the timeout.
 func (s *Server) closeExpired() {
 	ticker := time.NewTicker(reapInterval)
 	defer ticker.Stop()
@@ -294,7 +291,7 @@
 	}
 }
 
-// watchReaders looks for callers that read slowly.
+// watchReaders detects callers that read slowly.
 func (s *Server) watchReaders() {
 	var busy []*cfroom.Conn
 	var last cf.Millis
@@ -324,7 +321,7 @@
 	}
 }
 
-// closeIdleWhere closes the connections that choose picks, if they are idle.
+// closeIdleWhere closes the idle connections for which choose returns true.
 func (s *Server) closeIdleWhere(choose func(since cf.Millis) bool) {
 	s.mu.Lock()
 	var chosen []*conn
@@ -339,12 +336,12 @@
 	}
 }
 
-// disableKeepAlives makes answers from now on end their connections.
+// disableKeepAlives makes every further answer end its connection.
 func (s *Server) disableKeepAlives() { s.closing.Store(true) }
 
-// Shutdown stops listening, closes what is idle, and waits for the requests
-// that have been read to be answered. Those that are still under way shortly
-// before ctx ends are cancelled with ErrStopping, for their handlers to answer.
+// Shutdown stops listening, closes idle connections, and waits until every request that has been
+// read is answered. Shortly before ctx ends, the requests in progress are cancelled with
+// ErrStopping, so that their handlers can answer.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.disableKeepAlives()
 	_ = s.ln.Close()
@@ -367,11 +364,10 @@
 	return err
 }
 
-// drain closes what is idle until no connection is left; it returns false where ctx ends
-// before.
+// drain closes idle connections until none is left. It returns false if ctx ends first.
 func (s *Server) drain(ctx context.Context) bool {
 	for {
-		// Also those that were accepted at the last moment.
+		// This includes connections accepted at the last moment.
 		s.closeIdleWhere(func(cf.Millis) bool { return true })
 		if s.openConns() == 0 {
 			return true
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -17,7 +17,7 @@
 )
 
 type (
-	// Settings are what a process of the deployment is told at its start.
+	// Settings configures a process of the deployment at its start.
 	Settings struct {
 		Entry  cf.EntryID       `json:"entry"`
 		Domain cf.FailureDomain `json:"failure_domain"`
@@ -25,11 +25,11 @@
 		Store  StoreSettings    `json:"store"`
 		Bounds Bounds           `json:"bounds"`
 		Memory MemorySettings   `json:"memory"`
-		// Machine is what the instance runs on; what is not given counts as
-		// one core, or as no bound.
+		// Machine describes the machine of the instance. A missing value counts as one core, or as
+		// no limit.
 		Machine MachineSettings `json:"machine"`
-		// Control and Usage say what one instance at a time does on the platform;
-		// nothing of it where they are not given.
+		// Control, Usage and Scaling configure what one instance at a time does through the
+		// platform's API; nothing is done if they are missing.
 		Control ControlSettings `json:"control"`
 		Usage   UsageSettings   `json:"usage"`
 		Scaling ScalingSettings `json:"scaling"`
@@ -37,114 +37,112 @@
 		Members MemberSettings  `json:"members"`
 	}
 
-	// MemberSettings say how the instances hear of each other.
+	// MemberSettings configures how the instances learn of each other.
 	MemberSettings struct {
-		// HubsFrom is from how many instances on some pass the coordinator's news on to
-		// the others; cfmember.HubsFrom where it is not given.
+		// HubsFrom is the number of instances from which hubs relay the coordinator's updates to
+		// the other instances; the default is cfmember.HubsFrom.
 		HubsFrom int `json:"hubs_from"`
 	}
 
-	// PolicySettings turn decisions off, to measure what they bring.
+	// PolicySettings disables single decisions, to measure their effect.
 	PolicySettings struct {
 		cfcoord.Policy
-		// NoStoreRelay makes no call to the store through another instance.
+		// NoStoreRelay disables store calls through other instances.
 		NoStoreRelay bool `json:"no_store_relay"`
-		// NoPreparing gives batches to the coordinator by the store alone.
+		// NoPreparing submits batches to the coordinator through the store only.
 		NoPreparing bool `json:"no_preparing"`
-		// DutyAnywhere leaves the coordinator's duty to whoever takes it.
+		// DutyAnywhere lets an instance of any capacity keep the coordinator's duty.
 		DutyAnywhere bool `json:"duty_anywhere"`
-		// NoRunners leaves all streams of runs to the coordinator.
+		// NoRunners makes the coordinator run all streams itself.
 		NoRunners bool `json:"no_runners"`
-		// NoQuarantine sends requests on that have crashed targets.
+		// NoQuarantine forwards requests that have crashed targets.
 		NoQuarantine bool `json:"no_quarantine"`
-		// NoAutoscale orders no engines.
+		// NoAutoscale disables orders of engines.
 		NoAutoscale bool `json:"no_autoscale"`
-		// NoHoldBounds holds answers without a bound, and waits for slow callers.
+		// NoHoldBounds buffers answers without a limit and waits for slow callers.
 		NoHoldBounds bool `json:"no_hold_bounds"`
-		// NoAdmission sends plain requests on until targets refuse them.
+		// NoAdmission forwards plain requests until targets refuse them.
 		NoAdmission bool `json:"no_admission"`
-		// IgnorePace chooses targets by past answers alone, whatever pace they say they have.
+		// IgnorePace chooses targets by past answers only and ignores the pace that targets report.
 		IgnorePace bool `json:"ignore_pace"`
 	}
 
-	// ListenSettings holds the addresses to serve at, IP:PORT each. An empty one is
-	// not served.
+	// ListenSettings holds the addresses to listen on, IP:PORT each. An empty one is not served.
 	ListenSettings struct {
 		Callers   string `json:"callers"`
 		Ready     string `json:"ready"`
 		Directory string `json:"directory"`
-		// Peers is for the other instances; Metrics for the scraper, and with Profiles
-		// for the tool that reads profiles of the process.
+		// Peers serves the other instances. Metrics serves the metrics scraper and, if Profiles is
+		// set, tools that read profiles of the process.
 		Peers    string `json:"peers"`
 		Metrics  string `json:"metrics"`
 		Profiles bool   `json:"profiles"`
 	}
 
-	// StoreSettings say how the platform's store is reached.
+	// StoreSettings configures the connection to the platform's store.
 	StoreSettings struct {
 		Addr       string `json:"addr"`
 		ValueBytes int64  `json:"value_bytes"`
 	}
 
-	// Bounds are the deployment's promises that the product must know.
+	// Bounds holds the guarantees of the deployment that the process must respect.
 	Bounds struct {
-		// GraceS is how long a stop may take, in seconds, before the process
-		// is killed.
+		// GraceS is how long a stop may take, in seconds, before the process is killed.
 		GraceS float64 `json:"grace_s"`
-		// KeepResultsS is how long, in seconds after its acceptance, an ended
-		// batch can still be read.
+		// KeepResultsS is how long after its acceptance, in seconds, a completed batch can still be
+		// read.
 		KeepResultsS float64 `json:"keep_results_s"`
-		// LeaseMs is how long two holders' orders must lie apart.
+		// LeaseMs is the minimum time between the orders of two holders.
 		LeaseMs cf.Millis `json:"lease_ms"`
-		// KeyTrustMs is how long an instance that hears of no configuration goes on
-		// with the keys that it knows, zero without bound. StrictKeys says that it
-		// counts also while no other instance hears of one.
+		// KeyTrustMs is how long an instance without configuration updates continues to accept the
+		// keys that it knows; zero means without a limit. StrictKeys applies this limit also while
+		// no other instance has updates either.
 		KeyTrustMs cf.Millis `json:"key_trust_ms"`
 		StrictKeys bool      `json:"strict_keys"`
 	}
 
-	// MachineSettings are what a process may use of its machine.
+	// MachineSettings describes what a process may use of its machine.
 	MachineSettings struct {
-		// CPUShare is its part of a core, of a speed of Cores.
+		// CPUShare is the fraction of a core that the process may use, and Cores the speed of that
+		// core.
 		CPUShare float64 `json:"cpu_share"`
 		Cores    float64 `json:"cores"`
-		// LinkMbps is the rate of its link, in Mbit/s.
+		// LinkMbps is the rate of the machine's link in Mbit/s.
 		LinkMbps float64 `json:"link_mbps"`
 	}
 
-	// ControlSettings say how the platform's API is reached.
+	// ControlSettings configures the connection to the platform's API.
 	ControlSettings struct {
 		Addr string `json:"addr"`
-		// Duties names what it takes from this deployment; engines are ordered where
-		// DutyAutoscale is among them.
+		// Duties lists what the platform lets this deployment do; engines are ordered if it
+		// contains DutyAutoscale.
 		Duties []string `json:"duties"`
 	}
 
-	// ScalingSettings weigh what engines cost against what they earn, in one unit.
+	// ScalingSettings weighs the cost of engines against what they earn, in one unit.
 	ScalingSettings struct {
-		// EnginePrice is the price of a firm engine in service for a second, where its
-		// failure domain's price is one; GroupValue what a group of a step earns that is
-		// whole in time.
+		// EnginePrice is the price per second of a firm engine in service in a failure domain with
+		// a price of one. GroupValue is what a group of a step earns that is complete in time.
 		EnginePrice float64 `json:"engine_price"`
 		GroupValue  float64 `json:"group_value"`
 	}
 
-	// UsageSettings say how use is reported.
+	// UsageSettings configures usage reports.
 	UsageSettings struct {
-		// WindowS is the length of a window in seconds, zero where none is reported;
-		// LateS is how long after its end a report is in time.
+		// WindowS is the length of a reporting window in seconds; zero disables reports. LateS is
+		// how long after the end of its window, in seconds, a report is still in time.
 		WindowS float64 `json:"window_s"`
 		LateS   float64 `json:"late_s"`
 	}
 
-	// MemorySettings bound the process's memory.
+	// MemorySettings limits the memory of the process.
 	MemorySettings struct {
 		LimitMB int64 `json:"limit_mb"`
 	}
 )
 
-// ReadSettings reads and checks a settings file. Errors name the JSON path of
-// each bad field.
+// ReadSettings reads and checks a settings file. Its errors name the JSON path of each invalid
+// field.
 func ReadSettings(path string) (Settings, error) {
 	s := Settings{Members: MemberSettings{HubsFrom: cfmember.HubsFrom}, Scaling: defaultScaling}
 	raw, err := os.ReadFile(path)
@@ -159,7 +157,7 @@
 	return s, s.Check()
 }
 
-// Check returns an error for each bad field.
+// Check returns an error for each invalid field.
 func (s *Settings) Check() error {
 	var errs []error
 	addError := func(path, format string, args ...any) {
@@ -218,14 +216,14 @@
 	return errors.Join(errs...)
 }
 
-// DutyAutoscale is the duty of ordering engines.
+// DutyAutoscale is the name of the duty of ordering engines.
 const DutyAutoscale = "autoscale"
 
-// defaultScaling is for where the operator gives no prices: a firm engine of a model costs
-// as much in five minutes as a group of a step earns.
+// defaultScaling applies if the operator gives no prices: a firm engine costs as much in five
+// minutes as a group of a step earns.
 var defaultScaling = ScalingSettings{EnginePrice: 0.0055, GroupValue: 2}
 
-// autoscales says whether this deployment orders engines.
+// autoscales reports whether this deployment orders engines.
 func (s *Settings) autoscales() bool {
 	return slices.Contains(s.Control.Duties, DutyAutoscale) && !s.Policy.NoAutoscale
 }
@@ -234,11 +232,11 @@
 
 func (u UsageSettings) maxDelay() cf.Millis { return cf.Millis(u.LateS * 1000) }
 
-// mbpsPerCore is the rate of the link that a coordinator uses beside a whole core,
-// in Mbit/s: 15 for the texts of a trainer at a tenth of a core.
+// mbpsPerCore is the link rate that a coordinator uses along with a whole core, in Mbit/s. The
+// texts of a trainer take 15 Mbit/s at a tenth of a core.
 const mbpsPerCore = 150
 
-// Capacity is what the machine can carry, in cores.
+// Capacity returns the capacity of the machine, in cores.
 func (m MachineSettings) Capacity() float64 {
 	cores := 1.0
 	if m.CPUShare > 0 {
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -17,61 +17,59 @@
 )
 
 const (
-	// textsTimeout bounds the question for texts and the copying of them. Half
-	// a megabyte takes tens of milliseconds; an instance that was lost does not
-	// answer.
+	// textsTimeout bounds the query for texts and the copying of texts. Half a megabyte takes tens
+	// of milliseconds; an instance that was lost does not answer.
 	textsTimeout cf.Millis = 300
-	// liveTextsTimeout is the same where the holder before was alive a moment ago:
-	// it has to end its runs first, and what it holds is worth the wait.
+	// liveTextsTimeout is the same if the previous holder was alive a moment ago. It has to end its
+	// streams first, and its texts are worth the wait.
 	liveTextsTimeout cf.Millis = 800
-	// maxInlineTexts is the size up to which texts come with the first answer.
+	// maxInlineTexts is the size in bytes up to which texts are part of the first answer.
 	maxInlineTexts = 64 << 10
-	// textsBytesPerMs is how many bytes a millisecond are expected beyond that.
+	// textsBytesPerMs is the expected transfer rate of larger texts, in bytes per millisecond.
 	textsBytesPerMs = 3000
-	// maxTextsWait bounds what a takeover waits for them: a second of each text is
-	// worth it, and generating them anew takes up to seven.
+	// maxTextsWait bounds the additional wait of a takeover for large texts: a delay of a second is
+	// acceptable, as generating the texts again takes up to seven.
 	maxTextsWait cf.Millis = 1200
-	// maxTextsSources is how many instances are asked for them.
+	// maxTextsSources is how many instances are asked for large texts.
 	maxTextsSources = 2
 	// holderAliveTime is how long after its last answer a holder counts as alive.
 	holderAliveTime cf.Millis = 1000
 )
 
-// supersedeWait is how long a successor's question waits for this instance to
-// stop its runs.
+// supersedeWait is how long a successor's query waits for this instance to stop its streams.
 const supersedeWait = 200 * time.Millisecond
 
 type (
 	// textsCall asks for texts on behalf of the holder of a term.
 	textsCall struct {
 		Term cf.Revision `cbor:"term"`
-		// Full asks for them however large they are.
+		// Full asks for the texts whatever their size.
 		Full bool `cbor:"whole,omitempty"`
 	}
 
-	// textsAnswer says what an instance holds, with the texts where they are few.
+	// textsAnswer describes the texts that an instance has, and contains them if they are small.
 	textsAnswer struct {
-		// Term is the term of the coordinator that generated them.
+		// Term is the term of the coordinator that generated the texts.
 		Term  cf.Revision                  `cbor:"of"`
 		Items int                          `cbor:"items"`
 		Size  int                          `cbor:"size"`
 		Texts map[cf.ItemID]cfrollout.Text `cbor:"texts,omitempty"`
 	}
 
-	// textsSource is an instance's answer.
+	// textsSource is an answer with the address of its instance.
 	textsSource struct {
 		textsAnswer
 		addr string
 	}
 
-	// savedTexts are what this instance had generated when its duty ended.
+	// savedTexts holds the texts that this instance had generated when its duty ended.
 	savedTexts struct {
 		term  cf.Revision
 		texts map[cf.ItemID]cfrollout.Text
 	}
 
-	// textReplicas is what this instance holds for others, and where its own copies
-	// go.
+	// textReplicas holds the copies that this instance keeps for another coordinator, and the
+	// address to which its own copies go.
 	textReplicas struct {
 		mu             sync.Mutex
 		received       cfcoord.Mirror
@@ -82,8 +80,8 @@
 	replicaClient struct{ n *Node }
 )
 
-// Choose implements cfcoord.Neighbour: an instance of the same failure domain where
-// there is one that can carry it, since traffic within it costs nothing.
+// Choose implements cfcoord.Neighbour. It prefers an instance of the same failure domain that has
+// the capacity, since traffic within a failure domain is free.
 func (b replicaClient) Choose(avoid string) string {
 	addr := cfmember.TextReplica(b.n.Live(), b.n.self(), avoid).PeerAddr
 	b.n.replicas.mu.Lock()
@@ -107,9 +105,9 @@
 	return n.replicas.received.Take(part), nil
 }
 
-// serveTexts answers a coordinator that takes over with what this instance
-// generated when it had the duty, or holds as a neighbour's mirror. An instance
-// that did not know of its successor yet stops its runs first.
+// serveTexts answers a coordinator that takes over with the texts that this instance generated
+// while it had the duty, or that it keeps as a replica. If this instance still has the duty, it
+// stops its streams first.
 func (n *Node) serveTexts(_ context.Context, call textsCall) (any, error) {
 	n.candidate.supersede(call.Term)
 	n.runnerHost.Fence(call.Term)
@@ -143,7 +141,7 @@
 	return a
 }
 
-// mergeTexts adds texts, of each the longer one.
+// mergeTexts adds texts to out and keeps the longer one of each.
 func mergeTexts(out, texts map[cf.ItemID]cfrollout.Text) {
 	for id, t := range texts {
 		if t.Last >= out[id].Last {
@@ -152,9 +150,9 @@
 	}
 }
 
-// gatherTexts asks the other instances for what the coordinator before had
-// generated and not listed. What is found need not be generated again: after a
-// planned stop all of it, after a crash all but the last moments.
+// gatherTexts collects the unlisted texts of the previous coordinator from the other instances.
+// They need not be generated again: all of them after a planned stop, all but the last moments
+// after a crash.
 func (n *Node) gatherTexts(ctx context.Context, previous cflease.Holder, members []cfmember.Entry) map[cf.ItemID]cfrollout.Text {
 	addrs := map[string]bool{}
 	if previous.Entry != "" && previous.Entry != n.settings.Entry {
@@ -190,8 +188,9 @@
 	return out
 }
 
-// queryTexts asks instances at once and returns the answers that come in time, or
-// until the one at enough has answered: it has what its neighbour has, and more.
+// queryTexts asks instances concurrently and returns the answers that arrive in time. It stops
+// early once the instance at the sufficient address has answered, which has what its replica has,
+// and more.
 func (n *Node) queryTexts(ctx context.Context, addrs map[string]bool, sufficient string, call textsCall, timeout cf.Millis) []textsSource {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -203,7 +202,7 @@
 			var a textsAnswer
 			if err := n.peers.Call(ctx, addr, opTexts, call, &a); err != nil {
 				n.removeRefused(addr, err)
-				return // a cache that is not reached is a cache miss
+				return // An instance that is not reached counts as a cache miss.
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -217,8 +216,8 @@
 	return out
 }
 
-// fetchTexts reads the texts of the instance that holds the newest, and of these the
-// most. The time to wait goes by the size, as others may share the link.
+// fetchTexts reads the texts from the source of the newest term, and of these the one with the
+// most. The timeout depends on the size, as other transfers may share the link.
 func (n *Node) fetchTexts(ctx context.Context, sources []textsSource, term cf.Revision) textsSource {
 	slices.SortFunc(sources, func(a, b textsSource) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Size, a.Size))
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -19,33 +19,34 @@
 const (
 	opUsage = "usage"
 
-	// usageHandoverReserve is what is left of the time for a report when it is kept at the
-	// latest: a change of the holder, the time between two holders' calls, and a call.
+	// usageHandoverReserve is the part of the time limit of a report that is left when the report
+	// is stored at the latest: it covers a change of the holder, the time between the calls of two
+	// holders, and one call.
 	usageHandoverReserve cf.Millis = 6000
-	// usageRetryDelay is the pause after a report that was not taken.
+	// usageRetryDelay is the delay after a report that was not accepted.
 	usageRetryDelay cf.Millis = 400
-	// maxUsageMessages is how often a second instances together may tell the holder at once of
-	// what they have counted; what is not told at once comes with the next report of
-	// life.
+	// maxUsageMessages is how many immediate messages per second all instances together may send to
+	// the holder. Other counts are part of the next feed call.
 	maxUsageMessages = 100
-	// maxUsageDelay is the longest time until an instance tells what it has counted: its hub
-	// passes no counts on.
+	// maxUsageDelay is the longest time until an instance sends its counts, as its hub does not
+	// relay them.
 	maxUsageDelay cf.Millis = 1000
-	// flushRetryDelay is the pause between the tries of an instance that stops; flushBudget
-	// bounds them all.
+	// flushRetryDelay is the delay between the tries of an instance that stops; flushTimeout bounds
+	// all of them.
 	flushRetryDelay = 50 * time.Millisecond
 	flushTimeout    = 800 * time.Millisecond
-	// usageTimeout bounds such a message.
+	// usageTimeout bounds one usage message.
 	usageTimeout cf.Millis = 400
 )
 
-// usage is an instance's part in counting use. A nil one counts nothing.
+// usage counts the requests that this instance runs and reports them to the holder. A nil usage
+// counts nothing.
 type usage struct {
 	node    *Node
 	meter   *cfusage.Meter
 	clock   cfusage.Clock
 	metrics *cfmeter.Metrics
-	// duty is set while this instance reports.
+	// duty is set while this instance reports to the platform.
 	duty   atomic.Pointer[cfmeter.Duty]
 	sentAt atomic.Int64 // Uptime
 }
@@ -55,10 +56,10 @@
 	return &usage{node: n, meter: cfusage.NewMeter(source, n.settings.Usage.window()), metrics: metrics}
 }
 
-// now returns the time of day.
+// now returns the current time of day.
 func (u *usage) now() cf.Millis { return u.clock.Now(cf.Now(), cf.Uptime()) }
 
-// count notes requests of an organisation that began to run at an Uptime.
+// count records requests of an organisation that started to run at the given uptime.
 func (u *usage) count(o cf.Organisation, startedAt cf.Millis, requests int64) {
 	if u == nil || o == "" {
 		return
@@ -71,8 +72,8 @@
 	u.send()
 }
 
-// send tells the holder what was counted, if it is this instance's turn: with an instance
-// that is lost, what it has not told is lost.
+// send sends the counts to the holder if the rate limit permits. Counts that have not been sent are
+// lost if the instance is lost.
 func (u *usage) send() {
 	n := u.node
 	now, last := cf.Uptime(), u.sentAt.Load()
@@ -80,19 +81,19 @@
 		return
 	}
 	if u.duty.Load() != nil {
-		return // it takes its own
+		return // The duty reads this instance's own counts.
 	}
 	holder, _ := n.candidate.holder()
 	n.wg.Go(func() {
 		r := u.meter.Report(holder.Term, u.now())
 		var taken bool
-		// Without an answer it goes with the next report of life.
+		// Without an answer the counts are part of the next feed call.
 		_ = n.callCoordinator(n.ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
 		u.acknowledge(holder.Term, r, taken)
 	})
 }
 
-// sendPending tells the holder what it has not taken yet, if there is anything.
+// sendPending sends the counts that the holder has not accepted yet, if there are any.
 func (u *usage) sendPending() {
 	if u == nil {
 		return
@@ -103,7 +104,7 @@
 	}
 }
 
-// usageMessage tells the holder of a term what an instance has counted.
+// usageMessage reports an instance's counts to the holder of a term.
 type usageMessage struct {
 	Term   cf.Revision         `cbor:"term"`
 	Report cfusage.MeterReport `cbor:"report"`
@@ -118,7 +119,7 @@
 	return true, nil
 }
 
-// report returns what goes with a report of life to the holder of a term.
+// report returns the counts to include in a feed call to the holder of a term.
 func (u *usage) report(term cf.Revision) *cfusage.MeterReport {
 	if u == nil {
 		return nil
@@ -127,7 +128,7 @@
 	return &r
 }
 
-// receive takes what came with an instance's report of life.
+// receive handles the counts in an instance's feed call.
 func (u *usage) receive(r *cfusage.MeterReport) (taken bool, settled cf.UsageWindow) {
 	if u == nil || r == nil {
 		return false, 0
@@ -139,7 +140,7 @@
 	return true, d.Take(*r)
 }
 
-// applyAnswer takes the answer to a report of life.
+// applyAnswer handles the usage fields of an answer to a feed call.
 func (u *usage) applyAnswer(a feedAnswer, call feedCall) {
 	if u == nil {
 		return
@@ -148,13 +149,13 @@
 		u.clock.Adjust(a.WallTime, cf.Now(), cf.Uptime())
 	}
 	u.meter.Settle(a.UsageSettled)
-	if call.Usage != nil && a.Holder.Term == call.Term { // another holder may lack what this one had
+	if call.Usage != nil && a.Holder.Term == call.Term { // Another holder may lack what this one had.
 		u.acknowledge(call.Term, *call.Usage, a.UsageTaken)
 	}
 }
 
-// timeOfDay returns the time of day by the clocks of all instances, zero where nobody
-// needs it: as the coordinator, or as that one has told.
+// timeOfDay returns the time of day by the clocks of all instances, as the coordinator or as the
+// coordinator has reported it. It returns zero if usage is not reported.
 func (n *Node) timeOfDay(holds bool) cf.Millis {
 	if n.usage == nil {
 		return 0
@@ -170,15 +171,15 @@
 	return now
 }
 
-// acknowledge notes that the holder of a term has taken a report.
+// acknowledge records that the holder of a term has accepted a report.
 func (u *usage) acknowledge(term cf.Revision, r cfusage.MeterReport, taken bool) {
 	if taken {
 		u.meter.Acknowledge(term, r)
 	}
 }
 
-// begin begins the duty of reporting, under the coordinator's term. base is what the holder
-// before had heard.
+// begin starts the reporting duty under the coordinator's term. base is the usage that had been
+// reported to the previous holder.
 func (u *usage) begin(expected []cf.EntryID, base json.RawMessage) {
 	if u == nil {
 		return
@@ -190,7 +191,7 @@
 	d := cfmeter.New(cfmeter.Options{
 		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
 		Terms: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
-		// A holder before may have called until its lease ran out.
+		// A previous holder may have called until its lease expired.
 		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= earliest },
 		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, Settled: u.meter.Settle, Expect: expected, Base: base,
 		Metrics: u.metrics, Log: n.log,
@@ -199,7 +200,8 @@
 	d.Start()
 }
 
-// reportedBase returns what a successor needs, nothing while this instance does not report.
+// reportedBase returns the reported usage for a successor, or nil while this instance has no
+// reporting duty.
 func (u *usage) reportedBase() json.RawMessage {
 	if u == nil {
 		return nil
@@ -211,8 +213,7 @@
 	return d.BaseNow()
 }
 
-// flush tells the holder the last counts of an instance that stops, until they are taken
-// or ctx ends.
+// flush sends the last counts of an instance that stops, until they are accepted or ctx ends.
 func (u *usage) flush(ctx context.Context) {
 	if u == nil {
 		return
@@ -227,7 +228,7 @@
 		err := u.node.callCoordinator(ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
 		u.acknowledge(holder.Term, r, taken)
 		if !taken {
-			err = u.node.findHolder(ctx) // it may have been this instance until now
+			err = u.node.findHolder(ctx) // This instance may have been the holder until now.
 		}
 		if !taken && !cf.Sleep(ctx, flushRetryDelay) {
 			u.node.log.Warn("usage_not_told", zap.Int("windows", len(r.Windows)), cflog.Error(err))
@@ -236,14 +237,14 @@
 	}
 }
 
-// ownReport hands this instance's counts to its own duty.
+// ownReport returns this instance's counts to its own duty.
 func (u *usage) ownReport(term cf.Revision) cfusage.MeterReport {
 	r := u.meter.Report(term, u.now())
 	u.meter.Acknowledge(term, r)
 	return r
 }
 
-// end ends the duty.
+// end stops the duty.
 func (u *usage) end() {
 	if u == nil {
 		return
