--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -15,7 +15,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// noRelay reaches no other instance.
+// noRelay is a relay that reaches no other instance.
 type noRelay struct{}
 
 func (noRelay) SetRelay(func(context.Context, cf.Millis, bool, any, any) error) {}
@@ -29,11 +29,10 @@
 	return n
 }
 
-// Symptom: the duty stays at an instance that has given it to a stronger one, and
-// each of its tries stops all runs.
-// Sequence: the holder releases its lease to a named successor; before that one
-// has looked at the store, the holder looks itself.
-// Cause: it took the lease for its own from before a restart.
+// TestReleasedLeaseIsLeftToTheSuccessor guards against an instance that keeps the duty after it has
+// released the lease to a stronger one, so that each further handover stops all streams. The
+// releasing instance reads the lease before the named successor does, and must not mistake it for
+// its own lease from before a restart.
 func TestReleasedLeaseIsLeftToTheSuccessor(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
@@ -57,12 +56,10 @@
 	}
 }
 
-// Symptom: callers are sent to a machine that has been off for fifteen seconds.
-// Sequence: an instance takes the duty over, with the list of instances that the
-// holder before had told it; one of them is dead and drops out; the instance loses
-// the duty and takes it again.
-// Cause: it began with the same list once more, as if all in it had just been
-// heard of.
+// TestDeadInstancesStayRemovedWhenTheDutyReturns guards against callers being sent to a machine
+// that has been off for fifteen seconds. An instance takes the duty over with the previous holder's
+// list; a dead instance in it is removed; the instance loses the duty and takes it again. It must
+// not start with the same list once more, as if all instances in it had just reported.
 func TestDeadInstancesStayRemovedWhenTheDutyReturns(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
 	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: []cfmember.Entry{{ID: "dead", Addr: "10.0.0.9:1", Ready: true}}})
@@ -91,11 +88,10 @@
 	n.endDuty()
 }
 
-// Symptom: after an outage of the store a coordinator renews its lease 2.5 s late,
-// and all instances list and watch for themselves meanwhile.
-// Load: the store is away for all; each call is passed on to others in vain, for as
-// long as a call may take.
-// Cause: the pause after such a call was short, whatever the calls before it came to.
+// TestFailedRelayCallsBackOff guards against a coordinator that renews its lease 2.5 s late after
+// an outage of the store, while all instances list and watch for themselves. During the outage each
+// call is relayed to no avail, for as long as a call may take; the pause after such calls must grow
+// with their number.
 func TestFailedRelayCallsBackOff(t *testing.T) {
 	var r relayTable
 	tries := 0
--- a/io/cfnode/endless_test.go
+++ b/io/cfnode/endless_test.go
@@ -25,8 +25,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against one target's answers without end that take the room of others' answers: their
-// callers wait for seconds, and get 502 though another target would answer.
+// TestEndlessAnswersDoNotStarveOthers guards against the endless answers of one target using up the
+// memory for other answers, whose callers would wait for seconds and get 502 although another
+// target would answer.
 func TestEndlessAnswersDoNotStarveOthers(t *testing.T) {
 	for _, shape := range []standin.EndlessShape{standin.EndlessBody, standin.EndlessChunks} {
 		t.Run(string(shape), func(t *testing.T) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// ask sends a request and reads its answer; the status is zero where there is none that is whole.
+// ask sends a request and reads its answer; the status is zero if there is no complete answer.
 func (s *testSite) ask(t *testing.T, path string) (status int, n int64) {
 	t.Helper()
 	conn := s.send(t, path)
@@ -81,7 +82,7 @@
 	return resp.StatusCode, n
 }
 
-// newEndlessSite starts an instance before two targets, of which one answers without end.
+// newEndlessSite starts an instance with two targets, one of which sends endless answers.
 func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*testSite, *standin.Endless) {
 	t.Helper()
 	sound := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/cfnode/fallback_test.go
+++ b/io/cfnode/fallback_test.go
@@ -15,7 +15,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// unavailableStore answers nothing, and counts what it is asked.
+// unavailableStore answers no call, and counts the reads and writes.
 type unavailableStore struct {
 	*cfstandin.MemStore
 	calls atomic.Int64
@@ -35,11 +35,10 @@
 	return cf.Record{}, cf.ErrUnavailable
 }
 
-// Symptom: the store is asked 360 times a second while it is away, and 1,200 times in the two
-// seconds of its return.
-// Sequence: an outage on a deployment of 72 instances, of which each notices that the
-// coordinator has no news.
-// Cause: each looked after the store by itself, as one does on a deployment of seven.
+// TestInstanceLeavesAnOutageToFallbackWatchers guards against a store that gets 360 calls per
+// second while it is unavailable, and 1,200 in the two seconds of its return. In an outage each of
+// 72 instances notices that the coordinator has no current view; only a small deployment, such as
+// one of seven instances, can let each of them query the store.
 func TestInstanceLeavesAnOutageToFallbackWatchers(t *testing.T) {
 	ctx := context.Background()
 	var members []cfmember.Entry
@@ -49,10 +48,10 @@
 	for _, c := range []struct {
 		name      string
 		members   []cfmember.Entry
-		silence   cf.Millis // since the last current word
-		uncertain bool      // the coordinator says that it knows nothing new
-		confirmed bool      // another instance says so too
-		denied    bool      // whoever was the coordinator says that it is not
+		silence   cf.Millis // since the last current update
+		uncertain bool      // the coordinator answers that it has no current view
+		confirmed bool      // another instance confirms the outage
+		denied    bool      // the instance named as the coordinator denies that it is
 		want      bool
 	}{
 		{"small deployment", members[:7], 1000, true, true, false, true},
@@ -96,7 +95,7 @@
 	}
 }
 
-// lostReadStore leaves the first read without an answer.
+// lostReadStore does not answer the first read.
 type lostReadStore struct {
 	*cfstandin.MemStore
 	reads atomic.Int64
@@ -110,8 +109,8 @@
 	return s.MemStore.Get(ctx, kind, name)
 }
 
-// Guards against: an instance that finds the coordinator seconds after its start, as its first
-// read of the lease had no answer.
+// TestStartingInstanceReadsTheLeaseAgain guards against an instance that finds the coordinator only
+// seconds after its start because its first read of the lease had no answer.
 func TestStartingInstanceReadsTheLeaseAgain(t *testing.T) {
 	store := &lostReadStore{MemStore: cfstandin.NewMemStore()}
 	n := newTestNode(t, store)
@@ -123,8 +122,9 @@
 	}
 }
 
-// Load: a fleet with hubs, one of which hears nothing, and an instance that starts and finds
-// no coordinator. Each looks after the store by itself when its word is too old.
+// TestInstanceWithoutUpdatesWatchesTheStore checks that a hub without updates, in a fleet with
+// hubs, and a starting instance that finds no coordinator each watch the store once their view is
+// too old.
 func TestInstanceWithoutUpdatesWatchesTheStore(t *testing.T) {
 	n := newTestNode(t, &unavailableStore{MemStore: cfstandin.NewMemStore()})
 	entries := []cfmember.Entry{n.self()}
@@ -151,15 +151,16 @@
 	}
 }
 
-// Symptom: after each change of the coordinator all instances read the lease, and some hear
-// nothing for a second.
-// Sequence: a new holder tells those next to it; each passes it on once.
+// TestHolderMessagesApplyByRevision guards against all instances reading the lease after each
+// change of the coordinator, and some being without updates for a second. A new holder notifies its
+// gossip peers, and each forwards the message once; a late message about the previous holder must
+// have no effect.
 func TestHolderMessagesApplyByRevision(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
 	n.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5})
 	for _, m := range []holderMessage{
 		{cflease.Holder{Entry: "y", Term: 8}, 8},
-		{cflease.Holder{Entry: "x", Term: 5}, 6}, // late word of the one before
+		{cflease.Holder{Entry: "x", Term: 5}, 6}, // a late message about the previous holder
 	} {
 		if _, err := n.serveHolder(context.Background(), m); err != nil {
 			t.Fatal(err)
@@ -170,12 +171,10 @@
 	}
 }
 
-// Symptom: an instance serves by a configuration that was replaced six seconds before.
-// Sequence: it misses the word of a new holder; the one before, which has started again,
-// denies each of its calls.
-// Cause: a denial counted as the answer of a coordinator whose store is away, and the
-// instance left the store to the scouts; and whoever denied was not asked who the holder
-// is.
+// TestDenialLeadsToTheNewHolder guards against an instance that serves with a configuration that
+// was replaced six seconds before. It has missed the message of a new holder, and the previous
+// holder, which has restarted, denies each of its calls. A denial must not count as the answer of a
+// coordinator whose store is unavailable, and the denying instance must be asked who the holder is.
 func TestDenialLeadsToTheNewHolder(t *testing.T) {
 	peer := newTestNode(t, cfstandin.NewMemStore())
 	peer.candidate.observe(8, cflease.Holder{Entry: "y", Term: 8, Addr: "127.0.0.1:1"})
@@ -199,9 +198,9 @@
 	}
 }
 
-// Symptom: the same, beside a holder that is cut off from the store and was replaced.
-// Sequence: it says that it knows nothing new; another instance asks the store in vain, and
-// then has current news.
+// TestOutageIsConfirmedByAnotherInstance guards against the same with a holder that is cut off from
+// the store and has been replaced: it answers that it has no current view. Another instance first
+// gets no answer from the store, and then has a current view.
 func TestOutageIsConfirmedByAnotherInstance(t *testing.T) {
 	peer := newTestNode(t, &unavailableStore{MemStore: cfstandin.NewMemStore()})
 	peer.startedAt -= 60_000
@@ -217,7 +216,7 @@
 			n.receiveUncertainAnswer()
 		}
 	}
-	peer.watchers.Store(peer.startWatchers()) // it asks the store itself, which does not answer
+	peer.watchers.Store(peer.startWatchers()) // The peer queries the store, which does not answer.
 	pollUntil(func() bool { return n.feed.outageConfirmedAt.Load() > 0 })
 	peer.feed.asOf.Store(int64(cf.Uptime()) + 60_000)
 	pollUntil(func() bool { return n.feed.outageConfirmedAt.Load() == 0 && n.feed.outageDeniedAt.Load() > 0 })
@@ -226,7 +225,7 @@
 	}
 }
 
-// newFollower returns a node that follows a holder x, among others of which each is found at
+// newFollower returns a node that follows a holder x; each of the other instances is reached at
 // addr.
 func newFollower(t *testing.T, addr string, others int) *Node {
 	t.Helper()
@@ -240,13 +239,14 @@
 	return n
 }
 
-// receiveUncertainAnswer lets a follower hear that x knows nothing new, and ask another.
+// receiveUncertainAnswer simulates an answer of x that it has no current view, and lets the node
+// ask another instance.
 func (n *Node) receiveUncertainAnswer() {
 	n.feed.outageAskedAt.Store(0)
 	_ = n.applyFeed(feedAnswer{Holder: cflease.Holder{Entry: "x", Term: 5}, Rev: 5, Uncertain: true}, cf.Uptime(), cf.Uptime())
 }
 
-// servePeers lets a node answer other instances.
+// servePeers serves a node's handler for other instances and returns its address.
 func servePeers(t *testing.T, n *Node) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -254,7 +254,7 @@
 		t.Fatal(err)
 	}
 	srv := &http.Server{Handler: n.PeerHandler(), ReadHeaderTimeout: time.Second}
-	go func() { _ = srv.Serve(l) }() // ends with the listener
+	go func() { _ = srv.Serve(l) }() // ends with the server
 	t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -26,8 +26,8 @@
 	fleetEngines = 600
 )
 
-// countingStore is a store whose watches wait, and which counts the lists of targets and of
-// configurations.
+// countingStore is a store whose watches wait for changes. It counts all calls, and the lists of
+// targets and of configurations.
 type countingStore struct {
 	*cfstandin.MemStore
 	targetLists, configLists, calls atomic.Int64
@@ -59,21 +59,21 @@
 	}
 }
 
-// outageStore is a store as one instance reaches it: while it is shut, calls that may take
-// long are not answered.
+// outageStore is the store as seen by one instance. While it is unavailable, lists and watches are
+// not answered.
 type outageStore struct {
 	*countingStore
 	unavailable atomic.Bool
 	delay       *storeDelay
 }
 
-// storeDelay is how late a store answers.
+// storeDelay holds the additional latencies of a store.
 type storeDelay struct {
-	// lease is for reads of the lease, and lists for lists of targets, in nanoseconds.
+	// lease applies to reads of the lease, lists to lists of targets, in nanoseconds.
 	lease, lists atomic.Int64
 }
 
-// awaitTimeout holds a call while the store is shut, for as long as its answer is waited for.
+// awaitTimeout blocks a call while the store is unavailable, until the call times out.
 func (s *outageStore) awaitTimeout(ctx context.Context, timeout time.Duration) error {
 	if !s.unavailable.Load() {
 		return nil
@@ -108,14 +108,14 @@
 	return out, err
 }
 
-// testFleet is a deployment of many instances in one process, before one store.
+// testFleet is a deployment of many instances in one process with one store.
 type testFleet struct {
 	t      *testing.T
 	store  *countingStore
 	nodes  map[cf.EntryID]*Node
 	stop   map[cf.EntryID]func()
 	stores map[cf.EntryID]*outageStore
-	// link is the rate of an instance's link in bytes a second, zero without bound.
+	// link is the rate of an instance's link in bytes per second, zero for no limit.
 	link  int
 	delay *storeDelay
 }
@@ -125,7 +125,7 @@
 	return newDelayedFleet(t, size, link, &storeDelay{})
 }
 
-// newDelayedFleet returns a fleet whose store is slow from its start on.
+// newDelayedFleet returns a fleet whose store is slow from its start.
 func newDelayedFleet(t *testing.T, size, link int, delay *storeDelay) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, store: &countingStore{MemStore: cfstandin.NewMemStore()}, nodes: map[cf.EntryID]*Node{}, stop: map[cf.EntryID]func(){}, stores: map[cf.EntryID]*outageStore{}, link: link, delay: delay}
@@ -151,7 +151,7 @@
 	return f
 }
 
-// fleetConfig returns a configuration of two routes, and others.
+// fleetConfig returns a configuration with two routes, and with others.
 func fleetConfig(version cfsite.ConfigVersion, others ...cfsite.Route) cfsite.Config {
 	return cfsite.Config{Version: version, Routes: append([]cfsite.Route{
 		{Host: "h", Prefix: "/log/", Kind: cfsite.KindIdempotent, Split: []cfsite.Share{{Service: "log", Weight: 1}}},
@@ -170,7 +170,7 @@
 	}
 }
 
-// start starts an instance; one in five is strong.
+// start starts an instance; one in five has a high capacity.
 func (f *testFleet) start(i int) {
 	f.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -200,7 +200,7 @@
 	})
 }
 
-// kill ends an instance without a word to the others.
+// kill ends an instance that does not announce its stop.
 func (f *testFleet) kill(id cf.EntryID) {
 	f.stop[id]()
 	delete(f.nodes, id)
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// hubOf returns an instance that passes news on to others.
+// hub returns an instance that relays updates to others.
 func (f *testFleet) hub() cf.EntryID {
 	f.t.Helper()
 	for id, n := range f.nodes {
@@ -257,9 +257,10 @@
 	return ""
 }
 
-// Load: a fleet whose coordinator can't answer each instance, and which starts at once;
-// then loses a hub, and its coordinator. What is asked of the store and of the coordinator
-// follows the hubs, and what an instance is told what it forwards to.
+// TestFleetIsToldByHubs starts a fleet at once that is too large for the coordinator to answer each
+// instance, then loses a hub, and then the coordinator. The load on the store and on the
+// coordinator must depend on the number of hubs, and an instance must only receive the targets to
+// which it forwards.
 func TestFleetIsToldByHubs(t *testing.T) {
 	f := newTestFleet(t, fleetSize, 0)
 	f.awaitSettled("start", fleetLogs)
@@ -293,8 +294,8 @@
 	}
 }
 
-// Guards against: a start at which each instance lists all targets, as the store takes longer
-// to show the lease than an instance waits for it.
+// TestSlowLeaseReadCausesNoExtraTargetLists guards against a start at which each instance lists all
+// targets because the store takes longer to return the lease than an instance waits for it.
 func TestSlowLeaseReadCausesNoExtraTargetLists(t *testing.T) {
 	const size = 40
 	for _, latency := range []time.Duration{350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
@@ -309,8 +310,9 @@
 	}
 }
 
-// Guards against: a fleet each instance of which lists all targets after the loss of its
-// coordinator, as the lists that the new one and the hubs read take their time.
+// TestSlowTargetListsAfterTheLossOfTheCoordinator guards against a fleet in which each instance
+// lists all targets after the loss of the coordinator, because the lists of the new coordinator and
+// of the hubs are slow.
 func TestSlowTargetListsAfterTheLossOfTheCoordinator(t *testing.T) {
 	const size = 100
 	f := newTestFleet(t, size, 0)
@@ -330,8 +332,8 @@
 	}
 }
 
-// Guards against: a start at which each instance lists all targets, as the coordinator's first
-// list takes longer than the others wait for it.
+// TestSlowFirstTargetListAtStartup guards against a start at which each instance lists all targets
+// because the coordinator's first list takes longer than the others wait for it.
 func TestSlowFirstTargetListAtStartup(t *testing.T) {
 	const size = 40
 	delay := &storeDelay{}
--- a/io/cfnode/fuzz_test.go
+++ b/io/cfnode/fuzz_test.go
@@ -22,8 +22,8 @@
 
 const validAnswer = "HTTP/1.1 200 OK\r\nCurrantford-Request-Id: r\r\nCurrantford-Response-Stamp: s\r\nContent-Length: 5\r\n\r\nsound"
 
-// serveRawAnswers answers requests whose path ends in /sound with a sound answer, and any other
-// with the bytes in its body.
+// serveRawAnswers answers requests whose path ends in /sound with a valid answer, and any other
+// request with the bytes in its body.
 func serveRawAnswers(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -50,8 +50,8 @@
 	}
 }
 
-// FuzzTargetAnswers sends arbitrary bytes as a target's answer. No such answer may end in a
-// panic, or have the caller's next request on its connection answered by anything but its own
+// FuzzTargetAnswers sends arbitrary bytes as a target's answer. No such answer may cause a panic,
+// or cause the next request on the caller's connection to be answered by anything but its own
 // answer.
 func FuzzTargetAnswers(f *testing.F) {
 	for _, s := range []string{validAnswer, strings.Replace(validAnswer, "200", "042", 1), strings.Replace(validAnswer, "200", "101", 1),
--- a/io/cfnode/keepalive_test.go
+++ b/io/cfnode/keepalive_test.go
@@ -20,8 +20,8 @@
 	"currantford/core/cfhold"
 )
 
-// Guards against a kept connection that is closed under a request which has been read, where
-// idle limits change and requests come in all shapes.
+// TestIdleTimeoutClosesNoConnectionWithARequest guards against a kept connection that is closed as
+// idle after a request has been read, with changing idle timeouts and requests of all forms.
 func TestIdleTimeoutClosesNoConnectionWithARequest(t *testing.T) {
 	var handled, answered atomic.Int64
 	large := strings.Repeat("x", 64<<10)
@@ -65,7 +65,7 @@
 	}
 }
 
-// requestParts are requests as callers send them, each part by itself.
+// requestParts lists requests as callers send them, split into the parts that are sent separately.
 var requestParts = [][]string{
 	{"GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 	{"GET /large HTTP/1.1\r\nHost: x\r\n\r\n"},
@@ -74,8 +74,8 @@
 	{"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n", "5\r\nhello\r\n", "0\r\n\r\n"},
 }
 
-// sendRequests sends requests on one connection until it ends; it returns how many got their
-// whole answer.
+// sendRequests sends requests on one connection until it ends. It returns how many got a complete
+// answer.
 func sendRequests(ctx context.Context, addr string) int64 {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -107,14 +107,15 @@
 	}
 }
 
-// Guards against requests that end without an answer and without a line that names them.
+// TestAnswerThatCannotBeWrittenIsLogged guards against requests that end without an answer and
+// without a log line with their identifier.
 func TestAnswerThatCannotBeWrittenIsLogged(t *testing.T) {
 	s := newTestSite(t, cfhold.Policy{}, writeSized)
 	conn := s.send(t, "/x/8000000")
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.Close() // with bytes unread: a reset
+	_ = conn.Close() // A close with unread bytes resets the connection.
 	partial, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -135,8 +136,9 @@
 	}
 }
 
-// Guards against requests that a stop passes on to their targets and then cuts off: what is
-// still under way at its end is answered, too.
+// TestShutdownAnswersRequestsInProgress guards against requests that a stopping instance forwards
+// to their targets and then cuts off. Requests that are still in progress at its end must be
+// answered too.
 func TestShutdownAnswersRequestsInProgress(t *testing.T) {
 	reached := make(chan struct{}, 2)
 	s := newTestSite(t, cfhold.Policy{}, func(_ http.ResponseWriter, r *http.Request) {
--- a/io/cfnode/outage_test.go
+++ b/io/cfnode/outage_test.go
@@ -18,13 +18,13 @@
 	"currantford/testbed/cfstandin"
 )
 
-// sharedLink is a listener whose connections send over one link.
+// sharedLink is a listener whose connections share the rate of one link.
 type sharedLink struct {
 	net.Listener
-	rate int // bytes a second
+	rate int // bytes per second
 
 	mu     sync.Mutex
-	freeAt time.Time // when what was sent so far has left
+	freeAt time.Time // when all bytes written so far have been sent
 }
 
 func (l *sharedLink) Accept() (net.Conn, error) {
@@ -40,7 +40,7 @@
 	link *sharedLink
 }
 
-// packet is what the link sends at once, in bytes: its connections take turns.
+// packet is how many bytes the link sends at once; its connections take turns.
 const packet = 16 << 10
 
 func (c *linkConn) Write(p []byte) (sent int, err error) {
@@ -63,7 +63,7 @@
 	return sent, nil
 }
 
-// manyRoutes returns routes as an operator adds them: alike, with names of their own.
+// manyRoutes returns n similar routes with different names, as an operator adds them.
 func manyRoutes(n int) []cfsite.Route {
 	out := make([]cfsite.Route, n)
 	for i := range out {
@@ -76,8 +76,8 @@
 	return out
 }
 
-// configure replaces the configuration and waits until it is in force everywhere but where
-// the store is shut; meanwhile is called while it waits.
+// configure replaces the configuration and waits until it is in force at all instances whose store
+// is available. It calls meanwhile while it waits.
 func (f *testFleet) configure(c cfsite.Config, meanwhile func()) {
 	f.t.Helper()
 	kind := cfstandin.Codec{}.Kinds().Config
@@ -105,7 +105,7 @@
 	}
 }
 
-// sent returns how many bytes of configurations the instances have told each other.
+// sent returns how many bytes of configurations the instances have sent to each other.
 func (f *testFleet) sent() (bytes float64) {
 	for _, n := range f.nodes {
 		for _, part := range []string{"whole", "change"} {
@@ -115,7 +115,8 @@
 	return bytes
 }
 
-// awaitStrongHolder waits until the coordinator's duty lies where it stays, and all follow it.
+// awaitStrongHolder waits until an instance of high capacity has the coordinator's duty and all
+// others follow it.
 func (f *testFleet) awaitStrongHolder() {
 	f.t.Helper()
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -131,13 +132,14 @@
 	}
 }
 
-// maxConfigBytes is what an instance may be told of a changed route, in bytes: control may use as
-// much in a second, and there are changes nearly each second.
+// maxConfigBytes is how many bytes an instance may receive for a changed route. Control traffic may
+// use as much per second, and there are changes nearly every second.
 const maxConfigBytes = 3 << 10
 
-// Load: a configuration of many routes before many instances on weak links. A change of one
-// route that goes whole to each fills the coordinator's link, its calls run out of time and
-// begin again, and all turn to the store at once.
+// TestChangeOfALargeConfigurationReachesAllInTime changes one route of a configuration of many
+// routes, with many instances on slow links. If each instance received the whole configuration, the
+// coordinator's link would be saturated, its calls would time out and be repeated, and all
+// instances would query the store at once.
 func TestChangeOfALargeConfigurationReachesAllInTime(t *testing.T) {
 	const size = 72
 	f := newTestFleet(t, size, 750_000)
@@ -145,7 +147,7 @@
 	routes := manyRoutes(140)
 	f.configure(fleetConfig(2, routes...), func() {})
 	f.awaitSettled("a large configuration", fleetLogs)
-	f.awaitStrongHolder() // a new coordinator reads the configuration, and a weak one is replaced
+	f.awaitStrongHolder() // A new coordinator reads the configuration, and a weak one is replaced.
 	lists, sent := f.store.configLists.Load(), f.sent()
 	for i := range 3 {
 		routes = slices.Clone(routes)
@@ -160,9 +162,9 @@
 	}
 }
 
-// An instance beside a coordinator that is cut off from the store waits for seconds with a
-// configuration that is not in force any more, as its neighbours, which follow the same
-// coordinator, have no news either.
+// TestInstanceThatDidNotAskTheStoreConfirmsNoOutage guards against an instance that waits for
+// seconds with a configuration that is no longer in force. Its coordinator is cut off from the
+// store, and the neighbours that follow the same coordinator have no updates either.
 func TestInstanceThatDidNotAskTheStoreConfirmsNoOutage(t *testing.T) {
 	peer := newTestNode(t, cfstandin.NewMemStore())
 	peer.startedAt -= 60_000
@@ -178,7 +180,7 @@
 	}
 }
 
-// awaitingStore returns how many instances leave the store alone because it is away.
+// awaitingStore returns how many instances consider the store unavailable and do not query it.
 func (f *testFleet) awaitingStore() (n int) {
 	for _, node := range f.nodes {
 		if cfmember.AnswerIsRecent(cf.Millis(node.feed.outageConfirmedAt.Load()), cf.Uptime()) {
@@ -198,8 +200,9 @@
 	return n
 }
 
-// A coordinator that keeps its lease and hears no changes says that it knows nothing new, and
-// is not replaced. The others must not take the store for away, as it answers them.
+// TestUncertainCoordinatorIsNotTakenForAStoreOutage checks a coordinator that keeps its lease and
+// receives no changes. It answers that it has no current view and is not replaced. The other
+// instances must not consider the store unavailable, as it answers them.
 func TestUncertainCoordinatorIsNotTakenForAStoreOutage(t *testing.T) {
 	f := newTestFleet(t, 40, 0)
 	f.awaitSettled("start", fleetLogs)
@@ -211,8 +214,8 @@
 	})
 }
 
-// Load: the store is away for all. Those that look after it do, and the others leave it to
-// them by their word.
+// TestFleetLeavesAnOutageToFallbackWatchers checks that in an outage of the store for all instances
+// only the fallback watchers query the store, and the others rely on their answers.
 func TestFleetLeavesAnOutageToFallbackWatchers(t *testing.T) {
 	const size = 40
 	f := newTestFleet(t, size, 0)
@@ -226,8 +229,8 @@
 	f.playOutages(func() bool { return f.awaitingStore() >= size-fallbacks-1 && f.watchingStore() <= fallbacks+1 })
 }
 
-// playOutages plays outages, of a length in which nobody gives up waiting, until one shows what is
-// asked for.
+// playOutages plays outages that are too short for any instance to give up waiting, until one
+// reaches the given state.
 func (f *testFleet) playOutages(reached func() bool) {
 	f.t.Helper()
 	for range 8 {
@@ -247,8 +250,8 @@
 	f.t.Errorf("%d instances wait and %d watch the store", f.awaitingStore(), f.watchingStore())
 }
 
-// A coordinator whose watch is late tells its view as of when the answer was due, and not as
-// of now: a change may have been missed since.
+// TestViewOfALateWatchReportsItsAge checks that a coordinator whose watch is late reports its view
+// as of when the answer was due, and not as of now: a change may have been missed since.
 func TestViewOfALateWatchReportsItsAge(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
 	f.awaitSettled("start", fleetLogs)
--- a/io/cfnode/process_test.go
+++ b/io/cfnode/process_test.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Whoever may read the metrics may not read what is in the process's memory, unless its
-// settings say so.
+// TestProfilesAreOffByDefault checks that access to the metrics does not include access to the
+// process's memory unless the settings allow it.
 func TestProfilesAreOffByDefault(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		w := httptest.NewRecorder()
--- a/io/cfnode/quarantine_test.go
+++ b/io/cfnode/quarantine_test.go
@@ -11,10 +11,10 @@
 	"currantford/io/cfguard"
 )
 
-// Symptom: links between instances carry nothing but news of crashes.
-// Sequence: a caller crashes engines by ever other requests; each crash costs all that ran
-// there a strike.
-// Cause guarded against: news without a bound. What is held goes first.
+// TestStrikeSharingIsRateLimited guards against links between instances that carry nothing but
+// strikes. A caller crashes engines with a different request each time, and each crash adds a
+// strike to every request that ran there. Without a rate limit all of them would be sent; strikes
+// of held requests come first.
 func TestStrikeSharingIsRateLimited(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
 	q.guard = &cfguard.Guard{Table: cfquarantine.New("e")}
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against: a starting instance that knows no other one and so learns a second late what
-// is held.
+// TestExchangeWithoutPeersDelaysNoLaterOne guards against a starting instance that knows no other
+// one yet and therefore learns the held requests a second late.
 func TestExchangeWithoutPeersDelaysNoLaterOne(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
 	q.exchange(nil, heldExchangeInterval)
--- a/io/cfnode/relay_test.go
+++ b/io/cfnode/relay_test.go
@@ -7,8 +7,8 @@
 	cf "currantford"
 )
 
-// Guards against: an instance that the store turns away, and that asks the same two others
-// over and over which are turned away as well.
+// TestRelayTriesReachEveryInstance guards against an instance that the store refuses and that
+// repeatedly asks the same two others, which the store refuses as well.
 func TestRelayTriesReachEveryInstance(t *testing.T) {
 	all := []string{"holder", "a", "b", "c", "d"}
 	for _, working := range all {
@@ -41,13 +41,13 @@
 	}
 }
 
-// Guards against: an instance that relays calls and is not asked, since it relayed nothing a
-// moment before.
+// TestRelayThatWorksAgainIsTriedFirst guards against an instance that relays calls and is not asked
+// because it failed to relay one a moment before.
 func TestRelayThatWorksAgainIsTriedFirst(t *testing.T) {
 	for _, err := range []error{cf.ErrRefused, cf.ErrUnavailable} {
 		var r relayTable
 		r.recordFailure("a", err, 1000)
-		r.recordSuccess("a", 1100) // a call that was under way
+		r.recordSuccess("a", 1100) // a call that was in progress
 		if paths := r.choose([]string{"b", "c", "d"}, 1200); paths[0] != "a" {
 			t.Errorf("after %v the next call asks %v, not a first", err, paths)
 		}
--- a/io/cfnode/server_test.go
+++ b/io/cfnode/server_test.go
@@ -19,12 +19,11 @@
 	"currantford/io/cfroom"
 )
 
-// Symptom: around a planned stop a request is passed on to a target, and its
-// connection ends without an answer.
-// Sequence: a caller sends its next request on a kept connection just as the
-// server closes the connections that it takes for idle.
-// Cause: the library marks a connection as active only after it has read the
-// request's head, and closes it as idle until then.
+// TestStopAnswersEveryRequestItHasRead guards against a request that is forwarded to a target
+// around a planned stop and whose connection ends without an answer. A caller sends its next
+// request on a kept connection just as the server closes idle connections; net/http marks a
+// connection as active only after it has read the request's header, and closes it as idle until
+// then.
 func TestStopAnswersEveryRequestItHasRead(t *testing.T) {
 	lost := 0
 	for range 40 {
@@ -35,8 +34,8 @@
 	}
 }
 
-// stopUnderLoad stops a server while callers send one request after the other
-// on kept connections. It returns how many were handled and not answered.
+// stopUnderLoad stops a server while callers send one request after the other on kept connections.
+// It returns how many requests were handled and not answered.
 func stopUnderLoad(t *testing.T) int {
 	t.Helper()
 	var handled, answered atomic.Int64
@@ -69,8 +68,8 @@
 	return int(handled.Load() - answered.Load())
 }
 
-// sendUntilClosed sends requests on one connection until it ends; it returns how
-// many were answered.
+// sendUntilClosed sends requests on one connection until it ends. It returns how many were
+// answered.
 func sendUntilClosed(addr string) int64 {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -93,21 +92,21 @@
 	}
 }
 
-// Guards against a connection that takes a further request after it was cut: its write
-// deadline would break off that request's answer.
+// TestCutConnectionTakesNoFurtherRequest guards against a connection that takes a further request
+// after it was cut: its write deadline would break off the answer to that request.
 func TestCutConnectionTakesNoFurtherRequest(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
 	c.Cut(c.Answer())
-	c.endAnswer() // the answer had been written whole
+	c.endAnswer() // The answer had been written completely.
 	if _, err := c.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("the connection was not closed: %v", err)
 	}
 }
 
-// Guards against a cut that comes just after its answer has been written: it would break off the
-// answer to the next request, which is on its way by then.
+// TestCutOfACompletedAnswerSparesTheNext guards against a cut that comes just after its answer has
+// been written and breaks off the answer to the next request, which is in progress by then.
 func TestCutOfACompletedAnswerSparesTheNext(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
@@ -115,7 +114,7 @@
 	answer := c.Answer()
 	c.endAnswer()
 	go func() { _, _ = theirs.Write([]byte("x")) }()
-	if _, err := c.Read(make([]byte, 1)); err != nil { // of the next request
+	if _, err := c.Read(make([]byte, 1)); err != nil { // a byte of the next request
 		t.Fatal(err)
 	}
 	if c.Cut(answer) {
--- a/io/cfnode/settings_test.go
+++ b/io/cfnode/settings_test.go
@@ -11,7 +11,7 @@
 	"currantford/io/cfnode"
 )
 
-// TestSettings checks settings files against the faults that they give.
+// TestSettings checks the errors that settings files produce.
 func TestSettings(t *testing.T) {
 	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, d *datadriven.TestData) string {
 		path := filepath.Join(t.TempDir(), "settings.json")
--- a/io/cfnode/signals_test.go
+++ b/io/cfnode/signals_test.go
@@ -9,15 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// Guards against: a stop that never comes, since reloads before the process serves take the
-// room in which it would wait.
+// TestStopSignalAfterReloadsDuringStartup guards against a stop signal that is lost because reload
+// signals before the process serves have filled its channel.
 func TestStopSignalAfterReloadsDuringStartup(t *testing.T) {
 	signals := CatchSignals()
 	send := func(sig syscall.Signal) {
 		if err := syscall.Kill(os.Getpid(), sig); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(20 * time.Millisecond) // the system merges those of one kind that wait
+		time.Sleep(20 * time.Millisecond) // The kernel merges pending signals of one kind.
 	}
 	for range 8 {
 		send(syscall.SIGHUP)
--- a/io/cfnode/slowreader_test.go
+++ b/io/cfnode/slowreader_test.go
@@ -33,10 +33,10 @@
 const memoryLimit = 128 << 20
 
 type (
-	// noMembers is an instance alone.
+	// noMembers lists no instances.
 	noMembers struct{}
 
-	// testSite is an instance before a target.
+	// testSite is an instance with a target.
 	testSite struct {
 		addr    string
 		metrics *cfroom.Metrics
@@ -48,7 +48,7 @@
 
 func (noMembers) Live() []cfmember.Entry { return nil }
 
-// newTestSite starts an instance whose routes lead to a target that is answered by handler.
+// newTestSite starts an instance whose routes lead to a target that is served by handler.
 func newTestSite(t *testing.T, policy cfhold.Policy, handler http.HandlerFunc) *testSite {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -84,7 +84,7 @@
 	return s
 }
 
-// listen serves callers.
+// listen starts the server for callers.
 func (s *testSite) listen(t *testing.T, in *cfingress.Ingress, log *zap.Logger) {
 	t.Helper()
 	srv, err := listen("127.0.0.1:0", platform.NewCallers(in, log), func() cf.Millis { return 0 }, in.Rooms, log)
@@ -116,14 +116,14 @@
 	return conn
 }
 
-// writeSized answers with as many bytes as the path's last part says.
+// writeSized writes as many bytes as the last part of the path says.
 func writeSized(w http.ResponseWriter, r *http.Request) {
 	n, _ := strconv.Atoi(r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:])
 	w.Header().Set("Content-Length", strconv.Itoa(n))
 	_, _ = w.Write(make([]byte, n))
 }
 
-// readSlowly reads a kilobyte a second until the connection ends.
+// readSlowly reads a kilobyte per second until the connection ends.
 func readSlowly(conn net.Conn, stop <-chan struct{}) {
 	go func() {
 		<-stop
@@ -142,8 +142,9 @@
 	}
 }
 
-// Symptom: an instance is killed for its memory, and all its callers' requests end.
-// Load: 60 callers that read a kilobyte a second, each of 2 MB, beside others.
+// TestSlowReadersDoNotStarveOthers guards against an instance that is killed because it exceeds its
+// memory limit, which ends the requests of all its callers. 60 callers read answers of 2 MB at a
+// kilobyte per second, alongside another caller.
 func TestSlowReadersDoNotStarveOthers(t *testing.T) {
 	s := newTestSite(t, cfhold.Policy{}, writeSized)
 	stop := make(chan struct{})
@@ -183,8 +184,9 @@
 	}
 }
 
-// Symptom: a stream's target cuts it off, or is held up for seconds, as its caller does not
-// read. The stream is broken off for the caller, and its target is free within two seconds.
+// TestStreamToASlowCallerEnds guards against a target that ends a stream, or is blocked for
+// seconds, because the stream's caller does not read. The stream is cut off for the caller, and its
+// target is free within two seconds.
 func TestStreamToASlowCallerEnds(t *testing.T) {
 	ended := make(chan time.Duration, 1)
 	s := newTestSite(t, cfhold.Policy{}, func(w http.ResponseWriter, _ *http.Request) {
@@ -207,7 +209,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the stream goes on")
 	}
-	// What the caller reads then must not look complete.
+	// What the caller then reads must not look complete.
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
@@ -221,8 +223,9 @@
 	}
 }
 
-// Symptom: a target holds a request's bytes, and the instance too, until the deadline, as the
-// target does not read. The write ends when nothing was read for 1.5 s.
+// TestSendEndsWhenTheTargetDoesNotRead guards against a request whose bytes are held by the
+// instance until the deadline because the target does not read them. The write ends if nothing has
+// been read for 1.5 s.
 func TestSendEndsWhenTheTargetDoesNotRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,7 +235,7 @@
 	var accepted atomic.Pointer[net.Conn]
 	go func() {
 		if c, err := l.Accept(); err == nil {
-			accepted.Store(&c) // and nothing is read of it
+			accepted.Store(&c) // Nothing is read from the connection.
 		}
 	}()
 	targets := platform.NewTargets(1, prometheus.NewRegistry())
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -34,12 +34,11 @@
 	return slowConn{c}, err
 }
 
-// Symptom: after the loss of a coordinator all texts begin anew, and its steps take 11
-// s, though a neighbour held copies.
-// Sequence: steps of 4 MB are under way when the coordinator's machine is lost; the
-// successor's link carries 60 Mbit/s.
-// Cause: the texts came with the first answers, which were waited for for 0.3 s
-// whatever their size.
+// TestLargeTextsAreGatheredOverASlowLink guards against all texts starting again after the loss of
+// a coordinator, with steps that take 11 s, although a neighbour had copies. Steps of 4 MB are in
+// progress when the coordinator's machine is lost, and the successor's link carries 60 Mbit/s.
+// Texts that came with the first answers would exceed their timeout of 0.3 s, which does not depend
+// on the size.
 func TestLargeTextsAreGatheredOverASlowLink(t *testing.T) {
 	holder, successor := newTestNode(t, cfstandin.NewMemStore()), newTestNode(t, cfstandin.NewMemStore())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,17 +67,16 @@
 	if len(got) != texts {
 		t.Errorf("%d of %d texts were gathered", len(got), texts)
 	}
-	// One that was cut off until now knows nobody but what the lease says.
+	// An instance that was cut off until now only knows the addresses in the lease.
 	got = successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1", ReplicaAddr: ln.Addr().String()}, nil)
 	if len(got) != texts {
 		t.Errorf("%d of %d texts were gathered by the lease alone", len(got), texts)
 	}
 }
 
-// Symptom: after a planned stop the duty is nobody's for a second, and all texts begin
-// anew.
-// Sequence: the youngest strong instance has just been cut off; the coordinator that
-// stops names it as its successor.
+// TestDutyGoesToASuccessorThatAnswers guards against a duty without a holder for a second after a
+// planned stop, and all texts starting again. The youngest instance with high capacity has just
+// been cut off when the stopping coordinator chooses its successor.
 func TestDutyGoesToASuccessorThatAnswers(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
 	peer := newTestNode(t, cfstandin.NewMemStore())
@@ -89,7 +87,7 @@
 	srv := &http.Server{Handler: peer.PeerHandler(), ReadHeaderTimeout: time.Second}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { _ = srv.Close() })
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,11 +103,10 @@
 	}
 }
 
-// Symptom: for ten seconds after each change of the coordinator engines are behind the
-// weights that were named, and steps wait for them.
-// Sequence: 44 engines may load nine at a time; the coordinator that has learned it is
-// lost.
-// Cause: each successor began with two at a time.
+// TestSuccessorStartsWithTheLearnedLoads guards against engines that are behind the ordered weights
+// for ten seconds after each change of the coordinator, so that steps wait for them. 44 engines may
+// load nine at a time, and the coordinator that has learned this limit is lost; a successor that
+// does not inherit it would start with two at a time.
 func TestSuccessorStartsWithTheLearnedLoads(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
--- a/io/cfwatch/site.go
+++ b/io/cfwatch/site.go
@@ -10,32 +10,31 @@
 )
 
 const (
-	// siteWatchWait bounds the watches of the configuration and the targets. A
-	// watcher whose link to the store was cut believes itself current for
-	// this long, and a change must be in force within two seconds.
+	// siteWatchWait bounds the watch calls for the configuration and the targets. A watcher whose
+	// link to the store is cut considers itself current for this long, and a change must be in
+	// force within two seconds.
 	siteWatchWait cf.Millis = 700
-	// MaxViewAge is the age beyond which a view of the site is doubted: a
-	// whole wait and a slow answer.
+	// MaxViewAge is the age from which a view of the site is in doubt: a whole wait and a slow
+	// answer.
 	MaxViewAge cf.Millis = 1100
-	// MaxRelistAge is the same of a view of targets that is listed again.
+	// MaxRelistAge is the same for a view of the targets that is being listed again.
 	MaxRelistAge cf.Millis = 2200
-	// targetCoalesceDelay lets the changes of targets gather between calls.
+	// targetCoalesceDelay lets changes of targets accumulate between calls.
 	targetCoalesceDelay cf.Millis = 100
 )
 
-// configName is the object that holds the newest configuration.
+// configName is the name of the object with the newest configuration.
 const configName = "main"
 
-// LogConfigApplied tells of a configuration that has come in force, from where, and how long ago
-// the one before was last known to be the newest.
+// LogConfigApplied logs the configuration that has come into force, its source, and how long ago
+// the previous one was last known to be the newest.
 func LogConfigApplied(log *zap.Logger, site *cfsite.Site, source string, age cf.Millis) {
 	r := site.ConfigRecord()
 	log.Info("config_in_force", zap.Int64("config_version", int64(site.Config().Version)), zap.Int64("revision", int64(r.Rev)),
 		zap.String("source", source), zap.Int("bytes", len(r.Spec)), zap.Int64("config_age_ms", int64(age)))
 }
 
-// NewSiteWatchers returns the watchers that keep site's configuration and targets
-// current.
+// NewSiteWatchers returns the watchers that keep site's configuration and targets current.
 func NewSiteWatchers(store cf.Store, site *cfsite.Site, codec cfsite.Codec, metrics *Metrics, log *zap.Logger) (config, targets *Watcher) {
 	kinds := codec.Kinds()
 	applyConfig := func(r cf.Record) error {
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -1,10 +1,10 @@
-// Package cfwatch keeps a view of one kind of the store current: it lists
-// once, then follows the changes, and lists again when the store has dropped
-// its history.
+// Package cfwatch keeps a view of one kind of objects in the store current. A watcher lists the
+// objects once and then follows their changes; it lists them again if the store has dropped the
+// history of changes.
 //
 // Usage:
 //
-//	w := cfwatch.Watcher{Store: store, Kind: "config", Wait: 2000, List: ..., Change: ...}
+//	w := cfwatch.Watcher{Store: store, Kind: "config", Wait: 2000, OnList: ..., OnChange: ...}
 //	go w.Run(ctx)
 //	age := w.Age(currantford.Uptime())
 package cfwatch
@@ -23,67 +23,65 @@
 	"currantford/io/cflog"
 )
 
-// Retry pauses after a failed call to the store. Calls to a store that is
-// down are paid for too, and all instances notice an outage together: the
-// pause grows and is drawn at random.
+// These delays follow a failed call to the store. Calls to an unavailable store are billed too, and
+// all instances notice an outage at the same time, so the delay grows and is random.
 const (
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 900 * time.Millisecond
 )
 
 const (
-	// answerGrace is how long after it should have come an answer counts as missing: a slow
-	// store takes some hundred milliseconds.
+	// answerGrace is how long after it was due an answer counts as missing; a slow store takes some
+	// hundred milliseconds.
 	answerGrace cf.Millis = 400
-	// failureLifetime is how long a failed call says that the store does not answer: the longest
-	// pause, and the next call.
+	// failureLifetime is how long a failed call shows that the store does not answer: the longest
+	// retry delay and the next call.
 	failureLifetime cf.Millis = 2500
 )
 
-// Watcher follows one kind. Its fields are set before Run.
+// Watcher follows the objects of one kind. Its fields must be set before Run is called.
 type Watcher struct {
 	Store cf.Store
 	Kind  string
-	// Wait is the longest that a watch call stays open. A watch that went
-	// silent is noticed only after it.
+	// Wait is the longest time that a watch call stays open. A watch that has gone silent is only
+	// detected after it.
 	Wait cf.Millis
-	// CoalesceDelay lets changes gather before the next call, since each call is
-	// paid for.
+	// CoalesceDelay is the pause before the next call, in which changes accumulate; each call is
+	// billed.
 	CoalesceDelay cf.Millis
-	// OnList takes the whole kind, Change one change of it.
+	// OnList handles all objects of the kind, OnChange one changed object.
 	OnList   func(cf.Records) error
 	OnChange func(cf.Record) error
-	// OnCaughtUp is called once the changes since a list have been taken too:
-	// what a List does with a list may take seconds, and is then out of date.
+	// OnCaughtUp is called once the changes since a list have been handled too: OnList may take
+	// seconds, and the list is then out of date.
 	OnCaughtUp func()
-	// OnRevision is called after each answer, with the revision as of which
-	// the view is current.
+	// OnRevision is called after each answer, with the revision as of which the view is current.
 	OnRevision func(at cf.Revision)
-	// OnReconnect is called before the first answer after failed calls is
-	// taken.
+	// OnReconnect is called before the first answer after failed calls is handled.
 	OnReconnect func()
-	// MaxRetryDelay is the longest pause after failed calls, retryMost if it is zero.
+	// MaxRetryDelay is the longest delay after failed calls if it exceeds maxRetryDelay.
 	MaxRetryDelay time.Duration
 	Log           *zap.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 
 	currentAt atomic.Int64
-	// failedAt is when a call failed last, and due as of when the answer of the call under
-	// way is missing, zero if there is none.
+	// failedAt is when a call last failed. answerDue is when the answer of the call in progress
+	// counts as missing, zero if there is no call.
 	failedAt, answerDue atomic.Int64
-	// relisting: the store has dropped its history, and the list is being read again.
+	// relisting is set while the objects are listed again because the store has dropped its
+	// history.
 	relisting  atomic.Bool
 	rev        cf.Revision
 	listed     bool
-	catchingUp bool // since the list no changes were asked for
+	catchingUp bool // no changes have been requested since the list
 	failing    bool
 }
 
-// Metrics are the watchers' counters.
+// Metrics counts for all watchers.
 type Metrics struct{ rejected *prometheus.CounterVec }
 
-// NewMetrics registers the watchers' metrics.
+// NewMetrics registers the watchers' metrics and returns them.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "currantford_changes_not_taken_total", Help: "Objects of the store that could not be taken, by kind; what was there before goes on.",
@@ -99,7 +97,7 @@
 	}
 }
 
-// Age returns how long ago the view was known to be current.
+// Age returns how long ago the view was last known to be current.
 func (w *Watcher) Age(now cf.Millis) cf.Millis {
 	at := cf.Millis(w.currentAt.Load())
 	if at == 0 {
@@ -108,24 +106,25 @@
 	return now - at
 }
 
-// Lag returns by how much the answer is late that would show the next change: until then
-// nothing has been missed.
+// Lag returns by how much the answer that would show the next change is late. Up to the time when
+// it is due, nothing has been missed.
 func (w *Watcher) Lag(now cf.Millis) cf.Millis { return max(w.Age(now)-w.Wait, 0) }
 
-// StoreUnresponsive says whether the store is being asked, and does not answer.
+// StoreUnresponsive reports whether the store is being queried and does not answer.
 func (w *Watcher) StoreUnresponsive(now cf.Millis) bool {
 	currentAt, failedAt, due := w.currentAt.Load(), cf.Millis(w.failedAt.Load()), cf.Millis(w.answerDue.Load())
 	return int64(failedAt) > currentAt && now-failedAt < failureLifetime || due > 0 && now >= due
 }
 
-// InitialList says whether the first list is being read, in vain if a call for it has failed.
+// InitialList reports whether the first list is still pending, and whether a call for it has
+// failed.
 func (w *Watcher) InitialList() (pending, failed bool) {
 	return w.currentAt.Load() == 0, w.failedAt.Load() > 0
 }
 
-// Current says whether the view was known to be current within fresh, or within listed while
-// it is listed again: what takes longer the more there is to list makes it no worse than it
-// was a moment before.
+// Current reports whether the view was known to be current within maxAge, or within maxRelistAge
+// while the objects are listed again. A list takes longer the more objects there are, which does
+// not make the view worse than it was a moment before.
 func (w *Watcher) Current(now, maxAge, maxRelistAge cf.Millis) bool {
 	if w.relisting.Load() {
 		maxAge = maxRelistAge
@@ -133,7 +132,7 @@
 	return w.Age(now) < maxAge
 }
 
-// Run follows the kind until ctx ends.
+// Run follows the objects until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	delay := minRetryDelay
 	for ctx.Err() == nil {
@@ -156,7 +155,7 @@
 	}
 }
 
-// recordAnswer notes that the store answered.
+// recordAnswer records that the store answered.
 func (w *Watcher) recordAnswer() {
 	if !w.failing {
 		return
@@ -169,7 +168,7 @@
 }
 
 func (w *Watcher) step(ctx context.Context) error {
-	// A list or an empty watch shows the view as of when it was asked for.
+	// A list or an empty watch shows the view at the time of the call.
 	askedAt := cf.Uptime()
 	defer w.answerDue.Store(0)
 	if !w.listed {
@@ -188,7 +187,7 @@
 	}
 	wait := w.Wait
 	if w.catchingUp {
-		wait = 1 // what is there now
+		wait = 1 // Return the changes that already exist.
 	}
 	w.answerDue.Store(int64(askedAt + wait + answerGrace))
 	changes, err := w.Store.Watch(ctx, w.Kind, w.rev, wait)
@@ -224,7 +223,7 @@
 	}
 }
 
-// ForEach returns a List that takes every record of a kind on its own.
+// ForEach returns an OnList function that passes each object to take.
 func ForEach(take func(cf.Record) error) func(cf.Records) error {
 	return func(list cf.Records) error {
 		var errs []error
