--- a/io/cfnode/candidate.go
+++ b/io/cfnode/candidate.go
@@ -291,7 +291,7 @@
 // in progress, which each outage of the store would otherwise lose.
 func (c *candidate) maintain(ctx context.Context, now cf.Millis, valid, renewDue bool) {
 	if c.superseded.Load() {
-		c.stepDown("a successor has called")
+		c.stepDown("superseded by a successor with a higher term")
 		return
 	}
 	if valid != !c.lapsed {
@@ -299,7 +299,7 @@
 		c.log.Warn("lease_validity_changed", zap.Bool("valid", valid))
 	}
 	if !valid && now-c.lastRenewal() > maxLapse {
-		c.stepDown("not renewed for too long")
+		c.stepDown("the lease was not renewed for too long")
 		return
 	}
 	if renewDue && now >= c.retryAt {
--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -39,7 +39,7 @@
 	n := newTestNode(t, store)
 	n.candidate.write(ctx)
 	if !n.candidate.held || !n.candidate.release(ctx, "b") {
-		t.Fatal("the lease was not taken and released")
+		t.Fatal("the instance did not acquire and release the lease")
 	}
 	n.candidate.recordDenial()
 	n.candidate.step(ctx)
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if !h.Released || h.Successor != "b" || n.candidate.held {
-		t.Errorf("the lease is %+v", h)
+		t.Errorf("after the release the lease is %+v, want one released to b and not held here", h)
 	}
 }
 
@@ -73,17 +73,17 @@
 	}
 	n.beginDuty(cflease.Holder{}, nil)
 	if !listed() {
-		t.Fatal("the list of the holder before is not taken")
+		t.Fatal("the instance does not use the previous holder's list")
 	}
 	for deadline := time.Now().Add(20 * time.Second); listed(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the dead instance never drops out")
+			t.Fatal("the dead instance is never removed from the list")
 		}
 	}
 	n.endDuty()
 	n.beginDuty(cflease.Holder{}, nil)
 	if listed() {
-		t.Error("the dead instance is named again")
+		t.Error("the dead instance is listed again")
 	}
 	n.endDuty()
 }
@@ -102,11 +102,11 @@
 		}
 	}
 	if tries > 9 {
-		t.Errorf("%d calls were passed on in vain within 10 s", tries)
+		t.Errorf("%d failed calls were relayed within 10 s, want at most 9", tries)
 	}
 	r.recordSuccess("a", 20000)
 	r.pause(20000)
 	if !r.paused(20100) || r.paused(20300) {
-		t.Error("one failure after a success costs more than the first pause")
+		t.Error("a failure after a success does not pause for the first interval")
 	}
 }
--- a/io/cfnode/endless_test.go
+++ b/io/cfnode/endless_test.go
@@ -50,13 +50,13 @@
 				})
 			}
 			wg.Wait()
-			t.Logf("%d served, %d failed, %d wrong, %d sent to the target without end", served.Load(), failed.Load(), wrong.Load(), endless.Requests())
+			t.Logf("%d served, %d failed, %d wrong, %d sent to the endless target", served.Load(), failed.Load(), wrong.Load(), endless.Requests())
 			if wrong.Load() > 0 || failed.Load() > 0 || endless.Requests() == 0 {
-				t.Errorf("%d of %d requests failed, though another target answers; %d got what is no answer", failed.Load(), served.Load()+failed.Load(), wrong.Load())
+				t.Errorf("%d of %d requests failed although another target answers; %d got a wrong answer", failed.Load(), served.Load()+failed.Load(), wrong.Load())
 			}
 			for deadline := time.Now().Add(5 * time.Second); testutil.ToFloat64(s.metrics.Held) > 0; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatal("bytes are held of answers that have ended")
+					t.Fatal("memory is still accounted for answers that have ended")
 				}
 			}
 		})
--- a/io/cfnode/fallback_test.go
+++ b/io/cfnode/fallback_test.go
@@ -55,12 +55,12 @@
 		want      bool
 	}{
 		{"small deployment", members[:7], 1000, true, true, false, true},
-		{"large, a moment", members, 1000, false, false, false, false},
+		{"large, updates missing for a moment", members, 1000, false, false, false, false},
 		{"large, coordinator silent", members, 1600, false, false, false, true},
-		{"large, coordinator has no news", members, 5000, true, true, false, false},
-		{"large, no news for long", members, 9000, true, true, false, true},
-		{"large, coordinator alone has no news", members, 1600, true, false, false, true},
-		{"large, coordinator is none any more", members, 1600, false, false, true, true},
+		{"large, outage confirmed", members, 5000, true, true, false, false},
+		{"large, outage confirmed, no updates for long", members, 9000, true, true, false, true},
+		{"large, only coordinator has no current view", members, 1600, true, false, false, true},
+		{"large, coordinator denies its role", members, 1600, false, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			store := &unavailableStore{MemStore: cfstandin.NewMemStore()}
@@ -89,7 +89,7 @@
 			calls := store.calls.Load()
 			n.candidate.step(ctx)
 			if store.calls.Load() > calls {
-				t.Error("reads it again at once")
+				t.Error("the lease is read again immediately")
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 	defer cancel()
 	n.candidate.step(ctx)
 	if _, rev := n.candidate.holder(); rev == 0 || ctx.Err() != nil {
-		t.Errorf("the lease is not seen after %d reads", store.reads.Load())
+		t.Errorf("the lease is unknown after %d reads", store.reads.Load())
 	}
 }
 
@@ -138,16 +138,16 @@
 	for silence, want := range map[cf.Millis]bool{1200: false, 1800: true} {
 		n.feed.asOf.Store(int64(now - silence))
 		if got := n.watchDue(now); !n.isFallbackWatcher() || got != want {
-			t.Errorf("a hub without word for %d ms lists for itself: %v", silence, got)
+			t.Errorf("a hub without updates for %d ms watches the store: %v", silence, got)
 		}
 	}
 	n = newTestNode(t, cfstandin.NewMemStore())
 	if n.watchDue(cf.Uptime()) {
-		t.Error("a starting instance lists all targets before it has asked the coordinator")
+		t.Error("a starting instance watches the store before it has polled the coordinator")
 	}
 	n.startedAt -= 300
 	if !n.watchDue(cf.Uptime()) {
-		t.Error("one that finds no coordinator does not look by itself")
+		t.Error("a starting instance that finds no coordinator does not watch the store")
 	}
 }
 
@@ -167,7 +167,7 @@
 		}
 	}
 	if h, rev := n.candidate.holder(); h.Entry != "y" || rev != 8 {
-		t.Errorf("holder %s at %d, want y at 8", h.Entry, rev)
+		t.Errorf("holder %s at revision %d, want y at 8", h.Entry, rev)
 	}
 }
 
@@ -193,7 +193,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the new holder is not found")
+			t.Fatal("the instance does not learn the new holder")
 		}
 	}
 }
@@ -211,7 +211,7 @@
 		t.Helper()
 		for deadline := time.Now().Add(10 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal("no answer")
+				t.Fatal("the peer's answer has not arrived after 10 s")
 			}
 			n.receiveUncertainAnswer()
 		}
@@ -221,7 +221,7 @@
 	peer.feed.asOf.Store(int64(cf.Uptime()) + 60_000)
 	pollUntil(func() bool { return n.feed.outageConfirmedAt.Load() == 0 && n.feed.outageDeniedAt.Load() > 0 })
 	if h, _ := n.candidate.holder(); h.Entry != "y" {
-		t.Errorf("the holder is %s, want the one that the other knows", h.Entry)
+		t.Errorf("the holder is %s, want y, which the peer knows", h.Entry)
 	}
 }
 
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -50,8 +50,8 @@
 	feedCall struct {
 		Entry   cfmember.Entry `cbor:"entry"`
 		Leaving bool           `cbor:"leaving,omitempty"`
-		// AllowHub reports that the called instance need not be the coordinator, AvoidedHubs which
-		// hubs did not answer.
+		// AllowHub permits an instance that is not the coordinator to answer. AvoidedHubs lists the
+		// hubs that did not answer.
 		AllowHub    bool         `cbor:"hub,omitempty"`
 		AvoidedHubs []cf.EntryID `cbor:"without,omitempty"`
 		// Origin, TargetUpdates and MembersVersion repeat the last answer. TargetsSum is the
@@ -107,7 +107,7 @@
 
 	// feed is the state that an instance has received from the coordinator or its hub.
 	feed struct {
-		asOf atomic.Int64 // Uptime as of which the last fresh answer is
+		asOf atomic.Int64 // uptime as of which the last fresh answer holds
 		// uncertainAt is when a holder last answered that it has no current view. outageConfirmedAt
 		// is when another instance last answered that the store does not answer it, outageDeniedAt
 		// when another instance last answered that it has a current view, and outageAskedAt when
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -212,7 +212,7 @@
 	behind := func() string {
 		for id, n := range f.nodes {
 			if n.coord.Load() == nil && !n.feed.current(cf.Uptime()) {
-				return fmt.Sprint(id, " has no current word")
+				return fmt.Sprint(id, " has no current view")
 			}
 			if live := n.Live(); len(live) != len(f.nodes) {
 				return fmt.Sprint(id, " knows ", len(live), " instances")
@@ -241,7 +241,7 @@
 			return n
 		}
 	}
-	f.t.Fatal("nobody has the duty")
+	f.t.Fatal("no instance has the coordinator's duty")
 	return nil
 }
 
@@ -253,7 +253,7 @@
 			return id
 		}
 	}
-	f.t.Fatal("there is no hub")
+	f.t.Fatal("no instance acts as a hub")
 	return ""
 }
 
@@ -266,11 +266,11 @@
 	f.awaitSettled("start", fleetLogs)
 	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
 	if lists := f.store.targetLists.Load(); lists > int64(hubs) {
-		t.Errorf("the targets were listed %d times at the start, by a fleet with %d hubs", lists, hubs)
+		t.Errorf("the targets were listed %d times at the start, want at most once per hub: %d", lists, hubs)
 	}
 	for id, n := range f.nodes {
 		if n.coord.Load() == nil && len(n.site.Targets()) > fleetLogs {
-			t.Errorf("%s holds %d targets, and forwards to %d", id, len(n.site.Targets()), fleetLogs)
+			t.Errorf("%s knows %d targets and forwards to %d", id, len(n.site.Targets()), fleetLogs)
 		}
 	}
 	drained := f.logTarget(7)
@@ -290,7 +290,7 @@
 	f.awaitSettled("the coordinator is lost", fleetLogs-1)
 	f.holder()
 	if lists := f.store.targetLists.Load() - before; lists > int64(hubs)+1 {
-		t.Errorf("the targets were listed %d times after the loss of the coordinator, by a fleet with %d hubs", lists, hubs)
+		t.Errorf("the targets were listed %d times after the loss of the coordinator, by a fleet with %d hubs; want at most one list per hub and one more", lists, hubs)
 	}
 }
 
@@ -305,7 +305,7 @@
 		f.awaitSettled("start", fleetLogs)
 		fallbacks := len(f.holder().members.FallbackWatchers(f.holder().self()))
 		if lists := f.store.targetLists.Load(); lists > int64(fallbacks) {
-			t.Errorf("the lease is shown after %s: the targets were listed %d times, by %d instances with %d scouts", latency, lists, size, fallbacks)
+			t.Errorf("lease read after %s: the targets were listed %d times by %d instances with %d fallback watchers", latency, lists, size, fallbacks)
 		}
 	}
 }
@@ -328,7 +328,7 @@
 	f.kill(f.holder().settings.Entry)
 	f.awaitSettled("the coordinator is lost", fleetLogs)
 	if lists := f.store.targetLists.Load() - before; lists > int64(hubs)+1 {
-		t.Errorf("the targets were listed %d times after the loss of the coordinator, by a fleet with %d hubs", lists, hubs)
+		t.Errorf("the targets were listed %d times after the loss of the coordinator, by a fleet with %d hubs; want at most one list per hub and one more", lists, hubs)
 	}
 }
 
@@ -342,6 +342,6 @@
 	f.awaitSettled("start", fleetLogs)
 	fallbacks := len(f.holder().members.FallbackWatchers(f.holder().self()))
 	if lists := f.store.targetLists.Load(); lists > int64(fallbacks) {
-		t.Errorf("the targets were listed %d times, by %d instances with %d scouts", lists, size, fallbacks)
+		t.Errorf("the targets were listed %d times by %d instances with %d fallback watchers", lists, size, fallbacks)
 	}
 }
--- a/io/cfnode/fuzz_test.go
+++ b/io/cfnode/fuzz_test.go
@@ -106,13 +106,13 @@
 		}
 		_, closing, _, err := ask("bytes", answer)
 		if err != nil {
-			t.Fatalf("no answer: %v", err)
+			t.Fatalf("the request got no answer: %v", err)
 		}
 		if closing {
 			return
 		}
 		if status, _, got, err := ask("sound", nil); err != nil || status != http.StatusOK || string(got) != "sound" {
-			t.Errorf("the next request on the connection: %d %q %v", status, got, err)
+			t.Errorf("the next request on the connection got status %d, body %q, error %v", status, got, err)
 		}
 	})
 }
--- a/io/cfnode/heldrequests.go
+++ b/io/cfnode/heldrequests.go
@@ -35,7 +35,7 @@
 type (
 	// heldObject is the stored form of the held requests.
 	heldObject struct {
-		SavedAt cf.Millis             `json:"saved_ms"` // wall clock at which the strikes have their ages
+		SavedAt cf.Millis             `json:"saved_ms"` // wall clock time to which the strikes' ages refer
 		Strikes []cfquarantine.Strike `json:"strikes"`
 	}
 
--- a/io/cfnode/hub.go
+++ b/io/cfnode/hub.go
@@ -14,7 +14,7 @@
 )
 
 // errHubStale reports that a hub has had no current view for a while.
-var errHubStale = errors.New("no current word")
+var errHubStale = errors.New("hub has no current view")
 
 // assignedHub returns the hub that the caller of the coordinator is to poll instead, or false if
 // there is none.
--- a/io/cfnode/keepalive_test.go
+++ b/io/cfnode/keepalive_test.go
@@ -59,9 +59,9 @@
 	if err := srv.Shutdown(stop); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d requests", handled.Load())
+	t.Logf("%d requests handled", handled.Load())
 	if lost := handled.Load() - answered.Load(); lost != 0 {
-		t.Errorf("%d of %d requests reached the handler and got no whole answer", lost, handled.Load())
+		t.Errorf("%d of %d requests reached the handler and got no complete answer", lost, handled.Load())
 	}
 }
 
@@ -128,11 +128,11 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if found := s.logs.FilterMessage(line).FilterField(zap.String("request_id", "r")).Len(); found != 1 {
-			t.Errorf("%d lines %s, want one", found, line)
+			t.Errorf("%d log lines %s, want one", found, line)
 		}
 	}
 	if s.logs.FilterField(zap.String("outcome", "caller_gone")).Len() != 1 {
-		t.Error("the request's own line says that it was answered")
+		t.Error("the log line of the request does not have the outcome caller_gone")
 	}
 }
 
@@ -153,7 +153,7 @@
 	defer cancel()
 	s.stopped = true
 	if err := s.srv.Shutdown(ctx); err == nil {
-		t.Error("the stop does not tell that requests were under way")
+		t.Error("Shutdown returned no error although requests were in progress")
 	}
 	for _, conn := range conns {
 		status := 0
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -78,7 +78,7 @@
 		candidate *candidate
 		coord     atomic.Pointer[cfcoord.Coordinator]
 		watchers  atomic.Pointer[watchers]
-		// watchMetrics counts for all watchers of the configuration and the targets.
+		// watchMetrics counts for the watchers of the configuration and the targets.
 		watchMetrics *cfwatch.Metrics
 		feed         feed
 		feedMetrics  feedMetrics
@@ -131,7 +131,8 @@
 		cancel          context.CancelFunc
 		wg              cflog.Group
 		// coordinated is set if this instance has had the duty since the watchers were started.
-		// What it knows of engines then decides how losses of its streams are judged, and is kept.
+		// What the instance knows of engines then decides how losses of its streams are judged, and
+		// is kept.
 		coordinated bool
 	}
 )
--- a/io/cfnode/outage_test.go
+++ b/io/cfnode/outage_test.go
@@ -100,7 +100,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%d instances are behind version %d", behind, c.Version)
+			f.t.Fatalf("%d instances do not have configuration version %d", behind, c.Version)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatal("no strong instance has the duty")
+			f.t.Fatal("no instance of high capacity has the coordinator's duty")
 		}
 	}
 }
@@ -155,7 +155,7 @@
 		f.configure(fleetConfig(cfsite.ConfigVersion(3+i), routes...), func() {})
 	}
 	if sent := f.sent() - sent; sent > 3*size*maxConfigBytes {
-		t.Errorf("%.0f bytes told to %d instances of three changes of a route", sent, size)
+		t.Errorf("%.0f bytes were sent to %d instances for three changes of a route", sent, size)
 	}
 	if lists := f.store.configLists.Load() - lists; lists > 0 {
 		t.Errorf("the configuration was read from the store %d times", lists)
@@ -176,7 +176,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n.feed.outageConfirmedAt.Load() > 0 {
-		t.Error("an instance that has not asked the store has confirmed that it is away")
+		t.Error("an instance that did not query the store confirmed its outage")
 	}
 }
 
@@ -209,7 +209,7 @@
 	f.stores[f.holder().settings.Entry].unavailable.Store(true)
 	f.configure(fleetConfig(2), func() {
 		if n := f.awaitingStore(); n > 0 {
-			t.Fatalf("%d instances take the store for away", n)
+			t.Fatalf("%d instances consider the store unavailable", n)
 		}
 	})
 }
@@ -247,7 +247,7 @@
 		}
 		f.awaitSettled("after an outage", fleetLogs)
 	}
-	f.t.Errorf("%d instances wait and %d watch the store", f.awaitingStore(), f.watchingStore())
+	f.t.Errorf("no outage reached the expected state: at last %d instances waited and %d watched the store", f.awaitingStore(), f.watchingStore())
 }
 
 // TestViewOfALateWatchReportsItsAge checks that a coordinator whose watch is late reports its view
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -25,9 +25,9 @@
 
 	// exchangeSize bounds the requests of one exchange; each of their strikes takes 120 bytes.
 	exchangeSize = 16
-	// strikesRate and strikesBurst bound the strikes that an instance sends, in strikes per second.
-	// At 120 bytes each to three neighbours that is 2 KB/s. The crash of a whole failure domain
-	// produces a few hundred strikes at once.
+	// strikesRate, in strikes per second, and strikesBurst limit the strikes that an instance
+	// sends. At 120 bytes each to three neighbours that is 2 KB/s. The crash of a whole failure
+	// domain produces a few hundred strikes at once.
 	strikesRate  = 6
 	strikesBurst = 400
 	// maxStrikesPerCall bounds the strikes of one message.
--- a/io/cfnode/quarantine_test.go
+++ b/io/cfnode/quarantine_test.go
@@ -39,11 +39,11 @@
 		out := q.limitRate(append(strikes, last[0]), now)
 		sent += len(out)
 		if len(out) > 0 && len(out) < len(strikes) && out[0].Content != held.Content {
-			t.Fatal("news of what is held wait behind others")
+			t.Fatal("a strike of a held request is not sent first")
 		}
 	}
 	if limit := strikesBurst + seconds*strikesRate; sent > limit {
-		t.Errorf("%d strikes in %d s, want %d at most", sent, seconds, limit)
+		t.Errorf("%d strikes sent in %d s, want at most %d", sent, seconds, limit)
 	}
 }
 
@@ -53,6 +53,6 @@
 	q := newQuarantine(&Node{log: zap.NewNop()})
 	q.exchange(nil, heldExchangeInterval)
 	if q.exchangedAt != 0 {
-		t.Error("the next exchange waits for one that asked nobody")
+		t.Error("an exchange without peers delays the next one")
 	}
 }
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -42,14 +42,16 @@
 	// could relay.
 	pausedUntil cf.Millis
 	failures    int
-	// avoidUntil holds until when instances that did not answer are avoided, deferUntil until when
-	// those that answered without relaying, or were not reached, are asked last.
+	// avoidUntil and deferUntil hold times by address. Instances that did not answer are not asked
+	// before the first of them; those that answered without relaying, or were not reached, are
+	// asked last until the second.
 	avoidUntil, deferUntil map[string]cf.Millis
 }
 
 // relay passes a store call through another instance. The store may refuse single instances, or the
 // link to it may be cut, for seconds. A coordinator that could not continue through other instances
-// would lose its lease, and each step in progress would stop until a successor has its texts.
+// would lose its lease, and each step in progress would lose the time until a successor has its
+// texts.
 //
 // Watches are relayed for the coordinator only. The other instances have its feed; one whose watch
 // hung at another instance in trouble would not find out by itself that the store is back, and
--- a/io/cfnode/relay_test.go
+++ b/io/cfnode/relay_test.go
@@ -16,7 +16,7 @@
 		now, tries := cf.Millis(10_000), 0
 		for served := false; !served; tries++ {
 			if tries == len(all) {
-				t.Fatalf("%s is not asked in %d tries", working, tries)
+				t.Fatalf("%s was not asked in %d tries", working, tries)
 			}
 			for _, addr := range r.choose(all, now) {
 				if served = addr == working; served {
@@ -33,10 +33,10 @@
 			}
 		}
 		if paths := r.choose(all, now); !slices.Contains(paths, working) || paths[0] != working {
-			t.Errorf("the next call asks %v, not %s", paths, working)
+			t.Errorf("the next call asks %v, want %s first", paths, working)
 		}
 		if took := now - 10_000; took > relayAvoidTime {
-			t.Errorf("%s was asked after %d ms", working, took)
+			t.Errorf("%s was only asked after %d ms", working, took)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		r.recordFailure("a", err, 1000)
 		r.recordSuccess("a", 1100) // a call that was in progress
 		if paths := r.choose([]string{"b", "c", "d"}, 1200); paths[0] != "a" {
-			t.Errorf("after %v the next call asks %v, not a first", err, paths)
+			t.Errorf("after error %v the next call asks %v, want a first", err, paths)
 		}
 	}
 }
--- a/io/cfnode/server_test.go
+++ b/io/cfnode/server_test.go
@@ -101,7 +101,7 @@
 	c.Cut(c.Answer())
 	c.endAnswer() // The answer had been written completely.
 	if _, err := c.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("the connection was not closed: %v", err)
+		t.Errorf("the connection was not closed; the write returned %v", err)
 	}
 }
 
--- a/io/cfnode/slowreader_test.go
+++ b/io/cfnode/slowreader_test.go
@@ -173,13 +173,13 @@
 	close(stop)
 	wg.Wait()
 	cut := testutil.ToFloat64(s.metrics.Cut.WithLabelValues(string(cfhold.Slowest)))
-	t.Logf("%d others served, %.0f bytes held at most, %.0f slow ones cut off", served, maxHeld, cut)
+	t.Logf("%d other requests served, at most %.0f bytes held, %.0f slow readers cut off", served, maxHeld, cut)
 	if bound := cfhold.BoundsFor(memoryLimit).Total; maxHeld > float64(bound) || cut == 0 {
-		t.Errorf("%.0f bytes were held, want at most %d; %.0f cut off", maxHeld, bound, cut)
+		t.Errorf("%.0f bytes were held, want at most %d; %.0f slow readers were cut off, want some", maxHeld, bound, cut)
 	}
 	for deadline := time.Now().Add(5 * time.Second); testutil.ToFloat64(s.metrics.Held) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("bytes are held for callers that have gone")
+			t.Fatal("memory is still accounted for callers that have disconnected")
 		}
 	}
 }
@@ -205,9 +205,9 @@
 	defer func() { _ = conn.Close() }()
 	select {
 	case blocked := <-ended:
-		t.Logf("the target was held up for %s", blocked)
+		t.Logf("the target was blocked for up to %s", blocked)
 	case <-time.After(20 * time.Second):
-		t.Fatal("the stream goes on")
+		t.Fatal("the stream has not ended after 20 s")
 	}
 	// What the caller then reads must not look complete.
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -219,7 +219,7 @@
 		t.Error("a stream that was cut off looks complete")
 	}
 	if testutil.ToFloat64(s.metrics.Cut.WithLabelValues(string(cfhold.SlowStream))) != 1 {
-		t.Error("it is not counted")
+		t.Error("the cut is not counted in the metrics")
 	}
 }
 
@@ -246,9 +246,9 @@
 	_, err = targets.Send(ctx, cf.Target{ID: "t", Addr: l.Addr().String()}, cf.TargetCall{
 		ID: "r", Method: http.MethodPost, Host: "h", Path: "/x", Header: http.Header{}, Body: make([]byte, 32<<20),
 	})
-	t.Logf("%v after %s", err, time.Since(began))
+	t.Logf("Send returned %v after %s", err, time.Since(began))
 	if err == nil || ctx.Err() != nil {
-		t.Errorf("the write did not end by itself: %v", err)
+		t.Errorf("the write did not end before the deadline: %v", err)
 	}
 	if c := accepted.Load(); c != nil {
 		_ = (*c).Close()
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -70,7 +70,7 @@
 	// An instance that was cut off until now only knows the addresses in the lease.
 	got = successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1", ReplicaAddr: ln.Addr().String()}, nil)
 	if len(got) != texts {
-		t.Errorf("%d of %d texts were gathered by the lease alone", len(got), texts)
+		t.Errorf("%d of %d texts were gathered with only the addresses in the lease", len(got), texts)
 	}
 }
 
@@ -96,10 +96,10 @@
 	n.members.RecordReport(cfmember.Entry{ID: "cut", PeerAddr: silent.Addr().String(), Ready: true, Age: 1000}, nil, now)
 	n.members.RecordReport(cfmember.Entry{ID: "old", PeerAddr: ln.Addr().String(), Ready: true, Age: 60000}, nil, now)
 	if e := n.successor(); e.ID != "cut" {
-		t.Fatalf("the youngest is %q", e.ID)
+		t.Fatalf("the first choice is %q, want cut", e.ID)
 	}
 	if e := n.reachableSuccessor(context.Background()); e.ID != "old" {
-		t.Errorf("the duty goes to %q", e.ID)
+		t.Errorf("the successor is %q, want old", e.ID)
 	}
 }
 
@@ -118,11 +118,11 @@
 	successor.candidate.probe(ctx)
 	before, _ := successor.candidate.holder()
 	if before.MaxLoads != 9 || before.ReplicaAddr != "10.0.0.7:1" {
-		t.Fatalf("the lease says %d loads, copies at %q", before.MaxLoads, before.ReplicaAddr)
+		t.Fatalf("the lease holds %d loads and replica address %q", before.MaxLoads, before.ReplicaAddr)
 	}
 	successor.beginDuty(before, nil)
 	if loads, _, _ := successor.dutyState(); loads != 9 {
-		t.Errorf("the successor begins with %d loads", loads)
+		t.Errorf("the successor starts with %d loads, want 9", loads)
 	}
 	successor.endDuty()
 }
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -19,8 +19,8 @@
 const (
 	opUsage = "usage"
 
-	// usageHandoverReserve is the part of the time limit of a report that is left when the report
-	// is stored at the latest: it covers a change of the holder, the time between the calls of two
+	// usageHandoverReserve is the part of a report's time limit for which a window does not wait
+	// for late instances. It covers a change of the holder, the time between the calls of two
 	// holders, and one call.
 	usageHandoverReserve cf.Millis = 6000
 	// usageRetryDelay is the delay after a report that was not accepted.
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -74,11 +74,11 @@
 	relisting  atomic.Bool
 	rev        cf.Revision
 	listed     bool
-	catchingUp bool // no changes have been requested since the list
+	catchingUp bool // set from a list until the changes since it have been handled
 	failing    bool
 }
 
-// Metrics counts for all watchers.
+// Metrics counts the objects that the watchers could not apply.
 type Metrics struct{ rejected *prometheus.CounterVec }
 
 // NewMetrics registers the watchers' metrics and returns them.
