--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -50,7 +50,7 @@
 	id := cf.BatchID(r.Name)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.Kick()
+	defer c.Wake()
 	ended := cfbatch.Ended(r)
 	if ended || r.Deleted {
 		c.history.noteOver(id)
@@ -85,7 +85,7 @@
 // mayBeShared says whether the coordinator before may begin a batch that comes now as well: it
 // may have been told of the batch, and not yet of its successor.
 func (c *Coordinator) mayBeShared() bool {
-	return c.Succeeds && cf.Uptime()-c.started < beforeGoesOn
+	return c.HasPredecessor && cf.Uptime()-c.started < beforeGoesOn
 }
 
 // load reads a batch and begins to keep it.
@@ -120,7 +120,7 @@
 // checkLoaded notes when nothing from before this duty is left to be read. c.mu
 // is held.
 func (c *Coordinator) checkLoaded() {
-	c.Kick()
+	c.Wake()
 	if c.takeover.done {
 		return
 	}
@@ -162,10 +162,10 @@
 // which usually brings the batch within milliseconds.
 const hintPause = 60 * time.Millisecond
 
-// Changed is an instance's word that a batch was accepted or ended. Without it
+// BatchChanged is an instance's word that a batch was accepted or ended. Without it
 // a watch whose connection has gone silent would hold a step up until it times
 // out.
-func (c *Coordinator) Changed(id cf.BatchID, ended bool) {
+func (c *Coordinator) BatchChanged(id cf.BatchID, ended bool) {
 	if c.ctx.Err() != nil {
 		return
 	}
@@ -228,7 +228,7 @@
 			st.succession.MarkOpen(id)
 		}
 		c.mu.Unlock()
-		c.Kick()
+		c.Wake()
 		if err == nil || over || !c.pause(readRetry) {
 			return
 		}
--- a/io/cfcoord/checkpoint.go
+++ b/io/cfcoord/checkpoint.go
@@ -51,10 +51,10 @@
 			return
 		case <-ticker.C:
 		}
-		if !c.Duty.Valid() {
+		if !c.Lease.Valid() {
 			continue // another may hold the duty; it has its own copies
 		}
-		term, _ := c.Duty.MayOrder()
+		term, _ := c.Lease.MayOrder()
 		for id, part := range c.longTexts(copied) {
 			// The names of a later holder's parts come after those of this one.
 			name := fmt.Sprintf("%016d-%06d", term, n)
@@ -154,7 +154,7 @@
 		if err := json.Unmarshal(r.Spec, &part); err != nil {
 			return m.Texts, fmt.Errorf("%w: texts %s: %w", cf.ErrInvalid, r.Name, err)
 		}
-		m.Take(Mirror{Texts: part.Texts})
+		m.Apply(Mirror{Texts: part.Texts})
 	}
 	return m.Texts, nil
 }
--- a/io/cfcoord/checkpoint_test.go
+++ b/io/cfcoord/checkpoint_test.go
@@ -50,7 +50,7 @@
 // Each text is written once, in parts that follow each other, and only while its
 // batch is open.
 func TestOnlyNewEventsOfLongTextsAreStored(t *testing.T) {
-	c := New(Options{Duty: held{}})
+	c := New(Options{Lease: held{}})
 	open := c.testBatch("b", 1)
 	w := &cfrollout.Work{Batch: open.batch, Item: cf.Item{ID: "a"}, Text: textOf(1, 0, checkpointLeast-1)}
 	c.runs[w] = func() {}
@@ -99,7 +99,7 @@
 	if _, err := store.Create(context.Background(), cf.KindTexts("b"), "1", checkpoint{Texts: map[cf.ItemID]cfrollout.Text{"a": textOf(1, 0, 40)}}); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Options{Duty: held{}, Store: store, Log: zap.NewNop()})
+	c := New(Options{Lease: held{}, Store: store, Log: zap.NewNop()})
 	t.Cleanup(func() { _ = c.Close() })
 	c.testBatch("b", 1).inherited = true
 	loaded := func() bool {
@@ -121,7 +121,7 @@
 	for !loaded() {
 		time.Sleep(time.Millisecond)
 	}
-	if got := c.Texts()["a"]; got.Last != 40 {
+	if got := c.UnlistedTexts()["a"]; got.Last != 40 {
 		t.Errorf("the text goes on after event %d, want 40", got.Last)
 	}
 }
--- a/io/cfcoord/chunks.go
+++ b/io/cfcoord/chunks.go
@@ -50,7 +50,7 @@
 	if st.batch.Ended {
 		c.history.trim(c.batches)
 	}
-	c.Kick()
+	c.Wake()
 }
 
 // rereadChunk reads the chunk of a write that was in doubt. The ones before it are
--- a/io/cfcoord/finish.go
+++ b/io/cfcoord/completion.go
@@ -21,7 +21,7 @@
 		return
 	}
 	c.rewards.add(w, now)
-	c.Kick()
+	c.Wake()
 }
 
 // list puts a text among those to be listed.
@@ -30,7 +30,7 @@
 		st.pending.Add(cf.Result{
 			ID: w.Item.ID, State: cf.ItemDone, Output: join(w.Text.Data), Versions: w.Text.Versions, Score: score,
 		}, now)
-		c.Kick()
+		c.Wake()
 	}
 }
 
@@ -41,7 +41,7 @@
 		c.Log.Info("item_given_up", cflog.Batch(w.Batch.Sub.ID), zap.String("request_id", string(w.Item.ID.Request())),
 			zap.String("reason", reason), zap.Int("failures", w.Failures))
 		st.pending.Add(cf.Result{ID: w.Item.ID, State: cf.ItemFailed}, now)
-		c.Kick()
+		c.Wake()
 	}
 }
 
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -51,8 +51,8 @@
 )
 
 type (
-	// Duty is what the coordinator must know of its lease.
-	Duty interface {
+	// Lease is what the coordinator must know of its lease.
+	Lease interface {
 		// Valid says whether this instance may answer as the coordinator.
 		Valid() bool
 		// Held says whether it is the coordinator as far as it knows: enough
@@ -64,8 +64,8 @@
 		Ordered()
 	}
 
-	// Streams runs items at targets, here or at other instances.
-	Streams interface {
+	// StreamRouter runs items at targets, here or at other instances.
+	StreamRouter interface {
 		// Route returns the way of a stream that is about to begin.
 		Route(t cf.Target) cf.StreamRoute
 	}
@@ -81,28 +81,28 @@
 		Self    cf.EntryID
 		Store   cf.Store
 		Targets cf.Targets
-		// Streams holds the streams of runs; those of Targets if it is nil.
-		Streams Streams
-		Site    *cfsite.Site
-		Codec   cfsite.Codec
-		Duty    Duty
+		// StreamRouter holds the streams of runs; those of Targets if it is nil.
+		StreamRouter StreamRouter
+		Site         *cfsite.Site
+		Codec        cfsite.Codec
+		Lease        Lease
 		// KeepResults is how long after its acceptance an ended batch can
 		// still be read.
 		KeepResults cf.Millis
 		// Guard decides which requests may be sent, and learns how they ended.
 		Guard *cfguard.Guard
-		// Neighbour takes copies of the texts under way.
-		Neighbour Neighbour
-		// Loads is how many engines may load weights at once, as the coordinator
+		// MirrorPeers takes copies of the texts under way.
+		MirrorPeers MirrorPeers
+		// LoadLimit is how many engines may load weights at once, as the coordinator
 		// before has learned; zero if it has not.
-		Loads int
-		// Succeeds says that another coordinator may have been there before.
-		Succeeds bool
-		// Pages is what the link may carry of pages of results; nil is no bound.
-		Pages   *LinkBudget
-		Metrics *Metrics
-		Log     *zap.Logger
-		Policy  Policy
+		LoadLimit int
+		// HasPredecessor says that another coordinator may have been there before.
+		HasPredecessor bool
+		// PageBudget is what the link may carry of pages of results; nil is no bound.
+		PageBudget *LinkBudget
+		Metrics    *Metrics
+		Log        *zap.Logger
+		Policy     Policy
 	}
 
 	// Coordinator runs batches while its instance has the duty. It is safe
@@ -193,10 +193,10 @@
 func New(o Options) *Coordinator {
 	ctx, cancel := context.WithCancel(context.Background())
 	limits := cfrollout.DefaultLimits
-	if o.Streams == nil {
-		o.Streams = ownStreams{o.Targets, o.Self}
+	if o.StreamRouter == nil {
+		o.StreamRouter = ownStreams{o.Targets, o.Self}
 	}
-	limits.LearnedLoads = o.Loads
+	limits.LearnedLoads = o.LoadLimit
 	limits.LongOnSlow, limits.SwapWhenIdle = o.Policy.LongOnSlow, o.Policy.SwapWhenIdle
 	limits.AllGroups, limits.LeastLeft, limits.LoadUnderRuns = o.Policy.AllGroups, o.Policy.LeastLeft, o.Policy.LoadUnderRuns
 	limits.NoSlowPeriods = o.Policy.NoSlowPeriods
@@ -247,9 +247,9 @@
 	return nil
 }
 
-// Texts returns what was generated of items that are not listed yet, for the
+// UnlistedTexts returns what was generated of items that are not listed yet, for the
 // successor. It is called after Close.
-func (c *Coordinator) Texts() map[cf.ItemID]cfrollout.Text {
+func (c *Coordinator) UnlistedTexts() map[cf.ItemID]cfrollout.Text {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.planner.Texts()
@@ -274,8 +274,8 @@
 	st.changed = make(chan struct{})
 }
 
-// Kick makes the planner look now.
-func (c *Coordinator) Kick() {
+// Wake makes the planner look now.
+func (c *Coordinator) Wake() {
 	select {
 	case c.kick <- struct{}{}:
 	default: // a look is due already
@@ -285,8 +285,8 @@
 func (c *Coordinator) loop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	defer c.Metrics.Groups.Reset()
-	defer c.Metrics.Waiting.Reset()
+	defer c.Metrics.StepGroups.Reset()
+	defer c.Metrics.WaitingItems.Reset()
 	defer c.forgetSlowPeriods()
 	for {
 		select {
@@ -308,7 +308,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	config := c.Site.Config()
-	if config == nil || !c.takeover.done || !c.Duty.Held() {
+	if config == nil || !c.takeover.done || !c.Lease.Held() {
 		return tick
 	}
 	now := cf.Uptime()
@@ -318,7 +318,7 @@
 	}
 	c.noteSelections(now)
 	c.noteWaiting(now)
-	if term, ok := c.Duty.MayOrder(); ok {
+	if term, ok := c.Lease.MayOrder(); ok {
 		for _, s := range c.planner.Swaps(now) {
 			c.startSwap(s, term)
 		}
--- a/io/cfcoord/metrics.go
+++ b/io/cfcoord/metrics.go
@@ -4,10 +4,10 @@
 
 // Metrics are the coordinator's counters; they outlive one duty.
 type Metrics struct {
-	Runs    *prometheus.CounterVec
-	Orders  *prometheus.CounterVec
-	Chunks  *prometheus.CounterVec
-	ItemRun prometheus.Histogram
+	Runs        *prometheus.CounterVec
+	Orders      *prometheus.CounterVec
+	Chunks      *prometheus.CounterVec
+	RunDuration prometheus.Histogram
 	// Moves counts runs that were moved. SlowPeriod and SlowShare are how long engines stay
 	// slow and how often they are, zero while that is not known.
 	Moves      *prometheus.CounterVec
@@ -15,17 +15,17 @@
 	SlowShare  prometheus.Gauge
 	// Stalls counts pauses in which the process did nothing.
 	Stalls prometheus.Counter
-	// Rewards and RewardTook count and time single tries.
-	Rewards    *prometheus.CounterVec
-	RewardTook prometheus.Histogram
+	// RewardCalls and RewardDuration count and time single tries.
+	RewardCalls    *prometheus.CounterVec
+	RewardDuration prometheus.Histogram
 	// StepWait, StaleVersions and StaleSeconds are what trainers feel.
 	StepWait      *prometheus.HistogramVec
 	StaleVersions *prometheus.HistogramVec
 	StaleSeconds  *prometheus.HistogramVec
-	// Groups are the open groups of steps by what was decided of them.
-	Groups *prometheus.GaugeVec
-	// Waiting are the items that wait for long although there is room, by reason.
-	Waiting *prometheus.GaugeVec
+	// StepGroups are the open groups of steps by what was decided of them.
+	StepGroups *prometheus.GaugeVec
+	// WaitingItems are the items that wait for long although there is room, by reason.
+	WaitingItems *prometheus.GaugeVec
 }
 
 // NewMetrics registers the coordinator's metrics.
@@ -37,7 +37,7 @@
 			Name: "currantford_weight_orders_total", Help: "Weight orders to engines by outcome."}, []string{"outcome"}),
 		Chunks: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "currantford_result_chunks_total", Help: "Chunks of results written to the store by outcome."}, []string{"outcome"}),
-		ItemRun: prometheus.NewHistogram(prometheus.HistogramOpts{
+		RunDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "currantford_item_run_seconds", Help: "Time of one item's run at an engine.",
 			Buckets: prometheus.ExponentialBuckets(0.05, 2, 9)}),
 		Moves: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -48,9 +48,9 @@
 			Name: "currantford_engine_slow_share", Help: "Part of the time for which engines are slow, as observed; zero while not known."}),
 		Stalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "currantford_coordinator_stalls_total", Help: "Pauses of 15 ms and more in which the coordinator's process did nothing."}),
-		Rewards: prometheus.NewCounterVec(prometheus.CounterOpts{
+		RewardCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "currantford_reward_calls_total", Help: "Tries of reward calls by outcome."}, []string{"outcome"}),
-		RewardTook: prometheus.NewHistogram(prometheus.HistogramOpts{
+		RewardDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "currantford_reward_call_seconds", Help: "Time of one try of a reward call.",
 			Buckets: prometheus.ExponentialBuckets(0.025, 2, 9)}),
 		StepWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -62,11 +62,11 @@
 		StaleSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "currantford_sample_staleness_seconds", Help: "Time since a sample's oldest weights were superseded, when it is listed.",
 			Buckets: prometheus.ExponentialBuckets(0.25, 2, 12)}, []string{"model"}),
-		Groups: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		StepGroups: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "currantford_step_groups", Help: "Open groups of steps with a due time, by when they are expected to be whole."}, []string{"class"}),
-		Waiting: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		WaitingItems: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "currantford_items_waiting", Help: "Items at no engine for 2 s and more, though others of their batches have begun and engines have room, by reason."}, []string{"reason"}),
 	}
-	reg.MustRegister(m.Runs, m.Orders, m.Chunks, m.ItemRun, m.Moves, m.SlowPeriod, m.SlowShare, m.Stalls, m.Rewards, m.RewardTook, m.StepWait, m.StaleVersions, m.StaleSeconds, m.Groups, m.Waiting)
+	reg.MustRegister(m.Runs, m.Orders, m.Chunks, m.RunDuration, m.Moves, m.SlowPeriod, m.SlowShare, m.Stalls, m.RewardCalls, m.RewardDuration, m.StepWait, m.StaleVersions, m.StaleSeconds, m.StepGroups, m.WaitingItems)
 	return m
 }
--- a/io/cfcoord/mirror.go
+++ b/io/cfcoord/mirror.go
@@ -59,8 +59,8 @@
 		text  cfrollout.Text
 	}
 
-	// Neighbour takes copies of texts.
-	Neighbour interface {
+	// MirrorPeers takes copies of texts.
+	MirrorPeers interface {
 		// Choose returns where copies go next, empty if there is nobody, and avoid
 		// only if there is nobody else.
 		Choose(avoid string) string
@@ -84,7 +84,7 @@
 		}
 		if at == "" || failures == mirrorTries {
 			before := at
-			if at, failures = c.Neighbour.Choose(before), 0; at != before {
+			if at, failures = c.MirrorPeers.Choose(before), 0; at != before {
 				copied.reset() // the new one holds nothing
 			}
 		}
@@ -95,7 +95,7 @@
 		if len(part.Texts)+len(part.Ended) == 0 {
 			continue
 		}
-		missing, err := c.Neighbour.Copy(at, part)
+		missing, err := c.MirrorPeers.Copy(at, part)
 		if err != nil {
 			failures++
 			continue
@@ -109,7 +109,7 @@
 // changedTexts returns the texts under way that grew since the last copy that
 // arrived, as far as they fit into one part.
 func (c *Coordinator) changedTexts(copied *copies) Mirror {
-	term, _ := c.Duty.MayOrder()
+	term, _ := c.Lease.MayOrder()
 	part := Mirror{Term: term, Texts: map[cf.ItemID]cfrollout.Text{}}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,11 +220,11 @@
 	return out
 }
 
-// Take adds a part to a mirror. A part of another term replaces what is held, and
+// Apply adds a part to a mirror. A part of another term replaces what is held, and
 // so does a text from its beginning: a later holder of the duty may have resumed
 // it before the last event that is held. It returns the texts that the mirror
 // lacks the beginning of.
-func (m *Mirror) Take(part Mirror) (missing []cf.ItemID) {
+func (m *Mirror) Apply(part Mirror) (missing []cf.ItemID) {
 	if part.Term < m.Term {
 		return nil // of a holder before, held up on its way
 	}
--- a/io/cfcoord/mirror_test.go
+++ b/io/cfcoord/mirror_test.go
@@ -31,20 +31,20 @@
 // Cause guarded against: joining parts that do not follow each other.
 func TestMirrorKeepsNoTextWithAGap(t *testing.T) {
 	var m Mirror
-	m.Take(part(1, "a", text(0, 10)))
-	m.Take(part(1, "a", text(10, 15)))
+	m.Apply(part(1, "a", text(0, 10)))
+	m.Apply(part(1, "a", text(10, 15)))
 	if got := m.Texts["a"]; got.Last != 15 || !got.FromStart() {
 		t.Errorf("joined text ends at %d with %d events", got.Last, len(got.Data))
 	}
-	m.Take(part(1, "a", text(18, 20)))
+	m.Apply(part(1, "a", text(18, 20)))
 	if _, ok := m.Texts["a"]; ok {
 		t.Error("a text with a gap is kept")
 	}
-	m.Take(part(1, "a", text(0, 22)))
+	m.Apply(part(1, "a", text(0, 22)))
 	if got := m.Texts["a"]; got.Last != 22 {
 		t.Errorf("a whole text after the gap ends at %d, want 22", got.Last)
 	}
-	m.Take(part(2, "b", text(0, 9)))
+	m.Apply(part(2, "b", text(0, 9)))
 	if _, ok := m.Texts["a"]; ok {
 		t.Error("a text of an earlier term is kept")
 	}
@@ -59,12 +59,12 @@
 // the earlier run's.
 func TestMirrorDoesNotJoinTwoRuns(t *testing.T) {
 	var m Mirror
-	m.Take(part(1, "a", textOf(1, 0, 40)))
-	m.Take(part(1, "a", textOf(2, 40, 45)))
+	m.Apply(part(1, "a", textOf(1, 0, 40)))
+	m.Apply(part(1, "a", textOf(2, 40, 45)))
 	if got, ok := m.Texts["a"]; ok {
 		t.Errorf("a text of two runs is kept: %d events", got.Last)
 	}
-	c := New(Options{Duty: held{}})
+	c := New(Options{Lease: held{}})
 	w := &cfrollout.Work{Batch: cfbatch.New(cf.Submission{ID: "b"}), Item: cf.Item{ID: "a"}}
 	c.runs[w] = func() {}
 	write := func(n int) {
@@ -101,15 +101,15 @@
 // written over the events of the new run.
 func TestLatePartDoesNotReachTheResumedText(t *testing.T) {
 	var m Mirror
-	m.Take(part(1, "a", text(0, 10)))
-	m.Take(part(1, "a", text(10, 14)))
+	m.Apply(part(1, "a", text(0, 10)))
+	m.Apply(part(1, "a", text(10, 14)))
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	resumed := m.Snapshot()["a"]
 	p.AdoptTexts(map[cf.ItemID]cfrollout.Text{"a": resumed})
 	if err := resumed.Append(cf.StreamEvent{ID: 15, Data: "new run", Version: 1}); err != nil {
 		t.Fatal(err)
 	}
-	m.Take(part(1, "a", text(14, 15)))
+	m.Apply(part(1, "a", text(14, 15)))
 	if got := resumed.Data[14]; got != "new run" {
 		t.Errorf("event 15 of the resumed text is %q", got)
 	}
@@ -121,19 +121,19 @@
 // stream open; the run ends, its reward is asked for, and the coordinator dies.
 // Cause: no event was new, so the copy never learned that the text is complete.
 func TestMirrorLearnsThatATextIsComplete(t *testing.T) {
-	c := New(Options{Duty: held{}})
+	c := New(Options{Lease: held{}})
 	w := &cfrollout.Work{Batch: cfbatch.New(cf.Submission{ID: "b"}), Item: cf.Item{ID: "a"}, Text: text(0, 10)}
 	c.runs[w] = func() {}
 	copied := newCopies(mirrorLeast)
 	var m Mirror
 	first := c.changedTexts(copied)
-	m.Take(first)
+	m.Apply(first)
 	copied.arrived(first.Texts, nil)
 	delete(c.runs, w)
 	w.Text.Complete = true
 	c.finished["a"] = finishedText{"b", w.Text}
 	second := c.changedTexts(copied)
-	m.Take(second)
+	m.Apply(second)
 	copied.arrived(second.Texts, nil)
 	if got := m.Texts["a"]; !got.Complete || got.Last != 10 || !got.FromStart() {
 		t.Errorf("the copy of a complete text: complete %v, %d events up to %d", got.Complete, len(got.Data), got.Last)
@@ -172,7 +172,7 @@
 	for _, t := range part.Texts {
 		n.bytes += t.Size()
 	}
-	missing := n.held.Take(part)
+	missing := n.held.Apply(part)
 	if n.lost {
 		return nil, cf.ErrUnavailable
 	}
@@ -187,7 +187,7 @@
 // beginnings, 2 to 8 MB a second over a link of 7.5.
 func TestCopiesWithoutAnAnswerAreNotBegunAnew(t *testing.T) {
 	n := &slowNeighbour{lost: true}
-	c := New(Options{Duty: held{}, Neighbour: n})
+	c := New(Options{Lease: held{}, MirrorPeers: n})
 	const texts, events, size = 200, 100, 240 // a step of four MB
 	for i := range texts {
 		w := &cfrollout.Work{Batch: cfbatch.New(cf.Submission{ID: "b"}), Item: cf.Item{ID: cf.ItemID(fmt.Sprint(i))}}
@@ -235,16 +235,16 @@
 // gap; a neighbour that lacks a beginning does not say so.
 func TestMirrorTakesPartsAgainAndTellsWhatItLacks(t *testing.T) {
 	var m Mirror
-	m.Take(part(1, "a", text(0, 10)))
-	m.Take(part(1, "a", text(10, 15)))
-	if missing := m.Take(part(1, "a", text(10, 20))); len(missing) > 0 {
+	m.Apply(part(1, "a", text(0, 10)))
+	m.Apply(part(1, "a", text(10, 15)))
+	if missing := m.Apply(part(1, "a", text(10, 20))); len(missing) > 0 {
 		t.Errorf("a part that was sent again is said to be missing: %v", missing)
 	}
 	if got := m.Texts["a"]; got.Last != 20 || !got.FromStart() {
 		t.Errorf("joined text ends at %d with %d events", got.Last, len(got.Data))
 	}
 	var again Mirror // after a start
-	if missing := again.Take(part(1, "a", text(20, 25))); len(missing) != 1 || missing[0] != "a" {
+	if missing := again.Apply(part(1, "a", text(20, 25))); len(missing) != 1 || missing[0] != "a" {
 		t.Errorf("missing %v, want a", missing)
 	}
 }
--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -33,7 +33,7 @@
 	}
 	guard.Inform("store", strikes)
 	c := New(Options{
-		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Duty: held{},
+		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: held{},
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.New(core),
 	})
 	for range looks {
--- a/io/cfcoord/prepared.go
+++ b/io/cfcoord/prepared.go
@@ -58,11 +58,11 @@
 	return sub, true
 }
 
-// Prepare takes a batch that an instance is about to accept. Through the store it
+// PrepareBatch takes a batch that an instance is about to accept. Through the store it
 // comes later, by the time of a watch and of a read of its items: some tens of
 // ms where the store is sound, seconds while this instance does not reach it. It is begun when it
 // is known to be accepted, and not before: one that is refused must never run.
-func (c *Coordinator) Prepare(sub cf.Submission) {
+func (c *Coordinator) PrepareBatch(sub cf.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at, known := c.prepared.offer(sub); known {
@@ -70,10 +70,10 @@
 	}
 }
 
-// Accepted takes an instance's word that it has accepted a batch.
-func (c *Coordinator) Accepted(id cf.BatchID, at cf.Millis) {
+// BatchAccepted takes an instance's word that it has accepted a batch.
+func (c *Coordinator) BatchAccepted(id cf.BatchID, at cf.Millis) {
 	if age := cf.Now() - at; age < -acceptedFresh || age > acceptedFresh {
-		c.Changed(id, false)
+		c.BatchChanged(id, false)
 		return
 	}
 	c.mu.Lock()
@@ -100,7 +100,7 @@
 		return false
 	}
 	c.batches[id] = &state{batch: cfbatch.New(sub), changed: make(chan struct{}), loadedAt: cf.Uptime(), shared: c.mayBeShared()}
-	c.Kick()
+	c.Wake()
 	return true
 }
 
--- a/io/cfcoord/guard_test.go
+++ b/io/cfcoord/quarantine_test.go
@@ -54,7 +54,7 @@
 	})
 	t.Cleanup(func() { _ = guard.Close() })
 	c := New(Options{
-		Store: store, Targets: targets, Site: site, Codec: cfstandin.Codec{}, Duty: held{}, Policy: Policy{NoTextCopies: true},
+		Store: store, Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: held{}, Policy: Policy{NoTextCopies: true},
 		Guard: guard, KeepResults: 120_000, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log,
 	})
 	c.Start(noTexts)
--- a/io/cfcoord/reads.go
+++ b/io/cfcoord/reads.go
@@ -59,7 +59,7 @@
 	for {
 		c.mu.Lock()
 		st := c.batches[id]
-		if st == nil || !c.Duty.Valid() {
+		if st == nil || !c.Lease.Valid() {
 			c.mu.Unlock()
 			return cf.ResultPage{}, cf.ErrNotLeader
 		}
@@ -93,10 +93,10 @@
 	}
 }
 
-// ReadFor reads a batch for another instance: the page, or where its results lie
+// ReadForPeer reads a batch for another instance: the page, or where its results lie
 // in the store if this instance's link has no room for them. whole asks for the page
 // in any case, and counts like any other.
-func (c *Coordinator) ReadFor(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, whole bool) (cf.ResultPage, *cfbatch.PageRef, error) {
+func (c *Coordinator) ReadForPeer(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, whole bool) (cf.ResultPage, *cfbatch.PageRef, error) {
 	page, err := c.Results(ctx, id, after, wait)
 	if err != nil {
 		return page, nil, err
@@ -105,7 +105,7 @@
 	for _, r := range page.Results {
 		size += len(r.Output)
 	}
-	if c.Pages == nil || c.Pages.Spend(size, cf.Uptime()) || whole {
+	if c.PageBudget == nil || c.PageBudget.Spend(size, cf.Uptime()) || whole {
 		return page, nil, nil
 	}
 	c.mu.Lock()
@@ -123,7 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	st := c.batches[id]
-	if st == nil || !c.Duty.Valid() {
+	if st == nil || !c.Lease.Valid() {
 		return nil, cf.ErrNotLeader
 	}
 	it, ok := st.batch.Item(item)
--- a/io/cfcoord/reads_test.go
+++ b/io/cfcoord/reads_test.go
@@ -40,7 +40,7 @@
 func TestEndedBatchOfAnotherIsReadFromTheStore(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
-	c := New(Options{Store: store, Duty: held{}, Log: zap.NewNop()})
+	c := New(Options{Store: store, Lease: held{}, Log: zap.NewNop()})
 	two := []cf.Item{{ID: "1"}, {ID: "2"}}
 	inherited := c.loadStored(t, cf.Submission{ID: "of another", Items: two}, true)
 	own := c.loadStored(t, cf.Submission{ID: "its own", Items: two}, false)
@@ -63,7 +63,7 @@
 func TestResultsOfTheCoordinatorBeforeAreSeen(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
-	c := New(Options{Store: store, Duty: held{}, Log: zap.NewNop()})
+	c := New(Options{Store: store, Lease: held{}, Log: zap.NewNop()})
 	sub := cf.Submission{ID: "b", Items: []cf.Item{{ID: "1"}, {ID: "2"}}}
 	st := c.loadStored(t, sub, true)
 	st.pending.Add(cf.Result{ID: "1", State: cf.ItemDone, Output: "x"}, cf.Uptime())
@@ -105,7 +105,7 @@
 	for _, told := range []bool{false, true} {
 		if told {
 			sub.ID = "c"
-			c.Prepare(sub)
+			c.PrepareBatch(sub)
 		}
 		if err := cfbatch.Create(ctx, store, sub, 1<<20); err != nil {
 			t.Fatal(err)
--- a/io/cfcoord/refusal.go
+++ b/io/cfcoord/refusal.go
@@ -39,7 +39,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := cf.Uptime()
-	if c.checkedRecently(sub.ID, now) || !c.Duty.Valid() || !c.takeover.done || now-c.began < refusalRest || c.announced(sub.ID) {
+	if c.checkedRecently(sub.ID, now) || !c.Lease.Valid() || !c.takeover.done || now-c.began < refusalRest || c.announced(sub.ID) {
 		return 0, false
 	}
 	est := c.planner.EstimateStep(sub, terms, now)
@@ -90,6 +90,6 @@
 			zap.Int64("left_ms", int64(s.TimeLeft)), zap.Int("in_time", s.InTime), zap.Int("late", s.Late), zap.Int("last", s.TooLate), zap.Int("spare", s.Optional))
 	}
 	for class, n := range map[string]int{"in_time": sum.InTime, "late": sum.Late, "last": sum.TooLate, "spare": sum.Optional} {
-		c.Metrics.Groups.WithLabelValues(class).Set(float64(n))
+		c.Metrics.StepGroups.WithLabelValues(class).Set(float64(n))
 	}
 }
--- a/io/cfcoord/refusal_test.go
+++ b/io/cfcoord/refusal_test.go
@@ -22,7 +22,7 @@
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 2, config)); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Options{Store: cfstandin.NewMemStore(), Targets: &countingTargets{}, Site: site, Codec: cfstandin.Codec{}, Duty: held{}, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
+	c := New(Options{Store: cfstandin.NewMemStore(), Targets: &countingTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: held{}, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
 	c.refreshEngines(&config, true)
 	long := func(id cf.BatchID) cf.Submission {
 		return cf.Submission{ID: id, Host: "h", Path: "/", Model: "m", MinVersion: 1, TargetGroups: 1, Accepted: cf.Now(), Items: []cf.Item{{ID: cf.ItemID(id), LengthHint: 100}}}
@@ -54,7 +54,7 @@
 	c.takeover.done = true
 	check("an infeasible step", true, nothing)
 	check("asked shortly before", false, func(id cf.BatchID) { c.Infeasible(long(id)) })
-	check("announced", false, func(id cf.BatchID) { c.Prepare(long(id)) })
+	check("announced", false, func(id cf.BatchID) { c.PrepareBatch(long(id)) })
 	check("known", false, func(id cf.BatchID) { c.batches[id] = &state{} })
 	check("ended", false, func(id cf.BatchID) { c.history.noteOver(id) })
 	c.began = cf.Uptime()
--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -165,8 +165,8 @@
 	call := a.Call
 	c.followReward(a, outcome, answer.Heard, err)
 	verdict := c.rewards.planner.Done(a, outcome, answer.Load, now)
-	c.Metrics.Rewards.WithLabelValues(rewardOutcomes[outcome]).Inc()
-	c.Metrics.RewardTook.Observe(float64(now-a.StartedAt) / 1000)
+	c.Metrics.RewardCalls.WithLabelValues(rewardOutcomes[outcome]).Inc()
+	c.Metrics.RewardDuration.Observe(float64(now-a.StartedAt) / 1000)
 	c.Log.Info("reward_ended", zap.String("request_id", string(call.Item.Reward.ID)), zap.String("item_id", string(call.Item.ID.Request())),
 		cflog.Batch(call.Batch.Sub.ID), zap.String("target", string(a.Target.ID)),
 		zap.String("outcome", rewardOutcomes[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
@@ -178,7 +178,7 @@
 		c.giveUp(c.rewards.end(call), "reward call failed", now)
 	case cfreward.Continue:
 	}
-	c.Kick()
+	c.Wake()
 }
 
 // classifyReward maps what came of a reward call to what the planner knows.
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -54,7 +54,7 @@
 	if c.planner.IsLong(w) {
 		class = cfaccess.LongItem
 	}
-	route := c.Streams.Route(e.Target)
+	route := c.StreamRouter.Route(e.Target)
 	c.Log.Info("item_placed", zap.String("request_id", string(item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("group_id", string(item.Group)), zap.String("target", string(e.ID)), zap.String("via", string(route.Via)), zap.Int64("version", int64(version)), zap.Int64("resume_after", int64(w.Text.Last)),
 		zap.Int("failures", w.Failures), zap.Int("running_there", e.Running), zap.Int("apart", w.IsolationLimit()), zap.Float64("event_ms_there", e.Pace()))
@@ -68,7 +68,7 @@
 		started := time.Now()
 		end := c.run(ctx, route, e.Target, call, w)
 		c.Metrics.Runs.WithLabelValues(outcomeNames[end.outcome]).Inc()
-		c.Metrics.ItemRun.Observe(time.Since(started).Seconds())
+		c.Metrics.RunDuration.Observe(time.Since(started).Seconds())
 		c.ended(w, e.Target, end)
 	})
 }
@@ -112,7 +112,7 @@
 	case ended:
 		c.giveUp(w, end.reason, now)
 	}
-	c.Kick()
+	c.Wake()
 }
 
 // admit asks the guard whether an item may be sent to an engine; its end is then due to
--- a/io/cfcoord/succession_test.go
+++ b/io/cfcoord/startgate_test.go
@@ -69,11 +69,11 @@
 		sub := cf.Submission{ID: id, Host: "h", Path: "/", Model: "m", MinVersion: 1, Accepted: cf.Now(), Items: []cf.Item{
 			{ID: "1", Reward: &cf.RewardCall{ID: "r1", Host: "h", Path: "/"}}, {ID: "2", Reward: &cf.RewardCall{ID: "r2", Host: "h", Path: "/"}},
 		}}
-		c.Prepare(sub)
+		c.PrepareBatch(sub)
 		if err := cfbatch.Create(ctx, store, sub, 1<<20); err != nil {
 			t.Fatal(err)
 		}
-		c.Accepted(sub.ID, sub.Accepted)
+		c.BatchAccepted(sub.ID, sub.Accepted)
 	}
 	await("duty", func() bool { return c.takeover.done })
 	accept("a")
--- a/io/cfcoord/served_test.go
+++ b/io/cfcoord/stepmetrics_test.go
@@ -17,7 +17,7 @@
 func TestServedStepIsMeasuredOnce(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	reg := prometheus.NewRegistry()
-	c := New(Options{Duty: held{}, Metrics: NewMetrics(reg), Log: zap.New(core)})
+	c := New(Options{Lease: held{}, Metrics: NewMetrics(reg), Log: zap.New(core)})
 	c.planner.SetVersion("m", 3)
 	c.named.note("m", 2, cf.Uptime()-9000)
 	c.named.note("m", 3, cf.Uptime()-4000)
--- a/io/cfcoord/weights.go
+++ b/io/cfcoord/swaps.go
@@ -34,7 +34,7 @@
 		c.Log.Info("weights_swapped", zap.String("target", string(s.Target.ID)), zap.String("model", string(s.Model)),
 			zap.Int64("version", int64(s.Version)), zap.Int64("term", int64(term)), zap.String("outcome", outcome),
 			zap.Int("loads_allowed", limit))
-		c.Kick()
+		c.Wake()
 	})
 }
 
--- a/io/cfcoord/takeover_test.go
+++ b/io/cfcoord/takeover_test.go
@@ -69,8 +69,8 @@
 func startDutyAfter(t *testing.T, store cf.Store, targets cf.Targets, succeeds bool) *Coordinator {
 	t.Helper()
 	c := New(Options{
-		Succeeds: succeeds,
-		Store:    store, Targets: targets, Site: engineSite(t), Codec: cfstandin.Codec{}, Duty: held{}, Policy: Policy{NoTextCopies: true},
+		HasPredecessor: succeeds,
+		Store:          store, Targets: targets, Site: engineSite(t), Codec: cfstandin.Codec{}, Lease: held{}, Policy: Policy{NoTextCopies: true},
 		KeepResults: 120_000, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 	c.Start(noTexts)
@@ -159,12 +159,12 @@
 		}
 	}
 	eventually("duty", is(func() bool { return c.takeover.done }))
-	c.Accepted(sub.ID, sub.Accepted)
+	c.BatchAccepted(sub.ID, sub.Accepted)
 	time.Sleep(50 * time.Millisecond)
 	if n := targets.runs.Load(); n != 0 {
 		t.Fatalf("%d runs of a batch that has not arrived", n)
 	}
-	c.Prepare(sub)
+	c.PrepareBatch(sub)
 	eventually("run of a batch that an instance has accepted", func() bool { return targets.runs.Load() == 1 })
 	if err := cfbatch.Create(ctx, store, sub, 1<<20); err != nil {
 		t.Fatal(err)
@@ -176,15 +176,15 @@
 	c.mu.Lock()
 	delete(c.batches, "b") // as once it need not be kept in memory
 	c.mu.Unlock()
-	c.Prepare(sub)
-	c.Accepted(sub.ID, sub.Accepted)
+	c.PrepareBatch(sub)
+	c.BatchAccepted(sub.ID, sub.Accepted)
 	late := sub
 	late.Accepted -= 5000
 	c.mu.Lock()
 	clear(c.history.over)
 	c.mu.Unlock()
-	c.Prepare(late)
-	c.Accepted(late.ID, late.Accepted)
+	c.PrepareBatch(late)
+	c.BatchAccepted(late.ID, late.Accepted)
 	time.Sleep(200 * time.Millisecond)
 	if n := targets.runs.Load(); n != 1 {
 		t.Errorf("%d runs, want the one from before the end", n)
--- a/io/cfcoord/waiting.go
+++ b/io/cfcoord/waiting.go
@@ -18,9 +18,9 @@
 	}
 	c.waitingAt = now
 	waiting := c.planner.WaitingItems(now)
-	c.Metrics.Waiting.Reset()
+	c.Metrics.WaitingItems.Reset()
 	for reason, n := range waiting.Counts {
-		c.Metrics.Waiting.WithLabelValues(string(reason)).Set(float64(n))
+		c.Metrics.WaitingItems.WithLabelValues(string(reason)).Set(float64(n))
 	}
 	for _, x := range waiting.Items {
 		w := x.Work
--- a/io/cfcoord/waiting_test.go
+++ b/io/cfcoord/waiting_test.go
@@ -17,7 +17,7 @@
 func TestReportOfASilentRunDoesNotRaceItsEvents(t *testing.T) {
 	site := engineSite(t)
 	c := New(Options{
-		Store: cfstandin.NewMemStore(), Targets: &deadTargets{}, Site: site, Codec: cfstandin.Codec{}, Duty: held{},
+		Store: cfstandin.NewMemStore(), Targets: &deadTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: held{},
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 	c.mu.Lock()
--- a/io/cfcoord/operator.go
+++ b/io/cfcoord/watchers.go
@@ -15,7 +15,7 @@
 		changed, err := c.Site.ApplyWeightVersion(r)
 		if changed {
 			c.Log.Info("version_named", zap.String("model", r.Name), zap.Int64("revision", int64(r.Rev)))
-			c.Kick()
+			c.Wake()
 		}
 		return err
 	}
--- a/io/cfcoord/orders.go
+++ b/io/cfcoord/weightorders.go
@@ -30,7 +30,7 @@
 	// that it is given.
 	orders struct {
 		targets cf.Targets
-		duty    Duty
+		duty    Lease
 		site    *cfsite.Site
 		self    cf.EntryID
 		log     *zap.Logger
@@ -57,7 +57,7 @@
 
 func newOrders(o Options, reported func(cf.InstanceID, cf.TargetReport)) *orders {
 	return &orders{
-		targets: o.Targets, duty: o.Duty, site: o.Site, self: o.Self, log: o.Log, reported: reported,
+		targets: o.Targets, duty: o.Lease, site: o.Site, self: o.Self, log: o.Log, reported: reported,
 		counts: map[cf.InstanceID]orderCount{},
 	}
 }
--- a/io/cfcoord/orders_test.go
+++ b/io/cfcoord/weightorders_test.go
@@ -35,7 +35,7 @@
 // counter lets only one through.
 func TestOrderThatWasNotTakenIsNotWaitedFor(t *testing.T) {
 	targets := &silentTargets{report: cf.TargetReport{Models: []cf.ModelState{{Name: "m", Version: 1}}, Seq: 4}}
-	o := newOrders(Options{Targets: targets, Site: engineSite(t), Duty: held{}, Log: zap.NewNop()}, func(cf.InstanceID, cf.TargetReport) {})
+	o := newOrders(Options{Targets: targets, Site: engineSite(t), Lease: held{}, Log: zap.NewNop()}, func(cf.InstanceID, cf.TargetReport) {})
 	err := o.carryOut(context.Background(), cfrollout.Swap{Target: cf.Target{ID: "e"}, Model: "m", Version: 2}, 1)
 	if !errors.Is(err, errNotTaken) {
 		t.Errorf("error %v, want %v", err, errNotTaken)
@@ -72,7 +72,7 @@
 		{Born: 20, Seq: 4},
 	}}
 	var taken []int64
-	o := newOrders(Options{Targets: targets, Site: engineSite(t), Duty: held{}, Log: zap.NewNop()},
+	o := newOrders(Options{Targets: targets, Site: engineSite(t), Lease: held{}, Log: zap.NewNop()},
 		func(_ cf.InstanceID, r cf.TargetReport) { taken = append(taken, r.Seq) })
 	swap := cfrollout.Swap{Target: cf.Target{ID: "e", Born: 20}, Model: "m", Version: 2}
 	for range 2 {
--- a/io/cfnode/batchcalls.go
+++ b/io/cfnode/batchcalls.go
@@ -121,7 +121,7 @@
 		return
 	}
 	if c := r.n.coord.Load(); c != nil {
-		c.Prepare(sub)
+		c.PrepareBatch(sub)
 		return
 	}
 	r.n.tell(opPrepare, prepareCall{sub})
@@ -130,7 +130,7 @@
 // Accepted implements cfingress.Coordinator.
 func (r reader) Accepted(id cf.BatchID, at cf.Millis) {
 	if c := r.n.coord.Load(); c != nil {
-		c.Accepted(id, at)
+		c.BatchAccepted(id, at)
 		return
 	}
 	r.n.tell(opAccepted, acceptedCall{id, at})
@@ -139,7 +139,7 @@
 // Changed implements cfingress.Coordinator.
 func (r reader) Changed(id cf.BatchID, ended bool) {
 	if c := r.n.coord.Load(); c != nil {
-		c.Changed(id, ended)
+		c.BatchChanged(id, ended)
 		return
 	}
 	r.n.tell(opChanged, changedCall{id, ended})
@@ -158,22 +158,22 @@
 const tellTimeout cf.Millis = 800
 
 func (n *Node) servePrepare(_ context.Context, c *cfcoord.Coordinator, call prepareCall) (any, error) {
-	c.Prepare(call.Batch)
+	c.PrepareBatch(call.Batch)
 	return true, nil
 }
 
 func (n *Node) serveAccepted(_ context.Context, c *cfcoord.Coordinator, call acceptedCall) (any, error) {
-	c.Accepted(call.Batch, call.At)
+	c.BatchAccepted(call.Batch, call.At)
 	return true, nil
 }
 
 func (n *Node) serveChanged(_ context.Context, c *cfcoord.Coordinator, call changedCall) (any, error) {
-	c.Changed(call.Batch, call.Ended)
+	c.BatchChanged(call.Batch, call.Ended)
 	return true, nil
 }
 
 func (n *Node) serveResults(ctx context.Context, c *cfcoord.Coordinator, call resultsCall) (any, error) {
-	page, places, err := c.ReadFor(ctx, call.Batch, call.After, call.Wait, call.Whole)
+	page, places, err := c.ReadForPeer(ctx, call.Batch, call.After, call.Wait, call.Whole)
 	return resultsAnswer{page, places}, err
 }
 
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -376,9 +376,9 @@
 	pool := n.newPool()
 	n.pool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
-		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, Streams: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
-		Duty: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), Neighbour: neighbour{n}, Metrics: n.metrics, Log: n.log,
-		Pages: n.pages, Loads: before.MaxLoads, Succeeds: before.Entry != "", Policy: n.settings.Policy.Policy,
+		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, StreamRouter: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
+		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: neighbour{n}, Metrics: n.metrics, Log: n.log,
+		PageBudget: n.pages, LoadLimit: before.MaxLoads, HasPredecessor: before.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
@@ -426,7 +426,7 @@
 		defer func() { _ = pool.Close() }()
 		n.members.StopCoordinating(n.self(), cf.Uptime())
 		_ = c.Close()
-		n.texts.Store(&keptTexts{pool.Term, c.Texts()})
+		n.texts.Store(&keptTexts{pool.Term, c.UnlistedTexts()})
 	}
 }
 
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -104,7 +104,7 @@
 func (n *Node) serveMirror(_ context.Context, part cfcoord.Mirror) (any, error) {
 	n.mirrors.mu.Lock()
 	defer n.mirrors.mu.Unlock()
-	return n.mirrors.held.Take(part), nil
+	return n.mirrors.held.Apply(part), nil
 }
 
 // serveTexts answers a coordinator that takes over with what this instance
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -61,7 +61,7 @@
 		}
 		part.Texts[cf.ItemID(fmt.Sprint(i))] = text
 	}
-	holder.mirrors.held.Take(part)
+	holder.mirrors.held.Apply(part)
 
 	members := []cfmember.Entry{{ID: "b", PeerAddr: ln.Addr().String()}}
 	got := successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1"}, members)
