--- a/core/cfrollout/allocation.go
+++ b/core/cfrollout/allocation.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// crowded is how much slower than alone a run may get by those that share its
+	// maxSharingSlowdown is how much slower than alone a run may get by those that share its
 	// engine: the longest text of a step decides when the step is whole.
-	crowded = 0.03
-	// leastWarm is how many engines a model has at the least, for its first step.
-	leastWarm = 12
-	// shifts is how many times the engines that serve a step a model has: while some
+	maxSharingSlowdown = 0.03
+	// minEngines is how many engines a model has at the least, for its first step.
+	minEngines = 12
+	// rotationFactor is how many times the engines that serve a step a model has: while some
 	// serve, others load the version that the next step asks for.
-	shifts = 2
+	rotationFactor = 2
 	// slackNeed is by how much the need must be exceeded until engines are left to
 	// themselves, and slackShare until a share gives some up: neither swings with the
 	// size of the last step.
@@ -31,19 +31,19 @@
 	// usable are those that are not leaving, spare those of them that serve no model.
 	usable map[cf.InstanceID]*Engine
 	spare  map[cf.InstanceID]*Engine
-	// assumed is what a model whose steps are not known yet is taken to need.
-	assumed map[cf.ModelName]int
+	// assumedNeed is what a model whose steps are not known yet is taken to need.
+	assumedNeed map[cf.ModelName]int
 	// byNeed: the models take as many engines as their work needs, and not all.
 	byNeed bool
 }
 
 func newFleet() *fleet {
-	return &fleet{usable: map[cf.InstanceID]*Engine{}, spare: map[cf.InstanceID]*Engine{}, assumed: map[cf.ModelName]int{}}
+	return &fleet{usable: map[cf.InstanceID]*Engine{}, spare: map[cf.InstanceID]*Engine{}, assumedNeed: map[cf.ModelName]int{}}
 }
 
-// following counts the engines that hold one of the two newest versions of a model that any
+// enginesFollowing counts the engines that hold one of the two newest versions of a model that any
 // holds: a planner before had them follow.
-func (f *fleet) following(m cf.ModelName) int {
+func (f *fleet) enginesFollowing(m cf.ModelName) int {
 	newest, n := cf.WeightVersion(0), 0
 	for _, e := range f.usable {
 		newest = max(newest, e.versions[m])
@@ -72,9 +72,9 @@
 	return n
 }
 
-// noteOpen remembers the most items of a model that were open at once, where that are n
+// notePeak remembers the most items of a model that were open at once, where that are n
 // beside what is open now.
-func (p *Planner) noteOpen(m cf.ModelName, n int) {
+func (p *Planner) notePeak(m cf.ModelName, n int) {
 	peak := p.peaks[m]
 	if peak == nil {
 		peak = &cfpeak.Peak{}
@@ -83,27 +83,27 @@
 	peak.Observe(n+p.openItems(m), p.now)
 }
 
-// perEngine is how many runs an engine with so many slots should have at once.
-func (p *Planner) perEngine(slots int) int {
-	alone := p.slots.factor(1)
-	n := 1 + int(crowded*alone/p.slots.cost)
+// runsPerEngine is how many runs an engine with so many slots should have at once.
+func (p *Planner) runsPerEngine(slots int) int {
+	alone := p.slotCost.factor(1)
+	n := 1 + int(maxSharingSlowdown*alone/p.slotCost.cost)
 	return max(min(n, slots), 1)
 }
 
-// serving is how many engines of a fleet the open items of a model should run on, a
+// enginesNeeded is how many engines of a fleet the open items of a model should run on, a
 // reserve for the loss of a failure domain among them.
-func (p *Planner) serving(f *fleet, m cf.ModelName) int {
+func (p *Planner) enginesNeeded(f *fleet, m cf.ModelName) int {
 	service := p.serviceOf(m)
 	peak := p.peaks[m]
 	switch {
 	case peak != nil && peak.Max(p.now) > 0:
 	case p.LatestVersion(m) > 1: // it is trained, and its steps are not known yet
-		if _, assumed := f.assumed[m]; !assumed {
-			f.assumed[m] = min(f.following(m)/shifts, len(f.usable)/len(p.models[service]))
+		if _, assumed := f.assumedNeed[m]; !assumed {
+			f.assumedNeed[m] = min(f.enginesFollowing(m)/rotationFactor, len(f.usable)/len(p.models[service]))
 		}
-		return max(f.assumed[m], leastWarm)
+		return max(f.assumedNeed[m], minEngines)
 	default:
-		return leastWarm
+		return minEngines
 	}
 	slots, domains := 1, map[cf.FailureDomain]bool{}
 	for _, e := range f.usable {
@@ -113,11 +113,11 @@
 	for _, e := range p.shares[shareKey{service, m}] {
 		domains[e.Domain] = true
 	}
-	n := math.Ceil(float64(peak.Max(p.now)) / float64(p.perEngine(slots)))
+	n := math.Ceil(float64(peak.Max(p.now)) / float64(p.runsPerEngine(slots)))
 	if d := float64(len(domains)); d > 1 {
 		n = math.Ceil(n * d / (d - 1))
 	}
-	return max(int(n), leastWarm)
+	return max(int(n), minEngines)
 }
 
 // serviceOf returns the service of a model, empty if none has it.
@@ -130,14 +130,14 @@
 	return ""
 }
 
-// divide assigns engines to the models: all of them where the work needs as many, else
+// divideEngines assigns engines to the models: all of them where the work needs as many, else
 // as many as it needs.
 //
 // The load it answers: a few trainers before thousands of engines, of which some hundreds
 // serve them. With all engines divided, each version is ordered at all of them, and those
 // that a step waits for load late among the others.
-func (p *Planner) divide() {
-	p.scarce, p.undivided = false, false
+func (p *Planner) divideEngines() {
+	p.scarce, p.needsDivision = false, false
 	for service, models := range p.models {
 		f := p.fleets[service]
 		if f == nil {
@@ -145,26 +145,26 @@
 		}
 		need := 0
 		for _, m := range models {
-			need += shifts * p.serving(f, m)
+			need += rotationFactor * p.enginesNeeded(f, m)
 		}
 		limit := float64(len(f.usable))
 		if !f.byNeed {
 			limit /= slackNeed
 		}
 		if f.byNeed = float64(need) <= limit; f.byNeed {
-			p.meet(service, models, f)
+			p.divideByNeed(service, models, f)
 		} else {
 			p.divideAll(service, models, f)
 		}
 	}
 }
 
-// meet gives each model the engines that its work needs.
-func (p *Planner) meet(service cf.ServiceName, models []cf.ModelName, f *fleet) {
+// divideByNeed gives each model the engines that its work needs.
+func (p *Planner) divideByNeed(service cf.ServiceName, models []cf.ModelName, f *fleet) {
 	for k, es := range p.shares {
 		if k.service == service && !slices.Contains(models, k.model) {
 			for _, e := range slices.Clone(es) {
-				p.setShare(e, "")
+				p.assignEngine(e, "")
 			}
 		}
 	}
@@ -175,8 +175,8 @@
 				active[m]++
 			}
 		}
-		serving := p.serving(f, m)
-		want[m] = shifts * serving
+		serving := p.enginesNeeded(f, m)
+		want[m] = rotationFactor * serving
 		short += max(serving-active[m], 0)
 	}
 	for _, m := range models {
@@ -185,14 +185,14 @@
 			n = min(n, short) // what others lack to serve a step, and no spare engine makes up for
 		}
 		if n > 0 {
-			short -= p.release(p.shares[shareKey{service, m}], m, n)
+			short -= p.releaseIdle(p.shares[shareKey{service, m}], m, n)
 		}
 	}
-	p.undivided = p.undivided || short > 0 // until engines of others are idle
+	p.needsDivision = p.needsDivision || short > 0 // until engines of others are idle
 	for _, m := range models {
 		if active[m] < want[m] {
-			for _, e := range p.recruits(f, m, want[m]-active[m]) {
-				p.setShare(e, m)
+			for _, e := range p.pickSpare(f, m, want[m]-active[m]) {
+				p.assignEngine(e, m)
 			}
 		}
 	}
@@ -202,10 +202,10 @@
 // work needs: as many as will serve a step, those first that no step can use any more. Those
 // that hold the version before go on serving, so that a step which comes just now finds
 // them, and no run stands still for a load.
-func (p *Planner) dueByNeed(f *fleet, k shareKey, share []*Engine, d *demand, now cf.Millis) []swapCandidate {
+func (p *Planner) dueByNeed(f *fleet, k shareKey, share []*Engine, d *shareDemand, now cf.Millis) []swapCandidate {
 	newest := p.LatestVersion(k.model)
 	ready, useful, active := 0, 0, 0
-	var idle []idleEngine
+	var idle []swapOption
 	for _, e := range share {
 		if e.Draining {
 			continue
@@ -221,19 +221,19 @@
 		case v >= newest-1:
 			useful++
 		}
-		blocked := d.blocked(v)
-		if now < e.rest || !blocked && (e.Running > 0 || d.served(v)) || blocked && p.limits.SwapWhenIdle && d.served(v) {
+		blocked := d.hasBlocked(v)
+		if now < e.nextOrderAt || !blocked && (e.Running > 0 || d.hasRunnable(v)) || blocked && p.limits.SwapWhenIdle && d.hasRunnable(v) {
 			continue
 		}
-		idle = append(idle, idleEngine{e, v, p.paceClass(e), blocked})
+		idle = append(idle, swapOption{e, v, p.paceRank(e), blocked})
 	}
-	need := p.serving(f, k.model)
+	need := p.enginesNeeded(f, k.model)
 	if ready >= need || len(idle) == 0 {
 		return nil
 	}
-	keep := min(need, active/shifts)
-	slices.SortFunc(idle, func(a, b idleEngine) int {
-		return cmp.Or(cmp.Compare(a.Running, b.Running), cmp.Compare(a.version, b.version), cmp.Compare(a.class, b.class), cmp.Compare(a.draw, b.draw))
+	keep := min(need, active/rotationFactor)
+	slices.SortFunc(idle, func(a, b swapOption) int {
+		return cmp.Or(cmp.Compare(a.Running, b.Running), cmp.Compare(a.version, b.version), cmp.Compare(a.class, b.class), cmp.Compare(a.idHash, b.idHash))
 	})
 	var due []swapCandidate
 	for _, e := range idle {
@@ -251,24 +251,24 @@
 	return due
 }
 
-// idleEngine is an engine that may load, with what ranks it.
-type idleEngine struct {
+// swapOption is an engine that may load, with what ranks it.
+type swapOption struct {
 	*Engine
 	version cf.WeightVersion
 	class   int
 	blocked bool
 }
 
-// setShare gives an engine to a model, or to none.
-func (p *Planner) setShare(e *Engine, m cf.ModelName) {
+// assignEngine gives an engine to a model, or to none.
+func (p *Planner) assignEngine(e *Engine, m cf.ModelName) {
 	if e.Model == m && m != "" {
 		return
 	}
-	p.unlist(e)
+	p.removeFromShare(e)
 	e.Model = m
 	p.setLoading(e, 0)
 	if m == "" {
-		p.noteSpare(e)
+		p.addSpare(e)
 		return
 	}
 	k := shareKey{e.Service, m}
@@ -279,8 +279,8 @@
 	}
 }
 
-// unlist takes an engine out of the list of its share.
-func (p *Planner) unlist(e *Engine) {
+// removeFromShare takes an engine out of the list of its share.
+func (p *Planner) removeFromShare(e *Engine) {
 	k := shareKey{e.Service, e.Model}
 	if at, found := slices.BinarySearchFunc(p.shares[k], e.ID, byID); found {
 		p.shares[k] = slices.Delete(p.shares[k], at, at+1)
@@ -292,16 +292,16 @@
 
 func byID(e *Engine, id cf.InstanceID) int { return cmp.Compare(e.ID, id) }
 
-// noteSpare lists an engine among the spare ones, if it is one.
-func (p *Planner) noteSpare(e *Engine) {
+// addSpare lists an engine among the spare ones, if it is one.
+func (p *Planner) addSpare(e *Engine) {
 	if f := p.fleets[e.Service]; f != nil && e.Model == "" && !e.Draining {
 		f.spare[e.ID] = e
 	}
 }
 
-// drawFor returns a number drawn by an engine's id, so that those with ids that follow each
+// hashID returns a number drawn by an engine's id, so that those with ids that follow each
 // other are not taken together.
-func drawFor(id cf.InstanceID) uint64 {
+func hashID(id cf.InstanceID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash takes everything
 	return h.Sum64()
--- a/core/cfrollout/demand.go
+++ b/core/cfrollout/demand.go
@@ -60,14 +60,14 @@
 			d.Loading++
 		}
 		if e.pace > 0 {
-			paces = append(paces, p.full(e))
+			paces = append(paces, p.fullPace(e))
 		}
 	}
 	if len(paces) > 0 {
 		slices.Sort(paces)
 		d.Pace = paces[len(paces)/2]
 	}
-	for _, o := range p.sorted() {
+	for _, o := range p.sortedBatches() {
 		if o.terms.Service != service || o.paused || len(o.waiting)+len(o.running) == 0 {
 			continue
 		}
@@ -76,22 +76,22 @@
 	return d
 }
 
-func (p *Planner) stepDemand(o *open) StepDemand {
+func (p *Planner) stepDemand(o *openBatch) StepDemand {
 	sub := &o.batch.Sub
 	s := StepDemand{
 		Batch: sub.ID, Model: sub.Model, Accepted: sub.Accepted, Groups: max(sub.TargetGroups-o.batch.CompleteGroups(), 0),
 		Waiting: len(o.waiting), Running: len(o.running),
 	}
 	for _, it := range sub.Items {
-		n := p.lengths.of(it)
+		n := p.lengths.expected(it)
 		s.Events += n
 		s.Longest = max(s.Longest, n)
 	}
 	for _, w := range o.waiting {
-		s.Remaining += p.left(w)
+		s.Remaining += p.remaining(w)
 	}
 	for _, w := range o.running {
-		s.Remaining += p.left(w)
+		s.Remaining += p.remaining(w)
 	}
 	return s
 }
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -119,13 +119,13 @@
 	if e == nil {
 		return 0, 0
 	}
-	return e.avoid, len(e.kept)
+	return e.avoidUntil, len(e.idleConnections)
 }
 
 // checkLives compares what the planner holds of the engines with what is under way.
 func checkLives(t *testing.T, p *Planner, under map[*Work]cf.Target, seed uint64) {
 	t.Helper()
-	p.takeSizes()
+	p.updateUsage()
 	for id, e := range p.engines {
 		runs, groups := 0, map[cf.GroupID]int{}
 		for w, at := range under {
@@ -134,11 +134,11 @@
 				groups[w.Item.Group]++
 			}
 		}
-		if e.Running != runs || fmt.Sprint(e.groups) != fmt.Sprint(groups) || e.Running > e.Slots || len(e.kept) > e.Slots || runs == 0 && e.used != 0 {
-			t.Fatalf("seed %d: engine %s has %d runs of %v, %d kept, %.0f used; under way are %d of %v", seed, id, e.Running, e.groups, len(e.kept), e.used, runs, groups)
+		if e.Running != runs || fmt.Sprint(e.groups) != fmt.Sprint(groups) || e.Running > e.Slots || len(e.idleConnections) > e.Slots || runs == 0 && e.usedMemory != 0 {
+			t.Fatalf("seed %d: engine %s has %d runs of %v, %d kept, %.0f used; under way are %d of %v", seed, id, e.Running, e.groups, len(e.idleConnections), e.usedMemory, runs, groups)
 		}
 	}
-	if len(p.unlisted) > len(under) {
-		t.Fatalf("seed %d: %d engines are remembered, with %d runs under way", seed, len(p.unlisted), len(under))
+	if len(p.departed) > len(under) {
+		t.Fatalf("seed %d: %d engines are remembered, with %d runs under way", seed, len(p.departed), len(under))
 	}
 }
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -38,8 +38,8 @@
 }
 
 func (p *Planner) enginesChanged() {
-	p.loads.bound(len(p.engines))
-	p.divide()
+	p.loadLimit.setEngineCount(len(p.engines))
+	p.divideEngines()
 }
 
 // takeEngine takes a target; false if it is no model target, or its weights are not known
@@ -54,16 +54,16 @@
 		e = nil
 	}
 	if e == nil {
-		e = p.back(t)
+		e = p.departedOrNew(t)
 		p.engines[t.ID] = e
 	}
 	born := max(e.Born, t.Born)
-	p.starts(e, t.Born)
+	p.noteStart(e, t.Born)
 	e.Target = t
 	e.Born = born
 	if t.Born == born || t.Born == 0 { // else the list may still show the start before
 		for _, m := range t.Models {
-			p.hold(e, m.Name, m.Version)
+			p.noteVersion(e, m.Name, m.Version)
 		}
 	}
 	f := p.fleets[t.Service]
@@ -76,29 +76,29 @@
 		delete(f.spare, e.ID)
 	} else {
 		f.usable[e.ID] = e
-		p.noteSpare(e)
+		p.addSpare(e)
 	}
 	return true
 }
 
-// back returns the engine of a target that was not listed: the one that left, if it has runs
+// departedOrNew returns the engine of a target that was not listed: the one that left, if it has runs
 // under way, else a new one.
-func (p *Planner) back(t cf.Target) *Engine {
-	k := unlistedKey{t.ID, t.Service}
-	e := p.unlisted[k]
+func (p *Planner) departedOrNew(t cf.Target) *Engine {
+	k := departedKey{t.ID, t.Service}
+	e := p.departed[k]
 	if e == nil {
-		return &Engine{versions: make(map[cf.ModelName]cf.WeightVersion, len(t.Models)), draw: drawFor(t.ID)}
+		return &Engine{versions: make(map[cf.ModelName]cf.WeightVersion, len(t.Models)), idHash: hashID(t.ID)}
 	}
-	delete(p.unlisted, k)
-	p.busy[t.ID] = e
+	delete(p.departed, k)
+	p.busyEngines[t.ID] = e
 	return e
 }
 
-// at returns the engine at which a run is under way, nil if it has left the list or has
+// currentEngine returns the engine at which a run is under way, nil if it has left the list or has
 // started again since: what the run shows is then of no use.
-func (p *Planner) at(w *Work) *Engine {
+func (p *Planner) currentEngine(w *Work) *Engine {
 	e := w.engine
-	if e == nil || p.engines[e.ID] != e || w.born > 0 && w.born < e.Born {
+	if e == nil || p.engines[e.ID] != e || w.engineBorn > 0 && w.engineBorn < e.Born {
 		return nil
 	}
 	return e
@@ -114,11 +114,11 @@
 	if e.groups[w.Item.Group]--; e.groups[w.Item.Group] <= 0 {
 		delete(e.groups, w.Item.Group)
 	}
-	if k := (unlistedKey{e.ID, e.Service}); e.Running == 0 && p.unlisted[k] == e {
-		delete(p.unlisted, k)
+	if k := (departedKey{e.ID, e.Service}); e.Running == 0 && p.departed[k] == e {
+		delete(p.departed, k)
 	}
-	if here := p.at(w); here != nil {
-		p.judge(here, outcome, now)
+	if here := p.currentEngine(w); here != nil {
+		p.penalize(here, outcome, now)
 	}
 }
 
@@ -135,14 +135,14 @@
 	if e == nil {
 		return
 	}
-	p.trials.noteEnd(e)
+	p.crashes.noteExit(e)
 	delete(p.engines, id)
 	p.setLoading(e, 0)
-	delete(p.busy, id)
-	p.unlist(e)
+	delete(p.busyEngines, id)
+	p.removeFromShare(e)
 	e.Model = ""
 	if e.Running > 0 {
-		p.unlisted[unlistedKey{id, e.Service}] = e
+		p.departed[departedKey{id, e.Service}] = e
 	}
 	if f := p.fleets[e.Service]; f != nil {
 		delete(f.usable, id)
@@ -150,10 +150,10 @@
 	}
 }
 
-// starts records a start of an engine under the id that it had: it holds nothing
+// noteStart records a start of an engine under the id that it had: it holds nothing
 // of before, and what was learned of it may hold no more. Its runs end by
 // themselves.
-func (p *Planner) starts(e *Engine, born cf.Millis) {
+func (p *Planner) noteStart(e *Engine, born cf.Millis) {
 	if born <= e.Born {
 		return
 	}
@@ -162,22 +162,22 @@
 	if first {
 		return // when it started was not known
 	}
-	p.trials.noteEnd(e)
+	p.crashes.noteExit(e)
 	clear(e.versions)
 	p.setLoading(e, 0)
-	e.loadBegan, e.pace, e.usual, e.avoid, e.rest, e.failed, e.kept = 0, 0, 0, 0, 0, 0, nil
+	e.loadStarted, e.pace, e.meanPace, e.avoidUntil, e.nextOrderAt, e.failedVersion, e.idleConnections = 0, 0, 0, 0, 0, 0, nil
 	e.state = cfslow.EngineState{}
 }
 
-// hold records that an engine has a version. Versions of one start of an
+// noteVersion records that an engine has a version. Versions of one start of an
 // engine only rise; the instance list shows them late.
-func (p *Planner) hold(e *Engine, m cf.ModelName, v cf.WeightVersion) {
-	p.proved[m] = max(p.proved[m], v)
+func (p *Planner) noteVersion(e *Engine, m cf.ModelName, v cf.WeightVersion) {
+	p.provenVersions[m] = max(p.provenVersions[m], v)
 	if v > e.versions[m] {
 		e.versions[m] = v
 	}
-	if m == e.Model && e.versions[m] >= e.failed {
-		e.failed = 0
+	if m == e.Model && e.versions[m] >= e.failedVersion {
+		e.failedVersion = 0
 	}
 	if m == e.Model && e.loading > 0 && e.versions[m] >= e.loading {
 		p.setLoading(e, 0)
@@ -186,36 +186,36 @@
 
 // divideAll assigns all engines that are not leaving to the models.
 func (p *Planner) divideAll(service cf.ServiceName, models []cf.ModelName, f *fleet) {
-	var shares []share
-	newest := p.newest(f)
+	var shares []assignment
+	newest := p.newestVersions(f)
 	for id, e := range f.usable {
 		if e.Model == "" {
-			p.setShare(e, closest(e, models, newest))
+			p.assignEngine(e, closestModel(e, models, newest))
 		}
 		cost := e.Running
 		if e.loading > 0 || e.versions[e.Model] >= p.LatestVersion(e.Model) {
 			cost += e.Slots
 		}
-		shares = append(shares, share{id: id, model: e.Model, moveCost: cost})
+		shares = append(shares, assignment{id: id, model: e.Model, moveCost: cost})
 	}
-	timed := p.timed(models)
+	timed := p.hasDueTimes(models)
 	if len(shares) < len(models) {
 		p.scarce = true
-		models = p.turns(service, models)[:len(shares)]
+		models = p.byLongestWait(service, models)[:len(shares)]
 	}
-	need := p.needOf(models, timed)
-	if timed && keepsShares(shares, models, need) {
+	need := p.needsOf(models, timed)
+	if timed && sharesCloseEnough(shares, models, need) {
 		return
 	}
 	for id, m := range assign(shares, models, need) {
-		p.setShare(p.engines[id], m)
+		p.assignEngine(p.engines[id], m)
 	}
 }
 
-// turns orders the models of a service that has fewer engines than models: those
+// byLongestWait orders the models of a service that has fewer engines than models: those
 // with work that waits first, the longest wait before the others. A model's turn
 // ends when all its items run, so that no trainer starves for another's steps.
-func (p *Planner) turns(service cf.ServiceName, models []cf.ModelName) []cf.ModelName {
+func (p *Planner) byLongestWait(service cf.ServiceName, models []cf.ModelName) []cf.ModelName {
 	oldest := map[cf.ModelName]cf.Millis{}
 	for _, o := range p.batches {
 		if o.terms.Service != service || o.paused || len(o.waiting) == 0 {
@@ -238,17 +238,17 @@
 	return out
 }
 
-// share returns the engines that serve a batch.
-func (p *Planner) share(o *open) []*Engine {
+// enginesFor returns the engines that serve a batch.
+func (p *Planner) enginesFor(o *openBatch) []*Engine {
 	return p.shares[shareKey{o.terms.Service, o.batch.Sub.Model}]
 }
 
-// closest returns the model of which an engine lacks least against the newest
+// closestModel returns the model of which an engine lacks least against the newest
 // that any engine holds. A coordinator that takes over finds the shares of the
 // one before by it, also while the share itself is behind what was named: an
 // engine given to another model would have to load weights first, and the
 // first orders must wait for the handover.
-func closest(e *Engine, models []cf.ModelName, newest map[cf.ModelName]cf.WeightVersion) cf.ModelName {
+func closestModel(e *Engine, models []cf.ModelName, newest map[cf.ModelName]cf.WeightVersion) cf.ModelName {
 	var best cf.ModelName
 	lag := cf.WeightVersion(0)
 	same := true
@@ -267,8 +267,8 @@
 	return best
 }
 
-// newest returns the newest version of each model that any engine holds.
-func (p *Planner) newest(f *fleet) map[cf.ModelName]cf.WeightVersion {
+// newestVersions returns the newest version of each model that any engine holds.
+func (p *Planner) newestVersions(f *fleet) map[cf.ModelName]cf.WeightVersion {
 	out := map[cf.ModelName]cf.WeightVersion{}
 	for _, e := range f.usable {
 		for m, v := range e.versions {
--- a/core/cfrollout/estimate.go
+++ b/core/cfrollout/estimate.go
@@ -12,9 +12,9 @@
 	// to be: lengths are known within a factor of 1.6, and a step that fits must never be
 	// refused.
 	infeasibleFactor = 2
-	// retryLeast and retryMost bound when the submitter of an infeasible step should come back.
-	retryLeast cf.Millis = 2500
-	retryMost  cf.Millis = 10_000
+	// minRetry and retryMost bound when the submitter of an infeasible step should come back.
+	minRetry cf.Millis = 2500
+	maxRetry cf.Millis = 10_000
 )
 
 // Estimate is what is expected of a step that is not accepted yet.
@@ -37,9 +37,9 @@
 	if p.limits.AllGroups || terms.Due == 0 || !p.lengths.started || len(sub.Items) == 0 {
 		return Estimate{}
 	}
-	o := &open{batch: cfbatch.New(sub), terms: terms}
+	o := &openBatch{batch: cfbatch.New(sub), terms: terms}
 	for _, it := range sub.Items {
-		if p.carry[it.ID] != nil || p.orphans[it.ID] != nil {
+		if p.savedTexts[it.ID] != nil || p.orphans[it.ID] != nil {
 			return Estimate{} // it goes on with texts of the step before
 		}
 		o.waiting = append(o.waiting, &Work{Batch: o.batch, Item: it, Terms: terms})
@@ -57,18 +57,18 @@
 	left := max(terms.Due-now, terms.Span)
 	est := Estimate{Infeasible: quickest > infeasibleFactor*float64(max(left, 0)), FirstGroup: cf.Millis(quickest), TimeLeft: left}
 	if est.Infeasible {
-		est.RetryAfter = min(max(p.openFor(o), retryLeast), retryMost)
+		est.RetryAfter = min(max(p.openStepsDuration(o), minRetry), maxRetry)
 	}
 	return est
 }
 
-// openFor is how long the open steps of a batch's model are expected to take: after that
+// openStepsDuration is how long the open steps of a batch's model are expected to take: after that
 // its engines are free, and may be others.
-func (p *Planner) openFor(o *open) cf.Millis {
+func (p *Planner) openStepsDuration(o *openBatch) cf.Millis {
 	most := 0.0
 	for _, x := range p.batches {
 		if x.batch.Sub.Model == o.batch.Sub.Model && x.rankedAt > 0 {
-			most = max(most, x.selected.whole)
+			most = max(most, x.selection.duration)
 		}
 	}
 	return cf.Millis(most)
@@ -94,10 +94,10 @@
 		if o.rankedAt == 0 {
 			continue
 		}
-		n := o.selected.counts
+		n := o.selection.counts
 		out = append(out, Selection{
-			Batch: id, Deferring: o.selected.beyond, Duration: cf.Millis(o.selected.whole), TimeLeft: o.terms.Due - now,
-			InTime: n[groupInTime], Late: n[groupLate], TooLate: n[groupLast], Optional: n[groupOptional],
+			Batch: id, Deferring: o.selection.deferring, Duration: cf.Millis(o.selection.duration), TimeLeft: o.terms.Due - now,
+			InTime: n[groupInTime], Late: n[groupLate], TooLate: n[groupTooLate], Optional: n[groupOptional],
 		})
 	}
 	return out
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -17,7 +17,7 @@
 // KeptAt records that a connection to an engine is kept until then.
 func (p *Planner) KeptAt(id cf.InstanceID, until cf.Millis) {
 	if e := p.engines[id]; e != nil {
-		p.ConnectionKept(&Work{engine: e, born: e.Born}, until)
+		p.ConnectionKept(&Work{engine: e, engineBorn: e.Born}, until)
 	}
 }
 
@@ -50,7 +50,7 @@
 				w.Progress.Note(at)
 			}
 		})
-		p.observe(at)
+		p.updatePaces(at)
 	}
 }
 
--- a/core/cfrollout/goodput.go
+++ b/core/cfrollout/goodput.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// rankEvery is the least time between two rankings of a batch's groups: what a group
+	// rankInterval is the least time between two rankings of a batch's groups: what a group
 	// has left changes by an event every 40 ms or more.
-	rankEvery cf.Millis = 100
-	// lateSpan is for how long after its due time a step is taken to be still of use, as a
+	rankInterval cf.Millis = 100
+	// lateShare is for how long after its due time a step is taken to be still of use, as a
 	// part of the time that it was given: callers pay less for late groups, and nothing
 	// for those half as late again.
-	lateSpan = 0.5
-	// selectFrom is by how much a step must be expected to end after its due time, as a
+	lateShare = 0.5
+	// selectionThreshold is by how much a step must be expected to end after its due time, as a
 	// part of the time that it was given, until some of its groups are put off for others.
 	// Before, all that its trainer waits for is worked on, longest texts first: the step
 	// ends some 0.5 s sooner, and the next begins. At twice as much, a seventh fewer groups
 	// are in time at just the capacity.
-	selectFrom = 0.08
-	// longestMemory is what is kept of the longest text at each one that ends.
-	longestMemory = 0.9995
-	// longestFrom is from how many texts on the longest one bounds others: those of a step
+	selectionThreshold = 0.08
+	// longestDecay is what is kept of the longest text at each one that ends.
+	longestDecay = 0.9995
+	// minTextsForLongest is from how many texts on the longest one bounds others: those of a step
 	// that end first are its shortest.
-	longestFrom = 60
+	minTextsForLongest = 60
 	// fillFactor is the part of the time left that is filled with selected groups: what a step
 	// has left is known within some 10%, and its last slots are not all full.
 	fillFactor = 0.9
-	// usualLoad is what a load of weights is taken to last until one has shown it, in ms.
-	usualLoad = 1000
+	// assumedLoadTime is what a load of weights is taken to last until one has shown it, in ms.
+	assumedLoadTime = 1000
 )
 
 // groupClass ranks the groups of a step for the order of their items.
@@ -42,8 +42,8 @@
 	groupInTime groupClass = iota
 	// groupLate: waited for, and whole soon after the due time.
 	groupLate
-	// groupLast: waited for, and whole later than is of use.
-	groupLast
+	// groupTooLate: waited for, and whole later than is of use.
+	groupTooLate
 	// groupOptional: not waited for.
 	groupOptional
 )
@@ -57,28 +57,28 @@
 	// of them takes, in ms.
 	work, longest float64
 	class         groupClass
-	// whole is when it is expected to be, where its class is filled one group after the other.
-	whole float64
+	// completeIn is when it is expected to be, where its class is filled one group after the other.
+	completeIn float64
 }
 
 // stepNeed is what a step has to do, and by when.
 type stepNeed struct {
 	groups []groupNeed
-	// want is for how many of them the submitter still waits.
-	want int
-	// before is the slot time of work that goes first, slots how many items run at once.
-	before, slots float64
+	// required is for how many of them the submitter still waits.
+	required int
+	// priorWork is the slot time of work that goes first, slots how many items run at once.
+	priorWork, slots float64
 	// due is the time left until results are needed, late until they are of no use, and
 	// most until when groups count as in time, in ms.
-	due, late, most float64
+	due, usefulFor, inTimeFor float64
 }
 
 // selection is what was decided for the groups of a step.
 type selection struct {
-	// beyond: some groups are put off so that others are whole in time.
-	beyond bool
-	// whole is how long all that the submitter waits for takes, from now, in ms.
-	whole float64
+	// deferring: some groups are put off so that others are whole in time.
+	deferring bool
+	// duration is how long all that the submitter waits for takes, from now, in ms.
+	duration float64
 	// counts are the groups of each class, work the slot time of those waited for.
 	counts [groupOptional + 1]int
 	work   float64
@@ -95,7 +95,7 @@
 	slices.SortFunc(n.groups, func(a, b groupNeed) int {
 		return cmp.Or(cmp.Compare(a.work, b.work), cmp.Compare(a.longest, b.longest), cmp.Compare(a.id, b.id))
 	})
-	carried, all, longest := 0, n.before, 0.0
+	carried, all, longest := 0, n.priorWork, 0.0
 	for _, g := range n.groups {
 		if g.carried {
 			carried++
@@ -106,10 +106,10 @@
 	if all/n.slots <= longest && longest <= n.due {
 		// A single text decides when the step is whole. Which one that is, is not known
 		// well enough to leave its group out, and it costs the others nothing.
-		n.want = len(n.groups)
+		n.required = len(n.groups)
 	}
 	var s selection
-	free := max(n.want-carried, 0) // groups waited for beside the carried ones
+	free := max(n.required-carried, 0) // groups waited for beside the carried ones
 	longest = 0
 	for i := range n.groups {
 		g := &n.groups[i]
@@ -124,21 +124,21 @@
 		s.work += g.work
 		longest = max(longest, g.longest)
 	}
-	s.whole = max((n.before+s.work)/n.slots, longest)
-	if s.beyond = s.whole > n.most; s.beyond {
+	s.duration = max((n.priorWork+s.work)/n.slots, longest)
+	if s.deferring = s.duration > n.inTimeFor; s.deferring {
 		// The step can't end without the groups carried from the one before, however many
 		// others are whole, unless they end too late to be of use.
 		slices.SortStableFunc(n.groups, func(a, b groupNeed) int {
-			return compareTrue(n.first(a), n.first(b))
+			return compareTrueFirst(n.goesFirst(a), n.goesFirst(b))
 		})
 		for i := range n.groups {
 			if n.groups[i].class == groupInTime {
-				n.groups[i].class = groupLast
+				n.groups[i].class = groupTooLate
 			}
 		}
-		end := n.fill(groupLate, n.fill(groupInTime, n.before, n.most), n.late)
-		end = n.fill(groupLast, end, math.Inf(1))
-		n.settle(end)
+		end := n.fill(groupLate, n.fill(groupInTime, n.priorWork, n.inTimeFor), n.usefulFor)
+		end = n.fill(groupTooLate, end, math.Inf(1))
+		n.placeReplaced(end)
 	}
 	for _, g := range n.groups {
 		s.counts[g.class]++
@@ -146,8 +146,8 @@
 	return s
 }
 
-// first says whether a group goes before those with less left.
-func (n *stepNeed) first(g groupNeed) bool { return g.carried && g.longest <= n.late }
+// goesFirst says whether a group goes before those with less left.
+func (n *stepNeed) goesFirst(g groupNeed) bool { return g.carried && g.longest <= n.usefulFor }
 
 // fill gives a class to the groups that are whole by a time, those with the least left
 // first, after the slot time of what goes before. It returns that with theirs. A spare group
@@ -161,26 +161,26 @@
 	}
 	for i := range n.groups {
 		g := &n.groups[i]
-		if g.class < groupLast || class == groupLast && g.class != class || chosen >= n.want || g.longest > until && !n.first(*g) || (before+g.work)/n.slots > fillFactor*until {
+		if g.class < groupTooLate || class == groupTooLate && g.class != class || chosen >= n.required || g.longest > until && !n.goesFirst(*g) || (before+g.work)/n.slots > fillFactor*until {
 			continue
 		}
 		g.class = class
 		before += g.work
-		g.whole = max(before/n.slots, g.longest)
+		g.completeIn = max(before/n.slots, g.longest)
 		chosen++
 	}
 	return before
 }
 
-// settle gives a place to the groups whose place an optional one has taken, after the slot
+// placeReplaced gives a place to the groups whose place an optional one has taken, after the slot
 // time of all that were filled: the submitter still waits for those that are carried, and for
 // no other.
-func (n *stepNeed) settle(end float64) {
+func (n *stepNeed) placeReplaced(end float64) {
 	for i := range n.groups {
 		switch g := &n.groups[i]; {
-		case g.class != groupLast || g.whole > 0:
+		case g.class != groupTooLate || g.completeIn > 0:
 		case g.carried:
-			g.whole = max(end/n.slots, g.longest)
+			g.completeIn = max(end/n.slots, g.longest)
 		default:
 			g.class = groupOptional
 		}
@@ -189,13 +189,13 @@
 
 // rankGroups orders the waiting items of a batch by the groups that are selected.
 // before is the slot time of the batches that go first. It returns that with this batch's.
-func (p *Planner) rankGroups(o *open, before float64, now cf.Millis) float64 {
+func (p *Planner) rankGroups(o *openBatch, before float64, now cf.Millis) float64 {
 	if p.limits.AllGroups || o.terms.Due == 0 || !p.lengths.started {
 		o.forgetRanking()
 		return before
 	}
-	if o.rankedAt > 0 && !o.unranked && now >= o.rankedAt && now-o.rankedAt < rankEvery {
-		return before + o.selected.work
+	if o.rankedAt > 0 && !o.rankingStale && now >= o.rankedAt && now-o.rankedAt < rankInterval {
+		return before + o.selection.work
 	}
 	rate, pace := p.capacity(o)
 	if rate == 0 {
@@ -203,49 +203,49 @@
 		return before
 	}
 	n := p.stepNeed(o, pace)
-	n.before, n.slots = before, rate*pace
+	n.priorWork, n.slots = before, rate*pace
 	span := float64(o.terms.Span)
 	n.due = float64(o.terms.Due - now)
-	n.late, n.most = n.due+lateSpan*span, n.due+selectFrom*span
+	n.usefulFor, n.inTimeFor = n.due+lateShare*span, n.due+selectionThreshold*span
 	if p.limits.LeastLeft {
-		n.most = n.due
+		n.inTimeFor = n.due
 	}
-	o.pace = pace
-	o.rankedAt, o.unranked, o.wanted, o.selected = now, false, 0, selectGroups(n)
+	o.rankedPace = pace
+	o.rankedAt, o.rankingStale, o.requiredWaiting, o.selection = now, false, 0, selectGroups(n)
 	classes := make(map[cf.GroupID]groupClass, len(n.groups))
 	wholes := map[cf.GroupID]float64{}
 	for _, g := range n.groups {
 		classes[g.id] = g.class
-		wholes[g.id] = g.whole
+		wholes[g.id] = g.completeIn
 	}
 	for _, w := range o.running {
 		w.class = classes[w.Item.Group]
 	}
 	for _, w := range o.waiting {
 		if w.class = classes[w.Item.Group]; w.class != groupOptional {
-			o.wanted++
+			o.requiredWaiting++
 		}
-		w.startBy = 0
-		if o.selected.beyond {
-			w.startBy = wholes[w.Item.Group] - p.boundedLeft(w)*pace
+		w.latestStart = 0
+		if o.selection.deferring {
+			w.latestStart = wholes[w.Item.Group] - p.boundedRemaining(w)*pace
 		}
 	}
 	slices.SortStableFunc(o.waiting, compareWork)
-	return before + o.selected.work
+	return before + o.selection.work
 }
 
 // forgetRanking makes loads and refusals go without a ranking that holds no more.
-func (o *open) forgetRanking() { o.rankedAt, o.wanted = 0, 0 }
+func (o *openBatch) forgetRanking() { o.rankedAt, o.requiredWaiting = 0, 0 }
 
 // compareWork orders the waiting items of a batch: by the classes of their groups, and of
 // one class those first that have run, then long ones.
 func compareWork(a, b *Work) int {
-	return cmp.Or(cmp.Compare(a.class, b.class), compareTrue(a.again, b.again), cmp.Compare(a.startBy, b.startBy), compareTrue(a.Text.Last > 0, b.Text.Last > 0),
-		cmp.Compare(b.Item.LengthHint, a.Item.LengthHint), cmp.Compare(a.order, b.order))
+	return cmp.Or(cmp.Compare(a.class, b.class), compareTrueFirst(a.interrupted, b.interrupted), cmp.Compare(a.latestStart, b.latestStart), compareTrueFirst(a.Text.Last > 0, b.Text.Last > 0),
+		cmp.Compare(b.Item.LengthHint, a.Item.LengthHint), cmp.Compare(a.submitOrder, b.submitOrder))
 }
 
-// compareTrue orders what is true before what is not.
-func compareTrue(a, b bool) int {
+// compareTrueFirst orders what is true before what is not.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -258,7 +258,7 @@
 
 // stepNeed returns the groups of a batch with open items, and for how many of them its
 // submitter waits.
-func (p *Planner) stepNeed(o *open, pace float64) stepNeed {
+func (p *Planner) stepNeed(o *openBatch, pace float64) stepNeed {
 	var n stepNeed
 	at := map[cf.GroupID]int{}
 	add := func(w *Work) {
@@ -268,7 +268,7 @@
 			at[w.Item.Group] = i
 			n.groups = append(n.groups, groupNeed{id: w.Item.Group, carried: o.batch.CarriedOver(w.Item.Group)})
 		}
-		left := p.boundedLeft(w) * pace
+		left := p.boundedRemaining(w) * pace
 		n.groups[i].work += left
 		n.groups[i].longest = max(n.groups[i].longest, left)
 	}
@@ -282,37 +282,37 @@
 	if target == 0 { // not given: all groups are waited for
 		target = o.batch.GroupCount()
 	}
-	n.want = max(target-(o.batch.GroupCount()-len(n.groups)), 0)
+	n.required = max(target-(o.batch.GroupCount()-len(n.groups)), 0)
 	return n
 }
 
-// boundedLeft is what left returns, and no more than the longest text so far had: where a
+// boundedRemaining is what left returns, and no more than the longest text so far had: where a
 // hint is high it is mostly too high, and models bound the length of their texts.
-func (p *Planner) boundedLeft(w *Work) float64 {
-	made := w.made()
-	length := made + p.left(w)
-	if p.guesses.total > 0 {
-		length = p.guesses.of(w.Item, &p.lengths)
+func (p *Planner) boundedRemaining(w *Work) float64 {
+	made := w.generated()
+	length := made + p.remaining(w)
+	if p.hints.hinted > 0 {
+		length = p.hints.expected(w.Item, &p.lengths)
 	}
 	more := made // what a text may have to come that is as long as was expected
-	if p.guesses.texts >= longestFrom && made < p.longest {
-		length, more = min(length, p.longest), min(more, p.longest-made)
+	if p.hints.texts >= minTextsForLongest && made < p.longestText {
+		length, more = min(length, p.longestText), min(more, p.longestText-made)
 	}
-	left := max(length-made, residual*more)
+	left := max(length-made, residualShare*more)
 	return max(left, 1)
 }
 
 // capacity returns the events that a batch's engines make in a ms with all slots taken, and
 // what an event takes at a usual one of them; zero while no pace is known.
-func (p *Planner) capacity(o *open) (rate, pace float64) {
+func (p *Planner) capacity(o *openBatch) (rate, pace float64) {
 	if pace = p.queueOf(o).pace; pace == 0 {
 		return 0, 0
 	}
-	for _, e := range p.share(o) {
+	for _, e := range p.enginesFor(o) {
 		switch {
 		case e.Draining:
 		case e.pace > 0:
-			rate += float64(e.Slots) / p.full(e)
+			rate += float64(e.Slots) / p.fullPace(e)
 		default:
 			rate += float64(e.Slots) / pace
 		}
@@ -320,19 +320,19 @@
 	return rate, pace
 }
 
-// awaited returns the engines that run an item on which the end of a step depends, of a
+// awaitedEngines returns the engines that run an item on which the end of a step depends, of a
 // batch whose groups were ranked. They should not load weights before another batch asks
 // for it: a run stands still during a load, and the longest texts of a step decide when it
 // is whole. Engines whose runs end a load's time before the step load as soon as nothing
 // waits: few may load at once, and not all would have loaded when the next step comes.
-func (p *Planner) awaited() map[*Engine]bool {
+func (p *Planner) awaitedEngines() map[*Engine]bool {
 	out := map[*Engine]bool{}
 	if p.limits.LoadUnderRuns {
 		return out
 	}
-	load := p.loads.usual
+	load := p.loadLimit.usualTime
 	if load == 0 {
-		load = usualLoad
+		load = assumedLoadTime
 	}
 	for _, o := range p.batches {
 		if o.rankedAt == 0 {
@@ -342,7 +342,7 @@
 			if w.class == groupOptional {
 				continue
 			}
-			if p.boundedLeft(w)*o.pace+load > o.selected.whole-float64(p.now-o.rankedAt) {
+			if p.boundedRemaining(w)*o.rankedPace+load > o.selection.duration-float64(p.now-o.rankedAt) {
 				out[w.engine] = true
 			}
 		}
@@ -350,8 +350,8 @@
 	return out
 }
 
-// waitsForLoad says whether a batch has items waiting that an engine's load would hold up:
+// delayedByLoads says whether a batch has items waiting that an engine's load would hold up:
 // those of groups that its trainer does not wait for may wait for the load.
-func (o *open) waitsForLoad() bool {
-	return len(o.waiting) > 0 && !o.paused && (o.rankedAt == 0 || o.wanted > 0)
+func (o *openBatch) delayedByLoads() bool {
+	return len(o.waiting) > 0 && !o.paused && (o.rankedAt == 0 || o.requiredWaiting > 0)
 }
--- a/core/cfrollout/hints.go
+++ b/core/cfrollout/hints.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// guessSteps is how many classes a doubling of a guess is divided into.
-	guessSteps = 2
-	// guessClasses is how many there are: guesses of up to a million tokens. They do not
+	// hintClassesPerDoubling is how many classes a doubling of a guess is divided into.
+	hintClassesPerDoubling = 2
+	// hintClasses is how many there are: guesses of up to a million tokens. They do not
 	// depend on the mean guess, which drifts for some hundred texts: a class would first be
 	// filled with shorter texts than those that use it later.
-	guessClasses = 41
-	// guessMemory is what is kept of a class at each text of it, guessPrior the weight of
+	hintClasses = 41
+	// hintDecay is what is kept of a class at each text of it, guessPrior the weight of
 	// the mean ratio of lengths to guesses in texts of a class.
-	guessMemory = 0.99
-	guessPrior  = 2
+	hintDecay       = 0.99
+	hintPriorWeight = 2
 )
 
-// guesses learns how long texts are whose submitters guess a length.
+// hintCorrection learns how long texts are whose submitters guess a length.
 //
 // The load it answers: guesses are wrong by a factor of 1.6. Of the texts with the longest
 // guesses most are shorter, and of those with the shortest most are longer: taken as they
 // are, a step that has run its long texts first looks nearly done while a third is left.
-type guesses struct {
-	classes [guessClasses]struct{ events, texts float64 }
-	total   int // texts with a guess
+type hintCorrection struct {
+	classes [hintClasses]struct{ events, texts float64 }
+	hinted  int // texts with a guess
 	texts   int // all
 }
 
 // class returns the class of a guess; false where there is none.
-func (g *guesses) class(it cf.Item) (int, bool) {
+func (g *hintCorrection) class(it cf.Item) (int, bool) {
 	if it.LengthHint <= 0 {
 		return 0, false
 	}
-	c := int(math.Round(guessSteps * math.Log2(float64(it.LengthHint))))
-	return min(c, guessClasses-1), true
+	c := int(math.Round(hintClassesPerDoubling * math.Log2(float64(it.LengthHint))))
+	return min(c, hintClasses-1), true
 }
 
 // note takes a text that is complete.
-func (g *guesses) note(w *Work) {
+func (g *hintCorrection) note(w *Work) {
 	g.texts++
 	if i, ok := g.class(w.Item); ok {
 		c := &g.classes[i]
-		c.events, c.texts = guessMemory*c.events+float64(w.Text.Last), guessMemory*c.texts+1
-		g.total++
+		c.events, c.texts = hintDecay*c.events+float64(w.Text.Last), hintDecay*c.texts+1
+		g.hinted++
 	}
 }
 
-// of returns the events that an item is expected to have.
-func (g *guesses) of(it cf.Item, l *lengths) float64 {
-	events := l.of(it)
+// expected returns the events that an item is expected to have.
+func (g *hintCorrection) expected(it cf.Item, l *lengths) float64 {
+	events := l.expected(it)
 	i, ok := g.class(it)
 	if !ok {
 		return events
 	}
 	c := g.classes[i]
-	return (guessPrior*events + c.events) / (guessPrior + c.texts)
+	return (hintPriorWeight*events + c.events) / (hintPriorWeight + c.texts)
 }
--- a/core/cfrollout/isolation.go
+++ b/core/cfrollout/isolation.go
@@ -6,9 +6,9 @@
 	cf "currantford"
 )
 
-// apartPart is the part of a share's engines that may be set apart at once, though one of two
+// maxIsolatedShare is the part of a share's engines that may be set apart at once, though one of two
 // or three always may: the others must take what else waits.
-const apartPart = 0.25
+const maxIsolatedShare = 0.25
 
 // Admission says whether an item may be sent to an engine now.
 type Admission struct {
@@ -22,23 +22,23 @@
 	MaxRuns int
 }
 
-// admitted returns the engine to which an item may be sent: e, the one that was chosen,
+// admit returns the engine to which an item may be sent: e, the one that was chosen,
 // or another where it may not meet what runs there; nil if it may be sent to none.
-func (p *Planner) admitted(engines []*Engine, q queue, w *Work, e *Engine, typical float64, now cf.Millis) *Engine {
-	w.apart = false
+func (p *Planner) admit(engines []*Engine, q queue, w *Work, e *Engine, typical float64, now cf.Millis) *Engine {
+	w.isolated = false
 	if p.limits.Admit == nil {
 		return e
 	}
 	for e != nil {
 		a := p.limits.Admit(w, e.Target, false)
-		w.most = a.MaxRuns
+		w.maxRuns = a.MaxRuns
 		switch {
 		case a.Allowed:
 			return e
 		case a.RetryAt > now || !a.TryOthers && a.MaxRuns == 0:
 			return nil
 		case !a.TryOthers:
-			return p.setApart(engines, q, w, typical, now)
+			return p.isolate(engines, q, w, typical, now)
 		}
 		// What this item may not meet there others may not either: each engine is found so
 		// once in a look.
@@ -46,41 +46,41 @@
 		rest := slices.DeleteFunc(slices.Clone(engines), func(o *Engine) bool { return p.conflicts[o] })
 		e = p.choose(rest, w, typical, now)
 	}
-	if w.most > 0 {
-		return p.setApart(engines, q, w, typical, now)
+	if w.maxRuns > 0 {
+		return p.isolate(engines, q, w, typical, now)
 	}
 	return nil
 }
 
-// setApart returns the engine for an item that is to have few others beside it, or none: the one
+// isolate returns the engine for an item that is to have few others beside it, or none: the one
 // that runs least, which is then set apart. Where as many are as may be, the item joins others at
 // one of them; where it can't, it goes wherever there is room, as it would wait for too long. Two
 // items that lost the same engines are tried at the same time, and must not meet again as long as
 // that can be helped.
-func (p *Planner) setApart(engines []*Engine, q queue, w *Work, typical float64, now cf.Millis) *Engine {
+func (p *Planner) isolate(engines []*Engine, q queue, w *Work, typical float64, now cf.Millis) *Engine {
 	var joined, emptiest *Engine
 	apart := 0
 	for _, e := range engines {
-		if e.most > 0 {
+		if e.isolationLimit > 0 {
 			apart++
 		}
-		if !e.open(w, now) || !e.hasRoom() || !p.fits(e, w) {
+		if !e.accepts(w, now) || !e.hasRoom() || !p.fitsMemory(e, w) {
 			continue
 		}
 		switch {
-		case e.most == 0:
-			if emptiest == nil || p.runsLess(q, e, emptiest, typical) {
+		case e.isolationLimit == 0:
+			if emptiest == nil || p.betterForIsolation(q, e, emptiest, typical) {
 				emptiest = e
 			}
-		case e.Running < min(e.most, w.most):
-			if joined == nil || p.runsLess(q, e, joined, typical) {
+		case e.Running < min(e.isolationLimit, w.maxRuns):
+			if joined == nil || p.betterForIsolation(q, e, joined, typical) {
 				joined = e
 			}
 		}
 	}
 	most := 0
 	if len(engines) > 1 {
-		most = max(int(apartPart*float64(len(engines))), 1)
+		most = max(int(maxIsolatedShare*float64(len(engines))), 1)
 	}
 	e, alone := joined, true
 	if emptiest != nil && apart < most {
@@ -93,41 +93,41 @@
 		return nil
 	}
 	a := p.limits.Admit(w, e.Target, true)
-	if w.most = a.MaxRuns; !a.Allowed {
+	if w.maxRuns = a.MaxRuns; !a.Allowed {
 		return nil
 	}
-	w.apart = alone && w.most > 0
+	w.isolated = alone && w.maxRuns > 0
 	return e
 }
 
-// runsLess says whether an engine suits an item that is set apart better than another.
-func (p *Planner) runsLess(q queue, e, other *Engine, typical float64) bool {
-	if slow := p.slow(q, e); slow != p.slow(q, other) {
+// betterForIsolation says whether an engine suits an item that is set apart better than another.
+func (p *Planner) betterForIsolation(q queue, e, other *Engine, typical float64) bool {
+	if slow := p.isSlow(q, e); slow != p.isSlow(q, other) {
 		return !slow
 	}
 	if e.Running != other.Running {
 		return e.Running < other.Running
 	}
-	return p.expected(e, typical) < p.expected(other, typical)
+	return p.expectedPace(e, typical) < p.expectedPace(other, typical)
 }
 
-// noteApart bounds what else may run beside an item that runs set apart.
-func (w *Work) noteApart() {
-	if !w.apart || w.engine == nil {
+// applyIsolationLimit bounds what else may run beside an item that runs set apart.
+func (w *Work) applyIsolationLimit() {
+	if !w.isolated || w.engine == nil {
 		return
 	}
-	if w.engine.most == 0 || w.most < w.engine.most {
-		w.engine.most = w.most
+	if w.engine.isolationLimit == 0 || w.maxRuns < w.engine.isolationLimit {
+		w.engine.isolationLimit = w.maxRuns
 	}
 }
 
 // WaitingSince returns when the item's last run ended, or since when it waits for its first.
-func (w *Work) WaitingSince() cf.Millis { return w.waitsSince }
+func (w *Work) WaitingSince() cf.Millis { return w.waitingSince }
 
 // IsolationLimit returns how many runs an engine may have with the item while it runs, zero for no bound.
 func (w *Work) IsolationLimit() int {
-	if w.apart {
-		return w.most
+	if w.isolated {
+		return w.maxRuns
 	}
 	return 0
 }
--- a/core/cfrollout/loadlimit_test.go
+++ b/core/cfrollout/loadlimit_test.go
@@ -18,7 +18,7 @@
 // size is not known. The bound is found, and tried above only now and then.
 func TestLoadsAtOnceFollowTheWeightStore(t *testing.T) {
 	for _, serves := range []int{2, 3, 9} {
-		l := newLoadPace(2, 0)
+		l := newLoadLimiter(2, 0)
 		slow, rounds := 0, 0
 		now := cf.Millis(0)
 		for now < 120_000 {
@@ -30,7 +30,7 @@
 			rounds++
 			now += took
 			for range beside {
-				l.took(beside, took, now)
+				l.observe(beside, took, now)
 			}
 		}
 		t.Logf("%d served at full speed: limit %d, %d of %d rounds slow", serves, l.limit, slow, rounds)
@@ -46,22 +46,22 @@
 // One slow engine, an order carried out late, and loads that ran with few others
 // move nothing.
 func TestOddLoadsDoNotMoveTheLimit(t *testing.T) {
-	l := newLoadPace(2, 0)
-	l.took(2, 1000, 0)
-	l.took(2, 4000, 0) // carried out late
-	l.took(1, 1000, 0)
-	l.took(1, 1000, 0)
+	l := newLoadLimiter(2, 0)
+	l.observe(2, 1000, 0)
+	l.observe(2, 4000, 0) // carried out late
+	l.observe(1, 1000, 0)
+	l.observe(1, 1000, 0)
 	if l.limit != 2 {
 		t.Errorf("limit %d, want 2", l.limit)
 	}
-	l.took(2, 1000, 0)
+	l.observe(2, 1000, 0)
 	if l.limit != 3 {
 		t.Errorf("limit %d after a whole round, want 3", l.limit)
 	}
-	l.took(3, 1400, 0) // one alone
-	l.took(3, 1000, 0)
-	l.took(3, 1000, 0)
-	l.took(3, 1000, 0)
+	l.observe(3, 1400, 0) // one alone
+	l.observe(3, 1000, 0)
+	l.observe(3, 1000, 0)
+	l.observe(3, 1000, 0)
 	if l.limit != 4 {
 		t.Errorf("limit %d after one slow load in a good round, want 4", l.limit)
 	}
@@ -72,15 +72,15 @@
 // them hardly later than usual.
 // Cause: each such load raised what counted as usual a little.
 func TestUsualTimeIsNotRaisedByLoadsBesideOthers(t *testing.T) {
-	l := newLoadPace(2, 0)
-	l.took(1, 910, 0)
+	l := newLoadLimiter(2, 0)
+	l.observe(1, 910, 0)
 	for now := cf.Millis(0); now < 20_000; now += 1000 {
 		for _, ms := range []cf.Millis{1010, 1130} {
-			l.took(2, ms, now)
+			l.observe(2, ms, now)
 		}
 	}
-	if l.usual > 1000 {
-		t.Errorf("usual time %f ms after loads beside others, want 910", l.usual)
+	if l.usualTime > 1000 {
+		t.Errorf("usual time %f ms after loads beside others, want 910", l.usualTime)
 	}
 }
 
@@ -106,14 +106,14 @@
 // Load: 3,000 engines follow versions from a weight store that serves them all at full
 // speed; then a service of ten.
 func TestLoadsAtOnceHaveAnUpperLimit(t *testing.T) {
-	for engines, want := range map[int]int{3000: loadsMost, 40: 20, 10: 5, 2: 2} {
-		l := newLoadPace(2, 0)
-		l.bound(engines)
+	for engines, want := range map[int]int{3000: maxLoads, 40: 20, 10: 5, 2: 2} {
+		l := newLoadLimiter(2, 0)
+		l.setEngineCount(engines)
 		now := cf.Millis(0)
 		for range 40 {
 			beside := l.allowed()
 			for range beside {
-				l.took(beside, 1000, now)
+				l.observe(beside, 1000, now)
 			}
 			now += 1000
 		}
@@ -123,7 +123,7 @@
 	}
 	limits := DefaultLimits
 	limits.LearnedLoads = 5000
-	if n := New(limits).LearnedLoads(); n > loadsMost {
+	if n := New(limits).LearnedLoads(); n > maxLoads {
 		t.Errorf("%d loads at once are taken over from a coordinator before", n)
 	}
 }
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -22,8 +22,8 @@
 	for _, t := range ts {
 		p.Reported(t.ID, cf.TargetReport{Memory: 23000})
 	}
-	p.memory.perEvent = 40
-	p.lengths = lengths{events: 33, hint: 33, hinted: 33, started: true}
+	p.memory.tokensPerEvent = 40
+	p.lengths = lengths{mean: 33, meanHint: 33, meanHinted: 33, started: true}
 	return p
 }
 
@@ -102,19 +102,19 @@
 		w.Progress.Note(at)
 	}
 	w.Started = 0
-	to.used = 22000
-	room := func() *fastest {
-		return &fastest{planner: p, engines: []*Engine{from, to}, typical: 24, taken: map[cf.InstanceID]int{}}
+	to.usedMemory = 22000
+	room := func() *fastestFree {
+		return &fastestFree{planner: p, engines: []*Engine{from, to}, typical: 24, taken: map[cf.InstanceID]int{}}
 	}
-	if e := p.better(room(), w, 2001); e != nil {
+	if e := p.betterEngine(room(), w, 2001); e != nil {
 		t.Error("a text moves to an engine without memory for it")
 	}
-	to.used = 0
-	if e := p.better(room(), w, 2001); e != to {
+	to.usedMemory = 0
+	if e := p.betterEngine(room(), w, 2001); e != to {
 		t.Error("a text stays at an engine of little more than half the pace")
 	}
-	w.moves = moveDoublings
-	if e := p.better(room(), w, 2001); e != nil {
+	w.moves = maxGainDoublings
+	if e := p.betterEngine(room(), w, 2001); e != nil {
 		t.Error("a text that has moved five times in vain moves again")
 	}
 }
@@ -122,11 +122,11 @@
 // What engines tell of their runs is learned; what can't be of use is passed over.
 func TestTokensOfEventsAreLearned(t *testing.T) {
 	p := memorySite(1)
-	p.memory.perEvent = 0
+	p.memory.tokensPerEvent = 0
 	p.AddBatch(memoryBatch(0, 2), Terms{Service: "s"})
 	works := p.Place(0)
-	const now = 10 * askEvery
-	if len(p.EnginesToQuery(now)) != 1 || len(p.EnginesToQuery(now+askEvery-1)) != 0 {
+	const now = 10 * queryInterval
+	if len(p.EnginesToQuery(now)) != 1 || len(p.EnginesToQuery(now+queryInterval-1)) != 0 {
 		t.Error("an engine is not asked while nothing is known, or too often")
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 23000, Runs: []cf.TargetRun{
@@ -134,7 +134,7 @@
 		{ID: cf.RequestID(works[1].Item.ID), Tokens: 290, Events: 1},
 		{ID: "of nobody", Tokens: 1, Events: 100},
 	}})
-	if got := p.memory.perEvent; got != 41 {
+	if got := p.memory.tokensPerEvent; got != 41 {
 		t.Errorf("%.1f tokens an event, want 41", got)
 	}
 	if n := len(p.EnginesToQuery(2 * now)); n != 0 {
@@ -147,33 +147,33 @@
 func TestMemoryOfEnginesThatAreAlike(t *testing.T) {
 	p := memorySite(20)
 	for _, e := range p.engines {
-		e.told, e.Memory = false, 0
+		e.memoryReported, e.Memory = false, 0
 	}
-	p.memory.told = map[cf.ServiceName]*toldMemory{}
+	p.memory.reports = map[cf.ServiceName]*reportedMemory{}
 	p.AddBatch(memoryBatch(0, 120), Terms{Service: "s"})
 	p.Place(0)
 	asked := func(now cf.Millis, memory cf.Tokens) int {
 		n := 0
 		for _, target := range p.EnginesToQuery(now) {
-			if n++; n <= alikeFrom {
+			if n++; n <= minEqualReports {
 				p.Reported(target.ID, cf.TargetReport{Memory: memory})
 			}
 		}
 		return n
 	}
-	if n := asked(askEvery, 23000); n != askMost {
+	if n := asked(queryInterval, 23000); n != maxQueries {
 		t.Errorf("%d engines are asked at first", n)
 	}
-	if n := asked(3*askEvery, 23000); n != 0 {
-		t.Errorf("%d engines are asked though %d have told the same", n, alikeFrom)
+	if n := asked(3*queryInterval, 23000); n != 0 {
+		t.Errorf("%d engines are asked though %d have told the same", n, minEqualReports)
 	}
 	for id := range p.engines {
-		if got := p.memory.of(p.engines[id]); got != 23000 {
+		if got := p.memory.capacity(p.engines[id]); got != 23000 {
 			t.Errorf("%s is taken to have %d tokens", id, got)
 		}
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 11000})
-	if n := asked(5*askEvery, 23000); n < 20-alikeFrom-1 {
+	if n := asked(5*queryInterval, 23000); n < 20-minEqualReports-1 {
 		t.Errorf("%d engines are asked though one differs", n)
 	}
 }
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -11,60 +11,60 @@
 	// paceWeight is the weight of the newest observation of an engine's
 	// pace.
 	paceWeight = 0.3
-	// paceEvents and paceSpan are what a run must have shown before its
+	// minPaceEvents and paceSpan are what a run must have shown before its
 	// pace counts: the first events of a run come in bursts.
-	paceEvents           = 4
-	paceSpan   cf.Millis = 200
+	minPaceEvents           = 4
+	minPaceSpan   cf.Millis = 200
 	// gapWeight is the weight of the newest gap between events in a run's
 	// pace: an engine that turns slow shows within some five events, where the
 	// mean over the whole run would take seconds.
 	gapWeight = 0.2
-	// slowPace is how many times slower than its share an engine is that gets
+	// slowFactor is how many times slower than its share an engine is that gets
 	// only what it ends before another would.
-	slowPace = 1.8
+	slowFactor = 1.8
 	// lengthWeight is the weight of the newest text in what is known of the
 	// lengths of texts, about those of two steps.
 	lengthWeight = 0.005
-	// moveGain is the least that a move must be expected to save: a moved
+	// minMoveGain is the least that a move must be expected to save: a moved
 	// run reads its text again, loses the event under way, and costs a
 	// connection.
-	moveGain = 250
-	// moveDoublings bounds how often that is doubled.
-	moveDoublings = 5
-	// moveFactor is how many times faster the other engine must be: what is
+	minMoveGain = 250
+	// maxGainDoublings bounds how often that is doubled.
+	maxGainDoublings = 5
+	// minMoveSpeedup is how many times faster the other engine must be: what is
 	// known of paces is within some 10% of what a run then shows.
-	moveFactor = 1.25
-	// residual is what a run is expected to have left, as a part of what it
+	minMoveSpeedup = 1.25
+	// residualShare is what a run is expected to have left, as a part of what it
 	// has made: lengths are spread widely, so one that has made more has
 	// more to come.
-	residual = 0.5
-	// moveRest is how long a run stays after it was moved: the pace of its
+	residualShare = 0.5
+	// minMoveInterval is how long a run stays after it was moved: the pace of its
 	// new engine must show first.
-	moveRest cf.Millis = 800
+	minMoveInterval cf.Millis = 800
 )
 
 // Progress is what a run has shown so far. The run notes it, the planner
 // reads it.
 type Progress struct {
-	first  atomic.Int64 // Uptime of the first event
-	last   atomic.Int64
-	events atomic.Int64
-	gap    atomic.Int64 // smoothed time between events, in microseconds
-	latest atomic.Int64 // time between the last two, in microseconds
-	// seen is the time until which all events are known, zero where each is
+	first       atomic.Int64 // Uptime of the first event
+	last        atomic.Int64
+	events      atomic.Int64
+	smoothedGap atomic.Int64 // smoothed time between events, in microseconds
+	latestGap   atomic.Int64 // time between the last two, in microseconds
+	// seenUntil is the time until which all events are known, zero where each is
 	// noted as it comes.
-	seen atomic.Int64
+	seenUntil atomic.Int64
 }
 
 // Note records an event at now. One goroutine at a time calls it.
 func (p *Progress) Note(now cf.Millis) {
 	if !p.first.CompareAndSwap(0, int64(now)) {
 		gap := float64(int64(now)-p.last.Load()) * 1000
-		p.latest.Store(int64(gap))
-		if old := float64(p.gap.Load()); p.events.Load() > 1 {
+		p.latestGap.Store(int64(gap))
+		if old := float64(p.smoothedGap.Load()); p.events.Load() > 1 {
 			gap = old + gapWeight*(gap-old)
 		}
-		p.gap.Store(int64(gap))
+		p.smoothedGap.Store(int64(gap))
 	}
 	p.last.Store(int64(now))
 	p.events.Add(1)
@@ -72,27 +72,27 @@
 
 // SeenUntil records that all events until at are known. An engine that merely has not
 // been heard of for a while is not taken for one that has stopped sending.
-func (p *Progress) SeenUntil(at cf.Millis) { p.seen.Store(int64(at)) }
+func (p *Progress) SeenUntil(at cf.Millis) { p.seenUntil.Store(int64(at)) }
 
 // reset forgets the run before.
 func (p *Progress) reset() {
-	p.seen.Store(0)
+	p.seenUntil.Store(0)
 	p.first.Store(0)
 	p.last.Store(0)
 	p.events.Store(0)
-	p.gap.Store(0)
-	p.latest.Store(0)
+	p.smoothedGap.Store(0)
+	p.latestGap.Store(0)
 }
 
 // pace returns the milliseconds that an event takes, as seen at now: a run
 // that has stopped sending gets slower as time passes.
 func (p *Progress) pace(now cf.Millis) (float64, bool) {
 	first, events := cf.Millis(p.first.Load()), p.events.Load()
-	if events < paceEvents || now-first < paceSpan {
+	if events < minPaceEvents || now-first < minPaceSpan {
 		return 0, false
 	}
-	pace := float64(p.gap.Load()) / 1000
-	if seen := cf.Millis(p.seen.Load()); seen > 0 {
+	pace := float64(p.smoothedGap.Load()) / 1000
+	if seen := cf.Millis(p.seenUntil.Load()); seen > 0 {
 		now = min(now, seen)
 	}
 	if silent := float64(now - cf.Millis(p.last.Load())); silent > 3*pace {
@@ -101,12 +101,12 @@
 	return pace, true
 }
 
-// observe updates the engines' pace from their runs.
-func (p *Planner) observe(now cf.Millis) {
+// updatePaces updates the engines' pace from their runs.
+func (p *Planner) updatePaces(now cf.Millis) {
 	sum, count := map[*Engine]float64{}, map[*Engine]float64{}
 	shown := p.newPaceSamples(now)
 	p.eachRunning(func(w *Work) {
-		e := p.at(w)
+		e := p.currentEngine(w)
 		if e == nil {
 			return
 		}
@@ -117,17 +117,17 @@
 		}
 	})
 	p.notePeriods(shown)
-	byPeriods := p.byPeriods(now)
+	byPeriods := p.usesPeriods(now)
 	for e, n := range count {
 		if usual := e.state.BaselinePace(); byPeriods && e.pace > 0 && usual > 0 {
-			e.pace = min(max(e.pace, usual/lastingFactor), usual)
+			e.pace = min(max(e.pace, usual/lastingSlowdown), usual)
 			if !e.state.Quiet(minNormalTime, now) {
 				continue // it shows a period or a load, not the engine or what its runs cost
 			}
 		}
 		pace := sum[e] / n
-		p.slots.note(e, pace, now)
-		alone := pace / p.slots.factor(e.Running)
+		p.slotCost.note(e, pace, now)
+		alone := pace / p.slotCost.factor(e.Running)
 		if e.pace == 0 {
 			e.pace = alone
 		}
@@ -146,29 +146,29 @@
 	}
 }
 
-// expected is what an event would take on an engine with one more run.
-func (p *Planner) expected(e *Engine, typical float64) float64 {
+// expectedPace is what an event would take on an engine with one more run.
+func (p *Planner) expectedPace(e *Engine, typical float64) float64 {
 	pace := e.pace
 	if pace == 0 {
 		pace = typical
 	}
-	return pace * p.slots.factor(e.Running+1)
+	return pace * p.slotCost.factor(e.Running+1)
 }
 
-// full is what an event would take on an engine whose slots are all taken.
-func (p *Planner) full(e *Engine) float64 { return e.pace * p.slots.factor(e.Slots) }
+// fullPace is what an event would take on an engine whose slots are all taken.
+func (p *Planner) fullPace(e *Engine) float64 { return e.pace * p.slotCost.factor(e.Slots) }
 
 // Pace returns the milliseconds that an event takes with one run, zero where
 // it has not shown yet.
 func (e *Engine) Pace() float64 { return e.pace }
 
-// typicalEvery is how long what is usual counts.
-const typicalEvery cf.Millis = 200
+// paceCacheTime is how long what is usual counts.
+const paceCacheTime cf.Millis = 200
 
-// typical is the pace assumed of an engine that has not shown its own.
-func (p *Planner) typical() float64 {
-	if p.usualAt >= 0 && p.now-p.usualAt < typicalEvery && p.now >= p.usualAt {
-		return p.usual
+// assumedPace is the pace assumed of an engine that has not shown its own.
+func (p *Planner) assumedPace() float64 {
+	if p.cachedPaceAt >= 0 && p.now-p.cachedPaceAt < paceCacheTime && p.now >= p.cachedPaceAt {
+		return p.cachedPace
 	}
 	var paces []float64
 	for _, es := range p.shares {
@@ -178,20 +178,20 @@
 			}
 		}
 	}
-	p.usual, p.usualAt = 1, p.now
+	p.cachedPace, p.cachedPaceAt = 1, p.now
 	if len(paces) == 0 {
-		p.usualAt = -1 // the first that shows counts at once
-		return p.usual
+		p.cachedPaceAt = -1 // the first that shows counts at once
+		return p.cachedPace
 	}
 	slices.Sort(paces)
-	p.usual = paces[(len(paces)-1)/2]
-	return p.usual
+	p.cachedPace = paces[(len(paces)-1)/2]
+	return p.cachedPace
 }
 
 // TypicalPace returns the milliseconds that an event takes with one run at a usual engine, zero
 // while none has shown it.
 func (p *Planner) TypicalPace() float64 {
-	if pace := p.typical(); p.usualAt >= 0 {
+	if pace := p.assumedPace(); p.cachedPaceAt >= 0 {
 		return pace
 	}
 	return 0
@@ -203,23 +203,23 @@
 // for its longest item there.
 func (p *Planner) Moves(now cf.Millis) []*Work {
 	p.now = now
-	p.observe(now)
+	p.updatePaces(now)
 	p.releaseExpiredSlots(now)
-	p.takeSizes()
-	typical := p.typical()
+	p.updateUsage()
+	typical := p.assumedPace()
 	var out []*Work
-	for _, o := range p.sorted() {
+	for _, o := range p.sortedBatches() {
 		var moves []*Work
 		switch {
-		case p.byPeriods(now):
+		case p.usesPeriods(now):
 			moves = p.periodMoves(o, now)
 		case len(o.waiting) > 0:
 			moves = p.urgentMoves(o, now)
 		default:
-			moves = p.movesToRoom(o, typical, now)
+			moves = p.movesToFreeSlots(o, typical, now)
 		}
 		for _, w := range moves {
-			w.moving, w.AvoidEngine, w.avoidUntil = true, w.Engine, now+moveRest
+			w.moving, w.AvoidEngine, w.avoidUntil = true, w.Engine, now+minMoveInterval
 			w.movedAt = now
 			w.moves++
 		}
@@ -228,12 +228,12 @@
 	return out
 }
 
-// movesToRoom returns the runs that would end sooner at an engine with room.
-func (p *Planner) movesToRoom(o *open, typical float64, now cf.Millis) []*Work {
-	room := &fastest{planner: p, engines: p.share(o), typical: typical, taken: map[cf.InstanceID]int{}}
+// movesToFreeSlots returns the runs that would end sooner at an engine with room.
+func (p *Planner) movesToFreeSlots(o *openBatch, typical float64, now cf.Millis) []*Work {
+	room := &fastestFree{planner: p, engines: p.enginesFor(o), typical: typical, taken: map[cf.InstanceID]int{}}
 	var out []*Work
 	for _, w := range o.running {
-		if e := p.better(room, w, now); e != nil {
+		if e := p.betterEngine(room, w, now); e != nil {
 			room.take(e)
 			out = append(out, w)
 		}
@@ -246,7 +246,7 @@
 // answers: a step several times the slots, whose long texts began at an engine
 // that then turned slow; by the time that nothing waits they are late for good.
 // A few at a time, since a slot frees every few milliseconds.
-func (p *Planner) urgentMoves(o *open, now cf.Millis) []*Work {
+func (p *Planner) urgentMoves(o *openBatch, now cf.Millis) []*Work {
 	q := p.queueOf(o)
 	if q.pace == 0 {
 		return nil
@@ -254,12 +254,12 @@
 	most := max(q.slots/slotsPerMove, 1)
 	var out []*Work
 	for _, w := range o.running {
-		e := p.at(w)
-		if e == nil || w.moving || now-w.Started < moveRest || !p.slow(q, e) {
+		e := p.currentEngine(w)
+		if e == nil || w.moving || now-w.Started < minMoveInterval || !p.isSlow(q, e) {
 			continue
 		}
 		pace, shown := w.Progress.pace(now)
-		if shown && p.left(w)*(pace-q.pace)-q.wait(1) >= w.moveGain() && len(out) < most {
+		if shown && p.remaining(w)*(pace-q.pace)-q.wait(1) >= w.requiredGain() && len(out) < most {
 			out = append(out, w)
 		}
 	}
@@ -276,32 +276,32 @@
 	pace float64
 	// slots are those of the engines that are not slow.
 	slots int
-	// run is what an item takes on average, in ms.
-	run float64
+	// itemTime is what an item takes on average, in ms.
+	itemTime float64
 }
 
 // queueOf returns how a batch's items are served.
-func (p *Planner) queueOf(o *open) queue {
-	return p.queueAt(p.share(o), func(e *Engine) bool {
+func (p *Planner) queueOf(o *openBatch) queue {
+	return p.queueOver(p.enginesFor(o), func(e *Engine) bool {
 		return !e.Draining && e.versions[e.Model] >= o.batch.Sub.MinVersion
 	})
 }
 
 // queueFor returns how an item is served: one of a route for samples of one version may go
 // on with its text at engines of that version alone.
-func (p *Planner) queueFor(q queue, o *open, w *Work) queue {
+func (p *Planner) queueFor(q queue, o *openBatch, w *Work) queue {
 	if !w.Terms.SingleVersion || len(w.Text.Versions) == 0 {
 		return q
 	}
-	return p.queueAt(p.share(o), func(e *Engine) bool { return e.serves(w) })
+	return p.queueOver(p.enginesFor(o), func(e *Engine) bool { return e.serves(w) })
 }
 
-// queueAt returns how those of some engines serve that do.
-func (p *Planner) queueAt(engines []*Engine, serving func(*Engine) bool) queue {
+// queueOver returns how those of some engines serve that do.
+func (p *Planner) queueOver(engines []*Engine, serving func(*Engine) bool) queue {
 	var paces []float64
 	for _, e := range engines {
 		if e.pace > 0 && serving(e) {
-			paces = append(paces, p.full(e))
+			paces = append(paces, p.fullPace(e))
 		}
 	}
 	if len(paces) == 0 {
@@ -310,17 +310,17 @@
 	slices.Sort(paces)
 	q := queue{pace: paces[len(paces)/2]}
 	for _, e := range engines {
-		if serving(e) && !p.slow(q, e) {
+		if serving(e) && !p.isSlow(q, e) {
 			q.slots += e.Slots
 		}
 	}
-	q.run = p.lengths.events * q.pace
+	q.itemTime = p.lengths.mean * q.pace
 	return q
 }
 
-// slow says whether an engine is much slower than its share, for good or for now.
-func (p *Planner) slow(q queue, e *Engine) bool {
-	return q.pace > 0 && (p.full(e) > slowPace*q.pace || p.byPeriods(p.now) && e.state.Slow(p.now))
+// isSlow says whether an engine is much slower than its share, for good or for now.
+func (p *Planner) isSlow(q queue, e *Engine) bool {
+	return q.pace > 0 && (p.fullPace(e) > slowFactor*q.pace || p.usesPeriods(p.now) && e.state.Slow(p.now))
 }
 
 // wait is how long the nth in line waits for a slot at a usual engine, in ms.
@@ -328,48 +328,48 @@
 	if q.slots == 0 {
 		return 0
 	}
-	return float64(n) * q.run / float64(q.slots)
+	return float64(n) * q.itemTime / float64(q.slots)
 }
 
 // lengths is what is known of how long texts are.
 type lengths struct {
-	events  float64 // of a text, on average
-	hint    float64 // the guess of its submitter, on average, of those with one
-	hinted  float64 // events of those
-	started bool
+	mean       float64 // of a text, on average
+	meanHint   float64 // the guess of its submitter, on average, of those with one
+	meanHinted float64 // events of those
+	started    bool
 }
 
 // note takes a text that is complete.
 func (l *lengths) note(w *Work) {
 	n, hint := float64(w.Text.Last), float64(w.Item.LengthHint)
 	if !l.started {
-		l.events, l.started = n, true
+		l.mean, l.started = n, true
 	}
-	l.events += lengthWeight * (n - l.events)
+	l.mean += lengthWeight * (n - l.mean)
 	if hint > 0 {
-		l.hint += lengthWeight * (hint - l.hint)
-		l.hinted += lengthWeight * (n - l.hinted)
+		l.meanHint += lengthWeight * (hint - l.meanHint)
+		l.meanHinted += lengthWeight * (n - l.meanHinted)
 	}
 }
 
-// of returns the events that an item is expected to have, zero if nothing is
+// expected returns the events that an item is expected to have, zero if nothing is
 // known.
-func (l *lengths) of(it cf.Item) float64 {
-	if it.LengthHint > 0 && l.hint > 0 {
-		return float64(it.LengthHint) * l.hinted / l.hint
+func (l *lengths) expected(it cf.Item) float64 {
+	if it.LengthHint > 0 && l.meanHint > 0 {
+		return float64(it.LengthHint) * l.meanHinted / l.meanHint
 	}
-	return l.events
+	return l.mean
 }
 
-// left returns the events that an item is expected to have left.
-func (p *Planner) left(w *Work) float64 {
-	made := w.made()
-	return max(p.lengths.of(w.Item)-made, residual*made)
+// remaining returns the events that an item is expected to have left.
+func (p *Planner) remaining(w *Work) float64 {
+	made := w.generated()
+	return max(p.lengths.expected(w.Item)-made, residualShare*made)
 }
 
-// fastest finds the engine of a share on which one more run would be fastest,
+// fastestFree finds the engine of a share on which one more run would be fastest,
 // and keeps it until a run has taken its slot.
-type fastest struct {
+type fastestFree struct {
 	planner *Planner
 	engines []*Engine
 	typical float64
@@ -379,32 +379,32 @@
 	found   bool
 }
 
-func (f *fastest) take(e *Engine) {
+func (f *fastestFree) take(e *Engine) {
 	f.taken[e.ID]++ // its memory is counted when the run begins there
 	f.found = false
 }
 
 // find returns the engine, nil if none has room.
-func (f *fastest) find(now cf.Millis) (*Engine, float64) {
+func (f *fastestFree) find(now cf.Millis) (*Engine, float64) {
 	if f.found {
 		return f.best, f.pace
 	}
 	f.best, f.found = nil, true
 	for _, e := range f.engines {
-		if e.most > 0 || e.Running+e.reserved+f.taken[e.ID] >= e.Slots || now < e.avoid || e.loading > 0 || e.Draining {
+		if e.isolationLimit > 0 || e.Running+e.reserved+f.taken[e.ID] >= e.Slots || now < e.avoidUntil || e.loading > 0 || e.Draining {
 			continue
 		}
-		if x := f.planner.expected(e, f.typical); f.best == nil || x < f.pace {
+		if x := f.planner.expectedPace(e, f.typical); f.best == nil || x < f.pace {
 			f.best, f.pace = e, x
 		}
 	}
 	return f.best, f.pace
 }
 
-// better returns an engine that a run should move to.
-func (p *Planner) better(room *fastest, w *Work, now cf.Millis) *Engine {
-	from := p.at(w)
-	if from == nil || w.moving || now-w.Started < moveRest {
+// betterEngine returns an engine that a run should move to.
+func (p *Planner) betterEngine(room *fastestFree, w *Work, now cf.Millis) *Engine {
+	from := p.currentEngine(w)
+	if from == nil || w.moving || now-w.Started < minMoveInterval {
 		return nil
 	}
 	pace, ok := w.Progress.pace(now)
@@ -412,15 +412,17 @@
 		return nil
 	}
 	best, bestPace := room.find(now)
-	if best == nil || best == from || !best.takes(w, now) {
+	if best == nil || best == from || !best.canStart(w, now) {
 		return nil
 	}
-	if pace < moveFactor*bestPace || p.left(w)*(pace-bestPace) < w.moveGain() || !p.fits(best, w) {
+	if pace < minMoveSpeedup*bestPace || p.remaining(w)*(pace-bestPace) < w.requiredGain() || !p.fitsMemory(best, w) {
 		return nil
 	}
 	return best
 }
 
-// moveGain is what a move must be expected to save, in ms. Each one doubles it: what
+// requiredGain is what a move must be expected to save, in ms. Each one doubles it: what
 // the moves before were to save they did not, so the estimate is not to be trusted.
-func (w *Work) moveGain() float64 { return moveGain * float64(int(1)<<min(w.moves, moveDoublings)) }
+func (w *Work) requiredGain() float64 {
+	return minMoveGain * float64(int(1)<<min(w.moves, maxGainDoublings))
+}
--- a/core/cfrollout/place.go
+++ b/core/cfrollout/place.go
@@ -30,14 +30,14 @@
 func (p *Planner) Place(now cf.Millis) []*Work {
 	p.now = now
 	clear(p.conflicts)
-	if p.scarce || p.undivided {
-		p.divide() // the models take turns
+	if p.scarce || p.needsDivision {
+		p.divideEngines() // the models take turns
 	}
 	var out []*Work
-	p.takeSizes()
-	typical := p.typical()
+	p.updateUsage()
+	typical := p.assumedPace()
 	before := map[shareKey]float64{}
-	for _, o := range p.sorted() {
+	for _, o := range p.sortedBatches() {
 		if o.paused {
 			continue
 		}
@@ -46,20 +46,20 @@
 		if len(o.waiting) == 0 {
 			continue
 		}
-		engines := p.share(o)
+		engines := p.enginesFor(o)
 		// Items that have not begun differ in nothing that matters here: if
 		// one finds no engine, the others find none.
 		full := false
 		q := p.queueOf(o)
 		rest := o.waiting[:0]
 		for _, w := range o.waiting {
-			w.restart(engines)
-			w.refused = false
-			if w.waitsSince == 0 {
-				w.waitsSince = now
+			w.resetUnresumable(engines)
+			w.notAdmitted = false
+			if w.waitingSince == 0 {
+				w.waitingSince = now
 			}
-			if w.idle == 0 {
-				w.idle = now
+			if w.unplacedSince == 0 {
+				w.unplacedSince = now
 			}
 			var e *Engine
 			if fresh := w.Text.Last == 0 && w.AvoidEngine == ""; !fresh || !full {
@@ -67,21 +67,21 @@
 				full = full || fresh && e == nil
 			}
 			if e != nil && !p.limits.LongOnSlow {
-				if q := p.queueFor(q, o, w); p.slow(q, e) && p.betterWait(q, w, e, len(rest)+1) {
+				if q := p.queueFor(q, o, w); p.isSlow(q, e) && p.shouldWait(q, w, e, len(rest)+1) {
 					e = nil
 				}
 			}
-			if e != nil || w.most > 0 {
-				e = p.admitted(engines, q, w, e, typical, now)
-				w.refused = e == nil
+			if e != nil || w.maxRuns > 0 {
+				e = p.admit(engines, q, w, e, typical, now)
+				w.notAdmitted = e == nil
 			}
 			if e == nil {
 				rest = append(rest, w)
 				continue
 			}
 			p.start(o, w, e, now)
-			if o.wanted > 0 && w.class != groupOptional {
-				o.wanted--
+			if o.requiredWaiting > 0 && w.class != groupOptional {
+				o.requiredWaiting--
 			}
 			out = append(out, w)
 		}
@@ -91,10 +91,10 @@
 	return out
 }
 
-// restart drops a text that no engine can go on with: on a route for samples of
+// resetUnresumable drops a text that no engine can go on with: on a route for samples of
 // one version, the engines have all loaded another since. It would wait for
 // ever.
-func (w *Work) restart(engines []*Engine) {
+func (w *Work) resetUnresumable(engines []*Engine) {
 	if !w.Terms.SingleVersion || len(w.Text.Versions) == 0 {
 		return
 	}
@@ -106,27 +106,27 @@
 	w.Text = Text{}
 }
 
-func (p *Planner) start(o *open, w *Work, e *Engine, now cf.Millis) {
-	w.Engine, w.engine, w.born = e.ID, e, e.Born
+func (p *Planner) start(o *openBatch, w *Work, e *Engine, now cf.Millis) {
+	w.Engine, w.engine, w.engineBorn = e.ID, e, e.Born
 	w.Version, w.Started = e.versions[w.Batch.Sub.Model], now
 	w.OldestVersion = w.Version
-	w.moving, w.from = false, w.Text.Last
+	w.moving, w.resumeAfter = false, w.Text.Last
 	w.Progress.reset()
 	for _, v := range w.Text.Versions {
 		w.OldestVersion = min(w.OldestVersion, v)
 	}
 	e.Running++
-	if e.warm(now) {
-		e.kept = e.kept[:len(e.kept)-1] // the run takes the one that was used last
+	if e.hasIdleConnection(now) {
+		e.idleConnections = e.idleConnections[:len(e.idleConnections)-1] // the run takes the one that was used last
 	}
-	p.busy[e.ID] = e
-	e.used += p.size(w)
+	p.busyEngines[e.ID] = e
+	e.usedMemory += p.expectedMemory(w)
 	if e.groups == nil {
 		e.groups = map[cf.GroupID]int{}
 	}
 	e.groups[w.Item.Group]++
-	w.noteApart()
-	o.running[w.Item.ID], o.begun = w, true
+	w.applyIsolationLimit()
+	o.running[w.Item.ID], o.started = w, true
 }
 
 // choose returns the engine on which w would run fastest, preferring one that
@@ -137,40 +137,40 @@
 // texts of a step must not meet in one memory. An engine whose memory would not hold
 // an item to its end is taken only if no other has a slot.
 func (p *Planner) choose(engines []*Engine, w *Work, typical float64, now cf.Millis) *Engine {
-	if w.to != nil {
+	if w.reservedEngine != nil {
 		if e := p.reservedFor(w, now); e != nil {
 			return e
 		}
 	}
 	var best, roomiest, emptiest *Engine
 	bestPace, bestDelay := math.Inf(1), math.Inf(1)
-	long, left := p.IsLong(w), p.left(w)
-	fitting := p.fitting[:0]
+	long, left := p.IsLong(w), p.remaining(w)
+	fitting := p.candidates[:0]
 	for _, e := range engines {
 		switch {
-		case !e.takes(w, now):
+		case !e.canStart(w, now):
 			continue
-		case !p.fits(e, w):
-			if roomiest == nil || float64(p.memory.of(e))-e.used > float64(p.memory.of(roomiest))-roomiest.used {
+		case !p.fitsMemory(e, w):
+			if roomiest == nil || float64(p.memory.capacity(e))-e.usedMemory > float64(p.memory.capacity(roomiest))-roomiest.usedMemory {
 				roomiest = e
 			}
 			continue
 		}
-		delay := p.delay(e, left, now)
-		pace := p.expected(e, typical) + delay/max(left, 1)
+		delay := p.expectedDelay(e, left, now)
+		pace := p.expectedPace(e, typical) + delay/max(left, 1)
 		if !long && e.groups[w.Item.Group] > 0 {
 			pace *= p.limits.GroupAffinity
 		}
-		if !long && e.warm(now) {
-			pace *= warmPace
+		if !long && e.hasIdleConnection(now) {
+			pace *= warmFactor
 		}
 		if pace < bestPace {
 			best, bestPace = e, pace
 		}
 		bestDelay = min(bestDelay, delay)
-		fitting = append(fitting, pacedEngine{e, pace, delay})
+		fitting = append(fitting, candidate{e, pace, delay})
 	}
-	p.fitting = fitting
+	p.candidates = fitting
 	if best == nil {
 		return roomiest
 	}
@@ -180,77 +180,77 @@
 	// The best pace is that of the engines which are quiet, if there are any.
 	quiet := math.Inf(1)
 	for _, f := range fitting {
-		if f.delay <= bestDelay+evenDelay {
+		if f.delay <= bestDelay+equalDelay {
 			quiet = min(quiet, f.pace)
 		}
 	}
 	for _, f := range fitting {
-		if f.pace > quiet*evenPace || f.delay > bestDelay+evenDelay {
+		if f.pace > quiet*equalPaceFactor || f.delay > bestDelay+equalDelay {
 			continue
 		}
-		if emptiest == nil || f.engine.used < emptiest.used || f.engine.used == emptiest.used && f.engine.warm(now) && !emptiest.warm(now) {
+		if emptiest == nil || f.engine.usedMemory < emptiest.usedMemory || f.engine.usedMemory == emptiest.usedMemory && f.engine.hasIdleConnection(now) && !emptiest.hasIdleConnection(now) {
 			emptiest = f.engine
 		}
 	}
 	return emptiest
 }
 
-// warmPace makes an engine to which a connection is kept count as so much faster: another
+// warmFactor makes an engine to which a connection is kept count as so much faster: another
 // costs it a handshake, in which it serves nobody.
-const warmPace = 0.94
+const warmFactor = 0.94
 
-// warm says whether a connection to the engine is kept that nobody uses.
-func (e *Engine) warm(now cf.Millis) bool {
-	for len(e.kept) > 0 && e.kept[0] <= now {
-		e.kept = e.kept[1:]
+// hasIdleConnection says whether a connection to the engine is kept that nobody uses.
+func (e *Engine) hasIdleConnection(now cf.Millis) bool {
+	for len(e.idleConnections) > 0 && e.idleConnections[0] <= now {
+		e.idleConnections = e.idleConnections[1:]
 	}
-	return len(e.kept) > 0
+	return len(e.idleConnections) > 0
 }
 
 // ConnectionKept records that the connection of a run, which has not been noted as finished, is kept
 // until then.
 func (p *Planner) ConnectionKept(w *Work, until cf.Millis) {
-	if e := p.at(w); e != nil && len(e.kept) < e.Slots {
-		e.kept = append(e.kept, until)
+	if e := p.currentEngine(w); e != nil && len(e.idleConnections) < e.Slots {
+		e.idleConnections = append(e.idleConnections, until)
 	}
 }
 
-// pacedEngine is an engine with what an event would take there, and how much longer a run
+// candidate is an engine with what an event would take there, and how much longer a run
 // because the engine is slow for a while, or may be.
-type pacedEngine struct {
+type candidate struct {
 	engine *Engine
 	pace   float64
 	delay  float64
 }
 
-// evenDelay is how much longer than at the quietest engine a long text may be expected to take
+// equalDelay is how much longer than at the quietest engine a long text may be expected to take
 // at one that holds less, in ms: a third of what an engine costs that was not seen of late.
-const evenDelay = 20
+const equalDelay = 20
 
-// betterWait says whether an item that is nth in line ends sooner if it waits for
+// shouldWait says whether an item that is nth in line ends sooner if it waits for
 // a usual engine than if it starts at a slow one. Long texts do, and a step is
 // worth nothing before its last.
-func (p *Planner) betterWait(q queue, w *Work, slow *Engine, nth int) bool {
-	if p.byPeriods(p.now) && p.full(slow) <= slowPace*q.pace { // it is slow for now
-		return q.slots > 0 && p.IsLong(w) && p.periods.Delay(&slow.state, p.left(w)*q.pace, p.now) > q.wait(nth)
+func (p *Planner) shouldWait(q queue, w *Work, slow *Engine, nth int) bool {
+	if p.usesPeriods(p.now) && p.fullPace(slow) <= slowFactor*q.pace { // it is slow for now
+		return q.slots > 0 && p.IsLong(w) && p.periods.Delay(&slow.state, p.remaining(w)*q.pace, p.now) > q.wait(nth)
 	}
-	return p.left(w)*(p.full(slow)-q.pace) > q.wait(nth)
+	return p.remaining(w)*(p.fullPace(slow)-q.pace) > q.wait(nth)
 }
 
-// takes says whether an engine can start an item now.
-func (e *Engine) takes(w *Work, now cf.Millis) bool { return e.hasSlot() && e.open(w, now) }
+// canStart says whether an engine can start an item now.
+func (e *Engine) canStart(w *Work, now cf.Millis) bool { return e.hasFreeSlot() && e.accepts(w, now) }
 
-// open says whether an engine can start an item now, if it has room.
-func (e *Engine) open(w *Work, now cf.Millis) bool {
+// accepts says whether an engine can start an item now, if it has room.
+func (e *Engine) accepts(w *Work, now cf.Millis) bool {
 	if e.ID == w.AvoidEngine && now < w.avoidUntil {
 		return false
 	}
-	return now >= e.avoid && e.loading == 0 && e.serves(w)
+	return now >= e.avoidUntil && e.loading == 0 && e.serves(w)
 }
 
-// hasSlot says whether an engine has a slot that is neither taken nor kept for a run, and is
+// hasFreeSlot says whether an engine has a slot that is neither taken nor kept for a run, and is
 // not set apart.
-func (e *Engine) hasSlot() bool { return e.most == 0 && e.hasRoom() }
+func (e *Engine) hasFreeSlot() bool { return e.isolationLimit == 0 && e.hasRoom() }
 
 // hasRoom says whether an engine has a slot that is neither taken nor kept for a run.
 func (e *Engine) hasRoom() bool { return e.Running+e.reserved < e.Slots }
@@ -274,15 +274,15 @@
 // listed, as done or as failed; otherwise it waits again.
 func (p *Planner) Finished(w *Work, outcome Outcome, now cf.Millis) (list bool) {
 	p.runEnded(w, outcome, now)
-	w.Engine, w.engine, w.from, w.waitsSince = "", nil, w.Text.Last, now
+	w.Engine, w.engine, w.resumeAfter, w.waitingSince = "", nil, w.Text.Last, now
 	if w.Progress.events.Load() > 0 {
-		w.idle, w.reported = now, 0
+		w.unplacedSince, w.reportedWait = now, 0
 	}
 	o := p.batches[w.Batch.Sub.ID]
 	if o != nil {
 		delete(o.running, w.Item.ID)
 	}
-	if w.mixed() {
+	if w.mixesVersions() {
 		// An order that was carried out late, or given between two steps, has
 		// changed the weights under the run. It begins anew.
 		w.Text = Text{}
@@ -294,8 +294,8 @@
 	case OutcomeDone:
 		w.Text.Complete = true
 		p.lengths.note(w)
-		p.guesses.note(w)
-		p.longest = max(float64(w.Text.Last), p.longest*longestMemory)
+		p.hints.note(w)
+		p.longestText = max(float64(w.Text.Last), p.longestText*longestDecay)
 	case OutcomeFailed:
 		w.Failures++
 	}
@@ -309,21 +309,21 @@
 		return true
 	}
 	// First in line: others of its group have run, and the step waits for it.
-	w.again, o.unranked = true, true
+	w.interrupted, o.rankingStale = true, true
 	o.waiting = append([]*Work{w}, o.waiting...)
 	return false
 }
 
-// mixed says whether a text was made by several versions where one is asked for.
-func (w *Work) mixed() bool { return w.Terms.SingleVersion && len(w.Text.Versions) > 1 }
+// mixesVersions says whether a text was made by several versions where one is asked for.
+func (w *Work) mixesVersions() bool { return w.Terms.SingleVersion && len(w.Text.Versions) > 1 }
 
-// judge keeps new items off an engine for a while after it failed one.
-func (p *Planner) judge(e *Engine, outcome Outcome, now cf.Millis) {
+// penalize keeps new items off an engine for a while after it failed one.
+func (p *Planner) penalize(e *Engine, outcome Outcome, now cf.Millis) {
 	switch outcome {
 	case OutcomeNotRun:
-		e.avoid = now + p.limits.BusyPenalty
+		e.avoidUntil = now + p.limits.BusyPenalty
 	case OutcomeFailed, OutcomeBroken:
-		e.avoid = now + p.limits.FailurePenalty
+		e.avoidUntil = now + p.limits.FailurePenalty
 	}
 }
 
@@ -349,10 +349,10 @@
 	if o == nil || o.terms.MaxWait <= 0 {
 		return 0
 	}
-	return o.terms.MaxWait + expireSlack
+	return o.terms.MaxWait + clockSlack
 }
 
-// expireSlack covers the difference between the wall clocks of the instance
+// clockSlack covers the difference between the wall clocks of the instance
 // that accepted a batch and of the one that gives its items up: an item given
 // up too early breaks a promise, one given up late costs nothing.
-const expireSlack cf.Millis = 5000
+const clockSlack cf.Millis = 5000
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -85,45 +85,45 @@
 		Model   cf.ModelName
 		Running int
 		loading cf.WeightVersion // zero when it loads nothing
-		// loadBegan is when, beside how many at most, and undelayed that no
+		// loadStarted is when, beside how many at most, and undelayed that no
 		// run held the load up.
-		loadBegan cf.Millis
-		beside    int
-		undelayed bool
-		// failed is the version whose order failed last, at failedAt.
-		failed   cf.WeightVersion
-		failedAt cf.Millis
-		avoid    cf.Millis // no new items until then
-		rest     cf.Millis // no new order until then
-		versions map[cf.ModelName]cf.WeightVersion
+		loadStarted     cf.Millis
+		concurrentLoads int
+		loadUndelayed   bool
+		// failedVersion is the version whose order failed last, at failedAt.
+		failedVersion cf.WeightVersion
+		failedAt      cf.Millis
+		avoidUntil    cf.Millis // no new items until then
+		nextOrderAt   cf.Millis // no new order until then
+		versions      map[cf.ModelName]cf.WeightVersion
 		// Memory is its memory in tokens, zero where that is not known; told that
 		// it has said so. used is what its runs are expected to take.
-		Memory cf.Tokens
-		told   bool
-		used   float64
-		groups map[cf.GroupID]int
+		Memory         cf.Tokens
+		memoryReported bool
+		usedMemory     float64
+		groups         map[cf.GroupID]int
 		// pace is the milliseconds that an event takes with one run, as far
 		// as shown.
 		pace float64
-		// usual is its mean pace as of usualAt, usualRuns the mean of its runs.
-		usual, usualRuns float64
-		usualAt          cf.Millis
+		// meanPace is its mean pace as of usualAt, usualRuns the mean of its runs.
+		meanPace, meanRuns float64
+		meanAt             cf.Millis
 		// reserved are its slots that are kept for runs that move to it.
 		reserved int
-		// most is how many runs it may have while it is set apart, zero while it is not.
-		most int
-		// loadSeen is when it was last seen loading under a run.
-		loadSeen cf.Millis
+		// isolationLimit is how many runs it may have while it is set apart, zero while it is not.
+		isolationLimit int
+		// loadingSeenAt is when it was last seen loading under a run.
+		loadingSeenAt cf.Millis
 		// state is what its events show of periods of slowness.
 		state cfslow.EngineState
-		// kept are until when connections to it are kept that nobody uses, the first to
+		// idleConnections are until when connections to it are kept that nobody uses, the first to
 		// end first.
-		kept []cf.Millis
-		// draw orders engines that differ in nothing else.
-		draw uint64
+		idleConnections []cf.Millis
+		// idHash orders engines that differ in nothing else.
+		idHash uint64
 	}
 
-	unlistedKey struct {
+	departedKey struct {
 		id      cf.InstanceID
 		service cf.ServiceName
 	}
@@ -150,51 +150,51 @@
 		Text     Text
 		Engine   cf.InstanceID // where it runs, empty while it waits
 		// engine is the same, as of the start that born tells, zero if that was not known.
-		engine  *Engine
-		born    cf.Millis
-		Version cf.WeightVersion
+		engine     *Engine
+		engineBorn cf.Millis
+		Version    cf.WeightVersion
 		// OldestVersion is the oldest version of the text, as of the run's start.
 		OldestVersion cf.WeightVersion
 		Started       cf.Millis
-		// guess is its submitter's guess of its length against the mean of its
+		// relativeHint is its submitter's guess of its length against the mean of its
 		// batch, zero without one.
-		guess float64
+		relativeHint float64
 		// Progress is that of the run under way.
 		Progress Progress
-		// from is the event after which the run under way, or the next,
+		// resumeAfter is the event after which the run under way, or the next,
 		// begins.
-		from cf.EventID
+		resumeAfter cf.EventID
 		// moving: the run is being stopped, to go on at another engine; moves
 		// counts how often it was.
 		moving bool
 		moves  int
 		// movedAt is when it was last decided to move it, until its first event
 		// elsewhere.
-		movedAt cf.Millis
-		moved   Move
-		// to is the engine that keeps a slot for it until toUntil.
-		to      *Engine
-		toUntil cf.Millis
+		movedAt  cf.Millis
+		lastMove Move
+		// reservedEngine is the engine that keeps a slot for it until toUntil.
+		reservedEngine *Engine
+		reservedUntil  cf.Millis
 		// AvoidEngine is an engine that the run was moved away from.
 		AvoidEngine cf.InstanceID
 		avoidUntil  cf.Millis
-		order       int
-		// most is how many runs an engine may have with it, as the last admission said;
+		submitOrder int
+		// maxRuns is how many runs an engine may have with it, as the last admission said;
 		// apart: it runs at an engine that is set apart for it.
-		most  int
-		apart bool
-		// waitsSince is when its last run ended, or when it was first looked at.
-		waitsSince cf.Millis
-		// again: a run of it has ended before its text was complete. class is that of its
+		maxRuns  int
+		isolated bool
+		// waitingSince is when its last run ended, or when it was first looked at.
+		waitingSince cf.Millis
+		// interrupted: a run of it has ended before its text was complete. class is that of its
 		// group, and startBy when it must start for its group, both as of the last ranking.
-		again   bool
-		class   groupClass
-		startBy float64
-		// idle is since when it has been at no engine, zero if that was not looked at; runs
+		interrupted bool
+		class       groupClass
+		latestStart float64
+		// unplacedSince is since when it has been at no engine, zero if that was not looked at; runs
 		// without an event do not count. reported is after what time that was last reported,
 		// refused that no engine may be sent it, as of the last look.
-		idle, reported cf.Millis
-		refused        bool
+		unplacedSince, reportedWait cf.Millis
+		notAdmitted                 bool
 	}
 
 	// Swap asks for a weight order.
@@ -207,54 +207,54 @@
 
 	// Planner holds the state. It is not safe for concurrent use.
 	Planner struct {
-		limits  Limits
-		engines map[cf.InstanceID]*Engine
-		named   map[cf.ModelName]cf.WeightVersion
-		models  map[cf.ServiceName][]cf.ModelName
-		// need is the work of each model's latest step, weights what its share counts for.
-		need    map[cf.ModelName]stepWork
-		weights map[cf.ModelName]float64
-		batches map[cf.BatchID]*open
-		carry   map[cf.ItemID]*Work
-		// unlisted are engines that have left the list and have runs under way.
-		unlisted map[unlistedKey]*Engine
+		limits         Limits
+		engines        map[cf.InstanceID]*Engine
+		latestVersions map[cf.ModelName]cf.WeightVersion
+		models         map[cf.ServiceName][]cf.ModelName
+		// work is the work of each model's latest step, weights what its share counts for.
+		work         map[cf.ModelName]stepWork
+		shareWeights map[cf.ModelName]float64
+		batches      map[cf.BatchID]*openBatch
+		savedTexts   map[cf.ItemID]*Work
+		// departed are engines that have left the list and have runs under way.
+		departed map[departedKey]*Engine
 		// orphans run on for a batch to come, though theirs was ended.
 		orphans map[cf.ItemID]*Work
 		// fleets are the engines of each service, shares those that serve a model, sorted
 		// by id; loadings are those that load weights, busy those that run something.
-		fleets   map[cf.ServiceName]*fleet
-		shares   map[shareKey][]*Engine
-		loadings map[cf.InstanceID]*Engine
-		busy     map[cf.InstanceID]*Engine
-		// proved are the newest versions that engines were seen to hold.
-		proved map[cf.ModelName]cf.WeightVersion
+		fleets         map[cf.ServiceName]*fleet
+		shares         map[shareKey][]*Engine
+		loadingEngines map[cf.InstanceID]*Engine
+		busyEngines    map[cf.InstanceID]*Engine
+		// provenVersions are the newest versions that engines were seen to hold.
+		provenVersions map[cf.ModelName]cf.WeightVersion
 		// peaks are the most items of each model that were open at once.
 		peaks map[cf.ModelName]*cfpeak.Peak
-		// undivided: the first version of a model was named, which changes what it needs, or
+		// needsDivision: the first version of a model was named, which changes what it needs, or
 		// a model lacks engines that others hold and do not need.
-		undivided bool
+		needsDivision bool
 		// conflicts are the engines at which, in this look, an item might not meet what runs there.
 		conflicts map[*Engine]bool
 		// replacedAt is when slow engines were looked for last.
 		replacedAt cf.Millis
 		// now is the time of the last call that brought it.
 		now cf.Millis
-		// usual is what typical returned at usualAt.
-		usual   float64
-		usualAt cf.Millis
-		// single are the models whose latest batch asks for samples of one
+		// cachedPace is what typical returned at usualAt.
+		cachedPace   float64
+		cachedPaceAt cf.Millis
+		// singleVersion are the models whose latest batch asks for samples of one
 		// version each; its runs may go on when it has ended.
-		single map[cf.ModelName]bool
+		singleVersion map[cf.ModelName]bool
 		// scarce: a service has fewer engines than models.
-		scarce  bool
-		loads   loadPace
-		trials  trials
-		lengths lengths
-		// longest is the length of the longest text so far; it fades.
-		longest float64
-		guesses guesses
-		slots   slotCost
-		memory  memory
+		scarce    bool
+		loadLimit loadLimiter
+		crashes   crashTracker
+		lengths   lengths
+		// longestText is the length of the longest text so far; it fades.
+		longestText float64
+		hints       hintCorrection
+		slotCost    slotCostModel
+		memory      memoryModel
 		// periods is what was observed of engines that are slow for a while, moveCost
 		// what it costs to move a run.
 		periods  cfslow.Periods
@@ -262,8 +262,8 @@
 		// stalledUntil is when the process was last found to have done nothing for a while.
 		stalledUntil cf.Millis
 		reservations []*Work
-		// fitting is the room for the engines of a choice.
-		fitting []pacedEngine
+		// candidates is the room for the engines of a choice.
+		candidates []candidate
 	}
 
 	shareKey struct {
@@ -271,22 +271,22 @@
 		model   cf.ModelName
 	}
 
-	open struct {
+	openBatch struct {
 		batch  *cfbatch.Batch
 		terms  Terms
 		paused bool
-		// begun: an item of it has run, or is listed.
-		begun   bool
+		// started: an item of it has run, or is listed.
+		started bool
 		waiting []*Work
 		running map[cf.ItemID]*Work
-		// selected is the last selection of its groups, at rankedAt, and wanted how many of
+		// selection is the last selection of its groups, at rankedAt, and wanted how many of
 		// the items that wait belong to groups that are waited for. unranked: items have
 		// come back since. pace is what an event took then.
-		selected selection
-		rankedAt cf.Millis
-		wanted   int
-		unranked bool
-		pace     float64
+		selection       selection
+		rankedAt        cf.Millis
+		requiredWaiting int
+		rankingStale    bool
+		rankedPace      float64
 	}
 )
 
@@ -296,20 +296,20 @@
 // New returns a planner that knows no engines.
 func New(limits Limits) *Planner {
 	return &Planner{
-		limits: limits, engines: map[cf.InstanceID]*Engine{}, named: map[cf.ModelName]cf.WeightVersion{},
-		models: map[cf.ServiceName][]cf.ModelName{}, need: map[cf.ModelName]stepWork{}, batches: map[cf.BatchID]*open{},
-		fleets: map[cf.ServiceName]*fleet{}, shares: map[shareKey][]*Engine{}, loadings: map[cf.InstanceID]*Engine{}, busy: map[cf.InstanceID]*Engine{}, conflicts: map[*Engine]bool{}, proved: map[cf.ModelName]cf.WeightVersion{}, peaks: map[cf.ModelName]*cfpeak.Peak{}, usualAt: -1,
-		carry: map[cf.ItemID]*Work{}, orphans: map[cf.ItemID]*Work{}, unlisted: map[unlistedKey]*Engine{}, single: map[cf.ModelName]bool{}, loads: newLoadPace(limits.MinLoads, limits.LearnedLoads), trials: trials{models: map[cf.ModelName]*trial{}}, slots: slotCost{cost: slotPrior}, memory: memory{asked: map[cf.InstanceID]cf.Millis{}, told: map[cf.ServiceName]*toldMemory{}},
+		limits: limits, engines: map[cf.InstanceID]*Engine{}, latestVersions: map[cf.ModelName]cf.WeightVersion{},
+		models: map[cf.ServiceName][]cf.ModelName{}, work: map[cf.ModelName]stepWork{}, batches: map[cf.BatchID]*openBatch{},
+		fleets: map[cf.ServiceName]*fleet{}, shares: map[shareKey][]*Engine{}, loadingEngines: map[cf.InstanceID]*Engine{}, busyEngines: map[cf.InstanceID]*Engine{}, conflicts: map[*Engine]bool{}, provenVersions: map[cf.ModelName]cf.WeightVersion{}, peaks: map[cf.ModelName]*cfpeak.Peak{}, cachedPaceAt: -1,
+		savedTexts: map[cf.ItemID]*Work{}, orphans: map[cf.ItemID]*Work{}, departed: map[departedKey]*Engine{}, singleVersion: map[cf.ModelName]bool{}, loadLimit: newLoadLimiter(limits.MinLoads, limits.LearnedLoads), crashes: crashTracker{suspects: map[cf.ModelName]*suspectVersion{}}, slotCost: slotCostModel{cost: slotCostPrior}, memory: memoryModel{queriedAt: map[cf.InstanceID]cf.Millis{}, reports: map[cf.ServiceName]*reportedMemory{}},
 	}
 }
 
 // LatestVersion returns the newest version named for a model.
-func (p *Planner) LatestVersion(m cf.ModelName) cf.WeightVersion { return max(p.named[m], 1) }
+func (p *Planner) LatestVersion(m cf.ModelName) cf.WeightVersion { return max(p.latestVersions[m], 1) }
 
 // SetVersion takes a version that a trainer has named.
 func (p *Planner) SetVersion(m cf.ModelName, v cf.WeightVersion) {
-	p.undivided = p.undivided || p.LatestVersion(m) == 1 && v > 1
-	p.named[m] = max(p.named[m], v)
+	p.needsDivision = p.needsDivision || p.LatestVersion(m) == 1 && v > 1
+	p.latestVersions[m] = max(p.latestVersions[m], v)
 }
 
 // AddBatch takes a batch; its listed items are done. It returns items that
@@ -319,28 +319,28 @@
 		return nil
 	}
 	if b.Ended {
-		p.noteOpen(b.Sub.Model, len(b.Sub.Items)) // the next step will be like it
+		p.notePeak(b.Sub.Model, len(b.Sub.Items)) // the next step will be like it
 		return nil
 	}
-	o := &open{batch: b, terms: terms, begun: b.ListedCount() > 0, running: map[cf.ItemID]*Work{}}
+	o := &openBatch{batch: b, terms: terms, started: b.ListedCount() > 0, running: map[cf.ItemID]*Work{}}
 	p.batches[b.Sub.ID] = o
 	var ready []*Work
 	tokens, hints := 0.0, 0.0
-	guess := meanGuess(b.Sub.Items)
+	guess := meanHint(b.Sub.Items)
 	for _, it := range b.Sub.Items {
 		tokens += float64(max(it.Tokens, 1))
 		hints += float64(it.LengthHint)
 		if b.Listed(it.ID) {
 			continue
 		}
-		if p.adopt(o, it) {
+		if p.adoptOrphan(o, it) {
 			continue
 		}
-		w := &Work{Batch: b, Item: it, Terms: terms, guess: float64(it.LengthHint) / guess}
-		if old := p.carry[it.ID]; old != nil {
-			delete(p.carry, it.ID)
-			if fits(old.Text, b.Sub.MinVersion, terms.SingleVersion) {
-				w.Text, w.from = old.Text, old.Text.Last
+		w := &Work{Batch: b, Item: it, Terms: terms, relativeHint: float64(it.LengthHint) / guess}
+		if old := p.savedTexts[it.ID]; old != nil {
+			delete(p.savedTexts, it.ID)
+			if reusable(old.Text, b.Sub.MinVersion, terms.SingleVersion) {
+				w.Text, w.resumeAfter = old.Text, old.Text.Last
 			}
 		}
 		if w.Text.Complete {
@@ -349,11 +349,11 @@
 		}
 		o.waiting = append(o.waiting, w)
 	}
-	order(o.waiting)
-	p.noteWork(b.Sub.Model, stepWork{tokens: tokens, hints: hints, latest: tokens, timed: terms.Due > 0, at: p.now})
-	p.noteOpen(b.Sub.Model, b.ListedCount())
-	p.single[b.Sub.Model] = terms.SingleVersion
-	p.divide()
+	sortItems(o.waiting)
+	p.noteWork(b.Sub.Model, stepWork{tokens: tokens, hints: hints, latestTokens: tokens, hasDueTime: terms.Due > 0, lastOpen: p.now})
+	p.notePeak(b.Sub.Model, b.ListedCount())
+	p.singleVersion[b.Sub.Model] = terms.SingleVersion
+	p.divideEngines()
 	return ready
 }
 
@@ -372,11 +372,11 @@
 	if terms.Due == 0 {
 		o.forgetRanking()
 	}
-	if work, known := p.need[o.batch.Sub.Model]; known {
-		work.timed = terms.Due > 0
-		p.need[o.batch.Sub.Model] = work
+	if work, known := p.work[o.batch.Sub.Model]; known {
+		work.hasDueTime = terms.Due > 0
+		p.work[o.batch.Sub.Model] = work
 	}
-	p.single[o.batch.Sub.Model] = terms.SingleVersion
+	p.singleVersion[o.batch.Sub.Model] = terms.SingleVersion
 	for _, w := range o.waiting {
 		w.Terms = terms
 	}
@@ -385,24 +385,24 @@
 	}
 }
 
-// adopt lets a run go on for a batch that asks for its item again.
-func (p *Planner) adopt(o *open, it cf.Item) bool {
+// adoptOrphan lets a run go on for a batch that asks for its item again.
+func (p *Planner) adoptOrphan(o *openBatch, it cf.Item) bool {
 	w := p.orphans[it.ID]
 	if w == nil || w.OldestVersion < o.batch.Sub.MinVersion {
 		return false
 	}
 	delete(p.orphans, it.ID)
 	w.Batch, w.Terms = o.batch, o.terms
-	o.running[it.ID], o.begun = w, true
+	o.running[it.ID], o.started = w, true
 	return true
 }
 
-// order sorts a step's items: groups left over from the step before come
+// sortItems sorts a step's items: groups left over from the step before come
 // first, as submitted; then long items before short ones, so that the step
 // does not end with its longest item alone on an engine.
-func order(works []*Work) {
+func sortItems(works []*Work) {
 	for i, w := range works {
-		w.order = i
+		w.submitOrder = i
 	}
 	sort.SliceStable(works, func(i, j int) bool {
 		a, b := works[i], works[j]
@@ -412,7 +412,7 @@
 		if a.Item.LengthHint != b.Item.LengthHint {
 			return a.Item.LengthHint > b.Item.LengthHint
 		}
-		return a.order < b.order
+		return a.submitOrder < b.submitOrder
 	})
 }
 
@@ -424,9 +424,9 @@
 		return nil
 	}
 	delete(p.batches, id)
-	if work, known := p.need[o.batch.Sub.Model]; known {
-		work.at = p.now
-		p.need[o.batch.Sub.Model] = work
+	if work, known := p.work[o.batch.Sub.Model]; known {
+		work.lastOpen = p.now
+		p.work[o.batch.Sub.Model] = work
 	}
 	for _, w := range o.waiting {
 		p.KeepText(w)
@@ -436,7 +436,7 @@
 		// The next step asks for newer weights than this one did.
 		if w.OldestVersion <= o.batch.Sub.MinVersion {
 			stop = append(stop, w)
-			p.keepStopped(w)
+			p.keepStoppedText(w)
 			continue
 		}
 		p.orphans[w.Item.ID] = w
@@ -454,11 +454,11 @@
 	return false
 }
 
-// sorted returns the open batches by their priority, and of one priority those accepted
+// sortedBatches returns the open batches by their priority, and of one priority those accepted
 // first before the others: their trainers give up first. A coordinator that takes over
 // finds them in no order.
-func (p *Planner) sorted() []*open {
-	out := make([]*open, 0, len(p.batches))
+func (p *Planner) sortedBatches() []*openBatch {
+	out := make([]*openBatch, 0, len(p.batches))
 	for _, o := range p.batches {
 		out = append(out, o)
 	}
--- a/core/cfrollout/selection_test.go
+++ b/core/cfrollout/selection_test.go
@@ -15,8 +15,8 @@
 	for i := range 800 {
 		w := &Work{Item: cf.Item{ID: cf.ItemID(fmt.Sprint(i)), LengthHint: 140}, Text: Text{Last: 14}}
 		p.lengths.note(w)
-		p.guesses.note(w)
-		if events := p.guesses.of(cf.Item{LengthHint: 600}, &p.lengths); events < 59 || events > 61 {
+		p.hints.note(w)
+		if events := p.hints.expected(cf.Item{LengthHint: 600}, &p.lengths); events < 59 || events > 61 {
 			t.Fatalf("after %d texts a text of 60 events is expected to have %.1f", i+1, events)
 		}
 	}
@@ -27,7 +27,7 @@
 func TestStepWithoutTargetGroupsWaitsForAll(t *testing.T) {
 	p := New(DefaultLimits)
 	sub := cf.Submission{ID: "s", Model: "m"}
-	o := &open{}
+	o := &openBatch{}
 	for i := range 3 {
 		sub.Items = append(sub.Items, cf.Item{ID: cf.ItemID(fmt.Sprint(i)), Group: cf.GroupID(fmt.Sprint("g", i))})
 	}
@@ -35,15 +35,15 @@
 	for _, it := range sub.Items {
 		o.waiting = append(o.waiting, &Work{Batch: o.batch, Item: it})
 	}
-	if n := p.stepNeed(o, 40); n.want != 3 {
-		t.Errorf("%d of 3 groups are waited for", n.want)
+	if n := p.stepNeed(o, 40); n.required != 3 {
+		t.Errorf("%d of 3 groups are waited for", n.required)
 	}
 }
 
 // Guards against groups that keep no expected end when a spare one takes their place: they
 // would start before all others of their class, and count as waited for.
 func TestReplacedGroupsGoLast(t *testing.T) {
-	n := stepNeed{slots: 1, due: 1000, late: 1500, most: 1000, want: 3, groups: []groupNeed{
+	n := stepNeed{slots: 1, due: 1000, usefulFor: 1500, inTimeFor: 1000, required: 3, groups: []groupNeed{
 		{id: "short", work: 100, longest: 100}, {id: "long", work: 200, longest: 1800},
 		{id: "carried", work: 250, longest: 2000, carried: true}, {id: "spare", work: 300, longest: 100},
 		{id: "more", work: 350, longest: 100},
@@ -56,8 +56,8 @@
 		switch {
 		case g.id == "long" && g.class != groupOptional:
 			t.Errorf("replaced group has class %d", g.class)
-		case g.id == "carried" && (g.class != groupLast || g.whole < 2000):
-			t.Errorf("carried group has class %d and is whole in %.0f ms", g.class, g.whole)
+		case g.id == "carried" && (g.class != groupTooLate || g.completeIn < 2000):
+			t.Errorf("carried group has class %d and is whole in %.0f ms", g.class, g.completeIn)
 		}
 	}
 }
@@ -74,9 +74,9 @@
 		p.AddBatch(cfbatch.New(sub), Terms{Service: "x", Due: 9000, Span: 8000})
 		p.lengths.started = true
 		o := p.batches["s"]
-		o.rankedAt, o.wanted = 1000, 1
-		if end(p); o.rankedAt != 0 || o.wanted != 0 {
-			t.Errorf("%s: ranked at %d, %d items wanted", name, o.rankedAt, o.wanted)
+		o.rankedAt, o.requiredWaiting = 1000, 1
+		if end(p); o.rankedAt != 0 || o.requiredWaiting != 0 {
+			t.Errorf("%s: ranked at %d, %d items wanted", name, o.rankedAt, o.requiredWaiting)
 		}
 	}
 }
@@ -86,9 +86,9 @@
 func TestRunsOfALookGoToDifferentSlots(t *testing.T) {
 	p := New(DefaultLimits)
 	sub := cf.Submission{ID: "s", Model: "m"}
-	o := &open{batch: cfbatch.New(sub), terms: Terms{Service: "x"}}
+	o := &openBatch{batch: cfbatch.New(sub), terms: Terms{Service: "x"}}
 	engine := func(id cf.InstanceID, used float64) *Engine {
-		e := &Engine{Target: cf.Target{ID: id, Service: "x", Slots: 1}, Model: "m", used: used, versions: map[cf.ModelName]cf.WeightVersion{"m": 1}}
+		e := &Engine{Target: cf.Target{ID: id, Service: "x", Slots: 1}, Model: "m", usedMemory: used, versions: map[cf.ModelName]cf.WeightVersion{"m": 1}}
 		p.shares[shareKey{"x", "m"}] = append(p.shares[shareKey{"x", "m"}], e)
 		return e
 	}
--- a/core/cfrollout/shares.go
+++ b/core/cfrollout/shares.go
@@ -10,18 +10,18 @@
 const (
 	// workWeight is the weight of a model's latest step in what it is taken to need.
 	workWeight = 0.3
-	// keepShare is by how many engines a share may differ from what its model needs: an
+	// shareTolerance is by how many engines a share may differ from what its model needs: an
 	// engine that changes hands loads weights, while it has runs of the step under way.
-	keepShare = 0.7
+	shareTolerance = 0.7
 	// idleAfter is how long after its last step a model's need fades, to idleNeed of it: trainers
 	// hand in a step every few seconds, and a coordinator that takes over finds none for one.
-	idleAfter cf.Millis = 15_000
-	idleNeed  float64   = 0.1
+	idleAfter      cf.Millis = 15_000
+	idleNeedFactor float64   = 0.1
 )
 
 type (
-	// share is what the assignment needs to know of one engine.
-	share struct {
+	// assignment is what the assignment needs to know of one engine.
+	assignment struct {
 		id    cf.InstanceID
 		model cf.ModelName
 		// moveCost ranks engines of one model for being given away: an
@@ -39,28 +39,28 @@
 	// that it has a due time, and at when it was open last.
 	stepWork struct {
 		tokens, hints float64
-		latest        float64
-		timed         bool
-		at            cf.Millis
+		latestTokens  float64
+		hasDueTime    bool
+		lastOpen      cf.Millis
 	}
 )
 
 // SetWeights takes what models' shares of the engines count for against their work; 1 where
 // not given.
-func (p *Planner) SetWeights(weights map[cf.ModelName]float64) { p.weights = weights }
+func (p *Planner) SetWeights(weights map[cf.ModelName]float64) { p.shareWeights = weights }
 
 // noteWork takes the work of a model's latest step. Steps differ by a third in their number
 // of groups, and the next is like the mean of those before.
 func (p *Planner) noteWork(m cf.ModelName, w stepWork) {
-	if old, known := p.need[m]; known {
+	if old, known := p.work[m]; known {
 		w.tokens = old.tokens + workWeight*(w.tokens-old.tokens)
 		w.hints = old.hints + workWeight*(w.hints-old.hints)
 	}
-	p.need[m] = w
+	p.work[m] = w
 }
 
-// isOpen says whether a model has an open batch.
-func (p *Planner) isOpen(m cf.ModelName) bool {
+// hasOpenBatch says whether a model has an open batch.
+func (p *Planner) hasOpenBatch(m cf.ModelName) bool {
 	for _, o := range p.batches {
 		if o.batch.Sub.Model == m {
 			return true
@@ -69,30 +69,30 @@
 	return false
 }
 
-// timed says whether the latest step of any of these models has a due time. Without due
+// hasDueTimes says whether the latest step of any of these models has a due time. Without due
 // times shares follow the latest steps at once.
-func (p *Planner) timed(models []cf.ModelName) bool {
+func (p *Planner) hasDueTimes(models []cf.ModelName) bool {
 	for _, m := range models {
-		if p.need[m].timed {
+		if p.work[m].hasDueTime {
 			return true
 		}
 	}
 	return false
 }
 
-// keepsShares says whether the division is near enough to what the models need.
-func keepsShares(engines []share, models []cf.ModelName, need modelNeeds) bool {
+// sharesCloseEnough says whether the division is near enough to what the models need.
+func sharesCloseEnough(engines []assignment, models []cf.ModelName, need modelNeeds) bool {
 	have, total := map[cf.ModelName]int{}, 0.0
 	for _, e := range engines {
 		have[e.model]++
 	}
 	for _, m := range models {
-		total += weight(need, m)
+		total += needFor(need, m)
 	}
 	n := 0
 	for _, m := range models {
-		exact := float64(len(engines)) * weight(need, m) / total
-		if have[m] == 0 || math.Abs(float64(have[m])-exact) > keepShare {
+		exact := float64(len(engines)) * needFor(need, m) / total
+		if have[m] == 0 || math.Abs(float64(have[m])-exact) > shareTolerance {
 			return false
 		}
 		n += have[m]
@@ -100,32 +100,32 @@
 	return n == len(engines)
 }
 
-// needOf returns the models' needs. For timed steps these are the guessed lengths of their
+// needsOf returns the models' needs. For timed steps these are the guessed lengths of their
 // texts where all tell them, since the tokens of an item are a bound and not its length, else
 // the bounds, as means of their steps. For others they are the bounds of the latest step.
-func (p *Planner) needOf(models []cf.ModelName, timed bool) modelNeeds {
+func (p *Planner) needsOf(models []cf.ModelName, timed bool) modelNeeds {
 	hinted := timed
 	for _, m := range models {
-		if w, known := p.need[m]; known && w.hints == 0 {
+		if w, known := p.work[m]; known && w.hints == 0 {
 			hinted = false
 		}
 	}
 	out := modelNeeds{}
 	for _, m := range models {
-		w, known := p.need[m]
+		w, known := p.work[m]
 		if !known {
 			continue
 		}
 		if !timed {
-			w.tokens = w.latest
-		} else if p.now-w.at > idleAfter && !p.isOpen(m) {
-			w.tokens, w.hints = idleNeed*w.tokens, idleNeed*w.hints
+			w.tokens = w.latestTokens
+		} else if p.now-w.lastOpen > idleAfter && !p.hasOpenBatch(m) {
+			w.tokens, w.hints = idleNeedFactor*w.tokens, idleNeedFactor*w.hints
 		}
 		out[m] = w.tokens
 		if hinted {
 			out[m] = w.hints
 		}
-		if factor := p.weights[m]; factor > 0 {
+		if factor := p.shareWeights[m]; factor > 0 {
 			out[m] *= factor
 		}
 	}
@@ -135,7 +135,7 @@
 // assign divides engines among models in proportion to need, at least one
 // each while there are enough, and changes as few as it can: an engine that
 // changes hands must load weights before it is of use.
-func assign(engines []share, models []cf.ModelName, need modelNeeds) map[cf.InstanceID]cf.ModelName {
+func assign(engines []assignment, models []cf.ModelName, need modelNeeds) map[cf.InstanceID]cf.ModelName {
 	out := make(map[cf.InstanceID]cf.ModelName, len(engines))
 	if len(models) == 0 {
 		return out
@@ -148,7 +148,7 @@
 		}
 		return engines[i].id < engines[j].id
 	})
-	var free []share
+	var free []assignment
 	for _, e := range engines {
 		// One engine over quota is kept: need changes a little at each
 		// step, and moving back and forth would load weights for nothing.
@@ -171,7 +171,7 @@
 func quotas(n int, models []cf.ModelName, need modelNeeds) map[cf.ModelName]int {
 	total := 0.0
 	for _, m := range models {
-		total += weight(need, m)
+		total += needFor(need, m)
 	}
 	type part struct {
 		model cf.ModelName
@@ -181,7 +181,7 @@
 	parts := make([]part, 0, len(models))
 	left := n
 	for i, m := range models {
-		exact := float64(n) * weight(need, m) / total
+		exact := float64(n) * needFor(need, m) / total
 		q := int(exact)
 		if q == 0 && left > 0 {
 			q = 1
@@ -206,7 +206,7 @@
 	return quota
 }
 
-func weight(need modelNeeds, m cf.ModelName) float64 {
+func needFor(need modelNeeds, m cf.ModelName) float64 {
 	if w := need[m]; w > 0 {
 		return w
 	}
--- a/core/cfrollout/spare.go
+++ b/core/cfrollout/spare.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// slowerPace is how much slower than usual an engine is that is replaced by another
+	// replaceFactor is how much slower than usual an engine is that is replaced by another
 	// when it would load.
-	slowerPace = 1.15
-	// replaceEvery spaces the looks for such engines.
-	replaceEvery cf.Millis = 1000
+	replaceFactor = 1.15
+	// replaceInterval spaces the looks for such engines.
+	replaceInterval cf.Millis = 1000
 )
 
-// release lets engines go that do nothing, the least useful first, and returns how many.
-func (p *Planner) release(share []*Engine, m cf.ModelName, n int) int {
+// releaseIdle lets engines go that do nothing, the least useful first, and returns how many.
+func (p *Planner) releaseIdle(share []*Engine, m cf.ModelName, n int) int {
 	var idle []*Engine
 	for _, e := range share {
 		if !e.Draining && e.Running == 0 && e.loading == 0 {
 			idle = append(idle, e)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *Engine) int { return p.moreUseful(b, a, m) })
+	slices.SortFunc(idle, func(a, b *Engine) int { return p.compareUsefulness(b, a, m) })
 	idle = idle[:min(n, len(idle))]
 	for _, e := range idle {
-		p.setShare(e, "")
+		p.assignEngine(e, "")
 	}
 	return len(idle)
 }
 
-// moreUseful orders engines by their use for a model: those that hold its newest weights come
+// compareUsefulness orders engines by their use for a model: those that hold its newest weights come
 // first, then those that are known to be no slower than usual.
-func (p *Planner) moreUseful(a, b *Engine, m cf.ModelName) int {
-	return cmp.Or(cmp.Compare(b.versions[m], a.versions[m]), cmp.Compare(p.paceClass(a), p.paceClass(b)), cmp.Compare(a.draw, b.draw), cmp.Compare(a.ID, b.ID))
+func (p *Planner) compareUsefulness(a, b *Engine, m cf.ModelName) int {
+	return cmp.Or(cmp.Compare(b.versions[m], a.versions[m]), cmp.Compare(p.paceRank(a), p.paceRank(b)), cmp.Compare(a.idHash, b.idHash), cmp.Compare(a.ID, b.ID))
 }
 
-// paceClass ranks engines by what is known of their pace.
-func (p *Planner) paceClass(e *Engine) int {
+// paceRank ranks engines by what is known of their pace.
+func (p *Planner) paceRank(e *Engine) int {
 	switch {
 	case e.pace == 0:
 		return 1
@@ -51,11 +51,11 @@
 
 // slowerThanUsual says whether an engine is known to be.
 func (p *Planner) slowerThanUsual(e *Engine) bool {
-	return e.pace > slowerPace*p.typical()
+	return e.pace > replaceFactor*p.assumedPace()
 }
 
-// recruits returns n spare engines for a model, spread over the failure domains.
-func (p *Planner) recruits(f *fleet, m cf.ModelName, n int) []*Engine {
+// pickSpare returns n spare engines for a model, spread over the failure domains.
+func (p *Planner) pickSpare(f *fleet, m cf.ModelName, n int) []*Engine {
 	there := map[cf.FailureDomain]int{}
 	for _, e := range p.shares[shareKey{p.serviceOf(m), m}] {
 		there[e.Domain]++
@@ -66,7 +66,7 @@
 	}
 	domains := make([]cf.FailureDomain, 0, len(byDomain))
 	for d, es := range byDomain {
-		slices.SortFunc(es, func(a, b *Engine) int { return p.moreUseful(a, b, m) })
+		slices.SortFunc(es, func(a, b *Engine) int { return p.compareUsefulness(a, b, m) })
 		domains = append(domains, d)
 	}
 	slices.Sort(domains)
@@ -77,7 +77,7 @@
 			if len(byDomain[d]) == 0 {
 				continue
 			}
-			if best < 0 || p.comesBefore(byDomain[d][0], byDomain[domains[best]][0], m, there[d]-there[domains[best]]) {
+			if best < 0 || p.preferred(byDomain[d][0], byDomain[domains[best]][0], m, there[d]-there[domains[best]]) {
 				best = i
 			}
 		}
@@ -92,10 +92,10 @@
 	return out
 }
 
-// comesBefore says whether engine a is taken before b of another failure domain; more is
+// preferred says whether engine a is taken before b of another failure domain; more is
 // how many more engines of the share are in the domain of a.
-func (p *Planner) comesBefore(a, b *Engine, m cf.ModelName, more int) bool {
-	if c := cmp.Or(cmp.Compare(b.versions[m], a.versions[m]), cmp.Compare(p.paceClass(a), p.paceClass(b))); c != 0 {
+func (p *Planner) preferred(a, b *Engine, m cf.ModelName, more int) bool {
+	if c := cmp.Or(cmp.Compare(b.versions[m], a.versions[m]), cmp.Compare(p.paceRank(a), p.paceRank(b))); c != 0 {
 		return c < 0
 	}
 	return more < 0
@@ -104,7 +104,7 @@
 // replaceSlow lets spare engines take the place of those that are known to be slow and
 // would have to load before they are of use: the load costs the same.
 func (p *Planner) replaceSlow() {
-	if p.now-p.replacedAt < replaceEvery {
+	if p.now-p.replacedAt < replaceInterval {
 		return
 	}
 	p.replacedAt = p.now
@@ -122,10 +122,10 @@
 		if len(slow) == 0 {
 			continue
 		}
-		for _, e := range p.recruits(f, k.model, len(slow)) {
-			if p.paceClass(e) < p.paceClass(slow[0]) {
-				p.setShare(slow[0], "")
-				p.setShare(e, k.model)
+		for _, e := range p.pickSpare(f, k.model, len(slow)) {
+			if p.paceRank(e) < p.paceRank(slow[0]) {
+				p.assignEngine(slow[0], "")
+				p.assignEngine(e, k.model)
 				slow = slow[1:]
 			}
 		}
--- a/core/cfrollout/swap.go
+++ b/core/cfrollout/swap.go
@@ -7,34 +7,34 @@
 	cf "currantford"
 )
 
-// demand sums up what waits for a share.
-type demand struct {
-	// least are the oldest versions that waiting batches allow.
-	least []cf.WeightVersion
+// shareDemand sums up what waits for a share.
+type shareDemand struct {
+	// minVersions are the oldest versions that waiting batches allow.
+	minVersions []cf.WeightVersion
 }
 
-// served says whether something waits that version v may run.
-func (d *demand) served(v cf.WeightVersion) bool {
-	return slices.ContainsFunc(d.least, func(least cf.WeightVersion) bool { return v >= least })
+// hasRunnable says whether something waits that version v may run.
+func (d *shareDemand) hasRunnable(v cf.WeightVersion) bool {
+	return slices.ContainsFunc(d.minVersions, func(least cf.WeightVersion) bool { return v >= least })
 }
 
-// blocked says whether something waits that version v may not run.
-func (d *demand) blocked(v cf.WeightVersion) bool {
-	return slices.ContainsFunc(d.least, func(least cf.WeightVersion) bool { return v < least })
+// hasBlocked says whether something waits that version v may not run.
+func (d *shareDemand) hasBlocked(v cf.WeightVersion) bool {
+	return slices.ContainsFunc(d.minVersions, func(least cf.WeightVersion) bool { return v < least })
 }
 
-func (p *Planner) demands() map[shareKey]*demand {
-	out := map[shareKey]*demand{}
+func (p *Planner) shareDemands() map[shareKey]*shareDemand {
+	out := map[shareKey]*shareDemand{}
 	for k := range p.shares {
-		out[k] = &demand{}
+		out[k] = &shareDemand{}
 	}
 	for _, o := range p.batches {
 		d := out[shareKey{o.terms.Service, o.batch.Sub.Model}]
 		if d == nil {
 			continue // no engine serves it
 		}
-		if o.waitsForLoad() {
-			d.least = append(d.least, o.batch.Sub.MinVersion)
+		if o.delayedByLoads() {
+			d.minVersions = append(d.minVersions, o.batch.Sub.MinVersion)
 		}
 	}
 	return out
@@ -79,21 +79,21 @@
 // would find it without the version it needs.
 func (p *Planner) Swaps(now cf.Millis) []Swap {
 	p.now = now
-	if p.undivided {
-		p.divide()
+	if p.needsDivision {
+		p.divideEngines()
 	}
 	p.replaceSlow()
-	p.trials.judge(p.held, now)
-	loading := p.loading()
-	urgent := max(p.loads.allowed(), p.limits.UrgentLoads)
+	p.crashes.evaluate(p.newestHeld, now)
+	loading := p.loadingCount()
+	urgent := max(p.loadLimit.allowed(), p.limits.UrgentLoads)
 	if loading >= urgent {
 		return nil
 	}
-	due, onTrial, unproved := p.dueSwaps(now), p.onTrial(), p.unproved()
+	due, onTrial, unproved := p.dueSwaps(now), p.loadingSuspects(), p.loadingUnproven()
 	var out []Swap
 	for len(due) > 0 {
 		c := heap.Pop(&due).(swapCandidate)
-		limit := p.loads.allowed()
+		limit := p.loadLimit.allowed()
 		if c.urgent {
 			limit = urgent
 		}
@@ -101,10 +101,10 @@
 			break // those after it are not more urgent
 		}
 		e := c.engine
-		if p.proved[e.Model] < p.LatestVersion(e.Model) && unproved[e.Model] >= unprovedMost {
+		if p.provenVersions[e.Model] < p.LatestVersion(e.Model) && unproved[e.Model] >= maxUnprovenLoads {
 			continue
 		}
-		if !p.spared(e) || !p.trials.allows(e.Model, p.LatestVersion(e.Model), onTrial[e.Model], now) {
+		if !p.canBeSpared(e) || !p.crashes.allows(e.Model, p.LatestVersion(e.Model), onTrial[e.Model], now) {
 			continue
 		}
 		loading++
@@ -113,21 +113,21 @@
 		if onTrial != nil {
 			onTrial[e.Model]++
 		}
-		single := p.single[e.Model]
-		e.failed, e.loadBegan, e.beside, e.undelayed = 0, now, 0, !single || e.Running == 0
+		single := p.singleVersion[e.Model]
+		e.failedVersion, e.loadStarted, e.concurrentLoads, e.loadUndelayed = 0, now, 0, !single || e.Running == 0
 		out = append(out, Swap{Target: e.Target, Model: e.Model, Version: e.loading, KeepRuns: !single})
 	}
 	if len(out) > 0 {
-		p.noteBeside(loading)
+		p.noteConcurrentLoads(loading)
 	}
 	return out
 }
 
-// unproved counts the engines that load a version which none has held yet.
-func (p *Planner) unproved() map[cf.ModelName]int {
+// loadingUnproven counts the engines that load a version which none has held yet.
+func (p *Planner) loadingUnproven() map[cf.ModelName]int {
 	out := map[cf.ModelName]int{}
-	for _, e := range p.loadings {
-		if e.loading > p.proved[e.Model] {
+	for _, e := range p.loadingEngines {
+		if e.loading > p.provenVersions[e.Model] {
 			out[e.Model]++
 		}
 	}
@@ -136,9 +136,9 @@
 
 // dueSwaps returns the engines that should load, as a heap.
 func (p *Planner) dueSwaps(now cf.Millis) swapQueue {
-	demands := p.demands()
+	demands := p.shareDemands()
 	var due swapQueue
-	awaited := p.awaited()
+	awaited := p.awaitedEngines()
 	for k, es := range p.shares {
 		d := demands[k]
 		if f := p.fleets[k.service]; f != nil && f.byNeed {
@@ -146,8 +146,8 @@
 			continue
 		}
 		for _, e := range es {
-			if p.due(e, d, now) && (!awaited[e] || d.blocked(e.versions[e.Model])) {
-				due = append(due, swapCandidate{e, d.blocked(e.versions[e.Model])})
+			if p.shouldLoad(e, d, now) && (!awaited[e] || d.hasBlocked(e.versions[e.Model])) {
+				due = append(due, swapCandidate{e, d.hasBlocked(e.versions[e.Model])})
 			}
 		}
 	}
@@ -155,60 +155,60 @@
 	return due
 }
 
-// noteBeside records how many engines load now with each that does.
-func (p *Planner) noteBeside(loading int) {
-	for _, e := range p.loadings {
-		e.beside = max(e.beside, loading)
+// noteConcurrentLoads records how many engines load now with each that does.
+func (p *Planner) noteConcurrentLoads(loading int) {
+	for _, e := range p.loadingEngines {
+		e.concurrentLoads = max(e.concurrentLoads, loading)
 	}
 }
 
 // LoadEnded learns from a load that has just been seen to end.
 func (p *Planner) LoadEnded(id cf.InstanceID, now cf.Millis) (limit int) {
 	e := p.engines[id]
-	if e == nil || e.loadBegan == 0 {
-		return p.loads.allowed()
+	if e == nil || e.loadStarted == 0 {
+		return p.loadLimit.allowed()
 	}
-	if e.undelayed {
-		p.loads.took(e.beside, now-e.loadBegan, now)
+	if e.loadUndelayed {
+		p.loadLimit.observe(e.concurrentLoads, now-e.loadStarted, now)
 	}
-	e.loadBegan = 0
-	return p.loads.allowed()
+	e.loadStarted = 0
+	return p.loadLimit.allowed()
 }
 
-// loading counts the engines that load weights.
-func (p *Planner) loading() int {
-	for id, e := range p.loadings {
+// loadingCount counts the engines that load weights.
+func (p *Planner) loadingCount() int {
+	for id, e := range p.loadingEngines {
 		if e.loading == 0 {
-			delete(p.loadings, id)
+			delete(p.loadingEngines, id)
 		}
 	}
-	return len(p.loadings)
+	return len(p.loadingEngines)
 }
 
 // setLoading records that an engine loads a version, or none.
 func (p *Planner) setLoading(e *Engine, v cf.WeightVersion) {
 	if e.loading = v; v > 0 {
-		p.loadings[e.ID] = e
+		p.loadingEngines[e.ID] = e
 	} else {
-		delete(p.loadings, e.ID)
+		delete(p.loadingEngines, e.ID)
 	}
 }
 
-// due says whether an engine should load its share's newest version.
-func (p *Planner) due(e *Engine, d *demand, now cf.Millis) bool {
-	if e.Draining || e.Model == "" || e.loading > 0 || now < e.rest || e.versions[e.Model] >= p.LatestVersion(e.Model) {
+// shouldLoad says whether an engine should load its share's newest version.
+func (p *Planner) shouldLoad(e *Engine, d *shareDemand, now cf.Millis) bool {
+	if e.Draining || e.Model == "" || e.loading > 0 || now < e.nextOrderAt || e.versions[e.Model] >= p.LatestVersion(e.Model) {
 		return false
 	}
 	v := e.versions[e.Model]
 	// A step that no engine may run is not made to wait for another's queue:
 	// engines that load keep their runs, and serve both afterwards.
-	return !d.served(v) || !p.limits.SwapWhenIdle && d.blocked(v)
+	return !d.hasRunnable(v) || !p.limits.SwapWhenIdle && d.hasBlocked(v)
 }
 
-// spared says whether another engine of the share goes on serving while e
+// canBeSpared says whether another engine of the share goes on serving while e
 // loads: without one, a step that arrives now would wait for a whole load.
 // An engine whose version no step will ask for again is not held back.
-func (p *Planner) spared(e *Engine) bool {
+func (p *Planner) canBeSpared(e *Engine) bool {
 	oldest := p.LatestVersion(e.Model) - 1
 	if e.versions[e.Model] < oldest {
 		return true
@@ -229,7 +229,7 @@
 // SwapDone records that an engine holds a version.
 func (p *Planner) SwapDone(id cf.InstanceID, m cf.ModelName, v cf.WeightVersion) {
 	if e := p.engines[id]; e != nil {
-		p.hold(e, m, v)
+		p.noteVersion(e, m, v)
 	}
 }
 
@@ -239,17 +239,17 @@
 	if e == nil || r.Born < e.Born {
 		return
 	}
-	p.starts(e, r.Born)
-	e.Memory, e.told = r.Memory, true
-	p.memory.tell(e)
-	p.memory.note(r.Runs, p.running())
+	p.noteStart(e, r.Born)
+	e.Memory, e.memoryReported = r.Memory, true
+	p.memory.noteReport(e)
+	p.memory.noteRuns(r.Runs, p.runningItems())
 	for _, m := range r.Models {
-		p.hold(e, m.Name, m.Version)
+		p.noteVersion(e, m.Name, m.Version)
 	}
 }
 
-// running returns the items that run, by the ids that they bear at their engines.
-func (p *Planner) running() map[cf.RequestID]*Work {
+// runningItems returns the items that run, by the ids that they bear at their engines.
+func (p *Planner) runningItems() map[cf.RequestID]*Work {
 	out := map[cf.RequestID]*Work{}
 	p.eachRunning(func(w *Work) { out[w.Item.ID.Request()] = w })
 	return out
@@ -259,10 +259,10 @@
 func (p *Planner) SwapFailed(id cf.InstanceID, now cf.Millis) {
 	if e := p.engines[id]; e != nil {
 		if e.loading > 0 {
-			e.failed, e.failedAt = e.loading, now
+			e.failedVersion, e.failedAt = e.loading, now
 		}
 		p.setLoading(e, 0)
-		e.rest = now + p.limits.OrderBackoff
+		e.nextOrderAt = now + p.limits.OrderBackoff
 	}
 }
 
--- a/core/cfrollout/text.go
+++ b/core/cfrollout/text.go
@@ -8,8 +8,8 @@
 	cf "currantford"
 )
 
-// fits says whether text may be part of a sample of a batch.
-func fits(t Text, least cf.WeightVersion, single bool) bool {
+// reusable says whether text may be part of a sample of a batch.
+func reusable(t Text, least cf.WeightVersion, single bool) bool {
 	for _, v := range t.Versions {
 		if v < least {
 			return false
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// carryMost bounds the texts kept for a later step.
-const carryMost = 2000
+// maxSavedTexts bounds the texts kept for a later step.
+const maxSavedTexts = 2000
 
 // KeepText stores the text of an item that is not listed for a later batch with the
 // item.
@@ -84,15 +84,15 @@
 	if w.Text.Last == 0 {
 		return
 	}
-	if len(p.carry) >= carryMost {
-		clear(p.carry)
+	if len(p.savedTexts) >= maxSavedTexts {
+		clear(p.savedTexts)
 	}
-	p.carry[w.Item.ID] = w
+	p.savedTexts[w.Item.ID] = w
 }
 
-// keepStopped keeps what a run has made so far that is being stopped: a later batch may ask
+// keepStoppedText keeps what a run has made so far that is being stopped: a later batch may ask
 // for its item before the run's end is known.
-func (p *Planner) keepStopped(w *Work) {
+func (p *Planner) keepStoppedText(w *Work) {
 	w.Mu.Lock()
 	text := w.Text.Clone()
 	w.Mu.Unlock()
@@ -108,7 +108,7 @@
 			out[w.Item.ID] = w.Text
 		}
 	}
-	for _, w := range p.carry {
+	for _, w := range p.savedTexts {
 		add(w)
 	}
 	for _, o := range p.batches {
@@ -124,9 +124,9 @@
 // each the longer one is kept.
 func (p *Planner) AdoptTexts(texts map[cf.ItemID]Text) {
 	for id, t := range texts {
-		if old := p.carry[id]; !t.FromStart() || old != nil && old.Text.Last >= t.Last {
+		if old := p.savedTexts[id]; !t.FromStart() || old != nil && old.Text.Last >= t.Last {
 			continue
 		}
-		p.carry[id] = &Work{Item: cf.Item{ID: id}, Text: t.Clone()}
+		p.savedTexts[id] = &Work{Item: cf.Item{ID: id}, Text: t.Clone()}
 	}
 }
--- a/core/cfrollout/waiting.go
+++ b/core/cfrollout/waiting.go
@@ -5,17 +5,17 @@
 )
 
 const (
-	// waitingFrom is how long an item may be at no engine, while others of its batch have
+	// reportAfter is how long an item may be at no engine, while others of its batch have
 	// begun and there is room, until it is reported. Each further report of it comes after
 	// twice that time.
-	waitingFrom cf.Millis = 2000
-	// silentFrom is how long a run may be without an event until it counts as waiting: first
+	reportAfter cf.Millis = 2000
+	// silentAfter is how long a run may be without an event until it counts as waiting: first
 	// events take some 100 ms.
-	silentFrom cf.Millis = 1000
-	// waitingMost bounds the items that are reported at a time.
-	waitingMost = 16
-	// waitingRoom is the part of a service's slots below which items need not wait.
-	waitingRoom = 0.5
+	silentAfter cf.Millis = 1000
+	// maxReportedItems bounds the items that are reported at a time.
+	maxReportedItems = 16
+	// roomShare is the part of a service's slots below which items need not wait.
+	roomShare = 0.5
 )
 
 // WaitReason says what keeps an item from running.
@@ -65,29 +65,29 @@
 	out := Waiting{Counts: map[WaitReason]int{}}
 	room := map[cf.ServiceName]bool{}
 	for _, o := range p.batches {
-		if !o.begun {
+		if !o.started {
 			continue
 		}
 		s := o.terms.Service
 		if _, known := room[s]; !known {
-			room[s] = p.hasRoom(s)
+			room[s] = p.serviceHasRoom(s)
 		}
 		if !room[s] {
 			continue
 		}
 		for _, w := range o.running {
-			if w.Progress.events.Load() == 0 && now-w.Started >= silentFrom {
+			if w.Progress.events.Load() == 0 && now-w.Started >= silentAfter {
 				out.add(w, WaitRunSilent, now)
 			}
 		}
 		fresh := WaitReason("") // of the items that have not begun, which differ in nothing here
 		for _, w := range o.waiting {
-			if w.idle == 0 || now-w.idle < waitingFrom {
+			if w.unplacedSince == 0 || now-w.unplacedSince < reportAfter {
 				continue
 			}
 			reason := fresh
-			if begun := w.Text.Last > 0 || w.AvoidEngine != "" || w.refused; begun || fresh == "" {
-				if reason = p.whyWaiting(o, w, now); !begun {
+			if begun := w.Text.Last > 0 || w.AvoidEngine != "" || w.notAdmitted; begun || fresh == "" {
+				if reason = p.waitReason(o, w, now); !begun {
 					fresh = reason
 				}
 			}
@@ -99,20 +99,20 @@
 
 // add takes an item that has waited, if it has for long enough.
 func (x *Waiting) add(w *Work, reason WaitReason, now cf.Millis) {
-	waited := now - w.idle
-	if w.idle == 0 || waited < waitingFrom {
+	waited := now - w.unplacedSince
+	if w.unplacedSince == 0 || waited < reportAfter {
 		return
 	}
 	x.Counts[reason]++
-	if waited < 2*w.reported || len(x.Items) == waitingMost {
+	if waited < 2*w.reportedWait || len(x.Items) == maxReportedItems {
 		return
 	}
-	w.reported = waited
+	w.reportedWait = waited
 	x.Items = append(x.Items, WaitingItem{w, reason, waited})
 }
 
-// hasRoom says whether a service's engines have items in less than a part of their slots.
-func (p *Planner) hasRoom(s cf.ServiceName) bool {
+// serviceHasRoom says whether a service's engines have items in less than a part of their slots.
+func (p *Planner) serviceHasRoom(s cf.ServiceName) bool {
 	f := p.fleets[s]
 	if f == nil {
 		return false
@@ -122,27 +122,27 @@
 		slots += e.Slots
 		running += e.Running
 	}
-	return float64(running) < waitingRoom*float64(slots)
+	return float64(running) < roomShare*float64(slots)
 }
 
-// whyWaiting returns what keeps an item from running.
-func (p *Planner) whyWaiting(o *open, w *Work, now cf.Millis) WaitReason {
+// waitReason returns what keeps an item from running.
+func (p *Planner) waitReason(o *openBatch, w *Work, now cf.Millis) WaitReason {
 	if o.paused {
 		return WaitNoRoute
 	}
 	reason := WaitNoEngines
-	for _, e := range p.share(o) {
+	for _, e := range p.enginesFor(o) {
 		switch {
 		case e.Draining:
 		case !e.serves(w):
-			reason = later(reason, WaitNoWeights)
+			reason = closerReason(reason, WaitNoWeights)
 		case e.loading > 0:
-			reason = later(reason, WaitLoading)
-		case now < e.avoid || e.ID == w.AvoidEngine && now < w.avoidUntil:
-			reason = later(reason, WaitEnginesAvoided)
-		case !e.hasSlot():
-			reason = later(reason, WaitNoSlots)
-		case w.refused:
+			reason = closerReason(reason, WaitLoading)
+		case now < e.avoidUntil || e.ID == w.AvoidEngine && now < w.avoidUntil:
+			reason = closerReason(reason, WaitEnginesAvoided)
+		case !e.hasFreeSlot():
+			reason = closerReason(reason, WaitNoSlots)
+		case w.notAdmitted:
 			return WaitRefused
 		default:
 			return WaitSlowEngines
@@ -151,11 +151,11 @@
 	return reason
 }
 
-// waitOrder ranks reasons by how near an engine is to taking an item.
-var waitOrder = map[WaitReason]int{WaitNoEngines: 0, WaitNoWeights: 1, WaitLoading: 2, WaitEnginesAvoided: 3, WaitNoSlots: 4}
+// waitRank ranks reasons by how near an engine is to taking an item.
+var waitRank = map[WaitReason]int{WaitNoEngines: 0, WaitNoWeights: 1, WaitLoading: 2, WaitEnginesAvoided: 3, WaitNoSlots: 4}
 
-func later(a, b WaitReason) WaitReason {
-	if waitOrder[b] > waitOrder[a] {
+func closerReason(a, b WaitReason) WaitReason {
+	if waitRank[b] > waitRank[a] {
 		return b
 	}
 	return a
