--- a/core/cfrollout/allocation_test.go
+++ b/core/cfrollout/allocation_test.go
@@ -11,53 +11,53 @@
 )
 
 const (
-	worldDomains            = 6
-	worldSlots              = 6
-	worldTick     cf.Millis = 20
-	worldLoad     cf.Millis = 900
-	worldEvery    cf.Millis = 4000
-	worldPaceFast           = 80
-	worldPaceSlow           = 104
+	allocationDomains                = 6
+	allocationSlots                  = 6
+	allocationTick         cf.Millis = 20
+	allocationLoadTime     cf.Millis = 900
+	allocationStepInterval cf.Millis = 4000
+	fastPace                         = 80
+	slowPace                         = 104
 )
 
-// needWorld is a fleet with trainers: each hands in a step every four seconds, and names the
+// allocationSim is a fleet with trainers: each hands in a step every four seconds, and names the
 // version that the next but one asks for. Engines make texts event by event; one in three
 // is slower.
-type needWorld struct {
+type allocationSim struct {
 	t       *testing.T
 	random  *rand.Rand
-	p       *cfrollout.Planner
+	planner *cfrollout.Planner
 	targets []cf.Target
 	models  []cf.ModelName
 	now     cf.Millis
 	steps   map[cf.ModelName]int
-	running map[*cfrollout.Work]*worldRun
-	loading map[cf.InstanceID]worldLoading
+	running map[*cfrollout.Work]*allocationRun
+	loading map[cf.InstanceID]allocationLoad
 	loads   map[cf.ModelName]int // ordered
 	batches map[cf.ModelName][]*cfbatch.Batch
 	// runs are the items that began, slow those of them at slow engines.
-	runs, slow int
-	// unbegun are the items that have not begun, late counts those that a look left.
-	unbegun map[cf.ItemID]bool
-	late    int
+	runs, slowRuns int
+	// unplaced are the items that have not begun, late counts those that a look left.
+	unplaced       map[cf.ItemID]bool
+	unplacedPasses int
 }
 
-type worldRun struct {
+type allocationRun struct {
 	left  int
 	next  cf.Millis
 	pace  cf.Millis
 	batch cf.BatchID
 }
 
-type worldLoading struct {
+type allocationLoad struct {
 	swap cfrollout.Swap
 	at   cf.Millis
 }
 
-func newNeedWorld(t *testing.T, engines, trainers int) *needWorld {
-	w := &needWorld{
-		t: t, random: rand.New(rand.NewPCG(7, uint64(engines))), steps: map[cf.ModelName]int{}, running: map[*cfrollout.Work]*worldRun{},
-		loading: map[cf.InstanceID]worldLoading{}, loads: map[cf.ModelName]int{}, batches: map[cf.ModelName][]*cfbatch.Batch{}, unbegun: map[cf.ItemID]bool{},
+func newAllocationSim(t *testing.T, engines, trainers int) *allocationSim {
+	w := &allocationSim{
+		t: t, random: rand.New(rand.NewPCG(7, uint64(engines))), steps: map[cf.ModelName]int{}, running: map[*cfrollout.Work]*allocationRun{},
+		loading: map[cf.InstanceID]allocationLoad{}, loads: map[cf.ModelName]int{}, batches: map[cf.ModelName][]*cfbatch.Batch{}, unplaced: map[cf.ItemID]bool{},
 	}
 	var held []cf.ModelState
 	for i := range trainers {
@@ -67,8 +67,8 @@
 	}
 	for i := range engines {
 		w.targets = append(w.targets, cf.Target{
-			ID: cf.InstanceID(fmt.Sprintf("e%05d", i)), Service: service, Slots: worldSlots, Models: append([]cf.ModelState(nil), held...),
-			Domain: cf.FailureDomain(fmt.Sprint(i % worldDomains)),
+			ID: cf.InstanceID(fmt.Sprintf("e%05d", i)), Service: service, Slots: allocationSlots, Models: append([]cf.ModelState(nil), held...),
+			Domain: cf.FailureDomain(fmt.Sprint(i % allocationDomains)),
 		})
 	}
 	w.takeOver()
@@ -76,88 +76,88 @@
 }
 
 // takeOver begins with a planner that knows what the store and the instance list show.
-func (w *needWorld) takeOver() {
+func (w *allocationSim) takeOver() {
 	limits := cfrollout.DefaultLimits
-	if w.p != nil {
-		limits.LearnedLoads = w.p.LearnedLoads()
+	if w.planner != nil {
+		limits.LearnedLoads = w.planner.LearnedLoads()
 	}
-	w.p = cfrollout.New(limits)
+	w.planner = cfrollout.New(limits)
 	clear(w.running)
 	clear(w.loading)
 	for m, k := range w.steps {
-		w.p.SetVersion(m, cf.WeightVersion(k))
+		w.planner.SetVersion(m, cf.WeightVersion(k))
 	}
-	w.p.SetEngines(w.targets, models(w.models...))
+	w.planner.SetEngines(w.targets, models(w.models...))
 	for _, batches := range w.batches {
 		for _, b := range batches {
-			w.p.AddBatch(b, terms)
+			w.planner.AddBatch(b, defaultTerms)
 		}
 	}
 }
 
-func (w *needWorld) pace(id cf.InstanceID) cf.Millis {
+func (w *allocationSim) pace(id cf.InstanceID) cf.Millis {
 	var n int
 	if _, err := fmt.Sscanf(string(id), "e%05d", &n); err != nil {
 		w.t.Fatal(err)
 	}
 	if n%3 == 2 {
-		return worldPaceSlow
+		return slowPace
 	}
-	return worldPaceFast
+	return fastPace
 }
 
-// play lets steps of so many groups come for a while. The trainers' steps are spread over
+// run lets steps of so many groups come for a while. The trainers' steps are spread over
 // the four seconds.
-func (w *needWorld) play(span cf.Millis, groups int) {
-	for end := w.now + span; w.now < end; w.now += worldTick {
+func (w *allocationSim) run(span cf.Millis, groups int) {
+	for end := w.now + span; w.now < end; w.now += allocationTick {
 		for i, m := range w.models {
-			if offset := cf.Millis(i) * worldEvery / cf.Millis(len(w.models)) / worldTick * worldTick; (w.now+offset)%worldEvery != 0 {
+			if offset := cf.Millis(i) * allocationStepInterval / cf.Millis(len(w.models)) / allocationTick * allocationTick; (w.now+offset)%allocationStepInterval != 0 {
 				continue
 			}
 			w.steps[m]++
 			k := w.steps[m]
-			w.p.SetVersion(m, cf.WeightVersion(k))
+			w.planner.SetVersion(m, cf.WeightVersion(k))
 			if k > 2 {
 				old := w.batches[m][k-3]
-				stop := w.p.EndBatch(old.Sub.ID)
+				stop := w.planner.EndBatch(old.Sub.ID)
 				old.Ended = true
 				for _, run := range stop {
 					delete(w.running, run)
-					w.p.Finished(run, cfrollout.OutcomeStopped, w.now)
+					w.planner.Finished(run, cfrollout.OutcomeStopped, w.now)
 				}
 			}
 			b := step(cf.BatchID(fmt.Sprint(m, "-", k)), m, cf.WeightVersion(max(k-1, 1)), groups, 16)
-			w.p.AddBatch(b, terms)
+			w.planner.AddBatch(b, defaultTerms)
 			w.batches[m] = append(w.batches[m], b)
 			for _, it := range b.Sub.Items {
-				w.unbegun[it.ID] = true
+				w.unplaced[it.ID] = true
 			}
 		}
-		w.look()
+		w.pass()
 	}
 }
 
-func (w *needWorld) look() {
-	for _, run := range w.p.Place(w.now) {
+func (w *allocationSim) pass() {
+	for _, run := range w.planner.Place(w.now) {
 		events := 4 + w.random.IntN(12)
 		if w.random.IntN(10) == 0 {
 			events = 30 + w.random.IntN(40)
 		}
 		pace := w.pace(run.Engine)
-		w.running[run] = &worldRun{left: events, next: w.now + pace, pace: pace, batch: run.Batch.Sub.ID}
+		w.running[run] = &allocationRun{left: events, next: w.now + pace, pace: pace, batch: run.Batch.Sub.ID}
 		w.runs++
-		delete(w.unbegun, run.Item.ID)
-		if pace == worldPaceSlow {
-			w.slow++
+		delete(w.unplaced, run.Item.ID)
+		if pace == slowPace {
+			w.slowRuns++
 		}
 	}
-	for _, s := range w.p.Swaps(w.now) {
-		w.loading[s.Target.ID] = worldLoading{s, w.now + worldLoad}
+	for _, s := range w.planner.Swaps(w.now) {
+		w.loading[s.Target.ID] = allocationLoad{s, w.now + allocationLoadTime}
 		w.loads[s.Model]++
 	}
-	for _, run := range w.p.Moves(w.now) {
+	for _, run := range w.planner.Moves(w.now) {
 		delete(w.running, run)
-		w.p.Finished(run, cfrollout.OutcomeStopped, w.now)
+		w.planner.Finished(run, cfrollout.OutcomeStopped, w.now)
 	}
 	for id, l := range w.loading {
 		if w.now < l.at {
@@ -173,9 +173,9 @@
 					w.targets[i].Models[j].Version = l.swap.Version
 				}
 			}
-			w.p.ChangeEngines(w.targets[i:i+1], nil)
+			w.planner.ChangeEngines(w.targets[i:i+1], nil)
 		}
-		w.p.LoadEnded(id, w.now)
+		w.planner.LoadEnded(id, w.now)
 	}
 	for run, r := range w.running {
 		if w.now < r.next {
@@ -188,16 +188,16 @@
 		r.next += r.pace
 		if r.left--; r.left <= 0 {
 			delete(w.running, run)
-			if w.p.Finished(run, cfrollout.OutcomeDone, w.now) {
+			if w.planner.Finished(run, cfrollout.OutcomeDone, w.now) {
 				run.Batch.Apply(run.Batch.NextChunk(), []cf.Result{{ID: run.Item.ID}})
 			}
 		}
 	}
-	w.late += len(w.unbegun)
+	w.unplacedPasses += len(w.unplaced)
 }
 
-// lose takes the engines of a failure domain away.
-func (w *needWorld) lose(domain cf.FailureDomain) {
+// loseDomain takes the engines of a failure domain away.
+func (w *allocationSim) loseDomain(domain cf.FailureDomain) {
 	var gone []cf.InstanceID
 	var rest []cf.Target
 	for _, t := range w.targets {
@@ -209,20 +209,20 @@
 		}
 	}
 	w.targets = rest
-	w.p.ChangeEngines(nil, gone)
+	w.planner.ChangeEngines(nil, gone)
 	for run := range w.running {
-		if e, up := w.p.Engine(run.Engine); !up || e.Domain == domain {
+		if e, up := w.planner.Engine(run.Engine); !up || e.Domain == domain {
 			delete(w.running, run)
-			w.p.Finished(run, cfrollout.OutcomeBroken, w.now)
+			w.planner.Finished(run, cfrollout.OutcomeBroken, w.now)
 		}
 	}
 }
 
-// serving counts the engines that serve a model.
-func (w *needWorld) serving() int {
+// servingEngines counts the engines that serve a model.
+func (w *allocationSim) servingEngines() int {
 	n := 0
 	for _, t := range w.targets {
-		if e, _ := w.p.Engine(t.ID); e.Model != "" {
+		if e, _ := w.planner.Engine(t.ID); e.Model != "" {
 			n++
 		}
 	}
@@ -232,130 +232,130 @@
 // Load: six trainers with steps of 208 items before 1,000, 9,444 and 20,000 engines. The
 // engines that follow their versions are as many as the steps need, at each size, and no
 // item waits for an engine or a load.
-func TestEnginesFollowTheWork(t *testing.T) {
+func TestAllocationFollowsTheWork(t *testing.T) {
 	const items = 13 * 16
 	for _, engines := range []int{1200, 9444, 20_000} {
-		w := newNeedWorld(t, engines, 6)
-		w.play(2*worldEvery, 13)
+		w := newAllocationSim(t, engines, 6)
+		w.run(2*allocationStepInterval, 13)
 		clear(w.loads)
-		w.late = 0
-		w.play(4*worldEvery, 13)
-		if n := w.serving(); n > 6*items {
+		w.unplacedPasses = 0
+		w.run(4*allocationStepInterval, 13)
+		if n := w.servingEngines(); n > 6*items {
 			t.Errorf("%d engines: %d serve 6 steps of %d items", engines, n, items)
 		}
 		for m, n := range w.loads {
-			if perVersion := n / 4; perVersion > items || perVersion < items/worldSlots {
+			if perVersion := n / 4; perVersion > items || perVersion < items/allocationSlots {
 				t.Errorf("%d engines: model %s is loaded %d times for a version", engines, m, perVersion)
 			}
 		}
-		if w.late > 0 {
-			t.Errorf("%d engines: %d times an item was left by a look", engines, w.late)
+		if w.unplacedPasses > 0 {
+			t.Errorf("%d engines: %d times an item was left by a look", engines, w.unplacedPasses)
 		}
 	}
 }
 
 // Load: 44 engines before four trainers, whose work needs them all: none is left out.
 func TestScarceEnginesAllServe(t *testing.T) {
-	w := newNeedWorld(t, 44, 4)
-	w.play(3*worldEvery, 10)
-	if n := w.serving(); n != 44 {
+	w := newAllocationSim(t, 44, 4)
+	w.run(3*allocationStepInterval, 10)
+	if n := w.servingEngines(); n != 44 {
 		t.Errorf("%d of 44 engines serve", n)
 	}
 }
 
 // Load: steps that are suddenly ten times as large. The engines grow with the first of
 // them, and shrink again only slowly.
-func TestEnginesGrowWithTheWork(t *testing.T) {
-	w := newNeedWorld(t, 9444, 2)
-	w.play(3*worldEvery, 4)
-	before := w.serving()
-	w.play(worldEvery, 40)
-	grown := w.serving()
+func TestAllocationGrowsWithTheWork(t *testing.T) {
+	w := newAllocationSim(t, 9444, 2)
+	w.run(3*allocationStepInterval, 4)
+	before := w.servingEngines()
+	w.run(allocationStepInterval, 40)
+	grown := w.servingEngines()
 	if grown < 4*before {
 		t.Errorf("%d engines serve before, %d with ten times the work", before, grown)
 	}
-	w.play(worldEvery, 40)
-	w.late = 0
-	w.play(2*worldEvery, 40)
-	if w.late > 0 {
-		t.Errorf("%d times an item was left by a look after two large steps", w.late)
+	w.run(allocationStepInterval, 40)
+	w.unplacedPasses = 0
+	w.run(2*allocationStepInterval, 40)
+	if w.unplacedPasses > 0 {
+		t.Errorf("%d times an item was left by a look after two large steps", w.unplacedPasses)
 	}
-	w.play(2*worldEvery, 4)
-	if n := w.serving(); n < grown*9/10 {
+	w.run(2*allocationStepInterval, 4)
+	if n := w.servingEngines(); n < grown*9/10 {
 		t.Errorf("%d of %d engines serve after two small steps", n, grown)
 	}
-	w.play(80_000, 4)
-	if n := w.serving(); n > grown/2 {
+	w.run(80_000, 4)
+	if n := w.servingEngines(); n > grown/2 {
 		t.Errorf("%d of %d engines serve after a minute of small steps", n, grown)
 	}
 }
 
 // Load: a failure domain is lost in mid-step. The engines that are left take its items up
 // at once, without a load.
-func TestEnginesOutliveAFailureDomain(t *testing.T) {
-	w := newNeedWorld(t, 9444, 6)
-	w.play(3*worldEvery+worldEvery/2, 13)
-	w.late = 0
-	w.lose("2")
-	w.look()
-	if n := w.p.Waiting(); n > 0 {
+func TestItemsSurviveTheLossOfAFailureDomain(t *testing.T) {
+	w := newAllocationSim(t, 9444, 6)
+	w.run(3*allocationStepInterval+allocationStepInterval/2, 13)
+	w.unplacedPasses = 0
+	w.loseDomain("2")
+	w.pass()
+	if n := w.planner.WaitingCount(); n > 0 {
 		t.Errorf("%d items wait after the loss", n)
 	}
-	w.play(2*worldEvery, 13)
-	if w.late > 0 {
-		t.Errorf("%d times an item was left by a look after the loss", w.late)
+	w.run(2*allocationStepInterval, 13)
+	if w.unplacedPasses > 0 {
+		t.Errorf("%d times an item was left by a look after the loss", w.unplacedPasses)
 	}
 }
 
 // Load: the coordinator is lost. Its successor finds the engines that served by what they
 // hold, and loads no other set of them anew.
-func TestSuccessorFindsTheEnginesThatServe(t *testing.T) {
-	w := newNeedWorld(t, 9444, 6)
-	w.play(5*worldEvery, 13)
+func TestSuccessorKeepsTheServingEngines(t *testing.T) {
+	w := newAllocationSim(t, 9444, 6)
+	w.run(5*allocationStepInterval, 13)
 	before := map[cf.InstanceID]bool{}
 	for _, target := range w.targets {
-		if e, _ := w.p.Engine(target.ID); e.Model != "" {
+		if e, _ := w.planner.Engine(target.ID); e.Model != "" {
 			before[target.ID] = true
 		}
 	}
 	w.takeOver()
-	w.look()
-	w.late = 0
+	w.pass()
+	w.unplacedPasses = 0
 	clear(w.loads)
-	w.play(2*worldEvery, 13)
+	w.run(2*allocationStepInterval, 13)
 	others := 0
 	for _, target := range w.targets {
-		if e, _ := w.p.Engine(target.ID); e.Model != "" && !before[target.ID] {
+		if e, _ := w.planner.Engine(target.ID); e.Model != "" && !before[target.ID] {
 			others++
 		}
 	}
 	if others > len(before)/2 {
 		t.Errorf("%d engines serve that did not serve the %d before", others, len(before))
 	}
-	if w.late > 0 {
-		t.Errorf("%d times an item was left by a look", w.late)
+	if w.unplacedPasses > 0 {
+		t.Errorf("%d times an item was left by a look", w.unplacedPasses)
 	}
 }
 
 // Load: one engine in three is slower. Where there are engines to spare, items keep off those
 // that have shown it, and others take their place.
 func TestSlowEnginesAreReplaced(t *testing.T) {
-	w := newNeedWorld(t, 9444, 2)
-	w.play(2*worldEvery, 13)
-	if w.runs < 100 || w.slow < w.runs/5 {
-		t.Fatalf("%d of %d items began at slow engines at first", w.slow, w.runs)
+	w := newAllocationSim(t, 9444, 2)
+	w.run(2*allocationStepInterval, 13)
+	if w.runs < 100 || w.slowRuns < w.runs/5 {
+		t.Fatalf("%d of %d items began at slow engines at first", w.slowRuns, w.runs)
 	}
-	w.play(6*worldEvery, 13)
-	w.runs, w.slow = 0, 0
-	w.play(4*worldEvery, 13)
-	if w.slow > w.runs/10 {
-		t.Errorf("%d of %d items began at slow engines", w.slow, w.runs)
+	w.run(6*allocationStepInterval, 13)
+	w.runs, w.slowRuns = 0, 0
+	w.run(4*allocationStepInterval, 13)
+	if w.slowRuns > w.runs/10 {
+		t.Errorf("%d of %d items began at slow engines", w.slowRuns, w.runs)
 	}
 }
 
 // Two planners, one of which hears of changes alone and the other of all engines each time,
 // decide the same.
-func TestChangesAndWholeListsDecideTheSame(t *testing.T) {
+func TestIncrementalAndFullListsAgree(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		names := []cf.ModelName{"a", "b"}
@@ -377,7 +377,7 @@
 				m := names[random.IntN(2)]
 				b := fmt.Sprint(seed, "-", now)
 				for _, p := range []*cfrollout.Planner{byChange, byList} {
-					p.AddBatch(step(cf.BatchID(b), m, 1, 2, 4), terms)
+					p.AddBatch(step(cf.BatchID(b), m, 1, 2, 4), defaultTerms)
 				}
 			}
 			byList.SetEngines(targets, models(names...))
@@ -396,7 +396,7 @@
 
 // Load: steps of few items before many engines. Their items go to engines to which
 // connections are kept, and not to ever others; a long one goes where it is alone.
-func TestItemsUseConnectionsAgain(t *testing.T) {
+func TestItemsReuseConnections(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(40, cf.ModelState{Name: "a", Version: 1})
 	p.SetEngines(targets, models("a"))
@@ -404,14 +404,14 @@
 	for i := range 10 {
 		now := cf.Millis(i) * 2000
 		b := step(cf.BatchID(fmt.Sprint("s", i)), "a", 1, 2, 4)
-		p.AddBatch(b, terms)
+		p.AddBatch(b, defaultTerms)
 		for _, w := range p.Place(now) {
 			used[w.Engine] = true
 			p.Finished(w, cfrollout.OutcomeDone, now+500)
-			p.KeptAt(targets[0].ID, 0) // over already
+			p.ConnectionKeptAt(targets[0].ID, 0) // over already
 			for _, target := range targets {
 				if used[target.ID] {
-					p.KeptAt(target.ID, now+8000)
+					p.ConnectionKeptAt(target.ID, now+8000)
 				}
 			}
 		}
--- a/core/cfrollout/bench_test.go
+++ b/core/cfrollout/bench_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// sameWork returns a planner before n engines with six trainers, each of which has a step of
+// newSameWorkPlanner returns a planner before n engines with six trainers, each of which has a step of
 // 208 items under way and has named the version of the next.
-func sameWork(n int) (*cfrollout.Planner, []cf.Target) {
+func newSameWorkPlanner(n int) (*cfrollout.Planner, []cf.Target) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	var names []cf.ModelName
 	var held []cf.ModelState
@@ -48,7 +48,7 @@
 	}
 	p.SetEngines(targets, models(names...))
 	for _, m := range names {
-		p.AddBatch(step(cf.BatchID(m), m, 1, 13, 16), terms)
+		p.AddBatch(step(cf.BatchID(m), m, 1, 13, 16), defaultTerms)
 	}
 	p.Place(0)
 	for _, m := range names {
@@ -61,7 +61,7 @@
 // step does that comes, with the same work before ever more engines.
 func BenchmarkSameWork(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 20_000} {
-		p, targets := sameWork(n)
+		p, targets := newSameWorkPlanner(n)
 		now := cf.Millis(1000)
 		b.Run(fmt.Sprint("look/", n, "_engines"), func(b *testing.B) {
 			for b.Loop() {
@@ -81,7 +81,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 20
 				id := cf.BatchID(fmt.Sprint("s", i))
-				p.AddBatch(step(id, "m0", 1, 13, 16), terms)
+				p.AddBatch(step(id, "m0", 1, 13, 16), defaultTerms)
 				for _, w := range p.Place(now) {
 					p.Finished(w, cfrollout.OutcomeDone, now)
 				}
@@ -91,9 +91,9 @@
 	}
 }
 
-// BenchmarkSlowLook measures what a look costs with 480 items under way at 10,000 engines, one
+// BenchmarkMoves measures what a look costs with 480 items under way at 10,000 engines, one
 // in seven of which is slow for a while.
-func BenchmarkSlowLook(b *testing.B) {
+func BenchmarkMoves(b *testing.B) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	var names []cf.ModelName
 	var held []cf.ModelState
@@ -114,7 +114,7 @@
 			b.Sub.Items[i].LengthHint = 1000
 		}
 		b.Sub.Items[0].LengthHint = 100
-		p.AddBatch(b, terms)
+		p.AddBatch(b, defaultTerms)
 	}
 	for _, w := range p.Place(0) {
 		if w.Item.LengthHint == 100 {
@@ -123,7 +123,7 @@
 		}
 	}
 	const now = 20_000
-	p.ShowPeriods(func(id cf.InstanceID) bool { return slow[id] }, now)
+	p.SimulatePeriods(func(id cf.InstanceID) bool { return slow[id] }, now)
 	moves := 0
 	for b.Loop() {
 		out := p.Moves(now)
--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -11,12 +11,12 @@
 	"currantford/testbed/cfreplay"
 )
 
-// unplacedMost is how long an item that is owed may be at no engine while there is room.
-const unplacedMost cf.Millis = 5000
+// maxUnplaced is how long an item that is owed may be at no engine while there is room.
+const maxUnplaced cf.Millis = 5000
 
-// bursts returns nine engines of twelve slots and a trainer, under three bursts of five
+// crashBursts returns nine engines of twelve slots and a trainer, under three bursts of five
 // crashes, 0.4 s apart, of three engines in ten each.
-func bursts(seed uint64) cfreplay.Options {
+func crashBursts(seed uint64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
 		Engines:  cfreplay.Engines{Count: 9, Slots: 12, Domains: 3, Alone: 42, Beside: 1.7, Load: 900, LoadsMost: 10},
@@ -32,7 +32,7 @@
 }
 
 // Guards against: an item that is never placed again after its engines crashed in a burst.
-func TestItemsAreOwedAfterABurstOfCrashes(t *testing.T) {
+func TestItemsCompleteAfterABurstOfCrashes(t *testing.T) {
 	for name, body := range map[string]func(cf.Item) string{
 		"bodies of their own": nil,
 		"one for a group":     func(it cf.Item) string { return string(it.Group) },
@@ -42,13 +42,13 @@
 		for seed := range uint64(20) {
 			t.Run(fmt.Sprint(name, ", seed ", seed), func(t *testing.T) {
 				t.Parallel()
-				o := bursts(seed)
+				o := crashBursts(seed)
 				o.Crashes.Body = body
 				r := cfreplay.New(o)
 				r.Run(60_000)
 				got := r.Outcomes()[0]
-				if n := r.Unplaced(); n >= unplacedMost {
-					t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, unplacedMost)
+				if n := r.Unplaced(); n >= maxUnplaced {
+					t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, maxUnplaced)
 				}
 				if got.InTime < got.Owed {
 					t.Errorf("%d of %d groups in time, %d late, of %d steps", got.InTime, got.Owed, got.Late, got.Steps)
@@ -60,11 +60,11 @@
 
 // An item that ends each engine which runs it costs the engines that the pauses allow, whichever
 // step it belongs to; all other items are done in time.
-func TestItemThatEndsItsEnginesIsTriedApart(t *testing.T) {
+func TestItemThatCrashesEnginesIsIsolated(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			o := bursts(seed)
+			o := crashBursts(seed)
 			o.Crashes.Waves = nil
 			o.Crashes.GuiltyDown = 3000
 			o.Crashes.Guilty = func(it cf.Item) bool { return it.ID == "a-3-04-02" }
@@ -84,8 +84,8 @@
 					t.Errorf("end %d takes %d other runs with it, want fewer than %d", i+1, crashes[i].Beside, most)
 				}
 			}
-			if n := r.Unplaced(); n >= unplacedMost {
-				t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, unplacedMost)
+			if n := r.Unplaced(); n >= maxUnplaced {
+				t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, maxUnplaced)
 			}
 			if got := r.Outcomes()[0]; got.InTime < got.Owed-1 {
 				t.Errorf("%d of %d groups in time, want all but its own", got.InTime, got.Owed)
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -9,13 +9,13 @@
 	"currantford/core/cfbatch"
 )
 
-func lifeTarget(id cf.InstanceID, service cf.ServiceName, born cf.Millis) cf.Target {
+func newTarget(id cf.InstanceID, service cf.ServiceName, born cf.Millis) cf.Target {
 	return cf.Target{ID: id, Service: service, Slots: 3, Born: born, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
 }
 
-var lifeModels = map[cf.ServiceName][]cf.ModelName{"a": {"m-a"}, "b": {"m-b"}}
+var lifecycleModels = map[cf.ServiceName][]cf.ModelName{"a": {"m-a"}, "b": {"m-b"}}
 
-func lifeStep(id cf.BatchID, service cf.ServiceName, items int) (*cfbatch.Batch, Terms) {
+func newServiceStep(id cf.BatchID, service cf.ServiceName, items int) (*cfbatch.Batch, Terms) {
 	sub := cf.Submission{ID: id, Model: cf.ModelName("m-" + service), MinVersion: 1, TargetGroups: items}
 	for i := range items {
 		sub.Items = append(sub.Items, cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%d", id, i)), Group: cf.GroupID(fmt.Sprintf("%s-%d", id, i/4))})
@@ -25,10 +25,10 @@
 
 // A run that ends at an engine which has left the list and come back ends the coordinator.
 func TestRunEndsAtAnEngineThatLeftAndCameBack(t *testing.T) {
-	target := lifeTarget("e", "a", 1)
+	target := newTarget("e", "a", 1)
 	p := New(DefaultLimits)
-	p.SetEngines([]cf.Target{target}, lifeModels)
-	p.AddBatch(lifeStep("s", "a", 1))
+	p.SetEngines([]cf.Target{target}, lifecycleModels)
+	p.AddBatch(newServiceStep("s", "a", 1))
 	runs := p.Place(0)
 	p.ChangeEngines(nil, []cf.InstanceID{"e"})
 	p.ChangeEngines([]cf.Target{target}, nil)
@@ -43,11 +43,11 @@
 
 // What ends late is accounted to the life of the engine that it was given to, whatever the
 // list has shown since.
-func TestEnginesHaveTheRunsThatAreUnderWay(t *testing.T) {
+func TestRunAccountingSurvivesEngineChanges(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		p := New(DefaultLimits)
-		p.SetEngines(nil, lifeModels)
+		p.SetEngines(nil, lifecycleModels)
 		up := map[cf.InstanceID]cf.Target{}
 		born := map[cf.InstanceID]cf.Millis{"e0": 1, "e1": 1, "e2": 1, "e3": 1}
 		under := map[*Work]cf.Target{} // the runs under way, with their engines as they were
@@ -64,7 +64,7 @@
 				if random.IntN(4) == 0 {
 					service = "b"
 				}
-				up[id] = lifeTarget(id, service, born[id])
+				up[id] = newTarget(id, service, born[id])
 				p.ChangeEngines([]cf.Target{up[id]}, nil)
 			case 2: // starts again
 				if t, known := up[id]; known {
@@ -84,22 +84,22 @@
 				for _, t := range up {
 					list = append(list, t)
 				}
-				p.SetEngines(list, lifeModels)
+				p.SetEngines(list, lifecycleModels)
 			case 5:
 				if batches < 40 {
 					batches++
-					p.AddBatch(lifeStep(cf.BatchID(fmt.Sprint("s", batches)), []cf.ServiceName{"a", "b"}[random.IntN(2)], 5))
+					p.AddBatch(newServiceStep(cf.BatchID(fmt.Sprint("s", batches)), []cf.ServiceName{"a", "b"}[random.IntN(2)], 5))
 				}
 			case 6:
 				p.Reported(id, cf.TargetReport{Born: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
 			default:
 				for w, at := range under {
-					avoid, kept := judged(p, at.ID)
+					avoid, kept := penalties(p, at.ID)
 					p.ConnectionKept(w, now+500)
 					p.Finished(w, []Outcome{OutcomeDone, OutcomeBroken, OutcomeNotRun, OutcomeStopped}[random.IntN(4)], now)
 					delete(under, w)
 					e := p.engines[at.ID]
-					if a, k := judged(p, at.ID); e != nil && (at.Born < e.Born || at.Service != e.Service) && (a != avoid || k != kept) {
+					if a, k := penalties(p, at.ID); e != nil && (at.Born < e.Born || at.Service != e.Service) && (a != avoid || k != kept) {
 						t.Fatalf("seed %d: the end of a run of %s since %d is put down to the one since %d", seed, at.ID, at.Born, e.Born)
 					}
 					break
@@ -108,13 +108,13 @@
 			for _, w := range p.Place(now) {
 				under[w] = up[w.Engine]
 			}
-			checkLives(t, p, under, seed)
+			checkAccounting(t, p, under, seed)
 		}
 	}
 }
 
-// judged returns what the ends of runs have brought upon an engine.
-func judged(p *Planner, id cf.InstanceID) (avoid cf.Millis, kept int) {
+// penalties returns what the ends of runs have brought upon an engine.
+func penalties(p *Planner, id cf.InstanceID) (avoid cf.Millis, kept int) {
 	e := p.engines[id]
 	if e == nil {
 		return 0, 0
@@ -122,8 +122,8 @@
 	return e.avoidUntil, len(e.idleConnections)
 }
 
-// checkLives compares what the planner holds of the engines with what is under way.
-func checkLives(t *testing.T, p *Planner, under map[*Work]cf.Target, seed uint64) {
+// checkAccounting compares what the planner holds of the engines with what is under way.
+func checkAccounting(t *testing.T, p *Planner, under map[*Work]cf.Target, seed uint64) {
 	t.Helper()
 	p.updateUsage()
 	for id, e := range p.engines {
--- a/core/cfrollout/engineloss_test.go
+++ b/core/cfrollout/engineloss_test.go
@@ -10,95 +10,95 @@
 	"currantford/core/cfrollout"
 )
 
-// leavingPlay is a fleet of which engines leave while steps are under way.
-type leavingPlay struct {
-	t       *testing.T
-	p       *cfrollout.Planner
-	models  map[cf.ServiceName][]cf.ModelName
-	targets []cf.Target
-	now     cf.Millis
-	runs    map[*cfrollout.Work]bool
-	loads   map[cf.InstanceID]cfrollout.Swap
-	loaded  map[cf.InstanceID]cf.Millis
-	// idle is since when which item has been at no engine.
-	idle    map[cf.ItemID]cf.Millis
-	longest cf.Millis
-	terms   cfrollout.Terms
+// lossSim is a fleet of which engines leave while steps are under way.
+type lossSim struct {
+	t          *testing.T
+	planner    *cfrollout.Planner
+	models     map[cf.ServiceName][]cf.ModelName
+	targets    []cf.Target
+	now        cf.Millis
+	runs       map[*cfrollout.Work]bool
+	loads      map[cf.InstanceID]cfrollout.Swap
+	loadEndsAt map[cf.InstanceID]cf.Millis
+	// unplacedSince is since when which item has been at no engine.
+	unplacedSince map[cf.ItemID]cf.Millis
+	longestWait   cf.Millis
+	terms         cfrollout.Terms
 	// slow are engines that take four times as long for an event.
 	slow map[cf.InstanceID]bool
 }
 
 const (
-	leavingTick  cf.Millis = 50
-	leavingLoad  cf.Millis = 900
-	leavingEvent cf.Millis = 100
+	lossTick      cf.Millis = 50
+	lossLoadTime  cf.Millis = 900
+	lossEventTime cf.Millis = 100
 )
 
-func newLeavingPlay(t *testing.T, engines int, names []cf.ModelName) *leavingPlay {
+func newLossSim(t *testing.T, engines int, names []cf.ModelName) *lossSim {
 	var held []cf.ModelState
 	for _, m := range names {
 		held = append(held, cf.ModelState{Name: m, Version: 1})
 	}
-	x := &leavingPlay{
-		t: t, p: cfrollout.New(cfrollout.DefaultLimits), models: models(names...), targets: fleet(engines, held...),
-		runs: map[*cfrollout.Work]bool{}, loads: map[cf.InstanceID]cfrollout.Swap{}, loaded: map[cf.InstanceID]cf.Millis{},
-		idle: map[cf.ItemID]cf.Millis{}, terms: terms, slow: map[cf.InstanceID]bool{},
+	x := &lossSim{
+		t: t, planner: cfrollout.New(cfrollout.DefaultLimits), models: models(names...), targets: fleet(engines, held...),
+		runs: map[*cfrollout.Work]bool{}, loads: map[cf.InstanceID]cfrollout.Swap{}, loadEndsAt: map[cf.InstanceID]cf.Millis{},
+		unplacedSince: map[cf.ItemID]cf.Millis{}, terms: defaultTerms, slow: map[cf.InstanceID]bool{},
 	}
 	for i := range x.targets {
 		x.targets[i].Slots, x.targets[i].Domain = 6, cf.FailureDomain(fmt.Sprint(i%6))
 	}
-	x.p.SetEngines(x.targets, x.models)
+	x.planner.SetEngines(x.targets, x.models)
 	return x
 }
 
-// leave takes engines away: at once, or draining first.
-func (x *leavingPlay) leave(draining bool, which func(cf.Target) bool) {
+// removeEngines takes engines away: at once, or draining first.
+func (x *lossSim) removeEngines(draining bool, which func(cf.Target) bool) {
 	for i := range x.targets {
 		x.targets[i].Draining = x.targets[i].Draining || draining && which(x.targets[i])
 	}
 	if !draining {
 		x.targets = slices.DeleteFunc(x.targets, which)
 	}
-	x.p.SetEngines(x.targets, x.models)
+	x.planner.SetEngines(x.targets, x.models)
 	for w := range x.runs {
 		if !draining && !slices.ContainsFunc(x.targets, func(t cf.Target) bool { return t.ID == w.Engine }) {
 			delete(x.runs, w)
-			x.p.Finished(w, cfrollout.OutcomeBroken, x.now)
-			x.idle[w.Item.ID] = x.now
+			x.planner.Finished(w, cfrollout.OutcomeBroken, x.now)
+			x.unplacedSince[w.Item.ID] = x.now
 		}
 	}
 }
 
-// open hands a step in, and names a version.
-func (x *leavingPlay) open(id cf.BatchID, m cf.ModelName, least cf.WeightVersion, items int) {
+// submit hands a step in, and names a version.
+func (x *lossSim) submit(id cf.BatchID, m cf.ModelName, least cf.WeightVersion, items int) {
 	b := step(id, m, least, items, 1)
-	x.p.AddBatch(b, x.terms)
+	x.planner.AddBatch(b, x.terms)
 	for _, it := range b.Sub.Items {
-		x.idle[it.ID] = x.now
+		x.unplacedSince[it.ID] = x.now
 	}
 }
 
 // tick plays a moment; texts have ten to forty events.
-func (x *leavingPlay) tick(random *rand.Rand) {
-	x.now += leavingTick
-	for _, w := range x.p.Place(x.now) {
+func (x *lossSim) tick(random *rand.Rand) {
+	x.now += lossTick
+	for _, w := range x.planner.Place(x.now) {
 		x.runs[w] = true
-		x.longest = max(x.longest, x.now-x.idle[w.Item.ID])
-		delete(x.idle, w.Item.ID)
+		x.longestWait = max(x.longestWait, x.now-x.unplacedSince[w.Item.ID])
+		delete(x.unplacedSince, w.Item.ID)
 	}
-	for _, at := range x.idle {
-		x.longest = max(x.longest, x.now-at)
+	for _, at := range x.unplacedSince {
+		x.longestWait = max(x.longestWait, x.now-at)
 	}
-	for _, s := range x.p.Swaps(x.now) {
-		x.loads[s.Target.ID], x.loaded[s.Target.ID] = s, x.now+leavingLoad
+	for _, s := range x.planner.Swaps(x.now) {
+		x.loads[s.Target.ID], x.loadEndsAt[s.Target.ID] = s, x.now+lossLoadTime
 	}
 	for id, s := range x.loads {
-		if x.now < x.loaded[id] {
+		if x.now < x.loadEndsAt[id] {
 			continue
 		}
 		delete(x.loads, id)
-		x.p.LoadEnded(id, x.now)
-		x.p.SwapDone(id, s.Model, s.Version)
+		x.planner.LoadEnded(id, x.now)
+		x.planner.SwapDone(id, s.Model, s.Version)
 		for i := range x.targets {
 			if x.targets[i].ID == id {
 				for j, m := range x.targets[i].Models {
@@ -110,43 +110,43 @@
 			}
 		}
 	}
-	for _, w := range x.p.Moves(x.now) {
+	for _, w := range x.planner.Moves(x.now) {
 		delete(x.runs, w)
-		x.p.Finished(w, cfrollout.OutcomeStopped, x.now)
-		x.idle[w.Item.ID] = x.now
+		x.planner.Finished(w, cfrollout.OutcomeStopped, x.now)
+		x.unplacedSince[w.Item.ID] = x.now
 	}
 	for w := range x.runs {
-		pace := leavingEvent
+		pace := lossEventTime
 		if x.slow[w.Engine] {
 			pace *= 4
 		}
 		if x.now%pace == 0 {
-			generate(x.t, w, x.now, x.now, leavingEvent)
+			generate(x.t, w, x.now, x.now, lossEventTime)
 		}
 		if w.Text.Last >= 10 && random.IntN(100) == 0 || w.Text.Last >= 40 {
 			delete(x.runs, w)
-			x.p.Finished(w, cfrollout.OutcomeDone, x.now)
+			x.planner.Finished(w, cfrollout.OutcomeDone, x.now)
 		}
 	}
 }
 
 // Guards against: items that stand at no engine for 5 s, though thousands are idle, after the
 // engines of their model's share have left, or all that hold the weights which they need.
-func TestItemsFindEnginesWhenTheirsLeave(t *testing.T) {
+func TestItemsArePlacedAfterEnginesLeave(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c", "d", "e", "f"}
-	ways := map[string]func(x *leavingPlay) func(cf.Target) bool{
-		"share": func(x *leavingPlay) func(cf.Target) bool {
-			of := shares(x.p, x.targets)
+	ways := map[string]func(x *lossSim) func(cf.Target) bool{
+		"share": func(x *lossSim) func(cf.Target) bool {
+			of := shares(x.planner, x.targets)
 			return func(t cf.Target) bool { return of[t.ID] == "a" }
 		},
-		"weights": func(x *leavingPlay) func(cf.Target) bool {
+		"weights": func(x *lossSim) func(cf.Target) bool {
 			return func(t cf.Target) bool { return t.Models[0].Version >= 2 }
 		},
-		"shares": func(x *leavingPlay) func(cf.Target) bool {
-			of := shares(x.p, x.targets)
+		"shares": func(x *lossSim) func(cf.Target) bool {
+			of := shares(x.planner, x.targets)
 			return func(t cf.Target) bool { return of[t.ID] == "a" || of[t.ID] == "b" || of[t.ID] == "c" }
 		},
-		"some": func(*leavingPlay) func(cf.Target) bool {
+		"some": func(*lossSim) func(cf.Target) bool {
 			n := 0
 			return func(cf.Target) bool { n++; return n%50 == 0 }
 		},
@@ -155,27 +155,27 @@
 		for _, draining := range []bool{false, true} {
 			for seed := range uint64(3) {
 				random := rand.New(rand.NewPCG(seed, 7))
-				x := newLeavingPlay(t, 1200, names)
-				at := cf.Millis(random.IntN(60)) * leavingTick
+				x := newLossSim(t, 1200, names)
+				at := cf.Millis(random.IntN(60)) * lossTick
 				for x.now < 16_000 {
 					if k := cf.WeightVersion(x.now / 4000); x.now%4000 == 0 && k < 2 {
 						for _, m := range names {
-							x.p.SetVersion(m, k+1)
-							x.open(cf.BatchID(fmt.Sprint(m, k)), m, k+1, 40)
+							x.planner.SetVersion(m, k+1)
+							x.submit(cf.BatchID(fmt.Sprint(m, k)), m, k+1, 40)
 						}
 					}
 					if x.now == 5000+at {
-						x.leave(draining, way(x))
+						x.removeEngines(draining, way(x))
 					}
 					if x.now == 7000+at && draining {
-						x.leave(false, func(t cf.Target) bool { return t.Draining })
+						x.removeEngines(false, func(t cf.Target) bool { return t.Draining })
 					}
 					x.tick(random)
 				}
-				if n := x.p.Waiting(); n > 0 || x.longest >= 5000 {
-					t.Errorf("%s, draining=%v, seed %d: %d items wait, one for %d ms", name, draining, seed, n, x.longest)
+				if n := x.planner.WaitingCount(); n > 0 || x.longestWait >= 5000 {
+					t.Errorf("%s, draining=%v, seed %d: %d items wait, one for %d ms", name, draining, seed, n, x.longestWait)
 				}
-				t.Logf("%s, draining=%v, seed %d: %d ms at no engine at most", name, draining, seed, x.longest)
+				t.Logf("%s, draining=%v, seed %d: %d ms at no engine at most", name, draining, seed, x.longestWait)
 			}
 		}
 	}
@@ -183,8 +183,8 @@
 
 // Guards against: a model that has no engine, as all that do nothing are held by others beyond
 // their need.
-func TestModelWithoutEnginesGetsThoseThatOthersDoNotNeed(t *testing.T) {
-	x := newLeavingPlay(t, 120, []cf.ModelName{"a", "b", "c"})
+func TestModelWithoutEnginesGetsSurplusEngines(t *testing.T) {
+	x := newLossSim(t, 120, []cf.ModelName{"a", "b", "c"})
 	random := rand.New(rand.NewPCG(1, 1))
 	play := func(until cf.Millis) {
 		for x.now < until {
@@ -193,41 +193,41 @@
 	}
 	count := func(m cf.ModelName) int {
 		n := 0
-		for _, has := range shares(x.p, x.targets) {
+		for _, has := range shares(x.planner, x.targets) {
 			if has == m {
 				n++
 			}
 		}
 		return n
 	}
-	x.open("a0", "a", 1, 30)
-	x.open("b0", "b", 1, 30)
+	x.submit("a0", "a", 1, 30)
+	x.submit("b0", "b", 1, 30)
 	play(10_000)
-	of := shares(x.p, x.targets)
-	x.leave(false, func(t cf.Target) bool { return of[t.ID] == "" })
-	x.p.EndBatch("a0")
-	x.p.EndBatch("b0")
+	of := shares(x.planner, x.targets)
+	x.removeEngines(false, func(t cf.Target) bool { return of[t.ID] == "" })
+	x.planner.EndBatch("a0")
+	x.planner.EndBatch("b0")
 	play(80_000) // the large steps are forgotten
-	x.open("a1", "a", 1, 10)
-	x.open("b1", "b", 1, 10)
-	x.open("c1", "c", 1, 10)
+	x.submit("a1", "a", 1, 10)
+	x.submit("b1", "b", 1, 10)
+	x.submit("c1", "c", 1, 10)
 	play(81_000)
 	t.Logf("engines: %d, %d, %d of %d", count("a"), count("b"), count("c"), len(x.targets))
-	of = shares(x.p, x.targets)
-	x.leave(false, func(t cf.Target) bool { return of[t.ID] == "c" })
+	of = shares(x.planner, x.targets)
+	x.removeEngines(false, func(t cf.Target) bool { return of[t.ID] == "c" })
 	play(86_000)
-	if n := count("c"); n == 0 || x.p.Waiting() > 0 {
-		t.Errorf("%d items wait; c has %d engines, a %d and b %d", x.p.Waiting(), n, count("a"), count("b"))
+	if n := count("c"); n == 0 || x.planner.WaitingCount() > 0 {
+		t.Errorf("%d items wait; c has %d engines, a %d and b %d", x.planner.WaitingCount(), n, count("a"), count("b"))
 	}
 }
 
 // Guards against: items that are left at no engine for good by what happened before, though
 // engines that may take them are idle.
-func TestItemsArePlacedOnceAllIsCalm(t *testing.T) {
+func TestItemsArePlacedOnceFaultsEnd(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c"}
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		x := newLeavingPlay(t, 20+random.IntN(150), names)
+		x := newLossSim(t, 20+random.IntN(150), names)
 		x.terms.SingleVersion = seed%2 == 0
 		if seed%3 == 0 {
 			x.terms.Due, x.terms.Span = 7500, 7500
@@ -238,48 +238,48 @@
 		for x.now < 24_000 {
 			if k := cf.WeightVersion(x.now / 4000); x.now%4000 == 0 && k < 3 {
 				for _, m := range names {
-					x.p.SetVersion(m, k+1)
-					x.open(cf.BatchID(fmt.Sprint(m, k)), m, max(k, 1), 4+random.IntN(16))
+					x.planner.SetVersion(m, k+1)
+					x.submit(cf.BatchID(fmt.Sprint(m, k)), m, max(k, 1), 4+random.IntN(16))
 				}
 			}
 			switch {
 			case x.now < 13_000:
-				x.disturb(random)
+				x.injectFaults(random)
 			case x.now == 13_000:
 				for k := range 3 {
 					for _, m := range names {
-						x.p.SetTerms(cf.BatchID(fmt.Sprint(m, k)), x.terms, true)
+						x.planner.SetTerms(cf.BatchID(fmt.Sprint(m, k)), x.terms, true)
 					}
 				}
 			}
 			x.tick(random)
 		}
-		if n := x.p.Waiting(); n > 0 {
-			t.Errorf("seed %d: %d items wait 11 s after the last trouble, of %d engines: %v", seed, n, len(x.targets), x.p.WaitingItems(x.now).Counts)
+		if n := x.planner.WaitingCount(); n > 0 {
+			t.Errorf("seed %d: %d items wait 11 s after the last trouble, of %d engines: %v", seed, n, len(x.targets), x.planner.WaitingItems(x.now).Counts)
 		}
 	}
 }
 
-// disturb ends runs in all ways, and takes engines away for good.
-func (x *leavingPlay) disturb(random *rand.Rand) {
+// injectFaults ends runs in all ways, and takes engines away for good.
+func (x *lossSim) injectFaults(random *rand.Rand) {
 	for w := range x.runs {
 		if random.IntN(60) > 0 {
 			continue
 		}
 		delete(x.runs, w)
 		outcome := []cfrollout.Outcome{cfrollout.OutcomeNotRun, cfrollout.OutcomeBroken, cfrollout.OutcomeStopped}[random.IntN(3)]
-		x.p.Finished(w, outcome, x.now)
-		x.idle[w.Item.ID] = x.now
+		x.planner.Finished(w, outcome, x.now)
+		x.unplacedSince[w.Item.ID] = x.now
 	}
 	if random.IntN(40) == 0 && len(x.targets) > 12 {
 		n, draining := random.IntN(len(x.targets)/4), random.IntN(2) == 0
-		x.leave(draining, func(cf.Target) bool { n--; return n == 0 })
+		x.removeEngines(draining, func(cf.Target) bool { n--; return n == 0 })
 	}
 	if random.IntN(100) == 0 {
 		m := cf.BatchID(fmt.Sprint([]string{"a", "b", "c"}[random.IntN(3)], x.now/4000))
-		x.p.SetTerms(m, x.terms, random.IntN(2) == 0)
+		x.planner.SetTerms(m, x.terms, random.IntN(2) == 0)
 		if random.IntN(3) == 0 {
-			x.p.EndBatch(m)
+			x.planner.EndBatch(m)
 		}
 	}
 }
--- a/core/cfrollout/estimate_test.go
+++ b/core/cfrollout/estimate_test.go
@@ -10,9 +10,9 @@
 // Guards against steps that are refused though a group fits, or though they go on with
 // texts of the step before, and against infeasible ones that are accepted.
 func TestOnlyInfeasibleStepsAreRefused(t *testing.T) {
-	p := slowSite(t) // engines take some 40 ms for an event, one of them 160
-	began := hinted("began", 20)
-	p.AddBatch(began, terms)
+	p := newSlowEnginePlanner(t) // engines take some 40 ms for an event, one of them 160
+	began := hintedBatch("began", 20)
+	p.AddBatch(began, defaultTerms)
 	works := p.Place(4000)
 	generate(t, works[0], 4010, 4400, 40)
 	p.EndBatch("began")
@@ -24,23 +24,23 @@
 		span       cf.Millis
 		infeasible bool
 	}{
-		{"20 events in 10 s", hinted("a", 20, 20).Sub, 15_000, 10_000, false},
-		{"20 events in 0.8 s", hinted("b", 20, 20).Sub, 5800, 800, false},
-		{"20 events in 0.1 s", hinted("c", 20, 20).Sub, 5100, 100, true},
-		{"one short text of several", hinted("d", 20, 20, 1).Sub, 5100, 100, false},
-		{"20 events in 0.1 s, accepted 8 s behind", hinted("e", 20).Sub, 4000, 100, true},
-		{"20 events in 7.5 s, accepted 8 s behind", hinted("h", 20).Sub, 4500, 7500, false},
-		{"without a due time", hinted("f", 20).Sub, 0, 0, false},
+		{"20 events in 10 s", hintedBatch("a", 20, 20).Sub, 15_000, 10_000, false},
+		{"20 events in 0.8 s", hintedBatch("b", 20, 20).Sub, 5800, 800, false},
+		{"20 events in 0.1 s", hintedBatch("c", 20, 20).Sub, 5100, 100, true},
+		{"one short text of several", hintedBatch("d", 20, 20, 1).Sub, 5100, 100, false},
+		{"20 events in 0.1 s, accepted 8 s behind", hintedBatch("e", 20).Sub, 4000, 100, true},
+		{"20 events in 7.5 s, accepted 8 s behind", hintedBatch("h", 20).Sub, 4500, 7500, false},
+		{"without a due time", hintedBatch("f", 20).Sub, 0, 0, false},
 		{"with a text of the step before", began.Sub, 5100, 100, false},
 	} {
-		due := terms
+		due := defaultTerms
 		due.Due, due.Span = c.due, c.span
 		h := p.EstimateStep(c.sub, due, 5000)
 		if h.Infeasible != c.infeasible || h.Infeasible && h.RetryAfter < 2000 {
 			t.Errorf("%s: %+v", c.name, h)
 		}
 	}
-	if h := cfrollout.New(cfrollout.DefaultLimits).EstimateStep(hinted("g", 20).Sub, cfrollout.Terms{Service: service, Due: 1}, 5000); h.Infeasible {
+	if h := cfrollout.New(cfrollout.DefaultLimits).EstimateStep(hintedBatch("g", 20).Sub, cfrollout.Terms{Service: service, Due: 1}, 5000); h.Infeasible {
 		t.Error("infeasible without any text that is known")
 	}
 }
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -5,8 +5,8 @@
 	"currantford/core/cfslow"
 )
 
-// Waiting counts the items that wait for an engine.
-func (p *Planner) Waiting() int {
+// WaitingCount counts the items that wait for an engine.
+func (p *Planner) WaitingCount() int {
 	n := 0
 	for _, o := range p.batches {
 		n += len(o.waiting)
@@ -14,24 +14,24 @@
 	return n
 }
 
-// KeptAt records that a connection to an engine is kept until then.
-func (p *Planner) KeptAt(id cf.InstanceID, until cf.Millis) {
+// ConnectionKeptAt records that a connection to an engine is kept until then.
+func (p *Planner) ConnectionKeptAt(id cf.InstanceID, until cf.Millis) {
 	if e := p.engines[id]; e != nil {
 		p.ConnectionKept(&Work{engine: e, engineBorn: e.Born}, until)
 	}
 }
 
-// Last returns when the latest event was noted.
-func (p *Progress) Last() cf.Millis { return cf.Millis(p.last.Load()) }
+// LastEvent returns when the latest event was noted.
+func (p *Progress) LastEvent() cf.Millis { return cf.Millis(p.last.Load()) }
 
-// KeepSlot keeps a slot of an engine for a run.
-func (p *Planner) KeepSlot(w *Work, id cf.InstanceID, now cf.Millis) {
+// ReserveSlot keeps a slot of an engine for a run.
+func (p *Planner) ReserveSlot(w *Work, id cf.InstanceID, now cf.Millis) {
 	p.reserve(w, p.engines[id], now)
 }
 
-// ShowPeriods lets the planner have observed periods of slowness, and the runs under way show
+// SimulatePeriods lets the planner have observed periods of slowness, and the runs under way show
 // the pace of their engines until now: 40 ms, and 100 ms for the last 250 ms at slow ones.
-func (p *Planner) ShowPeriods(slow func(cf.InstanceID) bool, now cf.Millis) {
+func (p *Planner) SimulatePeriods(slow func(cf.InstanceID) bool, now cf.Millis) {
 	s := &cfslow.EngineState{}
 	for at := now - 8000; at < now; at += 50 {
 		pace := 40.0
--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -10,7 +10,7 @@
 	"currantford/testbed/cfreplay"
 )
 
-const replayed cf.Millis = 60_000
+const replayTime cf.Millis = 60_000
 
 // overloaded returns 15 engines of six slots and four trainers whose texts have so many
 // events on average, as the first deployment of docs/design/3-hard-load.md has them.
@@ -28,8 +28,8 @@
 	return o
 }
 
-// worth sums up what the trainers got.
-func worth(r *cfreplay.Replay) (sum float64, each []float64) {
+// totalWorth sums up what the trainers got.
+func totalWorth(r *cfreplay.Replay) (sum float64, each []float64) {
 	for _, o := range r.Outcomes() {
 		sum += o.Worth
 		each = append(each, o.Worth)
@@ -37,10 +37,10 @@
 	return sum, each
 }
 
-// partInTime returns the groups in time at a load, a multiple of the capacity, as a part of a
+// shareInTime returns the groups in time at a load, a multiple of the capacity, as a part of a
 // bound that knows the true lengths, fills all slots from the first moment on and loads no
 // weights.
-func partInTime(load float64) float64 {
+func shareInTime(load float64) float64 {
 	inTime, best := 0, 0
 	for seed := range uint64(2) {
 		n := int(math.Round(38 * load))
@@ -50,7 +50,7 @@
 		r := cfreplay.New(o)
 		r.Run(20_000) // lengths are not known before
 		before := r.Outcomes()[0]
-		r.Run(20_000 + replayed)
+		r.Run(20_000 + replayTime)
 		inTime += r.Outcomes()[0].InTime - before.InTime
 		best += r.Outcomes()[0].Best - before.Best
 	}
@@ -62,7 +62,7 @@
 // TestGroupsInTimeReachTheStatedPart; this one keeps what is reached.
 func TestGroupsInTimeAgainstABound(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.8, 0.95}, {1, 0.8}, {1.5, 0.8}, {2, 0.78}, {3, 0.78}} {
-		part := partInTime(c.load)
+		part := shareInTime(c.load)
 		t.Logf("at %.1f times the capacity %.3f of the bound is in time", c.load, part)
 		if part < c.least {
 			t.Errorf("at %.1f times the capacity %.3f of the bound is in time, want %.2f", c.load, part, c.least)
@@ -74,7 +74,7 @@
 // any load.
 func TestGroupsInTimeReachTheStatedPart(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.5, 2, 3} {
-		if part := partInTime(load); part < 0.9 {
+		if part := shareInTime(load); part < 0.9 {
 			t.Errorf("at %.1f times the capacity %.3f of the bound is in time, want 0.9", load, part)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // Guards against a closed loop of trainers in which each step ends at the trainers'
 // time-out, and against one trainer that pays for the others.
-func TestTrainersGoOnBeyondCapacity(t *testing.T) {
+func TestTrainersProgressBeyondCapacity(t *testing.T) {
 	for name, disturb := range map[string]func(*cfreplay.Replay){
 		"undisturbed": func(*cfreplay.Replay) {},
 		"slow spell":  func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
@@ -93,8 +93,8 @@
 			o.Limits = limits
 			r := cfreplay.New(o)
 			disturb(r)
-			r.Run(replayed)
-			return worth(r)
+			r.Run(replayTime)
+			return totalWorth(r)
 		}
 		got, each := play(cfrollout.DefaultLimits)
 		all := cfrollout.DefaultLimits
@@ -117,7 +117,7 @@
 	r := cfreplay.New(overloaded(5, 12, 12, 12, 12))
 	r.Run(20_000)
 	changes, before := 0, r.Shares()
-	for now := cf.Millis(20_000); now < replayed; now += 500 {
+	for now := cf.Millis(20_000); now < replayTime; now += 500 {
 		r.Run(now)
 		after := r.Shares()
 		for m, n := range after {
@@ -131,7 +131,7 @@
 }
 
 // Guards against weights that change nothing: the share of a trainer that counts twice.
-func TestWeightsOfShares(t *testing.T) {
+func TestShareWeights(t *testing.T) {
 	o := overloaded(5, 12, 12)
 	o.Trainers[1].Size = o.Trainers[0].Size
 	o.Weights = map[cf.ModelName]float64{"m0": 2}
@@ -143,7 +143,7 @@
 }
 
 // Guards against groups that end late still when the load has gone.
-func TestStepsAreInTimeAgainWhenLoadHasGone(t *testing.T) {
+func TestStepsAreInTimeAgainAfterOverload(t *testing.T) {
 	o := overloaded(7, 10, 35, 35, 35)
 	for i := range 3 {
 		o.Trainers[i+1].Until = 25_000
@@ -151,7 +151,7 @@
 	r := cfreplay.New(o)
 	r.Run(45_000)
 	before := r.Outcomes()[0]
-	r.Run(replayed + 30_000)
+	r.Run(replayTime + 30_000)
 	after := r.Outcomes()[0]
 	if inTime, owed := after.InTime-before.InTime, after.Owed-before.Owed; owed < 60 || float64(inTime) < 0.9*float64(owed) {
 		t.Errorf("%d of %d groups in time in 45 s alone", inTime, owed)
--- a/core/cfrollout/isolation_test.go
+++ b/core/cfrollout/isolation_test.go
@@ -9,9 +9,9 @@
 	"currantford/core/cfrollout"
 )
 
-// suspecting returns a planner whose items pass only at engines that are set apart, if suspect
+// newIsolatingPlanner returns a planner whose items pass only at engines that are set apart, if suspect
 // says so.
-func suspecting(engines int, suspect func(cf.ItemID) bool) (*cfrollout.Planner, []cf.Target) {
+func newIsolatingPlanner(engines int, suspect func(cf.ItemID) bool) (*cfrollout.Planner, []cf.Target) {
 	limits := cfrollout.DefaultLimits
 	limits.Admit = func(w *cfrollout.Work, _ cf.Target, apart bool) cfrollout.Admission {
 		if !suspect(w.Item.ID) {
@@ -29,7 +29,7 @@
 }
 
 // Guards against: an engine that takes nothing more after the run for which it was set apart.
-func TestEngineIsSetApartForOneRun(t *testing.T) {
+func TestEngineIsIsolatedForOneRun(t *testing.T) {
 	ended := func(o cfrollout.Outcome) func(*cfrollout.Planner, *cfrollout.Work, []cf.Target) {
 		return func(p *cfrollout.Planner, w *cfrollout.Work, _ []cf.Target) { p.Finished(w, o, 100) }
 	}
@@ -55,13 +55,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			suspected := true
-			p, targets := suspecting(2, func(id cf.ItemID) bool { return suspected && id == "s-0-0" })
-			p.AddBatch(step("s", "a", 1, 1, 1), terms)
+			p, targets := newIsolatingPlanner(2, func(id cf.ItemID) bool { return suspected && id == "s-0-0" })
+			p.AddBatch(step("s", "a", 1, 1, 1), defaultTerms)
 			w := p.Place(0)[0]
 			if w.IsolationLimit() != 1 {
 				t.Fatalf("the suspect may have %d runs beside it, want none", w.IsolationLimit())
 			}
-			p.AddBatch(step("t", "a", 1, 2, 4), terms)
+			p.AddBatch(step("t", "a", 1, 2, 4), defaultTerms)
 			if others := p.Place(10); len(others) != targets[0].Slots {
 				t.Fatalf("%d others placed, want as many as the other engine has slots", len(others))
 			}
@@ -82,11 +82,11 @@
 
 // Guards against: suspects that take all engines from other items, or that wait while there is
 // room.
-func TestSuspectsTakeAQuarterOfTheEngines(t *testing.T) {
+func TestIsolationTakesAQuarterOfTheEngines(t *testing.T) {
 	for _, engines := range []int{1, 2, 3, 4, 9, 40} {
 		t.Run(fmt.Sprint(engines, " engines"), func(t *testing.T) {
-			p, targets := suspecting(engines, func(id cf.ItemID) bool { return strings.HasPrefix(string(id), "s-") })
-			p.AddBatch(step("s", "a", 1, engines, 2), terms)
+			p, targets := newIsolatingPlanner(engines, func(id cf.ItemID) bool { return strings.HasPrefix(string(id), "s-") })
+			p.AddBatch(step("s", "a", 1, engines, 2), defaultTerms)
 			apart := map[cf.InstanceID]int{}
 			placed := p.Place(0)
 			if len(placed) != 2*engines {
@@ -106,7 +106,7 @@
 					t.Errorf("%s runs beside another at %s", w.Item.ID, w.Engine)
 				}
 			}
-			p.AddBatch(step("t", "a", 1, engines, 4), terms)
+			p.AddBatch(step("t", "a", 1, engines, 4), defaultTerms)
 			if n, room := len(p.Place(10)), (engines-most)*targets[0].Slots-(2*engines-most); n != room {
 				t.Errorf("%d others placed, want %d", n, room)
 			}
@@ -116,7 +116,7 @@
 
 // Guards against: a look of seconds after a burst of crashes, in which each of many items is tried
 // at each engine, since suspects run at all of them.
-func TestItemsThatMayNotMeetAreTriedAtFewEngines(t *testing.T) {
+func TestConflictingItemsAreTriedAtFewEngines(t *testing.T) {
 	const engines, items, most = 100, 300, 2*300 + 100
 	admissions, at := 0, map[cf.InstanceID]bool{}
 	limits := cfrollout.DefaultLimits
@@ -131,7 +131,7 @@
 	}
 	p := cfrollout.New(limits)
 	p.SetEngines(fleet(engines, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	p.AddBatch(step("s", "a", 1, 1, items), terms)
+	p.AddBatch(step("s", "a", 1, 1, items), defaultTerms)
 	placed := len(p.Place(0))
 	if admissions > most {
 		t.Errorf("%d admissions in a look for %d items and %d engines", admissions, items, engines)
--- a/core/cfrollout/loadcrashes_test.go
+++ b/core/cfrollout/loadcrashes_test.go
@@ -8,52 +8,52 @@
 	"currantford/core/cfrollout"
 )
 
-// loadWorld are engines that start again under new ids, a second after they ended.
-type loadWorld struct {
-	p       *cfrollout.Planner
-	targets []cf.Target
-	back    map[cf.InstanceID]cf.Millis // ended engines, and when they are back
-	loads   map[cf.InstanceID]cfrollout.Swap
-	until   map[cf.InstanceID]cf.Millis
-	held    map[cf.InstanceID]cf.WeightVersion
-	starts  int
-	lost    int
-	// fails says that orders are seen to fail before the list shows the engine gone.
-	fails bool
+// crashSim are engines that start again under new ids, a second after they ended.
+type crashSim struct {
+	planner    *cfrollout.Planner
+	targets    []cf.Target
+	returnsAt  map[cf.InstanceID]cf.Millis // ended engines, and when they are back
+	loads      map[cf.InstanceID]cfrollout.Swap
+	loadEndsAt map[cf.InstanceID]cf.Millis
+	held       map[cf.InstanceID]cf.WeightVersion
+	starts     int
+	crashed    int
+	// ordersFail says that orders are seen to fail before the list shows the engine gone.
+	ordersFail bool
 }
 
-func newLoadWorld(n int) *loadWorld {
-	w := &loadWorld{
-		p: cfrollout.New(cfrollout.DefaultLimits), targets: fleet(n, cf.ModelState{Name: "m", Version: 1}),
-		back: map[cf.InstanceID]cf.Millis{}, loads: map[cf.InstanceID]cfrollout.Swap{}, until: map[cf.InstanceID]cf.Millis{},
+func newCrashSim(n int) *crashSim {
+	w := &crashSim{
+		planner: cfrollout.New(cfrollout.DefaultLimits), targets: fleet(n, cf.ModelState{Name: "m", Version: 1}),
+		returnsAt: map[cf.InstanceID]cf.Millis{}, loads: map[cf.InstanceID]cfrollout.Swap{}, loadEndsAt: map[cf.InstanceID]cf.Millis{},
 		held: map[cf.InstanceID]cf.WeightVersion{},
 	}
-	w.p.SetEngines(w.targets, models("m"))
+	w.planner.SetEngines(w.targets, models("m"))
 	return w
 }
 
-// play looks each 100 ms; a load ends after 500 ms, and its engine with it if bad says so.
-func (w *loadWorld) play(from, to cf.Millis, bad func(cf.WeightVersion) bool) {
+// run looks each 100 ms; a load ends after 500 ms, and its engine with it if bad says so.
+func (w *crashSim) run(from, to cf.Millis, bad func(cf.WeightVersion) bool) {
 	for now := from; now < to; now += 100 {
-		for id, at := range w.until {
+		for id, at := range w.loadEndsAt {
 			if now < at {
 				continue
 			}
-			delete(w.until, id)
+			delete(w.loadEndsAt, id)
 			if s := w.loads[id]; !bad(s.Version) {
-				w.p.SwapDone(id, s.Model, s.Version)
+				w.planner.SwapDone(id, s.Model, s.Version)
 				w.held[id] = s.Version
 				continue
 			}
-			if w.fails {
-				w.p.SwapFailed(id, now)
+			if w.ordersFail {
+				w.planner.SwapFailed(id, now)
 			}
-			w.end(id, now)
+			w.crash(id, now)
 		}
 		changed := false
-		for id, at := range w.back {
+		for id, at := range w.returnsAt {
 			if now >= at {
-				delete(w.back, id)
+				delete(w.returnsAt, id)
 				w.starts++
 				w.targets = append(w.targets, cf.Target{
 					ID: cf.InstanceID(fmt.Sprintf("n%03d", w.starts)), Service: service, Slots: 4, Models: []cf.ModelState{{Name: "m", Version: 1}},
@@ -62,48 +62,48 @@
 			}
 		}
 		if changed {
-			w.p.SetEngines(w.targets, models("m"))
+			w.planner.SetEngines(w.targets, models("m"))
 		}
-		for _, s := range w.p.Swaps(now) {
-			w.loads[s.Target.ID], w.until[s.Target.ID] = s, now+500
+		for _, s := range w.planner.Swaps(now) {
+			w.loads[s.Target.ID], w.loadEndsAt[s.Target.ID] = s, now+500
 		}
 	}
 }
 
-func (w *loadWorld) end(id cf.InstanceID, now cf.Millis) {
-	w.lost++
-	w.back[id] = now + 1000
-	delete(w.until, id)
+func (w *crashSim) crash(id cf.InstanceID, now cf.Millis) {
+	w.crashed++
+	w.returnsAt[id] = now + 1000
+	delete(w.loadEndsAt, id)
 	for i := range w.targets {
 		if w.targets[i].ID == id {
 			w.targets = append(w.targets[:i:i], w.targets[i+1:]...)
 			break
 		}
 	}
-	w.p.SetEngines(w.targets, models("m"))
+	w.planner.SetEngines(w.targets, models("m"))
 }
 
 // Load: a version that ends each engine that loads it, for ten minutes, and another like
 // it after five. Without a memory of it 40 engines ended a thousand times and more.
-func TestVersionThatEndsItsEnginesIsNotOrderedOn(t *testing.T) {
+func TestCrashingVersionIsNotOrderedRepeatedly(t *testing.T) {
 	for _, fails := range []bool{false, true} {
-		w := newLoadWorld(40)
-		w.fails = fails
-		w.p.SetVersion("m", 2)
+		w := newCrashSim(40)
+		w.ordersFail = fails
+		w.planner.SetVersion("m", 2)
 		bad := func(v cf.WeightVersion) bool { return v == 2 || v == 3 }
-		w.play(0, 300_000, bad)
+		w.run(0, 300_000, bad)
 		// Those that began at once, two more, and tries after 10, 40 and 160 s.
-		if most := cfrollout.DefaultLimits.UrgentLoads + 2 + 3; w.lost > most || w.lost < 3 {
-			t.Errorf("fails %v: %d engines ended in five minutes, want %d at the most", fails, w.lost, most)
+		if most := cfrollout.DefaultLimits.UrgentLoads + 2 + 3; w.crashed > most || w.crashed < 3 {
+			t.Errorf("fails %v: %d engines ended in five minutes, want %d at the most", fails, w.crashed, most)
 		}
-		before := w.lost
-		w.p.SetVersion("m", 3)
-		w.play(300_000, 600_000, bad)
-		if most := 2 + 4; w.lost-before > most || w.lost == before {
-			t.Errorf("fails %v: %d engines ended under the next version, want %d at the most", fails, w.lost-before, most)
+		before := w.crashed
+		w.planner.SetVersion("m", 3)
+		w.run(300_000, 600_000, bad)
+		if most := 2 + 4; w.crashed-before > most || w.crashed == before {
+			t.Errorf("fails %v: %d engines ended under the next version, want %d at the most", fails, w.crashed-before, most)
 		}
-		w.p.SetVersion("m", 4)
-		w.play(600_000, 640_000, bad)
+		w.planner.SetVersion("m", 4)
+		w.run(600_000, 640_000, bad)
 		for _, target := range w.targets {
 			if w.held[target.ID] != 4 {
 				t.Errorf("fails %v: %s does not hold a sound version after 40 s", fails, target.ID)
@@ -114,32 +114,32 @@
 
 // Load: engines of a failure domain end together, again and again, while they load a
 // sound version. Nothing may wait for it beyond the one load that clears it.
-func TestSoundVersionIsLoadedBesideCrashes(t *testing.T) {
-	w := newLoadWorld(40)
+func TestSoundVersionIsLoadedDespiteUnrelatedCrashes(t *testing.T) {
+	w := newCrashSim(40)
 	sound := func(cf.WeightVersion) bool { return false }
 	now := cf.Millis(0)
 	for v := cf.WeightVersion(2); v <= 6; v++ {
-		w.p.SetVersion("m", v)
-		w.play(now, now+200, sound)
+		w.planner.SetVersion("m", v)
+		w.run(now, now+200, sound)
 		for _, target := range append([]cf.Target(nil), w.targets[:10]...) {
-			w.end(target.ID, now+200)
+			w.crash(target.ID, now+200)
 		}
-		for id := range w.until { // and all that load
-			w.end(id, now+200)
+		for id := range w.loadEndsAt { // and all that load
+			w.crash(id, now+200)
 		}
 		began := now + 300
-		for now = began; !w.holds(v) && now < began+5000; now += 100 {
-			w.play(now, now+100, sound)
+		for now = began; !w.anyHolds(v) && now < began+5000; now += 100 {
+			w.run(now, now+100, sound)
 		}
 		if now-began > 700 {
 			t.Errorf("version %d: first held %d ms after the crashes", v, now-began)
 		}
-		w.play(now, now+20_000, sound)
+		w.run(now, now+20_000, sound)
 		now += 20_000
 	}
 }
 
-func (w *loadWorld) holds(v cf.WeightVersion) bool {
+func (w *crashSim) anyHolds(v cf.WeightVersion) bool {
 	for _, target := range w.targets {
 		if w.held[target.ID] == v {
 			return true
--- a/core/cfrollout/loadlimit_test.go
+++ b/core/cfrollout/loadlimit_test.go
@@ -16,7 +16,7 @@
 
 // Load: a fleet follows versions named all the time, from a weight store whose
 // size is not known. The bound is found, and tried above only now and then.
-func TestLoadsAtOnceFollowTheWeightStore(t *testing.T) {
+func TestLoadLimitFollowsTheWeightStore(t *testing.T) {
 	for _, serves := range []int{2, 3, 9} {
 		l := newLoadLimiter(2, 0)
 		slow, rounds := 0, 0
@@ -45,7 +45,7 @@
 
 // One slow engine, an order carried out late, and loads that ran with few others
 // move nothing.
-func TestOddLoadsDoNotMoveTheLimit(t *testing.T) {
+func TestOutlierLoadsDoNotChangeTheLimit(t *testing.T) {
 	l := newLoadLimiter(2, 0)
 	l.observe(2, 1000, 0)
 	l.observe(2, 4000, 0) // carried out late
@@ -71,7 +71,7 @@
 // Load: loads beside one more than are served end at steps of 0.15 s, some of
 // them hardly later than usual.
 // Cause: each such load raised what counted as usual a little.
-func TestUsualTimeIsNotRaisedByLoadsBesideOthers(t *testing.T) {
+func TestUsualTimeIgnoresConcurrentLoads(t *testing.T) {
 	l := newLoadLimiter(2, 0)
 	l.observe(1, 910, 0)
 	for now := cf.Millis(0); now < 20_000; now += 1000 {
@@ -86,7 +86,7 @@
 
 // Load: a version is named for 20 engines right after a change of the coordinator; the
 // one before has seen that nine may load at once.
-func TestLearnedLoadsAreAllowedAtOnce(t *testing.T) {
+func TestLearnedLimitAppliesAtOnce(t *testing.T) {
 	limits := DefaultLimits
 	limits.LearnedLoads = 9
 	p := New(limits)
@@ -105,7 +105,7 @@
 
 // Load: 3,000 engines follow versions from a weight store that serves them all at full
 // speed; then a service of ten.
-func TestLoadsAtOnceHaveAnUpperLimit(t *testing.T) {
+func TestLoadLimitIsBounded(t *testing.T) {
 	for engines, want := range map[int]int{3000: maxLoads, 40: 20, 10: 5, 2: 2} {
 		l := newLoadLimiter(2, 0)
 		l.setEngineCount(engines)
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -8,9 +8,9 @@
 	"currantford/core/cfbatch"
 )
 
-// memorySite returns a planner with engines of six slots and 23,000 tokens, which knows
+// newMemoryPlanner returns a planner with engines of six slots and 23,000 tokens, which knows
 // that an event takes 40 tokens and a usual text has 33 events.
-func memorySite(engines int) *Planner {
+func newMemoryPlanner(engines int) *Planner {
 	p := New(DefaultLimits)
 	var ts []cf.Target
 	for i := range engines {
@@ -45,8 +45,8 @@
 // each; one engine is faster than the others.
 // Cause: the longest items, which start first, filled the fastest engine, which put
 // them back in turn.
-func TestLongTextsDoNotMeetInOneMemory(t *testing.T) {
-	p := memorySite(10)
+func TestLongTextsSpreadOverEngineMemory(t *testing.T) {
+	p := newMemoryPlanner(10)
 	for id, e := range p.engines {
 		e.pace = 24
 		if id == "e03" {
@@ -76,8 +76,8 @@
 
 // An engine without memory for an item takes it only if no other has a slot: the
 // estimate may be wrong, and a slot that stays empty serves nobody.
-func TestMemoryKeepsNoSlotEmpty(t *testing.T) {
-	p := memorySite(2)
+func TestFullMemoryLeavesNoSlotIdle(t *testing.T) {
+	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(12, 0), Terms{Service: "s"})
 	if n := len(p.Place(0)); n != 12 {
 		t.Errorf("%d of 12 items start", n)
@@ -90,7 +90,7 @@
 // Cause guarded against: moves to engines without memory for the text, and trust in an
 // estimate that moves before did not bear out.
 func TestMovesNeedMemoryAndGain(t *testing.T) {
-	p := memorySite(2)
+	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(1, 0), Terms{Service: "s"})
 	w := p.Place(0)[0]
 	from, to := p.engines[w.Engine], p.engines["e00"]
@@ -120,8 +120,8 @@
 }
 
 // What engines tell of their runs is learned; what can't be of use is passed over.
-func TestTokensOfEventsAreLearned(t *testing.T) {
-	p := memorySite(1)
+func TestTokensPerEventAreLearned(t *testing.T) {
+	p := newMemoryPlanner(1)
 	p.memory.tokensPerEvent = 0
 	p.AddBatch(memoryBatch(0, 2), Terms{Service: "s"})
 	works := p.Place(0)
@@ -144,15 +144,15 @@
 
 // Load: a thousand engines that are alike come into use with a step. A few are asked for their
 // memory, and the others are taken to have the same; once one differs each is asked.
-func TestMemoryOfEnginesThatAreAlike(t *testing.T) {
-	p := memorySite(20)
+func TestMemoryIsInferredFromEqualReports(t *testing.T) {
+	p := newMemoryPlanner(20)
 	for _, e := range p.engines {
 		e.memoryReported, e.Memory = false, 0
 	}
 	p.memory.reports = map[cf.ServiceName]*reportedMemory{}
 	p.AddBatch(memoryBatch(0, 120), Terms{Service: "s"})
 	p.Place(0)
-	asked := func(now cf.Millis, memory cf.Tokens) int {
+	query := func(now cf.Millis, memory cf.Tokens) int {
 		n := 0
 		for _, target := range p.EnginesToQuery(now) {
 			if n++; n <= minEqualReports {
@@ -161,10 +161,10 @@
 		}
 		return n
 	}
-	if n := asked(queryInterval, 23000); n != maxQueries {
+	if n := query(queryInterval, 23000); n != maxQueries {
 		t.Errorf("%d engines are asked at first", n)
 	}
-	if n := asked(3*queryInterval, 23000); n != 0 {
+	if n := query(3*queryInterval, 23000); n != 0 {
 		t.Errorf("%d engines are asked though %d have told the same", n, minEqualReports)
 	}
 	for id := range p.engines {
@@ -173,7 +173,7 @@
 		}
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 11000})
-	if n := asked(5*queryInterval, 23000); n < 20-minEqualReports-1 {
+	if n := query(5*queryInterval, 23000); n < 20-minEqualReports-1 {
 		t.Errorf("%d engines are asked though one differs", n)
 	}
 }
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -11,7 +11,7 @@
 
 const service cf.ServiceName = "engines"
 
-var terms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000}
+var defaultTerms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000}
 
 // fleet returns n engines with 4 slots that hold the versions of held.
 func fleet(n int, held ...cf.ModelState) []cf.Target {
@@ -143,7 +143,7 @@
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	p.SetVersion("a", 2)
-	p.AddBatch(step("s", "a", 1, 3, 4), terms)
+	p.AddBatch(step("s", "a", 1, 3, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 8 {
 		t.Errorf("%d items started, want all 8 slots taken", n)
 	}
@@ -175,7 +175,7 @@
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	p.SetVersion("a", 3)
-	p.AddBatch(step("s", "a", 2, 2, 4), terms)
+	p.AddBatch(step("s", "a", 2, 2, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 0 {
 		t.Errorf("%d items started on weights that are too old", n)
 	}
@@ -186,11 +186,11 @@
 
 // Symptom: a sample on a route for one version names two.
 // Sequence: its run breaks off, and is resumed on other weights.
-func TestSingleVersionTextIsNotContinuedOnOthers(t *testing.T) {
+func TestSingleVersionTextIsNotResumedOnOtherVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 1})
 	p.SetEngines(targets, models("a"))
-	single := terms
+	single := defaultTerms
 	single.SingleVersion = true
 	p.AddBatch(step("s", "a", 1, 1, 1), single)
 	w := p.Place(0)[0]
@@ -210,7 +210,7 @@
 func TestRunsMoveOffASlowEngine(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	p.AddBatch(step("s", "a", 1, 2, 4), terms)
+	p.AddBatch(step("s", "a", 1, 2, 4), defaultTerms)
 	works := p.Place(0)
 	for _, w := range works {
 		pace := cf.Millis(40)
@@ -239,10 +239,10 @@
 
 // Symptom: runs move back and forth and read their prompts again each time.
 // Sequence: all engines are equally fast.
-func TestEvenEnginesKeepTheirRuns(t *testing.T) {
+func TestUniformEnginesKeepTheirRuns(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	p.AddBatch(step("s", "a", 1, 2, 4), terms)
+	p.AddBatch(step("s", "a", 1, 2, 4), defaultTerms)
 	for _, w := range p.Place(0) {
 		generate(t, w, 10, 1900, 40)
 	}
@@ -253,11 +253,11 @@
 
 // A group that its step left unfinished goes on from its text in the next
 // step, if the weights fit; a run that was still under way is not repeated.
-func TestLeftOverGroupGoesOn(t *testing.T) {
+func TestUnfinishedGroupIsResumedInTheNextStep(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 2}), models("a"))
 	p.SetVersion("a", 2)
-	p.AddBatch(step("s", "a", 1, 1, 2), terms)
+	p.AddBatch(step("s", "a", 1, 1, 2), defaultTerms)
 	works := p.Place(0)
 	for _, w := range works {
 		generate(t, w, 0, 400, 40)
@@ -270,7 +270,7 @@
 	for _, w := range works {
 		next.Sub.Items = append(next.Sub.Items, w.Item)
 	}
-	ready := p.AddBatch(cfbatch.New(next.Sub), terms)
+	ready := p.AddBatch(cfbatch.New(next.Sub), defaultTerms)
 	if len(ready) != 1 || ready[0].Item.ID != works[0].Item.ID {
 		t.Errorf("%d items ready, want the one that finished", len(ready))
 	}
@@ -284,11 +284,11 @@
 
 // Guards against: a text generated anew because its run, which was stopped with its batch, has
 // not ended when the next batch asks for it.
-func TestStoppedRunIsGoneOnWithAtOnce(t *testing.T) {
+func TestStoppedRunIsResumedAtOnce(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	b := step("s", "a", 1, 1, 1)
-	p.AddBatch(b, terms)
+	p.AddBatch(b, defaultTerms)
 	w := p.Place(0)[0]
 	generate(t, w, 0, 400, 40)
 	if stopped := p.EndBatch("s"); len(stopped) != 1 {
@@ -296,7 +296,7 @@
 	}
 	sub := b.Sub
 	sub.ID = "t"
-	p.AddBatch(cfbatch.New(sub), terms)
+	p.AddBatch(cfbatch.New(sub), defaultTerms)
 	if again := p.Place(410); len(again) != 1 || again[0].Text.Last != 11 {
 		t.Errorf("the text does not go on: %+v", again)
 	}
@@ -308,7 +308,7 @@
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	b := step("s", "a", 1, 1, 1)
-	p.AddBatch(b, terms)
+	p.AddBatch(b, defaultTerms)
 	w := p.Place(0)[0]
 	generate(t, w, 0, 400, 40)
 	stopped := p.EndBatch("s")
@@ -319,7 +319,7 @@
 	p.SwapDone("e00", "a", 2)
 	sub := b.Sub
 	sub.ID, sub.MinVersion = "t", 2
-	p.AddBatch(cfbatch.New(sub), terms)
+	p.AddBatch(cfbatch.New(sub), defaultTerms)
 	if again := p.Place(600); len(again) != 1 || again[0].Text.Last != 0 {
 		t.Errorf("stale text goes on: %+v", again)
 	}
@@ -334,7 +334,7 @@
 			for b.Loop() {
 				p := cfrollout.New(cfrollout.DefaultLimits)
 				p.SetEngines(targets, models("a"))
-				p.AddBatch(step("s", "a", 1, n, 4), terms)
+				p.AddBatch(step("s", "a", 1, n, 4), defaultTerms)
 				if len(p.Place(0)) == 0 {
 					b.Fatal("nothing placed")
 				}
@@ -344,16 +344,16 @@
 	}
 }
 
-// BenchmarkLook measures a look of the planner at a busy site: every engine is
+// BenchmarkPass measures a look of the planner at a busy site: every engine is
 // full, twice as many items wait, and a version has been named.
-func BenchmarkLook(b *testing.B) {
+func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("engines_%d", n), func(b *testing.B) {
 			held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
 			p := cfrollout.New(cfrollout.DefaultLimits)
 			p.SetEngines(fleet(n, held...), models("a", "b", "c"))
 			for _, m := range []cf.ModelName{"a", "b", "c"} {
-				p.AddBatch(step(cf.BatchID(m), m, 1, n, 4), terms)
+				p.AddBatch(step(cf.BatchID(m), m, 1, n, 4), defaultTerms)
 			}
 			p.Place(0)
 			p.SetVersion("a", 2)
@@ -371,10 +371,10 @@
 // Symptom: an item of a route for samples of one version waits for ever.
 // Sequence: its run breaks off; before it is resumed, all engines of its share
 // load the next version.
-func TestSingleVersionTextStartsAnewWhenItsVersionIsGone(t *testing.T) {
+func TestSingleVersionTextRestartsWhenItsVersionIsGone(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	single := terms
+	single := defaultTerms
 	single.SingleVersion = true
 	p.AddBatch(step("s", "a", 1, 1, 1), single)
 	w := p.Place(0)[0]
@@ -398,7 +398,7 @@
 	other := fleet(2, held)[1]
 	other.Service = "others"
 	p.SetEngines(append(targets, other), map[cf.ServiceName][]cf.ModelName{service: {"a"}, "others": {"a"}})
-	p.AddBatch(step("s", "a", 1, 3, 4), terms)
+	p.AddBatch(step("s", "a", 1, 3, 4), defaultTerms)
 	first := p.Place(0)
 	if len(first) != 4 {
 		t.Fatalf("%d items started", len(first))
@@ -408,7 +408,7 @@
 	if n := len(p.Place(20)); n != 0 {
 		t.Errorf("%d items started without a route", n)
 	}
-	moved := terms
+	moved := defaultTerms
 	moved.Service = "others"
 	p.SetTerms("s", moved, true)
 	for _, w := range p.Place(30) {
@@ -423,12 +423,12 @@
 // meanwhile; two steps are open, and the engines may run the older one alone,
 // which has more items than they have slots.
 // Cause: an engine loaded only when nothing waited that it could run.
-func TestBlockedStepNeedNotWaitForAnothersQueue(t *testing.T) {
+func TestBlockedStepDoesNotWaitForAnotherStepsQueue(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 5}), models("a"))
 	p.SetVersion("a", 7)
-	p.AddBatch(step("older", "a", 5, 10, 4), terms)
-	p.AddBatch(step("newer", "a", 6, 10, 4), terms)
+	p.AddBatch(step("older", "a", 5, 10, 4), defaultTerms)
+	p.AddBatch(step("newer", "a", 6, 10, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 16 {
 		t.Fatalf("%d items of the older step started, want all slots taken", n)
 	}
@@ -448,7 +448,7 @@
 // Sequence: it starts again under its id, with older weights; the list shows that
 // first, or still the start before, when a report has shown the new one.
 // Cause: versions of one start only rise, and were kept over the next.
-func TestEngineThatStartsAgainHoldsNothingOfBefore(t *testing.T) {
+func TestRestartedEngineHoldsNoOldVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 4})
 	targets[0].Born, targets[1].Born = 100, 100
@@ -459,7 +459,7 @@
 	again := fleet(2, cf.ModelState{Name: "a", Version: 3})
 	again[0].Born, again[1].Born = 200, 300
 	p.SetEngines(again, models("a"))
-	p.AddBatch(step("s", "a", 4, 1, 4), terms)
+	p.AddBatch(step("s", "a", 4, 1, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 0 {
 		t.Errorf("%d items at engines that hold older weights", n)
 	}
--- a/core/cfrollout/reservation_test.go
+++ b/core/cfrollout/reservation_test.go
@@ -10,17 +10,17 @@
 // Symptom: a run that was stopped to move waits for seconds for a slot, as other items have
 // taken the one that it was to have. Guards against that, and against a slot that is kept for
 // ever for a run that does not come.
-func TestSlotIsKeptForARunThatMoves(t *testing.T) {
+func TestSlotIsReservedForAMovingRun(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	p.AddBatch(step("s", "a", 1, 1, 1), terms)
+	p.AddBatch(step("s", "a", 1, 1, 1), defaultTerms)
 	w := p.Place(0)[0]
 	other := cf.InstanceID("e00")
 	if w.Engine == other {
 		other = "e01"
 	}
-	p.KeepSlot(w, other, 100)
-	p.AddBatch(step("t", "a", 1, 2, 4), terms)
+	p.ReserveSlot(w, other, 100)
+	p.AddBatch(step("t", "a", 1, 2, 4), defaultTerms)
 	if n := len(p.Place(200)); n != 6 {
 		t.Fatalf("%d items take the 6 slots that are free and not kept", n)
 	}
@@ -32,11 +32,11 @@
 
 	q := cfrollout.New(cfrollout.DefaultLimits)
 	q.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	q.AddBatch(step("s", "a", 1, 1, 1), terms)
+	q.AddBatch(step("s", "a", 1, 1, 1), defaultTerms)
 	lost := q.Place(0)[0]
-	q.KeepSlot(lost, other, 100)
+	q.ReserveSlot(lost, other, 100)
 	q.Finished(lost, cfrollout.OutcomeDone, 200)
-	q.AddBatch(step("t", "a", 1, 2, 4), terms)
+	q.AddBatch(step("t", "a", 1, 2, 4), defaultTerms)
 	q.Moves(5000)
 	if n := len(q.Place(5000)); n != 8 {
 		t.Errorf("%d items take the 8 slots after a run did not come", n)
--- a/core/cfrollout/selection_test.go
+++ b/core/cfrollout/selection_test.go
@@ -10,7 +10,7 @@
 
 // Guards against classes of guesses that move with the mean guess: while it rises, texts of
 // mean length fill the classes that long texts use later.
-func TestLongGuessesAreNotFilledWithMeanTexts(t *testing.T) {
+func TestHintClassesDoNotDriftWithTheMean(t *testing.T) {
 	p := New(DefaultLimits)
 	for i := range 800 {
 		w := &Work{Item: cf.Item{ID: cf.ItemID(fmt.Sprint(i)), LengthHint: 140}, Text: Text{Last: 14}}
@@ -64,7 +64,7 @@
 
 // Guards against a ranking that holds loads back after the due time has gone, or after the
 // last engine has.
-func TestRankingEndsWithItsReasons(t *testing.T) {
+func TestRankingIsDroppedWithoutDueTimeOrCapacity(t *testing.T) {
 	for name, end := range map[string]func(*Planner){
 		"no due time": func(p *Planner) { p.SetTerms("s", Terms{Service: "x"}, true) },
 		"no rate":     func(p *Planner) { p.rankGroups(p.batches["s"], 0, 5000) },
@@ -83,7 +83,7 @@
 
 // Guards against runs of one look that are all sent to one engine, though it has a single
 // slot, and against engines that are loading, full or behind among the destinations.
-func TestRunsOfALookGoToDifferentSlots(t *testing.T) {
+func TestRunsOfOnePassGoToDifferentSlots(t *testing.T) {
 	p := New(DefaultLimits)
 	sub := cf.Submission{ID: "s", Model: "m"}
 	o := &openBatch{batch: cfbatch.New(sub), terms: Terms{Service: "x"}}
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -108,7 +108,7 @@
 	b := step(id, m, least, groups, size)
 	b.Sub.TargetGroups = want
 	s.batches[id], s.pending[id] = b, &cfbatch.PendingResults{}
-	ready := s.planner.AddBatch(b, terms)
+	ready := s.planner.AddBatch(b, defaultTerms)
 	return fmt.Sprintf("%d items, %d ready\n", len(b.Sub.Items), len(ready))
 }
 
--- a/core/cfrollout/shares_test.go
+++ b/core/cfrollout/shares_test.go
@@ -16,9 +16,9 @@
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
 	targets := fleet(3, held...)
 	p.SetEngines(targets, models("a", "b", "c"))
-	p.AddBatch(step("large", "a", 1, 100, 10), terms)
-	p.AddBatch(step("small-b", "b", 1, 1, 1), terms)
-	p.AddBatch(step("small-c", "c", 1, 1, 1), terms)
+	p.AddBatch(step("large", "a", 1, 100, 10), defaultTerms)
+	p.AddBatch(step("small-b", "b", 1, 1, 1), defaultTerms)
+	p.AddBatch(step("small-c", "c", 1, 1, 1), defaultTerms)
 	count := map[cf.ModelName]int{}
 	for _, m := range shares(p, targets) {
 		count[m]++
@@ -34,7 +34,7 @@
 // Load: three models, each with a step of twice the slots, on the one engine that
 // is left; a and b hand in a new step as soon as one is done.
 // Cause: an engine served one model, whose work never ended.
-func TestFewerEnginesThanModelsTakeTurns(t *testing.T) {
+func TestModelsTakeTurnsOnTooFewEngines(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
 	p.SetEngines(fleet(1, held...), models("a", "b", "c"))
@@ -45,7 +45,7 @@
 		b := step(cf.BatchID(string(m)+string(rune('0'+accepted))), m, 1, 2, 4)
 		b.Sub.Accepted = accepted
 		left[m] = len(b.Sub.Items)
-		p.AddBatch(b, terms)
+		p.AddBatch(b, defaultTerms)
 	}
 	for _, m := range []cf.ModelName{"a", "b", "c"} {
 		add(m)
@@ -89,7 +89,7 @@
 		for i := range b.Sub.Items {
 			b.Sub.Items[i].LengthHint = hint
 		}
-		p.AddBatch(b, terms)
+		p.AddBatch(b, defaultTerms)
 	}
 	add("a1", "a", 10, 50)
 	add("b1", "b", 10, 10)
--- a/core/cfrollout/singleversion_test.go
+++ b/core/cfrollout/singleversion_test.go
@@ -13,7 +13,7 @@
 // Sequence: an engine's weights change in the midst of a run, by an order that
 // was carried out late or given between two steps; the run goes on to its end.
 // Cause: only texts that had to be resumed were looked at for their versions.
-func TestTextOfTwoVersionsIsNotListedAsOne(t *testing.T) {
+func TestMixedVersionTextIsNotCompleted(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 4}), models("a"))
 	p.AddBatch(step("b", "a", 4, 1, 1), singleTerms)
@@ -58,9 +58,9 @@
 
 // Guards against: an item that waits for ever, as the only engine that holds the weights of
 // its text is slow and the others, which may not go on with it, are counted as its queue.
-func TestTextOfOneVersionGoesOnAtASlowEngine(t *testing.T) {
-	p := slowSite(t)
-	p.AddBatch(hinted("s", 100), singleTerms)
+func TestSingleVersionTextResumesAtASlowEngine(t *testing.T) {
+	p := newSlowEnginePlanner(t)
+	p.AddBatch(hintedBatch("s", 100), singleTerms)
 	w := p.Place(5000)[0]
 	if w.Engine == "e03" {
 		t.Fatal("it begins at the slow engine")
--- a/core/cfrollout/slowengine_test.go
+++ b/core/cfrollout/slowengine_test.go
@@ -9,9 +9,9 @@
 	"currantford/core/cfrollout"
 )
 
-// hinted returns a batch of single items with the lengths that their submitter
+// hintedBatch returns a batch of single items with the lengths that their submitter
 // expects, in tokens of which ten make an event.
-func hinted(id cf.BatchID, events ...int) *cfbatch.Batch {
+func hintedBatch(id cf.BatchID, events ...int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, Model: "a", MinVersion: 1, TargetGroups: len(events)}
 	for i, n := range events {
 		name := fmt.Sprintf("%s-%02d", id, i)
@@ -20,9 +20,9 @@
 	return cfbatch.New(sub)
 }
 
-// slowSite returns a planner with four engines of four slots, of which e03 is four
+// newSlowEnginePlanner returns a planner with four engines of four slots, of which e03 is four
 // times slower than the others, as a step before has shown.
-func slowSite(t *testing.T) *cfrollout.Planner {
+func newSlowEnginePlanner(t *testing.T) *cfrollout.Planner {
 	t.Helper()
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -30,7 +30,7 @@
 	for i := range lengths {
 		lengths[i] = 20
 	}
-	p.AddBatch(hinted("before", lengths...), terms)
+	p.AddBatch(hintedBatch("before", lengths...), defaultTerms)
 	works := p.Place(0)
 	for _, w := range works {
 		pace := cf.Millis(40)
@@ -54,7 +54,7 @@
 // times slower. It gets short texts alone, which end there before they would have
 // had their turn elsewhere.
 func TestLongTextsDoNotStartAtASlowEngine(t *testing.T) {
-	p := slowSite(t)
+	p := newSlowEnginePlanner(t)
 	lengths := make([]int, 32)
 	for i := range lengths {
 		lengths[i] = 2
@@ -62,7 +62,7 @@
 			lengths[i] = 100
 		}
 	}
-	p.AddBatch(hinted("s", lengths...), terms)
+	p.AddBatch(hintedBatch("s", lengths...), defaultTerms)
 	atSlow := 0
 	for _, w := range p.Place(5000) {
 		if w.Engine != "e03" {
@@ -83,13 +83,13 @@
 // Load: an engine turns slow while its runs are long and half of the step waits.
 // The long run stands first in line for the next slot; short ones stay.
 func TestLongRunLeavesASlowEngineBeforeOthersStart(t *testing.T) {
-	p := slowSite(t)
+	p := newSlowEnginePlanner(t)
 	lengths := make([]int, 40)
 	for i := range lengths {
 		lengths[i] = 8
 	}
 	lengths[0] = 150
-	p.AddBatch(hinted("s", lengths...), terms)
+	p.AddBatch(hintedBatch("s", lengths...), defaultTerms)
 	works := p.Place(5000)
 	var long *cfrollout.Work
 	for _, w := range works {
--- a/core/cfrollout/slowperiods.go
+++ b/core/cfrollout/slowperiods.go
@@ -267,7 +267,7 @@
 //
 // The load it answers: many runs at slow engines of a large share. A walk over the share for
 // each of them made a look at 480 items and 10,000 engines take 3 to 4 ms, one list for all 0.6 ms
-// (BenchmarkSlowLook).
+// (BenchmarkMoves).
 func (p *Planner) destinations(o *openBatch, left float64, now cf.Millis) []candidate {
 	var out []candidate
 	least := math.Inf(1)
--- a/core/cfrollout/slowperiods_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -14,76 +14,76 @@
 	"currantford/core/cfrollout"
 )
 
-// unevenWorld plays the load of cfslow without a network: 44 engines of 8 slots, machines
+// periodSim plays the load of cfslow without a network: 44 engines of 8 slots, machines
 // that are slow for a while, and four trainers with a step every 4 s.
-type unevenWorld struct {
-	unevenSettings
-	p              *cfrollout.Planner
-	random         *rand.Rand
-	now            cf.Millis
-	targets        []cf.Target
-	slow           map[cf.InstanceID]bool
-	redraw         map[cf.InstanceID]cf.Millis
-	runs           map[*cfrollout.Work]*unevenRun
-	open           map[cf.BatchID]*unevenStep
-	done           []cf.Millis // when 90% of a step's groups were whole
-	whole          []cf.Millis // when each group was
-	moves          int
-	slowRuns       int // starts of long texts at engines that were slow
-	long           int
-	lengths        map[cf.ItemID]int
-	loading        map[cf.InstanceID]unevenLoad
-	steps          map[cf.ModelName]int
-	stalled, stall cf.Millis
-	jitter         *rand.Rand
+type periodSim struct {
+	periodSettings
+	planner                   *cfrollout.Planner
+	random                    *rand.Rand
+	now                       cf.Millis
+	targets                   []cf.Target
+	slow                      map[cf.InstanceID]bool
+	redrawAt                  map[cf.InstanceID]cf.Millis
+	runs                      map[*cfrollout.Work]*simRun
+	steps                     map[cf.BatchID]*simStep
+	stepTimes                 []cf.Millis // when 90% of a step's groups were whole
+	groupTimes                []cf.Millis // when each group was
+	moves                     int
+	slowLongRuns              int // starts of long texts at engines that were slow
+	longRuns                  int
+	lengths                   map[cf.ItemID]int
+	loading                   map[cf.InstanceID]simLoad
+	submitted                 map[cf.ModelName]int
+	stalledUntil, reportStall cf.Millis
+	jitter                    *rand.Rand
 }
 
-type unevenSettings struct {
-	seed   uint64
-	even   bool
-	off    bool      // moves by smoothed paces
-	never  bool      // no moves at all
-	stalls cf.Millis // the observer now and then reads nothing for up to so long
-	lag    cf.Millis
-	loads  bool
-	noise  cf.Millis
+type periodSettings struct {
+	seed          uint64
+	uniform       bool
+	noPeriodMoves bool      // moves by smoothed paces
+	noMoves       bool      // no moves at all
+	maxStall      cf.Millis // the observer now and then reads nothing for up to so long
+	passInterval  cf.Millis
+	loads         bool
+	maxDelay      cf.Millis
 }
 
-type unevenRun struct {
-	w      *cfrollout.Work
-	engine cf.InstanceID
-	ready  cf.Millis // until then it connects and reads
-	work   float64   // of the event under way, in ms of a quiet engine
-	made   []cf.Millis
-	stop   cf.Millis
+type simRun struct {
+	w          *cfrollout.Work
+	engine     cf.InstanceID
+	readyAt    cf.Millis // until then it connects and reads
+	work       float64   // of the event under way, in ms of a quiet engine
+	eventTimes []cf.Millis
+	stopAt     cf.Millis
 }
 
-type unevenLoad struct {
-	model   cf.ModelName
-	version cf.WeightVersion
-	at      cf.Millis
+type simLoad struct {
+	model       cf.ModelName
+	version     cf.WeightVersion
+	submittedAt cf.Millis
 }
 
-type unevenStep struct {
-	batch *cfbatch.Batch
-	at    cf.Millis
-	left  map[cf.GroupID]int
-	whole []cf.Millis
+type simStep struct {
+	batch      *cfbatch.Batch
+	at         cf.Millis
+	left       map[cf.GroupID]int
+	groupTimes []cf.Millis
 }
 
 const (
-	unevenTick   cf.Millis = 5
-	unevenEvery  cf.Millis = 4000
-	unevenReread cf.Millis = 35
-	unevenStop   cf.Millis = 15 // until a stopped run is over
-	unevenAccept cf.Millis = 300
+	simTick         cf.Millis = 5
+	simStepInterval cf.Millis = 4000
+	simReadTime     cf.Millis = 35
+	simStopTime     cf.Millis = 15 // until a stopped run is over
+	simAcceptTime   cf.Millis = 300
 )
 
-func newUneven(s unevenSettings) *unevenWorld {
-	w := &unevenWorld{unevenSettings: s, random: rand.New(rand.NewPCG(s.seed, 7)), slow: map[cf.InstanceID]bool{}, redraw: map[cf.InstanceID]cf.Millis{}, runs: map[*cfrollout.Work]*unevenRun{}, open: map[cf.BatchID]*unevenStep{}, lengths: map[cf.ItemID]int{}, loading: map[cf.InstanceID]unevenLoad{}, steps: map[cf.ModelName]int{}, jitter: rand.New(rand.NewPCG(s.seed, 8))}
+func newPeriodSim(s periodSettings) *periodSim {
+	w := &periodSim{periodSettings: s, random: rand.New(rand.NewPCG(s.seed, 7)), slow: map[cf.InstanceID]bool{}, redrawAt: map[cf.InstanceID]cf.Millis{}, runs: map[*cfrollout.Work]*simRun{}, steps: map[cf.BatchID]*simStep{}, lengths: map[cf.ItemID]int{}, loading: map[cf.InstanceID]simLoad{}, submitted: map[cf.ModelName]int{}, jitter: rand.New(rand.NewPCG(s.seed, 8))}
 	limits := cfrollout.DefaultLimits
-	limits.NoSlowPeriods = s.off
-	w.p = cfrollout.New(limits)
+	limits.NoSlowPeriods = s.noPeriodMoves
+	w.planner = cfrollout.New(limits)
 	names := []cf.ModelName{"a", "b", "c", "d"}
 	var held []cf.ModelState
 	for _, m := range names {
@@ -93,20 +93,20 @@
 	for i := range w.targets {
 		w.targets[i].Slots = 8
 	}
-	w.p.SetEngines(w.targets, models(names...))
+	w.planner.SetEngines(w.targets, models(names...))
 	return w
 }
 
 // submit hands in a step: 8 to 12 groups of 8 or 16, a text in ten five times as long.
-func (w *unevenWorld) submit(m cf.ModelName, n int) {
-	w.steps[m]++
-	version := cf.WeightVersion(w.steps[m])
+func (w *periodSim) submit(m cf.ModelName, n int) {
+	w.submitted[m]++
+	version := cf.WeightVersion(w.submitted[m])
 	if !w.loads {
 		version = 1
 	}
-	w.p.SetVersion(m, version)
+	w.planner.SetVersion(m, version)
 	sub := cf.Submission{ID: cf.BatchID(fmt.Sprint(m, n)), Model: m, MinVersion: max(version-1, 1), Accepted: w.now}
-	st := &unevenStep{at: w.now, left: map[cf.GroupID]int{}}
+	st := &simStep{at: w.now, left: map[cf.GroupID]int{}}
 	for g := range 8 + w.random.IntN(5) {
 		group := cf.GroupID(fmt.Sprint(sub.ID, "-", g))
 		size := 8 + 8*w.random.IntN(2)
@@ -124,146 +124,146 @@
 	}
 	sub.TargetGroups = (len(st.left)*9 + 9) / 10
 	st.batch = cfbatch.New(sub)
-	w.open[sub.ID] = st
-	w.p.AddBatch(st.batch, terms)
+	w.steps[sub.ID] = st
+	w.planner.AddBatch(st.batch, defaultTerms)
 }
 
-func (w *unevenWorld) play(span cf.Millis) {
+func (w *periodSim) run(span cf.Millis) {
 	names := []cf.ModelName{"a", "b", "c", "d"}
-	for end := w.now + span; w.now < end; w.now += unevenTick {
+	for end := w.now + span; w.now < end; w.now += simTick {
 		for i, m := range names {
-			if (w.now+cf.Millis(i)*unevenEvery/4)%unevenEvery == 0 {
+			if (w.now+cf.Millis(i)*simStepInterval/4)%simStepInterval == 0 {
 				w.submit(m, int(w.now))
 			}
 		}
-		w.machines()
+		w.redrawSlowMachines()
 		w.generate()
-		if w.stalls > 0 && w.now > w.stalled && w.jitter.IntN(40) == 0 {
-			w.stalled = w.now + cf.Millis(w.jitter.IntN(int(w.stalls)))
-			if d := w.stalled - w.now; d > 15 {
-				w.stall = w.stalled
+		if w.maxStall > 0 && w.now > w.stalledUntil && w.jitter.IntN(40) == 0 {
+			w.stalledUntil = w.now + cf.Millis(w.jitter.IntN(int(w.maxStall)))
+			if d := w.stalledUntil - w.now; d > 15 {
+				w.reportStall = w.stalledUntil
 			}
 		}
-		if w.now >= w.stalled && w.stall > 0 {
-			w.p.ProcessStalled(w.now)
-			w.stall = 0
+		if w.now >= w.stalledUntil && w.reportStall > 0 {
+			w.planner.ProcessStalled(w.now)
+			w.reportStall = 0
 		}
-		if w.now >= w.stalled && (w.lag == 0 || w.now%w.lag == 0) {
-			w.look()
+		if w.now >= w.stalledUntil && (w.passInterval == 0 || w.now%w.passInterval == 0) {
+			w.pass()
 		}
 	}
 }
 
-func (w *unevenWorld) machines() {
+func (w *periodSim) redrawSlowMachines() {
 	for _, t := range w.targets {
-		if w.now >= w.redraw[t.ID] {
-			w.slow[t.ID] = !w.even && w.random.Float64() < 0.15
-			w.redraw[t.ID] = w.now + 500 + cf.Millis(w.random.IntN(200))
+		if w.now >= w.redrawAt[t.ID] {
+			w.slow[t.ID] = !w.uniform && w.random.Float64() < 0.15
+			w.redrawAt[t.ID] = w.now + 500 + cf.Millis(w.random.IntN(200))
 		}
 	}
 }
 
-func (w *unevenWorld) generate() {
+func (w *periodSim) generate() {
 	running := map[cf.InstanceID]int{}
 	for _, r := range w.runs {
 		running[r.engine]++
 	}
-	for _, run := range w.sorted() {
+	for _, run := range w.sortedRuns() {
 		r := w.runs[run]
 		event := 77 * (0.631 + 0.00205*float64(running[r.engine]))
 		speed := 1.0
 		if w.slow[r.engine] {
 			speed = 1 / 2.5
 		}
-		if w.now < r.ready || w.loading[r.engine].at > w.now {
+		if w.now < r.readyAt || w.loading[r.engine].submittedAt > w.now {
 			continue
 		}
-		r.work += speed * float64(unevenTick)
+		r.work += speed * float64(simTick)
 		if r.work >= event {
 			r.work -= event
-			r.made = append(r.made, w.now+unevenTick-cf.Millis(r.work/speed))
+			r.eventTimes = append(r.eventTimes, w.now+simTick-cf.Millis(r.work/speed))
 		}
-		if w.now < w.stalled {
+		if w.now < w.stalledUntil {
 			continue
 		}
-		for _, at := range r.made {
-			if w.stalls > 0 {
+		for _, at := range r.eventTimes {
+			if w.maxStall > 0 {
 				at = w.now // it is read now
 			}
-			if w.noise > 0 {
-				at = max(at+cf.Millis(w.jitter.IntN(int(w.noise))), run.Progress.Last())
+			if w.maxDelay > 0 {
+				at = max(at+cf.Millis(w.jitter.IntN(int(w.maxDelay))), run.Progress.LastEvent())
 			}
 			if int(run.Text.Last) < w.lengths[run.Item.ID] {
 				_ = run.Text.Append(cf.StreamEvent{ID: run.Text.Last + 1, Data: "x", Version: run.Version})
 				run.Progress.Note(at)
 			}
 		}
-		r.made = r.made[:0]
+		r.eventTimes = r.eventTimes[:0]
 		switch {
 		case int(run.Text.Last) >= w.lengths[run.Item.ID]:
 			delete(w.runs, run)
-			if w.p.Finished(run, cfrollout.OutcomeDone, w.now) {
-				w.list(run)
+			if w.planner.Finished(run, cfrollout.OutcomeDone, w.now) {
+				w.noteDone(run)
 			}
-		case r.stop > 0 && w.now >= r.stop:
+		case r.stopAt > 0 && w.now >= r.stopAt:
 			delete(w.runs, run)
-			w.p.Finished(run, cfrollout.OutcomeStopped, w.now)
+			w.planner.Finished(run, cfrollout.OutcomeStopped, w.now)
 		}
 	}
 }
 
-func (w *unevenWorld) list(run *cfrollout.Work) {
-	st := w.open[run.Batch.Sub.ID]
+func (w *periodSim) noteDone(run *cfrollout.Work) {
+	st := w.steps[run.Batch.Sub.ID]
 	if st == nil {
 		return
 	}
 	if st.left[run.Item.Group]--; st.left[run.Item.Group] > 0 {
 		return
 	}
-	st.whole = append(st.whole, w.now-st.at)
-	w.whole = append(w.whole, w.now-st.at+unevenAccept)
-	if len(st.whole) < st.batch.Sub.TargetGroups {
+	st.groupTimes = append(st.groupTimes, w.now-st.at)
+	w.groupTimes = append(w.groupTimes, w.now-st.at+simAcceptTime)
+	if len(st.groupTimes) < st.batch.Sub.TargetGroups {
 		return
 	}
-	w.done = append(w.done, w.now-st.at+unevenAccept)
-	delete(w.open, run.Batch.Sub.ID)
-	for _, stopped := range w.p.EndBatch(run.Batch.Sub.ID) {
-		w.runs[stopped].stop = w.now + unevenStop
+	w.stepTimes = append(w.stepTimes, w.now-st.at+simAcceptTime)
+	delete(w.steps, run.Batch.Sub.ID)
+	for _, stopped := range w.planner.EndBatch(run.Batch.Sub.ID) {
+		w.runs[stopped].stopAt = w.now + simStopTime
 	}
 }
 
-func (w *unevenWorld) look() {
-	for _, run := range w.p.Place(w.now) {
-		w.runs[run] = &unevenRun{w: run, engine: run.Engine, ready: w.now + unevenReread}
-		if w.p.IsLong(run) {
-			w.long++
+func (w *periodSim) pass() {
+	for _, run := range w.planner.Place(w.now) {
+		w.runs[run] = &simRun{w: run, engine: run.Engine, readyAt: w.now + simReadTime}
+		if w.planner.IsLong(run) {
+			w.longRuns++
 			if w.slow[run.Engine] {
-				w.slowRuns++
+				w.slowLongRuns++
 			}
 		}
 	}
-	for _, s := range w.p.Swaps(w.now) {
-		w.loading[s.Target.ID] = unevenLoad{s.Model, s.Version, w.now + 900}
+	for _, s := range w.planner.Swaps(w.now) {
+		w.loading[s.Target.ID] = simLoad{s.Model, s.Version, w.now + 900}
 	}
 	for id, l := range w.loading {
-		if w.now >= l.at {
+		if w.now >= l.submittedAt {
 			delete(w.loading, id)
-			w.p.SwapDone(id, l.model, l.version)
-			w.p.LoadEnded(id, w.now)
+			w.planner.SwapDone(id, l.model, l.version)
+			w.planner.LoadEnded(id, w.now)
 		}
 	}
-	if w.never {
+	if w.noMoves {
 		return
 	}
-	for _, run := range w.p.Moves(w.now) {
+	for _, run := range w.planner.Moves(w.now) {
 		w.moves++
-		if r := w.runs[run]; r.stop == 0 {
-			r.stop = w.now + unevenStop
+		if r := w.runs[run]; r.stopAt == 0 {
+			r.stopAt = w.now + simStopTime
 		}
 	}
 }
 
-func (w *unevenWorld) sorted() []*cfrollout.Work {
+func (w *periodSim) sortedRuns() []*cfrollout.Work {
 	out := make([]*cfrollout.Work, 0, len(w.runs))
 	for run := range w.runs {
 		out = append(out, run)
@@ -280,7 +280,7 @@
 	return sum / float64(max(len(of), 1))
 }
 
-func within(of []cf.Millis, most cf.Millis) float64 {
+func shareWithin(of []cf.Millis, most cf.Millis) float64 {
 	n := 0
 	for _, x := range of {
 		if x <= most {
@@ -290,27 +290,27 @@
 	return float64(n) / float64(max(len(of), 1))
 }
 
-type unevenResult struct {
-	done, whole       []cf.Millis
-	moves, slow, long int
+type simResult struct {
+	stepTimes, groupTimes         []cf.Millis
+	moves, slowLongRuns, longRuns int
 }
 
-// replay plays 40 s of several seeds, each on its own.
-func replay(s unevenSettings, seeds int) unevenResult {
-	worlds := make([]*unevenWorld, seeds)
+// runSeeds plays 40 s of several seeds, each on its own.
+func runSeeds(s periodSettings, seeds int) simResult {
+	worlds := make([]*periodSim, seeds)
 	var wg sync.WaitGroup
 	for i := range worlds {
 		s.seed = uint64(i)
-		worlds[i] = newUneven(s)
-		wg.Go(func() { worlds[i].play(40000) })
+		worlds[i] = newPeriodSim(s)
+		wg.Go(func() { worlds[i].run(40000) })
 	}
 	wg.Wait()
-	r := unevenResult{}
+	r := simResult{}
 	for _, w := range worlds {
-		r.done, r.whole = append(r.done, w.done...), append(r.whole, w.whole...)
-		r.moves, r.slow, r.long = r.moves+w.moves, r.slow+w.slowRuns, r.long+w.long
+		r.stepTimes, r.groupTimes = append(r.stepTimes, w.stepTimes...), append(r.groupTimes, w.groupTimes...)
+		r.moves, r.slowLongRuns, r.longRuns = r.moves+w.moves, r.slowLongRuns+w.slowLongRuns, r.longRuns+w.longRuns
 	}
-	slices.Sort(r.done)
+	slices.Sort(r.stepTimes)
 	return r
 }
 
@@ -319,17 +319,17 @@
 // that are slow as well, wait for a slot, or cost more than the rest of the period; and
 // against events that are read late or in bursts, pauses and loads that are taken for slow
 // periods. The decision switched off loses more.
-func TestStepsLoseLessToSlowPeriods(t *testing.T) {
+func TestPeriodMovesReduceStepDelay(t *testing.T) {
 	const seeds = 4
-	for _, s := range []unevenSettings{{}, {loads: true, noise: 15, stalls: 60, lag: 20}} {
+	for _, s := range []periodSettings{{}, {loads: true, maxDelay: 15, maxStall: 60, passInterval: 20}} {
 		even, never, before := s, s, s
-		even.even, even.never, never.never, before.off = true, true, true, true
-		results := []unevenResult{replay(even, seeds), replay(never, seeds), replay(before, seeds), replay(s, seeds)}
+		even.uniform, even.noMoves, never.noMoves, before.noPeriodMoves = true, true, true, true
+		results := []simResult{runSeeds(even, seeds), runSeeds(never, seeds), runSeeds(before, seeds), runSeeds(s, seeds)}
 		for i, r := range results {
 			t.Logf("%-24s loads %5t: 90%% of the groups whole after %.0f ms, steps by 7.5 s %.3f, by 8.2 s %.3f; groups by 8.2 s %.3f; moves %d, long texts begun at slow engines %d of %d",
-				[]string{"even engines", "no moves", "moves by smoothed paces", "moves by slow periods"}[i], s.loads, mean(r.done), within(r.done, 7500), within(r.done, 8200), within(r.whole, 8200), r.moves, r.slow, r.long)
+				[]string{"even engines", "no moves", "moves by smoothed paces", "moves by slow periods"}[i], s.loads, mean(r.stepTimes), shareWithin(r.stepTimes, 7500), shareWithin(r.stepTimes, 8200), shareWithin(r.groupTimes, 8200), r.moves, r.slowLongRuns, r.longRuns)
 		}
-		lost := func(i int) float64 { return mean(results[i].done) - mean(results[0].done) }
+		lost := func(i int) float64 { return mean(results[i].stepTimes) - mean(results[0].stepTimes) }
 		if lost(3) > 0.92*lost(2) || lost(3) > 0.92*lost(1) {
 			t.Errorf("a step loses %.0f ms to slow machines, %.0f ms without the decision, %.0f ms without moves", lost(3), lost(2), lost(1))
 		}
@@ -341,9 +341,9 @@
 
 // Guards against decisions that change where machines are even: nothing moves, and steps
 // take what they took.
-func TestEvenMachinesAreServedAsBefore(t *testing.T) {
-	now, before := replay(unevenSettings{even: true}, 2), replay(unevenSettings{even: true, off: true}, 2)
-	if now.moves+before.moves > 0 || math.Abs(mean(now.done)-mean(before.done)) > 20 {
-		t.Errorf("%d and %d moves, steps of %.0f and %.0f ms", now.moves, before.moves, mean(now.done), mean(before.done))
+func TestUniformMachinesAreUnaffected(t *testing.T) {
+	now, before := runSeeds(periodSettings{uniform: true}, 2), runSeeds(periodSettings{uniform: true, noPeriodMoves: true}, 2)
+	if now.moves+before.moves > 0 || math.Abs(mean(now.stepTimes)-mean(before.stepTimes)) > 20 {
+		t.Errorf("%d and %d moves, steps of %.0f and %.0f ms", now.moves, before.moves, mean(now.stepTimes), mean(before.stepTimes))
 	}
 }
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -43,7 +43,7 @@
 				targets[i].Born = 1
 			}
 			p.SetEngines(targets, models("m"))
-			p.AddBatch(step("b", "m", 1, 1, 4), terms)
+			p.AddBatch(step("b", "m", 1, 1, 4), defaultTerms)
 			begun := p.Place(1000)
 			if len(begun) != 4 {
 				t.Fatalf("%d items begin", len(begun))
