--- a/core/cfrollout/allocation.go
+++ b/core/cfrollout/allocation.go
@@ -175,9 +175,9 @@
 				active[m]++
 			}
 		}
-		serving := p.enginesNeeded(f, m)
-		want[m] = rotationFactor * serving
-		short += max(serving-active[m], 0)
+		needed := p.enginesNeeded(f, m)
+		want[m] = rotationFactor * needed
+		short += max(needed-active[m], 0)
 	}
 	for _, m := range models {
 		n := active[m] - want[m]
@@ -205,7 +205,7 @@
 func (p *Planner) dueByNeed(f *fleet, k shareKey, share []*Engine, d *shareDemand, now cf.Millis) []swapCandidate {
 	newest := p.LatestVersion(k.model)
 	ready, useful, active := 0, 0, 0
-	var idle []swapOption
+	var options []swapOption
 	for _, e := range share {
 		if e.Draining {
 			continue
@@ -225,18 +225,18 @@
 		if now < e.nextOrderAt || !blocked && (e.Running > 0 || d.hasRunnable(v)) || blocked && p.limits.SwapWhenIdle && d.hasRunnable(v) {
 			continue
 		}
-		idle = append(idle, swapOption{e, v, p.paceRank(e), blocked})
+		options = append(options, swapOption{e, v, p.paceRank(e), blocked})
 	}
 	need := p.enginesNeeded(f, k.model)
-	if ready >= need || len(idle) == 0 {
+	if ready >= need || len(options) == 0 {
 		return nil
 	}
 	keep := min(need, active/rotationFactor)
-	slices.SortFunc(idle, func(a, b swapOption) int {
-		return cmp.Or(cmp.Compare(a.Running, b.Running), cmp.Compare(a.version, b.version), cmp.Compare(a.class, b.class), cmp.Compare(a.idHash, b.idHash))
+	slices.SortFunc(options, func(a, b swapOption) int {
+		return cmp.Or(cmp.Compare(a.Running, b.Running), cmp.Compare(a.version, b.version), cmp.Compare(a.rank, b.rank), cmp.Compare(a.idHash, b.idHash))
 	})
 	var due []swapCandidate
-	for _, e := range idle {
+	for _, e := range options {
 		if len(due) == need-ready {
 			break
 		}
@@ -255,7 +255,7 @@
 type swapOption struct {
 	*Engine
 	version cf.WeightVersion
-	class   int
+	rank    int
 	blocked bool
 }
 
--- a/core/cfrollout/goodput.go
+++ b/core/cfrollout/goodput.go
@@ -109,16 +109,16 @@
 		n.required = len(n.groups)
 	}
 	var s selection
-	free := max(n.required-carried, 0) // groups waited for beside the carried ones
+	open := max(n.required-carried, 0) // groups waited for beside the carried ones
 	longest = 0
 	for i := range n.groups {
 		g := &n.groups[i]
 		switch {
-		case !g.carried && free == 0:
+		case !g.carried && open == 0:
 			g.class = groupOptional
 			continue
 		case !g.carried:
-			free--
+			open--
 		}
 		g.class = groupInTime
 		s.work += g.work
@@ -152,7 +152,7 @@
 // fill gives a class to the groups that are whole by a time, those with the least left
 // first, after the slot time of what goes before. It returns that with theirs. A spare group
 // takes the place of one that is waited for and can't be whole by then.
-func (n *stepNeed) fill(class groupClass, before, until float64) float64 {
+func (n *stepNeed) fill(class groupClass, prior, deadline float64) float64 {
 	chosen := 0
 	for _, g := range n.groups {
 		if g.class < class {
@@ -161,15 +161,15 @@
 	}
 	for i := range n.groups {
 		g := &n.groups[i]
-		if g.class < groupTooLate || class == groupTooLate && g.class != class || chosen >= n.required || g.longest > until && !n.goesFirst(*g) || (before+g.work)/n.slots > fillFactor*until {
+		if g.class < groupTooLate || class == groupTooLate && g.class != class || chosen >= n.required || g.longest > deadline && !n.goesFirst(*g) || (prior+g.work)/n.slots > fillFactor*deadline {
 			continue
 		}
 		g.class = class
-		before += g.work
-		g.completeIn = max(before/n.slots, g.longest)
+		prior += g.work
+		g.completeIn = max(prior/n.slots, g.longest)
 		chosen++
 	}
-	return before
+	return prior
 }
 
 // placeReplaced gives a place to the groups whose place an optional one has taken, after the slot
@@ -189,21 +189,21 @@
 
 // rankGroups orders the waiting items of a batch by the groups that are selected.
 // before is the slot time of the batches that go first. It returns that with this batch's.
-func (p *Planner) rankGroups(o *openBatch, before float64, now cf.Millis) float64 {
+func (p *Planner) rankGroups(o *openBatch, prior float64, now cf.Millis) float64 {
 	if p.limits.AllGroups || o.terms.Due == 0 || !p.lengths.started {
 		o.forgetRanking()
-		return before
+		return prior
 	}
 	if o.rankedAt > 0 && !o.rankingStale && now >= o.rankedAt && now-o.rankedAt < rankInterval {
-		return before + o.selection.work
+		return prior + o.selection.work
 	}
 	rate, pace := p.capacity(o)
 	if rate == 0 {
 		o.forgetRanking()
-		return before
+		return prior
 	}
 	n := p.stepNeed(o, pace)
-	n.priorWork, n.slots = before, rate*pace
+	n.priorWork, n.slots = prior, rate*pace
 	span := float64(o.terms.Span)
 	n.due = float64(o.terms.Due - now)
 	n.usefulFor, n.inTimeFor = n.due+lateShare*span, n.due+selectionThreshold*span
@@ -213,10 +213,10 @@
 	o.rankedPace = pace
 	o.rankedAt, o.rankingStale, o.requiredWaiting, o.selection = now, false, 0, selectGroups(n)
 	classes := make(map[cf.GroupID]groupClass, len(n.groups))
-	wholes := map[cf.GroupID]float64{}
+	completions := map[cf.GroupID]float64{}
 	for _, g := range n.groups {
 		classes[g.id] = g.class
-		wholes[g.id] = g.completeIn
+		completions[g.id] = g.completeIn
 	}
 	for _, w := range o.running {
 		w.class = classes[w.Item.Group]
@@ -227,11 +227,11 @@
 		}
 		w.latestStart = 0
 		if o.selection.deferring {
-			w.latestStart = wholes[w.Item.Group] - p.boundedRemaining(w)*pace
+			w.latestStart = completions[w.Item.Group] - p.boundedRemaining(w)*pace
 		}
 	}
 	slices.SortStableFunc(o.waiting, compareWork)
-	return before + o.selection.work
+	return prior + o.selection.work
 }
 
 // forgetRanking makes loads and refusals go without a ranking that holds no more.
@@ -289,16 +289,16 @@
 // boundedRemaining is what left returns, and no more than the longest text so far had: where a
 // hint is high it is mostly too high, and models bound the length of their texts.
 func (p *Planner) boundedRemaining(w *Work) float64 {
-	made := w.generated()
-	length := made + p.remaining(w)
+	generated := w.generated()
+	length := generated + p.remaining(w)
 	if p.hints.hinted > 0 {
 		length = p.hints.expected(w.Item, &p.lengths)
 	}
-	more := made // what a text may have to come that is as long as was expected
-	if p.hints.texts >= minTextsForLongest && made < p.longestText {
-		length, more = min(length, p.longestText), min(more, p.longestText-made)
+	surplus := generated // what a text may have to come that is as long as was expected
+	if p.hints.texts >= minTextsForLongest && generated < p.longestText {
+		length, surplus = min(length, p.longestText), min(surplus, p.longestText-generated)
 	}
-	left := max(length-made, residualShare*more)
+	left := max(length-generated, residualShare*surplus)
 	return max(left, 1)
 }
 
--- a/core/cfrollout/isolation.go
+++ b/core/cfrollout/isolation.go
@@ -24,7 +24,7 @@
 
 // admit returns the engine to which an item may be sent: e, the one that was chosen,
 // or another where it may not meet what runs there; nil if it may be sent to none.
-func (p *Planner) admit(engines []*Engine, q queue, w *Work, e *Engine, typical float64, now cf.Millis) *Engine {
+func (p *Planner) admit(engines []*Engine, q queue, w *Work, e *Engine, assumed float64, now cf.Millis) *Engine {
 	w.isolated = false
 	if p.limits.Admit == nil {
 		return e
@@ -38,16 +38,16 @@
 		case a.RetryAt > now || !a.TryOthers && a.MaxRuns == 0:
 			return nil
 		case !a.TryOthers:
-			return p.isolate(engines, q, w, typical, now)
+			return p.isolate(engines, q, w, assumed, now)
 		}
 		// What this item may not meet there others may not either: each engine is found so
 		// once in a look.
 		p.conflicts[e] = true
 		rest := slices.DeleteFunc(slices.Clone(engines), func(o *Engine) bool { return p.conflicts[o] })
-		e = p.choose(rest, w, typical, now)
+		e = p.choose(rest, w, assumed, now)
 	}
 	if w.maxRuns > 0 {
-		return p.isolate(engines, q, w, typical, now)
+		return p.isolate(engines, q, w, assumed, now)
 	}
 	return nil
 }
@@ -57,37 +57,37 @@
 // one of them; where it can't, it goes wherever there is room, as it would wait for too long. Two
 // items that lost the same engines are tried at the same time, and must not meet again as long as
 // that can be helped.
-func (p *Planner) isolate(engines []*Engine, q queue, w *Work, typical float64, now cf.Millis) *Engine {
-	var joined, emptiest *Engine
-	apart := 0
+func (p *Planner) isolate(engines []*Engine, q queue, w *Work, assumed float64, now cf.Millis) *Engine {
+	var joined, leastBusy *Engine
+	isolated := 0
 	for _, e := range engines {
 		if e.isolationLimit > 0 {
-			apart++
+			isolated++
 		}
 		if !e.accepts(w, now) || !e.hasRoom() || !p.fitsMemory(e, w) {
 			continue
 		}
 		switch {
 		case e.isolationLimit == 0:
-			if emptiest == nil || p.betterForIsolation(q, e, emptiest, typical) {
-				emptiest = e
+			if leastBusy == nil || p.betterForIsolation(q, e, leastBusy, assumed) {
+				leastBusy = e
 			}
 		case e.Running < min(e.isolationLimit, w.maxRuns):
-			if joined == nil || p.betterForIsolation(q, e, joined, typical) {
+			if joined == nil || p.betterForIsolation(q, e, joined, assumed) {
 				joined = e
 			}
 		}
 	}
-	most := 0
+	limit := 0
 	if len(engines) > 1 {
-		most = max(int(maxIsolatedShare*float64(len(engines))), 1)
+		limit = max(int(maxIsolatedShare*float64(len(engines))), 1)
 	}
-	e, alone := joined, true
-	if emptiest != nil && apart < most {
-		e = emptiest
+	e, isolating := joined, true
+	if leastBusy != nil && isolated < limit {
+		e = leastBusy
 	}
 	if e == nil {
-		e, alone = p.choose(engines, w, typical, now), false
+		e, isolating = p.choose(engines, w, assumed, now), false
 	}
 	if e == nil {
 		return nil
@@ -96,19 +96,19 @@
 	if w.maxRuns = a.MaxRuns; !a.Allowed {
 		return nil
 	}
-	w.isolated = alone && w.maxRuns > 0
+	w.isolated = isolating && w.maxRuns > 0
 	return e
 }
 
 // betterForIsolation says whether an engine suits an item that is set apart better than another.
-func (p *Planner) betterForIsolation(q queue, e, other *Engine, typical float64) bool {
+func (p *Planner) betterForIsolation(q queue, e, other *Engine, assumed float64) bool {
 	if slow := p.isSlow(q, e); slow != p.isSlow(q, other) {
 		return !slow
 	}
 	if e.Running != other.Running {
 		return e.Running < other.Running
 	}
-	return p.expectedPace(e, typical) < p.expectedPace(other, typical)
+	return p.expectedPace(e, assumed) < p.expectedPace(other, assumed)
 }
 
 // applyIsolationLimit bounds what else may run beside an item that runs set apart.
--- a/core/cfrollout/loadcrashes.go
+++ b/core/cfrollout/loadcrashes.go
@@ -64,69 +64,69 @@
 )
 
 // noteExit takes an engine's end, planned ones excepted.
-func (t *crashTracker) noteExit(e *Engine) {
+func (c *crashTracker) noteExit(e *Engine) {
 	switch {
 	case e.Draining:
 	case e.loading > 0:
-		t.exits = append(t.exits, loadExit{e.ID, e.Model, e.loading, e.loadStarted, 0})
+		c.exits = append(c.exits, loadExit{e.ID, e.Model, e.loading, e.loadStarted, 0})
 	case e.failedVersion > 0:
-		t.exits = append(t.exits, loadExit{e.ID, e.Model, e.failedVersion, e.loadStarted, e.failedAt})
+		c.exits = append(c.exits, loadExit{e.ID, e.Model, e.failedVersion, e.loadStarted, e.failedAt})
 	}
 }
 
 // evaluate weighs the ends since the last call. held returns the newest version that an
 // engine holds.
-func (t *crashTracker) evaluate(held func(cf.ModelName) cf.WeightVersion, now cf.Millis) {
-	for m, tr := range t.suspects {
-		if held(m) >= tr.version {
-			delete(t.suspects, m)
+func (c *crashTracker) evaluate(held func(cf.ModelName) cf.WeightVersion, now cf.Millis) {
+	for m, s := range c.suspects {
+		if held(m) >= s.version {
+			delete(c.suspects, m)
 		}
 	}
-	for _, e := range t.exits {
+	for _, e := range c.exits {
 		if held(e.model) >= e.version || e.failedAt > 0 && now-e.failedAt > crashWindow {
 			continue
 		}
-		tr := t.suspects[e.model]
-		if tr == nil || tr.version < e.version {
-			losses := 0
-			if tr != nil {
-				losses = 1 // the one before was not cleared: one at a time at once
+		s := c.suspects[e.model]
+		if s == nil || s.version < e.version {
+			crashes := 0
+			if s != nil {
+				crashes = 1 // the one before was not cleared: one at a time at once
 			}
-			tr = &suspectVersion{version: e.version, crashes: losses, lastCrash: e.orderedAt}
-			t.suspects[e.model] = tr
+			s = &suspectVersion{version: e.version, crashes: crashes, lastCrash: e.orderedAt}
+			c.suspects[e.model] = s
 		}
-		if e.orderedAt < tr.lastCrash {
+		if e.orderedAt < s.lastCrash {
 			continue
 		}
-		tr.crashes, tr.lastCrash = tr.crashes+1, now
-		rest := cf.Millis(0)
-		if tr.crashes >= crashesBeforeBackoff {
-			rest = minCrashBackoff
-			for range min(tr.crashes-crashesBeforeBackoff, 4) {
-				rest = min(crashBackoffFactor*rest, maxCrashBackoff)
+		s.crashes, s.lastCrash = s.crashes+1, now
+		backoff := cf.Millis(0)
+		if s.crashes >= crashesBeforeBackoff {
+			backoff = minCrashBackoff
+			for range min(s.crashes-crashesBeforeBackoff, 4) {
+				backoff = min(crashBackoffFactor*backoff, maxCrashBackoff)
 			}
 		}
-		tr.retryAt = now + rest
-		t.reports = append(t.reports, LoadCrash{e.engine, e.model, e.version, tr.crashes, rest})
+		s.retryAt = now + backoff
+		c.reports = append(c.reports, LoadCrash{e.engine, e.model, e.version, s.crashes, backoff})
 	}
-	t.exits = t.exits[:0]
+	c.exits = c.exits[:0]
 }
 
 // allows says whether an engine may load a version now; loading counts those of the
 // model that do.
-func (t *crashTracker) allows(m cf.ModelName, v cf.WeightVersion, loading int, now cf.Millis) bool {
-	tr := t.suspects[m]
-	if tr == nil {
+func (c *crashTracker) allows(m cf.ModelName, v cf.WeightVersion, loading int, now cf.Millis) bool {
+	s := c.suspects[m]
+	if s == nil {
 		return true
 	}
-	return loading == 0 && (tr.version < v || now >= tr.retryAt)
+	return loading == 0 && (s.version < v || now >= s.retryAt)
 }
 
 // LoadCrashes returns the ends of engines that were judged since the last call.
 func (p *Planner) LoadCrashes() []LoadCrash {
-	news := p.crashes.reports
+	reports := p.crashes.reports
 	p.crashes.reports = nil
-	return news
+	return reports
 }
 
 // newestHeld returns the newest version of a model that an engine holds.
--- a/core/cfrollout/loadlimit.go
+++ b/core/cfrollout/loadlimit.go
@@ -60,9 +60,9 @@
 	retryPause cf.Millis
 }
 
-func newLoadLimiter(least, learned int) loadLimiter {
-	begin := max(least, min(learned, maxLoads))
-	return loadLimiter{limit: begin, minLimit: least, maxLimit: maxLoads, proven: begin, retryPause: minRetryPause}
+func newLoadLimiter(minLimit, learned int) loadLimiter {
+	initial := max(minLimit, min(learned, maxLoads))
+	return loadLimiter{limit: initial, minLimit: minLimit, maxLimit: maxLoads, proven: initial, retryPause: minRetryPause}
 }
 
 // setEngineCount takes how many engines there are.
@@ -80,50 +80,50 @@
 
 // observe takes the time of a load that ran beside others, itself counted. More
 // than the limit run at once while work waits for them.
-func (l *loadLimiter) observe(beside int, took, now cf.Millis) {
+func (l *loadLimiter) observe(concurrent int, took, now cf.Millis) {
 	ms := float64(took)
 	switch {
 	case l.usualTime == 0 || ms < l.usualTime:
 		l.usualTime = ms
-	case beside == 1 && ms < l.usualTime*outlierLoadFactor:
+	case concurrent == 1 && ms < l.usualTime*outlierLoadFactor:
 		l.usualTime += usualWeight * (ms - l.usualTime)
 	}
-	if ms > l.usualTime*outlierLoadFactor || beside < l.allowed() {
+	if ms > l.usualTime*outlierLoadFactor || concurrent < l.allowed() {
 		return
 	}
 	if ms > l.usualTime*slowLoadFactor {
 		l.slowLoads++
 		if l.slowLoads >= maxSlowLoads {
-			l.endSlowRound(beside, now)
+			l.endSlowRound(concurrent, now)
 		}
 		return
 	}
 	l.goodLoads++
-	if l.goodLoads >= beside {
-		l.endGoodRound(beside, now)
+	if l.goodLoads >= concurrent {
+		l.endGoodRound(concurrent, now)
 	}
 }
 
 // endSlowRound ends a round that was slow.
-func (l *loadLimiter) endSlowRound(beside int, now cf.Millis) {
+func (l *loadLimiter) endSlowRound(concurrent int, now cf.Millis) {
 	l.goodLoads, l.slowLoads = 0, 0
-	if beside > l.limit && l.tooMany == beside && now < l.retryAt {
+	if concurrent > l.limit && l.tooMany == concurrent && now < l.retryAt {
 		return // known
 	}
-	l.tooMany = beside
-	l.proven = max(min(l.proven, beside-1), l.minLimit)
+	l.tooMany = concurrent
+	l.proven = max(min(l.proven, concurrent-1), l.minLimit)
 	l.limit = min(l.limit, l.proven)
 	l.retryAt = now + l.retryPause
 	l.retryPause = min(2*l.retryPause, maxRetryPause)
 }
 
 // endGoodRound ends a round that was as fast as usual.
-func (l *loadLimiter) endGoodRound(beside int, now cf.Millis) {
+func (l *loadLimiter) endGoodRound(concurrent int, now cf.Millis) {
 	l.goodLoads, l.slowLoads = 0, 0
-	if l.tooMany == beside {
+	if l.tooMany == concurrent {
 		l.tooMany, l.retryPause = 0, minRetryPause // it is none any more
 	}
-	l.proven = max(l.proven, beside)
+	l.proven = max(l.proven, concurrent)
 	next := l.proven + max(l.proven/2, 1)
 	if l.proven < l.quickBelow {
 		next = min(quickGrowthFactor*l.proven, max(quickGrowthFactor*l.quickBelow, next))
--- a/core/cfrollout/memory.go
+++ b/core/cfrollout/memory.go
@@ -53,14 +53,14 @@
 
 // noteReport takes an engine's memory.
 func (m *memoryModel) noteReport(e *Engine) {
-	t := m.reports[e.Service]
-	if t == nil {
-		t = &reportedMemory{tokens: e.Memory, engines: map[cf.InstanceID]bool{}}
-		m.reports[e.Service] = t
+	r := m.reports[e.Service]
+	if r == nil {
+		r = &reportedMemory{tokens: e.Memory, engines: map[cf.InstanceID]bool{}}
+		m.reports[e.Service] = r
 	}
-	t.differs = t.differs || t.tokens != e.Memory
-	if len(t.engines) < minEqualReports {
-		t.engines[e.ID] = true
+	r.differs = r.differs || r.tokens != e.Memory
+	if len(r.engines) < minEqualReports {
+		r.engines[e.ID] = true
 	}
 }
 
@@ -70,8 +70,8 @@
 	if e.memoryReported {
 		return e.Memory
 	}
-	if t := m.reports[e.Service]; t != nil && !t.differs && len(t.engines) >= minEqualReports {
-		return t.tokens
+	if r := m.reports[e.Service]; r != nil && !r.differs && len(r.engines) >= minEqualReports {
+		return r.tokens
 	}
 	return 0
 }
@@ -93,11 +93,11 @@
 
 // generated counts the events of an item's text.
 func (w *Work) generated() float64 {
-	made := float64(w.resumeAfter)
+	generated := float64(w.resumeAfter)
 	if w.Engine != "" {
-		made += float64(w.Progress.events.Load())
+		generated += float64(w.Progress.events.Load())
 	}
-	return made
+	return generated
 }
 
 // expectedMemory is what an item is expected to take of an engine's memory at its end: in
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -104,7 +104,7 @@
 	w.Started = 0
 	to.usedMemory = 22000
 	room := func() *fastestFree {
-		return &fastestFree{planner: p, engines: []*Engine{from, to}, typical: 24, taken: map[cf.InstanceID]int{}}
+		return &fastestFree{planner: p, engines: []*Engine{from, to}, assumed: 24, taken: map[cf.InstanceID]int{}}
 	}
 	if e := p.betterEngine(room(), w, 2001); e != nil {
 		t.Error("a text moves to an engine without memory for it")
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -104,19 +104,19 @@
 // updatePaces updates the engines' pace from their runs.
 func (p *Planner) updatePaces(now cf.Millis) {
 	sum, count := map[*Engine]float64{}, map[*Engine]float64{}
-	shown := p.newPaceSamples(now)
+	samples := p.newPaceSamples(now)
 	p.eachRunning(func(w *Work) {
 		e := p.currentEngine(w)
 		if e == nil {
 			return
 		}
-		shown.add(w, e)
+		samples.add(w, e)
 		if pace, ok := w.Progress.pace(now); ok {
 			sum[e] += pace
 			count[e]++
 		}
 	})
-	p.notePeriods(shown)
+	p.notePeriods(samples)
 	byPeriods := p.usesPeriods(now)
 	for e, n := range count {
 		if usual := e.state.BaselinePace(); byPeriods && e.pace > 0 && usual > 0 {
@@ -147,10 +147,10 @@
 }
 
 // expectedPace is what an event would take on an engine with one more run.
-func (p *Planner) expectedPace(e *Engine, typical float64) float64 {
+func (p *Planner) expectedPace(e *Engine, assumed float64) float64 {
 	pace := e.pace
 	if pace == 0 {
-		pace = typical
+		pace = assumed
 	}
 	return pace * p.slotCost.factor(e.Running+1)
 }
@@ -206,7 +206,7 @@
 	p.updatePaces(now)
 	p.releaseExpiredSlots(now)
 	p.updateUsage()
-	typical := p.assumedPace()
+	assumed := p.assumedPace()
 	var out []*Work
 	for _, o := range p.sortedBatches() {
 		var moves []*Work
@@ -216,7 +216,7 @@
 		case len(o.waiting) > 0:
 			moves = p.urgentMoves(o, now)
 		default:
-			moves = p.movesToFreeSlots(o, typical, now)
+			moves = p.movesToFreeSlots(o, assumed, now)
 		}
 		for _, w := range moves {
 			w.moving, w.AvoidEngine, w.avoidUntil = true, w.Engine, now+minMoveInterval
@@ -229,8 +229,8 @@
 }
 
 // movesToFreeSlots returns the runs that would end sooner at an engine with room.
-func (p *Planner) movesToFreeSlots(o *openBatch, typical float64, now cf.Millis) []*Work {
-	room := &fastestFree{planner: p, engines: p.enginesFor(o), typical: typical, taken: map[cf.InstanceID]int{}}
+func (p *Planner) movesToFreeSlots(o *openBatch, assumed float64, now cf.Millis) []*Work {
+	room := &fastestFree{planner: p, engines: p.enginesFor(o), assumed: assumed, taken: map[cf.InstanceID]int{}}
 	var out []*Work
 	for _, w := range o.running {
 		if e := p.betterEngine(room, w, now); e != nil {
@@ -363,8 +363,8 @@
 
 // remaining returns the events that an item is expected to have left.
 func (p *Planner) remaining(w *Work) float64 {
-	made := w.generated()
-	return max(p.lengths.expected(w.Item)-made, residualShare*made)
+	generated := w.generated()
+	return max(p.lengths.expected(w.Item)-generated, residualShare*generated)
 }
 
 // fastestFree finds the engine of a share on which one more run would be fastest,
@@ -372,7 +372,7 @@
 type fastestFree struct {
 	planner *Planner
 	engines []*Engine
-	typical float64
+	assumed float64
 	taken   map[cf.InstanceID]int
 	best    *Engine
 	pace    float64
@@ -394,7 +394,7 @@
 		if e.isolationLimit > 0 || e.Running+e.reserved+f.taken[e.ID] >= e.Slots || now < e.avoidUntil || e.loading > 0 || e.Draining {
 			continue
 		}
-		if x := f.planner.expectedPace(e, f.typical); f.best == nil || x < f.pace {
+		if x := f.planner.expectedPace(e, f.assumed); f.best == nil || x < f.pace {
 			f.best, f.pace = e, x
 		}
 	}
--- a/core/cfrollout/place.go
+++ b/core/cfrollout/place.go
@@ -35,14 +35,14 @@
 	}
 	var out []*Work
 	p.updateUsage()
-	typical := p.assumedPace()
-	before := map[shareKey]float64{}
+	assumed := p.assumedPace()
+	priorWork := map[shareKey]float64{}
 	for _, o := range p.sortedBatches() {
 		if o.paused {
 			continue
 		}
 		k := shareKey{o.terms.Service, o.batch.Sub.Model}
-		before[k] = p.rankGroups(o, before[k], now)
+		priorWork[k] = p.rankGroups(o, priorWork[k], now)
 		if len(o.waiting) == 0 {
 			continue
 		}
@@ -63,7 +63,7 @@
 			}
 			var e *Engine
 			if fresh := w.Text.Last == 0 && w.AvoidEngine == ""; !fresh || !full {
-				e = p.choose(engines, w, typical, now)
+				e = p.choose(engines, w, assumed, now)
 				full = full || fresh && e == nil
 			}
 			if e != nil && !p.limits.LongOnSlow {
@@ -72,7 +72,7 @@
 				}
 			}
 			if e != nil || w.maxRuns > 0 {
-				e = p.admit(engines, q, w, e, typical, now)
+				e = p.admit(engines, q, w, e, assumed, now)
 				w.notAdmitted = e == nil
 			}
 			if e == nil {
@@ -136,16 +136,16 @@
 // the engine that has least to hold among those of about the best pace: the long
 // texts of a step must not meet in one memory. An engine whose memory would not hold
 // an item to its end is taken only if no other has a slot.
-func (p *Planner) choose(engines []*Engine, w *Work, typical float64, now cf.Millis) *Engine {
+func (p *Planner) choose(engines []*Engine, w *Work, assumed float64, now cf.Millis) *Engine {
 	if w.reservedEngine != nil {
 		if e := p.reservedFor(w, now); e != nil {
 			return e
 		}
 	}
-	var best, roomiest, emptiest *Engine
+	var best, roomiest, leastUsed *Engine
 	bestPace, bestDelay := math.Inf(1), math.Inf(1)
 	long, left := p.IsLong(w), p.remaining(w)
-	fitting := p.candidates[:0]
+	candidates := p.candidates[:0]
 	for _, e := range engines {
 		switch {
 		case !e.canStart(w, now):
@@ -157,7 +157,7 @@
 			continue
 		}
 		delay := p.expectedDelay(e, left, now)
-		pace := p.expectedPace(e, typical) + delay/max(left, 1)
+		pace := p.expectedPace(e, assumed) + delay/max(left, 1)
 		if !long && e.groups[w.Item.Group] > 0 {
 			pace *= p.limits.GroupAffinity
 		}
@@ -168,9 +168,9 @@
 			best, bestPace = e, pace
 		}
 		bestDelay = min(bestDelay, delay)
-		fitting = append(fitting, candidate{e, pace, delay})
+		candidates = append(candidates, candidate{e, pace, delay})
 	}
-	p.candidates = fitting
+	p.candidates = candidates
 	if best == nil {
 		return roomiest
 	}
@@ -178,21 +178,21 @@
 		return best
 	}
 	// The best pace is that of the engines which are quiet, if there are any.
-	quiet := math.Inf(1)
-	for _, f := range fitting {
+	lowDelayPace := math.Inf(1)
+	for _, f := range candidates {
 		if f.delay <= bestDelay+equalDelay {
-			quiet = min(quiet, f.pace)
+			lowDelayPace = min(lowDelayPace, f.pace)
 		}
 	}
-	for _, f := range fitting {
-		if f.pace > quiet*equalPaceFactor || f.delay > bestDelay+equalDelay {
+	for _, f := range candidates {
+		if f.pace > lowDelayPace*equalPaceFactor || f.delay > bestDelay+equalDelay {
 			continue
 		}
-		if emptiest == nil || f.engine.usedMemory < emptiest.usedMemory || f.engine.usedMemory == emptiest.usedMemory && f.engine.hasIdleConnection(now) && !emptiest.hasIdleConnection(now) {
-			emptiest = f.engine
+		if leastUsed == nil || f.engine.usedMemory < leastUsed.usedMemory || f.engine.usedMemory == leastUsed.usedMemory && f.engine.hasIdleConnection(now) && !leastUsed.hasIdleConnection(now) {
+			leastUsed = f.engine
 		}
 	}
-	return emptiest
+	return leastUsed
 }
 
 // warmFactor makes an engine to which a connection is kept count as so much faster: another
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -52,7 +52,7 @@
 		GroupAffinity float64
 		// Admit says whether an item may be sent to an engine now; apart says that the
 		// engine is set apart, or that none can be. nil lets all.
-		Admit func(w *Work, engine cf.Target, apart bool) Admission
+		Admit func(w *Work, engine cf.Target, isolated bool) Admission
 		// LongOnSlow, SwapWhenIdle, AllGroups and NoSlowPeriods turn decisions off, to
 		// measure them, and LoadUnderRuns that engines wait with loads for runs that a
 		// trainer waits for. LeastLeft puts groups off as soon as a step can't be whole in time.
--- a/core/cfrollout/shares.go
+++ b/core/cfrollout/shares.go
@@ -13,9 +13,9 @@
 	// shareTolerance is by how many engines a share may differ from what its model needs: an
 	// engine that changes hands loads weights, while it has runs of the step under way.
 	shareTolerance = 0.7
-	// idleAfter is how long after its last step a model's need fades, to idleNeed of it: trainers
+	// needFadesAfter is how long after its last step a model's need fades, to idleNeed of it: trainers
 	// hand in a step every few seconds, and a coordinator that takes over finds none for one.
-	idleAfter      cf.Millis = 15_000
+	needFadesAfter cf.Millis = 15_000
 	idleNeedFactor float64   = 0.1
 )
 
@@ -118,7 +118,7 @@
 		}
 		if !timed {
 			w.tokens = w.latestTokens
-		} else if p.now-w.lastOpen > idleAfter && !p.hasOpenBatch(m) {
+		} else if p.now-w.lastOpen > needFadesAfter && !p.hasOpenBatch(m) {
 			w.tokens, w.hints = idleNeedFactor*w.tokens, idleNeedFactor*w.hints
 		}
 		out[m] = w.tokens
--- a/core/cfrollout/slowperiods_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -59,16 +59,16 @@
 }
 
 type simLoad struct {
-	model       cf.ModelName
-	version     cf.WeightVersion
-	submittedAt cf.Millis
+	model   cf.ModelName
+	version cf.WeightVersion
+	endsAt  cf.Millis
 }
 
 type simStep struct {
-	batch      *cfbatch.Batch
-	at         cf.Millis
-	left       map[cf.GroupID]int
-	groupTimes []cf.Millis
+	batch       *cfbatch.Batch
+	submittedAt cf.Millis
+	left        map[cf.GroupID]int
+	groupTimes  []cf.Millis
 }
 
 const (
@@ -106,7 +106,7 @@
 	}
 	w.planner.SetVersion(m, version)
 	sub := cf.Submission{ID: cf.BatchID(fmt.Sprint(m, n)), Model: m, MinVersion: max(version-1, 1), Accepted: w.now}
-	st := &simStep{at: w.now, left: map[cf.GroupID]int{}}
+	st := &simStep{submittedAt: w.now, left: map[cf.GroupID]int{}}
 	for g := range 8 + w.random.IntN(5) {
 		group := cf.GroupID(fmt.Sprint(sub.ID, "-", g))
 		size := 8 + 8*w.random.IntN(2)
@@ -175,7 +175,7 @@
 		if w.slow[r.engine] {
 			speed = 1 / 2.5
 		}
-		if w.now < r.readyAt || w.loading[r.engine].submittedAt > w.now {
+		if w.now < r.readyAt || w.loading[r.engine].endsAt > w.now {
 			continue
 		}
 		r.work += speed * float64(simTick)
@@ -220,12 +220,12 @@
 	if st.left[run.Item.Group]--; st.left[run.Item.Group] > 0 {
 		return
 	}
-	st.groupTimes = append(st.groupTimes, w.now-st.at)
-	w.groupTimes = append(w.groupTimes, w.now-st.at+simAcceptTime)
+	st.groupTimes = append(st.groupTimes, w.now-st.submittedAt)
+	w.groupTimes = append(w.groupTimes, w.now-st.submittedAt+simAcceptTime)
 	if len(st.groupTimes) < st.batch.Sub.TargetGroups {
 		return
 	}
-	w.stepTimes = append(w.stepTimes, w.now-st.at+simAcceptTime)
+	w.stepTimes = append(w.stepTimes, w.now-st.submittedAt+simAcceptTime)
 	delete(w.steps, run.Batch.Sub.ID)
 	for _, stopped := range w.planner.EndBatch(run.Batch.Sub.ID) {
 		w.runs[stopped].stopAt = w.now + simStopTime
@@ -246,7 +246,7 @@
 		w.loading[s.Target.ID] = simLoad{s.Model, s.Version, w.now + 900}
 	}
 	for id, l := range w.loading {
-		if w.now >= l.submittedAt {
+		if w.now >= l.endsAt {
 			delete(w.loading, id)
 			w.planner.SwapDone(id, l.model, l.version)
 			w.planner.LoadEnded(id, w.now)
--- a/core/cfrollout/spare.go
+++ b/core/cfrollout/spare.go
@@ -56,9 +56,9 @@
 
 // pickSpare returns n spare engines for a model, spread over the failure domains.
 func (p *Planner) pickSpare(f *fleet, m cf.ModelName, n int) []*Engine {
-	there := map[cf.FailureDomain]int{}
+	perDomain := map[cf.FailureDomain]int{}
 	for _, e := range p.shares[shareKey{p.serviceOf(m), m}] {
-		there[e.Domain]++
+		perDomain[e.Domain]++
 	}
 	byDomain := map[cf.FailureDomain][]*Engine{}
 	for _, e := range f.spare {
@@ -77,7 +77,7 @@
 			if len(byDomain[d]) == 0 {
 				continue
 			}
-			if best < 0 || p.preferred(byDomain[d][0], byDomain[domains[best]][0], m, there[d]-there[domains[best]]) {
+			if best < 0 || p.preferred(byDomain[d][0], byDomain[domains[best]][0], m, perDomain[d]-perDomain[domains[best]]) {
 				best = i
 			}
 		}
@@ -87,7 +87,7 @@
 		d := domains[best]
 		out = append(out, byDomain[d][0])
 		byDomain[d] = byDomain[d][1:]
-		there[d]++
+		perDomain[d]++
 	}
 	return out
 }
--- a/core/cfrollout/swap.go
+++ b/core/cfrollout/swap.go
@@ -89,7 +89,7 @@
 	if loading >= urgent {
 		return nil
 	}
-	due, onTrial, unproved := p.dueSwaps(now), p.loadingSuspects(), p.loadingUnproven()
+	due, suspects, unproven := p.dueSwaps(now), p.loadingSuspects(), p.loadingUnproven()
 	var out []Swap
 	for len(due) > 0 {
 		c := heap.Pop(&due).(swapCandidate)
@@ -101,17 +101,17 @@
 			break // those after it are not more urgent
 		}
 		e := c.engine
-		if p.provenVersions[e.Model] < p.LatestVersion(e.Model) && unproved[e.Model] >= maxUnprovenLoads {
+		if p.provenVersions[e.Model] < p.LatestVersion(e.Model) && unproven[e.Model] >= maxUnprovenLoads {
 			continue
 		}
-		if !p.canBeSpared(e) || !p.crashes.allows(e.Model, p.LatestVersion(e.Model), onTrial[e.Model], now) {
+		if !p.canBeSpared(e) || !p.crashes.allows(e.Model, p.LatestVersion(e.Model), suspects[e.Model], now) {
 			continue
 		}
 		loading++
-		unproved[e.Model]++
+		unproven[e.Model]++
 		p.setLoading(e, p.LatestVersion(e.Model))
-		if onTrial != nil {
-			onTrial[e.Model]++
+		if suspects != nil {
+			suspects[e.Model]++
 		}
 		single := p.singleVersion[e.Model]
 		e.failedVersion, e.loadStarted, e.concurrentLoads, e.loadUndelayed = 0, now, 0, !single || e.Running == 0
@@ -138,7 +138,7 @@
 func (p *Planner) dueSwaps(now cf.Millis) swapQueue {
 	demands := p.shareDemands()
 	var due swapQueue
-	awaited := p.awaitedEngines()
+	awaitedEngines := p.awaitedEngines()
 	for k, es := range p.shares {
 		d := demands[k]
 		if f := p.fleets[k.service]; f != nil && f.byNeed {
@@ -146,7 +146,7 @@
 			continue
 		}
 		for _, e := range es {
-			if p.shouldLoad(e, d, now) && (!awaited[e] || d.hasBlocked(e.versions[e.Model])) {
+			if p.shouldLoad(e, d, now) && (!awaitedEngines[e] || d.hasBlocked(e.versions[e.Model])) {
 				due = append(due, swapCandidate{e, d.hasBlocked(e.versions[e.Model])})
 			}
 		}
--- a/core/cfrollout/text.go
+++ b/core/cfrollout/text.go
@@ -9,13 +9,13 @@
 )
 
 // reusable says whether text may be part of a sample of a batch.
-func reusable(t Text, least cf.WeightVersion, single bool) bool {
+func reusable(t Text, minVersion cf.WeightVersion, singleVersion bool) bool {
 	for _, v := range t.Versions {
-		if v < least {
+		if v < minVersion {
 			return false
 		}
 	}
-	return !single || len(t.Versions) <= 1
+	return !singleVersion || len(t.Versions) <= 1
 }
 
 // Clone returns a copy that shares no memory with t.
