--- a/core/cfrollout/allocation.go
+++ b/core/cfrollout/allocation.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// maxSharingSlowdown is how much slower than alone a run may get by those that share its
-	// engine: the longest text of a step decides when the step is whole.
+	// maxSharingSlowdown is how much slower than alone a run may become because of the other runs
+	// at its engine. The longest text of a step decides when the step is complete.
 	maxSharingSlowdown = 0.03
-	// minEngines is how many engines a model has at the least, for its first step.
+	// minEngines is the minimum number of engines of a model, enough for its first step.
 	minEngines = 12
-	// rotationFactor is how many times the engines that serve a step a model has: while some
-	// serve, others load the version that the next step asks for.
+	// rotationFactor is the number of engines of a model relative to the number that a step needs:
+	// while some serve a step, the others load the version that the next step asks for.
 	rotationFactor = 2
-	// slackNeed is by how much the need must be exceeded until engines are left to
-	// themselves, and slackShare until a share gives some up: neither swings with the
-	// size of the last step.
+	// slackNeed is by how much the number of engines must exceed the need before spare engines are
+	// left without a model, and slackShare by how much a share must exceed its need before it
+	// releases engines. They keep the division from oscillating with the size of each step.
 	slackNeed  = 1.25
 	slackShare = 1.5
 )
 
-// fleet is the engines of a service.
+// fleet holds the engines of a service.
 type fleet struct {
-	// usable are those that are not leaving, spare those of them that serve no model.
+	// usable are the engines that are not draining, spare those of them that serve no model.
 	usable map[cf.InstanceID]*Engine
 	spare  map[cf.InstanceID]*Engine
-	// assumedNeed is what a model whose steps are not known yet is taken to need.
+	// assumedNeed is the assumed need of a model whose steps are not known yet.
 	assumedNeed map[cf.ModelName]int
-	// byNeed: the models take as many engines as their work needs, and not all.
+	// byNeed says that each model gets only as many engines as its work needs, and the others are
+	// spare.
 	byNeed bool
 }
 
@@ -42,7 +43,7 @@
 }
 
 // enginesFollowing counts the engines that hold one of the two newest versions of a model that any
-// holds: a planner before had them follow.
+// engine holds. These are the engines that a previous planner had assigned to the model.
 func (f *fleet) enginesFollowing(m cf.ModelName) int {
 	newest, n := cf.WeightVersion(0), 0
 	for _, e := range f.usable {
@@ -72,8 +73,7 @@
 	return n
 }
 
-// notePeak remembers the most items of a model that were open at once, where that are n
-// beside what is open now.
+// notePeak records the number of open items of a model, n in addition to those that are open now.
 func (p *Planner) notePeak(m cf.ModelName, n int) {
 	peak := p.peaks[m]
 	if peak == nil {
@@ -83,21 +83,21 @@
 	peak.Observe(n+p.openItems(m), p.now)
 }
 
-// runsPerEngine is how many runs an engine with so many slots should have at once.
+// runsPerEngine returns how many runs an engine with the given slots should have at once.
 func (p *Planner) runsPerEngine(slots int) int {
 	alone := p.slotCost.factor(1)
 	n := 1 + int(maxSharingSlowdown*alone/p.slotCost.cost)
 	return max(min(n, slots), 1)
 }
 
-// enginesNeeded is how many engines of a fleet the open items of a model should run on, a
-// reserve for the loss of a failure domain among them.
+// enginesNeeded returns how many engines of a fleet the open items of a model should run on,
+// including a reserve for the loss of a failure domain.
 func (p *Planner) enginesNeeded(f *fleet, m cf.ModelName) int {
 	service := p.serviceOf(m)
 	peak := p.peaks[m]
 	switch {
 	case peak != nil && peak.Max(p.now) > 0:
-	case p.LatestVersion(m) > 1: // it is trained, and its steps are not known yet
+	case p.LatestVersion(m) > 1: // the model is being trained, but its steps are not known yet
 		if _, assumed := f.assumedNeed[m]; !assumed {
 			f.assumedNeed[m] = min(f.enginesFollowing(m)/rotationFactor, len(f.usable)/len(p.models[service]))
 		}
@@ -107,7 +107,7 @@
 	}
 	slots, domains := 1, map[cf.FailureDomain]bool{}
 	for _, e := range f.usable {
-		slots = e.Slots // those of one service are alike
+		slots = e.Slots // the engines of a service are alike
 		break
 	}
 	for _, e := range p.shares[shareKey{service, m}] {
@@ -120,7 +120,7 @@
 	return max(int(n), minEngines)
 }
 
-// serviceOf returns the service of a model, empty if none has it.
+// serviceOf returns the service of a model, empty if there is none.
 func (p *Planner) serviceOf(m cf.ModelName) cf.ServiceName {
 	for s, models := range p.models {
 		if slices.Contains(models, m) {
@@ -130,12 +130,12 @@
 	return ""
 }
 
-// divideEngines assigns engines to the models: all of them where the work needs as many, else
-// as many as it needs.
+// divideEngines assigns engines to the models: all engines if the work needs that many, otherwise
+// as many as the work needs.
 //
-// The load it answers: a few trainers before thousands of engines, of which some hundreds
-// serve them. With all engines divided, each version is ordered at all of them, and those
-// that a step waits for load late among the others.
+// A few trainers may use thousands of engines, of which some hundreds suffice. If all engines were
+// divided, each version would be ordered at all of them, and the engines that a step waits for
+// would load late.
 func (p *Planner) divideEngines() {
 	p.scarce, p.needsDivision = false, false
 	for service, models := range p.models {
@@ -159,7 +159,7 @@
 	}
 }
 
-// divideByNeed gives each model the engines that its work needs.
+// divideByNeed gives each model as many engines as its work needs.
 func (p *Planner) divideByNeed(service cf.ServiceName, models []cf.ModelName, f *fleet) {
 	for k, es := range p.shares {
 		if k.service == service && !slices.Contains(models, k.model) {
@@ -182,13 +182,13 @@
 	for _, m := range models {
 		n := active[m] - want[m]
 		if float64(active[m]) <= slackShare*float64(want[m]) {
-			n = min(n, short) // what others lack to serve a step, and no spare engine makes up for
+			n = min(n, short) // only what other models lack to serve a step and spare engines cannot provide
 		}
 		if n > 0 {
 			short -= p.releaseIdle(p.shares[shareKey{service, m}], m, n)
 		}
 	}
-	p.needsDivision = p.needsDivision || short > 0 // until engines of others are idle
+	p.needsDivision = p.needsDivision || short > 0 // until idle engines of other models can be released
 	for _, m := range models {
 		if active[m] < want[m] {
 			for _, e := range p.pickSpare(f, m, want[m]-active[m]) {
@@ -198,10 +198,10 @@
 	}
 }
 
-// dueByNeed returns the engines of a share that should load where there are more than the
-// work needs: as many as will serve a step, those first that no step can use any more. Those
-// that hold the version before go on serving, so that a step which comes just now finds
-// them, and no run stands still for a load.
+// dueByNeed returns the engines of a share that should load, if the fleet has more engines than the
+// work needs: as many as will serve a step, starting with the engines whose version no step can use
+// any more. Engines with the previous version continue to serve, so that a step submitted now finds
+// engines and no run is delayed by a load.
 func (p *Planner) dueByNeed(f *fleet, k shareKey, share []*Engine, d *shareDemand, now cf.Millis) []swapCandidate {
 	newest := p.LatestVersion(k.model)
 	ready, useful, active := 0, 0, 0
@@ -251,7 +251,7 @@
 	return due
 }
 
-// swapOption is an engine that may load, with what ranks it.
+// swapOption is an engine that may load, with the values that rank it.
 type swapOption struct {
 	*Engine
 	version cf.WeightVersion
@@ -259,7 +259,7 @@
 	blocked bool
 }
 
-// assignEngine gives an engine to a model, or to none.
+// assignEngine assigns an engine to a model, or to none.
 func (p *Planner) assignEngine(e *Engine, m cf.ModelName) {
 	if e.Model == m && m != "" {
 		return
@@ -279,7 +279,7 @@
 	}
 }
 
-// removeFromShare takes an engine out of the list of its share.
+// removeFromShare removes an engine from the list of its share.
 func (p *Planner) removeFromShare(e *Engine) {
 	k := shareKey{e.Service, e.Model}
 	if at, found := slices.BinarySearchFunc(p.shares[k], e.ID, byID); found {
@@ -292,17 +292,17 @@
 
 func byID(e *Engine, id cf.InstanceID) int { return cmp.Compare(e.ID, id) }
 
-// addSpare lists an engine among the spare ones, if it is one.
+// addSpare lists an engine as spare if it serves no model and is not draining.
 func (p *Planner) addSpare(e *Engine) {
 	if f := p.fleets[e.Service]; f != nil && e.Model == "" && !e.Draining {
 		f.spare[e.ID] = e
 	}
 }
 
-// hashID returns a number drawn by an engine's id, so that those with ids that follow each
-// other are not taken together.
+// hashID returns a hash of an engine's id, so that engines with consecutive ids are not selected
+// together.
 func hashID(id cf.InstanceID) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // a hash takes everything
+	_, _ = h.Write([]byte(id)) // a hash never returns an error
 	return h.Sum64()
 }
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -8,8 +8,8 @@
 	"currantford/core/cfslow"
 )
 
-// SetEngines takes all targets that are up, and the models of each service. Targets of
-// services without models are passed over.
+// SetEngines replaces the list of targets that are up, and the models of each service. Targets of
+// services without models are ignored.
 func (p *Planner) SetEngines(targets []cf.Target, models map[cf.ServiceName][]cf.ModelName) {
 	p.models = models
 	seen := make(map[cf.InstanceID]bool, len(targets))
@@ -24,7 +24,8 @@
 	p.enginesChanged()
 }
 
-// ChangeEngines takes the targets that have come or changed since, and those that are gone.
+// ChangeEngines applies changes to the list: targets that are new or have changed, and those that
+// are gone.
 func (p *Planner) ChangeEngines(changed []cf.Target, gone []cf.InstanceID) {
 	for _, t := range changed {
 		if !p.takeEngine(t) {
@@ -42,8 +43,8 @@
 	p.divideEngines()
 }
 
-// takeEngine takes a target; false if it is no model target, or its weights are not known
-// yet.
+// takeEngine adds or updates an engine. It returns false if the target does not serve models or its
+// weights are not known yet.
 func (p *Planner) takeEngine(t cf.Target) bool {
 	if len(p.models[t.Service]) == 0 || len(t.Models) == 0 {
 		return false
@@ -61,7 +62,7 @@
 	p.noteStart(e, t.Born)
 	e.Target = t
 	e.Born = born
-	if t.Born == born || t.Born == 0 { // else the list may still show the start before
+	if t.Born == born || t.Born == 0 { // otherwise the list may still show the previous process
 		for _, m := range t.Models {
 			p.noteVersion(e, m.Name, m.Version)
 		}
@@ -81,8 +82,8 @@
 	return true
 }
 
-// departedOrNew returns the engine of a target that was not listed: the one that left, if it has runs
-// under way, else a new one.
+// departedOrNew returns the engine for a target that was not listed: the departed engine if it
+// still has runs, otherwise a new one.
 func (p *Planner) departedOrNew(t cf.Target) *Engine {
 	k := departedKey{t.ID, t.Service}
 	e := p.departed[k]
@@ -94,8 +95,8 @@
 	return e
 }
 
-// currentEngine returns the engine at which a run is under way, nil if it has left the list or has
-// started again since: what the run shows is then of no use.
+// currentEngine returns the engine of a run, or nil if the engine is no longer listed or has
+// restarted since the run began, so that the run says nothing about it.
 func (p *Planner) currentEngine(w *Work) *Engine {
 	e := w.engine
 	if e == nil || p.engines[e.ID] != e || w.engineBorn > 0 && w.engineBorn < e.Born {
@@ -104,7 +105,7 @@
 	return e
 }
 
-// runEnded takes the end of a run from the engine that it was given to.
+// runEnded removes a run from the engine that it was given to.
 func (p *Planner) runEnded(w *Work, outcome Outcome, now cf.Millis) {
 	e := w.engine
 	if e == nil {
@@ -122,14 +123,14 @@
 	}
 }
 
-// IsCurrent says whether a target is listed, and has not started again since it was as t shows it.
+// IsCurrent says whether a target is listed and has not restarted since t was read.
 func (p *Planner) IsCurrent(t cf.Target) bool {
 	e := p.engines[t.ID]
 	return e != nil && e.Service == t.Service && (t.Born == 0 || t.Born >= e.Born)
 }
 
-// dropEngine forgets an engine, but for its runs that are under way: they end at it, and it
-// has them if it comes back.
+// dropEngine removes an engine. Runs that have not ended stay counted at it, also if it is listed
+// again.
 func (p *Planner) dropEngine(id cf.InstanceID) {
 	e := p.engines[id]
 	if e == nil {
@@ -150,9 +151,9 @@
 	}
 }
 
-// noteStart records a start of an engine under the id that it had: it holds nothing
-// of before, and what was learned of it may hold no more. Its runs end by
-// themselves.
+// noteStart records that the engine's process has restarted under the same id. The new process
+// holds no weights, and what was learned about the old one may not apply. Runs of the old process
+// end by themselves.
 func (p *Planner) noteStart(e *Engine, born cf.Millis) {
 	if born <= e.Born {
 		return
@@ -160,7 +161,7 @@
 	first := e.Born == 0
 	e.Born = born
 	if first {
-		return // when it started was not known
+		return // the earlier start time was unknown
 	}
 	p.crashes.noteExit(e)
 	clear(e.versions)
@@ -169,8 +170,8 @@
 	e.state = cfslow.EngineState{}
 }
 
-// noteVersion records that an engine has a version. Versions of one start of an
-// engine only rise; the instance list shows them late.
+// noteVersion records that an engine holds a version. The versions of one process only increase,
+// and the instance list may show an older one.
 func (p *Planner) noteVersion(e *Engine, m cf.ModelName, v cf.WeightVersion) {
 	p.provenVersions[m] = max(p.provenVersions[m], v)
 	if v > e.versions[m] {
@@ -184,7 +185,7 @@
 	}
 }
 
-// divideAll assigns all engines that are not leaving to the models.
+// divideAll divides all engines that are not draining among the models.
 func (p *Planner) divideAll(service cf.ServiceName, models []cf.ModelName, f *fleet) {
 	var shares []assignment
 	newest := p.newestVersions(f)
@@ -212,9 +213,9 @@
 	}
 }
 
-// byLongestWait orders the models of a service that has fewer engines than models: those
-// with work that waits first, the longest wait before the others. A model's turn
-// ends when all its items run, so that no trainer starves for another's steps.
+// byLongestWait orders the models of a service that has fewer engines than models: models with
+// waiting items first, the longest wait at the front. A model's turn ends when all of its items
+// run, so that no trainer is starved by another's steps.
 func (p *Planner) byLongestWait(service cf.ServiceName, models []cf.ModelName) []cf.ModelName {
 	oldest := map[cf.ModelName]cf.Millis{}
 	for _, o := range p.batches {
@@ -238,16 +239,16 @@
 	return out
 }
 
-// enginesFor returns the engines that serve a batch.
+// enginesFor returns the engines that serve a batch's model.
 func (p *Planner) enginesFor(o *openBatch) []*Engine {
 	return p.shares[shareKey{o.terms.Service, o.batch.Sub.Model}]
 }
 
-// closestModel returns the model of which an engine lacks least against the newest
-// that any engine holds. A coordinator that takes over finds the shares of the
-// one before by it, also while the share itself is behind what was named: an
-// engine given to another model would have to load weights first, and the
-// first orders must wait for the handover.
+// closestModel returns the model whose weights at an engine lag least behind the newest version
+// that any engine holds, or none if all lag equally. A new coordinator recovers the previous
+// division this way, even for a share that lags behind the announced version. An engine given to
+// another model would have to load weights first, and the first orders wait for the end of the
+// handover.
 func closestModel(e *Engine, models []cf.ModelName, newest map[cf.ModelName]cf.WeightVersion) cf.ModelName {
 	var best cf.ModelName
 	lag := cf.WeightVersion(0)
@@ -262,12 +263,12 @@
 		}
 	}
 	if same {
-		return "" // no model is closer than another
+		return "" // no model is closer than the others
 	}
 	return best
 }
 
-// newestVersions returns the newest version of each model that any engine holds.
+// newestVersions returns the newest version of each model that any engine of the fleet holds.
 func (p *Planner) newestVersions(f *fleet) map[cf.ModelName]cf.WeightVersion {
 	out := map[cf.ModelName]cf.WeightVersion{}
 	for _, e := range f.usable {
@@ -278,7 +279,7 @@
 	return out
 }
 
-// Engine returns what is known of an engine.
+// Engine returns a copy of the planner's knowledge of an engine.
 func (p *Planner) Engine(id cf.InstanceID) (Engine, bool) {
 	e := p.engines[id]
 	if e == nil {
--- a/core/cfrollout/hints.go
+++ b/core/cfrollout/hints.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// hintClassesPerDoubling is how many classes a doubling of a guess is divided into.
+	// hintClassesPerDoubling is how many classes each doubling of the hint is divided into.
 	hintClassesPerDoubling = 2
-	// hintClasses is how many there are: guesses of up to a million tokens. They do not
-	// depend on the mean guess, which drifts for some hundred texts: a class would first be
-	// filled with shorter texts than those that use it later.
+	// hintClasses is the number of classes, for hints of up to a million tokens. The classes do not
+	// depend on the mean hint, which drifts over some hundred texts: a class would first fill with
+	// shorter texts than those that use it later.
 	hintClasses = 41
-	// hintDecay is what is kept of a class at each text of it, guessPrior the weight of
-	// the mean ratio of lengths to guesses in texts of a class.
+	// hintDecay is the factor on a class's sums with each new text. hintPriorWeight is the weight,
+	// in texts of a class, of the mean ratio of lengths to hints over all classes.
 	hintDecay       = 0.99
 	hintPriorWeight = 2
 )
 
-// hintCorrection learns how long texts are whose submitters guess a length.
+// hintCorrection learns the expected length of texts from the length hints of their submitters.
 //
-// The load it answers: guesses are wrong by a factor of 1.6. Of the texts with the longest
-// guesses most are shorter, and of those with the shortest most are longer: taken as they
-// are, a step that has run its long texts first looks nearly done while a third is left.
+// Hints are wrong by a factor of 1.6. Most texts with the longest hints are shorter, and most with
+// the shortest hints are longer. With uncorrected hints, a step that has run its long texts first
+// looks nearly done while a third of it remains.
 type hintCorrection struct {
 	classes [hintClasses]struct{ events, texts float64 }
-	hinted  int // texts with a guess
-	texts   int // all
+	hinted  int // texts with a hint
+	texts   int // all texts
 }
 
-// class returns the class of a guess; false where there is none.
+// class returns the class of an item's hint, false without a hint.
 func (g *hintCorrection) class(it cf.Item) (int, bool) {
 	if it.LengthHint <= 0 {
 		return 0, false
@@ -39,7 +39,7 @@
 	return min(c, hintClasses-1), true
 }
 
-// note takes a text that is complete.
+// note records a complete text.
 func (g *hintCorrection) note(w *Work) {
 	g.texts++
 	if i, ok := g.class(w.Item); ok {
@@ -49,7 +49,7 @@
 	}
 }
 
-// expected returns the events that an item is expected to have.
+// expected returns the expected number of events of an item.
 func (g *hintCorrection) expected(it cf.Item, l *lengths) float64 {
 	events := l.expected(it)
 	i, ok := g.class(it)
--- a/core/cfrollout/loadcrashes.go
+++ b/core/cfrollout/loadcrashes.go
@@ -5,50 +5,51 @@
 )
 
 const (
-	// crashesBeforeBackoff is after how many losses a version is loaded rarely: as many as
-	// prove a request's crashes.
+	// crashesBeforeBackoff is the number of crashes after which a version is tried only rarely. The
+	// same number of crashes convicts a request.
 	crashesBeforeBackoff = 3
-	// minCrashBackoff is the pause before the next try then, trialGrowth times as long after
-	// each further loss, trialMost at most.
+	// minCrashBackoff is the pause before the next try after that many crashes. It grows by
+	// crashBackoffFactor with each further crash, up to maxCrashBackoff.
 	minCrashBackoff    cf.Millis = 10_000
 	crashBackoffFactor           = 4
 	maxCrashBackoff    cf.Millis = 600_000
-	// crashWindow is how long after a failed order an engine's end is put down to it: the
-	// instance list shows it up to 2.2 s late.
+	// crashWindow is how long after a failed order an engine's exit is attributed to it. The
+	// instance list shows an exit up to 2.2 s late.
 	crashWindow cf.Millis = 4000
 )
 
 type (
-	// LoadCrash is an engine that ended while it loaded a version that no engine is
-	// known to hold.
+	// LoadCrash reports an engine that exited while it loaded a version that no engine is known to
+	// hold.
 	LoadCrash struct {
 		Engine  cf.InstanceID
 		Model   cf.ModelName
 		Version cf.WeightVersion
-		// Crashes counts the ends of loads that began after the end before: engines of
-		// a failure domain end together, whatever they load. Rest is how long the
-		// version is left alone.
+		// Crashes counts the crashes of loads that were ordered after the previous crash. Engines
+		// of a failure domain crash together, whatever they load. Backoff is the pause before the
+		// version is tried again.
 		Crashes int
 		Backoff cf.Millis
 	}
 
-	// suspectVersion is a version under which engines ended, and that none is known to hold.
+	// suspectVersion is a version whose loads have crashed engines and that no engine is known to
+	// hold.
 	suspectVersion struct {
 		version   cf.WeightVersion
 		crashes   int
 		lastCrash cf.Millis
-		retryAt   cf.Millis // no order before
+		retryAt   cf.Millis // no order before this time
 	}
 
-	// crashTracker judges versions that may end each engine that loads them. The load it
-	// answers: such a version is named, and is ordered on, engine by engine, until the
-	// fleet is gone, once more whenever the engines are back. After the first loss it is
-	// loaded by one engine at a time, after the third rarely; an engine that holds it
-	// clears it.
+	// crashTracker limits the orders of versions that may crash each engine that loads them.
+	// Without it, such a version would be ordered at one engine after the other until the whole
+	// fleet has crashed, and again whenever engines return. After the first crash only one engine
+	// at a time loads the version, after the third only after a pause. The version is cleared as
+	// soon as an engine holds it.
 	crashTracker struct {
 		suspects map[cf.ModelName]*suspectVersion
-		// exits are engines that ended and were not judged yet, news what their
-		// ends have changed.
+		// exits are the engine exits that were not evaluated yet, reports the crashes found in
+		// them.
 		exits   []loadExit
 		reports []LoadCrash
 	}
@@ -57,13 +58,13 @@
 		engine  cf.InstanceID
 		model   cf.ModelName
 		version cf.WeightVersion
-		// orderedAt is when its order was given, failedAt when it failed, zero if it was
-		// under way.
+		// orderedAt is when the load was ordered, failedAt when the order failed, zero if it had
+		// not.
 		orderedAt, failedAt cf.Millis
 	}
 )
 
-// noteExit takes an engine's end, planned ones excepted.
+// noteExit records the exit of an engine, unless it was planned.
 func (c *crashTracker) noteExit(e *Engine) {
 	switch {
 	case e.Draining:
@@ -74,8 +75,8 @@
 	}
 }
 
-// evaluate weighs the ends since the last call. held returns the newest version that an
-// engine holds.
+// evaluate evaluates the exits since the previous call. held returns the newest version of a model
+// that an engine holds.
 func (c *crashTracker) evaluate(held func(cf.ModelName) cf.WeightVersion, now cf.Millis) {
 	for m, s := range c.suspects {
 		if held(m) >= s.version {
@@ -90,7 +91,7 @@
 		if s == nil || s.version < e.version {
 			crashes := 0
 			if s != nil {
-				crashes = 1 // the one before was not cleared: one at a time at once
+				crashes = 1 // the earlier version was not cleared, so only one engine at a time loads this one
 			}
 			s = &suspectVersion{version: e.version, crashes: crashes, lastCrash: e.orderedAt}
 			c.suspects[e.model] = s
@@ -112,8 +113,8 @@
 	c.exits = c.exits[:0]
 }
 
-// allows says whether an engine may load a version now; loading counts those of the
-// model that do.
+// allows says whether an engine may load a version now. loading is the number of engines that are
+// loading weights of the model.
 func (c *crashTracker) allows(m cf.ModelName, v cf.WeightVersion, loading int, now cf.Millis) bool {
 	s := c.suspects[m]
 	if s == nil {
@@ -122,14 +123,14 @@
 	return loading == 0 && (s.version < v || now >= s.retryAt)
 }
 
-// LoadCrashes returns the ends of engines that were judged since the last call.
+// LoadCrashes returns the crashes found since the previous call.
 func (p *Planner) LoadCrashes() []LoadCrash {
 	reports := p.crashes.reports
 	p.crashes.reports = nil
 	return reports
 }
 
-// newestHeld returns the newest version of a model that an engine holds.
+// newestHeld returns the newest version of a model that any engine holds.
 func (p *Planner) newestHeld(m cf.ModelName) cf.WeightVersion {
 	var newest cf.WeightVersion
 	for _, e := range p.engines {
@@ -138,7 +139,7 @@
 	return newest
 }
 
-// loadingSuspects counts the engines that load models of which a version is on trial.
+// loadingSuspects counts the loading engines of each model that has a suspect version.
 func (p *Planner) loadingSuspects() map[cf.ModelName]int {
 	if len(p.crashes.suspects) == 0 {
 		return nil
--- a/core/cfrollout/loadlimit.go
+++ b/core/cfrollout/loadlimit.go
@@ -5,56 +5,56 @@
 )
 
 const (
-	// slowLoadFactor is how much longer than usual a load takes that others slow
-	// down, beyond what the time between two looks at it may add.
+	// slowLoadFactor is how much longer than usual a load must take to count as slowed down by
+	// others. It exceeds what the time between two planning passes may add.
 	slowLoadFactor = 1.25
-	// outlierLoadFactor is how much longer a load takes that tells nothing of those
-	// beside it: its order was carried out late, or its engine is slow.
+	// outlierLoadFactor is how much longer than usual a load takes that says nothing about
+	// concurrent loads: its order was carried out late, or its engine is slow.
 	outlierLoadFactor = 2.5
-	// maxSlowLoads is how many slow loads in one round end a try.
+	// maxSlowLoads is how many slow loads in one round show that the limit is too high.
 	maxSlowLoads = 2
-	// usualWeight lets the usual time follow engines that change, by loads
-	// that run alone: those beside others would bring it up little by little.
+	// usualWeight is the weight of a new load in the usual time. Only loads that run alone count,
+	// because concurrent ones would gradually raise the usual time.
 	usualWeight = 0.1
-	// maxLoads bounds the loads at once that are learned: each costs the coordinator
-	// some calls a second.
+	// maxLoads is the upper bound of the learned limit: each concurrent load costs the coordinator
+	// some calls per second.
 	maxLoads = 128
-	// quickGrowthShare is the part of the engines below which a bound grows by loadsFactor at a
-	// time: a weight store is made for its fleet, and a large fleet would else learn for
-	// longer than a version lasts.
+	// quickGrowthShare is the part of the engines up to which the limit grows by quickGrowthFactor
+	// at a time. A weight store is sized for its fleet, and with slow growth a large fleet would
+	// learn the limit for longer than a version lasts.
 	quickGrowthShare  = 1.0 / 32
 	quickGrowthFactor = 4
-	// maxUnprovenLoads is how many engines load a version that none has held yet: it may end
-	// each of them.
+	// maxUnprovenLoads is how many engines may load a version at once that none has loaded yet,
+	// since such a version may crash each of them.
 	maxUnprovenLoads = 16
-	// maxLoadShare is the part of the engines that may load at once: the others go on
-	// taking work, which loads hold up for their second each.
+	// maxLoadShare is the part of the engines that may load at once. The others continue to serve,
+	// which a load interrupts for about one second.
 	maxLoadShare = 0.5
-	// minRetryPause is the pause after a bound was found before the next try
-	// above it; it doubles up to mostRest, as each try slows a round down.
+	// minRetryPause is the pause after a limit was found before a higher one is tried. It doubles
+	// with each failure up to maxRetryPause, since each try slows down a round of loads.
 	minRetryPause cf.Millis = 30000
 	maxRetryPause cf.Millis = 600000
 )
 
-// loadLimiter learns how many engines may load weights at once. The weight store
-// serves some loads at full speed and slows all of them down beyond; how many is
-// not told, and differs with its size. With too few a fleet is never through with a
-// version before the next.
+// loadLimiter learns how many engines may load weights at once. The weight store serves some loads
+// at full speed and slows all of them down if there are more. The number is not known and depends
+// on the size of the store. With too few concurrent loads, a fleet has not loaded a version before
+// the next one is announced.
 //
-// After a round of loads that took as long as usual it allows half as many more,
-// or goes half of the way to a bound that was found; after a slow round it goes back
-// to what was proved.
+// After a round of loads that took the usual time, the limit grows by half, or moves half of the
+// way to a limit that was found too high. After a slow round it returns to the highest proven
+// limit.
 type loadLimiter struct {
 	limit    int
 	minLimit int
 	maxLimit int
-	proven   int // the most that were as fast as usual
-	// quickBelow is up to where the bound grows quickly.
+	proven   int // the highest limit that was as fast as usual
+	// quickBelow is the limit up to which growth is quick.
 	quickBelow int
-	// usualTime is the time of a load that nothing slows down, in ms.
+	// usualTime is the duration of a load that nothing slows down, in ms.
 	usualTime            float64
 	goodLoads, slowLoads int // loads of this round
-	// tooMany was found too many, and is tried again at retry.
+	// tooMany is the limit that was found too high, tried again at retryAt.
 	tooMany    int
 	retryAt    cf.Millis
 	retryPause cf.Millis
@@ -65,21 +65,20 @@
 	return loadLimiter{limit: initial, minLimit: minLimit, maxLimit: maxLoads, proven: initial, retryPause: minRetryPause}
 }
 
-// setEngineCount takes how many engines there are.
+// setEngineCount sets the number of engines.
 func (l *loadLimiter) setEngineCount(engines int) {
 	l.maxLimit = max(min(int(float64(engines)*maxLoadShare), maxLoads), l.minLimit)
 	l.quickBelow = int(float64(engines) * quickGrowthShare)
 }
 
-// allowed is how many may load at once.
+// allowed returns how many engines may load at once.
 func (l *loadLimiter) allowed() int { return min(l.limit, l.maxLimit) }
 
-// LearnedLoads returns how many engines may load weights at once, as far as it was
-// seen.
+// LearnedLoads returns how many engines may load weights at once, as far as observed.
 func (p *Planner) LearnedLoads() int { return p.loadLimit.proven }
 
-// observe takes the time of a load that ran beside others, itself counted. More
-// than the limit run at once while work waits for them.
+// observe records the duration of a load while the given number of loads ran, this one included.
+// While items wait for loads, more of them run than the limit allows.
 func (l *loadLimiter) observe(concurrent int, took, now cf.Millis) {
 	ms := float64(took)
 	switch {
@@ -104,11 +103,11 @@
 	}
 }
 
-// endSlowRound ends a round that was slow.
+// endSlowRound ends a round of slow loads.
 func (l *loadLimiter) endSlowRound(concurrent int, now cf.Millis) {
 	l.goodLoads, l.slowLoads = 0, 0
 	if concurrent > l.limit && l.tooMany == concurrent && now < l.retryAt {
-		return // known
+		return // already known
 	}
 	l.tooMany = concurrent
 	l.proven = max(min(l.proven, concurrent-1), l.minLimit)
@@ -117,11 +116,11 @@
 	l.retryPause = min(2*l.retryPause, maxRetryPause)
 }
 
-// endGoodRound ends a round that was as fast as usual.
+// endGoodRound ends a round of loads that took the usual time.
 func (l *loadLimiter) endGoodRound(concurrent int, now cf.Millis) {
 	l.goodLoads, l.slowLoads = 0, 0
 	if l.tooMany == concurrent {
-		l.tooMany, l.retryPause = 0, minRetryPause // it is none any more
+		l.tooMany, l.retryPause = 0, minRetryPause // the limit is not too high any more
 	}
 	l.proven = max(l.proven, concurrent)
 	next := l.proven + max(l.proven/2, 1)
--- a/core/cfrollout/memory.go
+++ b/core/cfrollout/memory.go
@@ -5,53 +5,52 @@
 )
 
 const (
-	// memoryWeight is the weight of the newest observation of the tokens that an
-	// event takes, which differ little within a model.
+	// memoryWeight is the weight of a new observation of the tokens per event, which vary little
+	// within a model.
 	memoryWeight = 0.2
-	// minMemoryEvents is how many events a run must have made to show it: its prompt
-	// is known in blocks only.
+	// minMemoryEvents is how many events a run must have for its memory to show the tokens per
+	// event, because the size of its prompt is known only in blocks.
 	minMemoryEvents = 8
-	// queryInterval is the least time between questions for an engine's memory.
+	// queryInterval is the minimum time between two queries for an engine's memory.
 	queryInterval cf.Millis = 1000
-	// equalPaceFactor is how much slower than the fastest an engine may be that takes a long
-	// item because its runs are expected to take less memory. Guesses of lengths are
-	// often far off, so what keeps three of the longest off one engine is that the
-	// long ones spread over all of about one pace.
+	// equalPaceFactor is how much slower than the fastest engine an engine may be to be selected
+	// for a long item because its runs are expected to need less memory. Length hints are often far
+	// off, so the three longest items stay apart only if long items spread over all engines of
+	// about the same pace.
 	equalPaceFactor = 1.1
-	// longTextFactor is how many times the usual length a text is that decides when its
-	// step is whole: one in ten has five times the usual.
+	// longTextFactor is how many times the usual length a text must have to count as long, that is,
+	// to decide when its step is complete. One text in ten has five times the usual length.
 	longTextFactor = 2
 )
 
-// memoryModel is what is known of the tokens that texts take in engines' memory. The load
-// it answers: a step's longest texts are started or moved to the fastest engines, and
-// a few of them fill the memory of one. It then puts back the newest run, which stands
-// still for seconds: mostly a text that had just been moved there, which the step waits
-// for.
+// memoryModel is what is known of the memory that texts need at engines. A step's longest texts
+// start at or move to the fastest engines, and a few of them fill the memory of one. The engine
+// then preempts its newest run for seconds, usually a text that was just moved there and that the
+// step waits for.
 type memoryModel struct {
-	// tokensPerEvent is the tokens of an event, zero while that is not known.
+	// tokensPerEvent is zero while unknown.
 	tokensPerEvent float64
-	// queriedAt is when which engine was asked.
+	// queriedAt is when each engine was last queried.
 	queriedAt map[cf.InstanceID]cf.Millis
-	// queries counts the questions since askedAt.
+	// queries counts the queries since windowStart.
 	queries     int
 	windowStart cf.Millis
-	// reports are the engines of each service that have told their memory.
+	// reports holds the memory reported by the engines of each service.
 	reports map[cf.ServiceName]*reportedMemory
 }
 
-// reportedMemory is what engines of a service have told of their memory.
+// reportedMemory is the memory that engines of a service have reported.
 type reportedMemory struct {
 	tokens  cf.Tokens
 	engines map[cf.InstanceID]bool
 	differs bool
 }
 
-// minEqualReports is from how many engines on that have the same memory the others of their
-// service are taken to have it too.
+// minEqualReports is how many engines must report the same memory before the other engines of their
+// service are assumed to have it too.
 const minEqualReports = 8
 
-// noteReport takes an engine's memory.
+// noteReport records an engine's reported memory.
 func (m *memoryModel) noteReport(e *Engine) {
 	r := m.reports[e.Service]
 	if r == nil {
@@ -64,8 +63,8 @@
 	}
 }
 
-// capacity returns an engine's memory, zero where it is not known: as it has told, or as all
-// others have.
+// capacity returns an engine's memory, zero if unknown: the reported one, or the one that all other
+// engines of the service report.
 func (m *memoryModel) capacity(e *Engine) cf.Tokens {
 	if e.memoryReported {
 		return e.Memory
@@ -76,7 +75,7 @@
 	return 0
 }
 
-// noteRuns takes an engine's account of the runs that it holds.
+// noteRuns learns the tokens per event from an engine's report of its runs.
 func (m *memoryModel) noteRuns(runs []cf.TargetRun, works map[cf.RequestID]*Work) {
 	for _, r := range runs {
 		w := works[r.ID]
@@ -91,7 +90,7 @@
 	}
 }
 
-// generated counts the events of an item's text.
+// generated returns the number of events in an item's text.
 func (w *Work) generated() float64 {
 	generated := float64(w.resumeAfter)
 	if w.Engine != "" {
@@ -100,8 +99,8 @@
 	return generated
 }
 
-// expectedMemory is what an item is expected to take of an engine's memory at its end: in
-// tokens, or until their number is known in events, or as its submitter guesses.
+// expectedMemory returns the memory that an item is expected to need at its end: in tokens if the
+// tokens per event are known, otherwise in events, or as hinted by the submitter.
 func (p *Planner) expectedMemory(w *Work) float64 {
 	switch {
 	case p.memory.tokensPerEvent > 0:
@@ -117,8 +116,7 @@
 	}
 }
 
-// updateUsage makes what the engines hold, and which of them are set apart, that of the runs that
-// they have now.
+// updateUsage recomputes the engines' memory use and isolation limits from their current runs.
 func (p *Planner) updateUsage() {
 	for id, e := range p.busyEngines {
 		if e.usedMemory, e.isolationLimit = 0, 0; e.Running == 0 {
@@ -133,15 +131,14 @@
 	})
 }
 
-// fitsMemory says whether an engine has memory for an item beside what its runs are
-// expected to take.
+// fitsMemory says whether an engine has enough memory for an item in addition to its other runs.
 func (p *Planner) fitsMemory(e *Engine, w *Work) bool {
 	memory := p.memory.capacity(e)
 	return memory == 0 || p.memory.tokensPerEvent == 0 || e.usedMemory+p.expectedMemory(w) <= float64(memory)
 }
 
-// IsLong says whether an item's text is, or is expected to be, one of those that its
-// step waits for.
+// IsLong says whether an item's text is, or is expected to be, one of the long texts that decide
+// when its step is complete.
 func (p *Planner) IsLong(w *Work) bool {
 	if !p.lengths.started {
 		return w.relativeHint >= longTextFactor
@@ -149,8 +146,7 @@
 	return w.generated()+p.remaining(w) >= longTextFactor*p.lengths.mean
 }
 
-// meanHint returns what the submitter of items guesses of their length on average, 1
-// where it does not.
+// meanHint returns the mean length hint of the items that have one, 1 if none has.
 func meanHint(items []cf.Item) float64 {
 	sum, n := 0.0, 0
 	for _, it := range items {
@@ -165,12 +161,12 @@
 	return sum / float64(n)
 }
 
-// maxQueries is how many engines are asked in the time of one question: what a few tell of the
-// tokens of events, and of the memory of engines that are alike, spares the others theirs.
+// maxQueries is how many engines are queried within queryInterval. A few reports of the tokens per
+// event and of the memory of similar engines make the other queries unnecessary.
 const maxQueries = 2 * minEqualReports
 
-// EnginesToQuery returns the engines to ask for their memory, askMost at a time: those with runs of
-// which it is not known, and any while nothing is known of the tokens of events.
+// EnginesToQuery returns the engines to query for their memory, up to maxQueries at a time: busy
+// engines whose memory is unknown, and any busy engine while the tokens per event are unknown.
 func (p *Planner) EnginesToQuery(now cf.Millis) []cf.Target {
 	if now-p.memory.windowStart >= queryInterval {
 		p.memory.windowStart, p.memory.queries = now, 0
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -1,15 +1,18 @@
-// Package cfrollout decides where and when the items of batches run, and when
-// which engine loads which weights. It has no connections and no clock of its
-// own: the coordinator feeds it events with their time and carries out what it
-// returns.
+// Package cfrollout decides at which engine and when the items of batches run, and which engine
+// loads which weights when. It opens no connections and has no clock of its own: the coordinator
+// passes it events with their time and carries out the decisions that it returns.
 //
-// The load it answers: a trainer hands in a whole step at once, several times
-// more items than the engines have slots, and waits for most of its groups; a
-// new weight version is named just before, and the step after this one needs
-// it. Each model therefore has its own share of the engines (loads are paid
-// for, and an engine that loads serves nobody); a step starts at once on the
-// version its share holds, and an engine loads the next version when nothing
-// waits that it could run.
+// A trainer submits a whole step at once, with several times more items than the engines have
+// slots, and waits for most of its groups. It announces a new weight version just before the step,
+// and the following step needs that version. Each model therefore has its own share of the engines,
+// because loads are expensive and an engine that is loading serves nothing. A step starts
+// immediately on the version that its share holds, and an engine loads the next version when no
+// waiting item could run on it.
+//
+// Terms: a run is one attempt to generate an item's text at an engine. It yields a stream of
+// events, each of which carries a few tokens. The pace of a run or an engine is the time of one
+// event, in ms, so a higher pace is slower. A group is complete when all of its items are done. A
+// load is an engine's load of a weight version.
 //
 // Usage:
 //
@@ -31,31 +34,34 @@
 )
 
 type (
-	// Limits bound what the planner starts.
+	// Limits holds the bounds and switches of a planner's decisions.
 	Limits struct {
-		// MinLoads is how many engines load weights at once until it is known
-		// how many may, and at the least.
+		// MinLoads is how many engines may load weights at once before the planner has learned the
+		// limit, and the lower bound of that limit.
 		MinLoads int
-		// LearnedLoads is the same as a planner before has learned, zero if none has.
+		// LearnedLoads is the limit that a previous planner has learned, zero if there is none.
 		LearnedLoads int
-		// UrgentLoads is the bound while work waits for a version that no
-		// engine of its share holds.
+		// UrgentLoads is the limit while items wait for a version that no engine of their share
+		// holds.
 		UrgentLoads int
-		// FailurePenalty keeps new items off an engine that failed one.
+		// FailurePenalty is how long new items avoid an engine at which a run has failed.
 		FailurePenalty cf.Millis
-		// OrderBackoff is the pause after an order that was not taken.
+		// OrderBackoff is the pause after a weight order that an engine did not accept.
 		OrderBackoff cf.Millis
-		// BusyPenalty keeps them off one that was full or loading.
+		// BusyPenalty is how long new items avoid an engine that was full or loading.
 		BusyPenalty cf.Millis
-		// GroupAffinity makes an engine that has read a group's prompt count as
-		// so much faster for the group's other items.
+		// GroupAffinity is the factor on the pace of an engine that has already processed the
+		// prompt of an item's group, below 1 to prefer it for the group's other items.
 		GroupAffinity float64
-		// Admit says whether an item may be sent to an engine now; apart says that the
-		// engine is set apart, or that none can be. nil lets all.
+		// Admit says whether an item may be sent to an engine now. isolated says that the engine is
+		// isolated for the item, or that none can be. A nil Admit allows every item.
 		Admit func(w *Work, engine cf.Target, isolated bool) Admission
-		// LongOnSlow, SwapWhenIdle, AllGroups and NoSlowPeriods turn decisions off, to
-		// measure them, and LoadUnderRuns that engines wait with loads for runs that a
-		// trainer waits for. LeastLeft puts groups off as soon as a step can't be whole in time.
+		// The switches below turn decisions off to measure their effect. LongOnSlow lets items
+		// start at slow engines without waiting for a faster one. SwapWhenIdle lets an engine load
+		// only when no waiting item could run on it. AllGroups works on all groups of a step, even
+		// if they cannot be complete in time. NoSlowPeriods ignores temporary slowness of engines.
+		// LoadUnderRuns lets engines load while they run items that a trainer waits for. LeastLeft
+		// defers groups as soon as a step cannot be complete in time.
 		LongOnSlow    bool
 		SwapWhenIdle  bool
 		AllGroups     bool
@@ -64,62 +70,65 @@
 		LeastLeft     bool
 	}
 
-	// Terms is what a batch's route asks for.
+	// Terms holds what a batch's route specifies.
 	Terms struct {
 		Service       cf.ServiceName
 		MaxAttempts   int
 		SingleVersion bool
 		MaxWait       cf.Millis
-		// Access ranks the batch.
+		// Access determines the priority of the batch.
 		Access cf.Access
-		// Due is the Uptime by which results are needed, Span how long after the batch's
-		// acceptance that is; zero where the route says nothing.
+		// Due is the Uptime by which results are needed, Span the time from the batch's acceptance
+		// until then. Both are zero if the route sets no due time.
 		Due  cf.Millis
 		Span cf.Millis
 	}
 
-	// Engine is a model target with what is known of it.
+	// Engine is a target that serves models, with the planner's knowledge of it.
 	Engine struct {
 		cf.Target
-		// Model is the model that it serves.
+		// Model is the model that the engine currently serves, empty for a spare engine.
 		Model   cf.ModelName
 		Running int
-		loading cf.WeightVersion // zero when it loads nothing
-		// loadStarted is when, beside how many at most, and undelayed that no
-		// run held the load up.
+		loading cf.WeightVersion // the version being loaded, zero if none
+		// loadStarted is when the latest load was ordered, concurrentLoads the highest number of
+		// loads at the same time, this one included. loadUndelayed says that no run delayed the
+		// load.
 		loadStarted     cf.Millis
 		concurrentLoads int
 		loadUndelayed   bool
-		// failedVersion is the version whose order failed last, at failedAt.
+		// failedVersion is the version of the latest failed order, failedAt the time of the
+		// failure.
 		failedVersion cf.WeightVersion
 		failedAt      cf.Millis
-		avoidUntil    cf.Millis // no new items until then
-		nextOrderAt   cf.Millis // no new order until then
+		avoidUntil    cf.Millis // no new items before this time
+		nextOrderAt   cf.Millis // no new weight order before this time
 		versions      map[cf.ModelName]cf.WeightVersion
-		// Memory is its memory in tokens, zero where that is not known; told that
-		// it has said so. used is what its runs are expected to take.
+		// Memory is the engine's memory in tokens, zero if unknown. memoryReported says that the
+		// engine itself has reported it. usedMemory is what its runs are expected to need.
 		Memory         cf.Tokens
 		memoryReported bool
 		usedMemory     float64
 		groups         map[cf.GroupID]int
-		// pace is the milliseconds that an event takes with one run, as far
-		// as shown.
+		// pace is the time of an event with a single run, in ms, zero until it was observed.
 		pace float64
-		// meanPace is its mean pace as of usualAt, usualRuns the mean of its runs.
+		// meanPace and meanRuns are moving averages of the engine's pace and of its number of runs,
+		// last updated at meanAt.
 		meanPace, meanRuns float64
 		meanAt             cf.Millis
-		// reserved are its slots that are kept for runs that move to it.
+		// reserved is the number of slots reserved for runs that move to the engine.
 		reserved int
-		// isolationLimit is how many runs it may have while it is set apart, zero while it is not.
+		// isolationLimit is how many runs the engine may have while it is isolated, zero while it
+		// is not.
 		isolationLimit int
-		// loadingSeenAt is when it was last seen loading under a run.
+		// loadingSeenAt is when the engine was last seen to load while it had a run.
 		loadingSeenAt cf.Millis
-		// state is what its events show of periods of slowness.
+		// state tracks temporary slowness of the engine.
 		state cfslow.EngineState
-		// idleConnections are until when connections to it are kept that nobody uses, the first to
-		// end first.
+		// idleConnections holds the expiry times of the idle connections to the engine, earliest
+		// first.
 		idleConnections []cf.Millis
-		// idHash orders engines that differ in nothing else.
+		// idHash breaks ties between otherwise equal engines.
 		idHash uint64
 	}
 
@@ -128,10 +137,10 @@
 		service cf.ServiceName
 	}
 
-	// Text is what has been generated of an item.
+	// Text is the text generated for an item so far.
 	Text struct {
-		// Origin names the run that made the first event; the texts of two
-		// runs that both began anew must not be joined.
+		// Origin identifies the run that made the first event. Texts of two runs that both started
+		// from the beginning must not be joined.
 		Origin   uint64             `json:"origin" cbor:"origin"`
 		Last     cf.EventID         `json:"last" cbor:"last"`
 		Data     []string           `json:"data" cbor:"data"`
@@ -139,8 +148,7 @@
 		Complete bool               `json:"complete,omitempty" cbor:"complete"`
 	}
 
-	// Work is an item that waits or runs. While it runs, its run alone
-	// changes Text, under Mu.
+	// Work is an item that waits or runs. While it runs, only its run changes Text, under Mu.
 	Work struct {
 		Mu       sync.Mutex
 		Batch    *cfbatch.Batch
@@ -149,55 +157,57 @@
 		Failures int // answers that count as failed attempts
 		Text     Text
 		Engine   cf.InstanceID // where it runs, empty while it waits
-		// engine is the same, as of the start that born tells, zero if that was not known.
+		// engine is the engine that Engine names. engineBorn is the start time of the engine
+		// process that the run was given to, zero if it was unknown.
 		engine     *Engine
 		engineBorn cf.Millis
 		Version    cf.WeightVersion
-		// OldestVersion is the oldest version of the text, as of the run's start.
+		// OldestVersion is the oldest weight version in the text, as of the run's start.
 		OldestVersion cf.WeightVersion
 		Started       cf.Millis
-		// relativeHint is its submitter's guess of its length against the mean of its
-		// batch, zero without one.
+		// relativeHint is the item's length hint divided by the mean hint of its batch, zero
+		// without a hint.
 		relativeHint float64
-		// Progress is that of the run under way.
+		// Progress belongs to the current run.
 		Progress Progress
-		// resumeAfter is the event after which the run under way, or the next,
-		// begins.
+		// resumeAfter is the last event of the text before the current or the next run.
 		resumeAfter cf.EventID
-		// moving: the run is being stopped, to go on at another engine; moves
-		// counts how often it was.
+		// moving says that the run is being stopped in order to resume at another engine. moves
+		// counts such moves.
 		moving bool
 		moves  int
-		// movedAt is when it was last decided to move it, until its first event
-		// elsewhere.
+		// movedAt is when the latest move was decided. It is cleared by the first event at the new
+		// engine.
 		movedAt  cf.Millis
 		lastMove Move
-		// reservedEngine is the engine that keeps a slot for it until toUntil.
+		// reservedEngine holds a slot for the item until reservedUntil.
 		reservedEngine *Engine
 		reservedUntil  cf.Millis
-		// AvoidEngine is an engine that the run was moved away from.
+		// AvoidEngine is the engine that the run was last moved away from.
 		AvoidEngine cf.InstanceID
 		avoidUntil  cf.Millis
 		submitOrder int
-		// maxRuns is how many runs an engine may have with it, as the last admission said;
-		// apart: it runs at an engine that is set apart for it.
+		// maxRuns is how many runs an engine may have while this item runs there, as of the latest
+		// admission. isolated says that the item runs at an engine that is isolated for it.
 		maxRuns  int
 		isolated bool
-		// waitingSince is when its last run ended, or when it was first looked at.
+		// waitingSince is when the item's latest run ended, or when the planner first considered
+		// the item.
 		waitingSince cf.Millis
-		// interrupted: a run of it has ended before its text was complete. class is that of its
-		// group, and startBy when it must start for its group, both as of the last ranking.
+		// interrupted says that a run has ended before the text was complete. class is the class of
+		// the item's group, and latestStart when the item must start for its group to be complete
+		// in time, both as of the latest ranking.
 		interrupted bool
 		class       groupClass
 		latestStart float64
-		// unplacedSince is since when it has been at no engine, zero if that was not looked at; runs
-		// without an event do not count. reported is after what time that was last reported,
-		// refused that no engine may be sent it, as of the last look.
+		// unplacedSince is since when the item has had no engine, zero if it was not considered
+		// yet; runs without an event do not count. reportedWait is the waiting time at the latest
+		// report. notAdmitted says that no engine may get the item, as of the latest planning pass.
 		unplacedSince, reportedWait cf.Millis
 		notAdmitted                 bool
 	}
 
-	// Swap asks for a weight order.
+	// Swap is a weight order for an engine.
 	Swap struct {
 		Target   cf.Target
 		Model    cf.ModelName
@@ -205,64 +215,68 @@
 		KeepRuns bool
 	}
 
-	// Planner holds the state. It is not safe for concurrent use.
+	// Planner holds the state of all decisions. It is not safe for concurrent use.
 	Planner struct {
 		limits         Limits
 		engines        map[cf.InstanceID]*Engine
 		latestVersions map[cf.ModelName]cf.WeightVersion
 		models         map[cf.ServiceName][]cf.ModelName
-		// work is the work of each model's latest step, weights what its share counts for.
+		// work is the work of each model's recent steps, shareWeights the configured factor of each
+		// model's share.
 		work         map[cf.ModelName]stepWork
 		shareWeights map[cf.ModelName]float64
 		batches      map[cf.BatchID]*openBatch
 		savedTexts   map[cf.ItemID]*Work
-		// departed are engines that have left the list and have runs under way.
+		// departed holds engines that are no longer listed and still have runs.
 		departed map[departedKey]*Engine
-		// orphans run on for a batch to come, though theirs was ended.
+		// orphans are runs that continue after the end of their batch, for a later batch.
 		orphans map[cf.ItemID]*Work
-		// fleets are the engines of each service, shares those that serve a model, sorted
-		// by id; loadings are those that load weights, busy those that run something.
+		// fleets holds the engines of each service, shares the engines that serve each model,
+		// sorted by id. loadingEngines are those that load weights, busyEngines those that have
+		// runs.
 		fleets         map[cf.ServiceName]*fleet
 		shares         map[shareKey][]*Engine
 		loadingEngines map[cf.InstanceID]*Engine
 		busyEngines    map[cf.InstanceID]*Engine
-		// provenVersions are the newest versions that engines were seen to hold.
+		// provenVersions holds the newest version of each model that any engine has loaded.
 		provenVersions map[cf.ModelName]cf.WeightVersion
-		// peaks are the most items of each model that were open at once.
+		// peaks tracks the highest number of open items of each model.
 		peaks map[cf.ModelName]*cfpeak.Peak
-		// needsDivision: the first version of a model was named, which changes what it needs, or
-		// a model lacks engines that others hold and do not need.
+		// needsDivision says that the engines must be divided again: the first version of a model
+		// was announced, which changes its need, or a model lacks engines that others hold without
+		// need.
 		needsDivision bool
-		// conflicts are the engines at which, in this look, an item might not meet what runs there.
+		// conflicts holds the engines at which an item was not admitted in this planning pass
+		// because of the runs there.
 		conflicts map[*Engine]bool
-		// replacedAt is when slow engines were looked for last.
+		// replacedAt is when slow engines were last considered for replacement.
 		replacedAt cf.Millis
-		// now is the time of the last call that brought it.
+		// now is the time of the latest call that passed one.
 		now cf.Millis
-		// cachedPace is what typical returned at usualAt.
+		// cachedPace is the result of assumedPace at cachedPaceAt.
 		cachedPace   float64
 		cachedPaceAt cf.Millis
-		// singleVersion are the models whose latest batch asks for samples of one
-		// version each; its runs may go on when it has ended.
+		// singleVersion holds the models whose latest batch asks for samples of one version each.
+		// Runs of that batch may continue after its end.
 		singleVersion map[cf.ModelName]bool
-		// scarce: a service has fewer engines than models.
+		// scarce says that a service has fewer engines than models.
 		scarce    bool
 		loadLimit loadLimiter
 		crashes   crashTracker
 		lengths   lengths
-		// longestText is the length of the longest text so far; it fades.
+		// longestText is the length of the longest text in events, decaying over time.
 		longestText float64
 		hints       hintCorrection
 		slotCost    slotCostModel
 		memory      memoryModel
-		// periods is what was observed of engines that are slow for a while, moveCost
-		// what it costs to move a run.
+		// periods holds what was observed of temporary slowness of engines, moveCost the observed
+		// cost of moving a run.
 		periods  cfslow.Periods
 		moveCost cfslow.MoveCost
-		// stalledUntil is when the process was last found to have done nothing for a while.
+		// stalledUntil is the end of the latest stall of this process.
 		stalledUntil cf.Millis
 		reservations []*Work
-		// candidates is the room for the engines of a choice.
+		// candidates is a buffer that choose reuses.
 		candidates []candidate
 	}
 
@@ -275,13 +289,13 @@
 		batch  *cfbatch.Batch
 		terms  Terms
 		paused bool
-		// started: an item of it has run, or is listed.
+		// started says that one of its items has run or is listed.
 		started bool
 		waiting []*Work
 		running map[cf.ItemID]*Work
-		// selection is the last selection of its groups, at rankedAt, and wanted how many of
-		// the items that wait belong to groups that are waited for. unranked: items have
-		// come back since. pace is what an event took then.
+		// selection is the latest selection of groups, made at rankedAt with an event time of
+		// rankedPace. requiredWaiting is the number of waiting items in groups that the trainer
+		// waits for. rankingStale says that items have returned to the queue since.
 		selection       selection
 		rankedAt        cf.Millis
 		requiredWaiting int
@@ -290,7 +304,7 @@
 	}
 )
 
-// DefaultLimits suit engines that answer refusals at once.
+// DefaultLimits suits engines that refuse an item immediately when they cannot run it.
 var DefaultLimits = Limits{MinLoads: 2, UrgentLoads: 3, FailurePenalty: 1500, OrderBackoff: 400, BusyPenalty: 150, GroupAffinity: 0.94}
 
 // New returns a planner that knows no engines.
@@ -303,23 +317,23 @@
 	}
 }
 
-// LatestVersion returns the newest version named for a model.
+// LatestVersion returns the newest version announced for a model.
 func (p *Planner) LatestVersion(m cf.ModelName) cf.WeightVersion { return max(p.latestVersions[m], 1) }
 
-// SetVersion takes a version that a trainer has named.
+// SetVersion records a version that a trainer has announced.
 func (p *Planner) SetVersion(m cf.ModelName, v cf.WeightVersion) {
 	p.needsDivision = p.needsDivision || p.LatestVersion(m) == 1 && v > 1
 	p.latestVersions[m] = max(p.latestVersions[m], v)
 }
 
-// AddBatch takes a batch; its listed items are done. It returns items that
-// are complete already, because an earlier batch generated them.
+// AddBatch adds a batch, whose listed items are already done. It returns the items whose text an
+// earlier batch has already completed.
 func (p *Planner) AddBatch(b *cfbatch.Batch, terms Terms) []*Work {
 	if p.batches[b.Sub.ID] != nil {
 		return nil
 	}
 	if b.Ended {
-		p.notePeak(b.Sub.Model, len(b.Sub.Items)) // the next step will be like it
+		p.notePeak(b.Sub.Model, len(b.Sub.Items)) // the next step is expected to be of similar size
 		return nil
 	}
 	o := &openBatch{batch: b, terms: terms, started: b.ListedCount() > 0, running: map[cf.ItemID]*Work{}}
@@ -357,8 +371,8 @@
 	return ready
 }
 
-// SetPolicy takes what the configuration now in force says of an open batch. A
-// batch whose route is gone starts nothing more: its items may go nowhere.
+// SetTerms applies the current configuration to an open batch. A batch without a route starts no
+// more items, since there is no service that may run them.
 func (p *Planner) SetTerms(id cf.BatchID, terms Terms, routed bool) {
 	o := p.batches[id]
 	if o == nil {
@@ -381,11 +395,12 @@
 		w.Terms = terms
 	}
 	for _, w := range o.running {
-		w.Terms = terms // for its next run
+		w.Terms = terms // applies from its next run on
 	}
 }
 
-// adoptOrphan lets a run go on for a batch that asks for its item again.
+// adoptOrphan attaches a run that continues after its batch's end to a batch that contains the same
+// item.
 func (p *Planner) adoptOrphan(o *openBatch, it cf.Item) bool {
 	w := p.orphans[it.ID]
 	if w == nil || w.OldestVersion < o.batch.Sub.MinVersion {
@@ -397,9 +412,8 @@
 	return true
 }
 
-// sortItems sorts a step's items: groups left over from the step before come
-// first, as submitted; then long items before short ones, so that the step
-// does not end with its longest item alone on an engine.
+// sortItems sorts the items of a step. Items with text from an earlier step come first, then longer
+// items before shorter ones, so that a step does not end with its longest item alone on an engine.
 func sortItems(works []*Work) {
 	for i, w := range works {
 		w.submitOrder = i
@@ -416,8 +430,7 @@
 	})
 }
 
-// EndBatch takes the end of a batch. It returns the runs to stop: those whose
-// text no later step could use.
+// EndBatch ends a batch. It returns the runs to stop, whose text no later step could use.
 func (p *Planner) EndBatch(id cf.BatchID) []*Work {
 	o := p.batches[id]
 	if o == nil {
@@ -433,7 +446,7 @@
 	}
 	var stop []*Work
 	for _, w := range o.running {
-		// The next step asks for newer weights than this one did.
+		// The next step requires newer weights than this step did.
 		if w.OldestVersion <= o.batch.Sub.MinVersion {
 			stop = append(stop, w)
 			p.keepStoppedText(w)
@@ -444,7 +457,7 @@
 	return stop
 }
 
-// HasWork says whether any work waits or runs.
+// HasWork says whether any item waits or runs.
 func (p *Planner) HasWork() bool {
 	for _, o := range p.batches {
 		if len(o.waiting)+len(o.running) > 0 {
@@ -454,9 +467,9 @@
 	return false
 }
 
-// sortedBatches returns the open batches by their priority, and of one priority those accepted
-// first before the others: their trainers give up first. A coordinator that takes over
-// finds them in no order.
+// sortedBatches returns the open batches by priority, and within a priority by acceptance time,
+// since the trainers of older batches time out first. A coordinator that takes over reads the
+// batches in no particular order.
 func (p *Planner) sortedBatches() []*openBatch {
 	out := make([]*openBatch, 0, len(p.batches))
 	for _, o := range p.batches {
--- a/core/cfrollout/shares.go
+++ b/core/cfrollout/shares.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// workWeight is the weight of a model's latest step in what it is taken to need.
+	// workWeight is the weight of the latest step in a model's average work.
 	workWeight = 0.3
-	// shareTolerance is by how many engines a share may differ from what its model needs: an
-	// engine that changes hands loads weights, while it has runs of the step under way.
+	// shareTolerance is by how many engines a share may differ from its model's need before the
+	// engines are divided again. An engine that changes its model has to load weights while it
+	// still has runs of the current step.
 	shareTolerance = 0.7
-	// needFadesAfter is how long after its last step a model's need fades, to idleNeed of it: trainers
-	// hand in a step every few seconds, and a coordinator that takes over finds none for one.
+	// needFadesAfter is how long after its last step a model's need is reduced by idleNeedFactor.
+	// Trainers submit a step every few seconds, but a step may be missing after a change of the
+	// coordinator.
 	needFadesAfter cf.Millis = 15_000
 	idleNeedFactor float64   = 0.1
 )
 
 type (
-	// assignment is what the assignment needs to know of one engine.
+	// assignment is the state of one engine that assign depends on.
 	assignment struct {
 		id    cf.InstanceID
 		model cf.ModelName
-		// moveCost ranks engines of one model for being given away: an
-		// engine without running work loses least.
+		// moveCost ranks the engines of a model by the cost of giving them away. Engines without
+		// runs cost least.
 		moveCost int
 	}
 
-	// modelNeeds is a model's weight in the division of the engines: the work of
-	// its latest step.
+	// modelNeeds maps each model to its weight in the division of the engines, which is the work of
+	// its steps.
 	modelNeeds map[cf.ModelName]float64
 
-	// stepWork is the work of a step, in tokens of its items at the most and as their
-	// submitter guesses the lengths, zero where it does not.
-	// Both are means of the model's steps, latest is the tokens of the latest one, timed
-	// that it has a due time, and at when it was open last.
+	// stepWork is the work of a model's steps. tokens and hints are moving averages over the steps:
+	// tokens of the sum of the items' token limits, hints of the sum of the length hints (zero
+	// without hints). latestTokens is the token sum of the latest step, hasDueTime says whether
+	// that step has a due time, and lastOpen is when it was last open.
 	stepWork struct {
 		tokens, hints float64
 		latestTokens  float64
@@ -45,12 +47,12 @@
 	}
 )
 
-// SetWeights takes what models' shares of the engines count for against their work; 1 where
-// not given.
+// SetWeights sets the factors by which the models' work counts in the division of the engines. A
+// model without a factor has 1.
 func (p *Planner) SetWeights(weights map[cf.ModelName]float64) { p.shareWeights = weights }
 
-// noteWork takes the work of a model's latest step. Steps differ by a third in their number
-// of groups, and the next is like the mean of those before.
+// noteWork records the work of a model's latest step. The number of groups varies by a third from
+// step to step, and the next step is best predicted by the average.
 func (p *Planner) noteWork(m cf.ModelName, w stepWork) {
 	if old, known := p.work[m]; known {
 		w.tokens = old.tokens + workWeight*(w.tokens-old.tokens)
@@ -69,8 +71,8 @@
 	return false
 }
 
-// hasDueTimes says whether the latest step of any of these models has a due time. Without due
-// times shares follow the latest steps at once.
+// hasDueTimes says whether the latest step of any of the models has a due time. Without due times,
+// shares follow the latest steps immediately.
 func (p *Planner) hasDueTimes(models []cf.ModelName) bool {
 	for _, m := range models {
 		if p.work[m].hasDueTime {
@@ -80,7 +82,8 @@
 	return false
 }
 
-// sharesCloseEnough says whether the division is near enough to what the models need.
+// sharesCloseEnough says whether the current division is within shareTolerance of the models'
+// needs.
 func sharesCloseEnough(engines []assignment, models []cf.ModelName, need modelNeeds) bool {
 	have, total := map[cf.ModelName]int{}, 0.0
 	for _, e := range engines {
@@ -100,9 +103,10 @@
 	return n == len(engines)
 }
 
-// needsOf returns the models' needs. For timed steps these are the guessed lengths of their
-// texts where all tell them, since the tokens of an item are a bound and not its length, else
-// the bounds, as means of their steps. For others they are the bounds of the latest step.
+// needsOf returns the models' needs. If steps have due times, the need is the average of the length
+// hints if all models provide them, because an item's token limit is only an upper bound of its
+// length; otherwise it is the average of the token limits. Without due times it is the token limits
+// of the latest step.
 func (p *Planner) needsOf(models []cf.ModelName, timed bool) modelNeeds {
 	hinted := timed
 	for _, m := range models {
@@ -132,9 +136,9 @@
 	return out
 }
 
-// assign divides engines among models in proportion to need, at least one
-// each while there are enough, and changes as few as it can: an engine that
-// changes hands must load weights before it is of use.
+// assign divides engines among models in proportion to their need, with at least one engine each if
+// there are enough. It changes as few engines as possible, since an engine that changes its model
+// must load weights first.
 func assign(engines []assignment, models []cf.ModelName, need modelNeeds) map[cf.InstanceID]cf.ModelName {
 	out := make(map[cf.InstanceID]cf.ModelName, len(engines))
 	if len(models) == 0 {
@@ -150,8 +154,8 @@
 	})
 	var free []assignment
 	for _, e := range engines {
-		// One engine over quota is kept: need changes a little at each
-		// step, and moving back and forth would load weights for nothing.
+		// An engine keeps its model while that is within the quota. Needs change slightly with each
+		// step, and frequent reassignments would cause useless loads.
 		if q, ok := quota[e.model]; ok && have[e.model] < q {
 			have[e.model]++
 			out[e.id] = e.model
@@ -167,7 +171,7 @@
 	return out
 }
 
-// quotas rounds each model's part of n engines by largest remainder.
+// quotas divides n engines among the models by the largest remainder method.
 func quotas(n int, models []cf.ModelName, need modelNeeds) map[cf.ModelName]int {
 	total := 0.0
 	for _, m := range models {
@@ -186,8 +190,8 @@
 		if q == 0 && left > 0 {
 			q = 1
 		}
-		// One is left for each model after it: steps a thousand times as
-		// large would else leave a small trainer without any.
+		// One engine is left for each of the following models. Otherwise a step a thousand times as
+		// large would leave a small trainer without an engine.
 		q = max(min(q, left-(len(models)-1-i)), 0)
 		quota[m] = q
 		left -= q
--- a/core/cfrollout/spare.go
+++ b/core/cfrollout/spare.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// replaceFactor is how much slower than usual an engine is that is replaced by another
-	// when it would load.
+	// replaceFactor is how much slower than usual an engine must be to be replaced by a spare
+	// engine instead of loading.
 	replaceFactor = 1.15
-	// replaceInterval spaces the looks for such engines.
+	// replaceInterval is the time between two searches for such engines.
 	replaceInterval cf.Millis = 1000
 )
 
-// releaseIdle lets engines go that do nothing, the least useful first, and returns how many.
+// releaseIdle releases up to n idle engines of a share, the least useful first, and returns how
+// many.
 func (p *Planner) releaseIdle(share []*Engine, m cf.ModelName, n int) int {
 	var idle []*Engine
 	for _, e := range share {
@@ -31,13 +32,13 @@
 	return len(idle)
 }
 
-// compareUsefulness orders engines by their use for a model: those that hold its newest weights come
-// first, then those that are known to be no slower than usual.
+// compareUsefulness orders engines by their usefulness for a model: engines with its newest weights
+// first, then those that are known not to be slower than usual.
 func (p *Planner) compareUsefulness(a, b *Engine, m cf.ModelName) int {
 	return cmp.Or(cmp.Compare(b.versions[m], a.versions[m]), cmp.Compare(p.paceRank(a), p.paceRank(b)), cmp.Compare(a.idHash, b.idHash), cmp.Compare(a.ID, b.ID))
 }
 
-// paceRank ranks engines by what is known of their pace.
+// paceRank ranks engines by their pace: 0 for usual engines, 1 for unknown ones, 2 for slow ones.
 func (p *Planner) paceRank(e *Engine) int {
 	switch {
 	case e.pace == 0:
@@ -49,12 +50,12 @@
 	}
 }
 
-// slowerThanUsual says whether an engine is known to be.
+// slowerThanUsual says whether an engine is known to be slower than usual by replaceFactor.
 func (p *Planner) slowerThanUsual(e *Engine) bool {
 	return e.pace > replaceFactor*p.assumedPace()
 }
 
-// pickSpare returns n spare engines for a model, spread over the failure domains.
+// pickSpare returns up to n spare engines for a model, spread over the failure domains.
 func (p *Planner) pickSpare(f *fleet, m cf.ModelName, n int) []*Engine {
 	perDomain := map[cf.FailureDomain]int{}
 	for _, e := range p.shares[shareKey{p.serviceOf(m), m}] {
@@ -92,8 +93,8 @@
 	return out
 }
 
-// preferred says whether engine a is taken before b of another failure domain; more is
-// how many more engines of the share are in the domain of a.
+// preferred says whether engine a is selected before engine b of another failure domain. more is
+// how many more engines of the share are in a's domain than in b's.
 func (p *Planner) preferred(a, b *Engine, m cf.ModelName, more int) bool {
 	if c := cmp.Or(cmp.Compare(b.versions[m], a.versions[m]), cmp.Compare(p.paceRank(a), p.paceRank(b))); c != 0 {
 		return c < 0
@@ -101,8 +102,8 @@
 	return more < 0
 }
 
-// replaceSlow lets spare engines take the place of those that are known to be slow and
-// would have to load before they are of use: the load costs the same.
+// replaceSlow replaces slow engines that would have to load before they are useful by faster spare
+// ones: either way costs one load.
 func (p *Planner) replaceSlow() {
 	if p.now-p.replacedAt < replaceInterval {
 		return
--- a/core/cfrollout/text.go
+++ b/core/cfrollout/text.go
@@ -8,7 +8,7 @@
 	cf "currantford"
 )
 
-// reusable says whether text may be part of a sample of a batch.
+// reusable says whether a text may be part of a sample of a batch with the given requirements.
 func reusable(t Text, minVersion cf.WeightVersion, singleVersion bool) bool {
 	for _, v := range t.Versions {
 		if v < minVersion {
@@ -18,14 +18,14 @@
 	return !singleVersion || len(t.Versions) <= 1
 }
 
-// Clone returns a copy that shares no memory with t.
+// Clone returns a deep copy.
 func (t *Text) Clone() Text {
 	c := *t
 	c.Data, c.Versions = slices.Clone(t.Data), slices.Clone(t.Versions)
 	return c
 }
 
-// After returns what follows event n, as a copy.
+// After returns a copy of the text after event n.
 func (t *Text) After(n cf.EventID) Text {
 	from := int(n) - int(t.Last) + len(t.Data) // Data may begin after event 0
 	return Text{
@@ -34,7 +34,7 @@
 	}
 }
 
-// Size is the bytes of the events that t holds.
+// Size returns the number of bytes of the events in t.
 func (t Text) Size() int {
 	size := 0
 	for _, d := range t.Data {
@@ -46,9 +46,9 @@
 // FromStart says whether t holds every event up to its last.
 func (t Text) FromStart() bool { return len(t.Data) == int(t.Last) }
 
-// Join returns t, which begins with its first event, with next after it; false
-// when an event lies between them or they belong to different runs. They may
-// overlap: a part whose acknowledgement was lost is sent again with what is new.
+// Join returns t, which must begin with its first event, followed by next. It returns false if
+// events between them are missing or they belong to different runs. They may overlap, because a
+// part whose acknowledgement was lost is sent again together with new events.
 func (t Text) Join(next Text) (Text, bool) {
 	first := next.Last - cf.EventID(len(next.Data))
 	if first > t.Last || next.Last < t.Last || next.Origin != t.Origin {
@@ -58,8 +58,8 @@
 	return next, true
 }
 
-// Append takes the next event of an item's stream. An event that does not
-// follow the last one is refused: two runs' texts would be mixed.
+// Append adds the next event of an item's stream. It refuses an event that does not follow the last
+// one, which would mix the texts of two runs.
 func (t *Text) Append(ev cf.StreamEvent) error {
 	if ev.ID != t.Last+1 {
 		return fmt.Errorf("%w: event %d after %d", cf.ErrBadAnswer, ev.ID, t.Last)
@@ -75,11 +75,10 @@
 	return nil
 }
 
-// maxSavedTexts bounds the texts kept for a later step.
+// maxSavedTexts bounds the texts kept for later steps.
 const maxSavedTexts = 2000
 
-// KeepText stores the text of an item that is not listed for a later batch with the
-// item.
+// KeepText keeps the text of an unlisted item for a later batch that contains the item.
 func (p *Planner) KeepText(w *Work) {
 	if w.Text.Last == 0 {
 		return
@@ -90,8 +89,8 @@
 	p.savedTexts[w.Item.ID] = w
 }
 
-// keepStoppedText keeps what a run has made so far that is being stopped: a later batch may ask
-// for its item before the run's end is known.
+// keepStoppedText keeps the current text of a run that is being stopped, because a later batch may
+// contain the item before the run has ended.
 func (p *Planner) keepStoppedText(w *Work) {
 	w.Mu.Lock()
 	text := w.Text.Clone()
@@ -99,8 +98,8 @@
 	p.KeepText(&Work{Batch: w.Batch, Item: w.Item, Text: text})
 }
 
-// Texts returns what has been generated of items that are not listed. It is
-// called when no item runs any more.
+// Texts returns the texts of all items that are not listed. It must be called only when no item
+// runs.
 func (p *Planner) Texts() map[cf.ItemID]Text {
 	out := map[cf.ItemID]Text{}
 	add := func(w *Work) {
@@ -120,8 +119,8 @@
 	return out
 }
 
-// AdoptTexts takes the texts of a planner before, for batches added from now on; of
-// each the longer one is kept.
+// AdoptTexts takes over the texts of a previous planner for batches added later. If there are two
+// texts of an item, the longer one is kept.
 func (p *Planner) AdoptTexts(texts map[cf.ItemID]Text) {
 	for id, t := range texts {
 		if old := p.savedTexts[id]; !t.FromStart() || old != nil && old.Text.Last >= t.Last {
