--- a/core/cfrollout/demand.go
+++ b/core/cfrollout/demand.go
@@ -7,18 +7,18 @@
 )
 
 type (
-	// Demand is what the open steps of a service ask of its engines.
+	// Demand is what the open steps of a service require of its engines.
 	Demand struct {
 		Service cf.ServiceName
-		// Slots are those of one engine; Pace is how many milliseconds an event takes
-		// there while all are taken, zero while no engine has shown it.
+		// Slots is the number of slots of one engine. Pace is the time of an event at an engine
+		// with all slots in use, in ms, zero until it was observed.
 		Slots int
 		Pace  float64
-		// Models are how many models it serves.
+		// Models is the number of models that the service serves.
 		Models int
-		// Reclaimed counts those that the platform takes back and that have not left yet.
+		// Reclaimed counts the engines that the platform takes back and that have not left yet.
 		Reclaimed map[cf.EnginePool]int
-		// Loading counts the engines in service that load weights.
+		// Loading is the number of engines in service that load weights.
 		Loading int
 		Steps   []StepDemand
 	}
@@ -28,20 +28,20 @@
 		Batch    cf.BatchID
 		Model    cf.ModelName
 		Accepted cf.Millis
-		// Groups are those that its trainer waits for and that are not whole.
+		// Groups is the number of incomplete groups that the trainer still waits for.
 		Groups  int
 		Waiting int
 		Running int
-		// Events are those that all its items are expected to have, Left those that are
-		// to come, Longest the most that one item is expected to have. They are zero
-		// while no lengths are known.
+		// Events is the expected number of events of all items, Remaining the number of those that
+		// are still to come, and Longest the highest expected number of a single item. They are
+		// zero while no lengths are known.
 		Events    float64
 		Remaining float64
 		Longest   float64
 	}
 )
 
-// Demand returns what the open steps of a service ask for.
+// Demand returns what the open steps of a service require.
 func (p *Planner) Demand(service cf.ServiceName) Demand {
 	d := Demand{Service: service, Models: len(p.models[service]), Reclaimed: map[cf.EnginePool]int{}}
 	var paces []float64
--- a/core/cfrollout/estimate.go
+++ b/core/cfrollout/estimate.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// infeasibleFactor is how many times too late the quickest group of a step must be expected
-	// to be: lengths are known within a factor of 1.6, and a step that fits must never be
-	// refused.
+	// infeasibleFactor is how many times longer than the time left the quickest group of a step
+	// must be expected to take for the step to be infeasible. Lengths are known to within a factor
+	// of 1.6, and a step that fits must never be refused.
 	infeasibleFactor = 2
-	// minRetry and retryMost bound when the submitter of an infeasible step should come back.
+	// minRetry and maxRetry bound the time after which the submitter of an infeasible step should
+	// try again.
 	minRetry cf.Millis = 2500
 	maxRetry cf.Millis = 10_000
 )
 
-// Estimate is what is expected of a step that is not accepted yet.
+// Estimate is the expectation for a step that is not accepted yet.
 type Estimate struct {
-	// Infeasible: not one of its groups could be whole by its due time, even with all of its
-	// model's engines.
+	// Infeasible says that none of its groups could be complete by its due time, even with all of
+	// its model's engines.
 	Infeasible bool
-	// FirstGroup is when the first of its groups could be whole, Left the time until it is
-	// due, and Retry when to come back.
+	// FirstGroup is when the first of its groups could be complete, TimeLeft the time until it is
+	// due, and RetryAfter the time after which to submit it again.
 	FirstGroup, TimeLeft, RetryAfter cf.Millis
 }
 
-// EstimateStep returns what is expected of a step. Where lengths or paces are not known it is
-// not infeasible.
+// EstimateStep returns the expectation for a step. A step is not infeasible if lengths or paces are
+// unknown.
 //
-// The load it answers: a step whose shortest group takes longer than the step has, such as
-// one of very long texts, or one that comes when most engines are lost. It would take slots
-// from the steps after it and be worth nothing.
+// A step is infeasible if its shortest group takes longer than the time left, for example because
+// its texts are very long or most engines are lost. It would take slots from the steps after it and
+// be useless.
 func (p *Planner) EstimateStep(sub cf.Submission, terms Terms, now cf.Millis) Estimate {
 	if p.limits.AllGroups || terms.Due == 0 || !p.lengths.started || len(sub.Items) == 0 {
 		return Estimate{}
@@ -40,7 +41,7 @@
 	o := &openBatch{batch: cfbatch.New(sub), terms: terms}
 	for _, it := range sub.Items {
 		if p.savedTexts[it.ID] != nil || p.orphans[it.ID] != nil {
-			return Estimate{} // it goes on with texts of the step before
+			return Estimate{} // it continues texts of an earlier step
 		}
 		o.waiting = append(o.waiting, &Work{Batch: o.batch, Item: it, Terms: terms})
 	}
@@ -52,7 +53,7 @@
 	for _, g := range p.stepNeed(o, pace).groups {
 		quickest = min(quickest, max(g.work/(rate*pace), g.longest))
 	}
-	// The due time is taken from the accepting machine's wall clock, which may be behind: a
+	// The due time is computed from the wall clock of the accepting machine, which may be behind: a
 	// step that is just being accepted has all of its time left.
 	left := max(terms.Due-now, terms.Span)
 	est := Estimate{Infeasible: quickest > infeasibleFactor*float64(max(left, 0)), FirstGroup: cf.Millis(quickest), TimeLeft: left}
@@ -62,8 +63,8 @@
 	return est
 }
 
-// openStepsDuration is how long the open steps of a batch's model are expected to take: after that
-// its engines are free, and may be others.
+// openStepsDuration returns how long the open steps of a batch's model are expected to take. After
+// that its engines are free, and may be different ones.
 func (p *Planner) openStepsDuration(o *openBatch) cf.Millis {
 	most := 0.0
 	for _, x := range p.batches {
@@ -74,20 +75,21 @@
 	return cf.Millis(most)
 }
 
-// Selection is what was decided for the groups of an open step.
+// Selection reports the decision on the groups of an open step.
 type Selection struct {
 	Batch cf.BatchID
-	// Deferring: groups are put off so that others are whole in time.
+	// Deferring says that some groups are deferred so that others are complete in time.
 	Deferring bool
-	// Duration is how long all that the trainer waits for takes from the last ranking on, Left
-	// the time until it is due.
+	// Duration is how long all groups that the trainer waits for take from the latest ranking on,
+	// TimeLeft the time until the step is due.
 	Duration, TimeLeft cf.Millis
-	// InTime, Late and Last are groups that are waited for, by when they can be whole: by
-	// the due time, soon after it, or later. Spare ones are not waited for.
+	// InTime, Late and TooLate are the numbers of groups that the trainer waits for, by when they
+	// can be complete: by the due time, soon after it, or later. Optional is the number of groups
+	// that it does not wait for.
 	InTime, Late, TooLate, Optional int
 }
 
-// Selections returns what was decided for the open steps whose groups are ranked.
+// Selections returns the decisions on the open steps whose groups are ranked.
 func (p *Planner) Selections(now cf.Millis) []Selection {
 	var out []Selection
 	for id, o := range p.batches {
--- a/core/cfrollout/goodput.go
+++ b/core/cfrollout/goodput.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// rankInterval is the least time between two rankings of a batch's groups: what a group
-	// has left changes by an event every 40 ms or more.
+	// rankInterval is the minimum time between two rankings of a batch's groups. What remains of a
+	// group changes by an event every 40 ms or more.
 	rankInterval cf.Millis = 100
-	// lateShare is for how long after its due time a step is taken to be still of use, as a
-	// part of the time that it was given: callers pay less for late groups, and nothing
-	// for those half as late again.
+	// lateShare is how long after its due time a step is still useful, as a part of the time that
+	// it was given. Callers pay less for late groups, and nothing for groups that are half as late
+	// again.
 	lateShare = 0.5
-	// selectionThreshold is by how much a step must be expected to end after its due time, as a
-	// part of the time that it was given, until some of its groups are put off for others.
-	// Before, all that its trainer waits for is worked on, longest texts first: the step
-	// ends some 0.5 s sooner, and the next begins. At twice as much, a seventh fewer groups
-	// are in time at just the capacity.
+	// selectionThreshold is how much later than its due time a step must be expected to end, as a
+	// part of the time that it was given, before some of its groups are deferred for others. Below
+	// the threshold, all groups that the trainer waits for are worked on, longest texts first, so
+	// that the step ends about 0.5 s sooner and the next one starts. With a threshold twice as
+	// high, a seventh fewer groups are in time at exactly the capacity.
 	selectionThreshold = 0.08
-	// longestDecay is what is kept of the longest text at each one that ends.
+	// longestDecay is the factor on the length of the longest text with each text that ends.
 	longestDecay = 0.9995
-	// minTextsForLongest is from how many texts on the longest one bounds others: those of a step
-	// that end first are its shortest.
+	// minTextsForLongest is the number of texts from which on the longest one bounds the expected
+	// lengths. The first texts of a step to end are its shortest.
 	minTextsForLongest = 60
-	// fillFactor is the part of the time left that is filled with selected groups: what a step
-	// has left is known within some 10%, and its last slots are not all full.
+	// fillFactor is the part of the remaining time that is filled with selected groups. The
+	// remaining work of a step is known to within about 10%, and its last slots are not all used.
 	fillFactor = 0.9
-	// assumedLoadTime is what a load of weights is taken to last until one has shown it, in ms.
+	// assumedLoadTime is the duration of a weight load before one was observed, in ms.
 	assumedLoadTime = 1000
 )
 
@@ -38,59 +38,61 @@
 type groupClass int
 
 const (
-	// groupInTime: whole by the step's due time or just after it, as estimated.
+	// groupInTime: expected to be complete by the step's due time or just after it.
 	groupInTime groupClass = iota
-	// groupLate: waited for, and whole soon after the due time.
+	// groupLate: required, and expected to be complete soon after the due time.
 	groupLate
-	// groupTooLate: waited for, and whole later than is of use.
+	// groupTooLate: required, and expected to be complete too late to be useful.
 	groupTooLate
-	// groupOptional: not waited for.
+	// groupOptional: not required.
 	groupOptional
 )
 
-// groupNeed is what a group of a step still needs.
+// groupNeed is the remaining work of a group of a step.
 type groupNeed struct {
 	id cf.GroupID
-	// carried: its submitter waits for it, whatever others are whole.
+	// carried says that the submitter waits for this group, whichever others are complete.
 	carried bool
-	// work is the slot time that its open items take in all, longest what the longest
-	// of them takes, in ms.
+	// work is the total slot time of the group's open items, longest the slot time of the longest
+	// one, in ms.
 	work, longest float64
 	class         groupClass
-	// completeIn is when it is expected to be, where its class is filled one group after the other.
+	// completeIn is when the group is expected to be complete if its class is processed one group
+	// after the other, in ms.
 	completeIn float64
 }
 
-// stepNeed is what a step has to do, and by when.
+// stepNeed is the remaining work of a step and its time limits.
 type stepNeed struct {
 	groups []groupNeed
-	// required is for how many of them the submitter still waits.
+	// required is how many of the groups the submitter still waits for.
 	required int
-	// priorWork is the slot time of work that goes first, slots how many items run at once.
+	// priorWork is the slot time of work that goes first, slots the number of items that run at
+	// once.
 	priorWork, slots float64
-	// due is the time left until results are needed, late until they are of no use, and
-	// most until when groups count as in time, in ms.
+	// due is the time left until results are needed, usefulFor until they are useless, and
+	// inTimeFor until groups no longer count as in time, in ms.
 	due, usefulFor, inTimeFor float64
 }
 
-// selection is what was decided for the groups of a step.
+// selection is the decision on the groups of a step.
 type selection struct {
-	// deferring: some groups are put off so that others are whole in time.
+	// deferring says that some groups are deferred so that others are complete in time.
 	deferring bool
-	// duration is how long all that the submitter waits for takes, from now, in ms.
+	// duration is how long all required groups take from now, in ms.
 	duration float64
-	// counts are the groups of each class, work the slot time of those waited for.
+	// counts is the number of groups of each class, work the slot time of the required ones.
 	counts [groupOptional + 1]int
 	work   float64
 }
 
-// selectGroups sorts the open groups of a step by what they have left and classifies them.
+// selectGroups sorts the open groups of a step by their remaining work and classifies them.
 //
-// The load it answers: a step that needs more than its share of the engines does until it
-// is due. Work on all of its groups at once ends them all together, after that time. The
-// groups with the least left, one after the other, are the most that can be whole by any
-// time, as far as single long texts do not decide; a group with a text that ends too late
-// wherever it starts gives way to the next.
+// If a step needs more than its share of the engines can do until it is due, work on all of its
+// groups at once completes all of them too late. Processing the groups one after the other, those
+// with the least remaining work first, completes the most groups by any given time, unless single
+// long texts decide. A group with a text that ends too late wherever it starts gives way to the
+// next group.
 func selectGroups(n stepNeed) selection {
 	slices.SortFunc(n.groups, func(a, b groupNeed) int {
 		return cmp.Or(cmp.Compare(a.work, b.work), cmp.Compare(a.longest, b.longest), cmp.Compare(a.id, b.id))
@@ -104,12 +106,12 @@
 		longest = max(longest, g.longest)
 	}
 	if all/n.slots <= longest && longest <= n.due {
-		// A single text decides when the step is whole. Which one that is, is not known
-		// well enough to leave its group out, and it costs the others nothing.
+		// A single text decides when the step is complete. It is not known well enough which text
+		// that is to leave its group out, and including it costs the others nothing.
 		n.required = len(n.groups)
 	}
 	var s selection
-	open := max(n.required-carried, 0) // groups waited for beside the carried ones
+	open := max(n.required-carried, 0) // required groups besides the carried ones
 	longest = 0
 	for i := range n.groups {
 		g := &n.groups[i]
@@ -126,8 +128,8 @@
 	}
 	s.duration = max((n.priorWork+s.work)/n.slots, longest)
 	if s.deferring = s.duration > n.inTimeFor; s.deferring {
-		// The step can't end without the groups carried from the one before, however many
-		// others are whole, unless they end too late to be of use.
+		// The step cannot end without the groups carried over from the previous one, however many
+		// others are complete, unless these are too late to be useful.
 		slices.SortStableFunc(n.groups, func(a, b groupNeed) int {
 			return compareTrueFirst(n.goesFirst(a), n.goesFirst(b))
 		})
@@ -146,12 +148,13 @@
 	return s
 }
 
-// goesFirst says whether a group goes before those with less left.
+// goesFirst says whether a group precedes groups with less remaining work.
 func (n *stepNeed) goesFirst(g groupNeed) bool { return g.carried && g.longest <= n.usefulFor }
 
-// fill gives a class to the groups that are whole by a time, those with the least left
-// first, after the slot time of what goes before. It returns that with theirs. A spare group
-// takes the place of one that is waited for and can't be whole by then.
+// fill assigns a class to the groups that can be complete by a deadline, those with the least
+// remaining work first. prior is the slot time of the work before them. It returns the slot time
+// including the assigned groups. An optional group replaces a required one that cannot be complete
+// by the deadline.
 func (n *stepNeed) fill(class groupClass, prior, deadline float64) float64 {
 	chosen := 0
 	for _, g := range n.groups {
@@ -172,9 +175,8 @@
 	return prior
 }
 
-// placeReplaced gives a place to the groups whose place an optional one has taken, after the slot
-// time of all that were filled: the submitter still waits for those that are carried, and for
-// no other.
+// placeReplaced places the groups that optional ones have replaced, after the slot time of all
+// filled groups: the submitter still waits for carried groups, but not for the others.
 func (n *stepNeed) placeReplaced(end float64) {
 	for i := range n.groups {
 		switch g := &n.groups[i]; {
@@ -187,8 +189,8 @@
 	}
 }
 
-// rankGroups orders the waiting items of a batch by the groups that are selected.
-// before is the slot time of the batches that go first. It returns that with this batch's.
+// rankGroups orders the waiting items of a batch by the classes of their groups. prior is the slot
+// time of the batches that go first. It returns the slot time including this batch.
 func (p *Planner) rankGroups(o *openBatch, prior float64, now cf.Millis) float64 {
 	if p.limits.AllGroups || o.terms.Due == 0 || !p.lengths.started {
 		o.forgetRanking()
@@ -234,17 +236,17 @@
 	return prior + o.selection.work
 }
 
-// forgetRanking makes loads and refusals go without a ranking that holds no more.
+// forgetRanking discards an outdated ranking, so that loads and refusals are decided without it.
 func (o *openBatch) forgetRanking() { o.rankedAt, o.requiredWaiting = 0, 0 }
 
-// compareWork orders the waiting items of a batch: by the classes of their groups, and of
-// one class those first that have run, then long ones.
+// compareWork orders the waiting items of a batch by the class of their groups, then interrupted
+// items first, then by the latest start, then items with text first, then long items first.
 func compareWork(a, b *Work) int {
 	return cmp.Or(cmp.Compare(a.class, b.class), compareTrueFirst(a.interrupted, b.interrupted), cmp.Compare(a.latestStart, b.latestStart), compareTrueFirst(a.Text.Last > 0, b.Text.Last > 0),
 		cmp.Compare(b.Item.LengthHint, a.Item.LengthHint), cmp.Compare(a.submitOrder, b.submitOrder))
 }
 
-// compareTrueFirst orders what is true before what is not.
+// compareTrueFirst orders true before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -256,8 +258,8 @@
 	}
 }
 
-// stepNeed returns the groups of a batch with open items, and for how many of them its
-// submitter waits.
+// stepNeed returns the groups of a batch with open items, and how many of them its submitter waits
+// for.
 func (p *Planner) stepNeed(o *openBatch, pace float64) stepNeed {
 	var n stepNeed
 	at := map[cf.GroupID]int{}
@@ -279,22 +281,22 @@
 		add(w)
 	}
 	target := o.batch.Sub.TargetGroups
-	if target == 0 { // not given: all groups are waited for
+	if target == 0 { // without a target all groups are required
 		target = o.batch.GroupCount()
 	}
 	n.required = max(target-(o.batch.GroupCount()-len(n.groups)), 0)
 	return n
 }
 
-// boundedRemaining is what left returns, and no more than the longest text so far had: where a
-// hint is high it is mostly too high, and models bound the length of their texts.
+// boundedRemaining is like remaining, but assumes that no text becomes longer than the longest one
+// so far: high hints are usually too high, and models limit the length of their texts.
 func (p *Planner) boundedRemaining(w *Work) float64 {
 	generated := w.generated()
 	length := generated + p.remaining(w)
 	if p.hints.hinted > 0 {
 		length = p.hints.expected(w.Item, &p.lengths)
 	}
-	surplus := generated // what a text may have to come that is as long as was expected
+	surplus := generated // what a text may still have after reaching its expected length
 	if p.hints.texts >= minTextsForLongest && generated < p.longestText {
 		length, surplus = min(length, p.longestText), min(surplus, p.longestText-generated)
 	}
@@ -302,8 +304,8 @@
 	return max(left, 1)
 }
 
-// capacity returns the events that a batch's engines make in a ms with all slots taken, and
-// what an event takes at a usual one of them; zero while no pace is known.
+// capacity returns the number of events per ms that a batch's engines make with all slots in use,
+// and the time of an event at a typical engine. Both are zero while no pace is known.
 func (p *Planner) capacity(o *openBatch) (rate, pace float64) {
 	if pace = p.queueOf(o).pace; pace == 0 {
 		return 0, 0
@@ -320,11 +322,11 @@
 	return rate, pace
 }
 
-// awaitedEngines returns the engines that run an item on which the end of a step depends, of a
-// batch whose groups were ranked. They should not load weights before another batch asks
-// for it: a run stands still during a load, and the longest texts of a step decide when it
-// is whole. Engines whose runs end a load's time before the step load as soon as nothing
-// waits: few may load at once, and not all would have loaded when the next step comes.
+// awaitedEngines returns the engines whose runs decide when a step with ranked groups ends. They
+// should not load weights before another batch needs it, because a load interrupts a run and the
+// longest texts of a step decide when it is complete. Engines whose runs end a load's duration
+// before the step load as soon as no item waits for them: only a few may load at once, and not all
+// would have loaded by the next step otherwise.
 func (p *Planner) awaitedEngines() map[*Engine]bool {
 	out := map[*Engine]bool{}
 	if p.limits.LoadUnderRuns {
@@ -350,8 +352,8 @@
 	return out
 }
 
-// delayedByLoads says whether a batch has items waiting that an engine's load would hold up:
-// those of groups that its trainer does not wait for may wait for the load.
+// delayedByLoads says whether a batch has waiting items that a load would delay. Items of groups
+// that are not required may wait for the load.
 func (o *openBatch) delayedByLoads() bool {
 	return len(o.waiting) > 0 && !o.paused && (o.rankedAt == 0 || o.requiredWaiting > 0)
 }
--- a/core/cfrollout/isolation.go
+++ b/core/cfrollout/isolation.go
@@ -6,24 +6,26 @@
 	cf "currantford"
 )
 
-// maxIsolatedShare is the part of a share's engines that may be set apart at once, though one of two
-// or three always may: the others must take what else waits.
+// maxIsolatedShare is the part of a share's engines that may be isolated at once, so that the
+// others can take the remaining items. In a share of two or three engines, one may always be
+// isolated.
 const maxIsolatedShare = 0.25
 
 // Admission says whether an item may be sent to an engine now.
 type Admission struct {
 	Allowed bool
-	// TryOthers: it may be to another.
+	// TryOthers says that another engine may take the item.
 	TryOthers bool
-	// RetryAt is when an item that pauses is tried again, zero if it does not.
+	// RetryAt is when a paused item may be tried again, zero if the item is not paused.
 	RetryAt cf.Millis
-	// MaxRuns is how many runs an engine may have with the item, zero for no bound: engines
-	// crashed under it, so it is to be set apart.
+	// MaxRuns is how many runs an engine may have while it runs the item, zero for no limit. A
+	// limit means that engines have crashed while they ran the item, so it must run at an isolated
+	// engine.
 	MaxRuns int
 }
 
-// admit returns the engine to which an item may be sent: e, the one that was chosen,
-// or another where it may not meet what runs there; nil if it may be sent to none.
+// admit returns an engine to which an item may be sent: e, the chosen engine, or another one if the
+// item must not run together with the runs at e. It returns nil if no engine may get the item.
 func (p *Planner) admit(engines []*Engine, q queue, w *Work, e *Engine, assumed float64, now cf.Millis) *Engine {
 	w.isolated = false
 	if p.limits.Admit == nil {
@@ -40,8 +42,8 @@
 		case !a.TryOthers:
 			return p.isolate(engines, q, w, assumed, now)
 		}
-		// What this item may not meet there others may not either: each engine is found so
-		// once in a look.
+		// Other items may not be allowed there either, so each engine is rejected at most once per
+		// planning pass.
 		p.conflicts[e] = true
 		rest := slices.DeleteFunc(slices.Clone(engines), func(o *Engine) bool { return p.conflicts[o] })
 		e = p.choose(rest, w, assumed, now)
@@ -52,11 +54,11 @@
 	return nil
 }
 
-// isolate returns the engine for an item that is to have few others beside it, or none: the one
-// that runs least, which is then set apart. Where as many are as may be, the item joins others at
-// one of them; where it can't, it goes wherever there is room, as it would wait for too long. Two
-// items that lost the same engines are tried at the same time, and must not meet again as long as
-// that can be helped.
+// isolate returns the engine for an item that may run only with few others or none: the least busy
+// engine, which becomes isolated. If the maximum number of engines is already isolated, the item
+// joins others at one of them. If it cannot, it goes to any engine with room, since it would wait
+// too long otherwise. Two items whose engines crashed together are retried at the same time, and
+// should be kept apart if possible.
 func (p *Planner) isolate(engines []*Engine, q queue, w *Work, assumed float64, now cf.Millis) *Engine {
 	var joined, leastBusy *Engine
 	isolated := 0
@@ -100,7 +102,7 @@
 	return e
 }
 
-// betterForIsolation says whether an engine suits an item that is set apart better than another.
+// betterForIsolation says whether an engine suits an isolated item better than another.
 func (p *Planner) betterForIsolation(q queue, e, other *Engine, assumed float64) bool {
 	if slow := p.isSlow(q, e); slow != p.isSlow(q, other) {
 		return !slow
@@ -111,7 +113,7 @@
 	return p.expectedPace(e, assumed) < p.expectedPace(other, assumed)
 }
 
-// applyIsolationLimit bounds what else may run beside an item that runs set apart.
+// applyIsolationLimit limits the other runs at the engine of an isolated item.
 func (w *Work) applyIsolationLimit() {
 	if !w.isolated || w.engine == nil {
 		return
@@ -121,10 +123,11 @@
 	}
 }
 
-// WaitingSince returns when the item's last run ended, or since when it waits for its first.
+// WaitingSince returns when the item's latest run ended, or since when it waits for its first run.
 func (w *Work) WaitingSince() cf.Millis { return w.waitingSince }
 
-// IsolationLimit returns how many runs an engine may have with the item while it runs, zero for no bound.
+// IsolationLimit returns how many runs the engine may have while it runs the item, zero for no
+// limit.
 func (w *Work) IsolationLimit() int {
 	if w.isolated {
 		return w.maxRuns
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -8,55 +8,51 @@
 )
 
 const (
-	// paceWeight is the weight of the newest observation of an engine's
-	// pace.
+	// paceWeight is the weight of a new observation of an engine's pace.
 	paceWeight = 0.3
-	// minPaceEvents and paceSpan are what a run must have shown before its
-	// pace counts: the first events of a run come in bursts.
+	// minPaceEvents and minPaceSpan are the number of events and the time after which a run's pace
+	// counts, because the first events of a run come in bursts.
 	minPaceEvents           = 4
 	minPaceSpan   cf.Millis = 200
-	// gapWeight is the weight of the newest gap between events in a run's
-	// pace: an engine that turns slow shows within some five events, where the
-	// mean over the whole run would take seconds.
+	// gapWeight is the weight of a new gap between events in a run's pace. An engine that becomes
+	// slow shows within about five events; the mean over the whole run would take seconds.
 	gapWeight = 0.2
-	// slowFactor is how many times slower than its share an engine is that gets
-	// only what it ends before another would.
+	// slowFactor is how many times slower than its share an engine must be to count as slow. Slow
+	// engines get only items that end there sooner than they would end after waiting for another
+	// engine.
 	slowFactor = 1.8
-	// lengthWeight is the weight of the newest text in what is known of the
-	// lengths of texts, about those of two steps.
+	// lengthWeight is the weight of a new text in the mean lengths, which average over about two
+	// steps.
 	lengthWeight = 0.005
-	// minMoveGain is the least that a move must be expected to save: a moved
-	// run reads its text again, loses the event under way, and costs a
-	// connection.
+	// minMoveGain is the least time that a move must be expected to save, in ms. A moved run
+	// processes its text again, loses the current event and needs a connection.
 	minMoveGain = 250
-	// maxGainDoublings bounds how often that is doubled.
+	// maxGainDoublings limits how often minMoveGain is doubled.
 	maxGainDoublings = 5
-	// minMoveSpeedup is how many times faster the other engine must be: what is
-	// known of paces is within some 10% of what a run then shows.
+	// minMoveSpeedup is how many times faster the new engine must be. Known paces are accurate to
+	// about 10%.
 	minMoveSpeedup = 1.25
-	// residualShare is what a run is expected to have left, as a part of what it
-	// has made: lengths are spread widely, so one that has made more has
-	// more to come.
+	// residualShare is the minimum remaining length of a run, as a part of the text generated so
+	// far. Lengths vary widely, so a run that has generated more is expected to have more to come.
 	residualShare = 0.5
-	// minMoveInterval is how long a run stays after it was moved: the pace of its
-	// new engine must show first.
+	// minMoveInterval is how long a run stays after a move, because the pace of its new engine must
+	// show first.
 	minMoveInterval cf.Millis = 800
 )
 
-// Progress is what a run has shown so far. The run notes it, the planner
-// reads it.
+// Progress is the observed progress of a run. The run updates it, and the planner reads it.
 type Progress struct {
 	first       atomic.Int64 // Uptime of the first event
 	last        atomic.Int64
 	events      atomic.Int64
-	smoothedGap atomic.Int64 // smoothed time between events, in microseconds
-	latestGap   atomic.Int64 // time between the last two, in microseconds
-	// seenUntil is the time until which all events are known, zero where each is
-	// noted as it comes.
+	smoothedGap atomic.Int64 // moving average of the time between events, in microseconds
+	latestGap   atomic.Int64 // time between the last two events, in microseconds
+	// seenUntil is the time until which all events are known, zero if each event is recorded as it
+	// arrives.
 	seenUntil atomic.Int64
 }
 
-// Note records an event at now. One goroutine at a time calls it.
+// Note records an event at now. It must not be called concurrently.
 func (p *Progress) Note(now cf.Millis) {
 	if !p.first.CompareAndSwap(0, int64(now)) {
 		gap := float64(int64(now)-p.last.Load()) * 1000
@@ -70,11 +66,11 @@
 	p.events.Add(1)
 }
 
-// SeenUntil records that all events until at are known. An engine that merely has not
-// been heard of for a while is not taken for one that has stopped sending.
+// SeenUntil records that all events until at are known, so that an engine from which no news has
+// arrived does not count as one that has stopped sending.
 func (p *Progress) SeenUntil(at cf.Millis) { p.seenUntil.Store(int64(at)) }
 
-// reset forgets the run before.
+// reset clears the progress of the previous run.
 func (p *Progress) reset() {
 	p.seenUntil.Store(0)
 	p.first.Store(0)
@@ -84,8 +80,8 @@
 	p.latestGap.Store(0)
 }
 
-// pace returns the milliseconds that an event takes, as seen at now: a run
-// that has stopped sending gets slower as time passes.
+// pace returns the time of an event in ms as observed at now. The pace of a run that has stopped
+// sending rises over time.
 func (p *Progress) pace(now cf.Millis) (float64, bool) {
 	first, events := cf.Millis(p.first.Load()), p.events.Load()
 	if events < minPaceEvents || now-first < minPaceSpan {
@@ -96,12 +92,12 @@
 		now = min(now, seen)
 	}
 	if silent := float64(now - cf.Millis(p.last.Load())); silent > 3*pace {
-		pace += gapWeight * (silent - pace) // as if the next event came now
+		pace += gapWeight * (silent - pace) // as if the next event arrived now
 	}
 	return pace, true
 }
 
-// updatePaces updates the engines' pace from their runs.
+// updatePaces updates the engines' paces from their runs.
 func (p *Planner) updatePaces(now cf.Millis) {
 	sum, count := map[*Engine]float64{}, map[*Engine]float64{}
 	samples := p.newPaceSamples(now)
@@ -122,7 +118,7 @@
 		if usual := e.state.BaselinePace(); byPeriods && e.pace > 0 && usual > 0 {
 			e.pace = min(max(e.pace, usual/lastingSlowdown), usual)
 			if !e.state.Quiet(minNormalTime, now) {
-				continue // it shows a period or a load, not the engine or what its runs cost
+				continue // the pace shows a slow period or a load, not the engine or the cost of its runs
 			}
 		}
 		pace := sum[e] / n
@@ -146,7 +142,8 @@
 	}
 }
 
-// expectedPace is what an event would take on an engine with one more run.
+// expectedPace returns the expected time of an event at an engine with one more run. assumed is the
+// pace of an engine that has not shown its own.
 func (p *Planner) expectedPace(e *Engine, assumed float64) float64 {
 	pace := e.pace
 	if pace == 0 {
@@ -155,17 +152,17 @@
 	return pace * p.slotCost.factor(e.Running+1)
 }
 
-// fullPace is what an event would take on an engine whose slots are all taken.
+// fullPace returns the time of an event at an engine with all slots in use.
 func (p *Planner) fullPace(e *Engine) float64 { return e.pace * p.slotCost.factor(e.Slots) }
 
-// Pace returns the milliseconds that an event takes with one run, zero where
-// it has not shown yet.
+// Pace returns the time of an event with a single run, in ms, zero until it was observed.
 func (e *Engine) Pace() float64 { return e.pace }
 
-// paceCacheTime is how long what is usual counts.
+// paceCacheTime is how long the result of assumedPace is reused.
 const paceCacheTime cf.Millis = 200
 
-// assumedPace is the pace assumed of an engine that has not shown its own.
+// assumedPace returns the pace assumed for an engine that has not shown its own: the median of the
+// others.
 func (p *Planner) assumedPace() float64 {
 	if p.cachedPaceAt >= 0 && p.now-p.cachedPaceAt < paceCacheTime && p.now >= p.cachedPaceAt {
 		return p.cachedPace
@@ -180,7 +177,7 @@
 	}
 	p.cachedPace, p.cachedPaceAt = 1, p.now
 	if len(paces) == 0 {
-		p.cachedPaceAt = -1 // the first that shows counts at once
+		p.cachedPaceAt = -1 // use the first observed pace immediately
 		return p.cachedPace
 	}
 	slices.Sort(paces)
@@ -188,8 +185,8 @@
 	return p.cachedPace
 }
 
-// TypicalPace returns the milliseconds that an event takes with one run at a usual engine, zero
-// while none has shown it.
+// TypicalPace returns the time of an event with a single run at a typical engine, in ms, zero until
+// a pace was observed.
 func (p *Planner) TypicalPace() float64 {
 	if pace := p.assumedPace(); p.cachedPaceAt >= 0 {
 		return pace
@@ -197,10 +194,9 @@
 	return 0
 }
 
-// Moves returns the runs to stop because another engine would finish them
-// sooner, and makes them wait for any engine but theirs. The load it answers:
-// an engine turns several times slower in mid-step, and the step would wait
-// for its longest item there.
+// Moves returns the runs to stop because another engine would finish them sooner, and keeps them
+// from returning to their engine. When an engine becomes several times slower during a step, the
+// step would otherwise wait for its longest item there.
 func (p *Planner) Moves(now cf.Millis) []*Work {
 	p.now = now
 	p.updatePaces(now)
@@ -228,7 +224,7 @@
 	return out
 }
 
-// movesToFreeSlots returns the runs that would end sooner at an engine with room.
+// movesToFreeSlots returns the runs that would end sooner at an engine with a free slot.
 func (p *Planner) movesToFreeSlots(o *openBatch, assumed float64, now cf.Millis) []*Work {
 	room := &fastestFree{planner: p, engines: p.enginesFor(o), assumed: assumed, taken: map[cf.InstanceID]int{}}
 	var out []*Work
@@ -241,11 +237,11 @@
 	return out
 }
 
-// urgentMoves returns the runs at slow engines that are worth more than the items
-// that wait: each stands first in line for the next slot that frees. The load it
-// answers: a step several times the slots, whose long texts began at an engine
-// that then turned slow; by the time that nothing waits they are late for good.
-// A few at a time, since a slot frees every few milliseconds.
+// urgentMoves returns the runs at slow engines that matter more than the waiting items; each goes
+// to the front of the queue for the next free slot. In a step with several times more items than
+// slots, the long texts may have started at an engine that became slow later, and once no item
+// waits it is too late for them to be in time. Only a few runs move at a time, since a slot becomes
+// free every few milliseconds.
 func (p *Planner) urgentMoves(o *openBatch, now cf.Millis) []*Work {
 	q := p.queueOf(o)
 	if q.pace == 0 {
@@ -266,29 +262,28 @@
 	return out
 }
 
-// slotsPerMove is for how many slots of a share one run may be moved at a look.
+// slotsPerMove is the number of slots of a share per run that may move in one planning pass.
 const slotsPerMove = 32
 
-// queue is how the waiting items of a batch are served.
+// queue describes how the waiting items of a batch are served.
 type queue struct {
-	// pace is what an event takes at a usual engine of the share that is full,
-	// zero while it is not known.
+	// pace is the time of an event at a typical full engine of the share, zero if unknown.
 	pace float64
-	// slots are those of the engines that are not slow.
+	// slots is the number of slots of the engines that are not slow.
 	slots int
-	// itemTime is what an item takes on average, in ms.
+	// itemTime is the average duration of an item, in ms.
 	itemTime float64
 }
 
-// queueOf returns how a batch's items are served.
+// queueOf returns the queue of a batch's items.
 func (p *Planner) queueOf(o *openBatch) queue {
 	return p.queueOver(p.enginesFor(o), func(e *Engine) bool {
 		return !e.Draining && e.versions[e.Model] >= o.batch.Sub.MinVersion
 	})
 }
 
-// queueFor returns how an item is served: one of a route for samples of one version may go
-// on with its text at engines of that version alone.
+// queueFor returns the queue of an item. An item of a route for samples of one version can continue
+// its text only at engines with that version.
 func (p *Planner) queueFor(q queue, o *openBatch, w *Work) queue {
 	if !w.Terms.SingleVersion || len(w.Text.Versions) == 0 {
 		return q
@@ -296,7 +291,7 @@
 	return p.queueOver(p.enginesFor(o), func(e *Engine) bool { return e.serves(w) })
 }
 
-// queueOver returns how those of some engines serve that do.
+// queueOver returns the queue of the engines for which serving returns true.
 func (p *Planner) queueOver(engines []*Engine, serving func(*Engine) bool) queue {
 	var paces []float64
 	for _, e := range engines {
@@ -318,12 +313,12 @@
 	return q
 }
 
-// isSlow says whether an engine is much slower than its share, for good or for now.
+// isSlow says whether an engine is much slower than its share, permanently or temporarily.
 func (p *Planner) isSlow(q queue, e *Engine) bool {
 	return q.pace > 0 && (p.fullPace(e) > slowFactor*q.pace || p.usesPeriods(p.now) && e.state.Slow(p.now))
 }
 
-// wait is how long the nth in line waits for a slot at a usual engine, in ms.
+// wait returns how long the nth waiting item waits for a slot at a usual engine, in ms.
 func (q queue) wait(n int) float64 {
 	if q.slots == 0 {
 		return 0
@@ -331,15 +326,15 @@
 	return float64(n) * q.itemTime / float64(q.slots)
 }
 
-// lengths is what is known of how long texts are.
+// lengths holds the average lengths of texts.
 type lengths struct {
-	mean       float64 // of a text, on average
-	meanHint   float64 // the guess of its submitter, on average, of those with one
-	meanHinted float64 // events of those
+	mean       float64 // mean events of a text
+	meanHint   float64 // mean hint of the texts with a hint
+	meanHinted float64 // mean events of the texts with a hint
 	started    bool
 }
 
-// note takes a text that is complete.
+// note records a complete text.
 func (l *lengths) note(w *Work) {
 	n, hint := float64(w.Text.Last), float64(w.Item.LengthHint)
 	if !l.started {
@@ -352,8 +347,7 @@
 	}
 }
 
-// expected returns the events that an item is expected to have, zero if nothing is
-// known.
+// expected returns the expected number of events of an item, zero if unknown.
 func (l *lengths) expected(it cf.Item) float64 {
 	if it.LengthHint > 0 && l.meanHint > 0 {
 		return float64(it.LengthHint) * l.meanHinted / l.meanHint
@@ -361,14 +355,14 @@
 	return l.mean
 }
 
-// remaining returns the events that an item is expected to have left.
+// remaining returns the number of events that an item is expected to have left.
 func (p *Planner) remaining(w *Work) float64 {
 	generated := w.generated()
 	return max(p.lengths.expected(w.Item)-generated, residualShare*generated)
 }
 
-// fastestFree finds the engine of a share on which one more run would be fastest,
-// and keeps it until a run has taken its slot.
+// fastestFree finds the engine of a share at which one more run would be fastest, and caches it
+// until a run takes its slot.
 type fastestFree struct {
 	planner *Planner
 	engines []*Engine
@@ -380,11 +374,11 @@
 }
 
 func (f *fastestFree) take(e *Engine) {
-	f.taken[e.ID]++ // its memory is counted when the run begins there
+	f.taken[e.ID]++ // its memory is counted when the run starts there
 	f.found = false
 }
 
-// find returns the engine, nil if none has room.
+// find returns the engine and its expected pace, nil if no engine has a free slot.
 func (f *fastestFree) find(now cf.Millis) (*Engine, float64) {
 	if f.found {
 		return f.best, f.pace
@@ -401,7 +395,7 @@
 	return f.best, f.pace
 }
 
-// betterEngine returns an engine that a run should move to.
+// betterEngine returns the engine that a run should move to, nil if there is none.
 func (p *Planner) betterEngine(room *fastestFree, w *Work, now cf.Millis) *Engine {
 	from := p.currentEngine(w)
 	if from == nil || w.moving || now-w.Started < minMoveInterval {
@@ -421,8 +415,8 @@
 	return best
 }
 
-// requiredGain is what a move must be expected to save, in ms. Each one doubles it: what
-// the moves before were to save they did not, so the estimate is not to be trusted.
+// requiredGain returns what a move must be expected to save, in ms. It doubles with each earlier
+// move, which did not save what was expected, so that the estimate cannot be trusted.
 func (w *Work) requiredGain() float64 {
 	return minMoveGain * float64(int(1)<<min(w.moves, maxGainDoublings))
 }
--- a/core/cfrollout/place.go
+++ b/core/cfrollout/place.go
@@ -11,18 +11,17 @@
 
 // Outcomes of a run.
 const (
-	// OutcomeDone: the text is complete.
+	// OutcomeDone means that the text is complete.
 	OutcomeDone Outcome = iota
-	// OutcomeFailed: the engine answered that the attempt failed.
+	// OutcomeFailed means that the engine reported a failed attempt.
 	OutcomeFailed
-	// OutcomePermanentFailure: the item can never be done.
+	// OutcomePermanentFailure means that the item can never be done.
 	OutcomePermanentFailure
-	// OutcomeNotRun: the engine was full or loading.
+	// OutcomeNotRun means that the engine was full or loading.
 	OutcomeNotRun
-	// OutcomeBroken: the stream broke off or stalled; it can be resumed.
+	// OutcomeBroken means that the stream broke or stalled. The text can be resumed.
 	OutcomeBroken
-	// OutcomeStopped: the run was stopped because its batch ended, or to
-	// move it.
+	// OutcomeStopped means that the run was stopped because its batch ended or to move it.
 	OutcomeStopped
 )
 
@@ -31,7 +30,7 @@
 	p.now = now
 	clear(p.conflicts)
 	if p.scarce || p.needsDivision {
-		p.divideEngines() // the models take turns
+		p.divideEngines() // models may have to take turns
 	}
 	var out []*Work
 	p.updateUsage()
@@ -47,8 +46,8 @@
 			continue
 		}
 		engines := p.enginesFor(o)
-		// Items that have not begun differ in nothing that matters here: if
-		// one finds no engine, the others find none.
+		// Items that have not started do not differ here: if one of them finds no engine, neither
+		// do the others.
 		full := false
 		q := p.queueOf(o)
 		rest := o.waiting[:0]
@@ -91,9 +90,9 @@
 	return out
 }
 
-// resetUnresumable drops a text that no engine can go on with: on a route for samples of
-// one version, the engines have all loaded another since. It would wait for
-// ever.
+// resetUnresumable discards a text that no engine can continue: the route asks for samples of one
+// version, and all engines have loaded another version since. The item would otherwise wait
+// forever.
 func (w *Work) resetUnresumable(engines []*Engine) {
 	if !w.Terms.SingleVersion || len(w.Text.Versions) == 0 {
 		return
@@ -117,7 +116,7 @@
 	}
 	e.Running++
 	if e.hasIdleConnection(now) {
-		e.idleConnections = e.idleConnections[:len(e.idleConnections)-1] // the run takes the one that was used last
+		e.idleConnections = e.idleConnections[:len(e.idleConnections)-1] // the run uses the most recently used connection
 	}
 	p.busyEngines[e.ID] = e
 	e.usedMemory += p.expectedMemory(w)
@@ -129,13 +128,14 @@
 	o.running[w.Item.ID], o.started = w, true
 }
 
-// choose returns the engine on which w would run fastest, preferring one that
-// runs the item's group already, and so has read its prompt, while it is not
-// much slower. Batching costs an engine little, so a fast engine is filled
-// before a slow one is used, as far as its memory goes. Of long items each goes to
-// the engine that has least to hold among those of about the best pace: the long
-// texts of a step must not meet in one memory. An engine whose memory would not hold
-// an item to its end is taken only if no other has a slot.
+// choose returns the engine at which w is expected to run fastest. It prefers an engine that
+// already runs the item's group, and so has processed its prompt, unless that engine is much
+// slower. Batching costs an engine little, so a fast engine is filled before a slow one is used, as
+// far as its memory allows.
+//
+// A long item goes to the engine with the least memory in use among those of about the best pace,
+// because the long texts of a step must not fill the memory of one engine. An engine that lacks the
+// memory for an item until its end is chosen only if no other engine has a free slot.
 func (p *Planner) choose(engines []*Engine, w *Work, assumed float64, now cf.Millis) *Engine {
 	if w.reservedEngine != nil {
 		if e := p.reservedFor(w, now); e != nil {
@@ -177,7 +177,7 @@
 	if !long {
 		return best
 	}
-	// The best pace is that of the engines which are quiet, if there are any.
+	// Compare with the best pace among the engines with the least expected delay.
 	lowDelayPace := math.Inf(1)
 	for _, f := range candidates {
 		if f.delay <= bestDelay+equalDelay {
@@ -195,11 +195,11 @@
 	return leastUsed
 }
 
-// warmFactor makes an engine to which a connection is kept count as so much faster: another
-// costs it a handshake, in which it serves nobody.
+// warmFactor is the factor on the pace of an engine with an idle connection. A new connection costs
+// the engine a handshake, during which it serves nothing.
 const warmFactor = 0.94
 
-// hasIdleConnection says whether a connection to the engine is kept that nobody uses.
+// hasIdleConnection says whether there is an idle connection to the engine.
 func (e *Engine) hasIdleConnection(now cf.Millis) bool {
 	for len(e.idleConnections) > 0 && e.idleConnections[0] <= now {
 		e.idleConnections = e.idleConnections[1:]
@@ -207,31 +207,32 @@
 	return len(e.idleConnections) > 0
 }
 
-// ConnectionKept records that the connection of a run, which has not been noted as finished, is kept
-// until then.
+// ConnectionKept records that the connection of a run stays open for reuse until the given time. It
+// must be called before Finished for that run.
 func (p *Planner) ConnectionKept(w *Work, until cf.Millis) {
 	if e := p.currentEngine(w); e != nil && len(e.idleConnections) < e.Slots {
 		e.idleConnections = append(e.idleConnections, until)
 	}
 }
 
-// candidate is an engine with what an event would take there, and how much longer a run
-// because the engine is slow for a while, or may be.
+// candidate is an engine with the expected time of an event there, and the expected delay of a run
+// from temporary slowness.
 type candidate struct {
 	engine *Engine
 	pace   float64
 	delay  float64
 }
 
-// equalDelay is how much longer than at the quietest engine a long text may be expected to take
-// at one that holds less, in ms: a third of what an engine costs that was not seen of late.
+// equalDelay is the difference of expected delays, in ms, below which engines count as equal for a
+// long text, so that the one with less memory in use is chosen. It is a third of the expected delay
+// at an engine that was not observed recently.
 const equalDelay = 20
 
-// shouldWait says whether an item that is nth in line ends sooner if it waits for
-// a usual engine than if it starts at a slow one. Long texts do, and a step is
-// worth nothing before its last.
+// shouldWait says whether the nth waiting item would end sooner by waiting for a usual engine than
+// by starting at a slow one. This is so for long texts, and a step is useless until its last text
+// is complete.
 func (p *Planner) shouldWait(q queue, w *Work, slow *Engine, nth int) bool {
-	if p.usesPeriods(p.now) && p.fullPace(slow) <= slowFactor*q.pace { // it is slow for now
+	if p.usesPeriods(p.now) && p.fullPace(slow) <= slowFactor*q.pace { // slow only temporarily
 		return q.slots > 0 && p.IsLong(w) && p.periods.Delay(&slow.state, p.remaining(w)*q.pace, p.now) > q.wait(nth)
 	}
 	return p.remaining(w)*(p.fullPace(slow)-q.pace) > q.wait(nth)
@@ -240,7 +241,7 @@
 // canStart says whether an engine can start an item now.
 func (e *Engine) canStart(w *Work, now cf.Millis) bool { return e.hasFreeSlot() && e.accepts(w, now) }
 
-// accepts says whether an engine can start an item now, if it has room.
+// accepts says whether an engine can start an item now, provided that it has a slot.
 func (e *Engine) accepts(w *Work, now cf.Millis) bool {
 	if e.ID == w.AvoidEngine && now < w.avoidUntil {
 		return false
@@ -248,14 +249,14 @@
 	return now >= e.avoidUntil && e.loading == 0 && e.serves(w)
 }
 
-// hasFreeSlot says whether an engine has a slot that is neither taken nor kept for a run, and is
-// not set apart.
+// hasFreeSlot says whether an engine has a slot that is neither used nor reserved, and is not
+// isolated.
 func (e *Engine) hasFreeSlot() bool { return e.isolationLimit == 0 && e.hasRoom() }
 
-// hasRoom says whether an engine has a slot that is neither taken nor kept for a run.
+// hasRoom says whether an engine has a slot that is neither used nor reserved.
 func (e *Engine) hasRoom() bool { return e.Running+e.reserved < e.Slots }
 
-// serves says whether an engine is of the item's share and its weights fit.
+// serves says whether an engine belongs to the item's share and holds suitable weights.
 func (e *Engine) serves(w *Work) bool {
 	if e.Draining || e.Service != w.Terms.Service || e.Model != w.Batch.Sub.Model {
 		return false
@@ -270,8 +271,8 @@
 	return true
 }
 
-// Finished takes the end of a run. It returns true when the item is to be
-// listed, as done or as failed; otherwise it waits again.
+// Finished records the end of a run. It returns true if the item is to be listed, as done or as
+// failed. Otherwise the item waits again.
 func (p *Planner) Finished(w *Work, outcome Outcome, now cf.Millis) (list bool) {
 	p.runEnded(w, outcome, now)
 	w.Engine, w.engine, w.resumeAfter, w.waitingSince = "", nil, w.Text.Last, now
@@ -283,8 +284,8 @@
 		delete(o.running, w.Item.ID)
 	}
 	if w.mixesVersions() {
-		// An order that was carried out late, or given between two steps, has
-		// changed the weights under the run. It begins anew.
+		// An order that was carried out late, or given between two steps, has changed the weights
+		// during the run. The item starts from the beginning.
 		w.Text = Text{}
 		if outcome == OutcomeDone {
 			outcome = OutcomeStopped
@@ -308,16 +309,16 @@
 	case outcome == OutcomeDone, outcome == OutcomePermanentFailure, w.Failures >= max(w.Terms.MaxAttempts, 1):
 		return true
 	}
-	// First in line: others of its group have run, and the step waits for it.
+	// The item goes to the front: others of its group have already run, and the step waits for it.
 	w.interrupted, o.rankingStale = true, true
 	o.waiting = append([]*Work{w}, o.waiting...)
 	return false
 }
 
-// mixesVersions says whether a text was made by several versions where one is asked for.
+// mixesVersions says whether several versions made a text for which the route asks for one.
 func (w *Work) mixesVersions() bool { return w.Terms.SingleVersion && len(w.Text.Versions) > 1 }
 
-// penalize keeps new items off an engine for a while after it failed one.
+// penalize makes new items avoid an engine for a while after it failed or refused one.
 func (p *Planner) penalize(e *Engine, outcome Outcome, now cf.Millis) {
 	switch outcome {
 	case OutcomeNotRun:
@@ -327,9 +328,8 @@
 	}
 }
 
-// Expire returns the waiting items of batches that have waited for longer
-// than their route allows, as of the wall clock; they are to be listed as
-// failed.
+// Expire removes and returns the waiting items of batches that have waited longer than their route
+// allows, by the wall clock. They are to be listed as failed.
 func (p *Planner) Expire(wall cf.Millis) []*Work {
 	var out []*Work
 	for id, o := range p.batches {
@@ -342,8 +342,7 @@
 	return out
 }
 
-// GiveUpAfter returns how long after its acceptance a batch's items are given up,
-// zero if they never are.
+// GiveUpAfter returns how long after its acceptance a batch's items expire, zero if they never do.
 func (p *Planner) GiveUpAfter(id cf.BatchID) cf.Millis {
 	o := p.batches[id]
 	if o == nil || o.terms.MaxWait <= 0 {
@@ -352,7 +351,7 @@
 	return o.terms.MaxWait + clockSlack
 }
 
-// clockSlack covers the difference between the wall clocks of the instance
-// that accepted a batch and of the one that gives its items up: an item given
-// up too early breaks a promise, one given up late costs nothing.
+// clockSlack covers the difference between the wall clocks of the instance that accepted a batch
+// and the one that expires its items. Expiring an item too early breaks a promise, and expiring it
+// late costs nothing.
 const clockSlack cf.Millis = 5000
--- a/core/cfrollout/slowperiods.go
+++ b/core/cfrollout/slowperiods.go
@@ -10,67 +10,68 @@
 )
 
 const (
-	// minRunTime is the least time between the start of a run and a move of it: its first
-	// events come late, after its text was read, or in a burst, and tell nothing.
+	// minRunTime is the minimum time between the start of a run and its move. The first events say
+	// nothing about the engine, because they come late, after the text was processed, or in a
+	// burst.
 	minRunTime cf.Millis = 300
-	// minRunEvents and ownSlower are how many events a run must have had from an engine, and how
-	// many times slower than the engine's lasting pace they must be, for it to leave: the
+	// minRunEvents and minRunSlowdown are how many events a run must have had, and how many times
+	// slower than the engine's lasting pace they must be, before the run leaves a slow engine: the
 	// engine's pace is that of all its runs.
 	minRunEvents   = 3
 	minRunSlowdown = 1.25
-	// minPeriodGain is the least that a move must save, in ms, and periodGainMore what is
-	// added for each move of that run before: what is left of a period is known within some
-	// 100 ms, and a connection is paid for.
+	// minPeriodGain is the least time that a move must save, in ms, and gainPerMove what each
+	// earlier move of the run adds to it. The rest of a slow period is known to within about 100
+	// ms, and a move costs a connection.
 	minPeriodGain = 100.0
 	gainPerMove   = 20.0
-	// maxPeriodMoves bounds the moves of one run: the longest text of a step meets two or
-	// three periods, and one more for each engine that was slow as well.
+	// maxPeriodMoves limits the moves of one run. The longest text of a step meets two or three
+	// slow periods, and needs one more move for each destination that is slow as well.
 	maxPeriodMoves = 6
-	// minRemainingShare is the least part of the longest text's rest that a run must have left to
-	// be moved: others end long before their step. A fifth saved a fifth of the moves of a
-	// replay and cost the step 15 ms; half of it cost 90 ms.
+	// minRemainingShare is the least remaining length of a run that may move, as a part of the
+	// longest remaining length of its step. Shorter runs end long before their step. In a replay, a
+	// fifth saved a fifth of the moves and cost the step 15 ms; a half cost 90 ms.
 	minRemainingShare = 0.2
-	// reservationTimeout is how long a slot is kept for a run that moves to it. Its stop
-	// takes some ten ms, and up to half a second where the instance that holds its stream is slow.
+	// reservationTimeout is how long a slot is reserved for a moving run. Stopping the run takes
+	// about ten ms, and up to half a second if the instance that holds its stream is slow.
 	reservationTimeout cf.Millis = 600
-	// lastingSlowdown is how many times slower for good an engine must be that a run leaves while
-	// it is not in a slow period: full engines are up to 1.25 times slower than empty ones.
+	// lastingSlowdown is how many times slower an engine must be permanently for a run to leave it
+	// outside of a slow period. Full engines are up to 1.25 times slower than empty ones.
 	lastingSlowdown = 1.4
-	// stallMargin is how long after a stall events may still be read late.
+	// stallMargin is how long after a stall of this process events may still be read late.
 	stallMargin cf.Millis = 5
-	// suspectMinEngines is from how many engines on it is their reference, or a delay here, that
-	// makes most of them look slow.
+	// suspectMinEngines is the number of engines from which on a majority of slow ones is
+	// attributed to their reference pace or to a delay in this process.
 	suspectMinEngines = 4
-	// minNormalTime is how long an engine must not be slow until its smoothed pace is free
-	// of a period.
+	// minNormalTime is how long an engine must not be slow before its smoothed pace is unaffected
+	// by a slow period.
 	minNormalTime cf.Millis = 500
 )
 
 type (
-	// Move is why a run was last moved, for logs and metrics.
+	// Move explains the latest move of a run, for logs and metrics.
 	Move struct {
-		// FromSlowPeriod says that its engine had turned slow for a while; else the other engine
-		// is faster for good.
+		// FromSlowPeriod says that the engine had become slow temporarily; otherwise the other
+		// engine is permanently faster.
 		FromSlowPeriod bool
-		// To is the engine that keeps a slot for it.
+		// To is the engine with the reserved slot.
 		To cf.InstanceID
-		// Saving is what the move was expected to save, Cost what one costs as observed,
-		// and SlowTimeLeft how much longer its engine was expected to be slow, in ms.
+		// Saving is what the move was expected to save, Cost the observed cost of a move, and
+		// SlowTimeLeft how much longer the engine was expected to be slow, all in ms.
 		Saving, Cost, SlowTimeLeft float64
 	}
 
 	// SlowPeriods is what was observed of the periods in which engines are slow.
 	SlowPeriods struct {
-		// Known says that decisions go by them.
+		// Known says that decisions are based on the observations.
 		Known bool
-		// Mean is how long one lasts, in ms, Share the part of the time that engines are
-		// slow, and Slowdown how many times slower they are.
+		// Mean is the mean duration of a slow period in ms, Share the part of the time in which
+		// engines are slow, and Slowdown how many times slower they are then.
 		Mean, Share, Slowdown float64
-		// MoveCost is what a move of a run costs, in ms.
+		// MoveCost is the cost of moving a run, in ms.
 		MoveCost float64
 	}
 
-	// paceSamples is what the events of the engines' runs show at a moment.
+	// paceSamples holds the paces of the engines' runs at one moment.
 	paceSamples struct {
 		now     cf.Millis
 		planner *Planner
@@ -83,13 +84,13 @@
 	}
 )
 
-// usesPeriods says whether periods of slowness were observed, and count.
+// usesPeriods says whether slow periods were observed and are to be used in decisions.
 func (p *Planner) usesPeriods(now cf.Millis) bool {
 	return !p.limits.NoSlowPeriods && p.periods.Reliable(now)
 }
 
-// latestPace returns what the latest event took, or what the one under way has taken if that
-// is more, and as of when.
+// latestPace returns the time of the latest event, or of the current one if it has already taken
+// longer, and the time of that observation.
 func (p *Progress) latestPace(now cf.Millis) (pace float64, at cf.Millis, ok bool) {
 	gap := float64(p.latestGap.Load()) / 1000
 	if p.events.Load() < minRunEvents {
@@ -102,7 +103,7 @@
 	return max(gap, float64(now-last)), max(now, last), true
 }
 
-// currentGap is how long the event under way has taken.
+// currentGap returns how long the current event has taken so far.
 func (p *Progress) currentGap(now cf.Millis) cf.Millis {
 	last := cf.Millis(p.last.Load())
 	if last == 0 {
@@ -111,19 +112,19 @@
 	return max(now-last, 0)
 }
 
-// ProcessStalled records that the process did nothing until an Uptime: the events of its own streams
-// came late, and those after it in bursts.
+// ProcessStalled records that this process did nothing until an Uptime. The events of its own
+// streams came late, and the following ones in bursts.
 func (p *Planner) ProcessStalled(until cf.Millis) { p.stalledUntil = until }
 
-// affectedByStall says whether the process was stalled within what a run's latest pace is made of.
+// affectedByStall says whether a stall of this process affects a run's latest pace.
 func (p *Planner) affectedByStall(r *Progress) bool {
-	if p.stalledUntil == 0 || r.seenUntil.Load() > 0 { // its host knows when events came
+	if p.stalledUntil == 0 || r.seenUntil.Load() > 0 { // the instance that reads the stream knows when events arrived
 		return false
 	}
 	return r.previousEvent() <= p.stalledUntil+stallMargin
 }
 
-// previousEvent is when the event before the latest was noted.
+// previousEvent returns when the event before the latest one was recorded.
 func (p *Progress) previousEvent() cf.Millis {
 	return cf.Millis(p.last.Load() - p.latestGap.Load()/1000)
 }
@@ -132,7 +133,7 @@
 	return &paceSamples{now: now, planner: p, engines: map[*Engine]*enginePace{}}
 }
 
-// add adds what a run shows of its engine.
+// add adds the pace of a run to the samples of its engine.
 func (s *paceSamples) add(w *Work, e *Engine) {
 	if first := cf.Millis(w.Progress.first.Load()); w.movedAt > 0 && w.Started >= w.movedAt && first > 0 {
 		s.planner.moveCost.Observe(float64(first-w.movedAt) - s.planner.expectedPace(e, s.planner.assumedPace()))
@@ -156,9 +157,9 @@
 	x.at = max(x.at, at)
 }
 
-// notePeriods takes the paces of a moment, of each engine the median of its runs'. If most
-// engines look slow, it is more likely that their events came late here, or that their lasting
-// paces are wrong: no period goes on.
+// notePeriods records the sampled paces, for each engine the median of its runs. If most engines
+// look slow, their events were probably read late by this process or their lasting paces are wrong,
+// so no slow period continues.
 func (p *Planner) notePeriods(s *paceSamples) {
 	usual := p.usualPace()
 	slow := 0
@@ -177,8 +178,8 @@
 	}
 }
 
-// usualPace is the lasting pace of a usual engine that has run something lately, zero if none
-// has.
+// usualPace returns the median lasting pace of the engines that were busy recently, zero if there
+// is none.
 func (p *Planner) usualPace() float64 {
 	var paces []float64
 	for _, e := range p.busyEngines {
@@ -193,8 +194,8 @@
 	return paces[(len(paces)-1)/2]
 }
 
-// expectedDelay is how much longer the events that are left are expected to take at an engine because
-// it is slow for a while, or may be, in ms.
+// expectedDelay returns how much longer the given number of remaining events is expected to take at
+// an engine because of current or future slow periods, in ms.
 func (p *Planner) expectedDelay(e *Engine, left float64, now cf.Millis) float64 {
 	if !p.usesPeriods(now) {
 		return 0
@@ -202,10 +203,10 @@
 	return p.periods.Delay(&e.state, left*max(e.pace, 1), now)
 }
 
-// periodMoves returns the runs that end sooner elsewhere, by how long engines were observed to
-// stay slow, each with a slot that is kept for it. The load it answers: each engine is 2.5 times
-// slower for 15% of the time, in periods of some 600 ms, and a group counts when its longest text
-// is complete.
+// periodMoves returns the runs that are expected to end sooner elsewhere, given how long engines
+// usually stay slow. Each has a slot reserved at its destination. Engines may be 2.5 times slower
+// for 15% of the time, in periods of about 600 ms, and a group counts only when its longest text is
+// complete.
 func (p *Planner) periodMoves(o *openBatch, now cf.Millis) []*Work {
 	longest := 0.0
 	for _, w := range o.running {
@@ -234,8 +235,8 @@
 		if to == nil {
 			continue
 		}
-		// What more runs cost is learned within some percent, of which a long text would make
-		// half a second: only a lasting pace that is clearly lower counts.
+		// The effect of more runs on the pace is known to within a few percent, which for a long
+		// text amounts to half a second. Only a clearly lower lasting pace counts.
 		pace, least := e.state.BaselinePace(), minPeriodGain+gainPerMove*float64(w.moves)
 		if usual := to.state.BaselinePace(); usual > 0 && lastingSlowdown*usual < pace {
 			pace = usual
@@ -261,13 +262,13 @@
 	return out
 }
 
-// destinations returns the engines of a share to which runs may move, those first that are
-// least likely to be slow, and of these those that hold least: engines with a free slot that
-// are not slow, and that will not load weights soon. left is the events of the longest run.
+// destinations returns the engines of a share to which runs may move: engines with a free slot that
+// are not slow and will not load weights soon. Engines that are least likely to be slow come first,
+// and among these the ones with the least memory in use. left is the number of remaining events of
+// the longest run.
 //
-// The load it answers: many runs at slow engines of a large share. A walk over the share for
-// each of them made a look at 480 items and 10,000 engines take 3 to 4 ms, one list for all 0.6 ms
-// (BenchmarkMoves).
+// The list is built once for all runs. With 480 items and 10,000 engines, searching the share for
+// each run makes a planning pass take 3 to 4 ms, and one list 0.6 ms (BenchmarkMoves).
 func (p *Planner) destinations(o *openBatch, left float64, now cf.Millis) []candidate {
 	var out []candidate
 	least := math.Inf(1)
@@ -280,7 +281,7 @@
 		out = append(out, candidate{engine: e, delay: delay})
 	}
 	for i := range out {
-		out[i].delay = math.Floor((out[i].delay - least) / equalDelay) // smaller differences do not count
+		out[i].delay = math.Floor((out[i].delay - least) / equalDelay) // ignore smaller differences
 	}
 	slices.SortStableFunc(out, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.delay, b.delay), cmp.Compare(a.engine.usedMemory, b.engine.usedMemory))
@@ -288,7 +289,7 @@
 	return out
 }
 
-// destination returns the first of some engines that can take a run; nil if none can.
+// destination returns the first of the engines that can take a run, nil if none can.
 func (p *Planner) destination(engines []candidate, w *Work, now cf.Millis) *Engine {
 	for _, x := range engines {
 		if e := x.engine; e != w.engine && e.canStart(w, now) && p.fitsMemory(e, w) {
@@ -298,7 +299,7 @@
 	return nil
 }
 
-// reserve keeps a slot for a run that moves.
+// reserve reserves a slot for a run that moves.
 func (p *Planner) reserve(w *Work, e *Engine, now cf.Millis) {
 	p.releaseSlot(w)
 	w.reservedEngine, w.reservedUntil = e, now+reservationTimeout
@@ -306,7 +307,7 @@
 	p.reservations = append(p.reservations, w)
 }
 
-// releaseSlot releases the slot that is kept for a run.
+// releaseSlot releases the slot that is reserved for a run.
 func (p *Planner) releaseSlot(w *Work) {
 	if w.reservedEngine == nil {
 		return
@@ -316,7 +317,7 @@
 	p.reservations = slices.DeleteFunc(p.reservations, func(x *Work) bool { return x == w })
 }
 
-// releaseExpiredSlots releases the slots whose runs have not come in time.
+// releaseExpiredSlots releases the slots whose runs have not arrived in time.
 func (p *Planner) releaseExpiredSlots(now cf.Millis) {
 	for _, w := range slices.Clone(p.reservations) {
 		if now >= w.reservedUntil {
@@ -325,8 +326,8 @@
 	}
 }
 
-// reservedFor returns the engine that keeps a slot for a run, and releases the slot; nil if it
-// keeps none, or has turned slow or cannot take the run any more.
+// reservedFor releases the slot that is reserved for a run and returns its engine. It returns nil
+// if there is none, or if the engine has become slow or cannot take the run any more.
 func (p *Planner) reservedFor(w *Work, now cf.Millis) *Engine {
 	e := w.reservedEngine
 	p.releaseSlot(w)
@@ -336,7 +337,7 @@
 	return e
 }
 
-// LastMove returns why the run was moved last.
+// LastMove returns the explanation of the run's latest move.
 func (w *Work) LastMove() Move { return w.lastMove }
 
 // SlowPeriods returns what was observed of slow periods.
--- a/core/cfrollout/swap.go
+++ b/core/cfrollout/swap.go
@@ -7,18 +7,18 @@
 	cf "currantford"
 )
 
-// shareDemand sums up what waits for a share.
+// shareDemand holds the requirements of the batches that wait for a share.
 type shareDemand struct {
-	// minVersions are the oldest versions that waiting batches allow.
+	// minVersions are the oldest versions that the waiting batches allow.
 	minVersions []cf.WeightVersion
 }
 
-// hasRunnable says whether something waits that version v may run.
+// hasRunnable says whether an item waits that may run on version v.
 func (d *shareDemand) hasRunnable(v cf.WeightVersion) bool {
 	return slices.ContainsFunc(d.minVersions, func(least cf.WeightVersion) bool { return v >= least })
 }
 
-// hasBlocked says whether something waits that version v may not run.
+// hasBlocked says whether an item waits that may not run on version v.
 func (d *shareDemand) hasBlocked(v cf.WeightVersion) bool {
 	return slices.ContainsFunc(d.minVersions, func(least cf.WeightVersion) bool { return v < least })
 }
@@ -43,12 +43,12 @@
 // swapCandidate is an engine that should load its share's newest version.
 type swapCandidate struct {
 	engine *Engine
-	// urgent: something waits that its version may not run.
+	// urgent says that an item waits that may not run on the engine's version.
 	urgent bool
 }
 
-// swapQueue is a heap of candidates, the one to load first at its head: only a few
-// of them may load at once, so that sorting all would be in vain.
+// swapQueue is a heap of candidates with the first one to load at its head. Only a few of them may
+// load at once, so sorting all of them would be wasted work.
 type swapQueue []swapCandidate
 
 func (q swapQueue) Len() int      { return len(q) }
@@ -73,10 +73,10 @@
 	return last
 }
 
-// Swaps returns the weight orders to give now and marks their engines as
-// loading. An engine loads when nothing waits that it could run, or something
-// that it may not: before, the load would hold up work; much later, the next step
-// would find it without the version it needs.
+// Swaps returns the weight orders to give now and marks their engines as loading. An engine loads
+// when no waiting item could run on it, or when an item waits that may not run on its version.
+// Loading earlier would delay waiting items; loading much later would leave the next step without
+// its version.
 func (p *Planner) Swaps(now cf.Millis) []Swap {
 	p.now = now
 	if p.needsDivision {
@@ -98,7 +98,7 @@
 			limit = urgent
 		}
 		if loading >= limit {
-			break // those after it are not more urgent
+			break // the remaining candidates are not more urgent
 		}
 		e := c.engine
 		if p.provenVersions[e.Model] < p.LatestVersion(e.Model) && unproven[e.Model] >= maxUnprovenLoads {
@@ -123,7 +123,8 @@
 	return out
 }
 
-// loadingUnproven counts the engines that load a version which none has held yet.
+// loadingUnproven counts the engines of each model that load a version that no engine has loaded
+// yet.
 func (p *Planner) loadingUnproven() map[cf.ModelName]int {
 	out := map[cf.ModelName]int{}
 	for _, e := range p.loadingEngines {
@@ -155,14 +156,15 @@
 	return due
 }
 
-// noteConcurrentLoads records how many engines load now with each that does.
+// noteConcurrentLoads records the number of concurrent loads at each loading engine.
 func (p *Planner) noteConcurrentLoads(loading int) {
 	for _, e := range p.loadingEngines {
 		e.concurrentLoads = max(e.concurrentLoads, loading)
 	}
 }
 
-// LoadEnded learns from a load that has just been seen to end.
+// LoadEnded records the duration of a load that was just seen to end. It returns how many engines
+// may load at once.
 func (p *Planner) LoadEnded(id cf.InstanceID, now cf.Millis) (limit int) {
 	e := p.engines[id]
 	if e == nil || e.loadStarted == 0 {
@@ -175,7 +177,7 @@
 	return p.loadLimit.allowed()
 }
 
-// loadingCount counts the engines that load weights.
+// loadingCount returns how many engines load weights.
 func (p *Planner) loadingCount() int {
 	for id, e := range p.loadingEngines {
 		if e.loading == 0 {
@@ -185,7 +187,7 @@
 	return len(p.loadingEngines)
 }
 
-// setLoading records that an engine loads a version, or none.
+// setLoading records the version that an engine is loading, zero for none.
 func (p *Planner) setLoading(e *Engine, v cf.WeightVersion) {
 	if e.loading = v; v > 0 {
 		p.loadingEngines[e.ID] = e
@@ -200,14 +202,14 @@
 		return false
 	}
 	v := e.versions[e.Model]
-	// A step that no engine may run is not made to wait for another's queue:
-	// engines that load keep their runs, and serve both afterwards.
+	// A step that no engine may run does not wait for the queue of another step: engines keep their
+	// runs while they load, and serve both steps afterwards.
 	return !d.hasRunnable(v) || !p.limits.SwapWhenIdle && d.hasBlocked(v)
 }
 
-// canBeSpared says whether another engine of the share goes on serving while e
-// loads: without one, a step that arrives now would wait for a whole load.
-// An engine whose version no step will ask for again is not held back.
+// canBeSpared says whether another engine of the share continues to serve while e loads. Without
+// one, a step that arrives now would wait for the entire load. An engine whose version no later
+// step will ask for may always load.
 func (p *Planner) canBeSpared(e *Engine) bool {
 	oldest := p.LatestVersion(e.Model) - 1
 	if e.versions[e.Model] < oldest {
@@ -233,7 +235,7 @@
 	}
 }
 
-// Reported takes an engine's own account of its start and weights.
+// Reported processes an engine's report of its start time, memory, runs and weights.
 func (p *Planner) Reported(id cf.InstanceID, r cf.TargetReport) {
 	e := p.engines[id]
 	if e == nil || r.Born < e.Born {
@@ -248,14 +250,14 @@
 	}
 }
 
-// runningItems returns the items that run, by the ids that they bear at their engines.
+// runningItems returns the running items by their request ids at the engines.
 func (p *Planner) runningItems() map[cf.RequestID]*Work {
 	out := map[cf.RequestID]*Work{}
 	p.eachRunning(func(w *Work) { out[w.Item.ID.Request()] = w })
 	return out
 }
 
-// SwapFailed records that an order was not taken; it is given again later.
+// SwapFailed records that an engine did not accept an order, which is given again later.
 func (p *Planner) SwapFailed(id cf.InstanceID, now cf.Millis) {
 	if e := p.engines[id]; e != nil {
 		if e.loading > 0 {
@@ -266,7 +268,7 @@
 	}
 }
 
-// IsLoading says whether an engine loads weights.
+// IsLoading says whether an engine is loading weights.
 func (p *Planner) IsLoading(id cf.InstanceID) bool {
 	e := p.engines[id]
 	return e != nil && e.loading > 0
--- a/core/cfrollout/waiting.go
+++ b/core/cfrollout/waiting.go
@@ -5,62 +5,64 @@
 )
 
 const (
-	// reportAfter is how long an item may be at no engine, while others of its batch have
-	// begun and there is room, until it is reported. Each further report of it comes after
-	// twice that time.
+	// reportAfter is how long an item may have no engine, while others of its batch have started
+	// and slots are free, before it is reported. Each further report follows after twice the
+	// waiting time of the previous one.
 	reportAfter cf.Millis = 2000
-	// silentAfter is how long a run may be without an event until it counts as waiting: first
-	// events take some 100 ms.
+	// silentAfter is how long a run may have no event before it counts as waiting. First events
+	// take about 100 ms.
 	silentAfter cf.Millis = 1000
-	// maxReportedItems bounds the items that are reported at a time.
+	// maxReportedItems is the maximum number of items in one report.
 	maxReportedItems = 16
-	// roomShare is the part of a service's slots below which items need not wait.
+	// roomShare is the part of a service's slots that must be in use for waiting items to be
+	// normal.
 	roomShare = 0.5
 )
 
-// WaitReason says what keeps an item from running.
+// WaitReason says why an item does not run.
 type WaitReason string
 
-// Reasons, in the order in which they are looked for.
+// Reasons, in the order in which they are checked.
 const (
-	// WaitRunSilent: it was given to an engine, from which no event has come.
+	// WaitRunSilent means that the item's engine has sent no event.
 	WaitRunSilent WaitReason = "run_silent"
-	// WaitNoRoute: its batch has no route.
+	// WaitNoRoute means that the item's batch has no route.
 	WaitNoRoute WaitReason = "no_route"
-	// WaitNoEngines: its model has no engine that stays.
+	// WaitNoEngines means that the item's model has no engine that is not draining.
 	WaitNoEngines WaitReason = "no_engines"
-	// WaitNoWeights: none of them holds weights that it may run on.
+	// WaitNoWeights means that none of these engines holds weights that the item may run on.
 	WaitNoWeights WaitReason = "no_weights"
-	// WaitLoading: all that do are loading others.
+	// WaitLoading means that all engines with such weights are loading others.
 	WaitLoading WaitReason = "loading"
-	// WaitEnginesAvoided: new items are kept off the others for a while.
+	// WaitEnginesAvoided means that new items avoid the remaining engines for a while.
 	WaitEnginesAvoided WaitReason = "engines_avoided"
-	// WaitNoSlots: all slots of the others are taken.
+	// WaitNoSlots means that all slots of the remaining engines are in use.
 	WaitNoSlots WaitReason = "no_slots"
-	// WaitRefused: it may be sent to none of them.
+	// WaitRefused means that none of the remaining engines may get the item.
 	WaitRefused WaitReason = "refused"
-	// WaitSlowEngines: they are slow, and others are expected to end it sooner.
+	// WaitSlowEngines means that the remaining engines are slow, and that others are expected to
+	// finish the item sooner.
 	WaitSlowEngines WaitReason = "slow_engines"
 )
 
 type (
-	// WaitingItem is an item that has been at no engine for long.
+	// WaitingItem is an item that has had no engine for long.
 	WaitingItem struct {
 		Work   *Work
 		Reason WaitReason
 		Waited cf.Millis
 	}
 
-	// Waiting is what waits although there is room.
+	// Waiting holds the items that wait although slots are free.
 	Waiting struct {
-		// Items are those to report now, Counts all of them by reason.
+		// Items are the items to report now, Counts the numbers of all such items by reason.
 		Items  []WaitingItem
 		Counts map[WaitReason]int
 	}
 )
 
-// WaitingItems returns the items that wait for long although others of their batches have
-// begun and the engines of their service have room. It is called once a second.
+// WaitingItems returns the items that have waited for long although others of their batches have
+// started and the engines of their service have free slots. It is called once per second.
 func (p *Planner) WaitingItems(now cf.Millis) Waiting {
 	out := Waiting{Counts: map[WaitReason]int{}}
 	room := map[cf.ServiceName]bool{}
@@ -80,7 +82,7 @@
 				out.add(w, WaitRunSilent, now)
 			}
 		}
-		fresh := WaitReason("") // of the items that have not begun, which differ in nothing here
+		fresh := WaitReason("") // reason of the items that have not started, which is the same for all
 		for _, w := range o.waiting {
 			if w.unplacedSince == 0 || now-w.unplacedSince < reportAfter {
 				continue
@@ -97,7 +99,7 @@
 	return out
 }
 
-// add takes an item that has waited, if it has for long enough.
+// add adds an item if it has waited long enough.
 func (x *Waiting) add(w *Work, reason WaitReason, now cf.Millis) {
 	waited := now - w.unplacedSince
 	if w.unplacedSince == 0 || waited < reportAfter {
@@ -111,7 +113,7 @@
 	x.Items = append(x.Items, WaitingItem{w, reason, waited})
 }
 
-// serviceHasRoom says whether a service's engines have items in less than a part of their slots.
+// serviceHasRoom says whether a service's engines use less than roomShare of their slots.
 func (p *Planner) serviceHasRoom(s cf.ServiceName) bool {
 	f := p.fleets[s]
 	if f == nil {
@@ -125,7 +127,7 @@
 	return float64(running) < roomShare*float64(slots)
 }
 
-// waitReason returns what keeps an item from running.
+// waitReason returns the reason why an item does not run.
 func (p *Planner) waitReason(o *openBatch, w *Work, now cf.Millis) WaitReason {
 	if o.paused {
 		return WaitNoRoute
@@ -151,7 +153,7 @@
 	return reason
 }
 
-// waitRank ranks reasons by how near an engine is to taking an item.
+// waitRank ranks the reasons by how close an engine is to accepting the item.
 var waitRank = map[WaitReason]int{WaitNoEngines: 0, WaitNoWeights: 1, WaitLoading: 2, WaitEnginesAvoided: 3, WaitNoSlots: 4}
 
 func closerReason(a, b WaitReason) WaitReason {
