--- a/core/cfrollout/allocation_test.go
+++ b/core/cfrollout/allocation_test.go
@@ -20,9 +20,9 @@
 	slowPace                         = 104
 )
 
-// allocationSim is a fleet with trainers: each hands in a step every four seconds, and names the
-// version that the next but one asks for. Engines make texts event by event; one in three
-// is slower.
+// allocationSim simulates a fleet with trainers. Each trainer submits a step every four seconds and
+// announces the version that the step after the next one requires. Engines generate texts event by
+// event, and one in three is slower.
 type allocationSim struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -33,11 +33,12 @@
 	steps   map[cf.ModelName]int
 	running map[*cfrollout.Work]*allocationRun
 	loading map[cf.InstanceID]allocationLoad
-	loads   map[cf.ModelName]int // ordered
+	loads   map[cf.ModelName]int // weight orders
 	batches map[cf.ModelName][]*cfbatch.Batch
-	// runs are the items that began, slow those of them at slow engines.
+	// runs is the number of started items, slowRuns the number of those at slow engines.
 	runs, slowRuns int
-	// unplaced are the items that have not begun, late counts those that a look left.
+	// unplaced holds the items that have not started, unplacedPasses the sum of their numbers over
+	// all planning passes.
 	unplaced       map[cf.ItemID]bool
 	unplacedPasses int
 }
@@ -75,7 +76,7 @@
 	return w
 }
 
-// takeOver begins with a planner that knows what the store and the instance list show.
+// takeOver starts a new planner with what the store and the instance list show.
 func (w *allocationSim) takeOver() {
 	limits := cfrollout.DefaultLimits
 	if w.planner != nil {
@@ -106,8 +107,8 @@
 	return fastPace
 }
 
-// run lets steps of so many groups come for a while. The trainers' steps are spread over
-// the four seconds.
+// run submits steps with the given number of groups for a while. The steps of the trainers are
+// spread over the four seconds.
 func (w *allocationSim) run(span cf.Millis, groups int) {
 	for end := w.now + span; w.now < end; w.now += allocationTick {
 		for i, m := range w.models {
@@ -196,7 +197,7 @@
 	w.unplacedPasses += len(w.unplaced)
 }
 
-// loseDomain takes the engines of a failure domain away.
+// loseDomain removes the engines of a failure domain.
 func (w *allocationSim) loseDomain(domain cf.FailureDomain) {
 	var gone []cf.InstanceID
 	var rest []cf.Target
@@ -218,7 +219,7 @@
 	}
 }
 
-// servingEngines counts the engines that serve a model.
+// servingEngines returns the number of engines that serve a model.
 func (w *allocationSim) servingEngines() int {
 	n := 0
 	for _, t := range w.targets {
@@ -229,9 +230,9 @@
 	return n
 }
 
-// Load: six trainers with steps of 208 items before 1,000, 9,444 and 20,000 engines. The
-// engines that follow their versions are as many as the steps need, at each size, and no
-// item waits for an engine or a load.
+// TestAllocationFollowsTheWork runs six trainers with steps of 208 items on 1,200, 9,444 and 20,000
+// engines. At each size, only as many engines as the steps need load their versions, and no item
+// waits for an engine or a load.
 func TestAllocationFollowsTheWork(t *testing.T) {
 	const items = 13 * 16
 	for _, engines := range []int{1200, 9444, 20_000} {
@@ -254,7 +255,8 @@
 	}
 }
 
-// Load: 44 engines before four trainers, whose work needs them all: none is left out.
+// TestScarceEnginesAllServe runs four trainers whose work needs all 44 engines, so none may be left
+// out.
 func TestScarceEnginesAllServe(t *testing.T) {
 	w := newAllocationSim(t, 44, 4)
 	w.run(3*allocationStepInterval, 10)
@@ -263,8 +265,8 @@
 	}
 }
 
-// Load: steps that are suddenly ten times as large. The engines grow with the first of
-// them, and shrink again only slowly.
+// TestAllocationGrowsWithTheWork makes steps ten times as large. The number of engines grows with
+// the first large step, and shrinks only slowly afterwards.
 func TestAllocationGrowsWithTheWork(t *testing.T) {
 	w := newAllocationSim(t, 9444, 2)
 	w.run(3*allocationStepInterval, 4)
@@ -290,8 +292,8 @@
 	}
 }
 
-// Load: a failure domain is lost in mid-step. The engines that are left take its items up
-// at once, without a load.
+// TestItemsSurviveTheLossOfAFailureDomain removes a failure domain during a step. The remaining
+// engines take over its items immediately, without a load.
 func TestItemsSurviveTheLossOfAFailureDomain(t *testing.T) {
 	w := newAllocationSim(t, 9444, 6)
 	w.run(3*allocationStepInterval+allocationStepInterval/2, 13)
@@ -307,8 +309,8 @@
 	}
 }
 
-// Load: the coordinator is lost. Its successor finds the engines that served by what they
-// hold, and loads no other set of them anew.
+// TestSuccessorKeepsTheServingEngines replaces the planner. The new one recognises the serving
+// engines by the versions that they hold, and does not load another set of engines.
 func TestSuccessorKeepsTheServingEngines(t *testing.T) {
 	w := newAllocationSim(t, 9444, 6)
 	w.run(5*allocationStepInterval, 13)
@@ -337,8 +339,8 @@
 	}
 }
 
-// Load: one engine in three is slower. Where there are engines to spare, items keep off those
-// that have shown it, and others take their place.
+// TestSlowEnginesAreReplaced makes one engine in three slower. If there are spare engines, items
+// avoid the engines known to be slow, and others replace these.
 func TestSlowEnginesAreReplaced(t *testing.T) {
 	w := newAllocationSim(t, 9444, 2)
 	w.run(2*allocationStepInterval, 13)
@@ -353,8 +355,8 @@
 	}
 }
 
-// Two planners, one of which hears of changes alone and the other of all engines each time,
-// decide the same.
+// TestIncrementalAndFullListsAgree compares two planners, one of which receives only changes and
+// the other the full list of engines each time. Both must decide the same.
 func TestIncrementalAndFullListsAgree(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -394,8 +396,8 @@
 	}
 }
 
-// Load: steps of few items before many engines. Their items go to engines to which
-// connections are kept, and not to ever others; a long one goes where it is alone.
+// TestItemsReuseConnections submits steps of few items to many engines. Their items must go to
+// engines with idle connections instead of to ever new engines.
 func TestItemsReuseConnections(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(40, cf.ModelState{Name: "a", Version: 1})
@@ -408,7 +410,7 @@
 		for _, w := range p.Place(now) {
 			used[w.Engine] = true
 			p.Finished(w, cfrollout.OutcomeDone, now+500)
-			p.ConnectionKeptAt(targets[0].ID, 0) // over already
+			p.ConnectionKeptAt(targets[0].ID, 0) // already expired
 			for _, target := range targets {
 				if used[target.ID] {
 					p.ConnectionKeptAt(target.ID, now+8000)
--- a/core/cfrollout/bench_test.go
+++ b/core/cfrollout/bench_test.go
@@ -8,9 +8,9 @@
 	"currantford/core/cfrollout"
 )
 
-// BenchmarkSwaps measures one choice of the engines to load while a version that
-// no engine holds has been named and as many load as may: what each look costs
-// until the whole fleet has followed.
+// BenchmarkSwaps measures one call of Swaps after a version was announced that no engine holds,
+// while as many engines load as are allowed. Each planning pass costs this until the whole fleet
+// has loaded the version.
 func BenchmarkSwaps(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprint(n, "_engines"), func(b *testing.B) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// newSameWorkPlanner returns a planner before n engines with six trainers, each of which has a step of
-// 208 items under way and has named the version of the next.
+// newSameWorkPlanner returns a planner with n engines and six trainers, each of which has a running
+// step of 208 items and has announced the version of its next step.
 func newSameWorkPlanner(n int) (*cfrollout.Planner, []cf.Target) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	var names []cf.ModelName
@@ -57,8 +57,8 @@
 	return p, targets
 }
 
-// BenchmarkSameWork measures what a look costs, what a change of a target does, and what a
-// step does that comes, with the same work before ever more engines.
+// BenchmarkSameWork measures a planning pass, the change of a target and a new step, with the same
+// work on more and more engines.
 func BenchmarkSameWork(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 20_000} {
 		p, targets := newSameWorkPlanner(n)
@@ -91,8 +91,8 @@
 	}
 }
 
-// BenchmarkMoves measures what a look costs with 480 items under way at 10,000 engines, one
-// in seven of which is slow for a while.
+// BenchmarkMoves measures a call of Moves with 480 running items on 10,000 engines, one in seven of
+// which is temporarily slow.
 func BenchmarkMoves(b *testing.B) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	var names []cf.ModelName
--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -11,11 +11,11 @@
 	"currantford/testbed/cfreplay"
 )
 
-// maxUnplaced is how long an item that is owed may be at no engine while there is room.
+// maxUnplaced is how long an unfinished item may have no engine while slots are free.
 const maxUnplaced cf.Millis = 5000
 
-// crashBursts returns nine engines of twelve slots and a trainer, under three bursts of five
-// crashes, 0.4 s apart, of three engines in ten each.
+// crashBursts returns nine engines of twelve slots and one trainer, with three bursts of five
+// crashes, 0.4 s apart, of three in ten engines each.
 func crashBursts(seed uint64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
@@ -31,7 +31,8 @@
 	return o
 }
 
-// Guards against: an item that is never placed again after its engines crashed in a burst.
+// TestItemsCompleteAfterABurstOfCrashes guards against items that are never placed again after
+// their engines have crashed in a burst.
 func TestItemsCompleteAfterABurstOfCrashes(t *testing.T) {
 	for name, body := range map[string]func(cf.Item) string{
 		"bodies of their own": nil,
@@ -58,8 +59,9 @@
 	}
 }
 
-// An item that ends each engine which runs it costs the engines that the pauses allow, whichever
-// step it belongs to; all other items are done in time.
+// TestItemThatCrashesEnginesIsIsolated checks that an item which crashes each engine that runs it
+// costs only as many engines as its pauses allow, whichever step it belongs to. All other items are
+// done in time.
 func TestItemThatCrashesEnginesIsIsolated(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -71,7 +73,8 @@
 			r := cfreplay.New(o)
 			r.Run(60_000)
 			crashes := r.GuiltyCrashes()
-			// Three at once, and then after pauses of 1, 2, 4 and 4 s until its step is given up.
+			// Three at once, and then one after each pause of 1, 2, 4 and 4 s until its step
+			// expires.
 			if n := len(crashes); n < 6 || n > 7 {
 				t.Errorf("%d engines ended under it, want 6 or 7", n)
 			}
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -23,7 +23,8 @@
 	return cfbatch.New(sub), Terms{Service: service, MaxAttempts: 100}
 }
 
-// A run that ends at an engine which has left the list and come back ends the coordinator.
+// TestRunEndsAtAnEngineThatLeftAndCameBack guards against a crash of the coordinator when a run
+// ends at an engine that has left the list and come back.
 func TestRunEndsAtAnEngineThatLeftAndCameBack(t *testing.T) {
 	target := newTarget("e", "a", 1)
 	p := New(DefaultLimits)
@@ -41,8 +42,8 @@
 	}
 }
 
-// What ends late is accounted to the life of the engine that it was given to, whatever the
-// list has shown since.
+// TestRunAccountingSurvivesEngineChanges checks that the end of a run counts for the engine process
+// that the run was given to, whatever the list has shown since.
 func TestRunAccountingSurvivesEngineChanges(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -50,7 +51,7 @@
 		p.SetEngines(nil, lifecycleModels)
 		up := map[cf.InstanceID]cf.Target{}
 		born := map[cf.InstanceID]cf.Millis{"e0": 1, "e1": 1, "e2": 1, "e3": 1}
-		under := map[*Work]cf.Target{} // the runs under way, with their engines as they were
+		under := map[*Work]cf.Target{} // the current runs, with their targets at the start
 		ids := []cf.InstanceID{"e0", "e1", "e2", "e3"}
 		batches := 0
 		for now := cf.Millis(1); now < 4000; now += 10 {
@@ -59,21 +60,21 @@
 			case 0: // leaves
 				delete(up, id)
 				p.ChangeEngines(nil, []cf.InstanceID{id})
-			case 1: // comes, comes back, or changes its service
+			case 1: // joins, returns, or changes its service
 				service := cf.ServiceName("a")
 				if random.IntN(4) == 0 {
 					service = "b"
 				}
 				up[id] = newTarget(id, service, born[id])
 				p.ChangeEngines([]cf.Target{up[id]}, nil)
-			case 2: // starts again
+			case 2: // restarts
 				if t, known := up[id]; known {
 					born[id] += 100
 					t.Born = born[id]
 					up[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
-			case 3: // drains, or takes it back
+			case 3: // starts or stops draining
 				if t, known := up[id]; known {
 					t.Draining = !t.Draining
 					up[id] = t
@@ -113,7 +114,7 @@
 	}
 }
 
-// penalties returns what the ends of runs have brought upon an engine.
+// penalties returns the effects of ended runs on an engine.
 func penalties(p *Planner, id cf.InstanceID) (avoid cf.Millis, kept int) {
 	e := p.engines[id]
 	if e == nil {
@@ -122,7 +123,7 @@
 	return e.avoidUntil, len(e.idleConnections)
 }
 
-// checkAccounting compares what the planner holds of the engines with what is under way.
+// checkAccounting compares the planner's state of the engines with the current runs.
 func checkAccounting(t *testing.T, p *Planner, under map[*Work]cf.Target, seed uint64) {
 	t.Helper()
 	p.updateUsage()
--- a/core/cfrollout/engineloss_test.go
+++ b/core/cfrollout/engineloss_test.go
@@ -10,7 +10,7 @@
 	"currantford/core/cfrollout"
 )
 
-// lossSim is a fleet of which engines leave while steps are under way.
+// lossSim simulates a fleet that loses engines while steps run.
 type lossSim struct {
 	t          *testing.T
 	planner    *cfrollout.Planner
@@ -20,11 +20,11 @@
 	runs       map[*cfrollout.Work]bool
 	loads      map[cf.InstanceID]cfrollout.Swap
 	loadEndsAt map[cf.InstanceID]cf.Millis
-	// unplacedSince is since when which item has been at no engine.
+	// unplacedSince is since when each item has had no engine.
 	unplacedSince map[cf.ItemID]cf.Millis
 	longestWait   cf.Millis
 	terms         cfrollout.Terms
-	// slow are engines that take four times as long for an event.
+	// slow holds the engines that take four times as long per event.
 	slow map[cf.InstanceID]bool
 }
 
@@ -51,7 +51,7 @@
 	return x
 }
 
-// removeEngines takes engines away: at once, or draining first.
+// removeEngines removes engines, either immediately or by draining them first.
 func (x *lossSim) removeEngines(draining bool, which func(cf.Target) bool) {
 	for i := range x.targets {
 		x.targets[i].Draining = x.targets[i].Draining || draining && which(x.targets[i])
@@ -69,7 +69,7 @@
 	}
 }
 
-// submit hands a step in, and names a version.
+// submit adds a step with single-item groups.
 func (x *lossSim) submit(id cf.BatchID, m cf.ModelName, least cf.WeightVersion, items int) {
 	b := step(id, m, least, items, 1)
 	x.planner.AddBatch(b, x.terms)
@@ -78,7 +78,7 @@
 	}
 }
 
-// tick plays a moment; texts have ten to forty events.
+// tick simulates one time step. Texts have ten to forty events.
 func (x *lossSim) tick(random *rand.Rand) {
 	x.now += lossTick
 	for _, w := range x.planner.Place(x.now) {
@@ -130,8 +130,9 @@
 	}
 }
 
-// Guards against: items that stand at no engine for 5 s, though thousands are idle, after the
-// engines of their model's share have left, or all that hold the weights which they need.
+// TestItemsArePlacedAfterEnginesLeave guards against items that have no engine for 5 s, although
+// thousands are idle, after the engines of their model's share or all engines with the weights that
+// they need have left.
 func TestItemsArePlacedAfterEnginesLeave(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c", "d", "e", "f"}
 	ways := map[string]func(x *lossSim) func(cf.Target) bool{
@@ -181,8 +182,8 @@
 	}
 }
 
-// Guards against: a model that has no engine, as all that do nothing are held by others beyond
-// their need.
+// TestModelWithoutEnginesGetsSurplusEngines guards against a model that stays without engines
+// because other models hold all idle engines beyond their need.
 func TestModelWithoutEnginesGetsSurplusEngines(t *testing.T) {
 	x := newLossSim(t, 120, []cf.ModelName{"a", "b", "c"})
 	random := rand.New(rand.NewPCG(1, 1))
@@ -207,7 +208,7 @@
 	x.removeEngines(false, func(t cf.Target) bool { return of[t.ID] == "" })
 	x.planner.EndBatch("a0")
 	x.planner.EndBatch("b0")
-	play(80_000) // the large steps are forgotten
+	play(80_000) // until the large steps no longer count
 	x.submit("a1", "a", 1, 10)
 	x.submit("b1", "b", 1, 10)
 	x.submit("c1", "c", 1, 10)
@@ -221,8 +222,8 @@
 	}
 }
 
-// Guards against: items that are left at no engine for good by what happened before, though
-// engines that may take them are idle.
+// TestItemsArePlacedOnceFaultsEnd guards against items that stay without an engine after earlier
+// faults, although engines that may run them are idle.
 func TestItemsArePlacedOnceFaultsEnd(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c"}
 	for seed := range uint64(100) {
@@ -260,7 +261,7 @@
 	}
 }
 
-// injectFaults ends runs in all ways, and takes engines away for good.
+// injectFaults ends runs in all ways, and permanently removes engines.
 func (x *lossSim) injectFaults(random *rand.Rand) {
 	for w := range x.runs {
 		if random.IntN(60) > 0 {
--- a/core/cfrollout/estimate_test.go
+++ b/core/cfrollout/estimate_test.go
@@ -7,10 +7,10 @@
 	"currantford/core/cfrollout"
 )
 
-// Guards against steps that are refused though a group fits, or though they go on with
-// texts of the step before, and against infeasible ones that are accepted.
+// TestOnlyInfeasibleStepsAreRefused guards against refusing a step that has a group that fits or
+// that continues texts of the previous step, and against accepting infeasible steps.
 func TestOnlyInfeasibleStepsAreRefused(t *testing.T) {
-	p := newSlowEnginePlanner(t) // engines take some 40 ms for an event, one of them 160
+	p := newSlowEnginePlanner(t) // engines take about 40 ms per event, one of them 160 ms
 	began := hintedBatch("began", 20)
 	p.AddBatch(began, defaultTerms)
 	works := p.Place(4000)
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -5,7 +5,7 @@
 	"currantford/core/cfslow"
 )
 
-// WaitingCount counts the items that wait for an engine.
+// WaitingCount returns the number of items that wait for an engine.
 func (p *Planner) WaitingCount() int {
 	n := 0
 	for _, o := range p.batches {
@@ -14,23 +14,23 @@
 	return n
 }
 
-// ConnectionKeptAt records that a connection to an engine is kept until then.
+// ConnectionKeptAt records that a connection to an engine stays open until the given time.
 func (p *Planner) ConnectionKeptAt(id cf.InstanceID, until cf.Millis) {
 	if e := p.engines[id]; e != nil {
 		p.ConnectionKept(&Work{engine: e, engineBorn: e.Born}, until)
 	}
 }
 
-// LastEvent returns when the latest event was noted.
+// LastEvent returns when the latest event was recorded.
 func (p *Progress) LastEvent() cf.Millis { return cf.Millis(p.last.Load()) }
 
-// ReserveSlot keeps a slot of an engine for a run.
+// ReserveSlot reserves a slot of an engine for a run.
 func (p *Planner) ReserveSlot(w *Work, id cf.InstanceID, now cf.Millis) {
 	p.reserve(w, p.engines[id], now)
 }
 
-// SimulatePeriods lets the planner have observed periods of slowness, and the runs under way show
-// the pace of their engines until now: 40 ms, and 100 ms for the last 250 ms at slow ones.
+// SimulatePeriods makes the planner observe slow periods and lets the current runs show the pace of
+// their engines until now: 40 ms, and 100 ms for the last 250 ms at slow engines.
 func (p *Planner) SimulatePeriods(slow func(cf.InstanceID) bool, now cf.Millis) {
 	s := &cfslow.EngineState{}
 	for at := now - 8000; at < now; at += 50 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// UndoMoves lets runs that were to move stay, so that the next look finds the same.
+// UndoMoves cancels moves, so that the next planning pass starts from the same state.
 func (p *Planner) UndoMoves(works []*Work) {
 	for _, w := range works {
 		p.releaseSlot(w)
--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -12,8 +12,8 @@
 
 const replayTime cf.Millis = 60_000
 
-// overloaded returns 15 engines of six slots and four trainers whose texts have so many
-// events on average, as the first deployment of docs/design/3-hard-load.md has them.
+// overloaded returns 15 engines of six slots and four trainers whose texts have the given mean
+// numbers of events, like the first deployment of docs/design/3-hard-load.md.
 func overloaded(seed uint64, events ...float64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
@@ -28,7 +28,7 @@
 	return o
 }
 
-// totalWorth sums up what the trainers got.
+// totalWorth returns the worth of the trainers' results, in total and for each trainer.
 func totalWorth(r *cfreplay.Replay) (sum float64, each []float64) {
 	for _, o := range r.Outcomes() {
 		sum += o.Worth
@@ -37,9 +37,8 @@
 	return sum, each
 }
 
-// shareInTime returns the groups in time at a load, a multiple of the capacity, as a part of a
-// bound that knows the true lengths, fills all slots from the first moment on and loads no
-// weights.
+// shareInTime returns the groups in time at a load, given as a multiple of the capacity, as a part
+// of an upper bound that knows the true lengths, always fills all slots and loads no weights.
 func shareInTime(load float64) float64 {
 	inTime, best := 0, 0
 	for seed := range uint64(2) {
@@ -48,7 +47,7 @@
 		o.Engines.Count = 4
 		o.Trainers = []cfreplay.Trainer{{Model: "a", Events: 14, Longest: 98, Least: n, Most: n, Size: 8, Want: 0.9, Every: 4000, Train: 750}}
 		r := cfreplay.New(o)
-		r.Run(20_000) // lengths are not known before
+		r.Run(20_000) // lengths are unknown before
 		before := r.Outcomes()[0]
 		r.Run(20_000 + replayTime)
 		inTime += r.Outcomes()[0].InTime - before.InTime
@@ -57,9 +56,10 @@
 	return float64(inTime) / float64(best)
 }
 
-// Guards against steps beyond capacity that end late in nearly all groups: at 1.5 times
-// and more, work on all groups at once has none in time. The stated part is asked by
-// TestGroupsInTimeReachTheStatedPart; this one keeps what is reached.
+// TestGroupsInTimeAgainstABound guards against steps beyond capacity in which nearly all groups are
+// late. From 1.5 times the capacity on, no group is in time if all groups are worked on at once.
+// TestGroupsInTimeReachTheStatedPart checks the required part; this test checks the part that is
+// reached.
 func TestGroupsInTimeAgainstABound(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.8, 0.95}, {1, 0.8}, {1.5, 0.8}, {2, 0.78}, {3, 0.78}} {
 		part := shareInTime(c.load)
@@ -70,8 +70,8 @@
 	}
 }
 
-// Guards against a selection that leaves more than a tenth of what is possible undone, at
-// any load.
+// TestGroupsInTimeReachTheStatedPart guards against a selection that leaves more than a tenth of
+// the possible groups incomplete, at any load.
 func TestGroupsInTimeReachTheStatedPart(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.5, 2, 3} {
 		if part := shareInTime(load); part < 0.9 {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Guards against a closed loop of trainers in which each step ends at the trainers'
-// time-out, and against one trainer that pays for the others.
+// TestTrainersProgressBeyondCapacity guards against a closed loop in which each step ends at the
+// trainers' timeout, and against one trainer losing out to the others.
 func TestTrainersProgressBeyondCapacity(t *testing.T) {
 	for name, disturb := range map[string]func(*cfreplay.Replay){
 		"undisturbed": func(*cfreplay.Replay) {},
@@ -111,8 +111,8 @@
 	}
 }
 
-// Guards against engines that change hands with each step, and load weights for it, while
-// the trainers' needs stay what they are.
+// TestSharesDoNotFollowEachStep guards against engines that change their model with each step, and
+// load weights for it, while the trainers' needs stay the same.
 func TestSharesDoNotFollowEachStep(t *testing.T) {
 	r := cfreplay.New(overloaded(5, 12, 12, 12, 12))
 	r.Run(20_000)
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against weights that change nothing: the share of a trainer that counts twice.
+// TestShareWeights guards against share weights without effect: here one trainer counts twice.
 func TestShareWeights(t *testing.T) {
 	o := overloaded(5, 12, 12)
 	o.Trainers[1].Size = o.Trainers[0].Size
@@ -142,7 +142,8 @@
 	}
 }
 
-// Guards against groups that end late still when the load has gone.
+// TestStepsAreInTimeAgainAfterOverload guards against groups that are still late after the overload
+// has ended.
 func TestStepsAreInTimeAgainAfterOverload(t *testing.T) {
 	o := overloaded(7, 10, 35, 35, 35)
 	for i := range 3 {
--- a/core/cfrollout/isolation_test.go
+++ b/core/cfrollout/isolation_test.go
@@ -9,8 +9,8 @@
 	"currantford/core/cfrollout"
 )
 
-// newIsolatingPlanner returns a planner whose items pass only at engines that are set apart, if suspect
-// says so.
+// newIsolatingPlanner returns a planner that admits an item only at an isolated engine if suspect
+// returns true for it.
 func newIsolatingPlanner(engines int, suspect func(cf.ItemID) bool) (*cfrollout.Planner, []cf.Target) {
 	limits := cfrollout.DefaultLimits
 	limits.Admit = func(w *cfrollout.Work, _ cf.Target, apart bool) cfrollout.Admission {
@@ -28,7 +28,8 @@
 	return p, targets
 }
 
-// Guards against: an engine that takes nothing more after the run for which it was set apart.
+// TestEngineIsIsolatedForOneRun guards against an engine that stays isolated after the run for
+// which it was isolated.
 func TestEngineIsIsolatedForOneRun(t *testing.T) {
 	ended := func(o cfrollout.Outcome) func(*cfrollout.Planner, *cfrollout.Work, []cf.Target) {
 		return func(p *cfrollout.Planner, w *cfrollout.Work, _ []cf.Target) { p.Finished(w, o, 100) }
@@ -68,7 +69,7 @@
 			suspected = false
 			end(p, w, targets)
 			placed := 0
-			for _, o := range p.Place(5000) { // penalties are over
+			for _, o := range p.Place(5000) { // after the penalties
 				if o.Engine == w.Engine || o != w {
 					placed++
 				}
@@ -80,8 +81,8 @@
 	}
 }
 
-// Guards against: suspects that take all engines from other items, or that wait while there is
-// room.
+// TestIsolationTakesAQuarterOfTheEngines guards against suspect items that occupy all engines, or
+// that wait while slots are free.
 func TestIsolationTakesAQuarterOfTheEngines(t *testing.T) {
 	for _, engines := range []int{1, 2, 3, 4, 9, 40} {
 		t.Run(fmt.Sprint(engines, " engines"), func(t *testing.T) {
@@ -114,8 +115,9 @@
 	}
 }
 
-// Guards against: a look of seconds after a burst of crashes, in which each of many items is tried
-// at each engine, since suspects run at all of them.
+// TestConflictingItemsAreTriedAtFewEngines guards against planning passes that take seconds after a
+// burst of crashes, because suspect items run at all engines and each of many items is tried at
+// each of them.
 func TestConflictingItemsAreTriedAtFewEngines(t *testing.T) {
 	const engines, items, most = 100, 300, 2*300 + 100
 	admissions, at := 0, map[cf.InstanceID]bool{}
--- a/core/cfrollout/loadcrashes_test.go
+++ b/core/cfrollout/loadcrashes_test.go
@@ -8,17 +8,17 @@
 	"currantford/core/cfrollout"
 )
 
-// crashSim are engines that start again under new ids, a second after they ended.
+// crashSim simulates engines that return under new ids one second after a crash.
 type crashSim struct {
 	planner    *cfrollout.Planner
 	targets    []cf.Target
-	returnsAt  map[cf.InstanceID]cf.Millis // ended engines, and when they are back
+	returnsAt  map[cf.InstanceID]cf.Millis // crashed engines and when they return
 	loads      map[cf.InstanceID]cfrollout.Swap
 	loadEndsAt map[cf.InstanceID]cf.Millis
 	held       map[cf.InstanceID]cf.WeightVersion
 	starts     int
 	crashed    int
-	// ordersFail says that orders are seen to fail before the list shows the engine gone.
+	// ordersFail says that orders fail before the list shows that the engine is gone.
 	ordersFail bool
 }
 
@@ -32,7 +32,8 @@
 	return w
 }
 
-// run looks each 100 ms; a load ends after 500 ms, and its engine with it if bad says so.
+// run makes a planning pass every 100 ms. A load ends after 500 ms, and crashes its engine if bad
+// returns true for the version.
 func (w *crashSim) run(from, to cf.Millis, bad func(cf.WeightVersion) bool) {
 	for now := from; now < to; now += 100 {
 		for id, at := range w.loadEndsAt {
@@ -83,8 +84,9 @@
 	w.planner.SetEngines(w.targets, models("m"))
 }
 
-// Load: a version that ends each engine that loads it, for ten minutes, and another like
-// it after five. Without a memory of it 40 engines ended a thousand times and more.
+// TestCrashingVersionIsNotOrderedRepeatedly announces a version that crashes each engine that loads
+// it, and after five minutes another one like it for five more. Without memory of the crashes, 40
+// engines would crash over a thousand times in these ten minutes.
 func TestCrashingVersionIsNotOrderedRepeatedly(t *testing.T) {
 	for _, fails := range []bool{false, true} {
 		w := newCrashSim(40)
@@ -92,7 +94,7 @@
 		w.planner.SetVersion("m", 2)
 		bad := func(v cf.WeightVersion) bool { return v == 2 || v == 3 }
 		w.run(0, 300_000, bad)
-		// Those that began at once, two more, and tries after 10, 40 and 160 s.
+		// The first concurrent loads, two more, and tries after 10, 40 and 160 s.
 		if most := cfrollout.DefaultLimits.UrgentLoads + 2 + 3; w.crashed > most || w.crashed < 3 {
 			t.Errorf("fails %v: %d engines ended in five minutes, want %d at the most", fails, w.crashed, most)
 		}
@@ -112,8 +114,9 @@
 	}
 }
 
-// Load: engines of a failure domain end together, again and again, while they load a
-// sound version. Nothing may wait for it beyond the one load that clears it.
+// TestSoundVersionIsLoadedDespiteUnrelatedCrashes crashes the engines of a failure domain together,
+// repeatedly, while they load a sound version. Loads may wait only for the one load that clears the
+// version.
 func TestSoundVersionIsLoadedDespiteUnrelatedCrashes(t *testing.T) {
 	w := newCrashSim(40)
 	sound := func(cf.WeightVersion) bool { return false }
@@ -124,7 +127,7 @@
 		for _, target := range append([]cf.Target(nil), w.targets[:10]...) {
 			w.crash(target.ID, now+200)
 		}
-		for id := range w.loadEndsAt { // and all that load
+		for id := range w.loadEndsAt { // and all loading engines
 			w.crash(id, now+200)
 		}
 		began := now + 300
--- a/core/cfrollout/loadlimit_test.go
+++ b/core/cfrollout/loadlimit_test.go
@@ -7,15 +7,15 @@
 	cf "currantford"
 )
 
-// weightStore serves so many loads at full speed; each further one makes all of
-// them longer.
+// loadTime returns the duration of a load from a weight store that serves some loads at full speed,
+// while each further one makes all of them longer.
 func loadTime(serves, beside int) cf.Millis {
 	over := max(beside-serves, 0)
 	return cf.Millis(1000 + 300*over)
 }
 
-// Load: a fleet follows versions named all the time, from a weight store whose
-// size is not known. The bound is found, and tried above only now and then.
+// TestLoadLimitFollowsTheWeightStore loads versions continuously from a weight store of unknown
+// size. The limit must be found, and a higher one tried only rarely.
 func TestLoadLimitFollowsTheWeightStore(t *testing.T) {
 	for _, serves := range []int{2, 3, 9} {
 		l := newLoadLimiter(2, 0)
@@ -43,8 +43,8 @@
 	}
 }
 
-// One slow engine, an order carried out late, and loads that ran with few others
-// move nothing.
+// TestOutlierLoadsDoNotChangeTheLimit checks that one slow engine, an order that is carried out
+// late, and loads with few others do not change the limit.
 func TestOutlierLoadsDoNotChangeTheLimit(t *testing.T) {
 	l := newLoadLimiter(2, 0)
 	l.observe(2, 1000, 0)
@@ -58,7 +58,7 @@
 	if l.limit != 3 {
 		t.Errorf("limit %d after a whole round, want 3", l.limit)
 	}
-	l.observe(3, 1400, 0) // one alone
+	l.observe(3, 1400, 0) // a single slow load
 	l.observe(3, 1000, 0)
 	l.observe(3, 1000, 0)
 	l.observe(3, 1000, 0)
@@ -67,10 +67,10 @@
 	}
 }
 
-// Symptom: three load at once for good where two are served, each half as fast.
-// Load: loads beside one more than are served end at steps of 0.15 s, some of
-// them hardly later than usual.
-// Cause: each such load raised what counted as usual a little.
+// TestUsualTimeIgnoresConcurrentLoads guards against a limit that stays at three where the store
+// serves two at full speed, so that each load takes twice as long. Loads concurrent with one too
+// many differ by 0.15 s, some of them hardly longer than usual, and each of these raised the usual
+// time slightly.
 func TestUsualTimeIgnoresConcurrentLoads(t *testing.T) {
 	l := newLoadLimiter(2, 0)
 	l.observe(1, 910, 0)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Load: a version is named for 20 engines right after a change of the coordinator; the
-// one before has seen that nine may load at once.
+// TestLearnedLimitAppliesAtOnce announces a version for 20 engines right after a change of the
+// coordinator. The previous one has learned that nine may load at once.
 func TestLearnedLimitAppliesAtOnce(t *testing.T) {
 	limits := DefaultLimits
 	limits.LearnedLoads = 9
@@ -103,8 +103,8 @@
 	}
 }
 
-// Load: 3,000 engines follow versions from a weight store that serves them all at full
-// speed; then a service of ten.
+// TestLoadLimitIsBounded loads versions from a weight store that serves all loads at full speed, to
+// 3,000 engines and to smaller fleets such as ten.
 func TestLoadLimitIsBounded(t *testing.T) {
 	for engines, want := range map[int]int{3000: maxLoads, 40: 20, 10: 5, 2: 2} {
 		l := newLoadLimiter(2, 0)
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -8,8 +8,8 @@
 	"currantford/core/cfbatch"
 )
 
-// newMemoryPlanner returns a planner with engines of six slots and 23,000 tokens, which knows
-// that an event takes 40 tokens and a usual text has 33 events.
+// newMemoryPlanner returns a planner with engines of six slots and 23,000 tokens of memory, which
+// has learned that an event takes 40 tokens and that a usual text has 33 events.
 func newMemoryPlanner(engines int) *Planner {
 	p := New(DefaultLimits)
 	var ts []cf.Target
@@ -39,12 +39,10 @@
 	return cfbatch.New(sub)
 }
 
-// Symptom: a step takes two seconds more than its longest text; its runs stand still
-// without an event for seconds.
-// Load: a step of 60 items for ten engines with memory for two of the longest texts
-// each; one engine is faster than the others.
-// Cause: the longest items, which start first, filled the fastest engine, which put
-// them back in turn.
+// TestLongTextsSpreadOverEngineMemory guards against runs that are interrupted for seconds, so that
+// a step takes two seconds longer than its longest text. 60 items run on ten engines with memory
+// for two of the longest texts each. The longest items start first; placed at the fastest engine,
+// they fill its memory and it preempts them in turn.
 func TestLongTextsSpreadOverEngineMemory(t *testing.T) {
 	p := newMemoryPlanner(10)
 	for id, e := range p.engines {
@@ -74,8 +72,8 @@
 	}
 }
 
-// An engine without memory for an item takes it only if no other has a slot: the
-// estimate may be wrong, and a slot that stays empty serves nobody.
+// TestFullMemoryLeavesNoSlotIdle checks that an engine without enough memory for an item runs it if
+// no other engine has a slot: the estimate may be wrong, and an idle slot serves nothing.
 func TestFullMemoryLeavesNoSlotIdle(t *testing.T) {
 	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(12, 0), Terms{Service: "s"})
@@ -84,11 +82,10 @@
 	}
 }
 
-// Symptom: a text moves to another engine each 0.8 s and takes seconds more than it
-// would have alone.
-// Load: engines whose paces differ by a fifth, and runs that show them noisily.
-// Cause guarded against: moves to engines without memory for the text, and trust in an
-// estimate that moves before did not bear out.
+// TestMovesNeedMemoryAndGain guards against a text that moves every 0.8 s and takes seconds longer
+// than without moves. Paces of engines differ by a fifth and are observed with noise. A move must
+// not go to an engine without memory for the text, nor rely on an estimate that earlier moves have
+// disproved.
 func TestMovesNeedMemoryAndGain(t *testing.T) {
 	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(1, 0), Terms{Service: "s"})
@@ -119,7 +116,8 @@
 	}
 }
 
-// What engines tell of their runs is learned; what can't be of use is passed over.
+// TestTokensPerEventAreLearned checks that reports of runs are used, and that useless ones are
+// ignored.
 func TestTokensPerEventAreLearned(t *testing.T) {
 	p := newMemoryPlanner(1)
 	p.memory.tokensPerEvent = 0
@@ -142,8 +140,8 @@
 	}
 }
 
-// Load: a thousand engines that are alike come into use with a step. A few are asked for their
-// memory, and the others are taken to have the same; once one differs each is asked.
+// TestMemoryIsInferredFromEqualReports checks a fleet of similar engines: only a few are queried
+// for their memory, and the others are assumed to have the same. Once one differs, each is queried.
 func TestMemoryIsInferredFromEqualReports(t *testing.T) {
 	p := newMemoryPlanner(20)
 	for _, e := range p.engines {
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -155,7 +155,7 @@
 // fullPace returns the time of an event at an engine with all slots in use.
 func (p *Planner) fullPace(e *Engine) float64 { return e.pace * p.slotCost.factor(e.Slots) }
 
-// Pace returns the time of an event with a single run, in ms, zero until it was observed.
+// Pace returns the time of an event without the slowdown from concurrent runs, in ms, zero until it was observed.
 func (e *Engine) Pace() float64 { return e.pace }
 
 // paceCacheTime is how long the result of assumedPace is reused.
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -110,7 +110,7 @@
 		memoryReported bool
 		usedMemory     float64
 		groups         map[cf.GroupID]int
-		// pace is the time of an event with a single run, in ms, zero until it was observed.
+		// pace is the time of an event without the slowdown from concurrent runs, in ms, zero until it was observed.
 		pace float64
 		// meanPace and meanRuns are moving averages of the engine's pace and of its number of runs,
 		// last updated at meanAt.
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -13,7 +13,7 @@
 
 var defaultTerms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000}
 
-// fleet returns n engines with 4 slots that hold the versions of held.
+// fleet returns n engines with 4 slots that hold the given versions.
 func fleet(n int, held ...cf.ModelState) []cf.Target {
 	var out []cf.Target
 	for i := range n {
@@ -28,7 +28,7 @@
 	return map[cf.ServiceName][]cf.ModelName{service: names}
 }
 
-// step returns a batch of groups of size items.
+// step returns a batch with groups of size items each.
 func step(id cf.BatchID, m cf.ModelName, least cf.WeightVersion, groups, size int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, Model: m, MinVersion: least, TargetGroups: groups}
 	for g := range groups {
@@ -41,7 +41,7 @@
 	return cfbatch.New(sub)
 }
 
-// generate lets a run make events at a pace from one moment to another.
+// generate adds events to a run at the given pace between two times.
 func generate(t *testing.T, w *cfrollout.Work, from, to, pace cf.Millis) {
 	t.Helper()
 	for now := from; now <= to; now += pace {
@@ -61,7 +61,8 @@
 	return out
 }
 
-// Every model has its share of the engines, and no engine is left out.
+// TestEnginesAreDividedAmongModels checks that each model has its share of the engines and that no
+// engine is left out.
 func TestEnginesAreDividedAmongModels(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
@@ -78,11 +79,10 @@
 	}
 }
 
-// Symptom: after a change of coordinator a step stands still for seconds.
-// Sequence: the engines hold different models' newest versions; a coordinator
-// without any memory divides them.
-// Cause: a division that ignored what the engines hold gave them to models
-// whose weights they lack, and no order may be given during the handover.
+// TestSuccessorKeepsTheShares guards against a step that is delayed for seconds by a change of the
+// coordinator. The new coordinator knows only which versions the engines hold. A division that
+// ignores them assigns engines to models whose weights they lack, and no order may be given during
+// the handover.
 func TestSuccessorKeepsTheShares(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c"}
 	targets := fleet(11)
@@ -91,7 +91,7 @@
 		old[t.ID] = names[(2*i+1)%3]
 	}
 	after := cfrollout.New(cfrollout.DefaultLimits)
-	// The share of c lags two versions behind what its trainer has named.
+	// The share of c lags two versions behind the announced one.
 	after.SetVersion("a", 4)
 	after.SetVersion("b", 5)
 	after.SetVersion("c", 3)
@@ -112,7 +112,8 @@
 	}
 }
 
-// A lost engine costs its share one engine, and moves at most one other.
+// TestLostEngineMovesFewOthers checks that the loss of an engine moves at most one other to its
+// share.
 func TestLostEngineMovesFewOthers(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}}
@@ -136,9 +137,9 @@
 	}
 }
 
-// Symptom: a step waits for the whole of a load although engines hold a
-// version that it allows.
-// Sequence: version 2 is named and the step that allows version 1 arrives.
+// TestStepStartsOnTheOldestVersionAllowed guards against a step that waits for a load although
+// engines hold a version that it allows. Version 2 is announced when the step that allows version 1
+// arrives.
 func TestStepStartsOnTheOldestVersionAllowed(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -152,7 +153,8 @@
 	}
 }
 
-// Engines load when nothing waits for them, one at least serving all the time.
+// TestSwapsLeaveOneEngineServing checks that engines load when no item waits for them, and that at
+// least one always serves.
 func TestSwapsLeaveOneEngineServing(t *testing.T) {
 	p := cfrollout.New(cfrollout.Limits{MinLoads: 10, UrgentLoads: 10, GroupAffinity: 1})
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -169,8 +171,8 @@
 	}
 }
 
-// An engine whose version is below what the waiting step allows loads at once
-// and more of them together, since nothing can run.
+// TestBlockedStepLoadsAtOnce checks that engines whose version is too old for the waiting step load
+// immediately, and more of them at once than usual, since nothing can run.
 func TestBlockedStepLoadsAtOnce(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -184,8 +186,8 @@
 	}
 }
 
-// Symptom: a sample on a route for one version names two.
-// Sequence: its run breaks off, and is resumed on other weights.
+// TestSingleVersionTextIsNotResumedOnOtherVersions guards against a sample of two versions on a
+// route that asks for one, when its stream breaks and is resumed on other weights.
 func TestSingleVersionTextIsNotResumedOnOtherVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 1})
@@ -205,8 +207,8 @@
 	}
 }
 
-// Load: an engine turns four times slower in mid-step. Its runs move to
-// engines with room, once nothing waits to start, and resume where they were.
+// TestRunsMoveOffASlowEngine makes an engine four times slower during a step. Once no item waits to
+// start, its runs move to engines with free slots and resume where they were.
 func TestRunsMoveOffASlowEngine(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -237,8 +239,8 @@
 	}
 }
 
-// Symptom: runs move back and forth and read their prompts again each time.
-// Sequence: all engines are equally fast.
+// TestUniformEnginesKeepTheirRuns guards against runs that move back and forth between equally fast
+// engines and process their prompts again each time.
 func TestUniformEnginesKeepTheirRuns(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -251,8 +253,8 @@
 	}
 }
 
-// A group that its step left unfinished goes on from its text in the next
-// step, if the weights fit; a run that was still under way is not repeated.
+// TestUnfinishedGroupIsResumedInTheNextStep checks that the next step continues the texts of an
+// unfinished group if the weights fit, and adopts a run that has not ended instead of repeating it.
 func TestUnfinishedGroupIsResumedInTheNextStep(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 2}), models("a"))
@@ -265,7 +267,7 @@
 	if stopped := p.EndBatch("s"); len(stopped) != 0 {
 		t.Errorf("%d runs stopped whose text the next step can use", len(stopped))
 	}
-	p.Finished(works[0], cfrollout.OutcomeDone, 500) // after its batch's end
+	p.Finished(works[0], cfrollout.OutcomeDone, 500) // after its batch has ended
 	next := step("t", "a", 2, 1, 0)
 	for _, w := range works {
 		next.Sub.Items = append(next.Sub.Items, w.Item)
@@ -282,8 +284,8 @@
 	}
 }
 
-// Guards against: a text generated anew because its run, which was stopped with its batch, has
-// not ended when the next batch asks for it.
+// TestStoppedRunIsResumedAtOnce guards against a text that is generated again because its run,
+// which was stopped with its batch, has not ended when the next batch asks for it.
 func TestStoppedRunIsResumedAtOnce(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -303,7 +305,8 @@
 	p.Finished(w, cfrollout.OutcomeStopped, 500)
 }
 
-// Text made by weights that are too old for the next step is thrown away.
+// TestStaleTextIsNotReused checks that a text of weights that are too old for the next step is
+// discarded.
 func TestStaleTextIsNotReused(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -325,8 +328,7 @@
 	}
 }
 
-// BenchmarkPlace measures one look of the planner, at three sizes of a step
-// and its engines.
+// BenchmarkPlace measures one call of Place, for three sizes of a step and its engines.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("engines_%d", n), func(b *testing.B) {
@@ -344,8 +346,8 @@
 	}
 }
 
-// BenchmarkPass measures a look of the planner at a busy site: every engine is
-// full, twice as many items wait, and a version has been named.
+// BenchmarkPass measures one planning pass of a busy planner: every engine is full, twice as many
+// items wait, and a new version was announced.
 func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("engines_%d", n), func(b *testing.B) {
@@ -368,9 +370,9 @@
 	}
 }
 
-// Symptom: an item of a route for samples of one version waits for ever.
-// Sequence: its run breaks off; before it is resumed, all engines of its share
-// load the next version.
+// TestSingleVersionTextRestartsWhenItsVersionIsGone guards against an item that waits forever on a
+// route for samples of one version: its stream breaks, and all engines of its share load the next
+// version before it is resumed.
 func TestSingleVersionTextRestartsWhenItsVersionIsGone(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -388,9 +390,9 @@
 	}
 }
 
-// Symptom: items run by a route that the operator has dropped, or at the
-// service that it went to before.
-// Sequence: a batch is open when the configuration changes.
+// TestOpenBatchFollowsTheConfiguration guards against items that run on a route that the operator
+// has removed, or at its previous service, when the configuration changes while their batch is
+// open.
 func TestOpenBatchFollowsTheConfiguration(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := cf.ModelState{Name: "a", Version: 1}
@@ -418,11 +420,10 @@
 	}
 }
 
-// Symptom: a step stands still for seconds beside another that runs.
-// Sequence: a coordinator was lost, so no engine could follow the versions named
-// meanwhile; two steps are open, and the engines may run the older one alone,
-// which has more items than they have slots.
-// Cause: an engine loaded only when nothing waited that it could run.
+// TestBlockedStepDoesNotWaitForAnotherStepsQueue guards against a step that is delayed for seconds
+// by another one. After the loss of a coordinator, no engine has loaded the versions announced in
+// the meantime. Of two open steps the engines may run only the older one, which has more items than
+// slots. If engines loaded only when no waiting item could run, the newer step would wait.
 func TestBlockedStepDoesNotWaitForAnotherStepsQueue(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 5}), models("a"))
@@ -444,10 +445,10 @@
 	}
 }
 
-// Symptom: an engine refuses every item that it gets, for ever.
-// Sequence: it starts again under its id, with older weights; the list shows that
-// first, or still the start before, when a report has shown the new one.
-// Cause: versions of one start only rise, and were kept over the next.
+// TestRestartedEngineHoldsNoOldVersions guards against an engine that refuses all of its items
+// forever. It restarts under its id with older weights, and the list shows that first, or still the
+// previous process after a report has shown the new one. The versions of one process only increase,
+// but must not be kept across a restart.
 func TestRestartedEngineHoldsNoOldVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 4})
@@ -455,7 +456,7 @@
 	p.SetEngines(targets, models("a"))
 	p.SetVersion("a", 4)
 	p.Reported("e00", cf.TargetReport{Born: 200, Models: []cf.ModelState{{Name: "a", Version: 2}}})
-	p.SetEngines(targets, models("a")) // late
+	p.SetEngines(targets, models("a")) // the list is late
 	again := fleet(2, cf.ModelState{Name: "a", Version: 3})
 	again[0].Born, again[1].Born = 200, 300
 	p.SetEngines(again, models("a"))
--- a/core/cfrollout/reservation_test.go
+++ b/core/cfrollout/reservation_test.go
@@ -7,9 +7,9 @@
 	"currantford/core/cfrollout"
 )
 
-// Symptom: a run that was stopped to move waits for seconds for a slot, as other items have
-// taken the one that it was to have. Guards against that, and against a slot that is kept for
-// ever for a run that does not come.
+// TestSlotIsReservedForAMovingRun guards against a run that was stopped to move and then waits for
+// seconds because other items have taken its slot, and against a slot that stays reserved forever
+// for a run that does not arrive.
 func TestSlotIsReservedForAMovingRun(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
--- a/core/cfrollout/selection_test.go
+++ b/core/cfrollout/selection_test.go
@@ -8,8 +8,8 @@
 	"currantford/core/cfbatch"
 )
 
-// Guards against classes of guesses that move with the mean guess: while it rises, texts of
-// mean length fill the classes that long texts use later.
+// TestHintClassesDoNotDriftWithTheMean guards against hint classes that move with the mean hint:
+// while it rises, texts of mean length would fill the classes that long texts use later.
 func TestHintClassesDoNotDriftWithTheMean(t *testing.T) {
 	p := New(DefaultLimits)
 	for i := range 800 {
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards against a step without target groups of which no group is waited for, so that its
-// engines load weights while its items wait.
+// TestStepWithoutTargetGroupsWaitsForAll guards against a step without target groups of which no
+// group is required, so that its engines would load weights while its items wait.
 func TestStepWithoutTargetGroupsWaitsForAll(t *testing.T) {
 	p := New(DefaultLimits)
 	sub := cf.Submission{ID: "s", Model: "m"}
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against groups that keep no expected end when a spare one takes their place: they
-// would start before all others of their class, and count as waited for.
+// TestReplacedGroupsGoLast guards against groups without an expected end after an optional group
+// has replaced them: they would start before all others of their class, and count as required.
 func TestReplacedGroupsGoLast(t *testing.T) {
 	n := stepNeed{slots: 1, due: 1000, usefulFor: 1500, inTimeFor: 1000, required: 3, groups: []groupNeed{
 		{id: "short", work: 100, longest: 100}, {id: "long", work: 200, longest: 1800},
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against a ranking that holds loads back after the due time has gone, or after the
-// last engine has.
+// TestRankingIsDroppedWithoutDueTimeOrCapacity guards against a ranking that still delays loads
+// after the due time was removed or the last engine was lost.
 func TestRankingIsDroppedWithoutDueTimeOrCapacity(t *testing.T) {
 	for name, end := range map[string]func(*Planner){
 		"no due time": func(p *Planner) { p.SetTerms("s", Terms{Service: "x"}, true) },
@@ -81,8 +81,8 @@
 	}
 }
 
-// Guards against runs of one look that are all sent to one engine, though it has a single
-// slot, and against engines that are loading, full or behind among the destinations.
+// TestRunsOfOnePassGoToDifferentSlots guards against moving all runs of one planning pass to the
+// same engine with a single slot, and against destinations that are loading, full or outdated.
 func TestRunsOfOnePassGoToDifferentSlots(t *testing.T) {
 	p := New(DefaultLimits)
 	sub := cf.Submission{ID: "s", Model: "m"}
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -13,8 +13,8 @@
 	"currantford/core/cfrollout"
 )
 
-// session is a trainer's step from its submission to the next version, played
-// on the decisions alone.
+// session plays a trainer's step from its submission to the next version, without engines or
+// network.
 type session struct {
 	planner *cfrollout.Planner
 	batches map[cf.BatchID]*cfbatch.Batch
@@ -23,16 +23,16 @@
 	now     cf.Millis
 }
 
-// TestSession plays the sessions under testdata. Commands:
+// TestSession plays the sessions in testdata. Their commands are:
 //
 //	engines n=2 model=a version=1    engines that are up
 //	submit id=s model=a least=1 groups=2 size=2 want=2
-//	place                            items that start, with their engines
-//	events item=s-0-0 n=5 pace=40    a run makes events
+//	place                            lists the items that start, with their engines
+//	events item=s-0-0 n=5 pace=40    a run generates events
 //	finish item=s-0-0 outcome=done   a run ends
-//	list                             chunks that are written now
+//	list                             lists the chunks that are written now
 //	end id=s                         the trainer ends its batch
-//	name model=a version=2           the trainer names a version
+//	name model=a version=2           the trainer announces a version
 //	swaps, swapped engine=e00 model=a version=2
 //	wait ms=100
 func TestSession(t *testing.T) {
--- a/core/cfrollout/shares_test.go
+++ b/core/cfrollout/shares_test.go
@@ -7,10 +7,9 @@
 	"currantford/core/cfrollout"
 )
 
-// Symptom: a trainer's steps are never begun while others' are.
-// Load: three models on three engines; one model's steps are a thousand times
-// as large as the others'.
-// Cause: the large model's part was rounded up before the last model had one.
+// TestLargeStepsLeaveEachModelAnEngine guards against a trainer whose steps never start. Three
+// models have three engines, and the steps of one model are a thousand times as large as the
+// others'. Rounding up its part first would leave no engine for the last model.
 func TestLargeStepsLeaveEachModelAnEngine(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
@@ -30,10 +29,10 @@
 	}
 }
 
-// Symptom: a trainer starves after engines are lost.
-// Load: three models, each with a step of twice the slots, on the one engine that
-// is left; a and b hand in a new step as soon as one is done.
-// Cause: an engine served one model, whose work never ended.
+// TestModelsTakeTurnsOnTooFewEngines guards against a trainer that is starved after a loss of
+// engines. Each of three models has a step of twice the slots on the one remaining engine, and a
+// and b submit a new step as soon as one is done. An engine that serves one model until its work
+// ends would never serve the others.
 func TestModelsTakeTurnsOnTooFewEngines(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
@@ -70,8 +69,9 @@
 	}
 }
 
-// Guards against shares of services without due times that lag behind the latest step, or
-// follow guessed lengths: there they are divided by the tokens of the latest steps.
+// TestSharesWithoutDueTimesFollowTheLatestStep guards against shares of services without due times
+// that lag behind the latest step or follow length hints. Without due times, engines are divided by
+// the tokens of the latest steps.
 func TestSharesWithoutDueTimesFollowTheLatestStep(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(12, cf.ModelState{Name: "a", Version: 1}, cf.ModelState{Name: "b", Version: 1})
--- a/core/cfrollout/singleversion_test.go
+++ b/core/cfrollout/singleversion_test.go
@@ -9,10 +9,9 @@
 
 var singleTerms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000, SingleVersion: true}
 
-// Symptom: a sample of a route for single versions was made by two.
-// Sequence: an engine's weights change in the midst of a run, by an order that
-// was carried out late or given between two steps; the run goes on to its end.
-// Cause: only texts that had to be resumed were looked at for their versions.
+// TestMixedVersionTextIsNotCompleted guards against a sample of two versions on a route for single
+// versions. The engine's weights change during the run, by an order that was carried out late or
+// given between two steps, and the run continues to its end without being resumed.
 func TestMixedVersionTextIsNotCompleted(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 4}), models("a"))
@@ -35,9 +34,9 @@
 	}
 }
 
-// Symptom and sequence as above, between two steps: no batch is open, and a run
-// goes on for the step to come, which may ask for its item again.
-// Cause: the order let runs go on, because no open batch forbade it.
+// TestOrdersBetweenStepsWaitForSingleVersionRuns guards against the same between two steps: no
+// batch is open, and a run continues for the next step, which may ask for its item again. The order
+// must not let such runs continue on the new weights.
 func TestOrdersBetweenStepsWaitForSingleVersionRuns(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 4}), models("a"))
@@ -56,8 +55,9 @@
 	}
 }
 
-// Guards against: an item that waits for ever, as the only engine that holds the weights of
-// its text is slow and the others, which may not go on with it, are counted as its queue.
+// TestSingleVersionTextResumesAtASlowEngine guards against an item that waits forever: the only
+// engine with the weights of its text is slow, and the other engines, which may not continue the
+// text, are counted in its queue.
 func TestSingleVersionTextResumesAtASlowEngine(t *testing.T) {
 	p := newSlowEnginePlanner(t)
 	p.AddBatch(hintedBatch("s", 100), singleTerms)
--- a/core/cfrollout/slowengine_test.go
+++ b/core/cfrollout/slowengine_test.go
@@ -9,8 +9,7 @@
 	"currantford/core/cfrollout"
 )
 
-// hintedBatch returns a batch of single items with the lengths that their submitter
-// expects, in tokens of which ten make an event.
+// hintedBatch returns a batch of single items with the given length hints, in events of ten tokens.
 func hintedBatch(id cf.BatchID, events ...int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, Model: "a", MinVersion: 1, TargetGroups: len(events)}
 	for i, n := range events {
@@ -20,8 +19,8 @@
 	return cfbatch.New(sub)
 }
 
-// newSlowEnginePlanner returns a planner with four engines of four slots, of which e03 is four
-// times slower than the others, as a step before has shown.
+// newSlowEnginePlanner returns a planner with four engines of four slots, which has learned from an
+// earlier step that e03 is four times slower than the others.
 func newSlowEnginePlanner(t *testing.T) *cfrollout.Planner {
 	t.Helper()
 	p := cfrollout.New(cfrollout.DefaultLimits)
@@ -40,7 +39,7 @@
 		generate(t, w, 10, 10+19*pace, pace)
 	}
 	for range 20 {
-		p.Moves(800) // the paces are smoothed
+		p.Moves(800) // let the smoothed paces converge
 	}
 	for _, w := range works {
 		p.Finished(w, cfrollout.OutcomeDone, 3200)
@@ -48,11 +47,10 @@
 	return p
 }
 
-// Symptom: a step waits for a long text that was placed at a slow engine, though
-// other engines were free of it a moment later.
-// Load: a step of twice the slots, long texts first; one engine of four is four
-// times slower. It gets short texts alone, which end there before they would have
-// had their turn elsewhere.
+// TestLongTextsDoNotStartAtASlowEngine guards against a step that waits for a long text at a slow
+// engine, although other engines had free slots a moment later. The step has twice as many items as
+// slots, long texts first, and one of four engines is four times slower. It may only get short
+// texts, which end there before they would have started elsewhere.
 func TestLongTextsDoNotStartAtASlowEngine(t *testing.T) {
 	p := newSlowEnginePlanner(t)
 	lengths := make([]int, 32)
@@ -78,10 +76,10 @@
 	}
 }
 
-// Symptom: the longest text of a step runs four times slower than others for
-// seconds, until nothing waits any more.
-// Load: an engine turns slow while its runs are long and half of the step waits.
-// The long run stands first in line for the next slot; short ones stay.
+// TestLongRunLeavesASlowEngineBeforeOthersStart guards against the longest text of a step running
+// four times slower than the others until no item waits. The engine becomes slow while its runs are
+// long and half of the step waits. The long run goes to the front of the queue for the next slot,
+// and short runs stay.
 func TestLongRunLeavesASlowEngineBeforeOthersStart(t *testing.T) {
 	p := newSlowEnginePlanner(t)
 	lengths := make([]int, 40)
--- a/core/cfrollout/slowperiods_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -14,8 +14,8 @@
 	"currantford/core/cfrollout"
 )
 
-// periodSim plays the load of cfslow without a network: 44 engines of 8 slots, machines
-// that are slow for a while, and four trainers with a step every 4 s.
+// periodSim simulates the load that cfslow is made for, without a network: 44 engines of 8 slots,
+// machines that are temporarily slow, and four trainers with a step every 4 s.
 type periodSim struct {
 	periodSettings
 	planner                   *cfrollout.Planner
@@ -26,10 +26,10 @@
 	redrawAt                  map[cf.InstanceID]cf.Millis
 	runs                      map[*cfrollout.Work]*simRun
 	steps                     map[cf.BatchID]*simStep
-	stepTimes                 []cf.Millis // when 90% of a step's groups were whole
-	groupTimes                []cf.Millis // when each group was
+	stepTimes                 []cf.Millis // when 90% of a step's groups were complete
+	groupTimes                []cf.Millis // when each group was complete
 	moves                     int
-	slowLongRuns              int // starts of long texts at engines that were slow
+	slowLongRuns              int // starts of long texts at slow engines
 	longRuns                  int
 	lengths                   map[cf.ItemID]int
 	loading                   map[cf.InstanceID]simLoad
@@ -43,7 +43,7 @@
 	uniform       bool
 	noPeriodMoves bool      // moves by smoothed paces
 	noMoves       bool      // no moves at all
-	maxStall      cf.Millis // the observer now and then reads nothing for up to so long
+	maxStall      cf.Millis // the observer sometimes reads nothing for up to this long
 	passInterval  cf.Millis
 	loads         bool
 	maxDelay      cf.Millis
@@ -52,8 +52,8 @@
 type simRun struct {
 	w          *cfrollout.Work
 	engine     cf.InstanceID
-	readyAt    cf.Millis // until then it connects and reads
-	work       float64   // of the event under way, in ms of a quiet engine
+	readyAt    cf.Millis // connects and processes the prompt until then
+	work       float64   // of the current event, in ms of a fast engine
 	eventTimes []cf.Millis
 	stopAt     cf.Millis
 }
@@ -75,7 +75,7 @@
 	simTick         cf.Millis = 5
 	simStepInterval cf.Millis = 4000
 	simReadTime     cf.Millis = 35
-	simStopTime     cf.Millis = 15 // until a stopped run is over
+	simStopTime     cf.Millis = 15 // until a stopped run has ended
 	simAcceptTime   cf.Millis = 300
 )
 
@@ -97,7 +97,8 @@
 	return w
 }
 
-// submit hands in a step: 8 to 12 groups of 8 or 16, a text in ten five times as long.
+// submit adds a step of 8 to 12 groups of 8 or 16 items, with one text in ten being seven times as
+// long.
 func (w *periodSim) submit(m cf.ModelName, n int) {
 	w.submitted[m]++
 	version := cf.WeightVersion(w.submitted[m])
@@ -188,7 +189,7 @@
 		}
 		for _, at := range r.eventTimes {
 			if w.maxStall > 0 {
-				at = w.now // it is read now
+				at = w.now // read only now
 			}
 			if w.maxDelay > 0 {
 				at = max(at+cf.Millis(w.jitter.IntN(int(w.maxDelay))), run.Progress.LastEvent())
@@ -295,7 +296,7 @@
 	moves, slowLongRuns, longRuns int
 }
 
-// runSeeds plays 40 s of several seeds, each on its own.
+// runSeeds simulates 40 s with each of several seeds.
 func runSeeds(s periodSettings, seeds int) simResult {
 	worlds := make([]*periodSim, seeds)
 	var wg sync.WaitGroup
@@ -314,11 +315,11 @@
 	return r
 }
 
-// Symptom: a step waits for its longest text, which met two or three periods of a slow
-// machine. Guards against moves that come when such a period is half over, land at engines
-// that are slow as well, wait for a slot, or cost more than the rest of the period; and
-// against events that are read late or in bursts, pauses and loads that are taken for slow
-// periods. The decision switched off loses more.
+// TestPeriodMovesReduceStepDelay guards against a step that waits for its longest text, which met
+// two or three slow periods of machines. Moves must not come when half of such a period is over, go
+// to engines that are slow as well, wait for a slot, or cost more than the rest of the period.
+// Events that are read late or in bursts, pauses and loads must not count as slow periods. Steps
+// lose more time with the decision turned off.
 func TestPeriodMovesReduceStepDelay(t *testing.T) {
 	const seeds = 4
 	for _, s := range []periodSettings{{}, {loads: true, maxDelay: 15, maxStall: 60, passInterval: 20}} {
@@ -339,8 +340,8 @@
 	}
 }
 
-// Guards against decisions that change where machines are even: nothing moves, and steps
-// take what they took.
+// TestUniformMachinesAreUnaffected guards against decisions that change anything where machines are
+// uniform: no run moves, and steps take the same time as before.
 func TestUniformMachinesAreUnaffected(t *testing.T) {
 	now, before := runSeeds(periodSettings{uniform: true}, 2), runSeeds(periodSettings{uniform: true, noPeriodMoves: true}, 2)
 	if now.moves+before.moves > 0 || math.Abs(mean(now.stepTimes)-mean(before.stepTimes)) > 20 {
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -7,11 +7,11 @@
 	"currantford/core/cfrollout"
 )
 
-// Each way in which an item waits although there is room has its reason, and a report comes
-// after 2 s, 4 s and 8 s.
+// TestItemsThatWaitAreReportedWithTheirReason checks that each way in which an item waits despite
+// free slots has its reason, and that reports follow after 2 s, 4 s and 8 s.
 func TestItemsThatWaitAreReportedWithTheirReason(t *testing.T) {
 	held := cf.ModelState{Name: "m", Version: 1}
-	// relist lists the engines again, changed.
+	// relist sets the list of engines again after changing each target.
 	relist := func(change func(t *cf.Target)) func(*cfrollout.Planner, []cf.Target, *bool) {
 		return func(p *cfrollout.Planner, targets []cf.Target, _ *bool) {
 			for i := range targets {
