--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -44,8 +44,8 @@
 
 // awaitNews holds a call until there is something to tell, for a while.
 func (n *Node) awaitNews(ctx context.Context, call feedCall) error {
-	count, changed := n.site.Relay()
-	wait := cfmember.CallWait.Duration()
+	count, changed := n.site.TargetUpdates()
+	wait := cfmember.PollWait.Duration()
 	switch fresh, _ := n.word(cf.Uptime()); {
 	case !fresh:
 		wait = staleWait // nothing can be told yet
@@ -83,17 +83,17 @@
 func (n *Node) answerFeed(call feedCall) feedAnswer {
 	now := cf.Uptime()
 	holder, rev := n.candidate.holder()
-	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Sums(), Informed: n.guard.Informed()}
+	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Checksums(), Informed: n.guard.Informed()}
 	a.Fresh, a.Age = n.word(now)
 	if n.candidate.Held() {
 		a.Unsure = !a.Fresh
 	} else {
 		a.HolderAge = now - cf.Millis(n.candidate.answered.Load())
-		a.Unsure = !a.Fresh && cfmember.AnswerShared(cf.Millis(n.feed.unsure.Load()), now)
+		a.Unsure = !a.Fresh && cfmember.AnswerIsRecent(cf.Millis(n.feed.unsure.Load()), now)
 	}
 	a.Listing = !a.Fresh && n.listing(now)
 	same := call.Origin == n.origin
-	a.Members = n.members.News(same, call.Members, call.MembersSum, n.self(), now)
+	a.Members = n.members.Update(same, call.Members, call.MembersSum, n.self(), now)
 	if !a.Fresh {
 		return a
 	}
@@ -104,7 +104,7 @@
 		return a
 	}
 	a.Config = config
-	if count, _ := n.site.Relay(); !same || call.News != count {
+	if count, _ := n.site.TargetUpdates(); !same || call.News != count {
 		news := n.newsFor(call, same)
 		a.News = &news
 	}
@@ -112,8 +112,8 @@
 }
 
 // configNews returns what an instance must hear of the configuration.
-func (n *Node) configNews(held cfsite.ConfigHeld) (*cfsite.ConfigNews, error) {
-	news, err := n.site.ConfigNews(held)
+func (n *Node) configNews(held cfsite.ConfigState) (*cfsite.ConfigUpdate, error) {
+	news, err := n.site.ConfigUpdate(held)
 	if news == nil {
 		return nil, err
 	}
@@ -121,16 +121,16 @@
 	if news.Base == 0 {
 		part = "whole"
 	}
-	n.feedMetrics.told.WithLabelValues(part).Add(float64(len(news.Packed)))
+	n.feedMetrics.told.WithLabelValues(part).Add(float64(len(news.Data)))
 	return news, nil
 }
 
 // newsFor returns what an instance must hear of the targets.
-func (n *Node) newsFor(call feedCall, same bool) cfsite.News {
+func (n *Node) newsFor(call feedCall, same bool) cfsite.TargetUpdate {
 	if same {
-		return n.site.NewsSince(call.News)
+		return n.site.TargetUpdateSince(call.News)
 	}
-	return n.site.AllNews(call.Sum)
+	return n.site.FullTargetUpdate(call.Sum)
 }
 
 // hear takes an instance's report: as the coordinator, or as its hub. It returns the sum of
@@ -139,13 +139,13 @@
 	now := cf.Uptime()
 	call.Entry.Ready = call.Entry.Ready && !call.Leaving
 	if !holds {
-		n.members.Asked(call.Entry, now)
+		n.members.RecordClient(call.Entry, now)
 		return 0
 	}
 	if call.Wall > 0 {
 		n.clockMu.Lock()
-		n.clocks.Heard(call.Entry.ID, call.Wall, now)
+		n.clocks.Record(call.Entry.ID, call.Wall, now)
 		n.clockMu.Unlock()
 	}
-	return n.members.Heard(call.Entry, call.Group, now)
+	return n.members.RecordReport(call.Entry, call.Group, now)
 }
