--- a/core/cfrollout/allocation_test.go
+++ b/core/cfrollout/allocation_test.go
@@ -250,7 +250,7 @@
 			}
 		}
 		if w.unplacedPasses > 0 {
-			t.Errorf("%d engines: %d times an item was left by a look", engines, w.unplacedPasses)
+			t.Errorf("%d engines: %d times an item was left waiting by a planning pass", engines, w.unplacedPasses)
 		}
 	}
 }
@@ -274,13 +274,13 @@
 	w.run(allocationStepInterval, 40)
 	grown := w.servingEngines()
 	if grown < 4*before {
-		t.Errorf("%d engines serve before, %d with ten times the work", before, grown)
+		t.Errorf("%d engines serve before the increase, %d with ten times the work", before, grown)
 	}
 	w.run(allocationStepInterval, 40)
 	w.unplacedPasses = 0
 	w.run(2*allocationStepInterval, 40)
 	if w.unplacedPasses > 0 {
-		t.Errorf("%d times an item was left by a look after two large steps", w.unplacedPasses)
+		t.Errorf("%d times an item was left waiting by a planning pass after two large steps", w.unplacedPasses)
 	}
 	w.run(2*allocationStepInterval, 4)
 	if n := w.servingEngines(); n < grown*9/10 {
@@ -305,7 +305,7 @@
 	}
 	w.run(2*allocationStepInterval, 13)
 	if w.unplacedPasses > 0 {
-		t.Errorf("%d times an item was left by a look after the loss", w.unplacedPasses)
+		t.Errorf("%d times an item was left waiting by a planning pass after the loss", w.unplacedPasses)
 	}
 }
 
@@ -332,10 +332,10 @@
 		}
 	}
 	if others > len(before)/2 {
-		t.Errorf("%d engines serve that did not serve the %d before", others, len(before))
+		t.Errorf("%d engines serve now that did not before the change, of %d that did", others, len(before))
 	}
 	if w.unplacedPasses > 0 {
-		t.Errorf("%d times an item was left by a look", w.unplacedPasses)
+		t.Errorf("%d times an item was left waiting by a planning pass", w.unplacedPasses)
 	}
 }
 
@@ -345,13 +345,13 @@
 	w := newAllocationSim(t, 9444, 2)
 	w.run(2*allocationStepInterval, 13)
 	if w.runs < 100 || w.slowRuns < w.runs/5 {
-		t.Fatalf("%d of %d items began at slow engines at first", w.slowRuns, w.runs)
+		t.Fatalf("%d of %d items initially started at slow engines", w.slowRuns, w.runs)
 	}
 	w.run(6*allocationStepInterval, 13)
 	w.runs, w.slowRuns = 0, 0
 	w.run(4*allocationStepInterval, 13)
 	if w.slowRuns > w.runs/10 {
-		t.Errorf("%d of %d items began at slow engines", w.slowRuns, w.runs)
+		t.Errorf("%d of %d items started at slow engines", w.slowRuns, w.runs)
 	}
 }
 
@@ -385,7 +385,7 @@
 			byList.SetEngines(targets, models(names...))
 			x, y := byChange.Place(now), byList.Place(now)
 			if len(x) != len(y) {
-				t.Fatalf("seed %d at %d: %d and %d items begin", seed, now, len(x), len(y))
+				t.Fatalf("seed %d at %d: %d and %d items start", seed, now, len(x), len(y))
 			}
 			for j := range x {
 				if x[j].Item.ID != y[j].Item.ID || x[j].Engine != y[j].Engine {
--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -35,10 +35,10 @@
 // their engines have crashed in a burst.
 func TestItemsCompleteAfterABurstOfCrashes(t *testing.T) {
 	for name, body := range map[string]func(cf.Item) string{
-		"bodies of their own": nil,
-		"one for a group":     func(it cf.Item) string { return string(it.Group) },
-		"one for a step":      func(it cf.Item) string { return string(it.Group[:strings.LastIndex(string(it.Group), "-")]) },
-		"one for all":         func(cf.Item) string { return "x" },
+		"one body per item":  nil,
+		"one body per group": func(it cf.Item) string { return string(it.Group) },
+		"one body per step":  func(it cf.Item) string { return string(it.Group[:strings.LastIndex(string(it.Group), "-")]) },
+		"one body for all":   func(cf.Item) string { return "x" },
 	} {
 		for seed := range uint64(20) {
 			t.Run(fmt.Sprint(name, ", seed ", seed), func(t *testing.T) {
@@ -49,7 +49,7 @@
 				r.Run(60_000)
 				got := r.Outcomes()[0]
 				if n := r.Unplaced(); n >= maxUnplaced {
-					t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, maxUnplaced)
+					t.Errorf("an item had no engine for %d ms while slots were free, want less than %d", n, maxUnplaced)
 				}
 				if got.InTime < got.Owed {
 					t.Errorf("%d of %d groups in time, %d late, of %d steps", got.InTime, got.Owed, got.Late, got.Steps)
@@ -76,19 +76,19 @@
 			// Three at once, and then one after each pause of 1, 2, 4 and 4 s until its step
 			// expires.
 			if n := len(crashes); n < 6 || n > 7 {
-				t.Errorf("%d engines ended under it, want 6 or 7", n)
+				t.Errorf("%d engines crashed while they ran it, want 6 or 7", n)
 			}
 			for i := 3; i < len(crashes); i++ {
 				pause, most := []cf.Millis{1000, 2000, 4000}[min(i-3, 2)], []int{4, 2, 1}[min(i-3, 2)]
 				if waited := crashes[i].At - crashes[i-1].At; waited < pause {
-					t.Errorf("end %d comes %d ms after the one before, want %d at least", i+1, waited, pause)
+					t.Errorf("crash %d comes %d ms after the previous one, want at least %d", i+1, waited, pause)
 				}
 				if crashes[i].Beside >= most {
-					t.Errorf("end %d takes %d other runs with it, want fewer than %d", i+1, crashes[i].Beside, most)
+					t.Errorf("crash %d ends %d other runs, want fewer than %d", i+1, crashes[i].Beside, most)
 				}
 			}
 			if n := r.Unplaced(); n >= maxUnplaced {
-				t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, maxUnplaced)
+				t.Errorf("an item had no engine for %d ms while slots were free, want less than %d", n, maxUnplaced)
 			}
 			if got := r.Outcomes()[0]; got.InTime < got.Owed-1 {
 				t.Errorf("%d of %d groups in time, want all but its own", got.InTime, got.Owed)
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -34,7 +34,7 @@
 	p.ChangeEngines(nil, []cf.InstanceID{"e"})
 	p.ChangeEngines([]cf.Target{target}, nil)
 	if e, _ := p.Engine("e"); e.Running != 1 {
-		t.Errorf("%d runs at an engine that is back, and has one", e.Running)
+		t.Errorf("%d runs at an engine that has returned with one run", e.Running)
 	}
 	p.Finished(runs[0], OutcomeBroken, 100)
 	if e, _ := p.Engine("e"); e.Running != 0 {
@@ -101,7 +101,7 @@
 					delete(under, w)
 					e := p.engines[at.ID]
 					if a, k := penalties(p, at.ID); e != nil && (at.Born < e.Born || at.Service != e.Service) && (a != avoid || k != kept) {
-						t.Fatalf("seed %d: the end of a run of %s since %d is put down to the one since %d", seed, at.ID, at.Born, e.Born)
+						t.Fatalf("seed %d: the end of a run at the process of %s started at %d counts for the one started at %d", seed, at.ID, at.Born, e.Born)
 					}
 					break
 				}
@@ -136,10 +136,10 @@
 			}
 		}
 		if e.Running != runs || fmt.Sprint(e.groups) != fmt.Sprint(groups) || e.Running > e.Slots || len(e.idleConnections) > e.Slots || runs == 0 && e.usedMemory != 0 {
-			t.Fatalf("seed %d: engine %s has %d runs of %v, %d kept, %.0f used; under way are %d of %v", seed, id, e.Running, e.groups, len(e.idleConnections), e.usedMemory, runs, groups)
+			t.Fatalf("seed %d: engine %s has %d runs of %v, %d idle connections, %.0f tokens used; want %d runs of %v", seed, id, e.Running, e.groups, len(e.idleConnections), e.usedMemory, runs, groups)
 		}
 	}
 	if len(p.departed) > len(under) {
-		t.Fatalf("seed %d: %d engines are remembered, with %d runs under way", seed, len(p.departed), len(under))
+		t.Fatalf("seed %d: %d departed engines with only %d runs", seed, len(p.departed), len(under))
 	}
 }
--- a/core/cfrollout/engineloss_test.go
+++ b/core/cfrollout/engineloss_test.go
@@ -176,7 +176,7 @@
 				if n := x.planner.WaitingCount(); n > 0 || x.longestWait >= 5000 {
 					t.Errorf("%s, draining=%v, seed %d: %d items wait, one for %d ms", name, draining, seed, n, x.longestWait)
 				}
-				t.Logf("%s, draining=%v, seed %d: %d ms at no engine at most", name, draining, seed, x.longestWait)
+				t.Logf("%s, draining=%v, seed %d: at most %d ms without an engine", name, draining, seed, x.longestWait)
 			}
 		}
 	}
@@ -256,7 +256,7 @@
 			x.tick(random)
 		}
 		if n := x.planner.WaitingCount(); n > 0 {
-			t.Errorf("seed %d: %d items wait 11 s after the last trouble, of %d engines: %v", seed, n, len(x.targets), x.planner.WaitingItems(x.now).Counts)
+			t.Errorf("seed %d: %d items wait 11 s after the last fault, with %d engines: %v", seed, n, len(x.targets), x.planner.WaitingItems(x.now).Counts)
 		}
 	}
 }
--- a/core/cfrollout/estimate_test.go
+++ b/core/cfrollout/estimate_test.go
@@ -27,11 +27,11 @@
 		{"20 events in 10 s", hintedBatch("a", 20, 20).Sub, 15_000, 10_000, false},
 		{"20 events in 0.8 s", hintedBatch("b", 20, 20).Sub, 5800, 800, false},
 		{"20 events in 0.1 s", hintedBatch("c", 20, 20).Sub, 5100, 100, true},
-		{"one short text of several", hintedBatch("d", 20, 20, 1).Sub, 5100, 100, false},
-		{"20 events in 0.1 s, accepted 8 s behind", hintedBatch("e", 20).Sub, 4000, 100, true},
-		{"20 events in 7.5 s, accepted 8 s behind", hintedBatch("h", 20).Sub, 4500, 7500, false},
+		{"one of several texts is short", hintedBatch("d", 20, 20, 1).Sub, 5100, 100, false},
+		{"20 events in 0.1 s, clock 8 s behind", hintedBatch("e", 20).Sub, 4000, 100, true},
+		{"20 events in 7.5 s, clock 8 s behind", hintedBatch("h", 20).Sub, 4500, 7500, false},
 		{"without a due time", hintedBatch("f", 20).Sub, 0, 0, false},
-		{"with a text of the step before", began.Sub, 5100, 100, false},
+		{"with a text of the previous step", began.Sub, 5100, 100, false},
 	} {
 		due := defaultTerms
 		due.Due, due.Span = c.due, c.span
@@ -41,6 +41,6 @@
 		}
 	}
 	if h := cfrollout.New(cfrollout.DefaultLimits).EstimateStep(hintedBatch("g", 20).Sub, cfrollout.Terms{Service: service, Due: 1}, 5000); h.Infeasible {
-		t.Error("infeasible without any text that is known")
+		t.Error("infeasible although no text length is known")
 	}
 }
--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -84,9 +84,9 @@
 // trainers' timeout, and against one trainer losing out to the others.
 func TestTrainersProgressBeyondCapacity(t *testing.T) {
 	for name, disturb := range map[string]func(*cfreplay.Replay){
-		"undisturbed": func(*cfreplay.Replay) {},
-		"slow spell":  func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
-		"lost domain": func(r *cfreplay.Replay) { r.Run(30_000); r.Lose("d1") },
+		"undisturbed":  func(*cfreplay.Replay) {},
+		"slow engines": func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
+		"lost domain":  func(r *cfreplay.Replay) { r.Run(30_000); r.Lose("d1") },
 	} {
 		play := func(limits cfrollout.Limits) (float64, []float64) {
 			o := overloaded(3, 25, 27, 32, 35)
@@ -101,11 +101,11 @@
 		all.AllGroups = true
 		before, _ := play(all)
 		if got < 1.3*before {
-			t.Errorf("%s: worth %.1f with selected groups, %.1f with all", name, got, before)
+			t.Errorf("%s: results worth %.1f with selected groups, %.1f with all groups", name, got, before)
 		}
 		for i, w := range each {
 			if w < got/float64(len(each))/2 {
-				t.Errorf("%s: trainer %d gets %.1f of %.1f", name, i, w, got)
+				t.Errorf("%s: trainer %d gets results worth %.1f of %.1f", name, i, w, got)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 		before = after
 	}
 	if changes > 4 {
-		t.Errorf("engines changed hands %d times in 40 s", changes)
+		t.Errorf("engines changed their model %d times in 40 s", changes)
 	}
 }
 
@@ -138,7 +138,7 @@
 	r := cfreplay.New(o)
 	r.Run(20_000)
 	if s := r.Shares(); s["m0"] < 9 || s["m1"] < 4 {
-		t.Errorf("15 engines are divided %v, with twice the weight for m0", s)
+		t.Errorf("15 engines are divided into %v, with twice the weight for m0", s)
 	}
 }
 
@@ -155,6 +155,6 @@
 	r.Run(replayTime + 30_000)
 	after := r.Outcomes()[0]
 	if inTime, owed := after.InTime-before.InTime, after.Owed-before.Owed; owed < 60 || float64(inTime) < 0.9*float64(owed) {
-		t.Errorf("%d of %d groups in time in 45 s alone", inTime, owed)
+		t.Errorf("%d of %d groups in time in the 45 s after the overload", inTime, owed)
 	}
 }
--- a/core/cfrollout/isolation_test.go
+++ b/core/cfrollout/isolation_test.go
@@ -41,12 +41,12 @@
 			p.EndBatch("s")
 			p.Finished(w, cfrollout.OutcomeStopped, 100)
 		},
-		"engine gone and back": func(p *cfrollout.Planner, w *cfrollout.Work, targets []cf.Target) {
+		"engine left and returned": func(p *cfrollout.Planner, w *cfrollout.Work, targets []cf.Target) {
 			p.SetEngines(nil, models("a"))
 			p.Finished(w, cfrollout.OutcomeBroken, 100)
 			p.SetEngines(targets, models("a"))
 		},
-		"engine started again": func(p *cfrollout.Planner, w *cfrollout.Work, targets []cf.Target) {
+		"engine restarted": func(p *cfrollout.Planner, w *cfrollout.Work, targets []cf.Target) {
 			for i := range targets {
 				targets[i].Born = 2
 			}
@@ -60,11 +60,11 @@
 			p.AddBatch(step("s", "a", 1, 1, 1), defaultTerms)
 			w := p.Place(0)[0]
 			if w.IsolationLimit() != 1 {
-				t.Fatalf("the suspect may have %d runs beside it, want none", w.IsolationLimit())
+				t.Fatalf("the suspect item's engine may have %d runs, want 1", w.IsolationLimit())
 			}
 			p.AddBatch(step("t", "a", 1, 2, 4), defaultTerms)
 			if others := p.Place(10); len(others) != targets[0].Slots {
-				t.Fatalf("%d others placed, want as many as the other engine has slots", len(others))
+				t.Fatalf("%d other items placed, want as many as the other engine has slots", len(others))
 			}
 			suspected = false
 			end(p, w, targets)
@@ -75,7 +75,7 @@
 				}
 			}
 			if placed < 3 {
-				t.Errorf("%d items placed, want the engine to take what waits", placed)
+				t.Errorf("%d items placed, want the engine to take waiting items", placed)
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 			apart := map[cf.InstanceID]int{}
 			placed := p.Place(0)
 			if len(placed) != 2*engines {
-				t.Errorf("%d of %d suspects placed in empty engines", len(placed), 2*engines)
+				t.Errorf("%d of %d suspect items placed at empty engines", len(placed), 2*engines)
 			}
 			for _, w := range placed {
 				if w.IsolationLimit() > 0 {
@@ -100,16 +100,16 @@
 			}
 			most := max(engines/4, min(engines-1, 1))
 			if len(apart) != most {
-				t.Errorf("%d engines are set apart, want %d", len(apart), most)
+				t.Errorf("%d engines are isolated, want %d", len(apart), most)
 			}
 			for _, w := range placed {
 				if apart[w.Engine] > 1 || apart[w.Engine] > 0 && w.IsolationLimit() == 0 {
-					t.Errorf("%s runs beside another at %s", w.Item.ID, w.Engine)
+					t.Errorf("%s runs together with another item at isolated engine %s", w.Item.ID, w.Engine)
 				}
 			}
 			p.AddBatch(step("t", "a", 1, engines, 4), defaultTerms)
 			if n, room := len(p.Place(10)), (engines-most)*targets[0].Slots-(2*engines-most); n != room {
-				t.Errorf("%d others placed, want %d", n, room)
+				t.Errorf("%d other items placed, want %d", n, room)
 			}
 		})
 	}
@@ -136,13 +136,13 @@
 	p.AddBatch(step("s", "a", 1, 1, items), defaultTerms)
 	placed := len(p.Place(0))
 	if admissions > most {
-		t.Errorf("%d admissions in a look for %d items and %d engines", admissions, items, engines)
+		t.Errorf("%d admission checks in one planning pass for %d items and %d engines", admissions, items, engines)
 	}
 	if placed != engines {
 		t.Errorf("%d items placed, want one at each of %d engines", placed, engines)
 	}
 	meet = false
 	if placed += len(p.Place(1000)); placed < items {
-		t.Errorf("%d of %d items placed once they may meet", placed, items)
+		t.Errorf("%d of %d items placed once they may run together", placed, items)
 	}
 }
--- a/core/cfrollout/loadcrashes_test.go
+++ b/core/cfrollout/loadcrashes_test.go
@@ -96,19 +96,19 @@
 		w.run(0, 300_000, bad)
 		// The first concurrent loads, two more, and tries after 10, 40 and 160 s.
 		if most := cfrollout.DefaultLimits.UrgentLoads + 2 + 3; w.crashed > most || w.crashed < 3 {
-			t.Errorf("fails %v: %d engines ended in five minutes, want %d at the most", fails, w.crashed, most)
+			t.Errorf("ordersFail %v: %d engines crashed in five minutes, want between 3 and %d", fails, w.crashed, most)
 		}
 		before := w.crashed
 		w.planner.SetVersion("m", 3)
 		w.run(300_000, 600_000, bad)
 		if most := 2 + 4; w.crashed-before > most || w.crashed == before {
-			t.Errorf("fails %v: %d engines ended under the next version, want %d at the most", fails, w.crashed-before, most)
+			t.Errorf("ordersFail %v: %d engines crashed with the next version, want between 1 and %d", fails, w.crashed-before, most)
 		}
 		w.planner.SetVersion("m", 4)
 		w.run(600_000, 640_000, bad)
 		for _, target := range w.targets {
 			if w.held[target.ID] != 4 {
-				t.Errorf("fails %v: %s does not hold a sound version after 40 s", fails, target.ID)
+				t.Errorf("ordersFail %v: %s does not hold a sound version after 40 s", fails, target.ID)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 			w.run(now, now+100, sound)
 		}
 		if now-began > 700 {
-			t.Errorf("version %d: first held %d ms after the crashes", v, now-began)
+			t.Errorf("version %d: first loaded %d ms after the crashes, want at most 700", v, now-began)
 		}
 		w.run(now, now+20_000, sound)
 		now += 20_000
--- a/core/cfrollout/loadlimit_test.go
+++ b/core/cfrollout/loadlimit_test.go
@@ -35,7 +35,7 @@
 		}
 		t.Logf("%d served at full speed: limit %d, %d of %d rounds slow", serves, l.limit, slow, rounds)
 		if l.limit < serves || l.limit > serves+1 {
-			t.Errorf("limit %d where %d are served at full speed", l.limit, serves)
+			t.Errorf("limit %d although %d loads are served at full speed", l.limit, serves)
 		}
 		if slow > 5 {
 			t.Errorf("%d of %d rounds were slow", slow, rounds)
@@ -56,7 +56,7 @@
 	}
 	l.observe(2, 1000, 0)
 	if l.limit != 3 {
-		t.Errorf("limit %d after a whole round, want 3", l.limit)
+		t.Errorf("limit %d after a complete round, want 3", l.limit)
 	}
 	l.observe(3, 1400, 0) // a single slow load
 	l.observe(3, 1000, 0)
@@ -80,7 +80,7 @@
 		}
 	}
 	if l.usualTime > 1000 {
-		t.Errorf("usual time %f ms after loads beside others, want 910", l.usualTime)
+		t.Errorf("usual time %f ms after concurrent loads, want 910", l.usualTime)
 	}
 }
 
@@ -124,6 +124,6 @@
 	limits := DefaultLimits
 	limits.LearnedLoads = 5000
 	if n := New(limits).LearnedLoads(); n > maxLoads {
-		t.Errorf("%d loads at once are taken over from a coordinator before", n)
+		t.Errorf("a learned limit of %d loads is taken over, above the maximum", n)
 	}
 }
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -104,15 +104,15 @@
 		return &fastestFree{planner: p, engines: []*Engine{from, to}, assumed: 24, taken: map[cf.InstanceID]int{}}
 	}
 	if e := p.betterEngine(room(), w, 2001); e != nil {
-		t.Error("a text moves to an engine without memory for it")
+		t.Error("a text moves to an engine without enough memory")
 	}
 	to.usedMemory = 0
 	if e := p.betterEngine(room(), w, 2001); e != to {
-		t.Error("a text stays at an engine of little more than half the pace")
+		t.Error("a text stays at an engine although another needs little more than half the time per event")
 	}
-	w.moves = maxGainDoublings
+	w.moves = maxDoublings
 	if e := p.betterEngine(room(), w, 2001); e != nil {
-		t.Error("a text that has moved five times in vain moves again")
+		t.Error("a text that has moved five times without gain moves again")
 	}
 }
 
@@ -125,7 +125,7 @@
 	works := p.Place(0)
 	const now = 10 * queryInterval
 	if len(p.EnginesToQuery(now)) != 1 || len(p.EnginesToQuery(now+queryInterval-1)) != 0 {
-		t.Error("an engine is not asked while nothing is known, or too often")
+		t.Error("an engine is not queried while nothing is known, or queried too often")
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 23000, Runs: []cf.TargetRun{
 		{ID: cf.RequestID(works[0].Item.ID), Tokens: 276 + 10*41, Events: 10},
@@ -133,10 +133,10 @@
 		{ID: "of nobody", Tokens: 1, Events: 100},
 	}})
 	if got := p.memory.tokensPerEvent; got != 41 {
-		t.Errorf("%.1f tokens an event, want 41", got)
+		t.Errorf("%.1f tokens per event, want 41", got)
 	}
 	if n := len(p.EnginesToQuery(2 * now)); n != 0 {
-		t.Errorf("%d engines are asked for what is known", n)
+		t.Errorf("%d engines are queried although their memory is known", n)
 	}
 }
 
@@ -160,18 +160,18 @@
 		return n
 	}
 	if n := query(queryInterval, 23000); n != maxQueries {
-		t.Errorf("%d engines are asked at first", n)
+		t.Errorf("%d engines are queried at first", n)
 	}
 	if n := query(3*queryInterval, 23000); n != 0 {
-		t.Errorf("%d engines are asked though %d have told the same", n, minEqualReports)
+		t.Errorf("%d engines are queried although %d have reported the same memory", n, minEqualReports)
 	}
 	for id := range p.engines {
 		if got := p.memory.capacity(p.engines[id]); got != 23000 {
-			t.Errorf("%s is taken to have %d tokens", id, got)
+			t.Errorf("%s is assumed to have %d tokens of memory", id, got)
 		}
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 11000})
 	if n := query(5*queryInterval, 23000); n < 20-minEqualReports-1 {
-		t.Errorf("%d engines are asked though one differs", n)
+		t.Errorf("%d engines are queried although one reports a different memory", n)
 	}
 }
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -27,8 +27,8 @@
 	// minMoveGain is the least time that a move must be expected to save, in ms. A moved run
 	// processes its text again, loses the current event and needs a connection.
 	minMoveGain = 250
-	// maxGainDoublings limits how often minMoveGain is doubled.
-	maxGainDoublings = 5
+	// maxDoublings limits how often minMoveGain is doubled.
+	maxDoublings = 5
 	// minMoveSpeedup is how many times faster the new engine must be. Known paces are accurate to
 	// about 10%.
 	minMoveSpeedup = 1.25
@@ -46,7 +46,7 @@
 	last        atomic.Int64
 	events      atomic.Int64
 	smoothedGap atomic.Int64 // moving average of the time between events, in microseconds
-	latestGap   atomic.Int64 // time between the last two events, in microseconds
+	lastGap     atomic.Int64 // time between the last two events, in microseconds
 	// seenUntil is the time until which all events are known, zero if each event is recorded as it
 	// arrives.
 	seenUntil atomic.Int64
@@ -56,7 +56,7 @@
 func (p *Progress) Note(now cf.Millis) {
 	if !p.first.CompareAndSwap(0, int64(now)) {
 		gap := float64(int64(now)-p.last.Load()) * 1000
-		p.latestGap.Store(int64(gap))
+		p.lastGap.Store(int64(gap))
 		if old := float64(p.smoothedGap.Load()); p.events.Load() > 1 {
 			gap = old + gapWeight*(gap-old)
 		}
@@ -77,7 +77,7 @@
 	p.last.Store(0)
 	p.events.Store(0)
 	p.smoothedGap.Store(0)
-	p.latestGap.Store(0)
+	p.lastGap.Store(0)
 }
 
 // pace returns the time of an event in ms as observed at now. The pace of a run that has stopped
@@ -255,7 +255,7 @@
 			continue
 		}
 		pace, shown := w.Progress.pace(now)
-		if shown && p.remaining(w)*(pace-q.pace)-q.wait(1) >= w.requiredGain() && len(out) < most {
+		if shown && p.remaining(w)*(pace-q.pace)-q.wait(1) >= w.minGain() && len(out) < most {
 			out = append(out, w)
 		}
 	}
@@ -409,14 +409,12 @@
 	if best == nil || best == from || !best.canStart(w, now) {
 		return nil
 	}
-	if pace < minMoveSpeedup*bestPace || p.remaining(w)*(pace-bestPace) < w.requiredGain() || !p.fitsMemory(best, w) {
+	if pace < minMoveSpeedup*bestPace || p.remaining(w)*(pace-bestPace) < w.minGain() || !p.fitsMemory(best, w) {
 		return nil
 	}
 	return best
 }
 
-// requiredGain returns what a move must be expected to save, in ms. It doubles with each earlier
+// minGain returns what a move must be expected to save, in ms. It doubles with each earlier
 // move, which did not save what was expected, so that the estimate cannot be trusted.
-func (w *Work) requiredGain() float64 {
-	return minMoveGain * float64(int(1)<<min(w.moves, maxGainDoublings))
-}
+func (w *Work) minGain() float64 { return minMoveGain * float64(int(1)<<min(w.moves, maxDoublings)) }
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -149,7 +149,7 @@
 		t.Errorf("%d items started, want all 8 slots taken", n)
 	}
 	if s := p.Swaps(0); len(s) != 0 {
-		t.Errorf("%d engines load while items wait that they could run", len(s))
+		t.Errorf("%d engines load while waiting items could run on them", len(s))
 	}
 }
 
@@ -167,7 +167,7 @@
 		p.SwapDone(s.Target.ID, s.Model, s.Version)
 	}
 	if second := p.Swaps(0); len(second) != 1 {
-		t.Errorf("%d engines load then, want the third", len(second))
+		t.Errorf("%d engines load next, want the third one", len(second))
 	}
 }
 
@@ -202,7 +202,7 @@
 	p.Finished(w, cfrollout.OutcomeBroken, 200)
 	for _, again := range p.Place(5000) {
 		if len(again.Text.Versions) > 0 && again.Text.Versions[0] != again.Version {
-			t.Errorf("text of version %v goes on with %d", again.Text.Versions, again.Version)
+			t.Errorf("text of version %v is resumed with version %d", again.Text.Versions, again.Version)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 		p.Finished(w, cfrollout.OutcomeStopped, 2010)
 		for _, again := range p.Place(2010) {
 			if again.Engine == "e00" || again.Text.Last != last {
-				t.Errorf("run goes on at %s after event %d, want another engine after %d", again.Engine, again.Text.Last, last)
+				t.Errorf("run is resumed at %s after event %d, want another engine after event %d", again.Engine, again.Text.Last, last)
 			}
 		}
 	}
@@ -249,7 +249,7 @@
 		generate(t, w, 10, 1900, 40)
 	}
 	if moves := p.Moves(2000); len(moves) != 0 {
-		t.Errorf("%d runs move between even engines", len(moves))
+		t.Errorf("%d runs move between equally fast engines", len(moves))
 	}
 }
 
@@ -265,7 +265,7 @@
 		generate(t, w, 0, 400, 40)
 	}
 	if stopped := p.EndBatch("s"); len(stopped) != 0 {
-		t.Errorf("%d runs stopped whose text the next step can use", len(stopped))
+		t.Errorf("%d runs stopped although the next step can use their texts", len(stopped))
 	}
 	p.Finished(works[0], cfrollout.OutcomeDone, 500) // after its batch has ended
 	next := step("t", "a", 2, 1, 0)
@@ -274,13 +274,13 @@
 	}
 	ready := p.AddBatch(cfbatch.New(next.Sub), defaultTerms)
 	if len(ready) != 1 || ready[0].Item.ID != works[0].Item.ID {
-		t.Errorf("%d items ready, want the one that finished", len(ready))
+		t.Errorf("%d items ready, want the finished one", len(ready))
 	}
 	if n := len(p.Place(600)); n != 0 {
 		t.Errorf("%d runs started, want the other adopted", n)
 	}
 	if !p.Finished(works[1], cfrollout.OutcomeDone, 700) {
-		t.Error("the adopted run is not listed for the next step")
+		t.Error("the item of the adopted run is not listed for the next step")
 	}
 }
 
@@ -300,7 +300,7 @@
 	sub.ID = "t"
 	p.AddBatch(cfbatch.New(sub), defaultTerms)
 	if again := p.Place(410); len(again) != 1 || again[0].Text.Last != 11 {
-		t.Errorf("the text does not go on: %+v", again)
+		t.Errorf("the text is not resumed: %+v", again)
 	}
 	p.Finished(w, cfrollout.OutcomeStopped, 500)
 }
@@ -324,7 +324,7 @@
 	sub.ID, sub.MinVersion = "t", 2
 	p.AddBatch(cfbatch.New(sub), defaultTerms)
 	if again := p.Place(600); len(again) != 1 || again[0].Text.Last != 0 {
-		t.Errorf("stale text goes on: %+v", again)
+		t.Errorf("stale text is resumed: %+v", again)
 	}
 }
 
@@ -386,7 +386,7 @@
 	p.SwapDone("e01", "a", 2)
 	again := p.Place(5000)
 	if len(again) != 1 || again[0].Text.Last != 0 || again[0].Version != 2 {
-		t.Errorf("started again: %+v", again)
+		t.Errorf("restarted items: %+v", again)
 	}
 }
 
@@ -415,7 +415,7 @@
 	p.SetTerms("s", moved, true)
 	for _, w := range p.Place(30) {
 		if w.Engine != other.ID {
-			t.Errorf("item started at %s, of the service before", w.Engine)
+			t.Errorf("item started at %s of the previous service", w.Engine)
 		}
 	}
 }
@@ -439,7 +439,7 @@
 	}
 	for _, s := range swaps {
 		if !s.KeepRuns {
-			t.Error("the runs of an engine that loads are not kept")
+			t.Error("the runs of a loading engine are not kept")
 		}
 		p.SwapDone(s.Target.ID, s.Model, s.Version)
 	}
@@ -462,13 +462,13 @@
 	p.SetEngines(again, models("a"))
 	p.AddBatch(step("s", "a", 4, 1, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 0 {
-		t.Errorf("%d items at engines that hold older weights", n)
+		t.Errorf("%d items start at engines with older weights", n)
 	}
 	if n := len(p.Swaps(0)); n == 0 {
 		t.Error("no engine loads")
 	}
 	p.Reported("e00", cf.TargetReport{Born: 150, Models: []cf.ModelState{{Name: "a", Version: 9}}})
 	if n := len(p.Place(0)); n != 0 {
-		t.Errorf("%d items by a report of a start before", n)
+		t.Errorf("%d items start because of a report of the previous process", n)
 	}
 }
--- a/core/cfrollout/reservation_test.go
+++ b/core/cfrollout/reservation_test.go
@@ -22,12 +22,12 @@
 	p.ReserveSlot(w, other, 100)
 	p.AddBatch(step("t", "a", 1, 2, 4), defaultTerms)
 	if n := len(p.Place(200)); n != 6 {
-		t.Fatalf("%d items take the 6 slots that are free and not kept", n)
+		t.Fatalf("%d items take the 6 free slots that are not reserved", n)
 	}
 	p.Finished(w, cfrollout.OutcomeStopped, 210)
 	again := p.Place(220)
 	if len(again) != 2 || again[0] != w && again[1] != w || w.Engine != other {
-		t.Errorf("%d items start, the run at %s, its slot is at %s", len(again), w.Engine, other)
+		t.Errorf("%d items start, the moved run at %s instead of %s, where its slot is reserved", len(again), w.Engine, other)
 	}
 
 	q := cfrollout.New(cfrollout.DefaultLimits)
@@ -39,6 +39,6 @@
 	q.AddBatch(step("t", "a", 1, 2, 4), defaultTerms)
 	q.Moves(5000)
 	if n := len(q.Place(5000)); n != 8 {
-		t.Errorf("%d items take the 8 slots after a run did not come", n)
+		t.Errorf("%d items take the 8 slots after the reservation of a run that did not arrive has expired", n)
 	}
 }
--- a/core/cfrollout/selection_test.go
+++ b/core/cfrollout/selection_test.go
@@ -36,7 +36,7 @@
 		o.waiting = append(o.waiting, &Work{Batch: o.batch, Item: it})
 	}
 	if n := p.stepNeed(o, 40); n.required != 3 {
-		t.Errorf("%d of 3 groups are waited for", n.required)
+		t.Errorf("%d of 3 groups are required", n.required)
 	}
 }
 
@@ -50,14 +50,14 @@
 	}}
 	s := selectGroups(n)
 	if got := s.counts[groupInTime] + s.counts[groupLate]; got != 3 {
-		t.Errorf("%d groups are whole in time, want 3", got)
+		t.Errorf("%d groups are complete in time, want 3", got)
 	}
 	for _, g := range n.groups {
 		switch {
 		case g.id == "long" && g.class != groupOptional:
 			t.Errorf("replaced group has class %d", g.class)
 		case g.id == "carried" && (g.class != groupTooLate || g.completeIn < 2000):
-			t.Errorf("carried group has class %d and is whole in %.0f ms", g.class, g.completeIn)
+			t.Errorf("carried group has class %d and is complete in %.0f ms", g.class, g.completeIn)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		o := p.batches["s"]
 		o.rankedAt, o.requiredWaiting = 1000, 1
 		if end(p); o.rankedAt != 0 || o.requiredWaiting != 0 {
-			t.Errorf("%s: ranked at %d, %d items wanted", name, o.rankedAt, o.requiredWaiting)
+			t.Errorf("%s: ranked at %d, %d required items waiting", name, o.rankedAt, o.requiredWaiting)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		w := &Work{Batch: o.batch, Terms: o.terms}
 		e := p.destination(engines, w, 100)
 		if e == nil && want != "" || e != nil && e.ID != want {
-			t.Fatalf("a run goes to %v, want %q", e, want)
+			t.Fatalf("a run moves to %v, want %q", e, want)
 		}
 		if e != nil {
 			p.reserve(w, e, 100)
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -68,7 +68,7 @@
 	case "events":
 		w := s.running[cf.ItemID(arg("item"))]
 		generate(t, w, s.now, s.now+cf.Millis((num("n")-1)*num("pace")), cf.Millis(num("pace")))
-		return fmt.Sprintf("%s has %d events by versions %v\n", w.Item.ID, w.Text.Last, w.Text.Versions)
+		return fmt.Sprintf("%s has %d events of versions %v\n", w.Item.ID, w.Text.Last, w.Text.Versions)
 	case "finish":
 		return s.finish(cf.ItemID(arg("item")), arg("outcome"))
 	case "list":
@@ -116,7 +116,7 @@
 	var out []string
 	for _, w := range s.planner.Place(s.now) {
 		s.running[w.Item.ID] = w
-		out = append(out, fmt.Sprintf("%s starts at %s by version %d after event %d\n", w.Item.ID, w.Engine, w.Version, w.Text.Last))
+		out = append(out, fmt.Sprintf("%s starts at %s with version %d after event %d\n", w.Item.ID, w.Engine, w.Version, w.Text.Last))
 	}
 	return sorted(out)
 }
@@ -150,9 +150,9 @@
 		b.Apply(name, results)
 		p.EndWrite(b, s.now)
 		for i, r := range results {
-			out = append(out, fmt.Sprintf("%s position %d: %s %s by versions %v\n", id, at+i, r.ID, r.State, r.Versions))
+			out = append(out, fmt.Sprintf("%s position %d: %s %s with versions %v\n", id, at+i, r.ID, r.State, r.Versions))
 		}
-		out = append(out, fmt.Sprintf("%s: %d groups whole\n", id, b.CompleteGroups()))
+		out = append(out, fmt.Sprintf("%s: %d groups complete\n", id, b.CompleteGroups()))
 	}
 	return sorted(out)
 }
--- a/core/cfrollout/shares_test.go
+++ b/core/cfrollout/shares_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	if done["c"] != 1 || done["a"] < 2 || done["b"] < 2 {
-		t.Errorf("steps done: %v, want c's and two or more of a and b each", done)
+		t.Errorf("steps done: %v, want one of c and at least two each of a and b", done)
 	}
 }
 
--- a/core/cfrollout/singleversion_test.go
+++ b/core/cfrollout/singleversion_test.go
@@ -23,14 +23,14 @@
 		}
 	}
 	if p.Finished(w, cfrollout.OutcomeDone, 10) {
-		t.Fatal("a text of two versions is to be listed")
+		t.Fatal("a text of two versions is listed")
 	}
 	again := p.Place(20)
 	if len(again) != 1 || again[0].Text.Last != 0 {
-		t.Fatalf("%d items are placed again, want one that begins anew", len(again))
+		t.Fatalf("%d items are placed again, want one that starts from the beginning", len(again))
 	}
 	if again[0].Failures != 0 {
-		t.Error("it counts as a failure of the item")
+		t.Error("the restart counts as a failure of the item")
 	}
 }
 
@@ -50,7 +50,7 @@
 	}
 	for _, s := range swaps {
 		if s.KeepRuns {
-			t.Errorf("the order to %s lets runs go on", s.Target.ID)
+			t.Errorf("the order to %s keeps runs", s.Target.ID)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	p.AddBatch(hintedBatch("s", 100), singleTerms)
 	w := p.Place(5000)[0]
 	if w.Engine == "e03" {
-		t.Fatal("it begins at the slow engine")
+		t.Fatal("the item starts at the slow engine")
 	}
 	generate(t, w, 5010, 5400, 40)
 	p.Finished(w, cfrollout.OutcomeBroken, 5450)
@@ -73,12 +73,12 @@
 	}
 	for now := cf.Millis(5500); now < 15_500; now += 50 {
 		if placed := p.Place(now); len(placed) == 1 {
-			t.Logf("goes on at %s after %d ms", placed[0].Engine, now-5450)
+			t.Logf("resumed at %s after %d ms", placed[0].Engine, now-5450)
 			return
 		}
 		for _, s := range p.Swaps(now) {
 			p.SwapDone(s.Target.ID, s.Model, s.Version)
 		}
 	}
-	t.Errorf("at no engine for 10 s: %v", p.WaitingItems(15_500).Counts)
+	t.Errorf("no engine for 10 s: %v", p.WaitingItems(15_500).Counts)
 }
--- a/core/cfrollout/slowengine_test.go
+++ b/core/cfrollout/slowengine_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	if atSlow == 0 {
-		t.Error("the slow engine gets nothing")
+		t.Error("the slow engine gets no item")
 	}
 }
 
@@ -111,11 +111,11 @@
 	for _, w := range moves {
 		found = found || w == long
 		if w.Engine != slow {
-			t.Errorf("a run leaves the usual engine %s", w.Engine)
+			t.Errorf("a run leaves engine %s, which is not slow", w.Engine)
 		}
 	}
 	if !found || len(moves) > 4 {
-		t.Fatalf("%d runs leave the slow engine, the long one among them: %v", len(moves), found)
+		t.Fatalf("%d runs leave the slow engine, including the long one: %v", len(moves), found)
 	}
 	last := long.Text.Last
 	p.Finished(long, cfrollout.OutcomeStopped, 6210)
@@ -127,6 +127,6 @@
 	}
 	again := p.Place(6230)
 	if len(again) == 0 || again[0] != long || again[0].Text.Last != last {
-		t.Errorf("the long run is not first in line: %d start", len(again))
+		t.Errorf("the long run does not start first: %d items start", len(again))
 	}
 }
--- a/core/cfrollout/slowperiods.go
+++ b/core/cfrollout/slowperiods.go
@@ -92,7 +92,7 @@
 // latestPace returns the time of the latest event, or of the current one if it has already taken
 // longer, and the time of that observation.
 func (p *Progress) latestPace(now cf.Millis) (pace float64, at cf.Millis, ok bool) {
-	gap := float64(p.latestGap.Load()) / 1000
+	gap := float64(p.lastGap.Load()) / 1000
 	if p.events.Load() < minRunEvents {
 		return 0, 0, false
 	}
@@ -121,13 +121,11 @@
 	if p.stalledUntil == 0 || r.seenUntil.Load() > 0 { // the instance that reads the stream knows when events arrived
 		return false
 	}
-	return r.previousEvent() <= p.stalledUntil+stallMargin
+	return r.prevEvent() <= p.stalledUntil+stallMargin
 }
 
-// previousEvent returns when the event before the latest one was recorded.
-func (p *Progress) previousEvent() cf.Millis {
-	return cf.Millis(p.last.Load() - p.latestGap.Load()/1000)
-}
+// prevEvent returns when the event before the latest one was recorded.
+func (p *Progress) prevEvent() cf.Millis { return cf.Millis(p.last.Load() - p.lastGap.Load()/1000) }
 
 func (p *Planner) newPaceSamples(now cf.Millis) *paceSamples {
 	return &paceSamples{now: now, planner: p, engines: map[*Engine]*enginePace{}}
@@ -145,7 +143,7 @@
 		return
 	}
 	pace, at, ok := w.Progress.latestPace(s.now)
-	if !ok || s.planner.affectedByStall(&w.Progress) || w.Progress.previousEvent() <= e.loadingSeenAt && e.loadingSeenAt > 0 {
+	if !ok || s.planner.affectedByStall(&w.Progress) || w.Progress.prevEvent() <= e.loadingSeenAt && e.loadingSeenAt > 0 {
 		return
 	}
 	x := s.engines[e]
@@ -244,7 +242,7 @@
 			continue
 		}
 		if !slow {
-			least = w.requiredGain()
+			least = w.minGain()
 		}
 		run := cfslow.Run{EventsLeft: p.remaining(w), EventElapsed: w.Progress.currentGap(now)}
 		place := cfslow.Destination{Pace: pace, Delay: p.expectedDelay(to, run.EventsLeft, now)}
--- a/core/cfrollout/slowperiods_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -327,8 +327,8 @@
 		even.uniform, even.noMoves, never.noMoves, before.noPeriodMoves = true, true, true, true
 		results := []simResult{runSeeds(even, seeds), runSeeds(never, seeds), runSeeds(before, seeds), runSeeds(s, seeds)}
 		for i, r := range results {
-			t.Logf("%-24s loads %5t: 90%% of the groups whole after %.0f ms, steps by 7.5 s %.3f, by 8.2 s %.3f; groups by 8.2 s %.3f; moves %d, long texts begun at slow engines %d of %d",
-				[]string{"even engines", "no moves", "moves by smoothed paces", "moves by slow periods"}[i], s.loads, mean(r.stepTimes), shareWithin(r.stepTimes, 7500), shareWithin(r.stepTimes, 8200), shareWithin(r.groupTimes, 8200), r.moves, r.slowLongRuns, r.longRuns)
+			t.Logf("%-24s loads %5t: 90%% of the groups complete after %.0f ms, steps by 7.5 s %.3f, by 8.2 s %.3f; groups by 8.2 s %.3f; moves %d, long texts started at slow engines %d of %d",
+				[]string{"uniform engines", "no moves", "moves by smoothed paces", "moves by slow periods"}[i], s.loads, mean(r.stepTimes), shareWithin(r.stepTimes, 7500), shareWithin(r.stepTimes, 8200), shareWithin(r.groupTimes, 8200), r.moves, r.slowLongRuns, r.longRuns)
 		}
 		lost := func(i int) float64 { return mean(results[i].stepTimes) - mean(results[0].stepTimes) }
 		if lost(3) > 0.92*lost(2) || lost(3) > 0.92*lost(1) {
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -46,7 +46,7 @@
 			p.AddBatch(step("b", "m", 1, 1, 4), defaultTerms)
 			begun := p.Place(1000)
 			if len(begun) != 4 {
-				t.Fatalf("%d items begin", len(begun))
+				t.Fatalf("%d items start", len(begun))
 			}
 			for _, w := range begun[1:] {
 				p.Finished(w, cfrollout.OutcomeDone, 1500)
@@ -63,17 +63,17 @@
 				}
 				x := p.WaitingItems(now)
 				if now >= 4000 && x.Counts[reason] != 1 {
-					t.Errorf("at %d: %v", now, x.Counts)
+					t.Errorf("at %d: counts %v", now, x.Counts)
 				}
 				for _, item := range x.Items {
 					if item.Reason != reason {
-						t.Errorf("at %d: %s", now, item.Reason)
+						t.Errorf("at %d: reason %s", now, item.Reason)
 					}
 					at = append(at, now)
 				}
 			}
 			if len(at) != 3 {
-				t.Errorf("reported at %v", at)
+				t.Errorf("reported at %v, want three reports", at)
 			}
 		})
 	}
