--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -79,12 +79,12 @@
 				t.Errorf("%d engines crashed while they ran it, want 6 or 7", n)
 			}
 			for i := 3; i < len(crashes); i++ {
-				pause, most := []cf.Millis{1000, 2000, 4000}[min(i-3, 2)], []int{4, 2, 1}[min(i-3, 2)]
+				pause, limit := []cf.Millis{1000, 2000, 4000}[min(i-3, 2)], []int{4, 2, 1}[min(i-3, 2)]
 				if waited := crashes[i].At - crashes[i-1].At; waited < pause {
 					t.Errorf("crash %d comes %d ms after the previous one, want at least %d", i+1, waited, pause)
 				}
-				if crashes[i].Beside >= most {
-					t.Errorf("crash %d ends %d other runs, want fewer than %d", i+1, crashes[i].Beside, most)
+				if crashes[i].Beside >= limit {
+					t.Errorf("crash %d ends %d other runs, want fewer than %d", i+1, crashes[i].Beside, limit)
 				}
 			}
 			if n := r.Unplaced(); n >= maxUnplaced {
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -49,40 +49,40 @@
 		random := rand.New(rand.NewPCG(seed, 3))
 		p := New(DefaultLimits)
 		p.SetEngines(nil, lifecycleModels)
-		up := map[cf.InstanceID]cf.Target{}
+		listed := map[cf.InstanceID]cf.Target{}
 		born := map[cf.InstanceID]cf.Millis{"e0": 1, "e1": 1, "e2": 1, "e3": 1}
-		under := map[*Work]cf.Target{} // the current runs, with their targets at the start
+		current := map[*Work]cf.Target{} // the current runs, with their targets at the start
 		ids := []cf.InstanceID{"e0", "e1", "e2", "e3"}
 		batches := 0
 		for now := cf.Millis(1); now < 4000; now += 10 {
 			id := ids[random.IntN(len(ids))]
 			switch random.IntN(9) {
 			case 0: // leaves
-				delete(up, id)
+				delete(listed, id)
 				p.ChangeEngines(nil, []cf.InstanceID{id})
 			case 1: // joins, returns, or changes its service
 				service := cf.ServiceName("a")
 				if random.IntN(4) == 0 {
 					service = "b"
 				}
-				up[id] = newTarget(id, service, born[id])
-				p.ChangeEngines([]cf.Target{up[id]}, nil)
+				listed[id] = newTarget(id, service, born[id])
+				p.ChangeEngines([]cf.Target{listed[id]}, nil)
 			case 2: // restarts
-				if t, known := up[id]; known {
+				if t, known := listed[id]; known {
 					born[id] += 100
 					t.Born = born[id]
-					up[id] = t
+					listed[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
 			case 3: // starts or stops draining
-				if t, known := up[id]; known {
+				if t, known := listed[id]; known {
 					t.Draining = !t.Draining
-					up[id] = t
+					listed[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
 			case 4: // the list is read again
 				var list []cf.Target
-				for _, t := range up {
+				for _, t := range listed {
 					list = append(list, t)
 				}
 				p.SetEngines(list, lifecycleModels)
@@ -94,11 +94,11 @@
 			case 6:
 				p.Reported(id, cf.TargetReport{Born: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
 			default:
-				for w, at := range under {
+				for w, at := range current {
 					avoid, kept := penalties(p, at.ID)
 					p.ConnectionKept(w, now+500)
 					p.Finished(w, []Outcome{OutcomeDone, OutcomeBroken, OutcomeNotRun, OutcomeStopped}[random.IntN(4)], now)
-					delete(under, w)
+					delete(current, w)
 					e := p.engines[at.ID]
 					if a, k := penalties(p, at.ID); e != nil && (at.Born < e.Born || at.Service != e.Service) && (a != avoid || k != kept) {
 						t.Fatalf("seed %d: the end of a run at the process of %s started at %d counts for the one started at %d", seed, at.ID, at.Born, e.Born)
@@ -107,9 +107,9 @@
 				}
 			}
 			for _, w := range p.Place(now) {
-				under[w] = up[w.Engine]
+				current[w] = listed[w.Engine]
 			}
-			checkAccounting(t, p, under, seed)
+			checkAccounting(t, p, current, seed)
 		}
 	}
 }
@@ -124,12 +124,12 @@
 }
 
 // checkAccounting compares the planner's state of the engines with the current runs.
-func checkAccounting(t *testing.T, p *Planner, under map[*Work]cf.Target, seed uint64) {
+func checkAccounting(t *testing.T, p *Planner, current map[*Work]cf.Target, seed uint64) {
 	t.Helper()
 	p.updateUsage()
 	for id, e := range p.engines {
 		runs, groups := 0, map[cf.GroupID]int{}
-		for w, at := range under {
+		for w, at := range current {
 			if at.ID == id && at.Service == e.Service {
 				runs++
 				groups[w.Item.Group]++
@@ -139,7 +139,7 @@
 			t.Fatalf("seed %d: engine %s has %d runs of %v, %d idle connections, %.0f tokens used; want %d runs of %v", seed, id, e.Running, e.groups, len(e.idleConnections), e.usedMemory, runs, groups)
 		}
 	}
-	if len(p.departed) > len(under) {
-		t.Fatalf("seed %d: %d departed engines with only %d runs", seed, len(p.departed), len(under))
+	if len(p.departed) > len(current) {
+		t.Fatalf("seed %d: %d departed engines with only %d runs", seed, len(p.departed), len(current))
 	}
 }
--- a/core/cfrollout/engineloss_test.go
+++ b/core/cfrollout/engineloss_test.go
@@ -135,7 +135,7 @@
 // they need have left.
 func TestItemsArePlacedAfterEnginesLeave(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c", "d", "e", "f"}
-	ways := map[string]func(x *lossSim) func(cf.Target) bool{
+	losses := map[string]func(x *lossSim) func(cf.Target) bool{
 		"share": func(x *lossSim) func(cf.Target) bool {
 			of := shares(x.planner, x.targets)
 			return func(t cf.Target) bool { return of[t.ID] == "a" }
@@ -152,7 +152,7 @@
 			return func(cf.Target) bool { n++; return n%50 == 0 }
 		},
 	}
-	for name, way := range ways {
+	for name, loss := range losses {
 		for _, draining := range []bool{false, true} {
 			for seed := range uint64(3) {
 				random := rand.New(rand.NewPCG(seed, 7))
@@ -166,7 +166,7 @@
 						}
 					}
 					if x.now == 5000+at {
-						x.removeEngines(draining, way(x))
+						x.removeEngines(draining, loss(x))
 					}
 					if x.now == 7000+at && draining {
 						x.removeEngines(false, func(t cf.Target) bool { return t.Draining })
@@ -187,7 +187,7 @@
 func TestModelWithoutEnginesGetsSurplusEngines(t *testing.T) {
 	x := newLossSim(t, 120, []cf.ModelName{"a", "b", "c"})
 	random := rand.New(rand.NewPCG(1, 1))
-	play := func(until cf.Millis) {
+	run := func(until cf.Millis) {
 		for x.now < until {
 			x.tick(random)
 		}
@@ -203,20 +203,20 @@
 	}
 	x.submit("a0", "a", 1, 30)
 	x.submit("b0", "b", 1, 30)
-	play(10_000)
+	run(10_000)
 	of := shares(x.planner, x.targets)
 	x.removeEngines(false, func(t cf.Target) bool { return of[t.ID] == "" })
 	x.planner.EndBatch("a0")
 	x.planner.EndBatch("b0")
-	play(80_000) // until the large steps no longer count
+	run(80_000) // until the large steps no longer count
 	x.submit("a1", "a", 1, 10)
 	x.submit("b1", "b", 1, 10)
 	x.submit("c1", "c", 1, 10)
-	play(81_000)
+	run(81_000)
 	t.Logf("engines: %d, %d, %d of %d", count("a"), count("b"), count("c"), len(x.targets))
 	of = shares(x.planner, x.targets)
 	x.removeEngines(false, func(t cf.Target) bool { return of[t.ID] == "c" })
-	play(86_000)
+	run(86_000)
 	if n := count("c"); n == 0 || x.planner.WaitingCount() > 0 {
 		t.Errorf("%d items wait; c has %d engines, a %d and b %d", x.planner.WaitingCount(), n, count("a"), count("b"))
 	}
--- a/core/cfrollout/goodput.go
+++ b/core/cfrollout/goodput.go
@@ -13,8 +13,8 @@
 	// group changes by an event every 40 ms or more.
 	rankInterval cf.Millis = 100
 	// lateShare is how long after its due time a step is still useful, as a part of the time that
-	// it was given. Callers pay less for late groups, and nothing for groups that are half as late
-	// again.
+	// it was given. Callers pay less for late groups, and nothing for groups that are late by more
+	// than half of the time given.
 	lateShare = 0.5
 	// selectionThreshold is how much later than its due time a step must be expected to end, as a
 	// part of the time that it was given, before some of its groups are deferred for others. Below
--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -88,7 +88,7 @@
 		"slow engines": func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
 		"lost domain":  func(r *cfreplay.Replay) { r.Run(30_000); r.Lose("d1") },
 	} {
-		play := func(limits cfrollout.Limits) (float64, []float64) {
+		run := func(limits cfrollout.Limits) (float64, []float64) {
 			o := overloaded(3, 25, 27, 32, 35)
 			o.Limits = limits
 			r := cfreplay.New(o)
@@ -96,10 +96,10 @@
 			r.Run(replayTime)
 			return totalWorth(r)
 		}
-		got, each := play(cfrollout.DefaultLimits)
+		got, each := run(cfrollout.DefaultLimits)
 		all := cfrollout.DefaultLimits
 		all.AllGroups = true
-		before, _ := play(all)
+		before, _ := run(all)
 		if got < 1.3*before {
 			t.Errorf("%s: results worth %.1f with selected groups, %.1f with all groups", name, got, before)
 		}
--- a/core/cfrollout/isolation_test.go
+++ b/core/cfrollout/isolation_test.go
@@ -13,11 +13,11 @@
 // returns true for it.
 func newIsolatingPlanner(engines int, suspect func(cf.ItemID) bool) (*cfrollout.Planner, []cf.Target) {
 	limits := cfrollout.DefaultLimits
-	limits.Admit = func(w *cfrollout.Work, _ cf.Target, apart bool) cfrollout.Admission {
+	limits.Admit = func(w *cfrollout.Work, _ cf.Target, isolated bool) cfrollout.Admission {
 		if !suspect(w.Item.ID) {
 			return cfrollout.Admission{Allowed: true}
 		}
-		return cfrollout.Admission{Allowed: apart, MaxRuns: 1}
+		return cfrollout.Admission{Allowed: isolated, MaxRuns: 1}
 	}
 	p := cfrollout.New(limits)
 	targets := fleet(engines, cf.ModelState{Name: "a", Version: 1})
@@ -31,12 +31,12 @@
 // TestEngineIsIsolatedForOneRun guards against an engine that stays isolated after the run for
 // which it was isolated.
 func TestEngineIsIsolatedForOneRun(t *testing.T) {
-	ended := func(o cfrollout.Outcome) func(*cfrollout.Planner, *cfrollout.Work, []cf.Target) {
+	endWith := func(o cfrollout.Outcome) func(*cfrollout.Planner, *cfrollout.Work, []cf.Target) {
 		return func(p *cfrollout.Planner, w *cfrollout.Work, _ []cf.Target) { p.Finished(w, o, 100) }
 	}
 	for name, end := range map[string]func(*cfrollout.Planner, *cfrollout.Work, []cf.Target){
-		"done": ended(cfrollout.OutcomeDone), "failed": ended(cfrollout.OutcomeFailed), "never": ended(cfrollout.OutcomePermanentFailure),
-		"not run": ended(cfrollout.OutcomeNotRun), "broken": ended(cfrollout.OutcomeBroken), "stopped": ended(cfrollout.OutcomeStopped),
+		"done": endWith(cfrollout.OutcomeDone), "failed": endWith(cfrollout.OutcomeFailed), "never": endWith(cfrollout.OutcomePermanentFailure),
+		"not run": endWith(cfrollout.OutcomeNotRun), "broken": endWith(cfrollout.OutcomeBroken), "stopped": endWith(cfrollout.OutcomeStopped),
 		"batch ended": func(p *cfrollout.Planner, w *cfrollout.Work, _ []cf.Target) {
 			p.EndBatch("s")
 			p.Finished(w, cfrollout.OutcomeStopped, 100)
@@ -88,27 +88,27 @@
 		t.Run(fmt.Sprint(engines, " engines"), func(t *testing.T) {
 			p, targets := newIsolatingPlanner(engines, func(id cf.ItemID) bool { return strings.HasPrefix(string(id), "s-") })
 			p.AddBatch(step("s", "a", 1, engines, 2), defaultTerms)
-			apart := map[cf.InstanceID]int{}
+			isolated := map[cf.InstanceID]int{}
 			placed := p.Place(0)
 			if len(placed) != 2*engines {
 				t.Errorf("%d of %d suspect items placed at empty engines", len(placed), 2*engines)
 			}
 			for _, w := range placed {
 				if w.IsolationLimit() > 0 {
-					apart[w.Engine]++
+					isolated[w.Engine]++
 				}
 			}
-			most := max(engines/4, min(engines-1, 1))
-			if len(apart) != most {
-				t.Errorf("%d engines are isolated, want %d", len(apart), most)
+			limit := max(engines/4, min(engines-1, 1))
+			if len(isolated) != limit {
+				t.Errorf("%d engines are isolated, want %d", len(isolated), limit)
 			}
 			for _, w := range placed {
-				if apart[w.Engine] > 1 || apart[w.Engine] > 0 && w.IsolationLimit() == 0 {
+				if isolated[w.Engine] > 1 || isolated[w.Engine] > 0 && w.IsolationLimit() == 0 {
 					t.Errorf("%s runs together with another item at isolated engine %s", w.Item.ID, w.Engine)
 				}
 			}
 			p.AddBatch(step("t", "a", 1, engines, 4), defaultTerms)
-			if n, room := len(p.Place(10)), (engines-most)*targets[0].Slots-(2*engines-most); n != room {
+			if n, room := len(p.Place(10)), (engines-limit)*targets[0].Slots-(2*engines-limit); n != room {
 				t.Errorf("%d other items placed, want %d", n, room)
 			}
 		})
@@ -119,29 +119,29 @@
 // burst of crashes, because suspect items run at all engines and each of many items is tried at
 // each of them.
 func TestConflictingItemsAreTriedAtFewEngines(t *testing.T) {
-	const engines, items, most = 100, 300, 2*300 + 100
-	admissions, at := 0, map[cf.InstanceID]bool{}
+	const engines, items, maxAdmissions = 100, 300, 2*300 + 100
+	admissions, occupied := 0, map[cf.InstanceID]bool{}
 	limits := cfrollout.DefaultLimits
-	meet := true
+	conflicting := true
 	limits.Admit = func(_ *cfrollout.Work, e cf.Target, _ bool) cfrollout.Admission {
 		admissions++
-		if meet && at[e.ID] {
+		if conflicting && occupied[e.ID] {
 			return cfrollout.Admission{TryOthers: true}
 		}
-		at[e.ID] = true
+		occupied[e.ID] = true
 		return cfrollout.Admission{Allowed: true}
 	}
 	p := cfrollout.New(limits)
 	p.SetEngines(fleet(engines, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	p.AddBatch(step("s", "a", 1, 1, items), defaultTerms)
 	placed := len(p.Place(0))
-	if admissions > most {
+	if admissions > maxAdmissions {
 		t.Errorf("%d admission checks in one planning pass for %d items and %d engines", admissions, items, engines)
 	}
 	if placed != engines {
 		t.Errorf("%d items placed, want one at each of %d engines", placed, engines)
 	}
-	meet = false
+	conflicting = false
 	if placed += len(p.Place(1000)); placed < items {
 		t.Errorf("%d of %d items placed once they may run together", placed, items)
 	}
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -90,28 +90,28 @@
 	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(1, 0), Terms{Service: "s"})
 	w := p.Place(0)[0]
-	from, to := p.engines[w.Engine], p.engines["e00"]
-	if from == to {
-		to = p.engines["e01"]
+	slow, fast := p.engines[w.Engine], p.engines["e00"]
+	if slow == fast {
+		fast = p.engines["e01"]
 	}
-	from.pace, to.pace = 40, 24
+	slow.pace, fast.pace = 40, 24
 	for at := cf.Millis(0); at <= 2000; at += 40 {
 		w.Progress.Note(at)
 	}
 	w.Started = 0
-	to.usedMemory = 22000
-	room := func() *fastestFree {
-		return &fastestFree{planner: p, engines: []*Engine{from, to}, assumed: 24, taken: map[cf.InstanceID]int{}}
+	fast.usedMemory = 22000
+	freeSlots := func() *fastestFree {
+		return &fastestFree{planner: p, engines: []*Engine{slow, fast}, assumed: 24, taken: map[cf.InstanceID]int{}}
 	}
-	if e := p.betterEngine(room(), w, 2001); e != nil {
+	if e := p.betterEngine(freeSlots(), w, 2001); e != nil {
 		t.Error("a text moves to an engine without enough memory")
 	}
-	to.usedMemory = 0
-	if e := p.betterEngine(room(), w, 2001); e != to {
+	fast.usedMemory = 0
+	if e := p.betterEngine(freeSlots(), w, 2001); e != fast {
 		t.Error("a text stays at an engine although another needs little more than half the time per event")
 	}
 	w.moves = maxDoublings
-	if e := p.betterEngine(room(), w, 2001); e != nil {
+	if e := p.betterEngine(freeSlots(), w, 2001); e != nil {
 		t.Error("a text that has moved five times without gain moves again")
 	}
 }
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -41,8 +41,8 @@
 		MinLoads int
 		// LearnedLoads is the limit that a previous planner has learned, zero if there is none.
 		LearnedLoads int
-		// UrgentLoads is the limit while items wait for a version that no engine of their share
-		// holds.
+		// UrgentLoads is the limit, if higher than the learned one, for engines whose version is
+		// too old for a waiting item.
 		UrgentLoads int
 		// FailurePenalty is how long new items avoid an engine at which a run has failed.
 		FailurePenalty cf.Millis
@@ -195,8 +195,9 @@
 		// the item.
 		waitingSince cf.Millis
 		// interrupted says that a run has ended before the text was complete. class is the class of
-		// the item's group, and latestStart when the item must start for its group to be complete
-		// in time, both as of the latest ranking.
+		// the item's group, and latestStart the time, in ms after the latest ranking, by which the
+		// item must start for its group to be complete as planned. It is zero if no groups are
+		// deferred.
 		interrupted bool
 		class       groupClass
 		latestStart float64
--- a/core/cfrollout/slowengine_test.go
+++ b/core/cfrollout/slowengine_test.go
@@ -61,17 +61,17 @@
 		}
 	}
 	p.AddBatch(hintedBatch("s", lengths...), defaultTerms)
-	atSlow := 0
+	startedAtSlow := 0
 	for _, w := range p.Place(5000) {
 		if w.Engine != "e03" {
 			continue
 		}
-		atSlow++
+		startedAtSlow++
 		if w.Item.LengthHint > 20 {
 			t.Errorf("a text of %d tokens starts at the slow engine", w.Item.LengthHint)
 		}
 	}
-	if atSlow == 0 {
+	if startedAtSlow == 0 {
 		t.Error("the slow engine gets no item")
 	}
 }
--- a/core/cfrollout/slowperiods_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -323,16 +323,16 @@
 func TestPeriodMovesReduceStepDelay(t *testing.T) {
 	const seeds = 4
 	for _, s := range []periodSettings{{}, {loads: true, maxDelay: 15, maxStall: 60, passInterval: 20}} {
-		even, never, before := s, s, s
-		even.uniform, even.noMoves, never.noMoves, before.noPeriodMoves = true, true, true, true
-		results := []simResult{runSeeds(even, seeds), runSeeds(never, seeds), runSeeds(before, seeds), runSeeds(s, seeds)}
+		uniform, noMoves, smoothed := s, s, s
+		uniform.uniform, uniform.noMoves, noMoves.noMoves, smoothed.noPeriodMoves = true, true, true, true
+		results := []simResult{runSeeds(uniform, seeds), runSeeds(noMoves, seeds), runSeeds(smoothed, seeds), runSeeds(s, seeds)}
 		for i, r := range results {
 			t.Logf("%-24s loads %5t: 90%% of the groups complete after %.0f ms, steps by 7.5 s %.3f, by 8.2 s %.3f; groups by 8.2 s %.3f; moves %d, long texts started at slow engines %d of %d",
 				[]string{"uniform engines", "no moves", "moves by smoothed paces", "moves by slow periods"}[i], s.loads, mean(r.stepTimes), shareWithin(r.stepTimes, 7500), shareWithin(r.stepTimes, 8200), shareWithin(r.groupTimes, 8200), r.moves, r.slowLongRuns, r.longRuns)
 		}
-		lost := func(i int) float64 { return mean(results[i].stepTimes) - mean(results[0].stepTimes) }
-		if lost(3) > 0.92*lost(2) || lost(3) > 0.92*lost(1) {
-			t.Errorf("a step loses %.0f ms to slow machines, %.0f ms without the decision, %.0f ms without moves", lost(3), lost(2), lost(1))
+		lostTime := func(i int) float64 { return mean(results[i].stepTimes) - mean(results[0].stepTimes) }
+		if lostTime(3) > 0.92*lostTime(2) || lostTime(3) > 0.92*lostTime(1) {
+			t.Errorf("a step loses %.0f ms to slow machines, %.0f ms without the decision, %.0f ms without moves", lostTime(3), lostTime(2), lostTime(1))
 		}
 		if 4*results[3].moves > 3*results[2].moves {
 			t.Errorf("%d moves, %d without the decision", results[3].moves, results[2].moves)
@@ -343,8 +343,8 @@
 // TestUniformMachinesAreUnaffected guards against decisions that change anything where machines are
 // uniform: no run moves, and steps take the same time as before.
 func TestUniformMachinesAreUnaffected(t *testing.T) {
-	now, before := runSeeds(periodSettings{uniform: true}, 2), runSeeds(periodSettings{uniform: true, noPeriodMoves: true}, 2)
-	if now.moves+before.moves > 0 || math.Abs(mean(now.stepTimes)-mean(before.stepTimes)) > 20 {
-		t.Errorf("%d and %d moves, steps of %.0f and %.0f ms", now.moves, before.moves, mean(now.stepTimes), mean(before.stepTimes))
+	withPeriods, without := runSeeds(periodSettings{uniform: true}, 2), runSeeds(periodSettings{uniform: true, noPeriodMoves: true}, 2)
+	if withPeriods.moves+without.moves > 0 || math.Abs(mean(withPeriods.stepTimes)-mean(without.stepTimes)) > 20 {
+		t.Errorf("%d and %d moves, steps of %.0f and %.0f ms", withPeriods.moves, without.moves, mean(withPeriods.stepTimes), mean(without.stepTimes))
 	}
 }
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -20,7 +20,7 @@
 			p.SetEngines(targets, models("m"))
 		}
 	}
-	plays := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, sent *bool){
+	scenarios := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, sent *bool){
 		cfrollout.WaitRunSilent: func(*cfrollout.Planner, []cf.Target, *bool) {},
 		cfrollout.WaitNoRoute:   func(p *cfrollout.Planner, _ []cf.Target, _ *bool) { p.SetTerms("b", cfrollout.Terms{}, false) },
 		cfrollout.WaitRefused:   func(_ *cfrollout.Planner, _ []cf.Target, sent *bool) { *sent = false },
@@ -33,10 +33,10 @@
 		},
 		cfrollout.WaitNoWeights: relist(func(t *cf.Target) { t.Born, t.Models = t.Born+1000, []cf.ModelState{{Name: "m"}} }),
 	}
-	for reason, play := range plays {
+	for reason, scenario := range scenarios {
 		t.Run(string(reason), func(t *testing.T) {
-			sent, limits := true, cfrollout.DefaultLimits
-			limits.Admit = func(*cfrollout.Work, cf.Target, bool) cfrollout.Admission { return cfrollout.Admission{Allowed: sent} }
+			pass, limits := true, cfrollout.DefaultLimits
+			limits.Admit = func(*cfrollout.Work, cf.Target, bool) cfrollout.Admission { return cfrollout.Admission{Allowed: pass} }
 			p := cfrollout.New(limits)
 			targets := fleet(4, held)
 			for i := range targets {
@@ -55,8 +55,8 @@
 				begun[0].Progress.Note(1400)
 				p.Finished(begun[0], cfrollout.OutcomeStopped, 1500)
 			}
-			play(p, targets, &sent)
-			var at []cf.Millis
+			scenario(p, targets, &pass)
+			var reportedAt []cf.Millis
 			for now := cf.Millis(2000); now <= 14_000; now += 1000 {
 				if reason != cfrollout.WaitRunSilent {
 					p.Place(now)
@@ -69,11 +69,11 @@
 					if item.Reason != reason {
 						t.Errorf("at %d: reason %s", now, item.Reason)
 					}
-					at = append(at, now)
+					reportedAt = append(reportedAt, now)
 				}
 			}
-			if len(at) != 3 {
-				t.Errorf("reported at %v, want three reports", at)
+			if len(reportedAt) != 3 {
+				t.Errorf("reported at %v, want three reports", reportedAt)
 			}
 		})
 	}
