--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -11,12 +11,12 @@
 	"currantford/testbed/cfreplay"
 )
 
-// unplacedMost is how long an item that is owed may be at no engine while there is room.
-const unplacedMost cf.Millis = 5000
+// maxUnplaced is how long an unfinished item may have no engine while slots are free.
+const maxUnplaced cf.Millis = 5000
 
-// bursts returns nine engines of twelve slots and a trainer, under three bursts of five
-// crashes, 0.4 s apart, of three engines in ten each.
-func bursts(seed uint64) cfreplay.Options {
+// crashBursts returns nine engines of twelve slots and one trainer, with three bursts of five
+// crashes, 0.4 s apart, of three in ten engines each.
+func crashBursts(seed uint64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
 		Engines:  cfreplay.Engines{Count: 9, Slots: 12, Domains: 3, Alone: 42, Beside: 1.7, Load: 900, LoadsMost: 10},
@@ -31,24 +31,25 @@
 	return o
 }
 
-// Guards against: an item that is never placed again after its engines crashed in a burst.
-func TestItemsAreOwedAfterABurstOfCrashes(t *testing.T) {
+// TestItemsCompleteAfterABurstOfCrashes guards against items that are never placed again after
+// their engines have crashed in a burst.
+func TestItemsCompleteAfterABurstOfCrashes(t *testing.T) {
 	for name, body := range map[string]func(cf.Item) string{
-		"bodies of their own": nil,
-		"one for a group":     func(it cf.Item) string { return string(it.Group) },
-		"one for a step":      func(it cf.Item) string { return string(it.Group[:strings.LastIndex(string(it.Group), "-")]) },
-		"one for all":         func(cf.Item) string { return "x" },
+		"one body per item":  nil,
+		"one body per group": func(it cf.Item) string { return string(it.Group) },
+		"one body per step":  func(it cf.Item) string { return string(it.Group[:strings.LastIndex(string(it.Group), "-")]) },
+		"one body for all":   func(cf.Item) string { return "x" },
 	} {
 		for seed := range uint64(20) {
 			t.Run(fmt.Sprint(name, ", seed ", seed), func(t *testing.T) {
 				t.Parallel()
-				o := bursts(seed)
+				o := crashBursts(seed)
 				o.Crashes.Body = body
 				r := cfreplay.New(o)
 				r.Run(60_000)
 				got := r.Outcomes()[0]
-				if n := r.Unplaced(); n >= unplacedMost {
-					t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, unplacedMost)
+				if n := r.Unplaced(); n >= maxUnplaced {
+					t.Errorf("an item had no engine for %d ms while slots were free, want less than %d", n, maxUnplaced)
 				}
 				if got.InTime < got.Owed {
 					t.Errorf("%d of %d groups in time, %d late, of %d steps", got.InTime, got.Owed, got.Late, got.Steps)
@@ -58,34 +59,36 @@
 	}
 }
 
-// An item that ends each engine which runs it costs the engines that the pauses allow, whichever
-// step it belongs to; all other items are done in time.
-func TestItemThatEndsItsEnginesIsTriedApart(t *testing.T) {
+// TestItemThatCrashesEnginesIsIsolated checks that an item which crashes each engine that runs it
+// costs only as many engines as its pauses allow, whichever step it belongs to. All other items are
+// done in time.
+func TestItemThatCrashesEnginesIsIsolated(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			o := bursts(seed)
+			o := crashBursts(seed)
 			o.Crashes.Waves = nil
 			o.Crashes.GuiltyDown = 3000
 			o.Crashes.Guilty = func(it cf.Item) bool { return it.ID == "a-3-04-02" }
 			r := cfreplay.New(o)
 			r.Run(60_000)
 			crashes := r.GuiltyCrashes()
-			// Three at once, and then after pauses of 1, 2, 4 and 4 s until its step is given up.
+			// Three at once, and then one after each pause of 1, 2, 4 and 4 s until its step
+			// expires.
 			if n := len(crashes); n < 6 || n > 7 {
-				t.Errorf("%d engines ended under it, want 6 or 7", n)
+				t.Errorf("%d engines crashed while they ran it, want 6 or 7", n)
 			}
 			for i := 3; i < len(crashes); i++ {
-				pause, most := []cf.Millis{1000, 2000, 4000}[min(i-3, 2)], []int{4, 2, 1}[min(i-3, 2)]
+				pause, limit := []cf.Millis{1000, 2000, 4000}[min(i-3, 2)], []int{4, 2, 1}[min(i-3, 2)]
 				if waited := crashes[i].At - crashes[i-1].At; waited < pause {
-					t.Errorf("end %d comes %d ms after the one before, want %d at least", i+1, waited, pause)
+					t.Errorf("crash %d comes %d ms after the previous one, want at least %d", i+1, waited, pause)
 				}
-				if crashes[i].Beside >= most {
-					t.Errorf("end %d takes %d other runs with it, want fewer than %d", i+1, crashes[i].Beside, most)
+				if crashes[i].Beside >= limit {
+					t.Errorf("crash %d ends %d other runs, want fewer than %d", i+1, crashes[i].Beside, limit)
 				}
 			}
-			if n := r.Unplaced(); n >= unplacedMost {
-				t.Errorf("an item was at no engine for %d ms while there was room, want less than %d", n, unplacedMost)
+			if n := r.Unplaced(); n >= maxUnplaced {
+				t.Errorf("an item had no engine for %d ms while slots were free, want less than %d", n, maxUnplaced)
 			}
 			if got := r.Outcomes()[0]; got.InTime < got.Owed-1 {
 				t.Errorf("%d of %d groups in time, want all but its own", got.InTime, got.Owed)
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -8,8 +8,8 @@
 	"currantford/core/cfslow"
 )
 
-// SetEngines takes all targets that are up, and the models of each service. Targets of
-// services without models are passed over.
+// SetEngines replaces the list of targets that are up, and the models of each service. Targets of
+// services without models are ignored.
 func (p *Planner) SetEngines(targets []cf.Target, models map[cf.ServiceName][]cf.ModelName) {
 	p.models = models
 	seen := make(map[cf.InstanceID]bool, len(targets))
@@ -24,7 +24,8 @@
 	p.enginesChanged()
 }
 
-// ChangeEngines takes the targets that have come or changed since, and those that are gone.
+// ChangeEngines applies changes to the list: targets that are new or have changed, and those that
+// are gone.
 func (p *Planner) ChangeEngines(changed []cf.Target, gone []cf.InstanceID) {
 	for _, t := range changed {
 		if !p.takeEngine(t) {
@@ -38,12 +39,12 @@
 }
 
 func (p *Planner) enginesChanged() {
-	p.loads.bound(len(p.engines))
-	p.divide()
+	p.loadLimit.setEngineCount(len(p.engines))
+	p.divideEngines()
 }
 
-// takeEngine takes a target; false if it is no model target, or its weights are not known
-// yet.
+// takeEngine adds or updates an engine. It returns false if the target does not serve models or its
+// weights are not known yet.
 func (p *Planner) takeEngine(t cf.Target) bool {
 	if len(p.models[t.Service]) == 0 || len(t.Models) == 0 {
 		return false
@@ -54,16 +55,16 @@
 		e = nil
 	}
 	if e == nil {
-		e = p.back(t)
+		e = p.departedOrNew(t)
 		p.engines[t.ID] = e
 	}
 	born := max(e.Born, t.Born)
-	p.starts(e, t.Born)
+	p.noteStart(e, t.Born)
 	e.Target = t
 	e.Born = born
-	if t.Born == born || t.Born == 0 { // else the list may still show the start before
+	if t.Born == born || t.Born == 0 { // otherwise the list may still show the previous process
 		for _, m := range t.Models {
-			p.hold(e, m.Name, m.Version)
+			p.noteVersion(e, m.Name, m.Version)
 		}
 	}
 	f := p.fleets[t.Service]
@@ -76,35 +77,35 @@
 		delete(f.spare, e.ID)
 	} else {
 		f.usable[e.ID] = e
-		p.noteSpare(e)
+		p.addSpare(e)
 	}
 	return true
 }
 
-// back returns the engine of a target that was not listed: the one that left, if it has runs
-// under way, else a new one.
-func (p *Planner) back(t cf.Target) *Engine {
-	k := unlistedKey{t.ID, t.Service}
-	e := p.unlisted[k]
+// departedOrNew returns the engine for a target that was not listed: the departed engine if it
+// still has runs, otherwise a new one.
+func (p *Planner) departedOrNew(t cf.Target) *Engine {
+	k := departedKey{t.ID, t.Service}
+	e := p.departed[k]
 	if e == nil {
-		return &Engine{versions: make(map[cf.ModelName]cf.WeightVersion, len(t.Models)), draw: drawFor(t.ID)}
+		return &Engine{versions: make(map[cf.ModelName]cf.WeightVersion, len(t.Models)), idHash: hashID(t.ID)}
 	}
-	delete(p.unlisted, k)
-	p.busy[t.ID] = e
+	delete(p.departed, k)
+	p.busyEngines[t.ID] = e
 	return e
 }
 
-// at returns the engine at which a run is under way, nil if it has left the list or has
-// started again since: what the run shows is then of no use.
-func (p *Planner) at(w *Work) *Engine {
+// currentEngine returns the engine of a run, or nil if the engine is no longer listed or has
+// restarted since the run began, so that the run says nothing about it.
+func (p *Planner) currentEngine(w *Work) *Engine {
 	e := w.engine
-	if e == nil || p.engines[e.ID] != e || w.born > 0 && w.born < e.Born {
+	if e == nil || p.engines[e.ID] != e || w.engineBorn > 0 && w.engineBorn < e.Born {
 		return nil
 	}
 	return e
 }
 
-// runEnded takes the end of a run from the engine that it was given to.
+// runEnded removes a run from the engine that it was given to.
 func (p *Planner) runEnded(w *Work, outcome Outcome, now cf.Millis) {
 	e := w.engine
 	if e == nil {
@@ -114,35 +115,35 @@
 	if e.groups[w.Item.Group]--; e.groups[w.Item.Group] <= 0 {
 		delete(e.groups, w.Item.Group)
 	}
-	if k := (unlistedKey{e.ID, e.Service}); e.Running == 0 && p.unlisted[k] == e {
-		delete(p.unlisted, k)
+	if k := (departedKey{e.ID, e.Service}); e.Running == 0 && p.departed[k] == e {
+		delete(p.departed, k)
 	}
-	if here := p.at(w); here != nil {
-		p.judge(here, outcome, now)
+	if here := p.currentEngine(w); here != nil {
+		p.penalize(here, outcome, now)
 	}
 }
 
-// IsCurrent says whether a target is listed, and has not started again since it was as t shows it.
+// IsCurrent says whether a target is listed and has not restarted since t was read.
 func (p *Planner) IsCurrent(t cf.Target) bool {
 	e := p.engines[t.ID]
 	return e != nil && e.Service == t.Service && (t.Born == 0 || t.Born >= e.Born)
 }
 
-// dropEngine forgets an engine, but for its runs that are under way: they end at it, and it
-// has them if it comes back.
+// dropEngine removes an engine. Runs that have not ended stay counted at it, also if it is listed
+// again.
 func (p *Planner) dropEngine(id cf.InstanceID) {
 	e := p.engines[id]
 	if e == nil {
 		return
 	}
-	p.trials.noteEnd(e)
+	p.crashes.noteExit(e)
 	delete(p.engines, id)
 	p.setLoading(e, 0)
-	delete(p.busy, id)
-	p.unlist(e)
+	delete(p.busyEngines, id)
+	p.removeFromShare(e)
 	e.Model = ""
 	if e.Running > 0 {
-		p.unlisted[unlistedKey{id, e.Service}] = e
+		p.departed[departedKey{id, e.Service}] = e
 	}
 	if f := p.fleets[e.Service]; f != nil {
 		delete(f.usable, id)
@@ -150,72 +151,72 @@
 	}
 }
 
-// starts records a start of an engine under the id that it had: it holds nothing
-// of before, and what was learned of it may hold no more. Its runs end by
-// themselves.
-func (p *Planner) starts(e *Engine, born cf.Millis) {
+// noteStart records that the engine's process has restarted under the same id. The new process
+// holds no weights, and what was learned about the old one may not apply. Runs of the old process
+// end by themselves.
+func (p *Planner) noteStart(e *Engine, born cf.Millis) {
 	if born <= e.Born {
 		return
 	}
 	first := e.Born == 0
 	e.Born = born
 	if first {
-		return // when it started was not known
+		return // the earlier start time was unknown
 	}
-	p.trials.noteEnd(e)
+	p.crashes.noteExit(e)
 	clear(e.versions)
 	p.setLoading(e, 0)
-	e.loadBegan, e.pace, e.usual, e.avoid, e.rest, e.failed, e.kept = 0, 0, 0, 0, 0, 0, nil
+	e.loadStarted, e.pace, e.meanPace, e.avoidUntil, e.nextOrderAt, e.failedVersion, e.idleConnections = 0, 0, 0, 0, 0, 0, nil
 	e.state = cfslow.EngineState{}
 }
 
-// hold records that an engine has a version. Versions of one start of an
-// engine only rise; the instance list shows them late.
-func (p *Planner) hold(e *Engine, m cf.ModelName, v cf.WeightVersion) {
-	p.proved[m] = max(p.proved[m], v)
+// noteVersion records that an engine holds a version. The versions of one process only increase,
+// and the instance list may show an older one.
+func (p *Planner) noteVersion(e *Engine, m cf.ModelName, v cf.WeightVersion) {
+	p.provenVersions[m] = max(p.provenVersions[m], v)
 	if v > e.versions[m] {
 		e.versions[m] = v
 	}
-	if m == e.Model && e.versions[m] >= e.failed {
-		e.failed = 0
+	if m == e.Model && e.versions[m] >= e.failedVersion {
+		e.failedVersion = 0
 	}
 	if m == e.Model && e.loading > 0 && e.versions[m] >= e.loading {
 		p.setLoading(e, 0)
 	}
 }
 
-// divideAll assigns all engines that are not leaving to the models.
+// divideAll divides all engines that are not draining among the models.
 func (p *Planner) divideAll(service cf.ServiceName, models []cf.ModelName, f *fleet) {
-	var shares []share
-	newest := p.newest(f)
+	var shares []assignment
+	newest := p.newestVersions(f)
 	for id, e := range f.usable {
 		if e.Model == "" {
-			p.setShare(e, closest(e, models, newest))
+			p.assignEngine(e, closestModel(e, models, newest))
 		}
 		cost := e.Running
 		if e.loading > 0 || e.versions[e.Model] >= p.LatestVersion(e.Model) {
 			cost += e.Slots
 		}
-		shares = append(shares, share{id: id, model: e.Model, moveCost: cost})
+		shares = append(shares, assignment{id: id, model: e.Model, moveCost: cost})
 	}
-	timed := p.timed(models)
+	timed := p.hasDueTimes(models)
 	if len(shares) < len(models) {
 		p.scarce = true
-		models = p.turns(service, models)[:len(shares)]
+		models = p.byLongestWait(service, models)[:len(shares)]
 	}
-	need := p.needOf(models, timed)
-	if timed && keepsShares(shares, models, need) {
+	need := p.needsOf(models, timed)
+	if timed && sharesCloseEnough(shares, models, need) {
 		return
 	}
 	for id, m := range assign(shares, models, need) {
-		p.setShare(p.engines[id], m)
+		p.assignEngine(p.engines[id], m)
 	}
 }
 
-// turns orders the models of a service that has fewer engines than models: those
-// with work that waits first, the longest wait before the others. A model's turn
-// ends when all its items run, so that no trainer starves for another's steps.
-func (p *Planner) turns(service cf.ServiceName, models []cf.ModelName) []cf.ModelName {
+// byLongestWait orders the models of a service that has fewer engines than models: models with
+// waiting items first, the longest wait at the front. A model's turn ends when all of its items
+// run, so that no trainer is starved by another's steps.
+func (p *Planner) byLongestWait(service cf.ServiceName, models []cf.ModelName) []cf.ModelName {
 	oldest := map[cf.ModelName]cf.Millis{}
 	for _, o := range p.batches {
 		if o.terms.Service != service || o.paused || len(o.waiting) == 0 {
@@ -238,17 +239,17 @@
 	return out
 }
 
-// share returns the engines that serve a batch.
-func (p *Planner) share(o *open) []*Engine {
+// enginesFor returns the engines that serve a batch's model.
+func (p *Planner) enginesFor(o *openBatch) []*Engine {
 	return p.shares[shareKey{o.terms.Service, o.batch.Sub.Model}]
 }
 
-// closest returns the model of which an engine lacks least against the newest
-// that any engine holds. A coordinator that takes over finds the shares of the
-// one before by it, also while the share itself is behind what was named: an
-// engine given to another model would have to load weights first, and the
-// first orders must wait for the handover.
-func closest(e *Engine, models []cf.ModelName, newest map[cf.ModelName]cf.WeightVersion) cf.ModelName {
+// closestModel returns the model whose weights at an engine lag least behind the newest version
+// that any engine holds, or none if all lag equally. A new coordinator recovers the previous
+// division this way, even for a share that lags behind the announced version. An engine given to
+// another model would have to load weights first, and the first orders wait for the end of the
+// handover.
+func closestModel(e *Engine, models []cf.ModelName, newest map[cf.ModelName]cf.WeightVersion) cf.ModelName {
 	var best cf.ModelName
 	lag := cf.WeightVersion(0)
 	same := true
@@ -262,13 +263,13 @@
 		}
 	}
 	if same {
-		return "" // no model is closer than another
+		return "" // no model is closer than the others
 	}
 	return best
 }
 
-// newest returns the newest version of each model that any engine holds.
-func (p *Planner) newest(f *fleet) map[cf.ModelName]cf.WeightVersion {
+// newestVersions returns the newest version of each model that any engine of the fleet holds.
+func (p *Planner) newestVersions(f *fleet) map[cf.ModelName]cf.WeightVersion {
 	out := map[cf.ModelName]cf.WeightVersion{}
 	for _, e := range f.usable {
 		for m, v := range e.versions {
@@ -278,7 +279,7 @@
 	return out
 }
 
-// Engine returns what is known of an engine.
+// Engine returns a copy of the planner's knowledge of an engine.
 func (p *Planner) Engine(id cf.InstanceID) (Engine, bool) {
 	e := p.engines[id]
 	if e == nil {
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -13,8 +13,8 @@
 	"currantford/core/cfrollout"
 )
 
-// session is a trainer's step from its submission to the next version, played
-// on the decisions alone.
+// session plays a trainer's step from its submission to the next version, without engines or
+// network.
 type session struct {
 	planner *cfrollout.Planner
 	batches map[cf.BatchID]*cfbatch.Batch
@@ -23,16 +23,16 @@
 	now     cf.Millis
 }
 
-// TestSession plays the sessions under testdata. Commands:
+// TestSession plays the sessions in testdata. Their commands are:
 //
 //	engines n=2 model=a version=1    engines that are up
 //	submit id=s model=a least=1 groups=2 size=2 want=2
-//	place                            items that start, with their engines
-//	events item=s-0-0 n=5 pace=40    a run makes events
+//	place                            lists the items that start, with their engines
+//	events item=s-0-0 n=5 pace=40    a run generates events
 //	finish item=s-0-0 outcome=done   a run ends
-//	list                             chunks that are written now
+//	list                             lists the chunks that are written now
 //	end id=s                         the trainer ends its batch
-//	name model=a version=2           the trainer names a version
+//	name model=a version=2           the trainer announces a version
 //	swaps, swapped engine=e00 model=a version=2
 //	wait ms=100
 func TestSession(t *testing.T) {
@@ -68,7 +68,7 @@
 	case "events":
 		w := s.running[cf.ItemID(arg("item"))]
 		generate(t, w, s.now, s.now+cf.Millis((num("n")-1)*num("pace")), cf.Millis(num("pace")))
-		return fmt.Sprintf("%s has %d events by versions %v\n", w.Item.ID, w.Text.Last, w.Text.Versions)
+		return fmt.Sprintf("%s has %d events of versions %v\n", w.Item.ID, w.Text.Last, w.Text.Versions)
 	case "finish":
 		return s.finish(cf.ItemID(arg("item")), arg("outcome"))
 	case "list":
@@ -108,7 +108,7 @@
 	b := step(id, m, least, groups, size)
 	b.Sub.TargetGroups = want
 	s.batches[id], s.pending[id] = b, &cfbatch.PendingResults{}
-	ready := s.planner.AddBatch(b, terms)
+	ready := s.planner.AddBatch(b, defaultTerms)
 	return fmt.Sprintf("%d items, %d ready\n", len(b.Sub.Items), len(ready))
 }
 
@@ -116,7 +116,7 @@
 	var out []string
 	for _, w := range s.planner.Place(s.now) {
 		s.running[w.Item.ID] = w
-		out = append(out, fmt.Sprintf("%s starts at %s by version %d after event %d\n", w.Item.ID, w.Engine, w.Version, w.Text.Last))
+		out = append(out, fmt.Sprintf("%s starts at %s with version %d after event %d\n", w.Item.ID, w.Engine, w.Version, w.Text.Last))
 	}
 	return sorted(out)
 }
@@ -150,9 +150,9 @@
 		b.Apply(name, results)
 		p.EndWrite(b, s.now)
 		for i, r := range results {
-			out = append(out, fmt.Sprintf("%s position %d: %s %s by versions %v\n", id, at+i, r.ID, r.State, r.Versions))
+			out = append(out, fmt.Sprintf("%s position %d: %s %s with versions %v\n", id, at+i, r.ID, r.State, r.Versions))
 		}
-		out = append(out, fmt.Sprintf("%s: %d groups whole\n", id, b.CompleteGroups()))
+		out = append(out, fmt.Sprintf("%s: %d groups complete\n", id, b.CompleteGroups()))
 	}
 	return sorted(out)
 }
--- a/core/cfrollout/slow_test.go
+++ b/core/cfrollout/slowengine_test.go
@@ -9,9 +9,8 @@
 	"currantford/core/cfrollout"
 )
 
-// hinted returns a batch of single items with the lengths that their submitter
-// expects, in tokens of which ten make an event.
-func hinted(id cf.BatchID, events ...int) *cfbatch.Batch {
+// hintedBatch returns a batch of single items with the given length hints, in events of ten tokens.
+func hintedBatch(id cf.BatchID, events ...int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, Model: "a", MinVersion: 1, TargetGroups: len(events)}
 	for i, n := range events {
 		name := fmt.Sprintf("%s-%02d", id, i)
@@ -20,9 +19,9 @@
 	return cfbatch.New(sub)
 }
 
-// slowSite returns a planner with four engines of four slots, of which e03 is four
-// times slower than the others, as a step before has shown.
-func slowSite(t *testing.T) *cfrollout.Planner {
+// newSlowEnginePlanner returns a planner with four engines of four slots, which has learned from an
+// earlier step that e03 is four times slower than the others.
+func newSlowEnginePlanner(t *testing.T) *cfrollout.Planner {
 	t.Helper()
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -30,7 +29,7 @@
 	for i := range lengths {
 		lengths[i] = 20
 	}
-	p.AddBatch(hinted("before", lengths...), terms)
+	p.AddBatch(hintedBatch("before", lengths...), defaultTerms)
 	works := p.Place(0)
 	for _, w := range works {
 		pace := cf.Millis(40)
@@ -40,7 +39,7 @@
 		generate(t, w, 10, 10+19*pace, pace)
 	}
 	for range 20 {
-		p.Moves(800) // the paces are smoothed
+		p.Moves(800) // let the smoothed paces converge
 	}
 	for _, w := range works {
 		p.Finished(w, cfrollout.OutcomeDone, 3200)
@@ -48,13 +47,12 @@
 	return p
 }
 
-// Symptom: a step waits for a long text that was placed at a slow engine, though
-// other engines were free of it a moment later.
-// Load: a step of twice the slots, long texts first; one engine of four is four
-// times slower. It gets short texts alone, which end there before they would have
-// had their turn elsewhere.
+// TestLongTextsDoNotStartAtASlowEngine guards against a step that waits for a long text at a slow
+// engine, although other engines had free slots a moment later. The step has twice as many items as
+// slots, long texts first, and one of four engines is four times slower. It may only get short
+// texts, which end there before they would have started elsewhere.
 func TestLongTextsDoNotStartAtASlowEngine(t *testing.T) {
-	p := slowSite(t)
+	p := newSlowEnginePlanner(t)
 	lengths := make([]int, 32)
 	for i := range lengths {
 		lengths[i] = 2
@@ -62,34 +60,34 @@
 			lengths[i] = 100
 		}
 	}
-	p.AddBatch(hinted("s", lengths...), terms)
-	atSlow := 0
+	p.AddBatch(hintedBatch("s", lengths...), defaultTerms)
+	startedAtSlow := 0
 	for _, w := range p.Place(5000) {
 		if w.Engine != "e03" {
 			continue
 		}
-		atSlow++
+		startedAtSlow++
 		if w.Item.LengthHint > 20 {
 			t.Errorf("a text of %d tokens starts at the slow engine", w.Item.LengthHint)
 		}
 	}
-	if atSlow == 0 {
-		t.Error("the slow engine gets nothing")
+	if startedAtSlow == 0 {
+		t.Error("the slow engine gets no item")
 	}
 }
 
-// Symptom: the longest text of a step runs four times slower than others for
-// seconds, until nothing waits any more.
-// Load: an engine turns slow while its runs are long and half of the step waits.
-// The long run stands first in line for the next slot; short ones stay.
+// TestLongRunLeavesASlowEngineBeforeOthersStart guards against the longest text of a step running
+// four times slower than the others until no item waits. The engine becomes slow while its runs are
+// long and half of the step waits. The long run goes to the front of the queue for the next slot,
+// and short runs stay.
 func TestLongRunLeavesASlowEngineBeforeOthersStart(t *testing.T) {
-	p := slowSite(t)
+	p := newSlowEnginePlanner(t)
 	lengths := make([]int, 40)
 	for i := range lengths {
 		lengths[i] = 8
 	}
 	lengths[0] = 150
-	p.AddBatch(hinted("s", lengths...), terms)
+	p.AddBatch(hintedBatch("s", lengths...), defaultTerms)
 	works := p.Place(5000)
 	var long *cfrollout.Work
 	for _, w := range works {
@@ -113,11 +111,11 @@
 	for _, w := range moves {
 		found = found || w == long
 		if w.Engine != slow {
-			t.Errorf("a run leaves the usual engine %s", w.Engine)
+			t.Errorf("a run leaves engine %s, which is not slow", w.Engine)
 		}
 	}
 	if !found || len(moves) > 4 {
-		t.Fatalf("%d runs leave the slow engine, the long one among them: %v", len(moves), found)
+		t.Fatalf("%d runs leave the slow engine, including the long one: %v", len(moves), found)
 	}
 	last := long.Text.Last
 	p.Finished(long, cfrollout.OutcomeStopped, 6210)
@@ -129,6 +127,6 @@
 	}
 	again := p.Place(6230)
 	if len(again) == 0 || again[0] != long || again[0].Text.Last != last {
-		t.Errorf("the long run is not first in line: %d start", len(again))
+		t.Errorf("the long run does not start first: %d items start", len(again))
 	}
 }
--- a/core/cfrollout/slowperiods.go
+++ b/core/cfrollout/slowperiods.go
@@ -10,67 +10,68 @@
 )
 
 const (
-	// minRunTime is the least time between the start of a run and a move of it: its first
-	// events come late, after its text was read, or in a burst, and tell nothing.
+	// minRunTime is the minimum time between the start of a run and its move. The first events say
+	// nothing about the engine, because they come late, after the text was processed, or in a
+	// burst.
 	minRunTime cf.Millis = 300
-	// ownEvents and ownSlower are how many events a run must have had from an engine, and how
-	// many times slower than the engine's lasting pace they must be, for it to leave: the
+	// minRunEvents and minRunSlowdown are how many events a run must have had, and how many times
+	// slower than the engine's lasting pace they must be, before the run leaves a slow engine: the
 	// engine's pace is that of all its runs.
-	ownEvents = 3
-	ownSlower = 1.25
-	// periodGain is the least that a move must save, in ms, and periodGainMore what is
-	// added for each move of that run before: what is left of a period is known within some
-	// 100 ms, and a connection is paid for.
-	periodGain     = 100.0
-	periodGainMore = 20.0
-	// periodMovesMost bounds the moves of one run: the longest text of a step meets two or
-	// three periods, and one more for each engine that was slow as well.
-	periodMovesMost = 6
-	// periodPart is the least part of the longest text's rest that a run must have left to
-	// be moved: others end long before their step. A fifth saved a fifth of the moves of a
-	// replay and cost the step 15 ms; half of it cost 90 ms.
-	periodPart = 0.2
-	// reservationTimeout is how long a slot is kept for a run that moves to it. Its stop
-	// takes some ten ms, and up to half a second where the instance that holds its stream is slow.
+	minRunEvents   = 3
+	minRunSlowdown = 1.25
+	// minPeriodGain is the least time that a move must save, in ms, and gainPerMove what each
+	// earlier move of the run adds to it. The rest of a slow period is known to within about 100
+	// ms, and a move costs a connection.
+	minPeriodGain = 100.0
+	gainPerMove   = 20.0
+	// maxPeriodMoves limits the moves of one run. The longest text of a step meets two or three
+	// slow periods, and needs one more move for each destination that is slow as well.
+	maxPeriodMoves = 6
+	// minRemainingShare is the least remaining length of a run that may move, as a part of the
+	// longest remaining length of its step. Shorter runs end long before their step. In a replay, a
+	// fifth saved a fifth of the moves and cost the step 15 ms; a half cost 90 ms.
+	minRemainingShare = 0.2
+	// reservationTimeout is how long a slot is reserved for a moving run. Stopping the run takes
+	// about ten ms, and up to half a second if the instance that holds its stream is slow.
 	reservationTimeout cf.Millis = 600
-	// lastingFactor is how many times slower for good an engine must be that a run leaves while
-	// it is not in a slow period: full engines are up to 1.25 times slower than empty ones.
-	lastingFactor = 1.4
-	// stallRest is how long after a stall events may still be read late.
-	stallRest cf.Millis = 5
-	// suspectFrom is from how many engines on it is their reference, or a delay here, that
-	// makes most of them look slow.
-	suspectFrom = 4
-	// minNormalTime is how long an engine must not be slow until its smoothed pace is free
-	// of a period.
+	// lastingSlowdown is how many times slower an engine must be permanently for a run to leave it
+	// outside of a slow period. Full engines are up to 1.25 times slower than empty ones.
+	lastingSlowdown = 1.4
+	// stallMargin is how long after a stall of this process events may still be read late.
+	stallMargin cf.Millis = 5
+	// suspectMinEngines is the number of engines from which on a majority of slow ones is
+	// attributed to their reference pace or to a delay in this process.
+	suspectMinEngines = 4
+	// minNormalTime is how long an engine must not be slow before its smoothed pace is unaffected
+	// by a slow period.
 	minNormalTime cf.Millis = 500
 )
 
 type (
-	// Move is why a run was last moved, for logs and metrics.
+	// Move explains the latest move of a run, for logs and metrics.
 	Move struct {
-		// FromSlowPeriod says that its engine had turned slow for a while; else the other engine
-		// is faster for good.
+		// FromSlowPeriod says that the engine had become slow temporarily; otherwise the other
+		// engine is permanently faster.
 		FromSlowPeriod bool
-		// To is the engine that keeps a slot for it.
+		// To is the engine with the reserved slot.
 		To cf.InstanceID
-		// Saving is what the move was expected to save, Cost what one costs as observed,
-		// and SlowTimeLeft how much longer its engine was expected to be slow, in ms.
+		// Saving is what the move was expected to save, Cost the observed cost of a move, and
+		// SlowTimeLeft how much longer the engine was expected to be slow, all in ms.
 		Saving, Cost, SlowTimeLeft float64
 	}
 
 	// SlowPeriods is what was observed of the periods in which engines are slow.
 	SlowPeriods struct {
-		// Known says that decisions go by them.
+		// Known says that decisions are based on the observations.
 		Known bool
-		// Mean is how long one lasts, in ms, Share the part of the time that engines are
-		// slow, and Slowdown how many times slower they are.
+		// Mean is the mean duration of a slow period in ms, Share the part of the time in which
+		// engines are slow, and Slowdown how many times slower they are then.
 		Mean, Share, Slowdown float64
-		// MoveCost is what a move of a run costs, in ms.
+		// MoveCost is the cost of moving a run, in ms.
 		MoveCost float64
 	}
 
-	// paceSamples is what the events of the engines' runs show at a moment.
+	// paceSamples holds the paces of the engines' runs at one moment.
 	paceSamples struct {
 		now     cf.Millis
 		planner *Planner
@@ -83,27 +84,27 @@
 	}
 )
 
-// byPeriods says whether periods of slowness were observed, and count.
-func (p *Planner) byPeriods(now cf.Millis) bool {
+// usesPeriods says whether slow periods were observed and are to be used in decisions.
+func (p *Planner) usesPeriods(now cf.Millis) bool {
 	return !p.limits.NoSlowPeriods && p.periods.Reliable(now)
 }
 
-// latestPace returns what the latest event took, or what the one under way has taken if that
-// is more, and as of when.
+// latestPace returns the time of the latest event, or of the current one if it has already taken
+// longer, and the time of that observation.
 func (p *Progress) latestPace(now cf.Millis) (pace float64, at cf.Millis, ok bool) {
-	gap := float64(p.latest.Load()) / 1000
-	if p.events.Load() < ownEvents {
+	gap := float64(p.lastGap.Load()) / 1000
+	if p.events.Load() < minRunEvents {
 		return 0, 0, false
 	}
-	if seen := cf.Millis(p.seen.Load()); seen > 0 {
+	if seen := cf.Millis(p.seenUntil.Load()); seen > 0 {
 		now = min(now, seen)
 	}
 	last := cf.Millis(p.last.Load())
 	return max(gap, float64(now-last)), max(now, last), true
 }
 
-// under is how long the event under way has taken.
-func (p *Progress) under(now cf.Millis) cf.Millis {
+// currentGap returns how long the current event has taken so far.
+func (p *Progress) currentGap(now cf.Millis) cf.Millis {
 	last := cf.Millis(p.last.Load())
 	if last == 0 {
 		return 0
@@ -111,38 +112,38 @@
 	return max(now-last, 0)
 }
 
-// ProcessStalled records that the process did nothing until an Uptime: the events of its own streams
-// came late, and those after it in bursts.
+// ProcessStalled records that this process did nothing until an Uptime. The events of its own
+// streams came late, and the following ones in bursts.
 func (p *Planner) ProcessStalled(until cf.Millis) { p.stalledUntil = until }
 
-// stalled says whether the process was stalled within what a run's latest pace is made of.
-func (p *Planner) stalled(r *Progress) bool {
-	if p.stalledUntil == 0 || r.seen.Load() > 0 { // its host knows when events came
+// affectedByStall says whether a stall of this process affects a run's latest pace.
+func (p *Planner) affectedByStall(r *Progress) bool {
+	if p.stalledUntil == 0 || r.seenUntil.Load() > 0 { // the instance that reads the stream knows when events arrived
 		return false
 	}
-	return r.before() <= p.stalledUntil+stallRest
+	return r.prevEvent() <= p.stalledUntil+stallMargin
 }
 
-// before is when the event before the latest was noted.
-func (p *Progress) before() cf.Millis { return cf.Millis(p.last.Load() - p.latest.Load()/1000) }
+// prevEvent returns when the event before the latest one was recorded.
+func (p *Progress) prevEvent() cf.Millis { return cf.Millis(p.last.Load() - p.lastGap.Load()/1000) }
 
 func (p *Planner) newPaceSamples(now cf.Millis) *paceSamples {
 	return &paceSamples{now: now, planner: p, engines: map[*Engine]*enginePace{}}
 }
 
-// add adds what a run shows of its engine.
+// add adds the pace of a run to the samples of its engine.
 func (s *paceSamples) add(w *Work, e *Engine) {
 	if first := cf.Millis(w.Progress.first.Load()); w.movedAt > 0 && w.Started >= w.movedAt && first > 0 {
-		s.planner.moveCost.Observe(float64(first-w.movedAt) - s.planner.expected(e, s.planner.typical()))
+		s.planner.moveCost.Observe(float64(first-w.movedAt) - s.planner.expectedPace(e, s.planner.assumedPace()))
 		w.movedAt = 0
 	}
 	if e.loading > 0 {
 		e.state.DiscardPeriod(&s.planner.periods, s.now)
-		e.loadSeen = s.now
+		e.loadingSeenAt = s.now
 		return
 	}
 	pace, at, ok := w.Progress.latestPace(s.now)
-	if !ok || s.planner.stalled(&w.Progress) || w.Progress.before() <= e.loadSeen && e.loadSeen > 0 {
+	if !ok || s.planner.affectedByStall(&w.Progress) || w.Progress.prevEvent() <= e.loadingSeenAt && e.loadingSeenAt > 0 {
 		return
 	}
 	x := s.engines[e]
@@ -154,11 +155,11 @@
 	x.at = max(x.at, at)
 }
 
-// notePeriods takes the paces of a moment, of each engine the median of its runs'. If most
-// engines look slow, it is more likely that their events came late here, or that their lasting
-// paces are wrong: no period goes on.
+// notePeriods records the sampled paces, for each engine the median of its runs. If most engines
+// look slow, their events were probably read late by this process or their lasting paces are wrong,
+// so no slow period continues.
 func (p *Planner) notePeriods(s *paceSamples) {
-	usual := p.usualNow()
+	usual := p.usualPace()
 	slow := 0
 	for e, x := range s.engines {
 		slices.Sort(x.paces)
@@ -166,7 +167,7 @@
 			slow++
 		}
 	}
-	suspect := len(s.engines) >= suspectFrom && 2*slow > len(s.engines)
+	suspect := len(s.engines) >= suspectMinEngines && 2*slow > len(s.engines)
 	for e, x := range s.engines {
 		e.state.Observe(&p.periods, x.paces[len(x.paces)/2], usual, x.at)
 		if suspect {
@@ -175,11 +176,11 @@
 	}
 }
 
-// usualNow is the lasting pace of a usual engine that has run something lately, zero if none
-// has.
-func (p *Planner) usualNow() float64 {
+// usualPace returns the median lasting pace of the engines that were busy recently, zero if there
+// is none.
+func (p *Planner) usualPace() float64 {
 	var paces []float64
-	for _, e := range p.busy {
+	for _, e := range p.busyEngines {
 		if usual := e.state.BaselinePace(); usual > 0 {
 			paces = append(paces, usual)
 		}
@@ -191,67 +192,67 @@
 	return paces[(len(paces)-1)/2]
 }
 
-// delay is how much longer the events that are left are expected to take at an engine because
-// it is slow for a while, or may be, in ms.
-func (p *Planner) delay(e *Engine, left float64, now cf.Millis) float64 {
-	if !p.byPeriods(now) {
+// expectedDelay returns how much longer the given number of remaining events is expected to take at
+// an engine because of current or future slow periods, in ms.
+func (p *Planner) expectedDelay(e *Engine, left float64, now cf.Millis) float64 {
+	if !p.usesPeriods(now) {
 		return 0
 	}
 	return p.periods.Delay(&e.state, left*max(e.pace, 1), now)
 }
 
-// periodMoves returns the runs that end sooner elsewhere, by how long engines were observed to
-// stay slow, each with a slot that is kept for it. The load it answers: each engine is 2.5 times
-// slower for 15% of the time, in periods of some 600 ms, and a group counts when its longest text
-// is complete.
-func (p *Planner) periodMoves(o *open, now cf.Millis) []*Work {
+// periodMoves returns the runs that are expected to end sooner elsewhere, given how long engines
+// usually stay slow. Each has a slot reserved at its destination. Engines may be 2.5 times slower
+// for 15% of the time, in periods of about 600 ms, and a group counts only when its longest text is
+// complete.
+func (p *Planner) periodMoves(o *openBatch, now cf.Millis) []*Work {
 	longest := 0.0
 	for _, w := range o.running {
-		longest = max(longest, p.left(w))
+		longest = max(longest, p.remaining(w))
 	}
 	var out []*Work
-	var engines []pacedEngine
+	var engines []candidate
 	listed := false
 	for _, w := range o.running {
-		e := p.at(w)
-		if e == nil || w.moving || w.moves >= periodMovesMost || now-w.Started < minRunTime || !p.IsLong(w) || p.left(w) < periodPart*longest {
+		e := p.currentEngine(w)
+		if e == nil || w.moving || w.moves >= maxPeriodMoves || now-w.Started < minRunTime || !p.IsLong(w) || p.remaining(w) < minRemainingShare*longest {
 			continue
 		}
 		own, _, shown := w.Progress.latestPace(now)
 		slow := e.state.Slow(now)
-		if !shown || slow && own < ownSlower*e.state.BaselinePace() || !slow && now-w.Started < moveRest {
+		if !shown || slow && own < minRunSlowdown*e.state.BaselinePace() || !slow && now-w.Started < minMoveInterval {
 			continue
 		}
 		if !listed {
 			engines, listed = p.destinations(o, longest, now), true
 		}
-		for len(engines) > 0 && !engines[0].engine.hasSlot() {
+		for len(engines) > 0 && !engines[0].engine.hasFreeSlot() {
 			engines = engines[1:]
 		}
 		to := p.destination(engines, w, now)
 		if to == nil {
 			continue
 		}
-		// What more runs cost is learned within some percent, of which a long text would make
-		// half a second: only a lasting pace that is clearly lower counts.
-		pace, least := e.state.BaselinePace(), periodGain+periodGainMore*float64(w.moves)
-		if usual := to.state.BaselinePace(); usual > 0 && lastingFactor*usual < pace {
+		// The effect of more runs on the pace is known to within a few percent, which for a long
+		// text amounts to half a second. Only a clearly lower lasting pace counts.
+		pace, least := e.state.BaselinePace(), minPeriodGain+gainPerMove*float64(w.moves)
+		if usual := to.state.BaselinePace(); usual > 0 && lastingSlowdown*usual < pace {
 			pace = usual
 		} else if !slow {
 			continue
 		}
 		if !slow {
-			least = w.moveGain()
+			least = w.minGain()
 		}
-		run := cfslow.Run{EventsLeft: p.left(w), EventElapsed: w.Progress.under(now)}
-		place := cfslow.Destination{Pace: pace, Delay: p.delay(to, run.EventsLeft, now)}
+		run := cfslow.Run{EventsLeft: p.remaining(w), EventElapsed: w.Progress.currentGap(now)}
+		place := cfslow.Destination{Pace: pace, Delay: p.expectedDelay(to, run.EventsLeft, now)}
 		saved := p.periods.TimeSaved(run, &e.state, place, p.moveCost.Ms(), now)
 		if saved < least {
 			continue
 		}
-		w.moved = Move{FromSlowPeriod: slow, To: to.ID, Saving: saved, Cost: p.moveCost.Ms()}
+		w.lastMove = Move{FromSlowPeriod: slow, To: to.ID, Saving: saved, Cost: p.moveCost.Ms()}
 		if slow {
-			w.moved.SlowTimeLeft = p.periods.Remaining(now - e.state.Since())
+			w.lastMove.SlowTimeLeft = p.periods.Remaining(now - e.state.Since())
 		}
 		p.reserve(w, to, now)
 		out = append(out, w)
@@ -259,87 +260,87 @@
 	return out
 }
 
-// destinations returns the engines of a share to which runs may move, those first that are
-// least likely to be slow, and of these those that hold least: engines with a free slot that
-// are not slow, and that will not load weights soon. left is the events of the longest run.
+// destinations returns the engines of a share to which runs may move: engines with a free slot that
+// are not slow and will not load weights soon. Engines that are least likely to be slow come first,
+// and among these the ones with the least memory in use. left is the number of remaining events of
+// the longest run.
 //
-// The load it answers: many runs at slow engines of a large share. A walk over the share for
-// each of them made a look at 480 items and 10,000 engines take 3 to 4 ms, one list for all 0.6 ms
-// (BenchmarkSlowLook).
-func (p *Planner) destinations(o *open, left float64, now cf.Millis) []pacedEngine {
-	var out []pacedEngine
+// The list is built once for all runs. With 480 items and 10,000 engines, searching the share for
+// each run makes a planning pass take 3 to 4 ms, and one list 0.6 ms (BenchmarkMoves).
+func (p *Planner) destinations(o *openBatch, left float64, now cf.Millis) []candidate {
+	var out []candidate
 	least := math.Inf(1)
-	for _, e := range p.share(o) {
-		if !e.hasSlot() || now < e.avoid || e.loading > 0 || e.Draining || e.state.Slow(now) || e.versions[e.Model] < p.LatestVersion(e.Model) {
+	for _, e := range p.enginesFor(o) {
+		if !e.hasFreeSlot() || now < e.avoidUntil || e.loading > 0 || e.Draining || e.state.Slow(now) || e.versions[e.Model] < p.LatestVersion(e.Model) {
 			continue
 		}
-		delay := p.delay(e, left, now)
+		delay := p.expectedDelay(e, left, now)
 		least = min(least, delay)
-		out = append(out, pacedEngine{engine: e, delay: delay})
+		out = append(out, candidate{engine: e, delay: delay})
 	}
 	for i := range out {
-		out[i].delay = math.Floor((out[i].delay - least) / evenDelay) // smaller differences do not count
+		out[i].delay = math.Floor((out[i].delay - least) / equalDelay) // ignore smaller differences
 	}
-	slices.SortStableFunc(out, func(a, b pacedEngine) int {
-		return cmp.Or(cmp.Compare(a.delay, b.delay), cmp.Compare(a.engine.used, b.engine.used))
+	slices.SortStableFunc(out, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.delay, b.delay), cmp.Compare(a.engine.usedMemory, b.engine.usedMemory))
 	})
 	return out
 }
 
-// destination returns the first of some engines that can take a run; nil if none can.
-func (p *Planner) destination(engines []pacedEngine, w *Work, now cf.Millis) *Engine {
+// destination returns the first of the engines that can take a run, nil if none can.
+func (p *Planner) destination(engines []candidate, w *Work, now cf.Millis) *Engine {
 	for _, x := range engines {
-		if e := x.engine; e != w.engine && e.takes(w, now) && p.fits(e, w) {
+		if e := x.engine; e != w.engine && e.canStart(w, now) && p.fitsMemory(e, w) {
 			return e
 		}
 	}
 	return nil
 }
 
-// reserve keeps a slot for a run that moves.
+// reserve reserves a slot for a run that moves.
 func (p *Planner) reserve(w *Work, e *Engine, now cf.Millis) {
 	p.releaseSlot(w)
-	w.to, w.toUntil = e, now+reservationTimeout
+	w.reservedEngine, w.reservedUntil = e, now+reservationTimeout
 	e.reserved++
 	p.reservations = append(p.reservations, w)
 }
 
-// releaseSlot releases the slot that is kept for a run.
+// releaseSlot releases the slot that is reserved for a run.
 func (p *Planner) releaseSlot(w *Work) {
-	if w.to == nil {
+	if w.reservedEngine == nil {
 		return
 	}
-	w.to.reserved--
-	w.to = nil
+	w.reservedEngine.reserved--
+	w.reservedEngine = nil
 	p.reservations = slices.DeleteFunc(p.reservations, func(x *Work) bool { return x == w })
 }
 
-// releaseExpiredSlots releases the slots whose runs have not come in time.
+// releaseExpiredSlots releases the slots whose runs have not arrived in time.
 func (p *Planner) releaseExpiredSlots(now cf.Millis) {
 	for _, w := range slices.Clone(p.reservations) {
-		if now >= w.toUntil {
+		if now >= w.reservedUntil {
 			p.releaseSlot(w)
 		}
 	}
 }
 
-// reservedFor returns the engine that keeps a slot for a run, and releases the slot; nil if it
-// keeps none, or has turned slow or cannot take the run any more.
+// reservedFor releases the slot that is reserved for a run and returns its engine. It returns nil
+// if there is none, or if the engine has become slow or cannot take the run any more.
 func (p *Planner) reservedFor(w *Work, now cf.Millis) *Engine {
-	e := w.to
+	e := w.reservedEngine
 	p.releaseSlot(w)
-	if e == nil || p.engines[e.ID] != e || !e.takes(w, now) || e.state.Slow(now) {
+	if e == nil || p.engines[e.ID] != e || !e.canStart(w, now) || e.state.Slow(now) {
 		return nil
 	}
 	return e
 }
 
-// LastMove returns why the run was moved last.
-func (w *Work) LastMove() Move { return w.moved }
+// LastMove returns the explanation of the run's latest move.
+func (w *Work) LastMove() Move { return w.lastMove }
 
 // SlowPeriods returns what was observed of slow periods.
 func (p *Planner) SlowPeriods(now cf.Millis) SlowPeriods {
-	if !p.byPeriods(now) {
+	if !p.usesPeriods(now) {
 		return SlowPeriods{}
 	}
 	return SlowPeriods{true, p.periods.Mean(), p.periods.SlowFraction(), p.periods.Slowdown(), p.moveCost.Ms()}
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -7,11 +7,11 @@
 	"currantford/core/cfrollout"
 )
 
-// Each way in which an item waits although there is room has its reason, and a report comes
-// after 2 s, 4 s and 8 s.
+// TestItemsThatWaitAreReportedWithTheirReason checks that each way in which an item waits despite
+// free slots has its reason, and that reports follow after 2 s, 4 s and 8 s.
 func TestItemsThatWaitAreReportedWithTheirReason(t *testing.T) {
 	held := cf.ModelState{Name: "m", Version: 1}
-	// relist lists the engines again, changed.
+	// relist sets the list of engines again after changing each target.
 	relist := func(change func(t *cf.Target)) func(*cfrollout.Planner, []cf.Target, *bool) {
 		return func(p *cfrollout.Planner, targets []cf.Target, _ *bool) {
 			for i := range targets {
@@ -20,7 +20,7 @@
 			p.SetEngines(targets, models("m"))
 		}
 	}
-	plays := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, sent *bool){
+	scenarios := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, sent *bool){
 		cfrollout.WaitRunSilent: func(*cfrollout.Planner, []cf.Target, *bool) {},
 		cfrollout.WaitNoRoute:   func(p *cfrollout.Planner, _ []cf.Target, _ *bool) { p.SetTerms("b", cfrollout.Terms{}, false) },
 		cfrollout.WaitRefused:   func(_ *cfrollout.Planner, _ []cf.Target, sent *bool) { *sent = false },
@@ -33,20 +33,20 @@
 		},
 		cfrollout.WaitNoWeights: relist(func(t *cf.Target) { t.Born, t.Models = t.Born+1000, []cf.ModelState{{Name: "m"}} }),
 	}
-	for reason, play := range plays {
+	for reason, scenario := range scenarios {
 		t.Run(string(reason), func(t *testing.T) {
-			sent, limits := true, cfrollout.DefaultLimits
-			limits.Admit = func(*cfrollout.Work, cf.Target, bool) cfrollout.Admission { return cfrollout.Admission{Allowed: sent} }
+			pass, limits := true, cfrollout.DefaultLimits
+			limits.Admit = func(*cfrollout.Work, cf.Target, bool) cfrollout.Admission { return cfrollout.Admission{Allowed: pass} }
 			p := cfrollout.New(limits)
 			targets := fleet(4, held)
 			for i := range targets {
 				targets[i].Born = 1
 			}
 			p.SetEngines(targets, models("m"))
-			p.AddBatch(step("b", "m", 1, 1, 4), terms)
+			p.AddBatch(step("b", "m", 1, 1, 4), defaultTerms)
 			begun := p.Place(1000)
 			if len(begun) != 4 {
-				t.Fatalf("%d items begin", len(begun))
+				t.Fatalf("%d items start", len(begun))
 			}
 			for _, w := range begun[1:] {
 				p.Finished(w, cfrollout.OutcomeDone, 1500)
@@ -55,25 +55,25 @@
 				begun[0].Progress.Note(1400)
 				p.Finished(begun[0], cfrollout.OutcomeStopped, 1500)
 			}
-			play(p, targets, &sent)
-			var at []cf.Millis
+			scenario(p, targets, &pass)
+			var reportedAt []cf.Millis
 			for now := cf.Millis(2000); now <= 14_000; now += 1000 {
 				if reason != cfrollout.WaitRunSilent {
 					p.Place(now)
 				}
 				x := p.WaitingItems(now)
 				if now >= 4000 && x.Counts[reason] != 1 {
-					t.Errorf("at %d: %v", now, x.Counts)
+					t.Errorf("at %d: counts %v", now, x.Counts)
 				}
 				for _, item := range x.Items {
 					if item.Reason != reason {
-						t.Errorf("at %d: %s", now, item.Reason)
+						t.Errorf("at %d: reason %s", now, item.Reason)
 					}
-					at = append(at, now)
+					reportedAt = append(reportedAt, now)
 				}
 			}
-			if len(at) != 3 {
-				t.Errorf("reported at %v", at)
+			if len(reportedAt) != 3 {
+				t.Errorf("reported at %v, want three reports", reportedAt)
 			}
 		})
 	}
