--- a/core/cfmember/hubs.go
+++ b/core/cfmember/hubs.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// HubsFrom is the default for the number of instances from which hubs are used.
-	HubsFrom = 97
+	// DefaultHubThreshold is the default for the number of instances from which hubs are used.
+	DefaultHubThreshold = 97
 	// instancesPerHub is the average number of instances that poll one hub.
 	instancesPerHub = 48
 )
--- a/core/cfmember/roster_test.go
+++ b/core/cfmember/roster_test.go
@@ -90,7 +90,7 @@
 	for _, n := range []int{7, 96, 97, 300, 836, 1300, 2000} {
 		all := fleet(n)
 		clients := map[cf.EntryID]int{}
-		hubs := Hubs(all, HubsFrom)
+		hubs := Hubs(all, DefaultHubThreshold)
 		for _, e := range all {
 			if Contains(hubs, e.ID) {
 				if n > 200 && e.Capacity < 1 {
@@ -181,7 +181,7 @@
 // large deployment for copies of texts, rather than only those that may hold them.
 func TestPossibleTextReplicasAreFew(t *testing.T) {
 	all := fleet(836)
-	replicas := PossibleTextReplicas(all, Hubs(all, HubsFrom))
+	replicas := PossibleTextReplicas(all, Hubs(all, DefaultHubThreshold))
 	if len(replicas) == 0 || len(replicas) > 90 {
 		t.Errorf("%d of 836 instances may hold texts, want 1 to 90", len(replicas))
 	}
--- a/core/cfmember/table_test.go
+++ b/core/cfmember/table_test.go
@@ -62,7 +62,7 @@
 
 // TestRestartsAreCounted checks that a restart of an instance is counted, whatever else it reports.
 func TestRestartsAreCounted(t *testing.T) {
-	m := cfmember.NewMembership(cfmember.HubsFrom)
+	m := cfmember.NewMembership(cfmember.DefaultHubThreshold)
 	for i, age := range []cf.Millis{100, 500, 20, 600, 700, 5} {
 		m.RecordReport(cfmember.Entry{ID: "a", Age: age}, nil, cf.Millis(i*100))
 	}
--- a/core/cfmember/watchers_test.go
+++ b/core/cfmember/watchers_test.go
@@ -20,7 +20,7 @@
 			}
 			entries = append(entries, e)
 		}
-		hubs := Hubs(entries, HubsFrom)
+		hubs := Hubs(entries, DefaultHubThreshold)
 		watchers, strong, domains := 0, 0, map[cf.FailureDomain]bool{}
 		for _, e := range entries {
 			if !IsFallbackWatcher(entries, hubs, e) {
--- a/core/cfrollout/allocation_test.go
+++ b/core/cfrollout/allocation_test.go
@@ -182,7 +182,7 @@
 		if w.now < r.next {
 			continue
 		}
-		run.Progress.Note(w.now)
+		run.Progress.RecordEvent(w.now)
 		if err := run.Text.Append(cf.StreamEvent{ID: run.Text.Last + 1, Version: run.Version}); err != nil {
 			w.t.Fatal(err)
 		}
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -47,7 +47,7 @@
 				pace = 100
 			}
 			if (now-at)%pace == 0 {
-				w.Progress.Note(at)
+				w.Progress.RecordEvent(at)
 			}
 		})
 		p.updatePaces(at)
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -96,7 +96,7 @@
 	}
 	slow.pace, fast.pace = 40, 24
 	for at := cf.Millis(0); at <= 2000; at += 40 {
-		w.Progress.Note(at)
+		w.Progress.RecordEvent(at)
 	}
 	w.Started = 0
 	fast.usedMemory = 22000
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -52,8 +52,8 @@
 	seenUntil atomic.Int64
 }
 
-// Note records an event at now. It must not be called concurrently.
-func (p *Progress) Note(now cf.Millis) {
+// RecordEvent records an event at now. It must not be called concurrently.
+func (p *Progress) RecordEvent(now cf.Millis) {
 	if !p.first.CompareAndSwap(0, int64(now)) {
 		gap := float64(int64(now)-p.last.Load()) * 1000
 		p.lastGap.Store(int64(gap))
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -48,7 +48,7 @@
 		if err := w.Text.Append(cf.StreamEvent{ID: w.Text.Last + 1, Data: "x", Version: w.Version}); err != nil {
 			t.Fatal(err)
 		}
-		w.Progress.Note(now)
+		w.Progress.RecordEvent(now)
 	}
 }
 
--- a/core/cfrollout/shares.go
+++ b/core/cfrollout/shares.go
@@ -47,9 +47,9 @@
 	}
 )
 
-// SetWeights sets the factors by which the models' work counts in the division of the engines. A
+// SetShareWeights sets the factors by which the models' work counts in the division of the engines. A
 // model without a factor has 1.
-func (p *Planner) SetWeights(weights map[cf.ModelName]float64) { p.shareWeights = weights }
+func (p *Planner) SetShareWeights(weights map[cf.ModelName]float64) { p.shareWeights = weights }
 
 // noteWork records the work of a model's latest step. The number of groups varies by a third from
 // step to step, and the next step is best predicted by the average.
--- a/core/cfrollout/slowperiods_test.go
+++ b/core/cfrollout/slowperiods_test.go
@@ -196,7 +196,7 @@
 			}
 			if int(run.Text.Last) < w.lengths[run.Item.ID] {
 				_ = run.Text.Append(cf.StreamEvent{ID: run.Text.Last + 1, Data: "x", Version: run.Version})
-				run.Progress.Note(at)
+				run.Progress.RecordEvent(at)
 			}
 		}
 		r.eventTimes = r.eventTimes[:0]
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -52,7 +52,7 @@
 				p.Finished(w, cfrollout.OutcomeDone, 1500)
 			}
 			if reason != cfrollout.WaitRunSilent {
-				begun[0].Progress.Note(1400)
+				begun[0].Progress.RecordEvent(1400)
 				p.Finished(begun[0], cfrollout.OutcomeStopped, 1500)
 			}
 			scenario(p, targets, &pass)
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -212,7 +212,7 @@
 	c.orders = newOrders(o, c.reported)
 	limits.Admit = c.admit
 	c.planner = cfrollout.New(limits)
-	c.planner.SetWeights(o.Policy.ShareWeights)
+	c.planner.SetShareWeights(o.Policy.ShareWeights)
 	return c
 }
 
--- a/io/cfcoord/refusal_test.go
+++ b/io/cfcoord/refusal_test.go
@@ -30,7 +30,7 @@
 	c.planner.AddBatch(cfbatch.New(long("before")), cfrollout.Terms{Service: "s"})
 	for _, w := range c.planner.Place(0) {
 		for n := range cf.EventID(100) {
-			w.Progress.Note(cf.Millis(40 * n))
+			w.Progress.RecordEvent(cf.Millis(40 * n))
 			if err := w.Text.Append(cf.StreamEvent{ID: n + 1}); err != nil {
 				t.Fatal(err)
 			}
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -174,7 +174,7 @@
 	if at == 0 {
 		at = cf.Uptime()
 	}
-	k.work.Progress.Note(at)
+	k.work.Progress.RecordEvent(at)
 	k.work.Mu.Lock()
 	defer k.work.Mu.Unlock()
 	if k.size += len(ev.Data) + eventOverhead; k.size > textMost {
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -180,7 +180,7 @@
 	addr := l.Addr().String()
 	s := Settings{
 		Entry: cf.EntryID(fmt.Sprintf("front-%03d", i)), Domain: cf.FailureDomain(fmt.Sprint("d", i%fleetDomains)),
-		Listen: ListenSettings{Peers: addr, Callers: addr}, Bounds: Bounds{GraceS: 1, KeepResultsS: 1, LeaseMs: 3000}, Members: MemberSettings{HubsFrom: cfmember.HubsFrom}, Machine: MachineSettings{Cores: 1, CPUShare: 0.2},
+		Listen: ListenSettings{Peers: addr, Callers: addr}, Bounds: Bounds{GraceS: 1, KeepResultsS: 1, LeaseMs: 3000}, Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}, Machine: MachineSettings{Cores: 1, CPUShare: 0.2},
 	}
 	if i/fleetDomains%5 == 0 {
 		s.Machine.CPUShare = 1
@@ -263,7 +263,7 @@
 func TestFleetIsToldByHubs(t *testing.T) {
 	f := newTestFleet(t, fleetSize, 0)
 	f.settled("start", fleetLogs)
-	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
+	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.DefaultHubThreshold))
 	if lists := f.store.lists.Load(); lists > int64(hubs) {
 		t.Errorf("the targets were listed %d times at the start, by a fleet with %d hubs", lists, hubs)
 	}
@@ -315,7 +315,7 @@
 	const size = 100
 	f := newTestFleet(t, size, 0)
 	f.settled("start", fleetLogs)
-	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.HubsFrom))
+	hubs := len(cfmember.Hubs(f.holder().Live(), cfmember.DefaultHubThreshold))
 	for _, n := range f.nodes {
 		for !n.lastWord(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -40,7 +40,7 @@
 	// MemberSettings say how the instances hear of each other.
 	MemberSettings struct {
 		// HubsFrom is from how many instances on some pass the coordinator's news on to
-		// the others; cfmember.HubsFrom where it is not given.
+		// the others; cfmember.DefaultHubThreshold where it is not given.
 		HubsFrom int `json:"hubs_from"`
 	}
 
@@ -146,7 +146,7 @@
 // ReadSettings reads and checks a settings file. Errors name the JSON path of
 // each bad field.
 func ReadSettings(path string) (Settings, error) {
-	s := Settings{Members: MemberSettings{HubsFrom: cfmember.HubsFrom}, Scaling: defaultScaling}
+	s := Settings{Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}, Scaling: defaultScaling}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return s, eris.Wrap(err, "read settings")
--- a/testbed/cfreplay/replay.go
+++ b/testbed/cfreplay/replay.go
@@ -92,7 +92,7 @@
 		o.Limits.Admit = r.admit
 	}
 	r.planner = cfrollout.New(o.Limits)
-	r.planner.SetWeights(o.Weights)
+	r.planner.SetShareWeights(o.Weights)
 	var held []cf.ModelState
 	for _, t := range o.Trainers {
 		held = append(held, cf.ModelState{Name: t.Model, Version: 1})
@@ -299,7 +299,7 @@
 		x := e.runs[w]
 		x.done += float64(tick) / pace
 		for float64(w.Text.Last) < min(math.Floor(x.done), x.length) {
-			w.Progress.Note(r.now)
+			w.Progress.RecordEvent(r.now)
 			ev := cf.StreamEvent{ID: w.Text.Last + 1, Version: e.held[w.Batch.Sub.Model]}
 			if err := w.Text.Append(ev); err != nil {
 				panic(err) // the replay itself made the event
