--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -93,9 +93,9 @@
 		Guard *cfguard.Guard
 		// MirrorPeers takes copies of the texts under way.
 		MirrorPeers MirrorPeers
-		// LoadLimit is how many engines may load weights at once, as the coordinator
+		// MaxLoads is how many engines may load weights at once, as the coordinator
 		// before has learned; zero if it has not.
-		LoadLimit int
+		MaxLoads int
 		// HasPredecessor says that another coordinator may have been there before.
 		HasPredecessor bool
 		// PageBudget is what the link may carry of pages of results; nil is no bound.
@@ -196,7 +196,7 @@
 	if o.StreamRouter == nil {
 		o.StreamRouter = ownStreams{o.Targets, o.Self}
 	}
-	limits.LearnedLoads = o.LoadLimit
+	limits.LearnedLoads = o.MaxLoads
 	limits.LongOnSlow, limits.SwapWhenIdle = o.Policy.LongOnSlow, o.Policy.SwapWhenIdle
 	limits.AllGroups, limits.LeastLeft, limits.LoadUnderRuns = o.Policy.AllGroups, o.Policy.LeastLeft, o.Policy.LoadUnderRuns
 	limits.NoSlowPeriods = o.Policy.NoSlowPeriods
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -378,7 +378,7 @@
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, StreamRouter: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
 		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: neighbour{n}, Metrics: n.metrics, Log: n.log,
-		PageBudget: n.pages, LoadLimit: before.MaxLoads, HasPredecessor: before.Entry != "", Policy: n.settings.Policy.Policy,
+		PageBudget: n.pages, MaxLoads: before.MaxLoads, HasPredecessor: before.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
