--- a/core/cfbatch/linearizability_test.go
+++ b/core/cfbatch/linearizability_test.go
@@ -77,7 +77,7 @@
 	fake := standin.NewStore()
 	srv := httptest.NewServer(fake)
 	defer srv.Close()
-	fake.SetFaults(standin.StoreFaults{LoseAnswers: 3, Late: 15 * time.Millisecond})
+	fake.SetFaults(standin.StoreFaults{DropResponseEvery: 3, DroppedWriteDelay: 15 * time.Millisecond})
 	start := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
--- a/io/cfingress/admission_test.go
+++ b/io/cfingress/admission_test.go
@@ -79,7 +79,7 @@
 		in := cfingress.New(cfingress.Options{
 			Members: members{}, Targets: to, Site: site, NoAdmission: off, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 		})
-		server := httptest.NewServer(platform.NewCallers(in, zap.NewNop()))
+		server := httptest.NewServer(platform.NewCallerAPI(in, zap.NewNop()))
 		t.Cleanup(server.Close)
 		addrs = append(addrs, server.URL)
 	}
--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -19,7 +19,7 @@
 type noRelay struct{}
 
 func (noRelay) SetRelay(func(context.Context, cf.Millis, bool, any, any) error) {}
-func (noRelay) Relayed(context.Context, []byte) (any, error)                    { return nil, cf.ErrRefused }
+func (noRelay) HandleRelayed(context.Context, []byte) (any, error)              { return nil, cf.ErrRefused }
 
 func newTestNode(t *testing.T, store cf.Store) *Node {
 	t.Helper()
--- a/io/cfnode/endless_test.go
+++ b/io/cfnode/endless_test.go
@@ -82,7 +82,7 @@
 }
 
 // newEndlessSite starts an instance before two targets, of which one answers without end.
-func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*slowSite, *standin.Endless) {
+func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*slowSite, *standin.EndlessServer) {
 	t.Helper()
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Currantford-Request-Id", r.Header.Get("Currantford-Request-Id"))
@@ -90,7 +90,7 @@
 		sized(w, r)
 	}))
 	t.Cleanup(good.Close)
-	bad, err := standin.NewEndless(shape, pause)
+	bad, err := standin.NewEndlessServer(shape, pause)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/cfnode/fuzz_test.go
+++ b/io/cfnode/fuzz_test.go
@@ -77,7 +77,7 @@
 	}
 	targets := platform.NewTargets(2, prometheus.NewRegistry())
 	f.Cleanup(func() { _ = targets.Close() })
-	callers := platform.NewCallers(cfingress.New(cfingress.Options{
+	callers := platform.NewCallerAPI(cfingress.New(cfingress.Options{
 		Members: alone{}, Targets: targets, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), NoAdmission: true, Log: zap.NewNop(),
 	}), zap.NewNop())
 	srv, err := Serve("127.0.0.1:0", callers, func() cf.Millis { return 0 })
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -189,7 +189,7 @@
 	n.peerSrv.Handle(opMirror, decoded(n.serveMirror))
 	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.host.Orders(ctx, o) }))
 	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.Collect) (any, error) { return n.host.Collect(ctx, c) }))
-	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.Relayed(ctx, body) })
+	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.HandleRelayed(ctx, body) })
 	n.peerSrv.Handle(opStrikes, decoded(n.quarantine.serve))
 	n.peerSrv.Handle(opHeld, decoded(n.quarantine.serveHeld))
 	n.peerSrv.Handle(opReach, decoded(n.quarantine.serveReach))
--- a/io/cfnode/slowreader_test.go
+++ b/io/cfnode/slowreader_test.go
@@ -87,7 +87,7 @@
 // listen serves callers.
 func (s *slowSite) listen(t *testing.T, in *cfingress.Ingress, log *zap.Logger) {
 	t.Helper()
-	srv, err := listen("127.0.0.1:0", platform.NewCallers(in, log), func() cf.Millis { return 0 }, in.Rooms, log)
+	srv, err := listen("127.0.0.1:0", platform.NewCallerAPI(in, log), func() cf.Millis { return 0 }, in.Rooms, log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/nodecommands/commands.go
+++ b/nodecommands/commands.go
@@ -118,15 +118,15 @@
 	defer func() { _ = targets.Close() }()
 	adapter := cfnode.Adapter{Store: store, Targets: targets, Codec: platform.Codec{}, Relay: platform.NewRelay(store)}
 	if s.Control.Addr != "" {
-		control := platform.NewControl(s.Control.Addr, reg)
+		control := platform.NewControlPlane(s.Control.Addr, reg)
 		defer func() { _ = control.Close() }()
 		adapter.Metering, adapter.Scaling = control, control
 	}
 	node := cfnode.New(s, adapter, reg, log)
 	cflog.ReportPanics(log, out, node.Role)
-	callers := platform.NewCallers(node.Ingress(), log)
+	callers := platform.NewCallerAPI(node.Ingress(), log)
 	p, err := cfnode.StartProcess(s, node, cfnode.Handlers{
-		Callers: callers, Ready: http.HandlerFunc(callers.ServeReady), Directory: http.HandlerFunc(callers.ServeDirectory),
+		Callers: callers, Ready: http.HandlerFunc(callers.ServeReady), Directory: http.HandlerFunc(callers.ServeResolve),
 	}, reg, log)
 	if err != nil {
 		log.Error("not_started", cflog.Error(err))
--- a/store.go
+++ b/store.go
@@ -54,8 +54,8 @@
 		// answered by the store within timeout; watch tells that the call waits
 		// for changes.
 		SetRelay(call func(ctx context.Context, timeout Millis, watch bool, body, answer any) error)
-		// Relayed carries out a call that another instance passed on.
-		Relayed(ctx context.Context, body []byte) (any, error)
+		// HandleRelayed carries out a call that another instance passed on.
+		HandleRelayed(ctx context.Context, body []byte) (any, error)
 	}
 )
 
--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -33,7 +33,7 @@
 			addr := listen(s.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
 			e = standin.NewEngine(standin.EngineSettings{
 				ID: fmt.Sprintf("i-ordered-%v-%d", order.Spot, started[order.Spot]), Service: service, Domain: order.Zone, Addr: addr, Slots: slots,
-				Models: o.models, EventEvery: o.event, Load: o.load, Spot: order.Spot,
+				Models: o.models, EventInterval: o.event, WeightLoadTime: o.load, Spot: order.Spot,
 			}, s.store)
 		}
 	}
@@ -72,15 +72,15 @@
 		cause func(s *site)
 	}{
 		{"calm", func(*site) {}},
-		{"none reclaimable", func(s *site) { s.control.SetFaults(standin.ControlFaults{NoSpot: true}) }},
-		{"answers lost", func(s *site) { s.control.SetFaults(standin.ControlFaults{LoseAnswers: 2}) }},
+		{"none reclaimable", func(s *site) { s.control.SetFaults(standin.ControlPlaneFaults{NoSpotCapacity: true}) }},
+		{"answers lost", func(s *site) { s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2}) }},
 		{"holder lost before the answer", func(s *site) {
-			s.control.SetFaults(standin.ControlFaults{Down: true})
+			s.control.SetFaults(standin.ControlPlaneFaults{Down: true})
 			eventually(s.t, "a kept order", func() bool { return len(s.wantedEngines()) > 0 })
 			c := s.coordinator()
 			c.kill()
 			s.waitCoordinator(c.id)
-			s.control.SetFaults(standin.ControlFaults{})
+			s.control.SetFaults(standin.ControlPlaneFaults{})
 		}},
 		{"holder frozen", func(s *site) {
 			eventually(s.t, "an order", func() bool { return len(s.control.Orders()) > 0 })
@@ -109,7 +109,7 @@
 				kept := s.wantedEngines()
 				return len(kept) > 0 && (last[true] == kept[true] || c.name == "none reclaimable") && last[false] == kept[false]
 			})
-			for _, fault := range s.control.Faulty() {
+			for _, fault := range s.control.Violations() {
 				t.Error(fault)
 			}
 		})
--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -34,7 +34,7 @@
 		t.Run(fmt.Sprint("late_", late), func(t *testing.T) {
 			t.Parallel()
 			s := startSite(t, options{entries: 3, engines: 3})
-			s.store.SetFaults(standin.StoreFaults{LoseAnswers: 2, Late: late})
+			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: late})
 			batches := []batch{step("b1", "m0", 4, 4, 15), step("b2", "m0", 4, 4, 25)}
 			for _, b := range batches {
 				s.accept(b)
@@ -132,7 +132,7 @@
 	t.Parallel()
 	s := startSite(t, options{entries: 2, engines: 3})
 	for _, e := range s.engines {
-		e.SetFaults(standin.EngineFaults{BreakAfter: 4})
+		e.SetFaults(standin.EngineFaults{AbortAfterEvents: 4})
 	}
 	b := step("b1", "m0", 1, 3, 11)
 	s.accept(b)
@@ -140,10 +140,10 @@
 	for id, runs := range s.runs() {
 		last := 0
 		for _, r := range runs {
-			if r.From != 0 && r.From <= last {
-				t.Errorf("item %s resumed after %d, before after %d", id, r.From, last)
+			if r.ResumeAfter != 0 && r.ResumeAfter <= last {
+				t.Errorf("item %s resumed after %d, before after %d", id, r.ResumeAfter, last)
 			}
-			last = r.From
+			last = r.ResumeAfter
 		}
 		if len(runs) < 3 {
 			t.Errorf("item %s of 11 events ran %d times with 4 a run", id, len(runs))
@@ -260,8 +260,8 @@
 			if b.Fence < a.Fence {
 				t.Errorf("%s: number %d after %d", e.ID, b.Fence, a.Fence)
 			}
-			if a.Owner != b.Owner && (a.Fence == b.Fence || b.Arrived.Sub(a.Arrived) < 3*time.Second) {
-				t.Errorf("%s: %+v and %+v are %s apart, their arrivals %s", e.ID, a, b, b.At.Sub(a.At), b.Arrived.Sub(a.Arrived))
+			if a.Owner != b.Owner && (a.Fence == b.Fence || b.ReceivedAt.Sub(a.ReceivedAt) < 3*time.Second) {
+				t.Errorf("%s: %+v and %+v are %s apart, their arrivals %s", e.ID, a, b, b.ExecutedAt.Sub(a.ExecutedAt), b.ReceivedAt.Sub(a.ReceivedAt))
 			}
 		}
 	}
@@ -274,7 +274,7 @@
 func TestLateOrderDoesNotBringOldWeightsBack(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, options{entries: 2, engines: 1, load: 50 * time.Millisecond})
-	s.engines[0].SetFaults(standin.EngineFaults{LateOrders: 1500 * time.Millisecond})
+	s.engines[0].SetFaults(standin.EngineFaults{OrderDelay: 1500 * time.Millisecond})
 	s.name("m0", 2)
 	time.Sleep(500 * time.Millisecond)
 	s.engines[0].SetFaults(standin.EngineFaults{})
--- a/systemtest/checks_test.go
+++ b/systemtest/checks_test.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		for _, run := range s.runs()[it.ID] {
-			if run.Made == standin.Events(it.Headers["Currantford-Tokens-Used"]) && !run.MadeAt.After(call.At) {
+			if run.LastEvent == standin.EventCount(it.Headers["Currantford-Tokens-Used"]) && !run.LastEventAt.After(call.StartedAt) {
 				return
 			}
 		}
@@ -111,14 +111,14 @@
 // scored gives each item of a batch a reward call.
 func scored(b batch) batch {
 	for i := range b.Items {
-		b.Items[i].Reward = standin.RewardOf(b.Items[i].ID)
+		b.Items[i].Reward = standin.NewRewardCall(b.Items[i].ID)
 	}
 	return b
 }
 
 func wholeText(it item) string {
 	var lines []string
-	for n := 1; n <= standin.Events(it.Headers["Currantford-Tokens-Used"]); n++ {
+	for n := 1; n <= standin.EventCount(it.Headers["Currantford-Tokens-Used"]); n++ {
 		lines = append(lines, standin.EventData(it.ID, n))
 	}
 	return strings.Join(lines, "\n")
@@ -138,7 +138,7 @@
 		}
 	}
 	for _, runs := range out {
-		slices.SortFunc(runs, func(a, b standin.Run) int { return a.At.Compare(b.At) })
+		slices.SortFunc(runs, func(a, b standin.Run) int { return a.StartedAt.Compare(b.StartedAt) })
 	}
 	return out
 }
@@ -164,8 +164,8 @@
 func (s *site) checkResumed(least int) {
 	s.t.Helper()
 	for id, runs := range s.runs() {
-		if last := runs[len(runs)-1]; last.From < least {
-			s.t.Errorf("item %s began again after event %d", id, last.From)
+		if last := runs[len(runs)-1]; last.ResumeAfter < least {
+			s.t.Errorf("item %s began again after event %d", id, last.ResumeAfter)
 		}
 	}
 }
--- a/systemtest/crash_test.go
+++ b/systemtest/crash_test.go
@@ -41,7 +41,7 @@
 	for _, e := range append(append([]*standin.Engine{}, s.plains...), s.engines...) {
 		for _, r := range e.Runs() {
 			if r.Body == body {
-				out = append(out, r.At)
+				out = append(out, r.StartedAt)
 			}
 		}
 	}
--- a/systemtest/held_test.go
+++ b/systemtest/held_test.go
@@ -217,7 +217,7 @@
 		for range 3 {
 			time.Sleep(300 * time.Millisecond)
 			for _, p := range s.plains[:5] {
-				p.End()
+				p.ForceCrash()
 			}
 			s.awaitTargets(s.plains)
 		}
@@ -237,13 +237,13 @@
 			e := s.entries[n%len(s.entries)]
 			e.kill()
 			for _, p := range s.plains {
-				p.SetFaults(standin.EngineFaults{Slower: 100}) // it has runs under way and none that has ended
+				p.SetFaults(standin.EngineFaults{SlowFactor: 100}) // it has runs under way and none that has ended
 			}
 			e.start()
 			e.waitReady()
 			time.Sleep(200 * time.Millisecond)
 			for _, p := range s.plains {
-				p.End()
+				p.ForceCrash()
 				p.SetFaults(standin.EngineFaults{})
 				time.Sleep(30 * time.Millisecond)
 			}
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -58,13 +58,13 @@
 				s.t.Errorf("a key in the log of %s: %.200s", e.id, raw[max(i-100, 0):])
 			}
 		}
-		if in := s.store.Contains(key); !slices.Equal(in, []string{"config/main"}) {
+		if in := s.store.ObjectsContaining(key); !slices.Equal(in, []string{"config/main"}) {
 			s.t.Errorf("a key stands in %v", in)
 		}
 	}
 	for _, e := range slices.Concat(s.plains, s.engines) {
 		for _, r := range e.Runs() {
-			if r.Key {
+			if r.HasAPIKey {
 				s.t.Errorf("request %s came to %s with a key", r.ID, e.ID)
 			}
 		}
@@ -171,22 +171,22 @@
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
 		}, orgA, 1},
 		{"tries elsewhere", options{entries: 1, engines: 1, plains: 3}, func(_ *testing.T, s *site) {
-			s.plainFaults(standin.EngineFaults{WrongID: true})
+			s.plainFaults(standin.EngineFaults{WrongRequestID: true})
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
 		}, orgA, 2},
 		{"hedges", options{entries: 1, engines: 1, plains: 3}, func(_ *testing.T, s *site) {
-			s.plainFaults(standin.EngineFaults{Silent: true})
+			s.plainFaults(standin.EngineFaults{Unresponsive: true})
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), append([]string{"Currantford-Deadline-Ms", "1500"}, key...)...)
 		}, orgA, 2},
 		{"resumed streams", options{entries: 1, engines: 3, plains: 1}, func(_ *testing.T, s *site) {
 			for _, e := range s.engines {
-				e.SetFaults(standin.EngineFaults{BreakAfter: 4})
+				e.SetFaults(standin.EngineFaults{AbortAfterEvents: 4})
 			}
 			_, _ = s.entries[0].do(http.MethodPost, "/chat/x", "r", []byte("x"), stream...)
 		}, orgA, 3},
 		{"resumed items", options{entries: 2, engines: 3, plains: 1}, func(_ *testing.T, s *site) {
 			for _, e := range s.engines {
-				e.SetFaults(standin.EngineFaults{BreakAfter: 12})
+				e.SetFaults(standin.EngineFaults{AbortAfterEvents: 12})
 			}
 			s.accept(b)
 			s.readAll(b)
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -270,7 +270,7 @@
 			}
 			return
 		default:
-			s.engines[n%len(s.engines)].Lapse(60 * time.Millisecond)
+			s.engines[n%len(s.engines)].ExpireEntry(60 * time.Millisecond)
 		}
 	}
 }
--- a/systemtest/rejected_test.go
+++ b/systemtest/rejected_test.go
@@ -105,7 +105,7 @@
 // turned away, or lost besides (replaced). The configuration changes meanwhile and an engine leaves.
 func TestBatchesWhileTheStoreTurnsInstancesAway(t *testing.T) {
 	for name, how := range map[string]standin.Rejection{
-		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectSilent,
+		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectNoResponse,
 	} {
 		for _, replaced := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/replaced=%v", name, replaced), func(t *testing.T) {
@@ -151,7 +151,7 @@
 	submit()
 	for i, e := range s.entries {
 		if i%2 == 0 {
-			e.storeGate.Reject(how)
+			e.storeGate.SetRejection(how)
 		}
 	}
 	for i := range 8 {
@@ -165,10 +165,10 @@
 		submit()
 	}
 	for _, e := range s.entries {
-		e.storeGate.Reject(standin.RejectNone)
+		e.storeGate.SetRejection(standin.RejectNone)
 	}
 	c := s.coordinator()
-	c.storeGate.Reject(how)
+	c.storeGate.SetRejection(how)
 	submit()
 	if replaced {
 		c.kill()
@@ -176,7 +176,7 @@
 	for range 5 {
 		submit()
 	}
-	c.storeGate.Reject(standin.RejectNone)
+	c.storeGate.SetRejection(standin.RejectNone)
 	eventually(t, "all results", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -209,7 +209,7 @@
 	c, open := s.coordinator(), s.other()
 	for _, e := range s.entries {
 		if e != open {
-			e.storeGate.Reject(standin.RejectLimited)
+			e.storeGate.SetRejection(standin.RejectLimited)
 		}
 	}
 	s.readAll(b)
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("body over the limit: %d", r.status)
 	}
 	for _, run := range s.plains[0].Runs() {
-		if run.Left == "" {
+		if run.DeadlineMs == "" {
 			t.Error("a request without a deadline reached a target")
 		}
 	}
@@ -106,7 +106,7 @@
 	t.Parallel()
 	s := requestSite(t, 3)
 	for _, e := range s.plains {
-		e.SetFaults(standin.EngineFaults{WrongID: true})
+		e.SetFaults(standin.EngineFaults{WrongRequestID: true})
 	}
 	r := s.entries[0].post("/bids/a", "bid1", "100")
 	if n := ran(s.plains, "bid1"); n != 1 {
@@ -116,7 +116,7 @@
 		t.Errorf("status %d for a bid that may have run, want 502", r.status)
 	}
 	for _, e := range s.plains {
-		e.SetFaults(standin.EngineFaults{Full: true})
+		e.SetFaults(standin.EngineFaults{AtCapacity: true})
 	}
 	r = s.entries[0].post("/bids/a", "bid2", "100")
 	if n := ran(s.plains, "bid2"); n != 0 || r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
@@ -130,7 +130,7 @@
 func TestAnswersOfOthersAreNotPassedOn(t *testing.T) {
 	t.Parallel()
 	s := requestSite(t, 2)
-	s.plains[0].SetFaults(standin.EngineFaults{WrongID: true})
+	s.plains[0].SetFaults(standin.EngineFaults{WrongRequestID: true})
 	for i := range 20 {
 		id, body := fmt.Sprintf("r%d", i), fmt.Sprintf("reading %d", i)
 		r := s.entries[i%2].post(plainPrefix+"a", id, body)
@@ -180,7 +180,7 @@
 func TestCallerGoneStopsTheTarget(t *testing.T) {
 	t.Parallel()
 	s := requestSite(t, 1)
-	s.plains[0].SetFaults(standin.EngineFaults{Silent: true})
+	s.plains[0].SetFaults(standin.EngineFaults{Unresponsive: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.entries[0].callers+"/bids/a", strings.NewReader("x"))
 	if err != nil {
@@ -219,9 +219,9 @@
 		r, err := e.do(http.MethodPost, plainPrefix+"a", "r", []byte("x"))
 		return err == nil && r.status == want
 	}
-	s.store.Forget()
+	s.store.DropHistory()
 	drop(5, false)
-	s.store.Forget()
+	s.store.DropHistory()
 	for _, e := range s.entries {
 		eventually(t, "the dropped route at "+e.id, func() bool { return inForce(e, http.StatusNotFound) })
 	}
@@ -294,7 +294,7 @@
 	close(stop)
 	wg.Wait()
 	for id, runs := range s.runs() {
-		if last := runs[len(runs)-1]; len(runs) > 1 && last.From == 0 {
+		if last := runs[len(runs)-1]; len(runs) > 1 && last.ResumeAfter == 0 {
 			t.Errorf("item %s began again after the planned stop", id)
 		}
 	}
--- a/systemtest/reward_test.go
+++ b/systemtest/reward_test.go
@@ -31,13 +31,13 @@
 func TestCompleteTextsSurviveTheCoordinator(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, options{entries: 3, engines: 3, plains: 2})
-	s.plainFaults(standin.EngineFaults{Full: true})
+	s.plainFaults(standin.EngineFaults{AtCapacity: true})
 	b := scored(step("b1", "m0", 3, 4, 10))
 	s.accept(b)
 	eventually(t, "complete texts", func() bool {
 		made := 0
 		for _, runs := range s.runs() {
-			if runs[len(runs)-1].Made == 10 {
+			if runs[len(runs)-1].LastEvent == 10 {
 				made++
 			}
 		}
@@ -81,7 +81,7 @@
 func TestScoreIsOfItsOwnCall(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, options{entries: 2, engines: 3, plains: 3})
-	troubles := []standin.EngineFaults{{WrongID: true}, {Silent: true}, {Status: http.StatusBadGateway}, {Full: true}}
+	troubles := []standin.EngineFaults{{WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusBadGateway}, {AtCapacity: true}}
 	for i, f := range troubles {
 		s.plainFaults(f)
 		b := scored(step(fmt.Sprint("b", i), "m0", 3, 4, 5))
@@ -101,7 +101,7 @@
 func TestEndedBatchAsksForNoRewards(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, options{entries: 3, engines: 3, plains: 2})
-	s.plainFaults(standin.EngineFaults{Full: true})
+	s.plainFaults(standin.EngineFaults{AtCapacity: true})
 	b := scored(step("b1", "m0", 3, 4, 5))
 	s.accept(b)
 	s.awaitRuns(b)
@@ -128,7 +128,7 @@
 func TestCompleteTextsAreCarriedToTheNextStep(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, options{entries: 2, engines: 3, plains: 2})
-	s.plainFaults(standin.EngineFaults{Full: true})
+	s.plainFaults(standin.EngineFaults{AtCapacity: true})
 	b := scored(step("b1", "m0", 2, 4, 5))
 	s.accept(b)
 	s.awaitRuns(b)
@@ -179,7 +179,7 @@
 func TestMalformedRewardIsNotAccepted(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, options{entries: 1, engines: 1, plains: 1})
-	for _, bad := range []standin.Reward{{}, {ID: "r", Host: host}, {ID: "r", Path: "/rewards/x"}, {ID: "r", Host: host, Path: "x"}} {
+	for _, bad := range []standin.RewardCall{{}, {ID: "r", Host: host}, {ID: "r", Path: "/rewards/x"}, {ID: "r", Host: host, Path: "x"}} {
 		b := step("b1", "m0", 1, 2, 3)
 		b.Items[1].Reward = &bad
 		if r := s.entries[0].submit(b); r.status != http.StatusBadRequest {
--- a/systemtest/site_test.go
+++ b/systemtest/site_test.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	host        = standin.SiteHost
+	host        = standin.DeploymentHost
 	batchPrefix = standin.BatchPrefix
 	plainPrefix = standin.PlainPrefix
 	service     = "engines"
@@ -119,7 +119,7 @@
 		bounds     map[string]any
 		usage      float64
 		autoscale  bool
-		control    *standin.Control
+		control    *standin.ControlPlane
 		cloud      string // its address
 		cores      []float64
 		linkMbps   float64
@@ -139,7 +139,7 @@
 		// storeLink leads to the store, where asked for.
 		storeLink *proxy
 		// storeGate turns it away from the store, where asked for.
-		storeGate *standin.Gate
+		storeGate *standin.StoreProxy
 		cmd       *exec.Cmd
 		done      chan struct{}
 	}
@@ -245,7 +245,7 @@
 	s := &site{t: t, store: standin.NewStore(), valueBytes: o.valueBytes, links: o.links, gates: o.gates, policy: o.policy, bounds: o.bounds, usage: o.usage, autoscale: o.autoscale, cores: o.cores, linkMbps: o.linkMbps, hubsFrom: o.hubsFrom, memoryMB: cmp.Or(o.memoryMB, 200)}
 	s.addr = listen(t, s.store)
 	if o.usage > 0 || o.autoscale {
-		s.control = standin.NewControl(3 * time.Second)
+		s.control = standin.NewControlPlane(3 * time.Second)
 		s.cloud = listen(t, s.control)
 	}
 	for i := range o.engines {
@@ -257,7 +257,7 @@
 	if o.autoscale {
 		s.control.OnOrder(s.startOrdered(o))
 	}
-	s.config = standin.SiteConfig(o.models, slots)
+	s.config = standin.DeploymentConfig(o.models, slots)
 	if o.config != nil {
 		o.config(s.config)
 	}
@@ -292,8 +292,8 @@
 		}
 	}
 	e = standin.NewEngine(standin.EngineSettings{
-		ID: id, Service: svc, Domain: "domain-a", Addr: addr, Slots: slots, Models: models, EventEvery: o.event, Load: o.load,
-		Power: power, Down: o.crashes, KeepsID: o.keepIDs,
+		ID: id, Service: svc, Domain: "domain-a", Addr: addr, Slots: slots, Models: models, EventInterval: o.event, WeightLoadTime: o.load,
+		SetListening: power, RestartDelay: o.crashes, KeepID: o.keepIDs,
 	}, s.store)
 	return e
 }
@@ -306,7 +306,7 @@
 		store = e.storeLink.addr()
 	}
 	if s.gates {
-		e.storeGate = standin.NewGate(s.store)
+		e.storeGate = standin.NewStoreProxy(s.store)
 		store = listen(s.t, e.storeGate)
 	}
 	dir := s.t.TempDir()
--- a/systemtest/soak_config_test.go
+++ b/systemtest/soak_config_test.go
@@ -82,6 +82,6 @@
 func (s *soak) lapseTargets() {
 	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
 	for range 3 {
-		targets[s.draw(len(targets))].Lapse(s.span(20, 400))
+		targets[s.draw(len(targets))].ExpireEntry(s.span(20, 400))
 	}
 }
--- a/systemtest/soak_crash_test.go
+++ b/systemtest/soak_crash_test.go
@@ -38,7 +38,7 @@
 // endTarget ends a target by itself, with all that it runs.
 func (s *soak) endTarget() {
 	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
-	targets[s.draw(len(targets))].End()
+	targets[s.draw(len(targets))].ForceCrash()
 }
 
 // checkCrashes checks that no request was sent on and on, and that no bid, all of which
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -117,10 +117,10 @@
 		addrs = append(addrs, e.callers)
 	}
 	shape := standin.StepShape{
-		Groups: 6, Size: 4, Want: 0.9, Events: 15, Spread: 0.8, Most: 80, Every: 1500, Train: 200, Patience: 12000,
+		Groups: 6, GroupSize: 4, RequiredFraction: 0.9, MedianEvents: 15, LogStdDev: 0.8, MaxEvents: 80, Interval: 1500, TrainTime: 200, Timeout: 12000,
 	}
 	if seed >= rewardSeeds {
-		shape.Rewards = 0.8
+		shape.RewardFraction = 0.8
 	}
 	for i, m := range models {
 		tr := standin.NewTrainer(standin.TrainerSettings{
@@ -142,7 +142,7 @@
 // play injects one fault after the other; some overlap.
 func (s *soak) play(ctx context.Context, seed uint64) {
 	faults := []func(){
-		s.killOne, s.freezeOne, s.stopOne, s.storeDown, s.storeBusy, s.storeLost, s.storeSlow, s.store.Forget, s.engineTrouble, s.lateOrders,
+		s.killOne, s.freezeOne, s.stopOne, s.storeDown, s.storeBusy, s.storeLost, s.storeSlow, s.store.DropHistory, s.engineTrouble, s.lateOrders,
 	}
 	if seed >= linkSeeds {
 		faults = append(faults, s.targetLink, s.storeLink)
@@ -238,17 +238,17 @@
 func (s *soak) storeDown() { s.storeFault(standin.StoreFaults{Down: true}, 300, 3500) }
 func (s *soak) storeBusy() { s.storeFault(standin.StoreFaults{Busy: true}, 300, 3500) }
 func (s *soak) storeSlow() {
-	s.storeFault(standin.StoreFaults{Slow: 250 * time.Millisecond}, 500, 3000)
+	s.storeFault(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, 500, 3000)
 }
 func (s *soak) storeLost() {
-	s.storeFault(standin.StoreFaults{LoseAnswers: 2, Late: s.span(0, 1500)}, 500, 3000)
+	s.storeFault(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: s.span(0, 1500)}, 500, 3000)
 }
 
 func (s *soak) engineTrouble() {
 	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
 	e := targets[s.draw(len(targets))]
 	troubles := []standin.EngineFaults{
-		{BreakAfter: 5}, {Full: true}, {Silent: true}, {WrongID: true}, {Slower: 4}, {Status: http.StatusInternalServerError},
+		{AbortAfterEvents: 5}, {AtCapacity: true}, {Unresponsive: true}, {WrongRequestID: true}, {SlowFactor: 4}, {Status: http.StatusInternalServerError},
 	}
 	f := troubles[s.draw(len(troubles))]
 	e.SetFaults(f)
@@ -259,7 +259,7 @@
 func (s *soak) lateOrders() {
 	late := s.span(500, 3000)
 	for _, e := range s.engines[:2] {
-		e.SetFaults(standin.EngineFaults{LateOrders: late})
+		e.SetFaults(standin.EngineFaults{OrderDelay: late})
 	}
 	time.Sleep(s.span(500, 3000))
 	for _, e := range s.engines[:2] {
@@ -327,7 +327,7 @@
 	for _, tr := range trainers {
 		for _, st := range tr.Steps() {
 			steps++
-			if st.Whole {
+			if st.Completed {
 				whole++
 			}
 			for _, f := range st.Faults {
@@ -371,7 +371,7 @@
 		for _, it := range sub.Items {
 			items[it.ID] = item{ID: it.ID, Headers: it.Headers}
 			if it.Reward != nil {
-				items[it.ID] = item{ID: it.ID, Headers: it.Headers, Reward: standin.RewardOf(it.ID)}
+				items[it.ID] = item{ID: it.ID, Headers: it.Headers, Reward: standin.NewRewardCall(it.ID)}
 			}
 		}
 		eventually(t, "a read of "+id, func() bool {
--- a/systemtest/start_test.go
+++ b/systemtest/start_test.go
@@ -48,7 +48,7 @@
 	"most, behind hubs":       {hubsFrom: 4, down: func(s *site) []*entry { return s.others(4) }},
 	"all, behind hubs":        {hubsFrom: 4, down: all},
 	"one, the store slow": {down: one, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{Slow: 250 * time.Millisecond}, pressFor)
+		s.storeFor(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, pressFor)
 	}},
 	"all, the store away": {down: all, then: func(s *site, _ []*entry) {
 		s.storeFor(standin.StoreFaults{Down: true}, pressFor/3)
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -51,14 +51,14 @@
 	first := map[string]standin.Run{}
 	for _, e := range s.plains {
 		for _, r := range e.Runs() {
-			if f, ran := first[r.ID]; !ran || r.At.Before(f.At) {
+			if f, ran := first[r.ID]; !ran || r.StartedAt.Before(f.StartedAt) {
 				first[r.ID] = r
 			}
 		}
 	}
 	out := map[int64]map[string]int64{}
 	for _, r := range first {
-		w := r.At.UnixMilli() / usageWindow.Milliseconds()
+		w := r.StartedAt.UnixMilli() / usageWindow.Milliseconds()
 		if out[w] == nil {
 			out[w] = map[string]int64{}
 		}
@@ -119,7 +119,7 @@
 	if missing > most {
 		s.t.Errorf("reported %v, ran %v", reported, ran)
 	}
-	for _, fault := range s.control.Faulty() {
+	for _, fault := range s.control.Violations() {
 		s.t.Error(fault)
 	}
 }
@@ -140,24 +140,24 @@
 	}{
 		{"calm", func(*site) { time.Sleep(4 * time.Second) }, 0},
 		{"targets", func(s *site) {
-			for _, f := range []standin.EngineFaults{{Full: true}, {WrongID: true}, {Silent: true}, {Status: http.StatusInternalServerError}} {
+			for _, f := range []standin.EngineFaults{{AtCapacity: true}, {WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusInternalServerError}} {
 				s.plains[0].SetFaults(f)
 				time.Sleep(1200 * time.Millisecond)
 			}
 			s.plains[0].SetFaults(standin.EngineFaults{})
 		}, 0},
 		{"answers of the API", func(s *site) {
-			s.control.SetFaults(standin.ControlFaults{LoseAnswers: 2})
+			s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2})
 			time.Sleep(4 * time.Second)
-			s.control.SetFaults(standin.ControlFaults{Busy: true})
+			s.control.SetFaults(standin.ControlPlaneFaults{Busy: true})
 			time.Sleep(2 * time.Second)
-			s.control.SetFaults(standin.ControlFaults{Slow: 400 * time.Millisecond})
+			s.control.SetFaults(standin.ControlPlaneFaults{ResponseDelay: 400 * time.Millisecond})
 			time.Sleep(2 * time.Second)
 		}, 0},
 		{"answers of the store", func(s *site) {
-			s.store.SetFaults(standin.StoreFaults{LoseAnswers: 3})
+			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3})
 			time.Sleep(3 * time.Second)
-			s.store.SetFaults(standin.StoreFaults{LoseAnswers: 3, Late: 1500 * time.Millisecond})
+			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3, DroppedWriteDelay: 1500 * time.Millisecond})
 			time.Sleep(3 * time.Second)
 			s.store.SetFaults(standin.StoreFaults{})
 		}, 0},
--- a/testbed/cftrial/plan.go
+++ b/testbed/cftrial/plan.go
@@ -30,10 +30,10 @@
 	Plan struct {
 		Name string `json:"name"`
 		// Seconds is how long each seed's load lasts.
-		Seconds float64              `json:"seconds"`
-		Seeds   []uint64             `json:"seeds"`
-		Site    standin.SiteSettings `json:"site"`
-		Step    standin.StepShape    `json:"step"`
+		Seconds float64                    `json:"seconds"`
+		Seeds   []uint64                   `json:"seeds"`
+		Site    standin.DeploymentSettings `json:"site"`
+		Step    standin.StepShape          `json:"step"`
 		// RequestsPerS is the rate of single requests.
 		RequestsPerS float64 `json:"requests_per_s"`
 		Faults       []Fault `json:"faults"`
@@ -44,9 +44,9 @@
 
 	// Fault is one thing that goes wrong, times from the start of a seed.
 	Fault struct {
-		Kind FaultKind    `json:"kind"`
-		At   standin.Span `json:"at_ms"`
-		For  standin.Span `json:"for_ms"`
+		Kind FaultKind      `json:"kind"`
+		At   standin.Millis `json:"at_ms"`
+		For  standin.Millis `json:"for_ms"`
 		// Count is how many targets it concerns, Times how much slower they
 		// are, Every which of the store's writes lose their answer.
 		Count int     `json:"count"`
@@ -102,9 +102,9 @@
 		value float64
 	}{
 		{"seconds", p.Seconds}, {"site.engines", float64(p.Site.Engines)}, {"site.slots", float64(p.Site.Slots)},
-		{"site.event_ms", float64(p.Site.Event)}, {"step.groups", float64(p.Step.Groups)}, {"step.size", float64(p.Step.Size)},
-		{"step.want", p.Step.Want}, {"step.events", p.Step.Events}, {"step.most", float64(p.Step.Most)},
-		{"step.patience_ms", float64(p.Step.Patience)},
+		{"site.event_ms", float64(p.Site.EventInterval)}, {"step.groups", float64(p.Step.Groups)}, {"step.size", float64(p.Step.GroupSize)},
+		{"step.want", p.Step.RequiredFraction}, {"step.events", p.Step.MedianEvents}, {"step.most", float64(p.Step.MaxEvents)},
+		{"step.patience_ms", float64(p.Step.Timeout)},
 	}
 	for _, f := range positive {
 		if f.value <= 0 {
@@ -117,7 +117,7 @@
 	if len(p.Site.Models) == 0 {
 		bad("site.models", "needs one at least")
 	}
-	if p.RequestsPerS > 0 && p.Site.Plains == 0 {
+	if p.RequestsPerS > 0 && p.Site.PlainTargets == 0 {
 		bad("site.plains", "must be over 0 for single requests")
 	}
 	for i, f := range p.Faults {
--- a/testbed/cftrial/report.go
+++ b/testbed/cftrial/report.go
@@ -51,10 +51,10 @@
 		for _, st := range g.Steps {
 			took = append(took, st.TookMs)
 			s.IdleMean += st.IdleMs / float64(len(g.Steps))
-			s.StaleMean += st.StaleMean / float64(len(g.Steps))
-			s.StaleMost = max(s.StaleMost, st.StaleMost)
+			s.StaleMean += st.MeanStaleness / float64(len(g.Steps))
+			s.StaleMost = max(s.StaleMost, st.MaxStaleness)
 			s.BrokenRules += len(st.Faults)
-			if st.Whole {
+			if st.Completed {
 				s.Whole++
 			}
 		}
@@ -190,7 +190,7 @@
 
 func staleness(g GroupReport) (out []float64) {
 	for _, s := range g.Steps {
-		out = append(out, s.StaleMean)
+		out = append(out, s.MeanStaleness)
 	}
 	return out
 }
--- a/testbed/cftrial/report_test.go
+++ b/testbed/cftrial/report_test.go
@@ -35,7 +35,7 @@
 	for i, name := range []string{"now", "other"} {
 		g := cftrial.GroupReport{Name: name, StoreCalls: map[string]int{"GET x": 3}}
 		for n := range 10 {
-			g.Steps = append(g.Steps, standin.StepReport{TookMs: float64(100 * (n + 1 + i)), IdleMs: 10, Whole: n > 0, StaleMean: 0.5})
+			g.Steps = append(g.Steps, standin.StepReport{TookMs: float64(100 * (n + 1 + i)), IdleMs: 10, Completed: n > 0, MeanStaleness: 0.5})
 			g.Calls = append(g.Calls, standin.CallReport{TookMs: float64(n), Status: 200})
 		}
 		r.Groups = append(r.Groups, g)
--- a/testbed/cftrial/run.go
+++ b/testbed/cftrial/run.go
@@ -60,7 +60,7 @@
 
 func runGroup(ctx context.Context, p Plan, g Group, log *zap.Logger) (GroupReport, error) {
 	r := GroupReport{Name: g.Name}
-	site, err := standin.StartSite(p.Site, g.Store)
+	site, err := standin.StartDeployment(p.Site, g.Store)
 	if err != nil {
 		return r, eris.Wrapf(err, "stand-ins of group %s", g.Name)
 	}
@@ -89,7 +89,7 @@
 	deadline := time.Now().Add(readyWait)
 	for _, e := range g.Entries {
 		for {
-			status, _ := standin.Call(ctx, e, http.MethodGet, standin.SiteHost, "/no/route", "probe", nil)
+			status, _ := standin.Call(ctx, e, http.MethodGet, standin.DeploymentHost, "/no/route", "probe", nil)
 			if status == http.StatusNotFound {
 				break
 			}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func runSeed(ctx context.Context, p Plan, g Group, site *standin.Site, seed uint64) ([]standin.StepReport, []standin.CallReport) {
+func runSeed(ctx context.Context, p Plan, g Group, site *standin.Deployment, seed uint64) ([]standin.StepReport, []standin.CallReport) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.Seconds*float64(time.Second)))
 	defer cancel()
 	start := time.Now()
@@ -110,7 +110,7 @@
 	var trainers []*standin.Trainer
 	for i, m := range p.Site.Models {
 		t := standin.NewTrainer(standin.TrainerSettings{
-			Model: m, Host: standin.SiteHost, Prefix: standin.BatchPrefix, Seed: seed*100 + uint64(i), Shape: p.Step,
+			Model: m, Host: standin.DeploymentHost, Prefix: standin.BatchPrefix, Seed: seed*100 + uint64(i), Shape: p.Step,
 		}, site.Store, func() []string { return g.Entries })
 		trainers = append(trainers, t)
 		wg.Go(func() { t.Run(ctx, start) })
@@ -152,14 +152,14 @@
 		wg.Go(func() {
 			id := fmt.Sprintf("r-%d-%d", seed, n)
 			began := time.Now()
-			status, _ := standin.Call(context.WithoutCancel(ctx), entry, http.MethodPost, standin.SiteHost, standin.PlainPrefix+"x", id, []byte(id))
+			status, _ := standin.Call(context.WithoutCancel(ctx), entry, http.MethodPost, standin.DeploymentHost, standin.PlainPrefix+"x", id, []byte(id))
 			done(standin.CallReport{At: millis(began.Sub(start)), TookMs: millis(time.Since(began)), Status: status, Tries: 1})
 		})
 	}
 }
 
 // faults injects the plan's faults; those of one system end together.
-func faults(ctx context.Context, fs []Fault, site *standin.Site, start time.Time) {
+func faults(ctx context.Context, fs []Fault, site *standin.Deployment, start time.Time) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, f := range fs {
@@ -180,18 +180,18 @@
 }
 
 // inject begins a fault and returns what ends it.
-func inject(f Fault, site *standin.Site) func() {
+func inject(f Fault, site *standin.Deployment) func() {
 	switch f.Kind {
 	case StoreDown:
 		site.Store.SetFaults(standin.StoreFaults{Down: true})
 	case StoreSlow:
-		site.Store.SetFaults(standin.StoreFaults{Slow: slowStore * time.Millisecond})
+		site.Store.SetFaults(standin.StoreFaults{ResponseDelay: slowStore * time.Millisecond})
 	case StoreLost:
-		site.Store.SetFaults(standin.StoreFaults{LoseAnswers: max(f.Every, 1)})
+		site.Store.SetFaults(standin.StoreFaults{DropResponseEvery: max(f.Every, 1)})
 	default:
 		targets := site.Engines
 		if f.Kind == PlainFull {
-			targets = site.Plains
+			targets = site.PlainTargets
 		}
 		targets = targets[:min(max(f.Count, 1), len(targets))]
 		for _, e := range targets {
@@ -209,11 +209,11 @@
 func engineFault(f Fault) standin.EngineFaults {
 	switch f.Kind {
 	case EngineSlow:
-		return standin.EngineFaults{Slower: f.Times}
+		return standin.EngineFaults{SlowFactor: f.Times}
 	case EngineBreak:
-		return standin.EngineFaults{BreakAfter: 5}
+		return standin.EngineFaults{AbortAfterEvents: 5}
 	default:
-		return standin.EngineFaults{Full: true}
+		return standin.EngineFaults{AtCapacity: true}
 	}
 }
 
