--- a/batch.go
+++ b/batch.go
@@ -16,14 +16,14 @@
 
 	// Item is one request of a batch.
 	Item struct {
-		ID      ItemID            `json:"id"`
-		Group   GroupID           `json:"group,omitempty"`
-		Path    string            `json:"path"`
-		Headers map[string]string `json:"headers,omitempty"`
-		Body    []byte            `json:"body,omitempty"`
-		Tokens  Tokens            `json:"tokens,omitempty"`
-		// Prompt is how many of these the prompt has.
-		Prompt Tokens `json:"prompt_tokens,omitempty"`
+		ID        ItemID            `json:"id"`
+		Group     GroupID           `json:"group,omitempty"`
+		Path      string            `json:"path"`
+		Headers   map[string]string `json:"headers,omitempty"`
+		Body      []byte            `json:"body,omitempty"`
+		MaxTokens Tokens            `json:"tokens,omitempty"`
+		// PromptTokens is how many of these the prompt has.
+		PromptTokens Tokens `json:"prompt_tokens,omitempty"`
 		// LengthHint is the submitter's guess of the output tokens; zero
 		// when it made none.
 		LengthHint Tokens `json:"length_hint,omitempty"`
@@ -83,19 +83,19 @@
 
 	// Request is one caller attempt as an entry instance took it.
 	Request struct {
-		ID       RequestID
-		Who      Credentials
-		Method   string
-		Host     string
-		Path     string // path and query, as the caller sent them
-		Route    string // path alone, decoded, by which the route is found
-		Header   http.Header
-		Body     []byte
-		Deadline Millis // what the caller still waits, zero when unsaid
-		Received Millis // Uptime at which the request was taken
-		// BodyDone says that Body is not needed any more, while the answer may still be
+		ID          RequestID
+		Credentials Credentials
+		Method      string
+		Host        string
+		Path        string // path and query, as the caller sent them
+		Route       string // path alone, decoded, by which the route is found
+		Header      http.Header
+		Body        []byte
+		Timeout     Millis // what the caller still waits, zero when unsaid
+		Received    Millis // Uptime at which the request was taken
+		// ReleaseBody says that Body is not needed any more, while the answer may still be
 		// on its way; it may be nil.
-		BodyDone func()
+		ReleaseBody func()
 		// ResumeAfter is the last event that the caller of a stream has, from
 		// an attempt before this one; zero if it begins anew.
 		ResumeAfter EventID
--- a/clock.go
+++ b/clock.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Doubled returns m doubled for each of times, up to most: the pause after so many
+// Backoff returns m doubled for each of times, up to most: the pause after so many
 // failures in a row.
-func (m Millis) Doubled(times int, most Millis) Millis {
+func (m Millis) Backoff(times int, most Millis) Millis {
 	for ; times > 0 && 0 < m && m < most; times-- {
 		m *= 2
 	}
--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -241,8 +241,8 @@
 		if t.Slots > 0 {
 			l.slots = t.Slots // Sent may have created the limit of an unlisted target, without its slots.
 		}
-		if l.listVersion != s.listVersion-1 || l.startTime != t.Born {
-			l.reset(t.Born)
+		if l.listVersion != s.listVersion-1 || l.startTime != t.Started {
+			l.reset(t.Started)
 		}
 		l.listVersion = s.listVersion
 		s.targetLimits[i] = l
--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -272,7 +272,7 @@
 		}
 		l.reportedAt, l.hasFreeSlot, l.pausedUntil = now, false, now+refusedPause
 	case Lost:
-		l.lostUntil = now + lostPause.Doubled(l.losses, maxLostPause)
+		l.lostUntil = now + lostPause.Backoff(l.losses, maxLostPause)
 		l.losses++
 		l.tokens = min(l.tokens, 0)
 		return
--- a/core/cfbalance/balance.go
+++ b/core/cfbalance/balance.go
@@ -242,7 +242,7 @@
 	case NotRun:
 		s.avoidUntil = now + avoidNotRun
 	case Failed, Unreached:
-		s.avoidUntil = now + avoidFailed.Doubled(s.failures, maxAvoid)
+		s.avoidUntil = now + avoidFailed.Backoff(s.failures, maxAvoid)
 		s.failures++
 	case Abandoned:
 		// The answer would have taken at least this long.
--- a/core/cfquarantine/caller_test.go
+++ b/core/cfquarantine/caller_test.go
@@ -10,7 +10,7 @@
 // from another machine or in a batch. Requests of another organisation belong to another caller.
 func TestOrganisationIsOneCaller(t *testing.T) {
 	keyFor := func(o cf.Organisation, machine string, keys ...cf.APIKey) Key {
-		return KeyOf("POST", "h", "/p", CallerOf(cf.Access{Organisation: o}, cf.Credentials{Keys: keys, Machine: machine}), []byte("x"))
+		return KeyOf("POST", "h", "/p", CallerOf(cf.Access{Organisation: o}, cf.Credentials{Keys: keys, ClientID: machine}), []byte("x"))
 	}
 	first := keyFor("a", "m1", "k1")
 	for name, c := range map[string]struct {
--- a/core/cfquarantine/deferred.go
+++ b/core/cfquarantine/deferred.go
@@ -106,6 +106,6 @@
 	return 0
 }
 
-func pauseFor(crashes int) cf.Millis { return initialPause.Doubled(crashes-maxCrashes, maxPause) }
+func pauseFor(crashes int) cf.Millis { return initialPause.Backoff(crashes-maxCrashes, maxPause) }
 
 func maxRunsAfter(crashes int) int { return max(initialMaxRuns>>(crashes-maxCrashes), 1) }
--- a/core/cfquarantine/key.go
+++ b/core/cfquarantine/key.go
@@ -47,7 +47,7 @@
 	if a.Organisation != "" {
 		return organisationCaller(a.Organisation)
 	}
-	return credentials.Machine
+	return credentials.ClientID
 }
 
 func organisationCaller(o cf.Organisation) string { return "organisation " + string(o) }
--- a/core/cfquarantine/strike.go
+++ b/core/cfquarantine/strike.go
@@ -93,7 +93,7 @@
 )
 
 // IncarnationOf returns the current incarnation of a target.
-func IncarnationOf(t cf.Target) Incarnation { return Incarnation{t.ID, t.Born} }
+func IncarnationOf(t cf.Target) Incarnation { return Incarnation{t.ID, t.Started} }
 
 // sameLoss reports whether two strikes are evidence of the same loss.
 func (s *Strike) sameLoss(o *Strike) bool {
--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -371,7 +371,7 @@
 			return GiveUp
 		}
 	case NoAnswer:
-		c.retryAt = now + p.limits.InitialBackoff.Doubled(c.unanswered, p.limits.MaxBackoff)
+		c.retryAt = now + p.limits.InitialBackoff.Backoff(c.unanswered, p.limits.MaxBackoff)
 		c.unanswered++
 	}
 	return Continue
@@ -418,7 +418,7 @@
 }
 
 func (p *Planner) backOff(s *targetState, now cf.Millis) {
-	s.retryAt = now + p.limits.InitialBackoff.Doubled(s.misses, p.limits.MaxBackoff)
+	s.retryAt = now + p.limits.InitialBackoff.Backoff(s.misses, p.limits.MaxBackoff)
 	s.misses++
 }
 
--- a/core/cfrollout/demand.go
+++ b/core/cfrollout/demand.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		if e.Draining {
-			if e.Spot && e.Leaves > 0 {
+			if e.Spot && e.ReclaimNotice > 0 {
 				d.Reclaimed[cf.EnginePool{Service: service, Domain: e.Domain, Spot: true}]++
 			}
 			continue
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -10,7 +10,7 @@
 )
 
 func newTarget(id cf.InstanceID, service cf.ServiceName, born cf.Millis) cf.Target {
-	return cf.Target{ID: id, Service: service, Slots: 3, Born: born, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
+	return cf.Target{ID: id, Service: service, Slots: 3, Started: born, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
 }
 
 var lifecycleModels = map[cf.ServiceName][]cf.ModelName{"a": {"m-a"}, "b": {"m-b"}}
@@ -70,7 +70,7 @@
 			case 2: // restarts
 				if t, known := listed[id]; known {
 					born[id] += 100
-					t.Born = born[id]
+					t.Started = born[id]
 					listed[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
@@ -92,7 +92,7 @@
 					p.AddBatch(newServiceStep(cf.BatchID(fmt.Sprint("s", batches)), []cf.ServiceName{"a", "b"}[random.IntN(2)], 5))
 				}
 			case 6:
-				p.Reported(id, cf.TargetReport{Born: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
+				p.Reported(id, cf.TargetReport{Started: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
 			default:
 				for w, at := range current {
 					avoid, kept := penalties(p, at.ID)
@@ -100,8 +100,8 @@
 					p.Finished(w, []Outcome{OutcomeDone, OutcomeBroken, OutcomeNotRun, OutcomeStopped}[random.IntN(4)], now)
 					delete(current, w)
 					e := p.engines[at.ID]
-					if a, k := penalties(p, at.ID); e != nil && (at.Born < e.Born || at.Service != e.Service) && (a != avoid || k != kept) {
-						t.Fatalf("seed %d: the end of a run at the process of %s started at %d counts for the one started at %d", seed, at.ID, at.Born, e.Born)
+					if a, k := penalties(p, at.ID); e != nil && (at.Started < e.Started || at.Service != e.Service) && (a != avoid || k != kept) {
+						t.Fatalf("seed %d: the end of a run at the process of %s started at %d counts for the one started at %d", seed, at.ID, at.Started, e.Started)
 					}
 					break
 				}
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -58,11 +58,11 @@
 		e = p.departedOrNew(t)
 		p.engines[t.ID] = e
 	}
-	born := max(e.Born, t.Born)
-	p.noteStart(e, t.Born)
+	born := max(e.Started, t.Started)
+	p.noteStart(e, t.Started)
 	e.Target = t
-	e.Born = born
-	if t.Born == born || t.Born == 0 { // otherwise the list may still show the previous process
+	e.Started = born
+	if t.Started == born || t.Started == 0 { // otherwise the list may still show the previous process
 		for _, m := range t.Models {
 			p.noteVersion(e, m.Name, m.Version)
 		}
@@ -99,7 +99,7 @@
 // restarted since the run began, so that the run says nothing about it.
 func (p *Planner) currentEngine(w *Work) *Engine {
 	e := w.engine
-	if e == nil || p.engines[e.ID] != e || w.engineBorn > 0 && w.engineBorn < e.Born {
+	if e == nil || p.engines[e.ID] != e || w.engineBorn > 0 && w.engineBorn < e.Started {
 		return nil
 	}
 	return e
@@ -126,7 +126,7 @@
 // IsCurrent says whether a target is listed and has not restarted since t was read.
 func (p *Planner) IsCurrent(t cf.Target) bool {
 	e := p.engines[t.ID]
-	return e != nil && e.Service == t.Service && (t.Born == 0 || t.Born >= e.Born)
+	return e != nil && e.Service == t.Service && (t.Started == 0 || t.Started >= e.Started)
 }
 
 // dropEngine removes an engine. Runs that have not ended stay counted at it, also if it is listed
@@ -155,11 +155,11 @@
 // holds no weights, and what was learned about the old one may not apply. Runs of the old process
 // end by themselves.
 func (p *Planner) noteStart(e *Engine, born cf.Millis) {
-	if born <= e.Born {
+	if born <= e.Started {
 		return
 	}
-	first := e.Born == 0
-	e.Born = born
+	first := e.Started == 0
+	e.Started = born
 	if first {
 		return // the earlier start time was unknown
 	}
--- a/core/cfrollout/isolation_test.go
+++ b/core/cfrollout/isolation_test.go
@@ -22,7 +22,7 @@
 	p := cfrollout.New(limits)
 	targets := fleet(engines, cf.ModelState{Name: "a", Version: 1})
 	for i := range targets {
-		targets[i].Born = 1
+		targets[i].Started = 1
 	}
 	p.SetEngines(targets, models("a"))
 	return p, targets
@@ -48,7 +48,7 @@
 		},
 		"engine restarted": func(p *cfrollout.Planner, w *cfrollout.Work, targets []cf.Target) {
 			for i := range targets {
-				targets[i].Born = 2
+				targets[i].Started = 2
 			}
 			p.SetEngines(targets, models("a"))
 			p.Finished(w, cfrollout.OutcomeBroken, 100)
--- a/core/cfrollout/memory.go
+++ b/core/cfrollout/memory.go
@@ -79,10 +79,10 @@
 func (m *memoryModel) noteRuns(runs []cf.TargetRun, works map[cf.RequestID]*Work) {
 	for _, r := range runs {
 		w := works[r.ID]
-		if w == nil || w.resumeAfter > 0 || r.Events < minMemoryEvents || r.Tokens <= w.Item.Prompt {
+		if w == nil || w.resumeAfter > 0 || r.Events < minMemoryEvents || r.Tokens <= w.Item.PromptTokens {
 			continue
 		}
-		tokens := float64(r.Tokens-w.Item.Prompt) / float64(r.Events)
+		tokens := float64(r.Tokens-w.Item.PromptTokens) / float64(r.Events)
 		if m.tokensPerEvent == 0 {
 			m.tokensPerEvent = tokens
 		}
@@ -104,8 +104,8 @@
 func (p *Planner) expectedMemory(w *Work) float64 {
 	switch {
 	case p.memory.tokensPerEvent > 0:
-		tokens := float64(w.Item.Prompt) + p.memory.tokensPerEvent*(w.generated()+p.remaining(w))
-		if most := float64(w.Item.Tokens); most > 0 {
+		tokens := float64(w.Item.PromptTokens) + p.memory.tokensPerEvent*(w.generated()+p.remaining(w))
+		if most := float64(w.Item.MaxTokens); most > 0 {
 			return min(tokens, most)
 		}
 		return tokens
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -30,7 +30,7 @@
 func memoryBatch(long, short int) *cfbatch.Batch {
 	sub := cf.Submission{ID: "b", Model: "m", MinVersion: 1}
 	for i := range long + short {
-		it := cf.Item{ID: cf.ItemID(fmt.Sprint(i)), Group: cf.GroupID(fmt.Sprint(i / 16)), Prompt: 276, Tokens: 276 + 240*40, LengthHint: 20}
+		it := cf.Item{ID: cf.ItemID(fmt.Sprint(i)), Group: cf.GroupID(fmt.Sprint(i / 16)), PromptTokens: 276, MaxTokens: 276 + 240*40, LengthHint: 20}
 		if i < long {
 			it.LengthHint = 240
 		}
--- a/core/cfrollout/place.go
+++ b/core/cfrollout/place.go
@@ -106,7 +106,7 @@
 }
 
 func (p *Planner) start(o *openBatch, w *Work, e *Engine, now cf.Millis) {
-	w.Engine, w.engine, w.engineBorn = e.ID, e, e.Born
+	w.Engine, w.engine, w.engineBorn = e.ID, e, e.Started
 	w.Version, w.Started = e.versions[w.Batch.Sub.Model], now
 	w.OldestVersion = w.Version
 	w.moving, w.resumeAfter = false, w.Text.Last
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -343,7 +343,7 @@
 	tokens, hints := 0.0, 0.0
 	guess := meanHint(b.Sub.Items)
 	for _, it := range b.Sub.Items {
-		tokens += float64(max(it.Tokens, 1))
+		tokens += float64(max(it.MaxTokens, 1))
 		hints += float64(it.LengthHint)
 		if b.Listed(it.ID) {
 			continue
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -34,7 +34,7 @@
 	for g := range groups {
 		for i := range size {
 			sub.Items = append(sub.Items, cf.Item{
-				ID: cf.ItemID(fmt.Sprintf("%s-%d-%d", id, g, i)), Group: cf.GroupID(fmt.Sprintf("%s-%d", id, g)), Tokens: 100,
+				ID: cf.ItemID(fmt.Sprintf("%s-%d-%d", id, g, i)), Group: cf.GroupID(fmt.Sprintf("%s-%d", id, g)), MaxTokens: 100,
 			})
 		}
 	}
@@ -452,13 +452,13 @@
 func TestRestartedEngineHoldsNoOldVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 4})
-	targets[0].Born, targets[1].Born = 100, 100
+	targets[0].Started, targets[1].Started = 100, 100
 	p.SetEngines(targets, models("a"))
 	p.SetVersion("a", 4)
-	p.Reported("e00", cf.TargetReport{Born: 200, Models: []cf.ModelState{{Name: "a", Version: 2}}})
+	p.Reported("e00", cf.TargetReport{Started: 200, Models: []cf.ModelState{{Name: "a", Version: 2}}})
 	p.SetEngines(targets, models("a")) // the list is late
 	again := fleet(2, cf.ModelState{Name: "a", Version: 3})
-	again[0].Born, again[1].Born = 200, 300
+	again[0].Started, again[1].Started = 200, 300
 	p.SetEngines(again, models("a"))
 	p.AddBatch(step("s", "a", 4, 1, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 0 {
@@ -467,7 +467,7 @@
 	if n := len(p.Swaps(0)); n == 0 {
 		t.Error("no engine loads")
 	}
-	p.Reported("e00", cf.TargetReport{Born: 150, Models: []cf.ModelState{{Name: "a", Version: 9}}})
+	p.Reported("e00", cf.TargetReport{Started: 150, Models: []cf.ModelState{{Name: "a", Version: 9}}})
 	if n := len(p.Place(0)); n != 0 {
 		t.Errorf("%d items start because of a report of the previous process", n)
 	}
--- a/core/cfrollout/swap.go
+++ b/core/cfrollout/swap.go
@@ -238,10 +238,10 @@
 // Reported processes an engine's report of its start time, memory, runs and weights.
 func (p *Planner) Reported(id cf.InstanceID, r cf.TargetReport) {
 	e := p.engines[id]
-	if e == nil || r.Born < e.Born {
+	if e == nil || r.Started < e.Started {
 		return
 	}
-	p.noteStart(e, r.Born)
+	p.noteStart(e, r.Started)
 	e.Memory, e.memoryReported = r.Memory, true
 	p.memory.noteReport(e)
 	p.memory.noteRuns(r.Runs, p.runningItems())
@@ -253,7 +253,7 @@
 // runningItems returns the running items by their request ids at the engines.
 func (p *Planner) runningItems() map[cf.RequestID]*Work {
 	out := map[cf.RequestID]*Work{}
-	p.eachRunning(func(w *Work) { out[w.Item.ID.Request()] = w })
+	p.eachRunning(func(w *Work) { out[w.Item.ID.RequestID()] = w })
 	return out
 }
 
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -31,7 +31,7 @@
 			}
 			p.SetEngines(other, models("other"))
 		},
-		cfrollout.WaitNoWeights: relist(func(t *cf.Target) { t.Born, t.Models = t.Born+1000, []cf.ModelState{{Name: "m"}} }),
+		cfrollout.WaitNoWeights: relist(func(t *cf.Target) { t.Started, t.Models = t.Started+1000, []cf.ModelState{{Name: "m"}} }),
 	}
 	for reason, scenario := range scenarios {
 		t.Run(string(reason), func(t *testing.T) {
@@ -40,7 +40,7 @@
 			p := cfrollout.New(limits)
 			targets := fleet(4, held)
 			for i := range targets {
-				targets[i].Born = 1
+				targets[i].Started = 1
 			}
 			p.SetEngines(targets, models("m"))
 			p.AddBatch(step("b", "m", 1, 1, 4), defaultTerms)
--- a/core/cfusage/aggregator.go
+++ b/core/cfusage/aggregator.go
@@ -168,7 +168,7 @@
 // Complete reports whether every instance that was heard from during the window, or shortly before
 // it, has reported beyond the end of the window.
 func (a *Aggregator) Complete(w cf.UsageWindow) bool {
-	ends := w.Ends(a.length)
+	ends := w.End(a.length)
 	for _, l := range a.latest {
 		if l.through < ends+grace && l.through > ends-instanceTimeout {
 			return false
--- a/core/cfusage/cfusage_test.go
+++ b/core/cfusage/cfusage_test.go
@@ -43,7 +43,7 @@
 				n = -1
 			}
 			meters[e].Count(o, at, n)
-			w := cf.WindowOf(at, length)
+			w := cf.UsageWindowAt(at, length)
 			if truth[w] == nil {
 				truth[w] = map[cf.Organisation]int64{}
 			}
--- a/core/cfusage/meter.go
+++ b/core/cfusage/meter.go
@@ -78,7 +78,7 @@
 // Count adds n requests of an organisation that began at the given time; n may be negative to
 // correct an earlier count. It returns false if the window has already been reported.
 func (m *Meter) Count(o cf.Organisation, at cf.Millis, n int64) bool {
-	w := cf.WindowOf(at, m.length)
+	w := cf.UsageWindowAt(at, m.length)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if w <= m.settled {
--- a/core/cfusage/reporter.go
+++ b/core/cfusage/reporter.go
@@ -97,8 +97,8 @@
 		}
 	}
 	due := false
-	for w := next.Settled + 1; w.Ends(r.timing.Length) <= now; w++ {
-		if !a.Complete(w) && now < w.Ends(r.timing.Length)+r.timing.MaxWait {
+	for w := next.Settled + 1; w.End(r.timing.Length) <= now; w++ {
+		if !a.Complete(w) && now < w.End(r.timing.Length)+r.timing.MaxWait {
 			break
 		}
 		next.Settled, due = w, true
@@ -116,7 +116,7 @@
 // InitOutbox records that the store has no outbox yet. The first window to be reported is the
 // current one, or the oldest one with counts if that is earlier.
 func (r *Reporter) InitOutbox(now cf.Millis, a *Aggregator) {
-	first := cf.WindowOf(now, r.timing.Length)
+	first := cf.UsageWindowAt(now, r.timing.Length)
 	if oldest, counted := a.Oldest(); counted {
 		first = min(first, oldest)
 	}
--- a/ingress.go
+++ b/ingress.go
@@ -10,8 +10,8 @@
 	// Refusal turns a request away that surely has not run. It is an
 	// ErrRefused that says when to come back.
 	Refusal struct {
-		After  Millis
-		Reason string
+		RetryAfter Millis
+		Reason     string
 	}
 
 	// CallerLimits bound what a caller may send.
@@ -35,8 +35,8 @@
 		// OpenRoom begins the account of what an answer to a caller about a batch takes of
 		// the memory.
 		OpenRoom(ctx context.Context, who Credentials, id BatchID) Room
-		// TakesBatches says whether a request is the submission of a batch.
-		TakesBatches(host, path string) bool
+		// AcceptsBatches says whether a request is the submission of a batch.
+		AcceptsBatches(host, path string) bool
 		// Authenticate says whether a request may go on that is not read yet. It
 		// returns an ErrRefused or ErrUnauthenticated.
 		Authenticate(host, path string, who Credentials) error
@@ -57,7 +57,7 @@
 
 // Error says why and until when.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("refused: %s, come back in %d ms", r.Reason, r.After)
+	return fmt.Sprintf("refused: %s, come back in %d ms", r.Reason, r.RetryAfter)
 }
 
 // Is makes a Refusal an ErrRefused.
--- a/io/cfautoscale/cfautoscale.go
+++ b/io/cfautoscale/cfautoscale.go
@@ -48,26 +48,26 @@
 type (
 	// Options are what the duty works with.
 	Options struct {
-		Act cf.Act
-		// Follows says that another had the duty before.
-		Follows bool
-		Store   cf.Store
-		Scaling cf.Scaling
+		Lease cf.LeaseToken
+		// HasPredecessor says that another had the duty before.
+		HasPredecessor bool
+		Store          cf.Store
+		Scaling        cf.Scaling
 		// MayAct says whether the term allows an order now; Ordered notes that one is
 		// given now, or has just ended.
-		MayAct  func() bool
-		Ordered func()
+		MayAct    func() bool
+		NoteOrder func()
 		// Demand returns what a service's open steps ask for, false while that is not
 		// known.
 		Demand func(cf.ServiceName) (cfscale.Demand, bool)
-		// Terms are those of the services whose engines may be ordered.
-		Terms   func() map[cf.ServiceName]cfscale.Policy
-		Metrics *Metrics
-		Log     *zap.Logger
+		// Policies are those of the services whose engines may be ordered.
+		Policies func() map[cf.ServiceName]cfscale.Policy
+		Metrics  *Metrics
+		Log      *zap.Logger
 	}
 
-	// Duty orders engines. Close ends it and waits for the call under way.
-	Duty struct {
+	// Controller orders engines. Close ends it and waits for the call under way.
+	Controller struct {
 		Options
 		ctx    context.Context
 		cancel context.CancelFunc
@@ -115,25 +115,25 @@
 }
 
 // New returns a duty that has not started.
-func New(o Options) *Duty {
+func New(o Options) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Duty{
-		Options: o, ctx: ctx, cancel: cancel, keeper: cfscale.NewReconciler(o.Act.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
+	return &Controller{
+		Options: o, ctx: ctx, cancel: cancel, keeper: cfscale.NewReconciler(o.Lease.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
 		why: map[cf.ServiceName]cfscale.Rationale{}, warned: map[string]cf.Millis{},
 	}
 }
 
 // Start begins the duty.
-func (d *Duty) Start() { d.wg.Go(d.loop) }
+func (d *Controller) Start() { d.wg.Go(d.loop) }
 
 // Close ends the duty.
-func (d *Duty) Close() error {
+func (d *Controller) Close() error {
 	d.cancel()
 	d.wg.Wait()
 	return nil
 }
 
-func (d *Duty) loop() {
+func (d *Controller) loop() {
 	defer d.Metrics.clear()
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -148,8 +148,8 @@
 }
 
 // look decides, and does what is due.
-func (d *Duty) look() {
-	terms := d.Terms()
+func (d *Controller) look() {
+	terms := d.Policies()
 	if len(terms) == 0 {
 		return // nothing may be ordered, and nothing is read
 	}
@@ -164,14 +164,14 @@
 }
 
 // decide returns what is wanted.
-func (d *Duty) decide(terms map[cf.ServiceName]cfscale.Policy, kept cfscale.StoredState) cfscale.StoredState {
+func (d *Controller) decide(terms map[cf.ServiceName]cfscale.Policy, kept cfscale.StoredState) cfscale.StoredState {
 	now := cf.Uptime()
 	var wanted cfscale.StoredState
 	var target, serving, need float64
 	for service, t := range terms {
 		decider := d.deciders[service]
 		if decider == nil {
-			decider = cfscale.NewDecider(t, now, d.Follows)
+			decider = cfscale.NewDecider(t, now, d.HasPredecessor)
 			d.deciders[service] = decider
 		}
 		decider.SetPolicy(t)
@@ -199,7 +199,7 @@
 }
 
 // act does what is due until nothing is.
-func (d *Duty) act(wanted cfscale.StoredState, terms map[cf.ServiceName]cfscale.Policy) {
+func (d *Controller) act(wanted cfscale.StoredState, terms map[cf.ServiceName]cfscale.Policy) {
 	may := func(s cf.ServiceName) bool { _, ok := terms[s]; return ok }
 	for d.ctx.Err() == nil && d.MayAct() {
 		step := d.keeper.Next(cf.Uptime(), wanted, may)
@@ -221,7 +221,7 @@
 }
 
 // read reads what lies in the store.
-func (d *Duty) read() bool {
+func (d *Controller) read() bool {
 	r, err := d.Store.Get(d.ctx, cf.KindScaling, wantedName)
 	var kept cfscale.StoredState
 	if err == nil {
@@ -237,14 +237,14 @@
 		return false
 	default:
 		d.keeper.Loaded(kept, r.Rev)
-		d.Log.Info("engines_wanted_read", zap.Int64("term", int64(d.Act.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", kept.Orders))
+		d.Log.Info("engines_wanted_read", zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", kept.Orders))
 	}
 	delete(d.warned, warnNotRead)
 	return true
 }
 
 // warn logs a warning when its cause begins, and each warnEvery while it lasts.
-func (d *Duty) warn(event string, err error) {
+func (d *Controller) warn(event string, err error) {
 	now := cf.Uptime()
 	if last, warned := d.warned[event]; warned && now-last < warnEvery {
 		return
@@ -254,7 +254,7 @@
 }
 
 // keep writes what is wanted.
-func (d *Duty) keep(step cfscale.Action) bool {
+func (d *Controller) keep(step cfscale.Action) bool {
 	var r cf.Record
 	var err error
 	if step.Rev == 0 {
@@ -269,18 +269,18 @@
 	}
 	delete(d.warned, warnUnconfirmed)
 	d.keeper.Written(step.State, r.Rev)
-	d.Log.Info("engines_wanted_kept", zap.Int64("term", int64(d.Act.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", step.State.Orders))
+	d.Log.Info("engines_wanted_kept", zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", step.State.Orders))
 	return true
 }
 
 // give gives an order.
-func (d *Duty) give(o cf.EngineOrder) bool {
+func (d *Controller) give(o cf.EngineOrder) bool {
 	ctx, cancel := context.WithTimeout(d.ctx, orderTimeout)
 	defer cancel()
-	d.Ordered()
+	d.NoteOrder()
 	began := time.Now()
-	err := d.Scaling.OrderEngines(ctx, d.Act, o)
-	d.Ordered()
+	err := d.Scaling.OrderEngines(ctx, d.Lease, o)
+	d.NoteOrder()
 	outcome := "taken"
 	switch {
 	case errors.Is(err, cf.ErrFenced):
@@ -299,7 +299,7 @@
 	}
 	d.Metrics.Orders.WithLabelValues(string(cause), outcome).Inc()
 	d.Log.Info("engines_ordered", zap.String("service", string(o.Service)), zap.String("failure_domain", string(o.Domain)), zap.Bool("spot", o.Spot),
-		zap.Int("count", o.Count), zap.Int64("term", int64(d.Act.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
+		zap.Int("count", o.Count), zap.Int64("term", int64(d.Lease.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
 		zap.Float64("need", why.Need), zap.Float64("need_recent", why.RecentNeed), zap.Float64("need_shown", why.ObservedNeed), zap.Float64("worst_step", why.WorstStep), zap.Int("target", why.Desired), zap.Int("in_service", why.Serving),
 		zap.Int("booting", why.Booting), zap.Float64("earns", why.MarginalValue), zap.Float64("costs", why.MarginalCost),
 		zap.Int64("took_ms", time.Since(began).Milliseconds()), cflog.Error(err))
--- a/io/cfautoscale/cfautoscale_test.go
+++ b/io/cfautoscale/cfautoscale_test.go
@@ -38,18 +38,18 @@
 // api takes orders.
 type api struct{ orders []cf.EngineOrder }
 
-func (a *api) OrderEngines(_ context.Context, _ cf.Act, o cf.EngineOrder) error {
+func (a *api) OrderEngines(_ context.Context, _ cf.LeaseToken, o cf.EngineOrder) error {
 	a.orders = append(a.orders, o)
 	return nil
 }
 
-func duty(store cf.Store, scaling cf.Scaling, may *bool, scales *bool) *Duty {
+func duty(store cf.Store, scaling cf.Scaling, may *bool, scales *bool) *Controller {
 	d := cfscale.Demand{Demand: cfrollout.Demand{Service: "s", Slots: 6, Pace: 50}, Engines: map[cf.EnginePool]int{{Service: "s", Domain: "a"}: 2}}
 	d.OpenSteps = []cfscale.OpenStep{{StepDemand: cfrollout.StepDemand{Groups: 12, Events: 5400, Remaining: 5400, Longest: 40}, Due: 7500}}
 	return New(Options{
-		Act: cf.Act{Holder: "e", Fence: 3}, Store: store, Scaling: scaling, MayAct: func() bool { return *may }, Ordered: func() {},
+		Lease: cf.LeaseToken{Holder: "e", Fence: 3}, Store: store, Scaling: scaling, MayAct: func() bool { return *may }, NoteOrder: func() {},
 		Demand: func(cf.ServiceName) (cfscale.Demand, bool) { return d, true },
-		Terms: func() map[cf.ServiceName]cfscale.Policy {
+		Policies: func() map[cf.ServiceName]cfscale.Policy {
 			if !*scales {
 				return nil
 			}
--- a/io/cfcoord/completion.go
+++ b/io/cfcoord/completion.go
@@ -38,7 +38,7 @@
 func (c *Coordinator) giveUp(w *cfrollout.Work, reason string, now cf.Millis) {
 	delete(c.finished, w.Item.ID)
 	if st := c.unlisted(w); st != nil {
-		c.Log.Info("item_given_up", cflog.Batch(w.Batch.Sub.ID), zap.String("request_id", string(w.Item.ID.Request())),
+		c.Log.Info("item_given_up", cflog.Batch(w.Batch.Sub.ID), zap.String("request_id", string(w.Item.ID.RequestID())),
 			zap.String("reason", reason), zap.Int("failures", w.Failures))
 		st.pending.Add(cf.Result{ID: w.Item.ID, State: cf.ItemFailed}, now)
 		c.Wake()
--- a/io/cfcoord/moves.go
+++ b/io/cfcoord/moves.go
@@ -17,7 +17,7 @@
 		reason = "slow_period"
 	}
 	c.Metrics.Moves.WithLabelValues(reason).Inc()
-	c.Log.Info("item_moved", zap.String("request_id", string(w.Item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
+	c.Log.Info("item_moved", zap.String("request_id", string(w.Item.ID.RequestID())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("target", string(w.Engine)), zap.Int64("ran_ms", int64(cf.Uptime()-w.Started)), zap.String("reason", reason), zap.String("to", string(why.To)),
 		zap.Float64("saves_ms", why.Saving), zap.Float64("cost_ms", why.Cost), zap.Float64("slow_left_ms", why.SlowTimeLeft))
 	if cancel := c.runs[w]; cancel != nil {
--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -39,7 +39,7 @@
 	for range looks {
 		for n := range items {
 			c.mu.Lock()
-			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
+			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Started: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
 			c.mu.Unlock()
 			if v.Pass || v.RetryAt == 0 {
 				t.Fatalf("an item does not pause after %d crashes: %+v", len(strikes), v)
--- a/io/cfcoord/quarantine_test.go
+++ b/io/cfcoord/quarantine_test.go
@@ -114,13 +114,13 @@
 
 func (u *unluckyTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	if u.runs.Add(1) <= 3 {
-		return cf.TargetAnswer{Heard: true}, fmt.Errorf("EOF: %w", cf.ErrMaybeRan)
+		return cf.TargetAnswer{Alive: true}, fmt.Errorf("EOF: %w", cf.ErrMaybeRan)
 	}
 	if err := sink.Event(cf.StreamEvent{ID: 1, Data: "x", Version: 1}); err != nil {
 		return cf.TargetAnswer{}, err
 	}
 	u.done.Add(1)
-	return cf.TargetAnswer{Status: http.StatusOK, Heard: true}, nil
+	return cf.TargetAnswer{Status: http.StatusOK, Alive: true}, nil
 }
 
 func (u *unluckyTargets) Reach(context.Context, cf.Target) error {
@@ -142,7 +142,7 @@
 			t.Fatalf("%d runs, none of them to its end", targets.runs.Load())
 		}
 	}
-	id := zap.String("request_id", string(sub.Items[0].ID.Request()))
+	id := zap.String("request_id", string(sub.Items[0].ID.RequestID()))
 	count := map[string]int{}
 	lost := map[string]bool{}
 	for _, line := range logs.FilterField(id).All() {
--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -118,7 +118,7 @@
 	stopped, cancel := context.WithCancel(c.ctx)
 	c.rewards.cancels[a] = cancel
 	reward := a.Call.Item.Reward
-	c.Log.Info("reward_sent", zap.String("request_id", string(reward.ID)), zap.String("item_id", string(a.Call.Item.ID.Request())),
+	c.Log.Info("reward_sent", zap.String("request_id", string(reward.ID)), zap.String("item_id", string(a.Call.Item.ID.RequestID())),
 		cflog.Batch(a.Call.Batch.Sub.ID), zap.String("target", string(a.Target.ID)), zap.Int("sends", a.Call.Sends),
 		zap.Int("failures", a.Call.Failures), zap.Bool("hedge", a.Hedge), zap.Int64("config_version", int64(version)))
 	c.wg.Go(func() {
@@ -163,11 +163,11 @@
 	now := cf.Uptime()
 	outcome := classifyReward(answer, err, stopped)
 	call := a.Call
-	c.followReward(a, outcome, answer.Heard, err)
+	c.followReward(a, outcome, answer.Alive, err)
 	verdict := c.rewards.planner.Done(a, outcome, answer.Load, now)
 	c.Metrics.RewardCalls.WithLabelValues(rewardOutcomes[outcome]).Inc()
 	c.Metrics.RewardDuration.Observe(float64(now-a.StartedAt) / 1000)
-	c.Log.Info("reward_ended", zap.String("request_id", string(call.Item.Reward.ID)), zap.String("item_id", string(call.Item.ID.Request())),
+	c.Log.Info("reward_ended", zap.String("request_id", string(call.Item.Reward.ID)), zap.String("item_id", string(call.Item.ID.RequestID())),
 		cflog.Batch(call.Batch.Sub.ID), zap.String("target", string(a.Target.ID)),
 		zap.String("outcome", rewardOutcomes[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
 		zap.Int64("took_ms", int64(now-a.StartedAt)), cflog.Error(err))
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -55,11 +55,11 @@
 		class = cfaccess.LongItem
 	}
 	route := c.StreamRouter.Route(e.Target)
-	c.Log.Info("item_placed", zap.String("request_id", string(item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
+	c.Log.Info("item_placed", zap.String("request_id", string(item.ID.RequestID())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("group_id", string(item.Group)), zap.String("target", string(e.ID)), zap.String("via", string(route.Via)), zap.Int64("version", int64(version)), zap.Int64("resume_after", int64(w.Text.Last)),
 		zap.Int("failures", w.Failures), zap.Int("running_there", e.Running), zap.Int("apart", w.IsolationLimit()), zap.Float64("event_ms_there", e.Pace()))
 	call := cf.TargetCall{
-		ID: item.ID.Request(), Method: http.MethodPost, Host: host, Path: item.Path, Header: itemHeader(item), Body: item.Body,
+		ID: item.ID.RequestID(), Method: http.MethodPost, Host: host, Path: item.Path, Header: itemHeader(item), Body: item.Body,
 		Urgency: cfaccess.Urgency(w.Terms.Access, class), Ranked: true, Organisation: w.Batch.Sub.ID.Organisation(),
 		Timeout: runTimeout, ResumeAfter: w.Text.Last, ExpectVersion: version,
 	}
@@ -96,7 +96,7 @@
 		return // the duty is over; a successor runs the item again
 	}
 	c.follow(w, t, end)
-	c.Log.Info("item_run", zap.String("request_id", string(w.Item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
+	c.Log.Info("item_run", zap.String("request_id", string(w.Item.ID.RequestID())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("target", string(t.ID)), zap.String("outcome", outcomeNames[outcome]), zap.String("reason", end.reason),
 		zap.Int64("version", int64(w.Version)), zap.Int64("events", int64(w.Text.Last)),
 		zap.Int64("took_ms", int64(now-w.Started)))
@@ -118,7 +118,7 @@
 // admit asks the guard whether an item may be sent to an engine; its end is then due to
 // the guard.
 func (c *Coordinator) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := c.admitOwed(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()})
+	v := c.admitOwed(w.Item.ID.RequestID(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()})
 	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
@@ -146,7 +146,7 @@
 	case end.outcome == cfrollout.OutcomeDone || end.outcome == cfrollout.OutcomeFailed || end.outcome == cfrollout.OutcomePermanentFailure:
 		c.Guard.Answered(key, t, w.Started)
 	case end.outcome == cfrollout.OutcomeBroken && !end.unsent:
-		c.Guard.Lost(w.Item.ID.Request(), key, t, end.heard)
+		c.Guard.Lost(w.Item.ID.RequestID(), key, t, end.heard)
 	default:
 		c.Guard.Dropped(key, t)
 	}
@@ -165,8 +165,8 @@
 
 func (k *collector) Start(cf.TargetAnswer) error { return nil }
 
-// Seen implements cf.SeenSink.
-func (k *collector) Seen(at cf.Millis) { k.work.Progress.SeenUntil(at) }
+// Watermark implements cf.SeenSink.
+func (k *collector) Watermark(at cf.Millis) { k.work.Progress.SeenUntil(at) }
 
 func (k *collector) Event(ev cf.StreamEvent) error {
 	k.watchdog.Reset(stall)
@@ -195,7 +195,7 @@
 	if err != nil && outer.Err() != nil {
 		return runEnd{outcome: cfrollout.OutcomeStopped, reason: "ended or moved"}
 	}
-	end := runEnd{unsent: errors.Is(err, cf.ErrNotRun), heard: answer.Heard, kept: answer.Kept}
+	end := runEnd{unsent: errors.Is(err, cf.ErrNotRun), heard: answer.Alive, kept: answer.KeepAlive}
 	end.outcome, end.reason = classify(answer, err)
 	return end
 }
--- a/io/cfcoord/waiting.go
+++ b/io/cfcoord/waiting.go
@@ -27,7 +27,7 @@
 		w.Mu.Lock() // it may have begun a moment ago
 		events := w.Text.Last
 		w.Mu.Unlock()
-		c.Log.Warn("item_waits", zap.String("request_id", string(w.Item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
+		c.Log.Warn("item_waits", zap.String("request_id", string(w.Item.ID.RequestID())), cflog.Batch(w.Batch.Sub.ID),
 			zap.String("group_id", string(w.Item.Group)), zap.String("reason", string(x.Reason)), zap.Int64("waited_ms", int64(x.Waited)),
 			zap.String("target", string(w.Engine)), zap.Int64("events", int64(events)), zap.Int64("min_version", int64(w.Batch.Sub.MinVersion)))
 	}
--- a/io/cfcoord/weightorders.go
+++ b/io/cfcoord/weightorders.go
@@ -120,7 +120,7 @@
 	o.mu.Lock()
 	count, known := o.counts[t.ID]
 	o.mu.Unlock()
-	if known && count.born >= t.Born {
+	if known && count.born >= t.Started {
 		return count.seq, nil
 	}
 	r, err := o.ask(ctx, t)
@@ -172,16 +172,16 @@
 func (o *orders) take(id cf.InstanceID, r cf.TargetReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r.Born < o.counts[id].born {
+	if r.Started < o.counts[id].born {
 		return // of the start before
 	}
-	o.counts[id] = orderCount{r.Born, r.Seq}
+	o.counts[id] = orderCount{r.Started, r.Seq}
 	o.reported(id, r)
 }
 
 // startedAgain says whether a report is of a later start than an order was meant
 // for.
-func startedAgain(r cf.TargetReport, t cf.Target) bool { return t.Born > 0 && r.Born > t.Born }
+func startedAgain(r cf.TargetReport, t cf.Target) bool { return t.Started > 0 && r.Started > t.Started }
 
 func holds(r cf.TargetReport, s cfrollout.Swap) bool {
 	for _, m := range r.Models {
--- a/io/cfcoord/weightorders_test.go
+++ b/io/cfcoord/weightorders_test.go
@@ -67,14 +67,14 @@
 // engine's counter began anew.
 func TestReportsOfAnEarlierStartArePassedOver(t *testing.T) {
 	targets := &reportingTargets{reports: []cf.TargetReport{
-		{Born: 20, Seq: 3}, // before the first order
-		{Born: 10, Seq: 9}, // after its conflict: late, of the start before
-		{Born: 20, Seq: 4},
+		{Started: 20, Seq: 3}, // before the first order
+		{Started: 10, Seq: 9}, // after its conflict: late, of the start before
+		{Started: 20, Seq: 4},
 	}}
 	var taken []int64
 	o := newOrders(Options{Targets: targets, Site: engineSite(t), Lease: held{}, Log: zap.NewNop()},
 		func(_ cf.InstanceID, r cf.TargetReport) { taken = append(taken, r.Seq) })
-	swap := cfrollout.Swap{Target: cf.Target{ID: "e", Born: 20}, Model: "m", Version: 2}
+	swap := cfrollout.Swap{Target: cf.Target{ID: "e", Started: 20}, Model: "m", Version: 2}
 	for range 2 {
 		if err := o.carryOut(context.Background(), swap, 1); err == nil {
 			t.Error("an order in conflict succeeded")
--- a/io/cfguard/guard.go
+++ b/io/cfguard/guard.go
@@ -212,7 +212,7 @@
 	inc := cfquarantine.IncarnationOf(target)
 	g.Table.Lost(key, inc, alive, cf.Uptime())
 	g.Log.Info("request_lost", zap.String("request_id", string(id)), digest(key), caller(key), zap.String("target", string(target.ID)),
-		zap.Int64("born_ms", int64(target.Born)), zap.Bool("alive", alive))
+		zap.Int64("born_ms", int64(target.Started)), zap.Bool("alive", alive))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.checking[inc] || g.ctx.Err() != nil {
@@ -234,7 +234,7 @@
 			return
 		}
 		news := g.Table.Checked(inc, asked, loss, cf.Uptime())
-		g.Log.Info("target_checked", zap.String("target", string(target.ID)), zap.Int64("born_ms", int64(target.Born)),
+		g.Log.Info("target_checked", zap.String("target", string(target.ID)), zap.Int64("born_ms", int64(target.Started)),
 			zap.String("loss", string(loss)), zap.Int("strikes", len(news)), cflog.Error(err))
 		g.struck(news)
 		g.mu.Lock()
@@ -274,7 +274,7 @@
 // replaced says whether a start of a target is not listed any more.
 func (g *Guard) replaced(inc cfquarantine.Incarnation) bool {
 	t, listed := g.Site.Target(inc.ID)
-	return !listed || t.Born != inc.Born
+	return !listed || t.Started != inc.Born
 }
 
 // struck counts strikes that were found here, and shares them.
--- a/io/cfguard/guard_test.go
+++ b/io/cfguard/guard_test.go
@@ -50,13 +50,13 @@
 	all := listed{}
 	for n := range 3 {
 		id := cf.InstanceID(fmt.Sprint("t", n))
-		all[id] = cf.Target{ID: id, Born: 1}
+		all[id] = cf.Target{ID: id, Started: 1}
 	}
 	draining, later := listed{}, listed{}
 	for id, target := range all {
 		target.Draining = true
 		draining[id] = target
-		target.Draining, target.Born = false, 2
+		target.Draining, target.Started = false, 2
 		later[id] = target
 	}
 	for _, c := range []struct {
--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -50,7 +50,7 @@
 	in.Log.Info("request_not_identified", zap.String("request_id", request), zap.String("outcome", outcome), zap.String("reason", reason),
 		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(b.Age)), zap.Bool("current", b.Current))
 	if verdict == cfaccess.Undetermined {
-		return cf.Access{}, &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
+		return cf.Access{}, &cf.Refusal{RetryAfter: unsureRetry, Reason: "the configuration may have changed"}
 	}
 	return cf.Access{}, cf.ErrUnauthenticated
 }
@@ -84,7 +84,7 @@
 	if in.belief().Current {
 		return err
 	}
-	return &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
+	return &cf.Refusal{RetryAfter: unsureRetry, Reason: "the configuration may have changed"}
 }
 
 // notFound turns the answer to a caller without a key into one that tells it nothing of
--- a/io/cfingress/admission_test.go
+++ b/io/cfingress/admission_test.go
@@ -196,7 +196,7 @@
 	}}
 	in := newIngress(t, to, cfsite.Route{Kind: cfsite.KindOnce, MaxAttempts: 2, Timeout: 2000, SLO: 150}, "a", "b")
 	for range 10 {
-		if w, _ := ask(in, cf.Request{ID: "r", Deadline: 1500}); w.Code != http.StatusOK {
+		if w, _ := ask(in, cf.Request{ID: "r", Timeout: 1500}); w.Code != http.StatusOK {
 			t.Fatalf("status %d", w.Code)
 		}
 	}
--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -33,14 +33,14 @@
 	if access.Organisation != "" {
 		return cfhold.Caller("o " + access.Organisation)
 	}
-	return cfhold.Caller("m " + who.Machine)
+	return cfhold.Caller("m " + who.ClientID)
 }
 
 // openRoom opens the room of a request's answers. It returns false where the request is
 // refused, as its organisation does not read what it asked for before. Callers that are
 // known by their machine alone may be many: none is refused for what another does not read.
 func (f *forwarding) openRoom(ctx context.Context, w http.ResponseWriter) (*cfroom.Room, bool) {
-	caller, kind := holderOf(f.access, f.req.Who), cfhold.Answer
+	caller, kind := holderOf(f.access, f.req.Credentials), cfhold.Answer
 	if f.route.Kind == cfsite.KindStream {
 		kind = cfhold.Stream
 	}
@@ -61,7 +61,7 @@
 
 // leave ends an attempt for a reason that is not its target's.
 func (f *forwarding) leave(a attempt) {
-	f.use.ended(a.target.ID, cfbalance.Abandoned, a.answer.Wrote)
+	f.use.ended(a.target.ID, cfbalance.Abandoned, a.answer.SentAt)
 	f.done(a, cfbalance.Abandoned, cf.Uptime())
 	f.in.Guard.Dropped(f.key, a.target)
 }
@@ -82,9 +82,9 @@
 // dropBody gives up the request's body before its answer is written: a caller that reads
 // slowly does not keep the memory that others' bodies need.
 func (f *forwarding) dropBody() {
-	if f.pending > 0 || f.req.BodyDone == nil {
+	if f.pending > 0 || f.req.ReleaseBody == nil {
 		return // an attempt that was given up may still send it
 	}
 	f.req.Body = nil
-	f.req.BodyDone()
+	f.req.ReleaseBody()
 }
--- a/io/cfingress/batches.go
+++ b/io/cfingress/batches.go
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithTimeout(ctx, submitBudget)
 	defer cancel()
 	if refusal := in.infeasible(ctx, sub, route.ResultsSLO); refusal != nil {
-		in.Log.Info("batch_refused", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)), zap.Int64("after_ms", int64(refusal.After)),
+		in.Log.Info("batch_refused", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)), zap.Int64("after_ms", int64(refusal.RetryAfter)),
 			zap.String("reason", refusal.Reason), zap.Int64("took_ms", int64(cf.Uptime()-started)))
 		in.countBatch("submit", "refused", started)
 		return refusal
@@ -92,7 +92,7 @@
 	if doubt {
 		return eris.Wrap(cf.ErrUnavailable, "the store did not answer")
 	}
-	return &cf.Refusal{After: storeBack, Reason: "the store takes no batches now"}
+	return &cf.Refusal{RetryAfter: storeBack, Reason: "the store takes no batches now"}
 }
 
 // belongs gives a batch to an organisation.
@@ -119,7 +119,7 @@
 		return page, in.notFound(anonymous, err)
 	}
 	for i := range page.Results {
-		page.Results[i].ID = cf.ItemID(page.Results[i].ID.Request())
+		page.Results[i].ID = cf.ItemID(page.Results[i].ID.RequestID())
 	}
 	return page, nil
 }
@@ -170,7 +170,7 @@
 	if errors.Is(err, cf.ErrNotFound) {
 		return err
 	}
-	return &cf.Refusal{After: storeBack / 2, Reason: err.Error()}
+	return &cf.Refusal{RetryAfter: storeBack / 2, Reason: err.Error()}
 }
 
 // ItemBody returns the body of an item.
--- a/io/cfingress/bodymemory.go
+++ b/io/cfingress/bodymemory.go
@@ -34,7 +34,7 @@
 	}
 	if held := b.held.Add(n); b.most > 0 && held > b.most && held > n {
 		b.held.Add(-n)
-		return nil, &cf.Refusal{After: bodyRetry, Reason: "no memory for the body now"}
+		return nil, &cf.Refusal{RetryAfter: bodyRetry, Reason: "no memory for the body now"}
 	}
 	return func() { b.held.Add(-n) }, nil
 }
--- a/io/cfingress/bodymemory_test.go
+++ b/io/cfingress/bodymemory_test.go
@@ -21,7 +21,7 @@
 	}
 	_, err := b.reserve(30)
 	var refusal *cf.Refusal
-	if !errors.As(err, &refusal) || refusal.After <= 0 {
+	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
 		t.Errorf("a fourth body: %v, want a refusal with when to come back", err)
 	}
 	releases[0]()
--- a/io/cfingress/feasibility.go
+++ b/io/cfingress/feasibility.go
@@ -38,7 +38,7 @@
 		in.Log.Info("step_not_refused", cflog.Batch(sub.ID), zap.Bool("in_store", err == nil), cflog.Error(err))
 		return nil
 	}
-	return &cf.Refusal{After: retryAfter, Reason: "no group of the step could be whole in time"}
+	return &cf.Refusal{RetryAfter: retryAfter, Reason: "no group of the step could be whole in time"}
 }
 
 // withoutBodies returns what the coordinator must know of a step to say what is to be
@@ -47,7 +47,7 @@
 	items := sub.Items
 	sub.Items = make([]cf.Item, len(items))
 	for i, it := range items {
-		sub.Items[i] = cf.Item{ID: it.ID, Group: it.Group, Tokens: it.Tokens, Prompt: it.Prompt, LengthHint: it.LengthHint}
+		sub.Items[i] = cf.Item{ID: it.ID, Group: it.Group, MaxTokens: it.MaxTokens, PromptTokens: it.PromptTokens, LengthHint: it.LengthHint}
 	}
 	return sub
 }
--- a/io/cfingress/feasibility_test.go
+++ b/io/cfingress/feasibility_test.go
@@ -60,7 +60,7 @@
 		}
 		err := in.Submit(ctx, cf.Credentials{}, sub)
 		var refusal *cf.Refusal
-		if got := errors.As(err, &refusal) && refusal.After == 3000; got != c.refused || !got && err != nil {
+		if got := errors.As(err, &refusal) && refusal.RetryAfter == 3000; got != c.refused || !got && err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if _, err := store.Get(ctx, cf.KindBatch, "b"); errors.Is(err, cf.ErrNotFound) != c.refused {
--- a/io/cfingress/forward.go
+++ b/io/cfingress/forward.go
@@ -81,20 +81,20 @@
 		return
 	}
 	// Again, by the same configuration as the route: the body may have taken seconds.
-	access, err := in.identify(config, route.Use(), req.Who, string(req.ID))
+	access, err := in.identify(config, route.Use(), req.Credentials, string(req.ID))
 	if err != nil {
 		in.deny(w, req, err)
 		return
 	}
 	deadline := req.Received + route.Timeout
-	if req.Deadline > 0 && (route.Timeout <= 0 || req.Deadline < route.Timeout) {
-		deadline = req.Received + req.Deadline
+	if req.Timeout > 0 && (route.Timeout <= 0 || req.Timeout < route.Timeout) {
+		deadline = req.Received + req.Timeout
 	}
 	f := &forwarding{
-		in: in, req: req, key: cfquarantine.KeyOf(req.Method, req.Host, req.Path, cfquarantine.CallerOf(access, req.Who), req.Body), access: access,
+		in: in, req: req, key: cfquarantine.KeyOf(req.Method, req.Host, req.Path, cfquarantine.CallerOf(access, req.Credentials), req.Body), access: access,
 		route: route, service: route.PickService(rand.Float64()), version: config.Version,
 		attempts: cfbalance.NewAttempts(route, deadline), tried: map[cf.InstanceID]bool{}, full: map[cf.InstanceID]bool{}, results: make(chan attempt, 8),
-		use: use{count: in.CountRequests, of: access.Organisation}, spent: in.callers.Spent(route.Name, req.Deadline, req.Received),
+		use: use{count: in.CountRequests, of: access.Organisation}, spent: in.callers.Spent(route.Name, req.Timeout, req.Received),
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.attempts.Remaining(cf.Uptime()).Duration())
 	defer cancel()
@@ -122,7 +122,7 @@
 	var refusal *cf.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		answerRefusal(w, refusal.After, refusal.Reason)
+		answerRefusal(w, refusal.RetryAfter, refusal.Reason)
 		in.count("forward", "unsure", req)
 	case errors.Is(err, cf.ErrUnauthenticated):
 		http.Error(w, err.Error(), http.StatusUnauthorized)
@@ -263,13 +263,13 @@
 	if outcome == cfbalance.Failed && a.err == nil {
 		f.last = &a
 	}
-	f.use.ended(a.target.ID, outcome, a.answer.Wrote)
+	f.use.ended(a.target.ID, outcome, a.answer.SentAt)
 	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
 		f.full[a.target.ID] = true
 	}
 	now := cf.Uptime()
 	f.done(a, outcome, now)
-	f.in.balancer.ConnectionKept(a.target.ID, now+a.answer.Kept)
+	f.in.balancer.ConnectionKept(a.target.ID, now+a.answer.KeepAlive)
 	f.follow(a)
 	if !good {
 		f.in.Log.Warn("attempt_failed", zap.String("request_id", string(f.req.ID)), zap.String("target", string(a.target.ID)),
@@ -285,7 +285,7 @@
 	case a.err == nil && !a.answer.NotRun:
 		f.in.Guard.Answered(f.key, a.target, a.sent)
 	case a.err != nil && !a.left && !errors.Is(a.err, cf.ErrNotRun) && !a.foundNoRoom():
-		f.in.Guard.Lost(f.req.ID, f.key, a.target, a.answer.Heard)
+		f.in.Guard.Lost(f.req.ID, f.key, a.target, a.answer.Alive)
 	default:
 		f.in.Guard.Dropped(f.key, a.target)
 	}
@@ -306,7 +306,7 @@
 			if a.answer.NotRun || errors.Is(a.err, cf.ErrNotRun) {
 				outcome = cfbalance.NotRun
 			}
-			f.use.ended(a.target.ID, outcome, a.answer.Wrote)
+			f.use.ended(a.target.ID, outcome, a.answer.SentAt)
 			f.done(a, cfbalance.Abandoned, cf.Uptime())
 			if a.err == nil || overdue {
 				f.follow(a)
--- a/io/cfingress/forward_test.go
+++ b/io/cfingress/forward_test.go
@@ -53,7 +53,7 @@
 	in := newIngress(t, targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 		if sends.Add(1) == 1 {
 			<-second
-			return cf.TargetAnswer{Wrote: marker}, eris.Wrap(cf.ErrNoRoom, "waited")
+			return cf.TargetAnswer{SentAt: marker}, eris.Wrap(cf.ErrNoRoom, "waited")
 		}
 		close(second)
 		<-firstEnded
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -164,8 +164,8 @@
 	return cf.CallerLimits{BodyBytes: c.Limits.BodyBytes}, true
 }
 
-// TakesBatches says whether host and path belong to a route for batches.
-func (in *Ingress) TakesBatches(host, path string) bool {
+// AcceptsBatches says whether host and path belong to a route for batches.
+func (in *Ingress) AcceptsBatches(host, path string) bool {
 	r, ok := in.Site.Config().Match(host, path)
 	return ok && r.Kind == cfsite.KindBatch
 }
--- a/io/cfingress/stream.go
+++ b/io/cfingress/stream.go
@@ -79,7 +79,7 @@
 		now := cf.Uptime()
 		a := f.streamOnce(ctx, target, sink, now)
 		if a.err == nil && a.answer.Status/100 == 2 {
-			f.use.ended(target.ID, cfbalance.Answered, a.answer.Wrote)
+			f.use.ended(target.ID, cfbalance.Answered, a.answer.SentAt)
 			f.done(a, cfbalance.Answered, cf.Uptime())
 			f.follow(a)
 			f.in.Log.Info("stream_answered", zap.String("request_id", string(f.req.ID)), zap.String("target", string(target.ID)),
--- a/io/cflog/log.go
+++ b/io/cflog/log.go
@@ -49,7 +49,7 @@
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (b batchFields) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	id := cf.BatchID(b)
-	enc.AddString("batch_id", id.Bare())
+	enc.AddString("batch_id", id.Unscoped())
 	if o := id.Organisation(); o != "" {
 		enc.AddString("organisation", string(o))
 	}
--- a/io/cfmeter/cfmeter.go
+++ b/io/cfmeter/cfmeter.go
@@ -42,29 +42,29 @@
 type (
 	// Options are what the duty works with.
 	Options struct {
-		Act      cf.Act
+		Lease    cf.LeaseToken
 		Store    cf.Store
 		Metering cf.Metering
-		Terms    cfusage.WindowTiming
+		Timing   cfusage.WindowTiming
 		// MayAct says whether the term allows a call now.
 		MayAct func() bool
 		// Now returns the time of day.
 		Now func() cf.Millis
-		// Own returns the counts of this instance, Taken that they were taken.
-		Own func(term cf.Revision) cfusage.MeterReport
-		// Settled tells the last window of which a report lies in the store.
-		Settled func(cf.UsageWindow)
-		// Expect are the instances that may have counts.
-		Expect []cf.EntryID
-		// Base is what the holder before had heard, as BaseNow gave it.
-		Base    json.RawMessage
-		Metrics *Metrics
-		Log     *zap.Logger
+		// LocalCounts returns the counts of this instance, Taken that they were taken.
+		LocalCounts func(term cf.Revision) cfusage.MeterReport
+		// OnSettled tells the last window of which a report lies in the store.
+		OnSettled func(cf.UsageWindow)
+		// Instances are the instances that may have counts.
+		Instances []cf.EntryID
+		// Inherited is what the holder before had heard, as Snapshot gave it.
+		Inherited json.RawMessage
+		Metrics   *Metrics
+		Log       *zap.Logger
 	}
 
-	// Duty reports use. It is safe for concurrent use. Close ends it and waits for the
+	// Collector reports use. It is safe for concurrent use. Close ends it and waits for the
 	// call under way.
-	Duty struct {
+	Collector struct {
 		Options
 		ctx    context.Context
 		cancel context.CancelFunc
@@ -95,16 +95,16 @@
 }
 
 // New returns a duty that has not started.
-func New(o Options) *Duty {
+func New(o Options) *Collector {
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &Duty{Options: o, ctx: ctx, cancel: cancel, account: cfusage.NewAggregator(o.Terms.Length), keeper: cfusage.NewReporter(o.Terms)}
+	d := &Collector{Options: o, ctx: ctx, cancel: cancel, account: cfusage.NewAggregator(o.Timing.Length), keeper: cfusage.NewReporter(o.Timing)}
 	now := o.Now()
-	for _, e := range o.Expect {
+	for _, e := range o.Instances {
 		d.account.Expect(e, now)
 	}
-	if len(o.Base) > 0 {
+	if len(o.Inherited) > 0 {
 		var base cfusage.Snapshot
-		if err := json.Unmarshal(o.Base, &base); err != nil {
+		if err := json.Unmarshal(o.Inherited, &base); err != nil {
 			o.Log.Error("usage_base_not_read", cflog.Error(err))
 		}
 		d.account.Restore(base)
@@ -113,8 +113,8 @@
 	return d
 }
 
-// BaseNow returns what a successor needs if this instance is lost.
-func (d *Duty) BaseNow() json.RawMessage {
+// Snapshot returns what a successor needs if this instance is lost.
+func (d *Collector) Snapshot() json.RawMessage {
 	d.mu.Lock()
 	base := d.account.Snapshot()
 	d.mu.Unlock()
@@ -129,18 +129,18 @@
 }
 
 // Start begins the duty.
-func (d *Duty) Start() { d.wg.Go(d.loop) }
+func (d *Collector) Start() { d.wg.Go(d.loop) }
 
 // Close ends the duty.
-func (d *Duty) Close() error {
+func (d *Collector) Close() error {
 	d.cancel()
 	d.wg.Wait()
 	return nil
 }
 
-// Take takes what an instance has counted. It returns the last window of which there is a
+// Add takes what an instance has counted. It returns the last window of which there is a
 // report.
-func (d *Duty) Take(r cfusage.MeterReport) cf.UsageWindow {
+func (d *Collector) Add(r cfusage.MeterReport) cf.UsageWindow {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, late := range d.account.Add(r) {
@@ -156,7 +156,7 @@
 	return d.keeper.Settled()
 }
 
-func (d *Duty) loop() {
+func (d *Collector) loop() {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -171,8 +171,8 @@
 }
 
 // step does what is due; it returns true if more may be.
-func (d *Duty) step() bool {
-	d.Take(d.Own(d.Act.Fence))
+func (d *Collector) step() bool {
+	d.Add(d.LocalCounts(d.Lease.Fence))
 	if d.ctx.Err() != nil || !d.MayAct() {
 		return false
 	}
@@ -192,7 +192,7 @@
 }
 
 // read reads what lies in the store.
-func (d *Duty) read() bool {
+func (d *Collector) read() bool {
 	r, err := d.Store.Get(d.ctx, cf.KindUsage, reportsName)
 	var kept cfusage.Outbox
 	if err == nil {
@@ -216,7 +216,7 @@
 }
 
 // keep writes the reports that are due.
-func (d *Duty) keep(step cfusage.Step) bool {
+func (d *Collector) keep(step cfusage.Step) bool {
 	var r cf.Record
 	var err error
 	if step.Rev == 0 {
@@ -240,27 +240,27 @@
 }
 
 // logKept logs a report as it lies in the store, as far as a line can hold it.
-func (d *Duty) logKept(p cf.UsageReport, rev cf.Revision) {
+func (d *Collector) logKept(p cf.UsageReport, rev cf.Revision) {
 	counts := zap.Skip()
 	if len(p.Counts) <= loggedMost {
 		counts = zap.Any("counts", p.Counts)
 	}
-	d.Log.Info("usage_kept", zap.Int64("window", int64(p.Window)), zap.Int64("term", int64(d.Act.Fence)), zap.Int64("revision", int64(rev)),
+	d.Log.Info("usage_kept", zap.Int64("window", int64(p.Window)), zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(rev)),
 		zap.Int("organisations", len(p.Counts)), counts)
 }
 
 // settle lets the instances forget what is kept. d.mu is held.
-func (d *Duty) settle() {
+func (d *Collector) settle() {
 	d.account.Settle(d.keeper.Settled())
-	d.Settled(d.keeper.Settled())
+	d.OnSettled(d.keeper.Settled())
 }
 
 // send sends a report.
-func (d *Duty) send(report cf.UsageReport) bool {
+func (d *Collector) send(report cf.UsageReport) bool {
 	ctx, cancel := context.WithTimeout(d.ctx, sendTimeout)
 	defer cancel()
 	began := time.Now()
-	err := d.Metering.ReportUsage(ctx, d.Act, report)
+	err := d.Metering.ReportUsage(ctx, d.Lease, report)
 	outcome := "taken"
 	switch {
 	case errors.Is(err, cf.ErrFenced):
@@ -271,8 +271,8 @@
 		outcome = "refused"
 	}
 	d.Metrics.Reports.WithLabelValues(outcome).Inc()
-	d.Log.Info("usage_sent", zap.Int64("window", int64(report.Window)), zap.Int64("term", int64(d.Act.Fence)), zap.String("outcome", outcome),
-		zap.Int64("took_ms", time.Since(began).Milliseconds()), zap.Int64("after_its_end_ms", int64(d.Now()-report.Window.Ends(d.Terms.Length))), cflog.Error(err))
+	d.Log.Info("usage_sent", zap.Int64("window", int64(report.Window)), zap.Int64("term", int64(d.Lease.Fence)), zap.String("outcome", outcome),
+		zap.Int64("took_ms", time.Since(began).Milliseconds()), zap.Int64("after_its_end_ms", int64(d.Now()-report.Window.End(d.Timing.Length))), cflog.Error(err))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -16,7 +16,7 @@
 type autoscale struct {
 	node    *Node
 	metrics *cfautoscale.Metrics
-	duty    atomic.Pointer[cfautoscale.Duty]
+	duty    atomic.Pointer[cfautoscale.Controller]
 }
 
 // newAutoscale returns nil where no engines are to be ordered.
@@ -36,12 +36,12 @@
 	n := a.node
 	term, _ := n.candidate.MayOrder()
 	d := cfautoscale.New(cfautoscale.Options{
-		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Follows: follows, Store: n.adapter.Store, Scaling: n.adapter.Scaling,
+		Lease: cf.LeaseToken{Holder: n.settings.Entry, Fence: term}, HasPredecessor: follows, Store: n.adapter.Store, Scaling: n.adapter.Scaling,
 		MayAct: func() bool {
 			now, ok := n.candidate.MayOrder()
 			return ok && now == term
 		},
-		Ordered: n.candidate.Ordered, Demand: c.Demand, Terms: a.terms, Metrics: a.metrics, Log: n.log,
+		NoteOrder: n.candidate.Ordered, Demand: c.Demand, Policies: a.terms, Metrics: a.metrics, Log: n.log,
 	})
 	a.duty.Store(d)
 	d.Start()
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -168,6 +168,6 @@
 func (r *relays) failed(now cf.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.via, r.rest = "", now+relayRest.Doubled(r.failures, relayRestMost)
+	r.via, r.rest = "", now+relayRest.Backoff(r.failures, relayRestMost)
 	r.failures++
 }
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -46,7 +46,7 @@
 	clock   cfusage.Clock
 	metrics *cfmeter.Metrics
 	// duty is set while this instance reports.
-	duty   atomic.Pointer[cfmeter.Duty]
+	duty   atomic.Pointer[cfmeter.Collector]
 	toldAt atomic.Int64 // Uptime
 }
 
@@ -111,10 +111,10 @@
 
 func (u *usage) serve(_ context.Context, m usageMessage) (any, error) {
 	d := u.duty.Load()
-	if d == nil || d.Act.Fence != m.Term {
+	if d == nil || d.Lease.Fence != m.Term {
 		return false, nil
 	}
-	d.Take(m.Report)
+	d.Add(m.Report)
 	return true, nil
 }
 
@@ -136,7 +136,7 @@
 	if d == nil {
 		return false, 0
 	}
-	return true, d.Take(*r)
+	return true, d.Add(*r)
 }
 
 // heard takes the answer to a report of life.
@@ -188,11 +188,11 @@
 	from := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverSlack
 	s := n.settings.Usage
 	d := cfmeter.New(cfmeter.Options{
-		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
-		Terms: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageReserve, 0), RetryDelay: usageRetry},
+		Lease: cf.LeaseToken{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
+		Timing: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageReserve, 0), RetryDelay: usageRetry},
 		// A holder before may have called until its lease ran out.
 		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= from },
-		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.own(term) }, Settled: u.meter.Settle, Expect: expect, Base: base,
+		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.own(term) }, OnSettled: u.meter.Settle, Instances: expect, Inherited: base,
 		Metrics: u.metrics, Log: n.log,
 	})
 	u.duty.Store(d)
@@ -208,7 +208,7 @@
 	if d == nil {
 		return nil
 	}
-	return d.BaseNow()
+	return d.Snapshot()
 }
 
 // flush tells the holder the last counts of an instance that stops, until they are taken
--- a/io/cfrunner/cfrunner.go
+++ b/io/cfrunner/cfrunner.go
@@ -55,55 +55,55 @@
 	// started again, or has stopped its runs, begins another one.
 	SessionID uint64
 
-	// Start asks a host to hold the stream of a run.
-	Start struct {
+	// StartOrder asks a host to hold the stream of a run.
+	StartOrder struct {
 		Run    RunID         `cbor:"run"`
 		Target cf.Target     `cbor:"target"`
 		Call   cf.TargetCall `cbor:"call"`
 	}
 
-	// Duty names a coordinator's time: its term, and a number of its own, since an
+	// Incarnation names a coordinator's time: its term, and a number of its own, since an
 	// instance that starts again may go on with its term.
-	Duty struct {
+	Incarnation struct {
 		Term   cf.Revision `cbor:"term"`
 		Number uint64      `cbor:"number"`
 	}
 
 	// Orders start and stop runs of a session.
 	Orders struct {
-		Duty    Duty      `cbor:"duty"`
-		Session SessionID `cbor:"session"`
-		// Clock is the host's clock as of the latest report.
-		Clock  cf.Millis `cbor:"clock"`
-		Starts []Start   `cbor:"starts,omitempty"`
-		Stops  []RunID   `cbor:"stops,omitempty"`
+		Incarnation Incarnation `cbor:"duty"`
+		Session     SessionID   `cbor:"session"`
+		// HostClock is the host's clock as of the latest report.
+		HostClock cf.Millis    `cbor:"clock"`
+		Starts    []StartOrder `cbor:"starts,omitempty"`
+		Stops     []RunID      `cbor:"stops,omitempty"`
 	}
 
-	// Collect asks a host for news.
-	Collect struct {
-		Duty    Duty      `cbor:"duty"`
-		Session SessionID `cbor:"session"`
-		// Got is the number of the last report that arrived.
-		Got int64 `cbor:"got"`
-		// Clock is the host's clock when the question was sent, or some time before:
+	// CollectRequest asks a host for news.
+	CollectRequest struct {
+		Incarnation Incarnation `cbor:"duty"`
+		Session     SessionID   `cbor:"session"`
+		// LastReport is the number of the last report that arrived.
+		LastReport int64 `cbor:"got"`
+		// HostClock is the host's clock when the question was sent, or some time before:
 		// by its latest report and the time since that arrived.
-		Clock cf.Millis `cbor:"clock"`
+		HostClock cf.Millis `cbor:"clock"`
 	}
 
 	// Report is what the streams of a session brought since the report before.
 	Report struct {
 		Session SessionID `cbor:"session"`
 		Number  int64     `cbor:"number"`
-		// Clock is the host's clock now; the events' times are by it.
-		Clock cf.Millis `cbor:"clock"`
-		Runs  []News    `cbor:"runs,omitempty"`
+		// HostClock is the host's clock now; the events' times are by it.
+		HostClock cf.Millis   `cbor:"clock"`
+		Runs      []RunUpdate `cbor:"runs,omitempty"`
 	}
 
-	// News is what one run brought.
-	News struct {
+	// RunUpdate is what one run brought.
+	RunUpdate struct {
 		Run    RunID   `cbor:"run"`
 		Events []Event `cbor:"events,omitempty"`
-		End    *End    `cbor:"end,omitempty"`
+		End    *RunEnd `cbor:"end,omitempty"`
 	}
 
 	// Event is one event of a stream.
@@ -114,16 +114,16 @@
 		At      cf.Millis        `cbor:"at"`
 	}
 
-	// End is how a run ended.
-	End struct {
+	// RunEnd is how a run ended.
+	RunEnd struct {
 		Status int    `cbor:"status,omitempty"`
 		NotRun bool   `cbor:"not_run,omitempty"`
 		Error  string `cbor:"error,omitempty"`
 		// NotSent: the error is that the request did not reach the target.
 		NotSent bool `cbor:"not_sent,omitempty"`
-		// Heard is that of the target's answer.
-		Heard bool `cbor:"heard,omitempty"`
-		// NotHeld: the host has no such run.
-		NotHeld bool `cbor:"not_held,omitempty"`
+		// Alive is that of the target's answer.
+		Alive bool `cbor:"heard,omitempty"`
+		// UnknownRun: the host has no such run.
+		UnknownRun bool `cbor:"not_held,omitempty"`
 	}
 )
--- a/io/cfrunner/cfrunner_test.go
+++ b/io/cfrunner/cfrunner_test.go
@@ -77,7 +77,7 @@
 	host, gone, lose, late := w.host, w.gone, w.lose, w.late
 	w.mu.Unlock()
 	if late > 0 {
-		if c, ok := body.(Collect); ok {
+		if c, ok := body.(CollectRequest); ok {
 			time.AfterFunc(late, func() { _, _ = host.Collect(context.Background(), c) })
 		}
 		<-ctx.Done()
@@ -93,10 +93,10 @@
 	var err error
 	switch op {
 	case OpOrders:
-		*out.(*bool), err = host.Orders(ctx, body.(Orders))
+		*out.(*bool), err = host.ApplyOrders(ctx, body.(Orders))
 	case OpCollect:
 		var r Report
-		if r, err = host.Collect(ctx, body.(Collect)); err == nil {
+		if r, err = host.Collect(ctx, body.(CollectRequest)); err == nil {
 			*out.(*Report) = r
 		}
 	}
@@ -293,22 +293,22 @@
 	g := newGated()
 	h := NewHost(g, zap.NewNop())
 	t.Cleanup(func() { _ = h.Close() })
-	duty := Duty{Term: 5, Number: 1}
-	first, err := h.Collect(context.Background(), Collect{Duty: duty})
+	duty := Incarnation{Term: 5, Number: 1}
+	first, err := h.Collect(context.Background(), CollectRequest{Incarnation: duty})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := Orders{Duty: duty, Session: first.Session, Clock: first.Clock - startFresh - 1, Starts: []Start{{Run: 1, Call: cf.TargetCall{ID: "old"}}}}
-	if _, err := h.Orders(context.Background(), old); err != nil {
+	old := Orders{Incarnation: duty, Session: first.Session, HostClock: first.HostClock - startFresh - 1, Starts: []StartOrder{{Run: 1, Call: cf.TargetCall{ID: "old"}}}}
+	if _, err := h.ApplyOrders(context.Background(), old); err != nil {
 		t.Fatal(err)
 	}
-	r, err := h.Collect(context.Background(), Collect{Duty: duty, Session: first.Session, Got: first.Number})
+	r, err := h.Collect(context.Background(), CollectRequest{Incarnation: duty, Session: first.Session, LastReport: first.Number})
 	if err != nil || len(r.Runs) != 1 || r.Runs[0].End == nil || !r.Runs[0].End.NotRun {
 		t.Errorf("news of an old order: %+v, %v", r.Runs, err)
 	}
 	h.Fence(6)
-	late := Orders{Duty: duty, Session: first.Session, Clock: r.Clock, Starts: []Start{{Run: 2, Call: cf.TargetCall{ID: "late"}}}}
-	if _, err := h.Orders(context.Background(), late); !errors.Is(err, cf.ErrFenced) {
+	late := Orders{Incarnation: duty, Session: first.Session, HostClock: r.HostClock, Starts: []StartOrder{{Run: 2, Call: cf.TargetCall{ID: "late"}}}}
+	if _, err := h.ApplyOrders(context.Background(), late); !errors.Is(err, cf.ErrFenced) {
 		t.Errorf("an order of an earlier term: %v", err)
 	}
 	if g.begun("old")+g.begun("late") > 0 {
@@ -382,21 +382,21 @@
 		f := flood{numbered: numbered, sent: make(chan int, 100)}
 		host := NewHost(f, zap.NewNop())
 		defer func() { _ = host.Close() }()
-		duty := Duty{Term: 5, Number: 1}
-		first, err := host.Collect(t.Context(), Collect{Duty: duty})
+		duty := Incarnation{Term: 5, Number: 1}
+		first, err := host.Collect(t.Context(), CollectRequest{Incarnation: duty})
 		if err != nil {
 			t.Fatal(err)
 		}
-		starts := make([]Start, 50)
+		starts := make([]StartOrder, 50)
 		for i := range starts {
-			starts[i] = Start{Run: RunID(i + 1), Call: cf.TargetCall{ID: "r"}}
+			starts[i] = StartOrder{Run: RunID(i + 1), Call: cf.TargetCall{ID: "r"}}
 		}
-		if _, err := host.Orders(t.Context(), Orders{Duty: duty, Session: first.Session, Clock: cf.Uptime(), Starts: starts}); err != nil {
+		if _, err := host.ApplyOrders(t.Context(), Orders{Incarnation: duty, Session: first.Session, HostClock: cf.Uptime(), Starts: starts}); err != nil {
 			t.Fatal(err)
 		}
 		most, ends, got := 0, 0, first.Number
 		for ends < len(starts) {
-			r, err := host.Collect(t.Context(), Collect{Duty: duty, Session: first.Session, Got: got, Clock: cf.Uptime()})
+			r, err := host.Collect(t.Context(), CollectRequest{Incarnation: duty, Session: first.Session, LastReport: got, HostClock: cf.Uptime()})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/io/cfrunner/host.go
+++ b/io/cfrunner/host.go
@@ -47,7 +47,7 @@
 	// session is what a host holds for one coordinator.
 	session struct {
 		id     SessionID
-		duty   Duty
+		duty   Incarnation
 		ctx    context.Context
 		cancel context.CancelFunc
 
@@ -56,7 +56,7 @@
 		runs  map[RunID]*hosted
 		last  RunID // the latest that was started
 		// news are the ends of runs that are not among runs.
-		news []News
+		news []RunUpdate
 		// sent is the latest report, acked the number of the latest that is known
 		// to have arrived.
 		sent  Report
@@ -70,7 +70,7 @@
 	hosted struct {
 		cancel context.CancelFunc
 		events []Event
-		end    *End
+		end    *RunEnd
 		// last is the last event, held what those take that no report has.
 		last cf.EventID
 		held int64
@@ -114,7 +114,7 @@
 }
 
 // join returns the session of a coordinator, a new one if there is none.
-func (h *Host) join(d Duty) (*session, error) {
+func (h *Host) join(d Incarnation) (*session, error) {
 	h.Fence(d.Term)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -153,17 +153,17 @@
 	}
 }
 
-// Orders starts and stops runs. Starts that the session knows are passed over: an
+// ApplyOrders starts and stops runs. Starts that the session knows are passed over: an
 // order without an answer is given again.
-func (h *Host) Orders(_ context.Context, o Orders) (bool, error) {
-	s, err := h.join(o.Duty)
+func (h *Host) ApplyOrders(_ context.Context, o Orders) (bool, error) {
+	s, err := h.join(o.Incarnation)
 	if err != nil {
 		return false, err
 	}
 	if s.id != o.Session {
 		return false, eris.Wrapf(cf.ErrConflict, "session %d, not %d", s.id, o.Session)
 	}
-	age := cf.Uptime() - o.Clock
+	age := cf.Uptime() - o.HostClock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range o.Starts {
@@ -174,7 +174,7 @@
 		if age > startFresh || s.ctx.Err() != nil {
 			h.log.Warn("run_not_started", zap.String("request_id", string(st.Call.ID)), zap.String("target", string(st.Target.ID)),
 				zap.Int64("order_age_ms", int64(age)))
-			s.settle(st.Run, End{NotRun: true})
+			s.settle(st.Run, RunEnd{NotRun: true})
 			continue
 		}
 		h.start(s, st)
@@ -183,21 +183,21 @@
 		if r := s.runs[id]; r != nil {
 			r.cancel()
 		} else {
-			s.settle(id, End{NotHeld: true}) // ended, or never begun
+			s.settle(id, RunEnd{UnknownRun: true}) // ended, or never begun
 		}
 	}
 	return true, nil
 }
 
 // start runs a stream. s.mu is held.
-func (h *Host) start(s *session, st Start) {
+func (h *Host) start(s *session, st StartOrder) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	r := &hosted{cancel: cancel, last: st.Call.ResumeAfter}
 	s.runs[st.Run] = r
 	h.wg.Go(func() {
 		defer cancel()
 		answer, err := h.targets.Stream(ctx, st.Target, st.Call, hostSink{s, r})
-		end := &End{Status: answer.Status, NotRun: answer.NotRun, Heard: answer.Heard}
+		end := &RunEnd{Status: answer.Status, NotRun: answer.NotRun, Alive: answer.Alive}
 		if err != nil {
 			end.Error, end.NotSent = err.Error(), errors.Is(err, cf.ErrNotRun)
 		}
@@ -232,8 +232,8 @@
 }
 
 // settle reports the end of a run that is not held. s.mu is held.
-func (s *session) settle(id RunID, end End) {
-	s.news = append(s.news, News{Run: id, End: &end})
+func (s *session) settle(id RunID, end RunEnd) {
+	s.news = append(s.news, RunUpdate{Run: id, End: &end})
 	s.wake()
 }
 
@@ -247,8 +247,8 @@
 
 // Collect answers a question for news: after a while, or as soon as a run has
 // ended.
-func (h *Host) Collect(ctx context.Context, c Collect) (Report, error) {
-	s, err := h.join(c.Duty)
+func (h *Host) Collect(ctx context.Context, c CollectRequest) (Report, error) {
+	s, err := h.join(c.Incarnation)
 	if err != nil {
 		return Report{}, err
 	}
@@ -270,12 +270,12 @@
 
 // acknowledge notes that the coordinator asks, and what it has; it returns the
 // latest report if that did not arrive.
-func (s *session) acknowledge(c Collect) (Report, bool) {
+func (s *session) acknowledge(c CollectRequest) (Report, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Session == s.id {
-		s.asked = max(s.asked, askedAt(c.Clock, cf.Uptime()))
-		s.acked = max(s.acked, c.Got)
+		s.asked = max(s.asked, askedAt(c.HostClock, cf.Uptime()))
+		s.acked = max(s.acked, c.LastReport)
 	}
 	return s.again()
 }
@@ -283,7 +283,7 @@
 // again returns the latest report if it is not known to have arrived. s.mu is held.
 func (s *session) again() (Report, bool) {
 	r := s.sent
-	r.Clock = cf.Uptime()
+	r.HostClock = cf.Uptime()
 	return r, s.acked < s.sent.Number
 }
 
@@ -294,7 +294,7 @@
 	if r, lost := s.again(); lost {
 		return r
 	}
-	out := Report{Session: s.id, Number: s.sent.Number + 1, Clock: cf.Uptime(), Runs: s.news}
+	out := Report{Session: s.id, Number: s.sent.Number + 1, HostClock: cf.Uptime(), Runs: s.news}
 	s.news = nil
 	size := int64(0)
 	for id, r := range s.runs {
@@ -308,7 +308,7 @@
 		size += r.held
 		s.unsent.Free(r.held)
 		r.held = 0
-		out.Runs = append(out.Runs, News{Run: id, Events: r.events, End: r.end})
+		out.Runs = append(out.Runs, RunUpdate{Run: id, Events: r.events, End: r.end})
 		r.events = nil
 		if r.end != nil {
 			delete(s.runs, id)
--- a/io/cfrunner/link.go
+++ b/io/cfrunner/link.go
@@ -47,7 +47,7 @@
 		clockAt cf.Millis
 		got     int64
 		runs    map[RunID]*run
-		starts  []Start
+		starts  []StartOrder
 		stops   []RunID
 		used    cf.Millis // when it last had a run
 	}
@@ -62,7 +62,7 @@
 		given  bool // the host has the order
 		events []cf.StreamEvent
 		seen   cf.Millis
-		end    *End
+		end    *RunEnd
 		err    error // without the host's word
 	}
 )
@@ -87,7 +87,7 @@
 	id := RunID(l.pool.runs.Add(1)) // under the lock: a host takes them in their order
 	r := &run{link: l, id: id, wake: make(chan struct{}, 1)}
 	l.runs[id] = r
-	l.starts = append(l.starts, Start{id, t, call})
+	l.starts = append(l.starts, StartOrder{id, t, call})
 	l.poke()
 	return r
 }
@@ -133,7 +133,7 @@
 	if l.session == 0 || len(l.starts)+len(l.stops) == 0 {
 		return Orders{}, false
 	}
-	o := Orders{Duty: l.pool.duty, Session: l.session, Clock: l.clock, Starts: l.starts, Stops: l.stops}
+	o := Orders{Incarnation: l.pool.duty, Session: l.session, HostClock: l.clock, Starts: l.starts, Stops: l.stops}
 	l.starts, l.stops = nil, nil
 	return o, true
 }
@@ -164,7 +164,7 @@
 		}
 		asked := cf.Uptime()
 		l.mu.Lock()
-		call := Collect{Duty: l.pool.duty, Session: l.session, Got: l.got, Clock: l.clock + asked - l.clockAt}
+		call := CollectRequest{Incarnation: l.pool.duty, Session: l.session, LastReport: l.got, HostClock: l.clock + asked - l.clockAt}
 		l.mu.Unlock()
 		ctx, cancel := context.WithTimeout(l.pool.ctx, (reportEvery + answerTime).Duration())
 		var rep Report
@@ -236,13 +236,13 @@
 		}
 		l.session, l.got = rep.Session, 0
 	}
-	l.clock, l.clockAt = rep.Clock, now
+	l.clock, l.clockAt = rep.HostClock, now
 	l.poke()
 	if rep.Number <= l.got {
 		return // it was given again, and had arrived
 	}
 	l.got = rep.Number
-	offset := now - rep.Clock
+	offset := now - rep.HostClock
 	for _, n := range rep.Runs {
 		r := l.runs[n.Run]
 		if r == nil {
@@ -294,7 +294,7 @@
 // follow hands the run's events on until it has ended. A run that ctx ends is
 // stopped; it is over when its host says so.
 func (r *run) follow(ctx context.Context, sink cf.StreamSink) (cf.TargetAnswer, error) {
-	seer, _ := sink.(cf.SeenSink)
+	seer, _ := sink.(cf.WatermarkSink)
 	stopped := ctx.Done()
 	var hurried <-chan struct{}
 	var late <-chan time.Time
@@ -328,7 +328,7 @@
 			}
 		}
 		if seer != nil && seen > 0 {
-			seer.Seen(seen)
+			seer.Watermark(seen)
 		}
 		switch {
 		case err != nil:
@@ -336,12 +336,12 @@
 		case end == nil:
 		case failure != nil:
 			return cf.TargetAnswer{}, failure
-		case end.NotHeld:
+		case end.UnknownRun:
 			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "not held")
 		case end.NotSent:
 			return cf.TargetAnswer{}, eris.Wrap(cf.ErrNotRun, end.Error)
 		case end.Error != "":
-			return cf.TargetAnswer{Status: end.Status, Heard: end.Heard}, eris.Wrap(cf.ErrMaybeRan, end.Error)
+			return cf.TargetAnswer{Status: end.Status, Alive: end.Alive}, eris.Wrap(cf.ErrMaybeRan, end.Error)
 		default:
 			return cf.TargetAnswer{Status: end.Status, NotRun: end.NotRun}, nil
 		}
@@ -349,7 +349,7 @@
 }
 
 // news takes what the run has brought.
-func (r *run) news() (events []cf.StreamEvent, seen cf.Millis, end *End, err error) {
+func (r *run) news() (events []cf.StreamEvent, seen cf.Millis, end *RunEnd, err error) {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
 	events, r.events = r.events, nil
--- a/io/cfrunner/patience.go
+++ b/io/cfrunner/polltimeout.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// Patience is how long a host keeps its runs without a question for news:
+	// PollTimeout is how long a host keeps its runs without a question for news:
 	// several questions, and less than a successor of a silent coordinator waits
 	// before it takes over.
-	Patience cf.Millis = 1200
+	PollTimeout cf.Millis = 1200
 	// lostSlack is added to the host's patience, for its look at the clock.
 	lostSlack cf.Millis = 150
 )
@@ -19,8 +19,8 @@
 func askedAt(clock, now cf.Millis) cf.Millis { return min(now, clock) }
 
 // holds says whether a host that was last asked then keeps its runs.
-func holds(asked, now cf.Millis) bool { return now-asked <= Patience }
+func holds(asked, now cf.Millis) bool { return now-asked <= PollTimeout }
 
 // givenUpBy returns when a host whose last question was sent then has surely given its
 // runs up, if it has heard nothing later.
-func givenUpBy(asked cf.Millis) cf.Millis { return asked + Patience + lostSlack }
+func givenUpBy(asked cf.Millis) cf.Millis { return asked + PollTimeout + lostSlack }
--- a/io/cfrunner/pool.go
+++ b/io/cfrunner/pool.go
@@ -51,7 +51,7 @@
 	// here. It is safe for concurrent use. Close stops what it started and waits.
 	Pool struct {
 		Options
-		duty   Duty
+		duty   Incarnation
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
@@ -82,22 +82,22 @@
 func NewPool(o Options) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
-		Options: o, duty: Duty{Term: o.Term, Number: rand.Uint64()}, ctx: ctx, cancel: cancel, hurried: make(chan struct{}),
+		Options: o, duty: Incarnation{Term: o.Term, Number: rand.Uint64()}, ctx: ctx, cancel: cancel, hurried: make(chan struct{}),
 		used: map[cf.InstanceID]usedEngine{}, links: map[cf.EntryID]*link{}, avoid: map[cf.EntryID]cf.Millis{},
 	}
 }
 
 // Close ends all streams and waits.
 func (p *Pool) Close() error {
-	p.Hurry()
+	p.LimitStopWait()
 	p.cancel()
 	p.wg.Wait()
 	return nil
 }
 
-// Hurry makes streams that are stopped from now on wait only briefly for their
+// LimitStopWait makes streams that are stopped from now on wait only briefly for their
 // hosts: a successor waits for what this instance has.
-func (p *Pool) Hurry() { p.hurry.Do(func() { close(p.hurried) }) }
+func (p *Pool) LimitStopWait() { p.hurry.Do(func() { close(p.hurried) }) }
 
 // Route returns the way of a stream that is about to begin. A sink that is a
 // cf.SeenSink also learns until when no events were missing.
--- a/io/cfrunner/endless_test.go
+++ b/io/cfrunner/unboundedstream_test.go
@@ -35,12 +35,12 @@
 	targets := endless{taken: make(chan int, 1)}
 	h := NewHost(targets, zap.NewNop())
 	defer func() { _ = h.Close() }()
-	s, err := h.join(Duty{Term: 1})
+	s, err := h.join(Incarnation{Term: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.mu.Lock()
-	h.start(s, Start{Run: 1})
+	h.start(s, StartOrder{Run: 1})
 	s.mu.Unlock()
 	select {
 	case n := <-targets.taken:
--- a/io/cfwatch/site.go
+++ b/io/cfwatch/site.go
@@ -73,9 +73,9 @@
 				}
 				ts = append(ts, t)
 			}
-			gone, applied := site.ReplaceTargets(ts, list.At, cf.Uptime())
+			gone, applied := site.ReplaceTargets(ts, list.Rev, cf.Uptime())
 			log.Info("targets_listed", zap.Int("targets", len(ts)), zap.Int("gone", len(gone)), zap.Bool("applied", applied),
-				zap.Int64("revision", int64(list.At)))
+				zap.Int64("revision", int64(list.Rev)))
 			return errors.Join(errs...)
 		},
 		OnRevision:  site.Advance,
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -183,7 +183,7 @@
 			w.notTaken("list_not_taken", "", err)
 		}
 		w.listed, w.behind = true, w.OnCaughtUp != nil
-		w.reached(list.At, asked)
+		w.reached(list.Rev, asked)
 		return nil
 	}
 	wait := w.Wait
@@ -207,7 +207,7 @@
 			w.notTaken("change_not_taken", r.Name, err)
 		}
 	}
-	w.reached(changes.At, cf.Uptime())
+	w.reached(changes.Rev, cf.Uptime())
 	if w.behind {
 		w.behind = false
 		w.OnCaughtUp()
--- a/organisation.go
+++ b/organisation.go
@@ -20,8 +20,8 @@
 	// Credentials are what a request bears of who sends it.
 	Credentials struct {
 		Keys []APIKey
-		// Machine tells callers apart where there are no organisations.
-		Machine string
+		// ClientID tells callers apart where there are no organisations.
+		ClientID string
 	}
 
 	// Access is who a request was found to come from.
@@ -94,8 +94,8 @@
 // Organisation returns whose batch it is.
 func (id BatchID) Organisation() Organisation { return owner(string(id)) }
 
-// Bare returns the id as the caller chose it.
-func (id BatchID) Bare() string { return bare(string(id)) }
+// Unscoped returns the id as the caller chose it.
+func (id BatchID) Unscoped() string { return bare(string(id)) }
 
-// Request returns the id that the item bears at a target, as its submitter chose it.
-func (id ItemID) Request() RequestID { return RequestID(bare(string(id))) }
+// RequestID returns the id that the item bears at a target, as its submitter chose it.
+func (id ItemID) RequestID() RequestID { return RequestID(bare(string(id))) }
--- a/organisation_test.go
+++ b/organisation_test.go
@@ -11,8 +11,8 @@
 	for _, o := range organisations {
 		for _, id := range ids {
 			in := o.Batch(id)
-			if in.Bare() != string(id) || in.Organisation() != o {
-				t.Errorf("batch %q of %q is %q: %q of %q", id, o, in, in.Bare(), in.Organisation())
+			if in.Unscoped() != string(id) || in.Organisation() != o {
+				t.Errorf("batch %q of %q is %q: %q of %q", id, o, in, in.Unscoped(), in.Organisation())
 			}
 			if other, met := seen[in]; met {
 				t.Errorf("batch %q of %q is that of %s", id, o, other)
--- a/scaling.go
+++ b/scaling.go
@@ -21,6 +21,6 @@
 	// holder has acted), ErrConflict (none available there now), ErrInvalid, ErrRefused
 	// (nothing was done) and ErrUnavailable (no answer: it may have been taken).
 	Scaling interface {
-		OrderEngines(ctx context.Context, act Act, o EngineOrder) error
+		OrderEngines(ctx context.Context, act LeaseToken, o EngineOrder) error
 	}
 )
--- a/store.go
+++ b/store.go
@@ -24,7 +24,7 @@
 	// store's revision from which the next watch goes on.
 	Records struct {
 		Items []Record `cbor:"items"`
-		At    Revision `cbor:"at"`
+		Rev   Revision `cbor:"at"`
 	}
 
 	// Store is the platform's object store. Reads are linearizable. Errors:
--- a/target.go
+++ b/target.go
@@ -29,14 +29,14 @@
 		Slots    int           `cbor:"slots"`
 		Draining bool          `cbor:"draining"`
 		Models   []ModelState  `cbor:"models,omitempty"`
-		// Born is the wall clock's time of the target's start; zero when it
+		// Started is the wall clock's time of the target's start; zero when it
 		// does not say. A target may start again under its id: it then holds
 		// nothing of before, and counts anew.
-		Born Millis `cbor:"born,omitempty"`
+		Started Millis `cbor:"born,omitempty"`
 		// Spot: the platform may reclaim it; Leaves is how long it stays then, as of its
 		// entry, zero when it does not say.
-		Spot   bool   `cbor:"spot,omitempty"`
-		Leaves Millis `cbor:"leaves,omitempty"`
+		Spot          bool   `cbor:"spot,omitempty"`
+		ReclaimNotice Millis `cbor:"leaves,omitempty"`
 	}
 
 	// TargetLoad is what a target says of itself in an answer.
@@ -86,16 +86,16 @@
 		// NotRun is the target's word that it did not run the request.
 		NotRun bool
 		Load   *TargetLoad
-		// Kept is how long the connection is kept for another call, zero if it
+		// KeepAlive is how long the connection is kept for another call, zero if it
 		// is not.
-		Kept Millis
-		// Heard says that the target was alive after the call was sent: it took a
+		KeepAlive Millis
+		// Alive says that the target was alive after the call was sent: it took a
 		// new connection for it, or has begun to answer. It is set beside an error
 		// too.
-		Heard bool
-		// Wrote is the Uptime at which the call had been sent in full, zero if it was
+		Alive bool
+		// SentAt is the Uptime at which the call had been sent in full, zero if it was
 		// not. It is set beside an error too.
-		Wrote Millis
+		SentAt Millis
 		// Signature is the target's mark on the answer, which proves that
 		// the target made it for this request.
 		Signature string
@@ -130,10 +130,10 @@
 		Stream func(ctx context.Context, t Target, call TargetCall, sink StreamSink) (TargetAnswer, error)
 	}
 
-	// SeenSink is a StreamSink that learns until when no event was missing, where
+	// WatermarkSink is a StreamSink that learns until when no event was missing, where
 	// events are handed on some time after they arrived.
-	SeenSink interface {
-		Seen(at Millis)
+	WatermarkSink interface {
+		Watermark(at Millis)
 	}
 
 	// WeightOrder tells a target to load a version of a model.
@@ -155,8 +155,8 @@
 		Models []ModelState
 		Busy   bool
 		Seq    int64
-		// Born is the start of the target that reports, as in Target.
-		Born Millis
+		// Started is the start of the target that reports, as in Target.
+		Started Millis
 		// Memory is what it can hold of the runs' prompts and texts, zero where
 		// it does not say.
 		Memory Tokens
--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -109,7 +109,7 @@
 		if e.back > 0 && r.now >= e.back {
 			e.back = 0
 			before := cfquarantine.IncarnationOf(e.target)
-			e.target.Born = r.now
+			e.target.Started = r.now
 			r.listEngines()
 			for m, v := range e.held {
 				r.planner.SwapDone(e.target.ID, m, v)
--- a/testbed/cfreplay/replay.go
+++ b/testbed/cfreplay/replay.go
@@ -101,7 +101,7 @@
 	for i := range o.Engines.Count {
 		e := &engine{held: map[cf.ModelName]cf.WeightVersion{}, runs: map[*cfrollout.Work]*run{}, slow: 1}
 		e.target = cf.Target{
-			ID: cf.InstanceID(fmt.Sprintf("e%03d", i)), Service: service, Slots: o.Engines.Slots, Models: held, Born: 1,
+			ID: cf.InstanceID(fmt.Sprintf("e%03d", i)), Service: service, Slots: o.Engines.Slots, Models: held, Started: 1,
 			Domain: cf.FailureDomain(fmt.Sprint("d", i%max(o.Engines.Domains, 1))),
 		}
 		for _, t := range o.Trainers {
--- a/testbed/cfreplay/trainer.go
+++ b/testbed/cfreplay/trainer.go
@@ -129,11 +129,11 @@
 func (t *trainer) group(id cf.BatchID, k int) cf.GroupID {
 	g := cf.GroupID(fmt.Sprintf("%s-%02d", id, k))
 	for i := range t.Size {
-		it := cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%02d", g, i)), Group: g, Prompt: prompt}
+		it := cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%02d", g, i)), Group: g, PromptTokens: prompt}
 		length := t.draw()
 		t.lengths[it.ID] = length
 		it.LengthHint = cf.Tokens(max(1, tokens*length*math.Exp(wrong*t.replay.random.NormFloat64())))
-		it.Tokens = cf.Tokens(prompt + tokens*length)
+		it.MaxTokens = cf.Tokens(prompt + tokens*length)
 		t.items[g] = append(t.items[g], it)
 	}
 	return g
--- a/testbed/cfstandin/memstore.go
+++ b/testbed/cfstandin/memstore.go
@@ -37,7 +37,7 @@
 func (s *MemStore) List(_ context.Context, kind string) (cf.Records, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := cf.Records{At: s.rev}
+	out := cf.Records{Rev: s.rev}
 	for _, r := range s.objects[kind] {
 		out.Items = append(out.Items, r)
 	}
@@ -49,7 +49,7 @@
 // there and is newer than since. Removals are not shown.
 func (s *MemStore) Watch(ctx context.Context, kind string, since cf.Revision, _ cf.Millis) (cf.Records, error) {
 	all, err := s.List(ctx, kind)
-	out := cf.Records{At: all.At}
+	out := cf.Records{Rev: all.Rev}
 	for _, r := range all.Items {
 		if r.Rev > since {
 			out.Items = append(out.Items, r)
--- a/usage.go
+++ b/usage.go
@@ -13,8 +13,8 @@
 		Counts map[Organisation]int64 `json:"counts" cbor:"counts"`
 	}
 
-	// Act names who acts on the platform, and under which term.
-	Act struct {
+	// LeaseToken names who acts on the platform, and under which term.
+	LeaseToken struct {
 		Holder EntryID
 		Fence  Revision
 	}
@@ -23,12 +23,12 @@
 	// Errors: ErrFenced (a later holder has acted), ErrInvalid, ErrRefused (nothing
 	// was done) and ErrUnavailable (no answer: it may have been taken).
 	Metering interface {
-		ReportUsage(ctx context.Context, act Act, report UsageReport) error
+		ReportUsage(ctx context.Context, act LeaseToken, report UsageReport) error
 	}
 )
 
-// WindowOf returns the window of a moment, for windows of a length.
-func WindowOf(at, length Millis) UsageWindow { return UsageWindow(at / length) }
+// UsageWindowAt returns the window of a moment, for windows of a length.
+func UsageWindowAt(at, length Millis) UsageWindow { return UsageWindow(at / length) }
 
-// Ends returns when a window ends.
-func (w UsageWindow) Ends(length Millis) Millis { return Millis(w+1) * length }
+// End returns when a window ends.
+func (w UsageWindow) End(length Millis) Millis { return Millis(w+1) * length }
