--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -9,13 +9,13 @@
 	"currantford/core/cfbatch"
 )
 
-func lifeTarget(id cf.InstanceID, service cf.ServiceName, born cf.Millis) cf.Target {
-	return cf.Target{ID: id, Service: service, Slots: 3, Born: born, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
+func newTarget(id cf.InstanceID, service cf.ServiceName, born cf.Millis) cf.Target {
+	return cf.Target{ID: id, Service: service, Slots: 3, Started: born, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
 }
 
-var lifeModels = map[cf.ServiceName][]cf.ModelName{"a": {"m-a"}, "b": {"m-b"}}
+var lifecycleModels = map[cf.ServiceName][]cf.ModelName{"a": {"m-a"}, "b": {"m-b"}}
 
-func lifeStep(id cf.BatchID, service cf.ServiceName, items int) (*cfbatch.Batch, Terms) {
+func newServiceStep(id cf.BatchID, service cf.ServiceName, items int) (*cfbatch.Batch, Terms) {
 	sub := cf.Submission{ID: id, Model: cf.ModelName("m-" + service), MinVersion: 1, TargetGroups: items}
 	for i := range items {
 		sub.Items = append(sub.Items, cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%d", id, i)), Group: cf.GroupID(fmt.Sprintf("%s-%d", id, i/4))})
@@ -23,17 +23,18 @@
 	return cfbatch.New(sub), Terms{Service: service, MaxAttempts: 100}
 }
 
-// A run that ends at an engine which has left the list and come back ends the coordinator.
+// TestRunEndsAtAnEngineThatLeftAndCameBack guards against a crash of the coordinator when a run
+// ends at an engine that has left the list and come back.
 func TestRunEndsAtAnEngineThatLeftAndCameBack(t *testing.T) {
-	target := lifeTarget("e", "a", 1)
+	target := newTarget("e", "a", 1)
 	p := New(DefaultLimits)
-	p.SetEngines([]cf.Target{target}, lifeModels)
-	p.AddBatch(lifeStep("s", "a", 1))
+	p.SetEngines([]cf.Target{target}, lifecycleModels)
+	p.AddBatch(newServiceStep("s", "a", 1))
 	runs := p.Place(0)
 	p.ChangeEngines(nil, []cf.InstanceID{"e"})
 	p.ChangeEngines([]cf.Target{target}, nil)
 	if e, _ := p.Engine("e"); e.Running != 1 {
-		t.Errorf("%d runs at an engine that is back, and has one", e.Running)
+		t.Errorf("%d runs at an engine that has returned with one run", e.Running)
 	}
 	p.Finished(runs[0], OutcomeBroken, 100)
 	if e, _ := p.Engine("e"); e.Running != 0 {
@@ -41,104 +42,104 @@
 	}
 }
 
-// What ends late is accounted to the life of the engine that it was given to, whatever the
-// list has shown since.
-func TestEnginesHaveTheRunsThatAreUnderWay(t *testing.T) {
+// TestRunAccountingSurvivesEngineChanges checks that the end of a run counts for the engine process
+// that the run was given to, whatever the list has shown since.
+func TestRunAccountingSurvivesEngineChanges(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		p := New(DefaultLimits)
-		p.SetEngines(nil, lifeModels)
-		up := map[cf.InstanceID]cf.Target{}
+		p.SetEngines(nil, lifecycleModels)
+		listed := map[cf.InstanceID]cf.Target{}
 		born := map[cf.InstanceID]cf.Millis{"e0": 1, "e1": 1, "e2": 1, "e3": 1}
-		under := map[*Work]cf.Target{} // the runs under way, with their engines as they were
+		current := map[*Work]cf.Target{} // the current runs, with their targets at the start
 		ids := []cf.InstanceID{"e0", "e1", "e2", "e3"}
 		batches := 0
 		for now := cf.Millis(1); now < 4000; now += 10 {
 			id := ids[random.IntN(len(ids))]
 			switch random.IntN(9) {
 			case 0: // leaves
-				delete(up, id)
+				delete(listed, id)
 				p.ChangeEngines(nil, []cf.InstanceID{id})
-			case 1: // comes, comes back, or changes its service
+			case 1: // joins, returns, or changes its service
 				service := cf.ServiceName("a")
 				if random.IntN(4) == 0 {
 					service = "b"
 				}
-				up[id] = lifeTarget(id, service, born[id])
-				p.ChangeEngines([]cf.Target{up[id]}, nil)
-			case 2: // starts again
-				if t, known := up[id]; known {
+				listed[id] = newTarget(id, service, born[id])
+				p.ChangeEngines([]cf.Target{listed[id]}, nil)
+			case 2: // restarts
+				if t, known := listed[id]; known {
 					born[id] += 100
-					t.Born = born[id]
-					up[id] = t
+					t.Started = born[id]
+					listed[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
-			case 3: // drains, or takes it back
-				if t, known := up[id]; known {
+			case 3: // starts or stops draining
+				if t, known := listed[id]; known {
 					t.Draining = !t.Draining
-					up[id] = t
+					listed[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
 			case 4: // the list is read again
 				var list []cf.Target
-				for _, t := range up {
+				for _, t := range listed {
 					list = append(list, t)
 				}
-				p.SetEngines(list, lifeModels)
+				p.SetEngines(list, lifecycleModels)
 			case 5:
 				if batches < 40 {
 					batches++
-					p.AddBatch(lifeStep(cf.BatchID(fmt.Sprint("s", batches)), []cf.ServiceName{"a", "b"}[random.IntN(2)], 5))
+					p.AddBatch(newServiceStep(cf.BatchID(fmt.Sprint("s", batches)), []cf.ServiceName{"a", "b"}[random.IntN(2)], 5))
 				}
 			case 6:
-				p.Reported(id, cf.TargetReport{Born: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
+				p.Reported(id, cf.TargetReport{Started: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
 			default:
-				for w, at := range under {
-					avoid, kept := judged(p, at.ID)
+				for w, at := range current {
+					avoid, kept := penalties(p, at.ID)
 					p.ConnectionKept(w, now+500)
 					p.Finished(w, []Outcome{OutcomeDone, OutcomeBroken, OutcomeNotRun, OutcomeStopped}[random.IntN(4)], now)
-					delete(under, w)
+					delete(current, w)
 					e := p.engines[at.ID]
-					if a, k := judged(p, at.ID); e != nil && (at.Born < e.Born || at.Service != e.Service) && (a != avoid || k != kept) {
-						t.Fatalf("seed %d: the end of a run of %s since %d is put down to the one since %d", seed, at.ID, at.Born, e.Born)
+					if a, k := penalties(p, at.ID); e != nil && (at.Started < e.Started || at.Service != e.Service) && (a != avoid || k != kept) {
+						t.Fatalf("seed %d: the end of a run at the process of %s started at %d counts for the one started at %d", seed, at.ID, at.Started, e.Started)
 					}
 					break
 				}
 			}
 			for _, w := range p.Place(now) {
-				under[w] = up[w.Engine]
+				current[w] = listed[w.Engine]
 			}
-			checkLives(t, p, under, seed)
+			checkAccounting(t, p, current, seed)
 		}
 	}
 }
 
-// judged returns what the ends of runs have brought upon an engine.
-func judged(p *Planner, id cf.InstanceID) (avoid cf.Millis, kept int) {
+// penalties returns the effects of ended runs on an engine.
+func penalties(p *Planner, id cf.InstanceID) (avoid cf.Millis, kept int) {
 	e := p.engines[id]
 	if e == nil {
 		return 0, 0
 	}
-	return e.avoid, len(e.kept)
+	return e.avoidUntil, len(e.idleConnections)
 }
 
-// checkLives compares what the planner holds of the engines with what is under way.
-func checkLives(t *testing.T, p *Planner, under map[*Work]cf.Target, seed uint64) {
+// checkAccounting compares the planner's state of the engines with the current runs.
+func checkAccounting(t *testing.T, p *Planner, current map[*Work]cf.Target, seed uint64) {
 	t.Helper()
-	p.takeSizes()
+	p.updateUsage()
 	for id, e := range p.engines {
 		runs, groups := 0, map[cf.GroupID]int{}
-		for w, at := range under {
+		for w, at := range current {
 			if at.ID == id && at.Service == e.Service {
 				runs++
 				groups[w.Item.Group]++
 			}
 		}
-		if e.Running != runs || fmt.Sprint(e.groups) != fmt.Sprint(groups) || e.Running > e.Slots || len(e.kept) > e.Slots || runs == 0 && e.used != 0 {
-			t.Fatalf("seed %d: engine %s has %d runs of %v, %d kept, %.0f used; under way are %d of %v", seed, id, e.Running, e.groups, len(e.kept), e.used, runs, groups)
+		if e.Running != runs || fmt.Sprint(e.groups) != fmt.Sprint(groups) || e.Running > e.Slots || len(e.idleConnections) > e.Slots || runs == 0 && e.usedMemory != 0 {
+			t.Fatalf("seed %d: engine %s has %d runs of %v, %d idle connections, %.0f tokens used; want %d runs of %v", seed, id, e.Running, e.groups, len(e.idleConnections), e.usedMemory, runs, groups)
 		}
 	}
-	if len(p.unlisted) > len(under) {
-		t.Fatalf("seed %d: %d engines are remembered, with %d runs under way", seed, len(p.unlisted), len(under))
+	if len(p.departed) > len(current) {
+		t.Fatalf("seed %d: %d departed engines with only %d runs", seed, len(p.departed), len(current))
 	}
 }
--- a/core/cfrollout/memory_test.go
+++ b/core/cfrollout/memory_test.go
@@ -8,9 +8,9 @@
 	"currantford/core/cfbatch"
 )
 
-// memorySite returns a planner with engines of six slots and 23,000 tokens, which knows
-// that an event takes 40 tokens and a usual text has 33 events.
-func memorySite(engines int) *Planner {
+// newMemoryPlanner returns a planner with engines of six slots and 23,000 tokens of memory, which
+// has learned that an event takes 40 tokens and that a usual text has 33 events.
+func newMemoryPlanner(engines int) *Planner {
 	p := New(DefaultLimits)
 	var ts []cf.Target
 	for i := range engines {
@@ -22,15 +22,15 @@
 	for _, t := range ts {
 		p.Reported(t.ID, cf.TargetReport{Memory: 23000})
 	}
-	p.memory.perEvent = 40
-	p.lengths = lengths{events: 33, hint: 33, hinted: 33, started: true}
+	p.memory.tokensPerEvent = 40
+	p.lengths = lengths{mean: 33, meanHint: 33, meanHinted: 33, started: true}
 	return p
 }
 
 func memoryBatch(long, short int) *cfbatch.Batch {
 	sub := cf.Submission{ID: "b", Model: "m", MinVersion: 1}
 	for i := range long + short {
-		it := cf.Item{ID: cf.ItemID(fmt.Sprint(i)), Group: cf.GroupID(fmt.Sprint(i / 16)), Prompt: 276, Tokens: 276 + 240*40, LengthHint: 20}
+		it := cf.Item{ID: cf.ItemID(fmt.Sprint(i)), Group: cf.GroupID(fmt.Sprint(i / 16)), PromptTokens: 276, MaxTokens: 276 + 240*40, LengthHint: 20}
 		if i < long {
 			it.LengthHint = 240
 		}
@@ -39,14 +39,12 @@
 	return cfbatch.New(sub)
 }
 
-// Symptom: a step takes two seconds more than its longest text; its runs stand still
-// without an event for seconds.
-// Load: a step of 60 items for ten engines with memory for two of the longest texts
-// each; one engine is faster than the others.
-// Cause: the longest items, which start first, filled the fastest engine, which put
-// them back in turn.
-func TestLongTextsDoNotMeetInOneMemory(t *testing.T) {
-	p := memorySite(10)
+// TestLongTextsSpreadOverEngineMemory guards against runs that are interrupted for seconds, so that
+// a step takes two seconds longer than its longest text. 60 items run on ten engines with memory
+// for two of the longest texts each. The longest items start first; placed at the fastest engine,
+// they fill its memory and it preempts them in turn.
+func TestLongTextsSpreadOverEngineMemory(t *testing.T) {
+	p := newMemoryPlanner(10)
 	for id, e := range p.engines {
 		e.pace = 24
 		if id == "e03" {
@@ -74,106 +72,106 @@
 	}
 }
 
-// An engine without memory for an item takes it only if no other has a slot: the
-// estimate may be wrong, and a slot that stays empty serves nobody.
-func TestMemoryKeepsNoSlotEmpty(t *testing.T) {
-	p := memorySite(2)
+// TestFullMemoryLeavesNoSlotIdle checks that an engine without enough memory for an item runs it if
+// no other engine has a slot: the estimate may be wrong, and an idle slot serves nothing.
+func TestFullMemoryLeavesNoSlotIdle(t *testing.T) {
+	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(12, 0), Terms{Service: "s"})
 	if n := len(p.Place(0)); n != 12 {
 		t.Errorf("%d of 12 items start", n)
 	}
 }
 
-// Symptom: a text moves to another engine each 0.8 s and takes seconds more than it
-// would have alone.
-// Load: engines whose paces differ by a fifth, and runs that show them noisily.
-// Cause guarded against: moves to engines without memory for the text, and trust in an
-// estimate that moves before did not bear out.
+// TestMovesNeedMemoryAndGain guards against a text that moves every 0.8 s and takes seconds longer
+// than without moves. Paces of engines differ by a fifth and are observed with noise. A move must
+// not go to an engine without memory for the text, nor rely on an estimate that earlier moves have
+// disproved.
 func TestMovesNeedMemoryAndGain(t *testing.T) {
-	p := memorySite(2)
+	p := newMemoryPlanner(2)
 	p.AddBatch(memoryBatch(1, 0), Terms{Service: "s"})
 	w := p.Place(0)[0]
-	from, to := p.engines[w.Engine], p.engines["e00"]
-	if from == to {
-		to = p.engines["e01"]
+	slow, fast := p.engines[w.Engine], p.engines["e00"]
+	if slow == fast {
+		fast = p.engines["e01"]
 	}
-	from.pace, to.pace = 40, 24
+	slow.pace, fast.pace = 40, 24
 	for at := cf.Millis(0); at <= 2000; at += 40 {
-		w.Progress.Note(at)
+		w.Progress.RecordEvent(at)
 	}
 	w.Started = 0
-	to.used = 22000
-	room := func() *fastest {
-		return &fastest{planner: p, engines: []*Engine{from, to}, typical: 24, taken: map[cf.InstanceID]int{}}
+	fast.usedMemory = 22000
+	freeSlots := func() *fastestFree {
+		return &fastestFree{planner: p, engines: []*Engine{slow, fast}, assumed: 24, taken: map[cf.InstanceID]int{}}
 	}
-	if e := p.better(room(), w, 2001); e != nil {
-		t.Error("a text moves to an engine without memory for it")
+	if e := p.betterEngine(freeSlots(), w, 2001); e != nil {
+		t.Error("a text moves to an engine without enough memory")
 	}
-	to.used = 0
-	if e := p.better(room(), w, 2001); e != to {
-		t.Error("a text stays at an engine of little more than half the pace")
+	fast.usedMemory = 0
+	if e := p.betterEngine(freeSlots(), w, 2001); e != fast {
+		t.Error("a text stays at an engine although another needs little more than half the time per event")
 	}
-	w.moves = moveDoublings
-	if e := p.better(room(), w, 2001); e != nil {
-		t.Error("a text that has moved five times in vain moves again")
+	w.moves = maxDoublings
+	if e := p.betterEngine(freeSlots(), w, 2001); e != nil {
+		t.Error("a text that has moved five times without gain moves again")
 	}
 }
 
-// What engines tell of their runs is learned; what can't be of use is passed over.
-func TestTokensOfEventsAreLearned(t *testing.T) {
-	p := memorySite(1)
-	p.memory.perEvent = 0
+// TestTokensPerEventAreLearned checks that reports of runs are used, and that useless ones are
+// ignored.
+func TestTokensPerEventAreLearned(t *testing.T) {
+	p := newMemoryPlanner(1)
+	p.memory.tokensPerEvent = 0
 	p.AddBatch(memoryBatch(0, 2), Terms{Service: "s"})
 	works := p.Place(0)
-	const now = 10 * askEvery
-	if len(p.EnginesToQuery(now)) != 1 || len(p.EnginesToQuery(now+askEvery-1)) != 0 {
-		t.Error("an engine is not asked while nothing is known, or too often")
+	const now = 10 * queryInterval
+	if len(p.EnginesToQuery(now)) != 1 || len(p.EnginesToQuery(now+queryInterval-1)) != 0 {
+		t.Error("an engine is not queried while nothing is known, or queried too often")
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 23000, Runs: []cf.TargetRun{
 		{ID: cf.RequestID(works[0].Item.ID), Tokens: 276 + 10*41, Events: 10},
 		{ID: cf.RequestID(works[1].Item.ID), Tokens: 290, Events: 1},
 		{ID: "of nobody", Tokens: 1, Events: 100},
 	}})
-	if got := p.memory.perEvent; got != 41 {
-		t.Errorf("%.1f tokens an event, want 41", got)
+	if got := p.memory.tokensPerEvent; got != 41 {
+		t.Errorf("%.1f tokens per event, want 41", got)
 	}
 	if n := len(p.EnginesToQuery(2 * now)); n != 0 {
-		t.Errorf("%d engines are asked for what is known", n)
+		t.Errorf("%d engines are queried although their memory is known", n)
 	}
 }
 
-// Load: a thousand engines that are alike come into use with a step. A few are asked for their
-// memory, and the others are taken to have the same; once one differs each is asked.
-func TestMemoryOfEnginesThatAreAlike(t *testing.T) {
-	p := memorySite(20)
+// TestMemoryIsInferredFromEqualReports checks a fleet of similar engines: only a few are queried
+// for their memory, and the others are assumed to have the same. Once one differs, each is queried.
+func TestMemoryIsInferredFromEqualReports(t *testing.T) {
+	p := newMemoryPlanner(20)
 	for _, e := range p.engines {
-		e.told, e.Memory = false, 0
+		e.memoryReported, e.Memory = false, 0
 	}
-	p.memory.told = map[cf.ServiceName]*toldMemory{}
+	p.memory.reports = map[cf.ServiceName]*reportedMemory{}
 	p.AddBatch(memoryBatch(0, 120), Terms{Service: "s"})
 	p.Place(0)
-	asked := func(now cf.Millis, memory cf.Tokens) int {
+	query := func(now cf.Millis, memory cf.Tokens) int {
 		n := 0
 		for _, target := range p.EnginesToQuery(now) {
-			if n++; n <= alikeFrom {
+			if n++; n <= minEqualReports {
 				p.Reported(target.ID, cf.TargetReport{Memory: memory})
 			}
 		}
 		return n
 	}
-	if n := asked(askEvery, 23000); n != askMost {
-		t.Errorf("%d engines are asked at first", n)
+	if n := query(queryInterval, 23000); n != maxQueries {
+		t.Errorf("%d engines are queried at first", n)
 	}
-	if n := asked(3*askEvery, 23000); n != 0 {
-		t.Errorf("%d engines are asked though %d have told the same", n, alikeFrom)
+	if n := query(3*queryInterval, 23000); n != 0 {
+		t.Errorf("%d engines are queried although %d have reported the same memory", n, minEqualReports)
 	}
 	for id := range p.engines {
-		if got := p.memory.of(p.engines[id]); got != 23000 {
-			t.Errorf("%s is taken to have %d tokens", id, got)
+		if got := p.memory.capacity(p.engines[id]); got != 23000 {
+			t.Errorf("%s is assumed to have %d tokens of memory", id, got)
 		}
 	}
 	p.Reported("e00", cf.TargetReport{Memory: 11000})
-	if n := asked(5*askEvery, 23000); n < 20-alikeFrom-1 {
-		t.Errorf("%d engines are asked though one differs", n)
+	if n := query(5*queryInterval, 23000); n < 20-minEqualReports-1 {
+		t.Errorf("%d engines are queried although one reports a different memory", n)
 	}
 }
--- a/core/cfrollout/place.go
+++ b/core/cfrollout/place.go
@@ -11,18 +11,17 @@
 
 // Outcomes of a run.
 const (
-	// OutcomeDone: the text is complete.
+	// OutcomeDone means that the text is complete.
 	OutcomeDone Outcome = iota
-	// OutcomeFailed: the engine answered that the attempt failed.
+	// OutcomeFailed means that the engine reported a failed attempt.
 	OutcomeFailed
-	// OutcomePermanentFailure: the item can never be done.
+	// OutcomePermanentFailure means that the item can never be done.
 	OutcomePermanentFailure
-	// OutcomeNotRun: the engine was full or loading.
+	// OutcomeNotRun means that the engine was full or loading.
 	OutcomeNotRun
-	// OutcomeBroken: the stream broke off or stalled; it can be resumed.
+	// OutcomeBroken means that the stream broke or stalled. The text can be resumed.
 	OutcomeBroken
-	// OutcomeStopped: the run was stopped because its batch ended, or to
-	// move it.
+	// OutcomeStopped means that the run was stopped because its batch ended or to move it.
 	OutcomeStopped
 )
 
@@ -30,58 +29,58 @@
 func (p *Planner) Place(now cf.Millis) []*Work {
 	p.now = now
 	clear(p.conflicts)
-	if p.scarce || p.undivided {
-		p.divide() // the models take turns
+	if p.scarce || p.needsDivision {
+		p.divideEngines() // models may have to take turns
 	}
 	var out []*Work
-	p.takeSizes()
-	typical := p.typical()
-	before := map[shareKey]float64{}
-	for _, o := range p.sorted() {
+	p.updateUsage()
+	assumed := p.assumedPace()
+	priorWork := map[shareKey]float64{}
+	for _, o := range p.sortedBatches() {
 		if o.paused {
 			continue
 		}
 		k := shareKey{o.terms.Service, o.batch.Sub.Model}
-		before[k] = p.rankGroups(o, before[k], now)
+		priorWork[k] = p.rankGroups(o, priorWork[k], now)
 		if len(o.waiting) == 0 {
 			continue
 		}
-		engines := p.share(o)
-		// Items that have not begun differ in nothing that matters here: if
-		// one finds no engine, the others find none.
+		engines := p.enginesFor(o)
+		// Items that have not started do not differ here: if one of them finds no engine, neither
+		// do the others.
 		full := false
 		q := p.queueOf(o)
 		rest := o.waiting[:0]
 		for _, w := range o.waiting {
-			w.restart(engines)
-			w.refused = false
-			if w.waitsSince == 0 {
-				w.waitsSince = now
+			w.resetUnresumable(engines)
+			w.notAdmitted = false
+			if w.waitingSince == 0 {
+				w.waitingSince = now
 			}
-			if w.idle == 0 {
-				w.idle = now
+			if w.unplacedSince == 0 {
+				w.unplacedSince = now
 			}
 			var e *Engine
 			if fresh := w.Text.Last == 0 && w.AvoidEngine == ""; !fresh || !full {
-				e = p.choose(engines, w, typical, now)
+				e = p.choose(engines, w, assumed, now)
 				full = full || fresh && e == nil
 			}
 			if e != nil && !p.limits.LongOnSlow {
-				if q := p.queueFor(q, o, w); p.slow(q, e) && p.betterWait(q, w, e, len(rest)+1) {
+				if q := p.queueFor(q, o, w); p.isSlow(q, e) && p.shouldWait(q, w, e, len(rest)+1) {
 					e = nil
 				}
 			}
-			if e != nil || w.most > 0 {
-				e = p.admitted(engines, q, w, e, typical, now)
-				w.refused = e == nil
+			if e != nil || w.maxRuns > 0 {
+				e = p.admit(engines, q, w, e, assumed, now)
+				w.notAdmitted = e == nil
 			}
 			if e == nil {
 				rest = append(rest, w)
 				continue
 			}
 			p.start(o, w, e, now)
-			if o.wanted > 0 && w.class != groupOptional {
-				o.wanted--
+			if o.requiredWaiting > 0 && w.class != groupOptional {
+				o.requiredWaiting--
 			}
 			out = append(out, w)
 		}
@@ -91,10 +90,10 @@
 	return out
 }
 
-// restart drops a text that no engine can go on with: on a route for samples of
-// one version, the engines have all loaded another since. It would wait for
-// ever.
-func (w *Work) restart(engines []*Engine) {
+// resetUnresumable discards a text that no engine can continue: the route asks for samples of one
+// version, and all engines have loaded another version since. The item would otherwise wait
+// forever.
+func (w *Work) resetUnresumable(engines []*Engine) {
 	if !w.Terms.SingleVersion || len(w.Text.Versions) == 0 {
 		return
 	}
@@ -106,156 +105,158 @@
 	w.Text = Text{}
 }
 
-func (p *Planner) start(o *open, w *Work, e *Engine, now cf.Millis) {
-	w.Engine, w.engine, w.born = e.ID, e, e.Born
+func (p *Planner) start(o *openBatch, w *Work, e *Engine, now cf.Millis) {
+	w.Engine, w.engine, w.engineBorn = e.ID, e, e.Started
 	w.Version, w.Started = e.versions[w.Batch.Sub.Model], now
 	w.OldestVersion = w.Version
-	w.moving, w.from = false, w.Text.Last
+	w.moving, w.resumeAfter = false, w.Text.Last
 	w.Progress.reset()
 	for _, v := range w.Text.Versions {
 		w.OldestVersion = min(w.OldestVersion, v)
 	}
 	e.Running++
-	if e.warm(now) {
-		e.kept = e.kept[:len(e.kept)-1] // the run takes the one that was used last
+	if e.hasIdleConnection(now) {
+		e.idleConnections = e.idleConnections[:len(e.idleConnections)-1] // the run uses the most recently used connection
 	}
-	p.busy[e.ID] = e
-	e.used += p.size(w)
+	p.busyEngines[e.ID] = e
+	e.usedMemory += p.expectedMemory(w)
 	if e.groups == nil {
 		e.groups = map[cf.GroupID]int{}
 	}
 	e.groups[w.Item.Group]++
-	w.noteApart()
-	o.running[w.Item.ID], o.begun = w, true
+	w.applyIsolationLimit()
+	o.running[w.Item.ID], o.started = w, true
 }
 
-// choose returns the engine on which w would run fastest, preferring one that
-// runs the item's group already, and so has read its prompt, while it is not
-// much slower. Batching costs an engine little, so a fast engine is filled
-// before a slow one is used, as far as its memory goes. Of long items each goes to
-// the engine that has least to hold among those of about the best pace: the long
-// texts of a step must not meet in one memory. An engine whose memory would not hold
-// an item to its end is taken only if no other has a slot.
-func (p *Planner) choose(engines []*Engine, w *Work, typical float64, now cf.Millis) *Engine {
-	if w.to != nil {
+// choose returns the engine at which w is expected to run fastest. It prefers an engine that
+// already runs the item's group, and so has processed its prompt, unless that engine is much
+// slower. Batching costs an engine little, so a fast engine is filled before a slow one is used, as
+// far as its memory allows.
+//
+// A long item goes to the engine with the least memory in use among those of about the best pace,
+// because the long texts of a step must not fill the memory of one engine. An engine that lacks the
+// memory for an item until its end is chosen only if no other engine has a free slot.
+func (p *Planner) choose(engines []*Engine, w *Work, assumed float64, now cf.Millis) *Engine {
+	if w.reservedEngine != nil {
 		if e := p.reservedFor(w, now); e != nil {
 			return e
 		}
 	}
-	var best, roomiest, emptiest *Engine
+	var best, roomiest, leastUsed *Engine
 	bestPace, bestDelay := math.Inf(1), math.Inf(1)
-	long, left := p.IsLong(w), p.left(w)
-	fitting := p.fitting[:0]
+	long, left := p.IsLong(w), p.remaining(w)
+	candidates := p.candidates[:0]
 	for _, e := range engines {
 		switch {
-		case !e.takes(w, now):
+		case !e.canStart(w, now):
 			continue
-		case !p.fits(e, w):
-			if roomiest == nil || float64(p.memory.of(e))-e.used > float64(p.memory.of(roomiest))-roomiest.used {
+		case !p.fitsMemory(e, w):
+			if roomiest == nil || float64(p.memory.capacity(e))-e.usedMemory > float64(p.memory.capacity(roomiest))-roomiest.usedMemory {
 				roomiest = e
 			}
 			continue
 		}
-		delay := p.delay(e, left, now)
-		pace := p.expected(e, typical) + delay/max(left, 1)
+		delay := p.expectedDelay(e, left, now)
+		pace := p.expectedPace(e, assumed) + delay/max(left, 1)
 		if !long && e.groups[w.Item.Group] > 0 {
 			pace *= p.limits.GroupAffinity
 		}
-		if !long && e.warm(now) {
-			pace *= warmPace
+		if !long && e.hasIdleConnection(now) {
+			pace *= warmFactor
 		}
 		if pace < bestPace {
 			best, bestPace = e, pace
 		}
 		bestDelay = min(bestDelay, delay)
-		fitting = append(fitting, pacedEngine{e, pace, delay})
+		candidates = append(candidates, candidate{e, pace, delay})
 	}
-	p.fitting = fitting
+	p.candidates = candidates
 	if best == nil {
 		return roomiest
 	}
 	if !long {
 		return best
 	}
-	// The best pace is that of the engines which are quiet, if there are any.
-	quiet := math.Inf(1)
-	for _, f := range fitting {
-		if f.delay <= bestDelay+evenDelay {
-			quiet = min(quiet, f.pace)
+	// Compare with the best pace among the engines with the least expected delay.
+	lowDelayPace := math.Inf(1)
+	for _, f := range candidates {
+		if f.delay <= bestDelay+equalDelay {
+			lowDelayPace = min(lowDelayPace, f.pace)
 		}
 	}
-	for _, f := range fitting {
-		if f.pace > quiet*evenPace || f.delay > bestDelay+evenDelay {
+	for _, f := range candidates {
+		if f.pace > lowDelayPace*equalPaceFactor || f.delay > bestDelay+equalDelay {
 			continue
 		}
-		if emptiest == nil || f.engine.used < emptiest.used || f.engine.used == emptiest.used && f.engine.warm(now) && !emptiest.warm(now) {
-			emptiest = f.engine
+		if leastUsed == nil || f.engine.usedMemory < leastUsed.usedMemory || f.engine.usedMemory == leastUsed.usedMemory && f.engine.hasIdleConnection(now) && !leastUsed.hasIdleConnection(now) {
+			leastUsed = f.engine
 		}
 	}
-	return emptiest
+	return leastUsed
 }
 
-// warmPace makes an engine to which a connection is kept count as so much faster: another
-// costs it a handshake, in which it serves nobody.
-const warmPace = 0.94
+// warmFactor is the factor on the pace of an engine with an idle connection. A new connection costs
+// the engine a handshake, during which it serves nothing.
+const warmFactor = 0.94
 
-// warm says whether a connection to the engine is kept that nobody uses.
-func (e *Engine) warm(now cf.Millis) bool {
-	for len(e.kept) > 0 && e.kept[0] <= now {
-		e.kept = e.kept[1:]
+// hasIdleConnection says whether there is an idle connection to the engine.
+func (e *Engine) hasIdleConnection(now cf.Millis) bool {
+	for len(e.idleConnections) > 0 && e.idleConnections[0] <= now {
+		e.idleConnections = e.idleConnections[1:]
 	}
-	return len(e.kept) > 0
+	return len(e.idleConnections) > 0
 }
 
-// ConnectionKept records that the connection of a run, which has not been noted as finished, is kept
-// until then.
+// ConnectionKept records that the connection of a run stays open for reuse until the given time. It
+// must be called before Finished for that run.
 func (p *Planner) ConnectionKept(w *Work, until cf.Millis) {
-	if e := p.at(w); e != nil && len(e.kept) < e.Slots {
-		e.kept = append(e.kept, until)
+	if e := p.currentEngine(w); e != nil && len(e.idleConnections) < e.Slots {
+		e.idleConnections = append(e.idleConnections, until)
 	}
 }
 
-// pacedEngine is an engine with what an event would take there, and how much longer a run
-// because the engine is slow for a while, or may be.
-type pacedEngine struct {
+// candidate is an engine with the expected time of an event there, and the expected delay of a run
+// from temporary slowness.
+type candidate struct {
 	engine *Engine
 	pace   float64
 	delay  float64
 }
 
-// evenDelay is how much longer than at the quietest engine a long text may be expected to take
-// at one that holds less, in ms: a third of what an engine costs that was not seen of late.
-const evenDelay = 20
+// equalDelay is the difference of expected delays, in ms, below which engines count as equal for a
+// long text, so that the one with less memory in use is chosen. It is a third of the expected delay
+// at an engine that was not observed recently.
+const equalDelay = 20
 
-// betterWait says whether an item that is nth in line ends sooner if it waits for
-// a usual engine than if it starts at a slow one. Long texts do, and a step is
-// worth nothing before its last.
-func (p *Planner) betterWait(q queue, w *Work, slow *Engine, nth int) bool {
-	if p.byPeriods(p.now) && p.full(slow) <= slowPace*q.pace { // it is slow for now
-		return q.slots > 0 && p.IsLong(w) && p.periods.Delay(&slow.state, p.left(w)*q.pace, p.now) > q.wait(nth)
+// shouldWait says whether the nth waiting item would end sooner by waiting for a usual engine than
+// by starting at a slow one. This is so for long texts, and a step is useless until its last text
+// is complete.
+func (p *Planner) shouldWait(q queue, w *Work, slow *Engine, nth int) bool {
+	if p.usesPeriods(p.now) && p.fullPace(slow) <= slowFactor*q.pace { // slow only temporarily
+		return q.slots > 0 && p.IsLong(w) && p.periods.Delay(&slow.state, p.remaining(w)*q.pace, p.now) > q.wait(nth)
 	}
-	return p.left(w)*(p.full(slow)-q.pace) > q.wait(nth)
+	return p.remaining(w)*(p.fullPace(slow)-q.pace) > q.wait(nth)
 }
 
-// takes says whether an engine can start an item now.
-func (e *Engine) takes(w *Work, now cf.Millis) bool { return e.hasSlot() && e.open(w, now) }
+// canStart says whether an engine can start an item now.
+func (e *Engine) canStart(w *Work, now cf.Millis) bool { return e.hasFreeSlot() && e.accepts(w, now) }
 
-// open says whether an engine can start an item now, if it has room.
-func (e *Engine) open(w *Work, now cf.Millis) bool {
+// accepts says whether an engine can start an item now, provided that it has a slot.
+func (e *Engine) accepts(w *Work, now cf.Millis) bool {
 	if e.ID == w.AvoidEngine && now < w.avoidUntil {
 		return false
 	}
-	return now >= e.avoid && e.loading == 0 && e.serves(w)
+	return now >= e.avoidUntil && e.loading == 0 && e.serves(w)
 }
 
-// hasSlot says whether an engine has a slot that is neither taken nor kept for a run, and is
-// not set apart.
-func (e *Engine) hasSlot() bool { return e.most == 0 && e.hasRoom() }
+// hasFreeSlot says whether an engine has a slot that is neither used nor reserved, and is not
+// isolated.
+func (e *Engine) hasFreeSlot() bool { return e.isolationLimit == 0 && e.hasRoom() }
 
-// hasRoom says whether an engine has a slot that is neither taken nor kept for a run.
+// hasRoom says whether an engine has a slot that is neither used nor reserved.
 func (e *Engine) hasRoom() bool { return e.Running+e.reserved < e.Slots }
 
-// serves says whether an engine is of the item's share and its weights fit.
+// serves says whether an engine belongs to the item's share and holds suitable weights.
 func (e *Engine) serves(w *Work) bool {
 	if e.Draining || e.Service != w.Terms.Service || e.Model != w.Batch.Sub.Model {
 		return false
@@ -270,21 +271,21 @@
 	return true
 }
 
-// Finished takes the end of a run. It returns true when the item is to be
-// listed, as done or as failed; otherwise it waits again.
+// Finished records the end of a run. It returns true if the item is to be listed, as done or as
+// failed. Otherwise the item waits again.
 func (p *Planner) Finished(w *Work, outcome Outcome, now cf.Millis) (list bool) {
 	p.runEnded(w, outcome, now)
-	w.Engine, w.engine, w.from, w.waitsSince = "", nil, w.Text.Last, now
+	w.Engine, w.engine, w.resumeAfter, w.waitingSince = "", nil, w.Text.Last, now
 	if w.Progress.events.Load() > 0 {
-		w.idle, w.reported = now, 0
+		w.unplacedSince, w.reportedWait = now, 0
 	}
 	o := p.batches[w.Batch.Sub.ID]
 	if o != nil {
 		delete(o.running, w.Item.ID)
 	}
-	if w.mixed() {
-		// An order that was carried out late, or given between two steps, has
-		// changed the weights under the run. It begins anew.
+	if w.mixesVersions() {
+		// An order that was carried out late, or given between two steps, has changed the weights
+		// during the run. The item starts from the beginning.
 		w.Text = Text{}
 		if outcome == OutcomeDone {
 			outcome = OutcomeStopped
@@ -294,8 +295,8 @@
 	case OutcomeDone:
 		w.Text.Complete = true
 		p.lengths.note(w)
-		p.guesses.note(w)
-		p.longest = max(float64(w.Text.Last), p.longest*longestMemory)
+		p.hints.note(w)
+		p.longestText = max(float64(w.Text.Last), p.longestText*longestDecay)
 	case OutcomeFailed:
 		w.Failures++
 	}
@@ -308,28 +309,27 @@
 	case outcome == OutcomeDone, outcome == OutcomePermanentFailure, w.Failures >= max(w.Terms.MaxAttempts, 1):
 		return true
 	}
-	// First in line: others of its group have run, and the step waits for it.
-	w.again, o.unranked = true, true
+	// The item goes to the front: others of its group have already run, and the step waits for it.
+	w.interrupted, o.rankingStale = true, true
 	o.waiting = append([]*Work{w}, o.waiting...)
 	return false
 }
 
-// mixed says whether a text was made by several versions where one is asked for.
-func (w *Work) mixed() bool { return w.Terms.SingleVersion && len(w.Text.Versions) > 1 }
+// mixesVersions says whether several versions made a text for which the route asks for one.
+func (w *Work) mixesVersions() bool { return w.Terms.SingleVersion && len(w.Text.Versions) > 1 }
 
-// judge keeps new items off an engine for a while after it failed one.
-func (p *Planner) judge(e *Engine, outcome Outcome, now cf.Millis) {
+// penalize makes new items avoid an engine for a while after it failed or refused one.
+func (p *Planner) penalize(e *Engine, outcome Outcome, now cf.Millis) {
 	switch outcome {
 	case OutcomeNotRun:
-		e.avoid = now + p.limits.BusyPenalty
+		e.avoidUntil = now + p.limits.BusyPenalty
 	case OutcomeFailed, OutcomeBroken:
-		e.avoid = now + p.limits.FailurePenalty
+		e.avoidUntil = now + p.limits.FailurePenalty
 	}
 }
 
-// Expire returns the waiting items of batches that have waited for longer
-// than their route allows, as of the wall clock; they are to be listed as
-// failed.
+// Expire removes and returns the waiting items of batches that have waited longer than their route
+// allows, by the wall clock. They are to be listed as failed.
 func (p *Planner) Expire(wall cf.Millis) []*Work {
 	var out []*Work
 	for id, o := range p.batches {
@@ -342,17 +342,16 @@
 	return out
 }
 
-// GiveUpAfter returns how long after its acceptance a batch's items are given up,
-// zero if they never are.
+// GiveUpAfter returns how long after its acceptance a batch's items expire, zero if they never do.
 func (p *Planner) GiveUpAfter(id cf.BatchID) cf.Millis {
 	o := p.batches[id]
 	if o == nil || o.terms.MaxWait <= 0 {
 		return 0
 	}
-	return o.terms.MaxWait + expireSlack
+	return o.terms.MaxWait + clockSlack
 }
 
-// expireSlack covers the difference between the wall clocks of the instance
-// that accepted a batch and of the one that gives its items up: an item given
-// up too early breaks a promise, one given up late costs nothing.
-const expireSlack cf.Millis = 5000
+// clockSlack covers the difference between the wall clocks of the instance that accepted a batch
+// and the one that expires its items. Expiring an item too early breaks a promise, and expiring it
+// late costs nothing.
+const clockSlack cf.Millis = 5000
--- a/core/cfrollout/planner_test.go
+++ b/core/cfrollout/planner_test.go
@@ -11,9 +11,9 @@
 
 const service cf.ServiceName = "engines"
 
-var terms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000}
+var defaultTerms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000}
 
-// fleet returns n engines with 4 slots that hold the versions of held.
+// fleet returns n engines with 4 slots that hold the given versions.
 func fleet(n int, held ...cf.ModelState) []cf.Target {
 	var out []cf.Target
 	for i := range n {
@@ -28,27 +28,27 @@
 	return map[cf.ServiceName][]cf.ModelName{service: names}
 }
 
-// step returns a batch of groups of size items.
+// step returns a batch with groups of size items each.
 func step(id cf.BatchID, m cf.ModelName, least cf.WeightVersion, groups, size int) *cfbatch.Batch {
 	sub := cf.Submission{ID: id, Model: m, MinVersion: least, TargetGroups: groups}
 	for g := range groups {
 		for i := range size {
 			sub.Items = append(sub.Items, cf.Item{
-				ID: cf.ItemID(fmt.Sprintf("%s-%d-%d", id, g, i)), Group: cf.GroupID(fmt.Sprintf("%s-%d", id, g)), Tokens: 100,
+				ID: cf.ItemID(fmt.Sprintf("%s-%d-%d", id, g, i)), Group: cf.GroupID(fmt.Sprintf("%s-%d", id, g)), MaxTokens: 100,
 			})
 		}
 	}
 	return cfbatch.New(sub)
 }
 
-// generate lets a run make events at a pace from one moment to another.
+// generate adds events to a run at the given pace between two times.
 func generate(t *testing.T, w *cfrollout.Work, from, to, pace cf.Millis) {
 	t.Helper()
 	for now := from; now <= to; now += pace {
 		if err := w.Text.Append(cf.StreamEvent{ID: w.Text.Last + 1, Data: "x", Version: w.Version}); err != nil {
 			t.Fatal(err)
 		}
-		w.Progress.Note(now)
+		w.Progress.RecordEvent(now)
 	}
 }
 
@@ -61,7 +61,8 @@
 	return out
 }
 
-// Every model has its share of the engines, and no engine is left out.
+// TestEnginesAreDividedAmongModels checks that each model has its share of the engines and that no
+// engine is left out.
 func TestEnginesAreDividedAmongModels(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
@@ -78,11 +79,10 @@
 	}
 }
 
-// Symptom: after a change of coordinator a step stands still for seconds.
-// Sequence: the engines hold different models' newest versions; a coordinator
-// without any memory divides them.
-// Cause: a division that ignored what the engines hold gave them to models
-// whose weights they lack, and no order may be given during the handover.
+// TestSuccessorKeepsTheShares guards against a step that is delayed for seconds by a change of the
+// coordinator. The new coordinator knows only which versions the engines hold. A division that
+// ignores them assigns engines to models whose weights they lack, and no order may be given during
+// the handover.
 func TestSuccessorKeepsTheShares(t *testing.T) {
 	names := []cf.ModelName{"a", "b", "c"}
 	targets := fleet(11)
@@ -91,7 +91,7 @@
 		old[t.ID] = names[(2*i+1)%3]
 	}
 	after := cfrollout.New(cfrollout.DefaultLimits)
-	// The share of c lags two versions behind what its trainer has named.
+	// The share of c lags two versions behind the announced one.
 	after.SetVersion("a", 4)
 	after.SetVersion("b", 5)
 	after.SetVersion("c", 3)
@@ -112,7 +112,8 @@
 	}
 }
 
-// A lost engine costs its share one engine, and moves at most one other.
+// TestLostEngineMovesFewOthers checks that the loss of an engine moves at most one other to its
+// share.
 func TestLostEngineMovesFewOthers(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}}
@@ -136,23 +137,24 @@
 	}
 }
 
-// Symptom: a step waits for the whole of a load although engines hold a
-// version that it allows.
-// Sequence: version 2 is named and the step that allows version 1 arrives.
+// TestStepStartsOnTheOldestVersionAllowed guards against a step that waits for a load although
+// engines hold a version that it allows. Version 2 is announced when the step that allows version 1
+// arrives.
 func TestStepStartsOnTheOldestVersionAllowed(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	p.SetVersion("a", 2)
-	p.AddBatch(step("s", "a", 1, 3, 4), terms)
+	p.AddBatch(step("s", "a", 1, 3, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 8 {
 		t.Errorf("%d items started, want all 8 slots taken", n)
 	}
 	if s := p.Swaps(0); len(s) != 0 {
-		t.Errorf("%d engines load while items wait that they could run", len(s))
+		t.Errorf("%d engines load while waiting items could run on them", len(s))
 	}
 }
 
-// Engines load when nothing waits for them, one at least serving all the time.
+// TestSwapsLeaveOneEngineServing checks that engines load when no item waits for them, and that at
+// least one always serves.
 func TestSwapsLeaveOneEngineServing(t *testing.T) {
 	p := cfrollout.New(cfrollout.Limits{MinLoads: 10, UrgentLoads: 10, GroupAffinity: 1})
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
@@ -165,17 +167,17 @@
 		p.SwapDone(s.Target.ID, s.Model, s.Version)
 	}
 	if second := p.Swaps(0); len(second) != 1 {
-		t.Errorf("%d engines load then, want the third", len(second))
+		t.Errorf("%d engines load next, want the third one", len(second))
 	}
 }
 
-// An engine whose version is below what the waiting step allows loads at once
-// and more of them together, since nothing can run.
+// TestBlockedStepLoadsAtOnce checks that engines whose version is too old for the waiting step load
+// immediately, and more of them at once than usual, since nothing can run.
 func TestBlockedStepLoadsAtOnce(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	p.SetVersion("a", 3)
-	p.AddBatch(step("s", "a", 2, 2, 4), terms)
+	p.AddBatch(step("s", "a", 2, 2, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 0 {
 		t.Errorf("%d items started on weights that are too old", n)
 	}
@@ -184,13 +186,13 @@
 	}
 }
 
-// Symptom: a sample on a route for one version names two.
-// Sequence: its run breaks off, and is resumed on other weights.
-func TestSingleVersionTextIsNotContinuedOnOthers(t *testing.T) {
+// TestSingleVersionTextIsNotResumedOnOtherVersions guards against a sample of two versions on a
+// route that asks for one, when its stream breaks and is resumed on other weights.
+func TestSingleVersionTextIsNotResumedOnOtherVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 1})
 	p.SetEngines(targets, models("a"))
-	single := terms
+	single := defaultTerms
 	single.SingleVersion = true
 	p.AddBatch(step("s", "a", 1, 1, 1), single)
 	w := p.Place(0)[0]
@@ -200,17 +202,17 @@
 	p.Finished(w, cfrollout.OutcomeBroken, 200)
 	for _, again := range p.Place(5000) {
 		if len(again.Text.Versions) > 0 && again.Text.Versions[0] != again.Version {
-			t.Errorf("text of version %v goes on with %d", again.Text.Versions, again.Version)
+			t.Errorf("text of version %v is resumed with version %d", again.Text.Versions, again.Version)
 		}
 	}
 }
 
-// Load: an engine turns four times slower in mid-step. Its runs move to
-// engines with room, once nothing waits to start, and resume where they were.
+// TestRunsMoveOffASlowEngine makes an engine four times slower during a step. Once no item waits to
+// start, its runs move to engines with free slots and resume where they were.
 func TestRunsMoveOffASlowEngine(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	p.AddBatch(step("s", "a", 1, 2, 4), terms)
+	p.AddBatch(step("s", "a", 1, 2, 4), defaultTerms)
 	works := p.Place(0)
 	for _, w := range works {
 		pace := cf.Millis(40)
@@ -231,64 +233,64 @@
 		p.Finished(w, cfrollout.OutcomeStopped, 2010)
 		for _, again := range p.Place(2010) {
 			if again.Engine == "e00" || again.Text.Last != last {
-				t.Errorf("run goes on at %s after event %d, want another engine after %d", again.Engine, again.Text.Last, last)
+				t.Errorf("run is resumed at %s after event %d, want another engine after event %d", again.Engine, again.Text.Last, last)
 			}
 		}
 	}
 }
 
-// Symptom: runs move back and forth and read their prompts again each time.
-// Sequence: all engines are equally fast.
-func TestEvenEnginesKeepTheirRuns(t *testing.T) {
+// TestUniformEnginesKeepTheirRuns guards against runs that move back and forth between equally fast
+// engines and process their prompts again each time.
+func TestUniformEnginesKeepTheirRuns(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(3, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	p.AddBatch(step("s", "a", 1, 2, 4), terms)
+	p.AddBatch(step("s", "a", 1, 2, 4), defaultTerms)
 	for _, w := range p.Place(0) {
 		generate(t, w, 10, 1900, 40)
 	}
 	if moves := p.Moves(2000); len(moves) != 0 {
-		t.Errorf("%d runs move between even engines", len(moves))
+		t.Errorf("%d runs move between equally fast engines", len(moves))
 	}
 }
 
-// A group that its step left unfinished goes on from its text in the next
-// step, if the weights fit; a run that was still under way is not repeated.
-func TestLeftOverGroupGoesOn(t *testing.T) {
+// TestUnfinishedGroupIsResumedInTheNextStep checks that the next step continues the texts of an
+// unfinished group if the weights fit, and adopts a run that has not ended instead of repeating it.
+func TestUnfinishedGroupIsResumedInTheNextStep(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 2}), models("a"))
 	p.SetVersion("a", 2)
-	p.AddBatch(step("s", "a", 1, 1, 2), terms)
+	p.AddBatch(step("s", "a", 1, 1, 2), defaultTerms)
 	works := p.Place(0)
 	for _, w := range works {
 		generate(t, w, 0, 400, 40)
 	}
 	if stopped := p.EndBatch("s"); len(stopped) != 0 {
-		t.Errorf("%d runs stopped whose text the next step can use", len(stopped))
+		t.Errorf("%d runs stopped although the next step can use their texts", len(stopped))
 	}
-	p.Finished(works[0], cfrollout.OutcomeDone, 500) // after its batch's end
+	p.Finished(works[0], cfrollout.OutcomeDone, 500) // after its batch has ended
 	next := step("t", "a", 2, 1, 0)
 	for _, w := range works {
 		next.Sub.Items = append(next.Sub.Items, w.Item)
 	}
-	ready := p.AddBatch(cfbatch.New(next.Sub), terms)
+	ready := p.AddBatch(cfbatch.New(next.Sub), defaultTerms)
 	if len(ready) != 1 || ready[0].Item.ID != works[0].Item.ID {
-		t.Errorf("%d items ready, want the one that finished", len(ready))
+		t.Errorf("%d items ready, want the finished one", len(ready))
 	}
 	if n := len(p.Place(600)); n != 0 {
 		t.Errorf("%d runs started, want the other adopted", n)
 	}
 	if !p.Finished(works[1], cfrollout.OutcomeDone, 700) {
-		t.Error("the adopted run is not listed for the next step")
+		t.Error("the item of the adopted run is not listed for the next step")
 	}
 }
 
-// Guards against: a text generated anew because its run, which was stopped with its batch, has
-// not ended when the next batch asks for it.
-func TestStoppedRunIsGoneOnWithAtOnce(t *testing.T) {
+// TestStoppedRunIsResumedAtOnce guards against a text that is generated again because its run,
+// which was stopped with its batch, has not ended when the next batch asks for it.
+func TestStoppedRunIsResumedAtOnce(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	b := step("s", "a", 1, 1, 1)
-	p.AddBatch(b, terms)
+	p.AddBatch(b, defaultTerms)
 	w := p.Place(0)[0]
 	generate(t, w, 0, 400, 40)
 	if stopped := p.EndBatch("s"); len(stopped) != 1 {
@@ -296,19 +298,20 @@
 	}
 	sub := b.Sub
 	sub.ID = "t"
-	p.AddBatch(cfbatch.New(sub), terms)
+	p.AddBatch(cfbatch.New(sub), defaultTerms)
 	if again := p.Place(410); len(again) != 1 || again[0].Text.Last != 11 {
-		t.Errorf("the text does not go on: %+v", again)
+		t.Errorf("the text is not resumed: %+v", again)
 	}
 	p.Finished(w, cfrollout.OutcomeStopped, 500)
 }
 
-// Text made by weights that are too old for the next step is thrown away.
+// TestStaleTextIsNotReused checks that a text of weights that are too old for the next step is
+// discarded.
 func TestStaleTextIsNotReused(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 1}), models("a"))
 	b := step("s", "a", 1, 1, 1)
-	p.AddBatch(b, terms)
+	p.AddBatch(b, defaultTerms)
 	w := p.Place(0)[0]
 	generate(t, w, 0, 400, 40)
 	stopped := p.EndBatch("s")
@@ -319,14 +322,13 @@
 	p.SwapDone("e00", "a", 2)
 	sub := b.Sub
 	sub.ID, sub.MinVersion = "t", 2
-	p.AddBatch(cfbatch.New(sub), terms)
+	p.AddBatch(cfbatch.New(sub), defaultTerms)
 	if again := p.Place(600); len(again) != 1 || again[0].Text.Last != 0 {
-		t.Errorf("stale text goes on: %+v", again)
+		t.Errorf("stale text is resumed: %+v", again)
 	}
 }
 
-// BenchmarkPlace measures one look of the planner, at three sizes of a step
-// and its engines.
+// BenchmarkPlace measures one call of Place, for three sizes of a step and its engines.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("engines_%d", n), func(b *testing.B) {
@@ -334,7 +336,7 @@
 			for b.Loop() {
 				p := cfrollout.New(cfrollout.DefaultLimits)
 				p.SetEngines(targets, models("a"))
-				p.AddBatch(step("s", "a", 1, n, 4), terms)
+				p.AddBatch(step("s", "a", 1, n, 4), defaultTerms)
 				if len(p.Place(0)) == 0 {
 					b.Fatal("nothing placed")
 				}
@@ -344,16 +346,16 @@
 	}
 }
 
-// BenchmarkLook measures a look of the planner at a busy site: every engine is
-// full, twice as many items wait, and a version has been named.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkPass measures one planning pass of a busy planner: every engine is full, twice as many
+// items wait, and a new version was announced.
+func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("engines_%d", n), func(b *testing.B) {
 			held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
 			p := cfrollout.New(cfrollout.DefaultLimits)
 			p.SetEngines(fleet(n, held...), models("a", "b", "c"))
 			for _, m := range []cf.ModelName{"a", "b", "c"} {
-				p.AddBatch(step(cf.BatchID(m), m, 1, n, 4), terms)
+				p.AddBatch(step(cf.BatchID(m), m, 1, n, 4), defaultTerms)
 			}
 			p.Place(0)
 			p.SetVersion("a", 2)
@@ -368,13 +370,13 @@
 	}
 }
 
-// Symptom: an item of a route for samples of one version waits for ever.
-// Sequence: its run breaks off; before it is resumed, all engines of its share
-// load the next version.
-func TestSingleVersionTextStartsAnewWhenItsVersionIsGone(t *testing.T) {
+// TestSingleVersionTextRestartsWhenItsVersionIsGone guards against an item that waits forever on a
+// route for samples of one version: its stream breaks, and all engines of its share load the next
+// version before it is resumed.
+func TestSingleVersionTextRestartsWhenItsVersionIsGone(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 1}), models("a"))
-	single := terms
+	single := defaultTerms
 	single.SingleVersion = true
 	p.AddBatch(step("s", "a", 1, 1, 1), single)
 	w := p.Place(0)[0]
@@ -384,13 +386,13 @@
 	p.SwapDone("e01", "a", 2)
 	again := p.Place(5000)
 	if len(again) != 1 || again[0].Text.Last != 0 || again[0].Version != 2 {
-		t.Errorf("started again: %+v", again)
+		t.Errorf("restarted items: %+v", again)
 	}
 }
 
-// Symptom: items run by a route that the operator has dropped, or at the
-// service that it went to before.
-// Sequence: a batch is open when the configuration changes.
+// TestOpenBatchFollowsTheConfiguration guards against items that run on a route that the operator
+// has removed, or at its previous service, when the configuration changes while their batch is
+// open.
 func TestOpenBatchFollowsTheConfiguration(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := cf.ModelState{Name: "a", Version: 1}
@@ -398,7 +400,7 @@
 	other := fleet(2, held)[1]
 	other.Service = "others"
 	p.SetEngines(append(targets, other), map[cf.ServiceName][]cf.ModelName{service: {"a"}, "others": {"a"}})
-	p.AddBatch(step("s", "a", 1, 3, 4), terms)
+	p.AddBatch(step("s", "a", 1, 3, 4), defaultTerms)
 	first := p.Place(0)
 	if len(first) != 4 {
 		t.Fatalf("%d items started", len(first))
@@ -408,27 +410,26 @@
 	if n := len(p.Place(20)); n != 0 {
 		t.Errorf("%d items started without a route", n)
 	}
-	moved := terms
+	moved := defaultTerms
 	moved.Service = "others"
 	p.SetTerms("s", moved, true)
 	for _, w := range p.Place(30) {
 		if w.Engine != other.ID {
-			t.Errorf("item started at %s, of the service before", w.Engine)
+			t.Errorf("item started at %s of the previous service", w.Engine)
 		}
 	}
 }
 
-// Symptom: a step stands still for seconds beside another that runs.
-// Sequence: a coordinator was lost, so no engine could follow the versions named
-// meanwhile; two steps are open, and the engines may run the older one alone,
-// which has more items than they have slots.
-// Cause: an engine loaded only when nothing waited that it could run.
-func TestBlockedStepNeedNotWaitForAnothersQueue(t *testing.T) {
+// TestBlockedStepDoesNotWaitForAnotherStepsQueue guards against a step that is delayed for seconds
+// by another one. After the loss of a coordinator, no engine has loaded the versions announced in
+// the meantime. Of two open steps the engines may run only the older one, which has more items than
+// slots. If engines loaded only when no waiting item could run, the newer step would wait.
+func TestBlockedStepDoesNotWaitForAnotherStepsQueue(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(4, cf.ModelState{Name: "a", Version: 5}), models("a"))
 	p.SetVersion("a", 7)
-	p.AddBatch(step("older", "a", 5, 10, 4), terms)
-	p.AddBatch(step("newer", "a", 6, 10, 4), terms)
+	p.AddBatch(step("older", "a", 5, 10, 4), defaultTerms)
+	p.AddBatch(step("newer", "a", 6, 10, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 16 {
 		t.Fatalf("%d items of the older step started, want all slots taken", n)
 	}
@@ -438,36 +439,36 @@
 	}
 	for _, s := range swaps {
 		if !s.KeepRuns {
-			t.Error("the runs of an engine that loads are not kept")
+			t.Error("the runs of a loading engine are not kept")
 		}
 		p.SwapDone(s.Target.ID, s.Model, s.Version)
 	}
 }
 
-// Symptom: an engine refuses every item that it gets, for ever.
-// Sequence: it starts again under its id, with older weights; the list shows that
-// first, or still the start before, when a report has shown the new one.
-// Cause: versions of one start only rise, and were kept over the next.
-func TestEngineThatStartsAgainHoldsNothingOfBefore(t *testing.T) {
+// TestRestartedEngineHoldsNoOldVersions guards against an engine that refuses all of its items
+// forever. It restarts under its id with older weights, and the list shows that first, or still the
+// previous process after a report has shown the new one. The versions of one process only increase,
+// but must not be kept across a restart.
+func TestRestartedEngineHoldsNoOldVersions(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(2, cf.ModelState{Name: "a", Version: 4})
-	targets[0].Born, targets[1].Born = 100, 100
+	targets[0].Started, targets[1].Started = 100, 100
 	p.SetEngines(targets, models("a"))
 	p.SetVersion("a", 4)
-	p.Reported("e00", cf.TargetReport{Born: 200, Models: []cf.ModelState{{Name: "a", Version: 2}}})
-	p.SetEngines(targets, models("a")) // late
+	p.Reported("e00", cf.TargetReport{Started: 200, Models: []cf.ModelState{{Name: "a", Version: 2}}})
+	p.SetEngines(targets, models("a")) // the list is late
 	again := fleet(2, cf.ModelState{Name: "a", Version: 3})
-	again[0].Born, again[1].Born = 200, 300
+	again[0].Started, again[1].Started = 200, 300
 	p.SetEngines(again, models("a"))
-	p.AddBatch(step("s", "a", 4, 1, 4), terms)
+	p.AddBatch(step("s", "a", 4, 1, 4), defaultTerms)
 	if n := len(p.Place(0)); n != 0 {
-		t.Errorf("%d items at engines that hold older weights", n)
+		t.Errorf("%d items start at engines with older weights", n)
 	}
 	if n := len(p.Swaps(0)); n == 0 {
 		t.Error("no engine loads")
 	}
-	p.Reported("e00", cf.TargetReport{Born: 150, Models: []cf.ModelState{{Name: "a", Version: 9}}})
+	p.Reported("e00", cf.TargetReport{Started: 150, Models: []cf.ModelState{{Name: "a", Version: 9}}})
 	if n := len(p.Place(0)); n != 0 {
-		t.Errorf("%d items by a report of a start before", n)
+		t.Errorf("%d items start because of a report of the previous process", n)
 	}
 }
--- a/core/cfrollout/shares_test.go
+++ b/core/cfrollout/shares_test.go
@@ -7,18 +7,17 @@
 	"currantford/core/cfrollout"
 )
 
-// Symptom: a trainer's steps are never begun while others' are.
-// Load: three models on three engines; one model's steps are a thousand times
-// as large as the others'.
-// Cause: the large model's part was rounded up before the last model had one.
+// TestLargeStepsLeaveEachModelAnEngine guards against a trainer whose steps never start. Three
+// models have three engines, and the steps of one model are a thousand times as large as the
+// others'. Rounding up its part first would leave no engine for the last model.
 func TestLargeStepsLeaveEachModelAnEngine(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
 	targets := fleet(3, held...)
 	p.SetEngines(targets, models("a", "b", "c"))
-	p.AddBatch(step("large", "a", 1, 100, 10), terms)
-	p.AddBatch(step("small-b", "b", 1, 1, 1), terms)
-	p.AddBatch(step("small-c", "c", 1, 1, 1), terms)
+	p.AddBatch(step("large", "a", 1, 100, 10), defaultTerms)
+	p.AddBatch(step("small-b", "b", 1, 1, 1), defaultTerms)
+	p.AddBatch(step("small-c", "c", 1, 1, 1), defaultTerms)
 	count := map[cf.ModelName]int{}
 	for _, m := range shares(p, targets) {
 		count[m]++
@@ -30,11 +29,11 @@
 	}
 }
 
-// Symptom: a trainer starves after engines are lost.
-// Load: three models, each with a step of twice the slots, on the one engine that
-// is left; a and b hand in a new step as soon as one is done.
-// Cause: an engine served one model, whose work never ended.
-func TestFewerEnginesThanModelsTakeTurns(t *testing.T) {
+// TestModelsTakeTurnsOnTooFewEngines guards against a trainer that is starved after a loss of
+// engines. Each of three models has a step of twice the slots on the one remaining engine, and a
+// and b submit a new step as soon as one is done. An engine that serves one model until its work
+// ends would never serve the others.
+func TestModelsTakeTurnsOnTooFewEngines(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	held := []cf.ModelState{{Name: "a", Version: 1}, {Name: "b", Version: 1}, {Name: "c", Version: 1}}
 	p.SetEngines(fleet(1, held...), models("a", "b", "c"))
@@ -45,7 +44,7 @@
 		b := step(cf.BatchID(string(m)+string(rune('0'+accepted))), m, 1, 2, 4)
 		b.Sub.Accepted = accepted
 		left[m] = len(b.Sub.Items)
-		p.AddBatch(b, terms)
+		p.AddBatch(b, defaultTerms)
 	}
 	for _, m := range []cf.ModelName{"a", "b", "c"} {
 		add(m)
@@ -66,12 +65,13 @@
 		}
 	}
 	if done["c"] != 1 || done["a"] < 2 || done["b"] < 2 {
-		t.Errorf("steps done: %v, want c's and two or more of a and b each", done)
+		t.Errorf("steps done: %v, want one of c and at least two each of a and b", done)
 	}
 }
 
-// Guards against shares of services without due times that lag behind the latest step, or
-// follow guessed lengths: there they are divided by the tokens of the latest steps.
+// TestSharesWithoutDueTimesFollowTheLatestStep guards against shares of services without due times
+// that lag behind the latest step or follow length hints. Without due times, engines are divided by
+// the tokens of the latest steps.
 func TestSharesWithoutDueTimesFollowTheLatestStep(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(12, cf.ModelState{Name: "a", Version: 1}, cf.ModelState{Name: "b", Version: 1})
@@ -89,7 +89,7 @@
 		for i := range b.Sub.Items {
 			b.Sub.Items[i].LengthHint = hint
 		}
-		p.AddBatch(b, terms)
+		p.AddBatch(b, defaultTerms)
 	}
 	add("a1", "a", 10, 50)
 	add("b1", "b", 10, 10)
--- a/core/cfrollout/single_test.go
+++ b/core/cfrollout/singleversion_test.go
@@ -9,11 +9,10 @@
 
 var singleTerms = cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 40000, SingleVersion: true}
 
-// Symptom: a sample of a route for single versions was made by two.
-// Sequence: an engine's weights change in the midst of a run, by an order that
-// was carried out late or given between two steps; the run goes on to its end.
-// Cause: only texts that had to be resumed were looked at for their versions.
-func TestTextOfTwoVersionsIsNotListedAsOne(t *testing.T) {
+// TestMixedVersionTextIsNotCompleted guards against a sample of two versions on a route for single
+// versions. The engine's weights change during the run, by an order that was carried out late or
+// given between two steps, and the run continues to its end without being resumed.
+func TestMixedVersionTextIsNotCompleted(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(1, cf.ModelState{Name: "a", Version: 4}), models("a"))
 	p.AddBatch(step("b", "a", 4, 1, 1), singleTerms)
@@ -24,20 +23,20 @@
 		}
 	}
 	if p.Finished(w, cfrollout.OutcomeDone, 10) {
-		t.Fatal("a text of two versions is to be listed")
+		t.Fatal("a text of two versions is listed")
 	}
 	again := p.Place(20)
 	if len(again) != 1 || again[0].Text.Last != 0 {
-		t.Fatalf("%d items are placed again, want one that begins anew", len(again))
+		t.Fatalf("%d items are placed again, want one that starts from the beginning", len(again))
 	}
 	if again[0].Failures != 0 {
-		t.Error("it counts as a failure of the item")
+		t.Error("the restart counts as a failure of the item")
 	}
 }
 
-// Symptom and sequence as above, between two steps: no batch is open, and a run
-// goes on for the step to come, which may ask for its item again.
-// Cause: the order let runs go on, because no open batch forbade it.
+// TestOrdersBetweenStepsWaitForSingleVersionRuns guards against the same between two steps: no
+// batch is open, and a run continues for the next step, which may ask for its item again. The order
+// must not let such runs continue on the new weights.
 func TestOrdersBetweenStepsWaitForSingleVersionRuns(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 4}), models("a"))
@@ -51,19 +50,20 @@
 	}
 	for _, s := range swaps {
 		if s.KeepRuns {
-			t.Errorf("the order to %s lets runs go on", s.Target.ID)
+			t.Errorf("the order to %s keeps runs", s.Target.ID)
 		}
 	}
 }
 
-// Guards against: an item that waits for ever, as the only engine that holds the weights of
-// its text is slow and the others, which may not go on with it, are counted as its queue.
-func TestTextOfOneVersionGoesOnAtASlowEngine(t *testing.T) {
-	p := slowSite(t)
-	p.AddBatch(hinted("s", 100), singleTerms)
+// TestSingleVersionTextResumesAtASlowEngine guards against an item that waits forever: the only
+// engine with the weights of its text is slow, and the other engines, which may not continue the
+// text, are counted in its queue.
+func TestSingleVersionTextResumesAtASlowEngine(t *testing.T) {
+	p := newSlowEnginePlanner(t)
+	p.AddBatch(hintedBatch("s", 100), singleTerms)
 	w := p.Place(5000)[0]
 	if w.Engine == "e03" {
-		t.Fatal("it begins at the slow engine")
+		t.Fatal("the item starts at the slow engine")
 	}
 	generate(t, w, 5010, 5400, 40)
 	p.Finished(w, cfrollout.OutcomeBroken, 5450)
@@ -73,12 +73,12 @@
 	}
 	for now := cf.Millis(5500); now < 15_500; now += 50 {
 		if placed := p.Place(now); len(placed) == 1 {
-			t.Logf("goes on at %s after %d ms", placed[0].Engine, now-5450)
+			t.Logf("resumed at %s after %d ms", placed[0].Engine, now-5450)
 			return
 		}
 		for _, s := range p.Swaps(now) {
 			p.SwapDone(s.Target.ID, s.Model, s.Version)
 		}
 	}
-	t.Errorf("at no engine for 10 s: %v", p.WaitingItems(15_500).Counts)
+	t.Errorf("no engine for 10 s: %v", p.WaitingItems(15_500).Counts)
 }
--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -31,15 +31,15 @@
 			Content: key.Content, Caller: key.Caller, Target: cfquarantine.Incarnation{ID: cf.InstanceID(fmt.Sprint("gone", n)), Born: 1}, Loss: cfquarantine.LossRefused,
 		})
 	}
-	guard.Inform("store", strikes)
+	guard.Sync("store", strikes)
 	c := New(Options{
-		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Duty: held{},
+		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: held{},
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.New(core),
 	})
 	for range looks {
 		for n := range items {
 			c.mu.Lock()
-			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
+			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Started: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
 			c.mu.Unlock()
 			if v.Pass || v.RetryAt == 0 {
 				t.Fatalf("an item does not pause after %d crashes: %+v", len(strikes), v)
--- a/io/cfcoord/guard_test.go
+++ b/io/cfcoord/quarantine_test.go
@@ -54,7 +54,7 @@
 	})
 	t.Cleanup(func() { _ = guard.Close() })
 	c := New(Options{
-		Store: store, Targets: targets, Site: site, Codec: cfstandin.Codec{}, Duty: held{}, Policy: Policy{NoTextCopies: true},
+		Store: store, Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: held{}, Policy: Policy{NoTextCopies: true},
 		Guard: guard, KeepResults: 120_000, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log,
 	})
 	c.Start(noTexts)
@@ -74,7 +74,7 @@
 	if n := targets.runs.Load(); n > 0 {
 		t.Errorf("%d runs before it is known what is held", n)
 	}
-	guard.Inform("store", nil)
+	guard.Sync("store", nil)
 	for deadline := time.Now().Add(20 * time.Second); targets.runs.Load() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no run once it is known")
@@ -91,7 +91,7 @@
 		t.Run(fmt.Sprint("sent ", sent), func(t *testing.T) {
 			targets := &deadTargets{sent: sent}
 			guard, sub := itemWithGuard(t, targets, zap.NewNop())
-			guard.Inform("store", nil)
+			guard.Sync("store", nil)
 			for deadline := time.Now().Add(20 * time.Second); targets.runs.Load() < 3; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Fatalf("%d tries", targets.runs.Load())
@@ -114,13 +114,13 @@
 
 func (u *unluckyTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	if u.runs.Add(1) <= 3 {
-		return cf.TargetAnswer{Heard: true}, fmt.Errorf("EOF: %w", cf.ErrMaybeRan)
+		return cf.TargetAnswer{Alive: true}, fmt.Errorf("EOF: %w", cf.ErrMaybeRan)
 	}
 	if err := sink.Event(cf.StreamEvent{ID: 1, Data: "x", Version: 1}); err != nil {
 		return cf.TargetAnswer{}, err
 	}
 	u.done.Add(1)
-	return cf.TargetAnswer{Status: http.StatusOK, Heard: true}, nil
+	return cf.TargetAnswer{Status: http.StatusOK, Alive: true}, nil
 }
 
 func (u *unluckyTargets) Reach(context.Context, cf.Target) error {
@@ -136,13 +136,13 @@
 	core, logs := observer.New(zap.InfoLevel)
 	targets := &unluckyTargets{}
 	guard, sub := itemWithGuard(t, targets, zap.New(core))
-	guard.Inform("store", nil)
+	guard.Sync("store", nil)
 	for deadline := time.Now().Add(20 * time.Second); logs.FilterField(zap.String("outcome", "done")).Len() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("%d runs, none of them to its end", targets.runs.Load())
 		}
 	}
-	id := zap.String("request_id", string(sub.Items[0].ID.Request()))
+	id := zap.String("request_id", string(sub.Items[0].ID.RequestID()))
 	count := map[string]int{}
 	lost := map[string]bool{}
 	for _, line := range logs.FilterField(id).All() {
--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -14,19 +14,19 @@
 // It hears of a configuration within a second of reaching anybody.
 const unsureRetry cf.Millis = 300
 
-// Belief is how far this instance can rely on its configuration, and how long ago it was
+// ConfigStatus is how far this instance can rely on its configuration, and how long ago it was
 // last known to be the newest.
-type Belief struct {
+type ConfigStatus struct {
 	cfaccess.ConfigFreshness
 	Age cf.Millis
 }
 
 // belief returns that of this instance; one that is not told relies on what it has.
-func (in *Ingress) belief() Belief {
-	if in.Believes == nil {
-		return Belief{ConfigFreshness: cfaccess.ConfigFreshness{Current: true, KeysTrusted: true}}
+func (in *Ingress) belief() ConfigStatus {
+	if in.ConfigStatus == nil {
+		return ConfigStatus{ConfigFreshness: cfaccess.ConfigFreshness{Current: true, KeysTrusted: true}}
 	}
-	return in.Believes()
+	return in.ConfigStatus()
 }
 
 // identify says who a request comes from. It returns a refusal where another instance
@@ -50,7 +50,7 @@
 	in.Log.Info("request_not_identified", zap.String("request_id", request), zap.String("outcome", outcome), zap.String("reason", reason),
 		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(b.Age)), zap.Bool("current", b.Current))
 	if verdict == cfaccess.Undetermined {
-		return cf.Access{}, &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
+		return cf.Access{}, &cf.Refusal{RetryAfter: unsureRetry, Reason: "the configuration may have changed"}
 	}
 	return cf.Access{}, cf.ErrUnauthenticated
 }
@@ -84,7 +84,7 @@
 	if in.belief().Current {
 		return err
 	}
-	return &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
+	return &cf.Refusal{RetryAfter: unsureRetry, Reason: "the configuration may have changed"}
 }
 
 // notFound turns the answer to a caller without a key into one that tells it nothing of
--- a/io/cfingress/forward_test.go
+++ b/io/cfingress/forward_test.go
@@ -53,13 +53,13 @@
 	in := newIngress(t, targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 		if sends.Add(1) == 1 {
 			<-second
-			return cf.TargetAnswer{Wrote: marker}, eris.Wrap(cf.ErrNoRoom, "waited")
+			return cf.TargetAnswer{SentAt: marker}, eris.Wrap(cf.ErrNoRoom, "waited")
 		}
 		close(second)
 		<-firstEnded
 		return cf.TargetAnswer{Status: http.StatusOK, Header: http.Header{}}, nil
 	}}, hedged, "a", "b", "c")
-	in.Count = func(_ cf.Organisation, began cf.Millis, requests int64) {
+	in.CountRequests = func(_ cf.Organisation, began cf.Millis, requests int64) {
 		if began == marker && requests > 0 {
 			close(firstEnded)
 		}
--- a/io/cfingress/stream.go
+++ b/io/cfingress/stream.go
@@ -79,7 +79,7 @@
 		now := cf.Uptime()
 		a := f.streamOnce(ctx, target, sink, now)
 		if a.err == nil && a.answer.Status/100 == 2 {
-			f.use.ended(target.ID, cfbalance.Answered, a.answer.Wrote)
+			f.use.ended(target.ID, cfbalance.Answered, a.answer.SentAt)
 			f.done(a, cfbalance.Answered, cf.Uptime())
 			f.follow(a)
 			f.in.Log.Info("stream_answered", zap.String("request_id", string(f.req.ID)), zap.String("target", string(target.ID)),
@@ -156,9 +156,9 @@
 
 // breakOff closes the caller's connection in the midst of its answer.
 func (f *forwarding) breakOff(sink *streamSink) {
-	f.in.Log.Warn("stream_broken_off", zap.String("request_id", string(f.req.ID)), zap.Int64("events", int64(sink.last)), zap.Bool("caller_slow", f.room.Cut()))
+	f.in.Log.Warn("stream_broken_off", zap.String("request_id", string(f.req.ID)), zap.Int64("events", int64(sink.last)), zap.Bool("caller_slow", f.room.WasCut()))
 	outcome := "broken_off"
-	if f.room.Cut() {
+	if f.room.WasCut() {
 		outcome = "caller_slow"
 	}
 	f.in.count("stream", outcome, f.req)
--- a/io/cfnode/batchcalls.go
+++ b/io/cfnode/batchcalls.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if c := r.n.coord.Load(); c != nil {
-		c.Prepare(sub)
+		c.PrepareBatch(sub)
 		return
 	}
 	r.n.notifyCoordinator(opPrepare, prepareCall{sub})
@@ -131,7 +131,7 @@
 // Accepted implements cfingress.Coordinator.
 func (r coordinatorClient) Accepted(id cf.BatchID, at cf.Millis) {
 	if c := r.n.coord.Load(); c != nil {
-		c.Accepted(id, at)
+		c.BatchAccepted(id, at)
 		return
 	}
 	r.n.notifyCoordinator(opAccepted, acceptedCall{id, at})
@@ -140,7 +140,7 @@
 // Changed implements cfingress.Coordinator.
 func (r coordinatorClient) Changed(id cf.BatchID, ended bool) {
 	if c := r.n.coord.Load(); c != nil {
-		c.Changed(id, ended)
+		c.BatchChanged(id, ended)
 		return
 	}
 	r.n.notifyCoordinator(opChanged, changedCall{id, ended})
@@ -159,22 +159,22 @@
 const notifyTimeout cf.Millis = 800
 
 func (n *Node) servePrepare(_ context.Context, c *cfcoord.Coordinator, call prepareCall) (any, error) {
-	c.Prepare(call.Batch)
+	c.PrepareBatch(call.Batch)
 	return true, nil
 }
 
 func (n *Node) serveAccepted(_ context.Context, c *cfcoord.Coordinator, call acceptedCall) (any, error) {
-	c.Accepted(call.Batch, call.At)
+	c.BatchAccepted(call.Batch, call.At)
 	return true, nil
 }
 
 func (n *Node) serveChanged(_ context.Context, c *cfcoord.Coordinator, call changedCall) (any, error) {
-	c.Changed(call.Batch, call.Ended)
+	c.BatchChanged(call.Batch, call.Ended)
 	return true, nil
 }
 
 func (n *Node) serveResults(ctx context.Context, c *cfcoord.Coordinator, call resultsCall) (any, error) {
-	page, ref, err := c.ReadFor(ctx, call.Batch, call.After, call.Wait, call.Inline)
+	page, ref, err := c.ReadForPeer(ctx, call.Batch, call.After, call.Wait, call.Inline)
 	return resultsAnswer{page, ref}, err
 }
 
--- a/io/cfnode/endless_test.go
+++ b/io/cfnode/endless_test.go
@@ -83,7 +83,7 @@
 }
 
 // newEndlessSite starts an instance with two targets, one of which sends endless answers.
-func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*testSite, *standin.Endless) {
+func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*testSite, *standin.EndlessServer) {
 	t.Helper()
 	sound := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Currantford-Request-Id", r.Header.Get("Currantford-Request-Id"))
@@ -91,7 +91,7 @@
 		writeSized(w, r)
 	}))
 	t.Cleanup(sound.Close)
-	endless, err := standin.NewEndless(shape, pause)
+	endless, err := standin.NewEndlessServer(shape, pause)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -267,7 +267,7 @@
 	n.usage.applyAnswer(a, call)
 	// The instance begins to forward with its first configuration, and must know the held requests
 	// by then.
-	if a.Synced && a.Fresh && !n.guard.Informed() {
+	if a.Synced && a.Fresh && !n.guard.Synced() {
 		n.quarantine.syncFromPeer(addr, a.Quarantine)
 	}
 	if err := n.applyFeed(a, askedAt, answeredAt); err != nil {
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -50,7 +50,7 @@
 	switch fresh, _ := n.servedView(cf.Uptime()); {
 	case !fresh:
 		wait = stalePollWait // There is no current view to send yet.
-	case !n.guard.Informed():
+	case !n.guard.Synced():
 		wait = unsyncedPollWait
 	case call.Origin != n.origin || call.TargetUpdates != targetUpdates || call.Config.Rev < n.site.ConfigRecord().Rev:
 		return nil
@@ -84,7 +84,7 @@
 func (n *Node) newFeedAnswer(call feedCall) feedAnswer {
 	now := cf.Uptime()
 	holder, rev := n.candidate.holder()
-	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Checksums(), Synced: n.guard.Informed()}
+	a := feedAnswer{Holder: holder, Rev: rev, Origin: n.origin, Quarantine: n.guard.Table.Checksums(), Synced: n.guard.Synced()}
 	a.Fresh, a.Age = n.servedView(now)
 	if n.candidate.Held() {
 		a.Uncertain = !a.Fresh
--- a/io/cfnode/freshness.go
+++ b/io/cfnode/freshness.go
@@ -32,12 +32,12 @@
 // long, so the instance stops after the time that its settings allow. While another instance has no
 // answer from the store either, the store is unavailable to all and no key can have been revoked:
 // the instance then continues, unless its settings make revocations strict.
-func (n *Node) configBelief() cfingress.Belief {
+func (n *Node) configBelief() cfingress.ConfigStatus {
 	now := cf.Uptime()
 	age := now - n.configCurrentAt(now)
 	maxAge := n.settings.Bounds.KeyTrustMs
 	sharedOutage := !n.settings.Bounds.StrictKeys && now-cf.Millis(n.feed.outageConfirmedAt.Load()) < sharedOutageLifetime
-	return cfingress.Belief{
+	return cfingress.ConfigStatus{
 		ConfigFreshness: cfaccess.ConfigFreshness{Current: age < cfwatch.MaxViewAge, KeysTrusted: maxAge == 0 || age < maxAge || sharedOutage},
 		Age:             age,
 	}
--- a/io/cfnode/heldrequests.go
+++ b/io/cfnode/heldrequests.go
@@ -50,7 +50,7 @@
 // sync merges the strikes of all requests that other instances hold. Requests may be forwarded from
 // then on.
 func (q *quarantine) sync(source string, held []cfquarantine.Strike) {
-	if !q.guard.Inform(source, held) {
+	if !q.guard.Sync(source, held) {
 		return
 	}
 	_, n := q.guard.Table.HeldStrikes(0, cf.Uptime())
@@ -109,7 +109,7 @@
 		if err != nil {
 			q.node.log.Info("held_not_told", zap.String("addr", holder.Addr), cflog.Error(err))
 		}
-		q.guard.Learn(holder.Entry, answer.Strikes)
+		q.guard.Merge(holder.Entry, answer.Strikes)
 	}
 	q.sync(heldSource, nil)
 	return nil
@@ -127,7 +127,7 @@
 // serveHeld returns the requests held here to another instance.
 func (q *quarantine) serveHeld(context.Context, struct{}) (any, error) {
 	held, _ := q.guard.Table.HeldStrikes(maxHeldRequests, cf.Uptime())
-	return heldAnswer{Synced: q.guard.Informed(), Strikes: held}, nil
+	return heldAnswer{Synced: q.guard.Synced(), Strikes: held}, nil
 }
 
 // persist writes the held requests to the store whenever they have changed. In a new term it first
@@ -199,7 +199,7 @@
 	for i := range o.Strikes {
 		o.Strikes[i].Age += elapsed
 	}
-	q.guard.Learn(heldSource, o.Strikes)
+	q.guard.Merge(heldSource, o.Strikes)
 }
 
 // save writes the held requests whose checksum is sum.
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -154,7 +154,7 @@
 	}
 	n.autoscale = newAutoscale(n, reg)
 	n.guard = cfguard.New(cfguard.Options{
-		Self: s.Entry, Targets: a.Targets, Site: n.site, Share: n.quarantine.share, Witness: n.quarantine.witness, Off: s.Policy.NoQuarantine,
+		Self: s.Entry, Targets: a.Targets, Site: n.site, Share: n.quarantine.share, ReachableElsewhere: n.quarantine.witness, Disabled: s.Policy.NoQuarantine,
 		Metrics: cfguard.NewMetrics(reg), Log: log,
 	})
 	n.quarantine.guard = n.guard
@@ -169,7 +169,7 @@
 	}
 	n.ingress = cfingress.New(cfingress.Options{
 		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: coordinatorClient{n}, Members: n, Guard: n.guard, Feasibility: n.feasibility(),
-		Believes: n.configBelief, Count: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
+		ConfigStatus: n.configBelief, CountRequests: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
 		ValueBytes: s.Store.ValueBytes, MemoryBytes: s.Memory.LimitMB << 20,
 		IgnorePace: s.Policy.IgnorePace, Metrics: cfingress.NewMetrics(reg), Log: log,
 	})
@@ -188,9 +188,9 @@
 	n.peerSrv.Handle(opAskHolder, decoded(n.serveAskHolder))
 	n.peerSrv.Handle(opAlive, func(context.Context, cbor.RawMessage) (any, error) { return true, nil })
 	n.peerSrv.Handle(opMirror, decoded(n.serveMirror))
-	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.runnerHost.Orders(ctx, o) }))
-	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.Collect) (any, error) { return n.runnerHost.Collect(ctx, c) }))
-	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.Relayed(ctx, body) })
+	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.runnerHost.ApplyOrders(ctx, o) }))
+	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.CollectRequest) (any, error) { return n.runnerHost.Collect(ctx, c) }))
+	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.HandleRelayed(ctx, body) })
 	n.peerSrv.Handle(opStrikes, decoded(n.quarantine.serve))
 	n.peerSrv.Handle(opHeld, decoded(n.quarantine.serveHeld))
 	n.peerSrv.Handle(opReach, decoded(n.quarantine.serveReach))
@@ -374,9 +374,9 @@
 	pool := n.newPool()
 	n.runnerPool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
-		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, Streams: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
-		Duty: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), Neighbour: replicaClient{n}, Metrics: n.metrics, Log: n.log,
-		Pages: n.linkBudget, Loads: previous.MaxLoads, Succeeds: previous.Entry != "", Policy: n.settings.Policy.Policy,
+		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, StreamRouter: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
+		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: replicaClient{n}, Metrics: n.metrics, Log: n.log,
+		PageBudget: n.linkBudget, MaxLoads: previous.MaxLoads, HasPredecessor: previous.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
@@ -420,11 +420,11 @@
 	n.autoscale.end()
 	if c := n.coord.Swap(nil); c != nil {
 		pool := n.runnerPool.Swap(nil)
-		pool.Hurry()
+		pool.LimitStopWait()
 		defer func() { _ = pool.Close() }()
 		n.members.StopCoordinating(n.self(), cf.Uptime())
 		_ = c.Close()
-		n.savedTexts.Store(&savedTexts{pool.Term, c.Texts()})
+		n.savedTexts.Store(&savedTexts{pool.Term, c.UnlistedTexts()})
 	}
 }
 
@@ -458,7 +458,7 @@
 			n.log.Info("target_changed", zap.String("target", string(t.ID)), zap.Bool("gone", true), zap.String("reason", "lapsed"))
 		}
 		var changed <-chan struct{}
-		if !n.guard.Informed() {
+		if !n.guard.Synced() {
 			changed = n.site.Changed() // The held requests must be known by the time the first configuration is in force.
 		}
 		select {
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -174,7 +174,7 @@
 
 // serve merges another instance's strikes and answers with its own if asked.
 func (q *quarantine) serve(_ context.Context, m strikesMessage) (any, error) {
-	q.guard.Learn(m.From, m.Strikes)
+	q.guard.Merge(m.From, m.Strikes)
 	if !m.Ask {
 		return []cfquarantine.Strike{}, nil
 	}
@@ -217,12 +217,12 @@
 
 // serveReach reports to another instance whether this one reaches a target.
 func (q *quarantine) serveReach(ctx context.Context, target cf.Target) (any, error) {
-	return q.guard.Reached(ctx, target) == nil, nil
+	return q.guard.Probe(ctx, target) == nil, nil
 }
 
 // serveFree frees a held request at an operator's command.
 func (q *quarantine) serveFree(_ context.Context, m freeMessage) (any, error) {
-	return q.guard.Free(m.Digest), nil
+	return q.guard.Release(m.Digest), nil
 }
 
 // compare compares another instance's checksums with those of this one. If they differ, the two
@@ -261,7 +261,7 @@
 			ours := q.guard.Table.StrikesByPriority(offset, exchangeSize, cf.Uptime())
 			answer, err := q.call(q.node.ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: ours, Ask: true, Offset: offset})
 			if err == nil {
-				q.guard.Learn("", answer)
+				q.guard.Merge("", answer)
 				if cfquarantine.CountContents(ours) < exchangeSize && cfquarantine.CountContents(answer) < exchangeSize {
 					q.resetExchange()
 				}
@@ -289,7 +289,7 @@
 		q.persist(now)
 	case current:
 	default:
-		if !q.guard.Informed() && n.watchDue(now) {
+		if !q.guard.Synced() && n.watchDue(now) {
 			q.startSelfSync(now, n.site.Config() != nil)
 		}
 		// There is no coordinator to compare with; any other instance will do.
--- a/io/cfnode/relay.go
+++ b/io/cfnode/relay.go
@@ -167,6 +167,6 @@
 func (r *relayTable) pause(now cf.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last, r.pausedUntil = "", now+relayPause.Doubled(r.failures, maxRelayPause)
+	r.last, r.pausedUntil = "", now+relayPause.Backoff(r.failures, maxRelayPause)
 	r.failures++
 }
--- a/io/cfnode/server.go
+++ b/io/cfnode/server.go
@@ -105,7 +105,7 @@
 		c.mu.Lock()
 		closing := c.closing
 		c.mu.Unlock()
-		c.log.Info("answer_not_written", zap.String("request_id", c.reader.Request()), zap.Bool("closing", closing), cflog.Error(err))
+		c.log.Info("answer_not_written", zap.String("request_id", c.reader.RequestID()), zap.Bool("closing", closing), cflog.Error(err))
 	}
 	return n, err
 }
@@ -135,8 +135,8 @@
 	return acked
 }
 
-// Answer implements cfroom.Delivery.
-func (c *conn) Answer() uint64 {
+// AnswerNumber implements cfroom.Delivery.
+func (c *conn) AnswerNumber() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answers
@@ -209,7 +209,7 @@
 // could not be written.
 func listen(addr string, h http.Handler, idle func() cf.Millis, rooms *cfroom.Rooms, log *zap.Logger) (*Server, error) {
 	var config net.ListenConfig
-	if rooms.On() {
+	if rooms.Enabled() {
 		config.Control = setSendBuffer
 	}
 	ln, err := config.Listen(context.Background(), "tcp", addr)
@@ -219,10 +219,10 @@
 	ctx, end := context.WithCancelCause(context.Background())
 	s := &Server{ln: ln, idle: idle, rooms: rooms, cancelRequests: end, conns: map[*conn]cf.Millis{}, stop: make(chan struct{})}
 	s.http = &http.Server{
-		Handler: cflog.Handler(s.withConnectionClose(h)), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.track,
+		Handler: cflog.PanicHandler(s.withConnectionClose(h)), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.track,
 		BaseContext: func(net.Listener) context.Context { return ctx },
 	}
-	if rooms.On() {
+	if rooms.Enabled() {
 		s.http.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
 			return cfroom.WithConn(ctx, nc.(*conn).reader)
 		}
@@ -261,10 +261,10 @@
 		s.conns[c] = cf.Uptime()
 	case http.StateActive:
 		s.conns[c] = 0
-		c.reader.Begun()
+		c.reader.RequestStarted()
 	default: // closed or hijacked
 		delete(s.conns, c)
-		c.reader.Ended()
+		c.reader.Closed()
 	}
 	s.mu.Unlock()
 	if st == http.StateIdle {
@@ -301,7 +301,7 @@
 		select {
 		case <-s.stop:
 			return
-		case <-s.rooms.Pressed():
+		case <-s.rooms.Pressure():
 			if remaining := last + cfhold.PressureCheckInterval - cf.Uptime(); remaining > 0 {
 				timer.Reset(remaining.Duration())
 				continue
@@ -316,7 +316,7 @@
 			}
 		}
 		s.mu.Unlock()
-		timer.Reset(s.rooms.Look(busy).Duration())
+		timer.Reset(s.rooms.Check(busy).Duration())
 		last = cf.Uptime()
 	}
 }
--- a/io/cfnode/server_test.go
+++ b/io/cfnode/server_test.go
@@ -98,7 +98,7 @@
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
-	c.Cut(c.Answer())
+	c.Cut(c.AnswerNumber())
 	c.endAnswer() // The answer had been written completely.
 	if _, err := c.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("the connection was not closed; the write returned %v", err)
@@ -111,7 +111,7 @@
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := &conn{Conn: ours, busy: true, reader: &cfroom.Conn{}, log: zap.NewNop()}
-	answer := c.Answer()
+	answer := c.AnswerNumber()
 	c.endAnswer()
 	go func() { _, _ = theirs.Write([]byte("x")) }()
 	if _, err := c.Read(make([]byte, 1)); err != nil { // a byte of the next request
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -144,7 +144,7 @@
 // ReadSettings reads and checks a settings file. Its errors name the JSON path of each invalid
 // field.
 func ReadSettings(path string) (Settings, error) {
-	s := Settings{Members: MemberSettings{HubsFrom: cfmember.HubsFrom}, Scaling: defaultScaling}
+	s := Settings{Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}, Scaling: defaultScaling}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return s, eris.Wrap(err, "read settings")
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -102,7 +102,7 @@
 func (n *Node) serveMirror(_ context.Context, part cfcoord.Mirror) (any, error) {
 	n.replicas.mu.Lock()
 	defer n.replicas.mu.Unlock()
-	return n.replicas.received.Take(part), nil
+	return n.replicas.received.Apply(part), nil
 }
 
 // serveTexts answers a coordinator that takes over with the texts that this instance generated
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -60,7 +60,7 @@
 		}
 		part.Texts[cf.ItemID(fmt.Sprint(i))] = text
 	}
-	holder.replicas.received.Take(part)
+	holder.replicas.received.Apply(part)
 
 	members := []cfmember.Entry{{ID: "b", PeerAddr: ln.Addr().String()}}
 	got := successor.gatherTexts(context.Background(), cflease.Holder{Entry: "gone", Addr: "127.0.0.1:1"}, members)
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -47,7 +47,7 @@
 	clock   cfusage.Clock
 	metrics *cfmeter.Metrics
 	// duty is set while this instance reports to the platform.
-	duty   atomic.Pointer[cfmeter.Duty]
+	duty   atomic.Pointer[cfmeter.Collector]
 	sentAt atomic.Int64 // Uptime
 }
 
@@ -112,10 +112,10 @@
 
 func (u *usage) serve(_ context.Context, m usageMessage) (any, error) {
 	d := u.duty.Load()
-	if d == nil || d.Act.Fence != m.Term {
+	if d == nil || d.Lease.Fence != m.Term {
 		return false, nil
 	}
-	d.Take(m.Report)
+	d.Add(m.Report)
 	return true, nil
 }
 
@@ -137,7 +137,7 @@
 	if d == nil {
 		return false, 0
 	}
-	return true, d.Take(*r)
+	return true, d.Add(*r)
 }
 
 // applyAnswer handles the usage fields of an answer to a feed call.
@@ -189,11 +189,11 @@
 	earliest := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverMargin
 	s := n.settings.Usage
 	d := cfmeter.New(cfmeter.Options{
-		Act: cf.Act{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
-		Terms: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
+		Lease: cf.LeaseToken{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
+		Timing: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
 		// A previous holder may have called until its lease expired.
 		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= earliest },
-		Now:    u.now, Own: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, Settled: u.meter.Settle, Expect: expected, Base: base,
+		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, OnSettled: u.meter.Settle, Instances: expected, Inherited: base,
 		Metrics: u.metrics, Log: n.log,
 	})
 	u.duty.Store(d)
@@ -210,7 +210,7 @@
 	if d == nil {
 		return nil
 	}
-	return d.BaseNow()
+	return d.Snapshot()
 }
 
 // flush sends the last counts of an instance that stops, until they are accepted or ctx ends.
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -182,7 +182,7 @@
 			w.reject("list_not_taken", "", err)
 		}
 		w.listed, w.catchingUp = true, w.OnCaughtUp != nil
-		w.recordRevision(list.At, askedAt)
+		w.recordRevision(list.Rev, askedAt)
 		return nil
 	}
 	wait := w.Wait
@@ -206,7 +206,7 @@
 			w.reject("change_not_taken", r.Name, err)
 		}
 	}
-	w.recordRevision(changes.At, cf.Uptime())
+	w.recordRevision(changes.Rev, cf.Uptime())
 	if w.catchingUp {
 		w.catchingUp = false
 		w.OnCaughtUp()
