--- a/io/cfguard/guard.go
+++ b/io/cfguard/guard.go
@@ -30,16 +30,16 @@
 )
 
 const (
-	// checkTimeout bounds the new connection by which a target is checked, here and
+	// probeTimeout bounds the new connection by which a target is checked, here and
 	// then at another instance; the longest round trip between failure domains takes
 	// 16 ms.
-	checkTimeout = 300 * time.Millisecond
-	// endingFor is how long a target may still take connections after those that it had have
+	probeTimeout = 300 * time.Millisecond
+	// terminationTime is how long a target may still take connections after those that it had have
 	// ended: the sockets of a process are not closed all at once, and one that it has just
 	// started holds its listener until it has replaced its program.
-	endingFor = 100 * time.Millisecond
-	// sweepEvery is how often Sweep looks through what is known.
-	sweepEvery cf.Millis = 500
+	terminationTime = 100 * time.Millisecond
+	// sweepInterval is how often Sweep looks through what is known.
+	sweepInterval cf.Millis = 500
 )
 
 type (
@@ -75,9 +75,9 @@
 		cancel context.CancelFunc
 		wg     cflog.Group
 
-		mu       sync.Mutex
-		checking map[cfquarantine.Incarnation]bool
-		swept    cf.Millis
+		mu        sync.Mutex
+		checking  map[cfquarantine.Incarnation]bool
+		lastSweep cf.Millis
 	}
 
 	// Metrics are the guard's counters.
@@ -184,10 +184,10 @@
 	if g == nil || g.Disabled {
 		return
 	}
-	news := g.Table.Answered(key, cfquarantine.IncarnationOf(target), sent, cf.Uptime())
-	if len(news) > 0 {
-		g.Log.Info("strikes_void", zap.String("reason", "the request was run to its end"), digest(key), zap.Int("strikes", len(news)))
-		g.share(news)
+	changed := g.Table.Answered(key, cfquarantine.IncarnationOf(target), sent, cf.Uptime())
+	if len(changed) > 0 {
+		g.Log.Info("strikes_void", zap.String("reason", "the request was run to its end"), digest(key), zap.Int("strikes", len(changed)))
+		g.share(changed)
 	}
 }
 
@@ -226,17 +226,17 @@
 func (g *Guard) check(target cf.Target, inc cfquarantine.Incarnation) {
 	for g.ctx.Err() == nil {
 		asked := cf.Uptime()
-		loss, err := g.lossOf(target)
-		if loss == "" && cf.Sleep(g.ctx, endingFor) {
-			loss, err = g.lossOf(target)
+		loss, err := g.detectLoss(target)
+		if loss == "" && cf.Sleep(g.ctx, terminationTime) {
+			loss, err = g.detectLoss(target)
 		}
 		if g.ctx.Err() != nil {
 			return
 		}
-		news := g.Table.Checked(inc, asked, loss, cf.Uptime())
+		changed := g.Table.Checked(inc, asked, loss, cf.Uptime())
 		g.Log.Info("target_checked", zap.String("target", string(target.ID)), zap.Int64("born_ms", int64(target.Born)),
-			zap.String("loss", string(loss)), zap.Int("strikes", len(news)), cflog.Error(err))
-		g.struck(news)
+			zap.String("loss", string(loss)), zap.Int("strikes", len(changed)), cflog.Error(err))
+		g.recordStrikes(changed)
 		g.mu.Lock()
 		if !g.Table.NeedsCheck(inc) {
 			delete(g.checking, inc)
@@ -247,8 +247,8 @@
 	}
 }
 
-// lossOf says how a target is gone, empty if it is not.
-func (g *Guard) lossOf(target cf.Target) (cfquarantine.Loss, error) {
+// detectLoss says how a target is gone, empty if it is not.
+func (g *Guard) detectLoss(target cf.Target) (cfquarantine.Loss, error) {
 	err := g.Probe(g.ctx, target)
 	switch {
 	case g.replaced(cfquarantine.IncarnationOf(target)):
@@ -266,7 +266,7 @@
 
 // Probe says whether a new connection to a target can be had from here.
 func (g *Guard) Probe(ctx context.Context, target cf.Target) error {
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return g.Targets.Reach(ctx, target)
 }
@@ -277,32 +277,32 @@
 	return !listed || t.Born != inc.Born
 }
 
-// struck counts strikes that were found here, and shares them.
-func (g *Guard) struck(news []cfquarantine.Strike) {
-	for i := range news {
-		if news[i].Scope < cfquarantine.Void && news[i].SeenBy == g.Self {
-			g.Metrics.Strikes.WithLabelValues(string(news[i].Loss)).Inc()
+// recordStrikes counts strikes that were found here, and shares them.
+func (g *Guard) recordStrikes(changed []cfquarantine.Strike) {
+	for i := range changed {
+		if changed[i].Scope < cfquarantine.Void && changed[i].SeenBy == g.Self {
+			g.Metrics.Strikes.WithLabelValues(string(changed[i].Loss)).Inc()
 		}
 	}
-	g.share(news)
+	g.share(changed)
 }
 
-func (g *Guard) share(news []cfquarantine.Strike) {
-	if len(news) > 0 {
-		g.Share(news)
+func (g *Guard) share(changed []cfquarantine.Strike) {
+	if len(changed) > 0 {
+		g.Share(changed)
 	}
 }
 
 // Merge takes strikes that another instance shares, and passes on what is news.
 func (g *Guard) Merge(from cf.EntryID, in []cfquarantine.Strike) {
-	news := g.Table.Merge(in, cf.Uptime())
-	if len(news) == 0 {
+	changed := g.Table.Merge(in, cf.Uptime())
+	if len(changed) == 0 {
 		return
 	}
 	_, held := g.Table.HeldStrikes(0, cf.Uptime())
-	g.Log.Info("strikes_learned", zap.String("from", string(from)), zap.Int("strikes", len(news)), zap.Int("held", held),
-		zap.Stringer("request_digest", news[0].Content))
-	g.share(news)
+	g.Log.Info("strikes_learned", zap.String("from", string(from)), zap.Int("strikes", len(changed)), zap.Int("held", held),
+		zap.Stringer("request_digest", changed[0].Content))
+	g.share(changed)
 }
 
 // Sync takes what other instances hold, all of it, and lets requests pass from then on;
@@ -317,19 +317,19 @@
 
 // Release lets a held request pass again, by hand.
 func (g *Guard) Release(d cfquarantine.Digest) int {
-	news := g.Table.Release(d, cf.Uptime())
-	g.Log.Info("request_freed", zap.Stringer("request_digest", d), zap.Int("strikes", len(news)))
-	g.share(news)
-	return len(news)
+	changed := g.Table.Release(d, cf.Uptime())
+	g.Log.Info("request_freed", zap.Stringer("request_digest", d), zap.Int("strikes", len(changed)))
+	g.share(changed)
+	return len(changed)
 }
 
 // Sweep forgets what is over, and looks which struck targets the instance list shows as
 // gone or alive. current says that the list is current.
 func (g *Guard) Sweep(current bool, now cf.Millis) {
 	g.mu.Lock()
-	due := now-g.swept >= sweepEvery
+	due := now-g.lastSweep >= sweepInterval
 	if due {
-		g.swept = now
+		g.lastSweep = now
 	}
 	g.mu.Unlock()
 	if !due || g.Table.Empty() {
@@ -338,13 +338,13 @@
 	if current {
 		for _, inc := range g.Table.StruckTargets() {
 			if g.replaced(inc) {
-				g.struck(g.Table.Replaced(inc, now))
+				g.recordStrikes(g.Table.Replaced(inc, now))
 			}
 		}
 	}
-	if void := g.Table.Sweep(current, now); len(void) > 0 {
-		g.Log.Info("strikes_void", zap.String("reason", "their targets live"), zap.Int("strikes", len(void)))
-		g.share(void)
+	if voided := g.Table.Sweep(current, now); len(voided) > 0 {
+		g.Log.Info("strikes_void", zap.String("reason", "their targets live"), zap.Int("strikes", len(voided)))
+		g.share(voided)
 	}
 	_, held := g.Table.HeldStrikes(0, now)
 	g.Metrics.Held.Set(float64(held))
--- a/io/cfguard/guard_test.go
+++ b/io/cfguard/guard_test.go
@@ -21,38 +21,38 @@
 		mu     sync.Mutex
 		reach  error
 		checks int
-		// ending is how many connections the target takes before reach holds.
-		ending int
+		// acceptedFirst is how many connections the target takes before reach holds.
+		acceptedFirst int
 	}
 
-	// listed shows targets as the instance list does.
-	listed map[cf.InstanceID]cf.Target
+	// instanceList shows targets as the instance list does.
+	instanceList map[cf.InstanceID]cf.Target
 )
 
 func (t *targets) Reach(context.Context, cf.Target) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.checks++
-	if t.checks <= t.ending {
+	if t.checks <= t.acceptedFirst {
 		return nil
 	}
 	return t.reach
 }
 
-func (l listed) Target(id cf.InstanceID) (cf.Target, bool) {
+func (l instanceList) Target(id cf.InstanceID) (cf.Target, bool) {
 	t, ok := l[id]
 	return t, ok
 }
 
 // Losses of three targets, each by what the guard can learn of it. Held is right only
 // where the targets themselves have ended.
-func TestWhatIsACrash(t *testing.T) {
-	all := listed{}
+func TestOnlyCrashesHoldRequests(t *testing.T) {
+	all := instanceList{}
 	for n := range 3 {
 		id := cf.InstanceID(fmt.Sprint("t", n))
 		all[id] = cf.Target{ID: id, Born: 1}
 	}
-	draining, later := listed{}, listed{}
+	draining, later := instanceList{}, instanceList{}
 	for id, target := range all {
 		target.Draining = true
 		draining[id] = target
@@ -63,7 +63,7 @@
 		name    string
 		reach   error
 		witness bool
-		site    listed
+		site    instanceList
 		held    bool
 	}{
 		{"processes have ended", cf.ErrNoProcess, false, all, true},
@@ -118,9 +118,9 @@
 
 // Guards against: a fourth target crashed by a request, because the check of the one before was
 // made while its process was ending and still took connections.
-func TestTargetThatIsEndingIsNotTakenForAlive(t *testing.T) {
+func TestTerminatingTargetIsNotTakenForAlive(t *testing.T) {
 	g := New(Options{
-		Self: "e", Targets: &targets{reach: cf.ErrNoProcess, ending: 1}, Site: listed{"t": {ID: "t"}}, Share: func([]cfquarantine.Strike) {},
+		Self: "e", Targets: &targets{reach: cf.ErrNoProcess, acceptedFirst: 1}, Site: instanceList{"t": {ID: "t"}}, Share: func([]cfquarantine.Strike) {},
 		ReachableElsewhere: func(context.Context, cf.Target) bool { return false },
 		Metrics:            NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
@@ -140,11 +140,11 @@
 }
 
 // Many requests that one target loses at once cost it one check.
-func TestLossesOfOneMomentShareACheck(t *testing.T) {
+func TestConcurrentLossesShareACheck(t *testing.T) {
 	to := &targets{reach: cf.ErrNoProcess}
 	target := cf.Target{ID: "t"}
 	g := New(Options{
-		Self: "e", Targets: to, Site: listed{"t": target}, Share: func([]cfquarantine.Strike) {},
+		Self: "e", Targets: to, Site: instanceList{"t": target}, Share: func([]cfquarantine.Strike) {},
 		ReachableElsewhere: func(context.Context, cf.Target) bool {
 			time.Sleep(50 * time.Millisecond)
 			return false
--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -10,9 +10,9 @@
 	"currantford/core/cfsite"
 )
 
-// unsureRetry is when a caller should come back whose key this instance can't judge.
+// staleConfigRetry is when a caller should come back whose key this instance can't judge.
 // It hears of a configuration within a second of reaching anybody.
-const unsureRetry cf.Millis = 300
+const staleConfigRetry cf.Millis = 300
 
 // ConfigStatus is how far this instance can rely on its configuration, and how long ago it was
 // last known to be the newest.
@@ -21,8 +21,8 @@
 	Age cf.Millis
 }
 
-// belief returns that of this instance; one that is not told relies on what it has.
-func (in *Ingress) belief() ConfigStatus {
+// configStatus returns that of this instance; one that is not told relies on what it has.
+func (in *Ingress) configStatus() ConfigStatus {
 	if in.ConfigStatus == nil {
 		return ConfigStatus{ConfigFreshness: cfaccess.ConfigFreshness{Current: true, KeysTrusted: true}}
 	}
@@ -32,8 +32,8 @@
 // identify says who a request comes from. It returns a refusal where another instance
 // may know better, or ErrUnauthenticated.
 func (in *Ingress) identify(config *cfsite.Config, use cfaccess.Use, who cf.Credentials, request string) (cf.Access, error) {
-	b := in.belief()
-	verdict, access := config.Directory.Authenticate(who.Keys, use, b.ConfigFreshness)
+	status := in.configStatus()
+	verdict, access := config.Directory.Authenticate(who.Keys, use, status.ConfigFreshness)
 	if verdict == cfaccess.Accepted {
 		return access, nil
 	}
@@ -48,9 +48,9 @@
 	}
 	in.Metrics.Unauthenticated.WithLabelValues(outcome, reason).Inc()
 	in.Log.Info("request_not_identified", zap.String("request_id", request), zap.String("outcome", outcome), zap.String("reason", reason),
-		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(b.Age)), zap.Bool("current", b.Current))
+		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(status.Age)), zap.Bool("current", status.Current))
 	if verdict == cfaccess.Undetermined {
-		return cf.Access{}, &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
+		return cf.Access{}, &cf.Refusal{After: staleConfigRetry, Reason: "the configuration may have changed"}
 	}
 	return cf.Access{}, cf.ErrUnauthenticated
 }
@@ -67,9 +67,9 @@
 	return err
 }
 
-// reader returns whose batches a caller may use. One without any key may use those that
+// identifyReader returns whose batches a caller may use. One without any key may use those that
 // were handed in on public routes; whatever else it asks for, it is told to show a key.
-func (in *Ingress) reader(who cf.Credentials, id cf.BatchID) (owner cf.Organisation, anonymous bool, err error) {
+func (in *Ingress) identifyReader(who cf.Credentials, id cf.BatchID) (owner cf.Organisation, anonymous bool, err error) {
 	config := in.Site.Config()
 	if config.Directory != nil && len(who.Keys) == 0 {
 		return "", true, nil
@@ -78,20 +78,20 @@
 	return access.Organisation, false, err
 }
 
-// definite returns an answer that hangs on the configuration, or a refusal where another
+// unlessStale returns an answer that hangs on the configuration, or a refusal where another
 // instance may know a newer one.
-func (in *Ingress) definite(err error) error {
-	if in.belief().Current {
+func (in *Ingress) unlessStale(err error) error {
+	if in.configStatus().Current {
 		return err
 	}
-	return &cf.Refusal{After: unsureRetry, Reason: "the configuration may have changed"}
+	return &cf.Refusal{After: staleConfigRetry, Reason: "the configuration may have changed"}
 }
 
-// notFound turns the answer to a caller without a key into one that tells it nothing of
+// hideNotFound turns the answer to a caller without a key into one that tells it nothing of
 // what there is.
-func (in *Ingress) notFound(anonymous bool, err error) error {
+func (in *Ingress) hideNotFound(anonymous bool, err error) error {
 	if anonymous && errors.Is(err, cf.ErrNotFound) {
-		return in.definite(cf.ErrUnauthenticated)
+		return in.unlessStale(cf.ErrUnauthenticated)
 	}
 	return err
 }
--- a/io/cfingress/admission.go
+++ b/io/cfingress/admission.go
@@ -14,17 +14,17 @@
 )
 
 type (
-	// place is a request's place before the targets of its service; the zero value is that
+	// admission is a request's place before the targets of its service; the zero value is that
 	// of a request which is not limited.
-	place struct {
+	admission struct {
 		in     *Ingress
 		ticket *cfadmission.Ticket
-		// taken says that the request has been sent.
-		taken bool
+		// used says that the request has been sent.
+		used bool
 	}
 
-	// verdict writes what decided a refusal to a log line.
-	verdict cfadmission.Decision
+	// decisionFields writes what decided a refusal to a log line.
+	decisionFields cfadmission.Decision
 )
 
 // Outcomes of the metric.
@@ -34,14 +34,14 @@
 }
 
 // MarshalLogObject writes nothing where no limit has acted.
-func (v verdict) MarshalLogObject(enc zapcore.ObjectEncoder) error {
-	if v.Reason == "" {
+func (d decisionFields) MarshalLogObject(enc zapcore.ObjectEncoder) error {
+	if d.Reason == "" {
 		return nil
 	}
-	enc.AddInt("waiting", v.Waiting)
-	enc.AddFloat64("limit_per_s", v.SendPerS)
-	enc.AddFloat64("organisation_asks_per_s", v.DemandPerS)
-	enc.AddFloat64("organisation_share_per_s", v.SharePerS)
+	enc.AddInt("waiting", d.Waiting)
+	enc.AddFloat64("limit_per_s", d.SendPerS)
+	enc.AddFloat64("organisation_asks_per_s", d.DemandPerS)
+	enc.AddFloat64("organisation_share_per_s", d.SharePerS)
 	return nil
 }
 
@@ -57,51 +57,51 @@
 // admit waits until the request may be sent to one of its service's targets, and adds those
 // to avoid that it may not be sent to. It returns false where the request may not be sent,
 // and at once for a hedge that would have to wait.
-func (f *forwarding) admit(ctx context.Context, wait bool, avoid map[cf.InstanceID]bool) (place, bool) {
+func (f *forwarding) admit(ctx context.Context, wait bool, avoid map[cf.InstanceID]bool) (admission, bool) {
 	candidates, objective := f.in.Site.Usable(f.service), f.objective()
 	if f.in.NoAdmission || objective <= 0 || len(candidates) == 0 {
-		return place{}, true
+		return admission{}, true
 	}
-	now, must, retry := cf.Uptime(), f.attempts.MayHaveRun(), len(f.tried) > 0
-	if retry && !f.in.admission.MayRetry(f.service, must && wait, now) {
-		f.refused(cfadmission.Decision{Reason: cfadmission.NoRetryBudget}, wait)
-		return place{}, false
+	now, mandatory, retry := cf.Uptime(), f.attempts.MayHaveRun(), len(f.tried) > 0
+	if retry && !f.in.admission.MayRetry(f.service, mandatory && wait, now) {
+		f.recordRefused(cfadmission.Decision{Reason: cfadmission.NoRetryBudget}, wait)
+		return admission{}, false
 	}
-	if must && wait {
-		cfadmission.ReopenTargets(candidates, f.tried, f.full)
+	if mandatory && wait {
+		cfadmission.ReopenTargets(candidates, f.tried, f.notRun)
 		clear(avoid)
 		maps.Copy(avoid, f.tried)
 	}
-	p := place{in: f.in, ticket: f.in.admission.Enter(cfadmission.Request{
+	adm := admission{in: f.in, ticket: f.in.admission.Enter(cfadmission.Request{
 		Service: f.service, Class: cfadmission.Class{Organisation: f.access.Organisation, Priority: f.access.Priority},
 		Targets: candidates, Tried: avoid, Instances: len(f.in.Members.Live()), Objective: objective, Spent: f.spent,
-		Arrived: f.req.Received, Deadline: now + f.attempts.Remaining(now), Resubmitted: f.spent > 0, Retry: retry, MayHaveRun: must && wait, NoWait: !wait,
+		Arrived: f.req.Received, Deadline: now + f.attempts.Remaining(now), Resubmitted: f.spent > 0, Retry: retry, MayHaveRun: mandatory && wait, NoWait: !wait,
 	}, now)}
 	for began := now; ; now = cf.Uptime() {
-		v := f.in.admission.Poll(p.ticket, now)
+		decision := f.in.admission.Poll(adm.ticket, now)
 		switch {
-		case v.State == cfadmission.Send:
-			f.admitted(v, now-began)
+		case decision.State == cfadmission.Send:
+			f.recordAdmitted(decision, now-began)
 			for _, t := range candidates {
-				if !avoid[t.ID] && f.in.admission.Excluded(p.ticket, t.ID, now) {
+				if !avoid[t.ID] && f.in.admission.Excluded(adm.ticket, t.ID, now) {
 					avoid[t.ID] = true
 				}
 			}
-			return p, true
-		case v.State == cfadmission.Refuse:
-			f.refused(v, wait)
-			p.leave()
-			return place{}, false
-		case !cf.Sleep(ctx, (v.Until - now).Duration()):
-			p.leave()
-			return place{}, false
+			return adm, true
+		case decision.State == cfadmission.Refuse:
+			f.recordRefused(decision, wait)
+			adm.cancel()
+			return admission{}, false
+		case !cf.Sleep(ctx, (decision.Until - now).Duration()):
+			adm.cancel()
+			return admission{}, false
 		}
 	}
 }
 
-func (f *forwarding) admitted(v cfadmission.Decision, waited cf.Millis) {
+func (f *forwarding) recordAdmitted(d cfadmission.Decision, waited cf.Millis) {
 	f.refusal = cfadmission.Decision{}
-	if !v.Limited {
+	if !d.Limited {
 		return
 	}
 	outcome := "at_once"
@@ -112,33 +112,33 @@
 	f.in.Metrics.AdmissionWait.Observe(float64(waited) / 1000)
 }
 
-// refused notes why the request, or a hedge beside it, was not sent.
-func (f *forwarding) refused(v cfadmission.Decision, request bool) {
-	if !request {
+// recordRefused notes why the request, or a hedge beside it, was not sent.
+func (f *forwarding) recordRefused(d cfadmission.Decision, isRequest bool) {
+	if !isRequest {
 		f.in.Metrics.Admissions.WithLabelValues("no_hedge").Inc()
 		return
 	}
-	f.refusal = v
-	f.in.Metrics.Admissions.WithLabelValues(admissionOutcomes[v.Reason]).Inc()
+	f.refusal = d
+	f.in.Metrics.Admissions.WithLabelValues(admissionOutcomes[d.Reason]).Inc()
 }
 
 // sent notes that the request goes to a target.
-func (p *place) sent(id cf.InstanceID, now cf.Millis) {
-	if p.ticket != nil {
-		p.in.admission.Sent(p.ticket, id, now)
-		p.taken = true
+func (a *admission) sent(id cf.InstanceID, now cf.Millis) {
+	if a.ticket != nil {
+		a.in.admission.Sent(a.ticket, id, now)
+		a.used = true
 	}
 }
 
-// leave gives the place up if the request was not sent.
-func (p *place) leave() {
-	if p.ticket != nil && !p.taken {
-		p.in.admission.Cancel(p.ticket)
+// cancel gives the place up if the request was not sent.
+func (a *admission) cancel() {
+	if a.ticket != nil && !a.used {
+		a.in.admission.Cancel(a.ticket)
 	}
 }
 
-// done tells the balancer and the limits what came of a send.
-func (f *forwarding) done(a attempt, outcome cfbalance.Outcome, now cf.Millis) {
+// recordDone tells the balancer and the limits what came of a send.
+func (f *forwarding) recordDone(a attempt, outcome cfbalance.Outcome, now cf.Millis) {
 	f.in.balancer.Done(a.target.ID, outcome, a.answer.Load, a.took, now)
 	if f.in.NoAdmission || f.objective() <= 0 {
 		return
--- a/io/cfingress/admission_test.go
+++ b/io/cfingress/admission_test.go
@@ -53,7 +53,7 @@
 
 // overload lets callers ask two instances over real connections for several times what two
 // targets serve, and returns what came of it.
-func overload(t *testing.T, off bool) (asked, answered, refused, seen, ran int64) {
+func overload(t *testing.T, noAdmission bool) (asked, answered, refused, seen, ran int64) {
 	t.Helper()
 	to := platform.NewTargets(32, prometheus.NewRegistry())
 	t.Cleanup(func() { _ = to.Close() })
@@ -77,14 +77,14 @@
 	var addrs []string
 	for range 2 {
 		in := cfingress.New(cfingress.Options{
-			Members: members{}, Targets: to, Site: site, NoAdmission: off, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
+			Members: noMembers{}, Targets: to, Site: site, NoAdmission: noAdmission, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 		})
 		server := httptest.NewServer(platform.NewCallers(in, zap.NewNop()))
 		t.Cleanup(server.Close)
 		addrs = append(addrs, server.URL)
 	}
 	var wg sync.WaitGroup
-	var ok, no atomic.Int64
+	var answeredCount, refusedCount atomic.Int64
 	for caller := range 100 {
 		wg.Go(func() {
 			for n := range 10 {
@@ -104,9 +104,9 @@
 				_ = resp.Body.Close()
 				switch {
 				case resp.StatusCode == http.StatusOK:
-					ok.Add(1)
+					answeredCount.Add(1)
 				case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != "":
-					no.Add(1)
+					refusedCount.Add(1)
 				default:
 					t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 				}
@@ -119,20 +119,20 @@
 		seen += b.seen.Load()
 		ran += b.ran.Load()
 	}
-	return 1000, ok.Load(), no.Load(), seen, ran
+	return 1000, answeredCount.Load(), refusedCount.Load(), seen, ran
 }
 
 // Load: a hundred callers at once before four slots. Without the decision targets are sent
 // what they must refuse; with it, a refusal is the instance's, and true.
 func TestOverloadIsRefusedBeforeTheTargets(t *testing.T) {
 	asked, answered, refused, seen, ran := overload(t, false)
-	_, _, _, without, _ := overload(t, true)
-	t.Logf("asked %d, answered %d, refused %d, seen by targets %d, run %d; seen without the decision %d", asked, answered, refused, seen, ran, without)
+	_, _, _, seenWithout, _ := overload(t, true)
+	t.Logf("asked %d, answered %d, refused %d, seen by targets %d, run %d; seen without the decision %d", asked, answered, refused, seen, ran, seenWithout)
 	if answered+refused != asked || refused == 0 || ran < answered {
 		t.Errorf("answered %d and refused %d of %d, run %d", answered, refused, asked, ran)
 	}
-	if seen >= asked || without < asked {
-		t.Errorf("targets saw %d of %d requests, %d without the decision", seen, asked, without)
+	if seen >= asked || seenWithout < asked {
+		t.Errorf("targets saw %d of %d requests, %d without the decision", seen, asked, seenWithout)
 	}
 }
 
@@ -187,7 +187,7 @@
 // Sequence: another target's address answers 421, as another process is there.
 // Cause: each answer "not run" was taken for a full target, and the other was not tried, as
 // callers that give themselves less time than the route had no retry budget.
-func TestTargetThatIsAnotherIsNotFull(t *testing.T) {
+func TestMisdirectedTargetDoesNotCountAsFull(t *testing.T) {
 	to := targets{send: func(x cf.Target, _ cf.TargetCall) (cf.TargetAnswer, error) {
 		if x.ID == "a" {
 			return cf.TargetAnswer{Status: http.StatusMisdirectedRequest, NotRun: true}, nil
--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -23,13 +23,13 @@
 func (in *Ingress) OpenRoom(ctx context.Context, who cf.Credentials, id cf.BatchID) cf.Room {
 	var access cf.Access
 	if config := in.Site.Config(); config != nil {
-		_, access = config.Directory.Authenticate(who.Keys, cfaccess.Use{}, in.belief().ConfigFreshness)
+		_, access = config.Directory.Authenticate(who.Keys, cfaccess.Use{}, in.configStatus().ConfigFreshness)
 	}
-	return in.Rooms.Open(ctx, holderOf(access, who), cfhold.Page, string(id))
+	return in.Rooms.Open(ctx, callerOf(access, who), cfhold.Page, string(id))
 }
 
-// holderOf says whose answers count together.
-func holderOf(access cf.Access, who cf.Credentials) cfhold.Caller {
+// callerOf says whose answers count together.
+func callerOf(access cf.Access, who cf.Credentials) cfhold.Caller {
 	if access.Organisation != "" {
 		return cfhold.Caller("o " + access.Organisation)
 	}
@@ -40,7 +40,7 @@
 // refused, as its organisation does not read what it asked for before. Callers that are
 // known by their machine alone may be many: none is refused for what another does not read.
 func (f *forwarding) openRoom(ctx context.Context, w http.ResponseWriter) (*cfroom.Room, bool) {
-	caller, kind := holderOf(f.access, f.req.Who), cfhold.Answer
+	caller, kind := callerOf(f.access, f.req.Who), cfhold.Answer
 	if f.route.Kind == cfsite.KindStream {
 		kind = cfhold.Stream
 	}
@@ -59,15 +59,15 @@
 	f.fail(w, http.StatusBadGateway, cf.ErrNoRoom.Error())
 }
 
-// leave ends an attempt for a reason that is not its target's.
-func (f *forwarding) leave(a attempt) {
-	f.use.ended(a.target.ID, cfbalance.Abandoned, a.answer.Wrote)
-	f.done(a, cfbalance.Abandoned, cf.Uptime())
+// discard ends an attempt for a reason that is not its target's.
+func (f *forwarding) discard(a attempt) {
+	f.usage.ended(a.target.ID, cfbalance.Abandoned, a.answer.Wrote)
+	f.recordDone(a, cfbalance.Abandoned, cf.Uptime())
 	f.in.Guard.Dropped(f.key, a.target)
 }
 
-// delivered notes that an answer was written to its caller, or why it was not.
-func (f *forwarding) delivered(err error) (outcome string) {
+// deliveryOutcome notes that an answer was written to its caller, or why it was not.
+func (f *forwarding) deliveryOutcome(err error) (outcome string) {
 	switch {
 	case err == nil:
 		return "answered"
@@ -79,9 +79,9 @@
 	}
 }
 
-// dropBody gives up the request's body before its answer is written: a caller that reads
+// releaseBody gives up the request's body before its answer is written: a caller that reads
 // slowly does not keep the memory that others' bodies need.
-func (f *forwarding) dropBody() {
+func (f *forwarding) releaseBody() {
 	if f.pending > 0 || f.req.BodyDone == nil {
 		return // an attempt that was given up may still send it
 	}
--- a/io/cfingress/atmostonce_test.go
+++ b/io/cfingress/atmostonce_test.go
@@ -21,8 +21,8 @@
 	// bidOp is one operation on a bid: a try of its caller, or a look into the
 	// services' ledger.
 	bidOp struct {
-		bid  int
-		look bool
+		bid    int
+		lookup bool
 	}
 
 	// bidAnswer is what came of it.
@@ -37,16 +37,16 @@
 		random *rand.Rand
 		counts map[string]int // by bid
 		late   sync.WaitGroup
-		// lostIsUnrun seeds a fault: a connection lost after the send is
+		// lostAsNotRun seeds a fault: a connection lost after the send is
 		// told as one that was never had.
-		lostIsUnrun bool
+		lostAsNotRun bool
 	}
 )
 
-// onceModel is the specification: a bid is recorded once at most, exactly once
+// atMostOnceModel is the specification: a bid is recorded once at most, exactly once
 // if its caller was told of success, and not by a try that was refused. A try
 // whose end is not known may take effect at any later time, or never.
-var onceModel = porcupine.NondeterministicModel{
+var atMostOnceModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		bids := map[int][]porcupine.Operation{}
 		for _, op := range history {
@@ -63,9 +63,9 @@
 	Step: func(state, input, output any) []any {
 		recorded, op, answer := state.(int), input.(bidOp), output.(bidAnswer)
 		switch {
-		case op.look && answer.count == recorded, !op.look && answer.status == http.StatusServiceUnavailable:
+		case op.lookup && answer.count == recorded, !op.lookup && answer.status == http.StatusServiceUnavailable:
 			return []any{recorded}
-		case op.look, recorded > 0:
+		case op.lookup, recorded > 0:
 			return nil
 		case answer.status == http.StatusOK:
 			return []any{1}
@@ -92,7 +92,7 @@
 // send plays a service that is full, fails, loses answers, or is reached late.
 func (l *ledger) send(_ cf.Target, call cf.TargetCall) (cf.TargetAnswer, error) {
 	lost := cf.ErrMaybeRan
-	if l.lostIsUnrun {
+	if l.lostAsNotRun {
 		lost = cf.ErrNotRun
 	}
 	time.Sleep(time.Duration(l.draw(300)) * time.Microsecond)
@@ -121,10 +121,10 @@
 
 // recordBids lets callers hand bids to two instances, each again after a
 // refusal, while others look into the ledger.
-func recordBids(t *testing.T, seed uint64, lostIsUnrun bool) []porcupine.Operation {
+func recordBids(t *testing.T, seed uint64, lostAsNotRun bool) []porcupine.Operation {
 	t.Helper()
 	const bids, tries = 40, 4
-	l := &ledger{random: rand.New(rand.NewPCG(seed, 1)), counts: map[string]int{}, lostIsUnrun: lostIsUnrun}
+	l := &ledger{random: rand.New(rand.NewPCG(seed, 1)), counts: map[string]int{}, lostAsNotRun: lostAsNotRun}
 	route := cfsite.Route{Kind: cfsite.KindOnce, MaxAttempts: 3, Timeout: 1000}
 	var instances []*cfingress.Ingress
 	for range 2 {
@@ -137,7 +137,7 @@
 		began := time.Since(start).Nanoseconds()
 		answer := call()
 		ended := time.Since(start).Nanoseconds()
-		if !op.look && answer.status != http.StatusOK && answer.status != http.StatusServiceUnavailable {
+		if !op.lookup && answer.status != http.StatusOK && answer.status != http.StatusServiceUnavailable {
 			ended = 1 << 60 // it may take effect at any later time
 		}
 		mu.Lock()
@@ -145,8 +145,8 @@
 		history = append(history, porcupine.Operation{ClientId: client, Input: op, Call: began, Output: answer, Return: ended})
 		return answer
 	}
-	look := func(client, bid int) {
-		record(client, bidOp{bid: bid, look: true}, func() bidAnswer {
+	lookUp := func(client, bid int) {
+		record(client, bidOp{bid: bid, lookup: true}, func() bidAnswer {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return bidAnswer{count: l.counts[fmt.Sprint(bid)]}
@@ -169,14 +169,14 @@
 		wg.Go(func() {
 			for range 4 {
 				time.Sleep(time.Duration(l.draw(500)) * time.Microsecond)
-				look(2*bid+1, bid)
+				lookUp(2*bid+1, bid)
 			}
 		})
 	}
 	wg.Wait()
 	l.late.Wait()
 	for bid := range bids {
-		look(2*bid+1, bid)
+		lookUp(2*bid+1, bid)
 	}
 	return history
 }
@@ -185,16 +185,16 @@
 // refused, fit the specification of at-most-once.
 func TestBidHistoriesFitAtMostOnce(t *testing.T) {
 	for seed := range uint64(15) {
-		if !porcupine.CheckOperations(onceModel.ToModel(), recordBids(t, seed, false)) {
+		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, false)) {
 			t.Errorf("seed %d: the history does not fit", seed)
 		}
 	}
 }
 
 // An adapter that takes a lost connection for none is found.
-func TestBidHistoriesShowRepeatedBids(t *testing.T) {
+func TestRepeatedBidsAreDetected(t *testing.T) {
 	for seed := range uint64(15) {
-		if !porcupine.CheckOperations(onceModel.ToModel(), recordBids(t, seed, true)) {
+		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, true)) {
 			return
 		}
 	}
--- a/io/cfingress/batches.go
+++ b/io/cfingress/batches.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// submitBudget is how long an instance tries to write a batch when the
+	// submitTimeout is how long an instance tries to write a batch when the
 	// store does not answer: a few answers of a slow store.
-	submitBudget = 1500 * time.Millisecond
-	// submitRefusals is how often the store may refuse before the batch is
+	submitTimeout = 1500 * time.Millisecond
+	// maxSubmitRefusals is how often the store may refuse before the batch is
 	// turned away: one refusal may be a burst over its rate.
-	submitRefusals = 3
-	// endBudget is the same for the end of a batch.
-	endBudget = 2 * time.Second
-	// readAgain is how soon a read of a batch at the store must have failed to be made once
+	maxSubmitRefusals = 3
+	// endTimeout is the same for the end of a batch.
+	endTimeout = 2 * time.Second
+	// maxRetriedRead is how soon a read of a batch at the store must have failed to be made once
 	// more: readers wait 1.5 s longer than they allow, and the coordinator was asked before.
-	readAgain cf.Millis = 600
-	// storeRetry is the pause between tries.
-	storeRetry = 120 * time.Millisecond
-	// storeBack is when a caller should come back after the store refused:
+	maxRetriedRead cf.Millis = 600
+	// storeRetryPause is the pause between tries.
+	storeRetryPause = 120 * time.Millisecond
+	// storeRetryAfter is when a caller should come back after the store refused:
 	// outages last seconds, and how many can't be told.
-	storeBack cf.Millis = 1000
+	storeRetryAfter cf.Millis = 1000
 )
 
 // Submit accepts a batch: once its object is in the store it is kept, and the
@@ -38,16 +38,16 @@
 	config := in.Site.Config()
 	route, ok := config.Match(sub.Host, sub.Path)
 	if !ok {
-		return in.definite(cf.ErrNotFound)
+		return in.unlessStale(cf.ErrNotFound)
 	}
 	access, err := in.identify(config, route.Use(), who, string(sub.ID))
 	if err != nil {
 		return err
 	}
-	belongs(&sub, access.Organisation)
+	assignOrganisation(&sub, access.Organisation)
 	sub.Accepted = cf.Now()
 	started := cf.Uptime()
-	ctx, cancel := context.WithTimeout(ctx, submitBudget)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if refusal := in.infeasible(ctx, sub, route.ResultsSLO); refusal != nil {
 		in.Log.Info("batch_refused", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)), zap.Int64("after_ms", int64(refusal.After)),
@@ -59,7 +59,7 @@
 	// the batch is there when it is accepted.
 	in.Coordinator.Prepare(sub)
 	refused := 0
-	doubt := false // a write without an answer may still take effect
+	inDoubt := false // a write without an answer may still take effect
 	for tries := 1; ; tries++ {
 		err = cfbatch.Create(ctx, in.Store, sub, in.ValueBytes)
 		if err == nil || errors.Is(err, cf.ErrConflict) {
@@ -79,24 +79,24 @@
 			in.Log.Warn("batch_invalid", cflog.Batch(sub.ID), cflog.Error(err))
 			return err
 		}
-		doubt = doubt || errors.Is(err, cf.ErrUnavailable)
+		inDoubt = inDoubt || errors.Is(err, cf.ErrUnavailable)
 		if errors.Is(err, cf.ErrRefused) {
 			refused++
 		}
-		if refused == submitRefusals && !doubt || !cf.Sleep(ctx, storeRetry) {
+		if refused == maxSubmitRefusals && !inDoubt || !cf.Sleep(ctx, storeRetryPause) {
 			break
 		}
 	}
-	in.Log.Warn("batch_not_accepted", cflog.Batch(sub.ID), zap.Bool("in_doubt", doubt), cflog.Error(err))
+	in.Log.Warn("batch_not_accepted", cflog.Batch(sub.ID), zap.Bool("in_doubt", inDoubt), cflog.Error(err))
 	in.countBatch("submit", "not_accepted", started)
-	if doubt {
+	if inDoubt {
 		return eris.Wrap(cf.ErrUnavailable, "the store did not answer")
 	}
-	return &cf.Refusal{After: storeBack, Reason: "the store takes no batches now"}
+	return &cf.Refusal{After: storeRetryAfter, Reason: "the store takes no batches now"}
 }
 
-// belongs gives a batch to an organisation.
-func belongs(sub *cf.Submission, o cf.Organisation) {
+// assignOrganisation gives a batch to an organisation.
+func assignOrganisation(sub *cf.Submission, o cf.Organisation) {
 	sub.ID = o.Batch(sub.ID)
 	for i := range sub.Items {
 		it := &sub.Items[i]
@@ -109,14 +109,14 @@
 
 // Results reads a batch at the coordinator, or from the store where the
 // coordinator can't be asked.
-func (in *Ingress) Results(ctx context.Context, who cf.Credentials, id cf.BatchID, after int, longest cf.Millis) (cf.ResultPage, error) {
-	owner, anonymous, err := in.reader(who, id)
+func (in *Ingress) Results(ctx context.Context, who cf.Credentials, id cf.BatchID, after int, maxWait cf.Millis) (cf.ResultPage, error) {
+	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
 		return cf.ResultPage{}, err
 	}
-	page, err := in.results(ctx, owner.Batch(id), after, longest)
+	page, err := in.results(ctx, owner.Batch(id), after, maxWait)
 	if err != nil {
-		return page, in.notFound(anonymous, err)
+		return page, in.hideNotFound(anonymous, err)
 	}
 	for i := range page.Results {
 		page.Results[i].ID = cf.ItemID(page.Results[i].ID.Request())
@@ -124,9 +124,9 @@
 	return page, nil
 }
 
-func (in *Ingress) results(ctx context.Context, id cf.BatchID, after int, longest cf.Millis) (cf.ResultPage, error) {
+func (in *Ingress) results(ctx context.Context, id cf.BatchID, after int, maxWait cf.Millis) (cf.ResultPage, error) {
 	started := cf.Uptime()
-	page, err := in.Coordinator.Results(ctx, id, after, longest)
+	page, err := in.Coordinator.Results(ctx, id, after, maxWait)
 	if err == nil {
 		in.countBatch("results", "coordinator", started)
 		return page, nil
@@ -147,11 +147,11 @@
 func (in *Ingress) readStore(ctx context.Context, id cf.BatchID, results bool) (*cfbatch.Batch, error) {
 	started := cf.Uptime()
 	b, err := in.fetch(ctx, id, results)
-	if errors.Is(err, cf.ErrUnavailable) && cf.Uptime()-started < readAgain {
+	if errors.Is(err, cf.ErrUnavailable) && cf.Uptime()-started < maxRetriedRead {
 		b, err = in.fetch(ctx, id, results)
 	}
 	if err != nil {
-		return nil, unsure(err)
+		return nil, readRefusal(err)
 	}
 	return b, nil
 }
@@ -164,24 +164,24 @@
 	return cfbatch.Fetch(ctx, in.Store, object, results)
 }
 
-// unsure turns a failed read into a refusal: a read changes nothing, and only
+// readRefusal turns a failed read into a refusal: a read changes nothing, and only
 // the store's own word may say that a batch does not exist.
-func unsure(err error) error {
+func readRefusal(err error) error {
 	if errors.Is(err, cf.ErrNotFound) {
 		return err
 	}
-	return &cf.Refusal{After: storeBack / 2, Reason: err.Error()}
+	return &cf.Refusal{After: storeRetryAfter / 2, Reason: err.Error()}
 }
 
 // ItemBody returns the body of an item.
 func (in *Ingress) ItemBody(ctx context.Context, who cf.Credentials, id cf.BatchID, item cf.ItemID) ([]byte, error) {
-	owner, anonymous, err := in.reader(who, id)
+	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
 		return nil, err
 	}
 	body, err := in.itemBody(ctx, owner.Batch(id), owner.Item(item))
 	if err != nil {
-		return nil, in.notFound(anonymous, err)
+		return nil, in.hideNotFound(anonymous, err)
 	}
 	return body, nil
 }
@@ -205,18 +205,18 @@
 // End ends a batch. The end lies in the store, so that a coordinator that
 // takes over does not start its items again.
 func (in *Ingress) End(ctx context.Context, who cf.Credentials, id cf.BatchID) error {
-	owner, anonymous, err := in.reader(who, id)
+	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
 		return err
 	}
 	if err := in.end(ctx, owner.Batch(id)); err != nil {
-		return in.notFound(anonymous, err)
+		return in.hideNotFound(anonymous, err)
 	}
 	return nil
 }
 
 func (in *Ingress) end(ctx context.Context, id cf.BatchID) error {
-	ctx, cancel := context.WithTimeout(ctx, endBudget)
+	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	for {
 		err := in.Store.SetStatus(ctx, cf.KindBatch, string(id), cf.BatchStatus{Ended: true})
@@ -225,12 +225,12 @@
 			in.Coordinator.Changed(id, true)
 			return err
 		}
-		if !cf.Sleep(ctx, storeRetry) {
+		if !cf.Sleep(ctx, storeRetryPause) {
 			in.Log.Warn("batch_end_not_taken", cflog.Batch(id), cflog.Error(err))
 			if errors.Is(err, cf.ErrUnavailable) {
 				return err // it may have been taken
 			}
-			return unsure(err)
+			return readRefusal(err)
 		}
 	}
 }
--- a/io/cfingress/bodymemory_test.go
+++ b/io/cfingress/bodymemory_test.go
@@ -10,7 +10,7 @@
 // Symptom: an instance is killed for its memory under many large bodies.
 // Load: bodies of 30 bytes arrive while there is room for 100.
 func TestBodiesBeyondTheMemoryAreRefused(t *testing.T) {
-	b := &bodies{most: 100}
+	b := &bodyMemory{limit: 100}
 	var releases []func()
 	for range 3 {
 		release, err := b.reserve(30)
@@ -28,7 +28,7 @@
 	if _, err := b.reserve(30); err != nil {
 		t.Errorf("after one has left: %v", err)
 	}
-	alone := &bodies{most: 100}
+	alone := &bodyMemory{limit: 100}
 	if _, err := alone.reserve(500); err != nil {
 		t.Errorf("a body larger than the room, alone: %v", err)
 	}
--- a/io/cfingress/fakes_test.go
+++ b/io/cfingress/fakes_test.go
@@ -19,8 +19,8 @@
 const host = "site.example"
 
 type (
-	// members is an instance alone.
-	members struct{}
+	// noMembers is an instance alone.
+	noMembers struct{}
 
 	// targets answers as its functions say.
 	targets struct {
@@ -30,7 +30,7 @@
 	}
 )
 
-func (members) Live() []cfmember.Entry { return nil }
+func (noMembers) Live() []cfmember.Entry { return nil }
 
 func (t targets) Send(_ context.Context, to cf.Target, call cf.TargetCall) (cf.TargetAnswer, error) {
 	return t.send(to, call)
@@ -54,14 +54,14 @@
 		}
 	}
 	return cfingress.New(cfingress.Options{
-		Members: members{}, Targets: to, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
+		Members: noMembers{}, Targets: to, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 }
 
 // ask sends one request; broken tells that its connection was broken off.
-func ask(in *cfingress.Ingress, req cf.Request) (w *httptest.ResponseRecorder, broken bool) {
+func ask(in *cfingress.Ingress, req cf.Request) (w *httptest.ResponseRecorder, aborted bool) {
 	w = httptest.NewRecorder()
-	defer func() { broken = recover() != nil }()
+	defer func() { aborted = recover() != nil }()
 	req.Method, req.Host, req.Route, req.Path = http.MethodPost, host, "/x/a", "/x/a"
 	req.Received = cf.Uptime()
 	in.Forward(context.Background(), &req, w)
--- a/io/cfingress/feasibility_test.go
+++ b/io/cfingress/feasibility_test.go
@@ -16,16 +16,16 @@
 )
 
 type (
-	// unheard takes no word of batches, as a coordinator that can't be reached.
-	unheard struct{ cfingress.Coordinator }
+	// unreachableForWrites takes no word of batches, as a coordinator that can't be reached.
+	unreachableForWrites struct{ cfingress.Coordinator }
 
 	// infeasible says that no step can be whole in time, at once or after the time for it.
 	infeasible struct{ late bool }
 )
 
-func (unheard) Prepare(cf.Submission)          {}
-func (unheard) Accepted(cf.BatchID, cf.Millis) {}
-func (unheard) Changed(cf.BatchID, bool)       {}
+func (unreachableForWrites) Prepare(cf.Submission)          {}
+func (unreachableForWrites) Accepted(cf.BatchID, cf.Millis) {}
+func (unreachableForWrites) Changed(cf.BatchID, bool)       {}
 func (f infeasible) Infeasible(ctx context.Context, sub cf.Submission) (cf.Millis, bool) {
 	if f.late {
 		<-ctx.Done()
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		in := cfingress.New(cfingress.Options{
-			Store: store, Members: members{}, Site: site, Coordinator: unheard{}, Feasibility: infeasible{c.late}, ValueBytes: 1 << 20,
+			Store: store, Members: noMembers{}, Site: site, Coordinator: unreachableForWrites{}, Feasibility: infeasible{c.late}, ValueBytes: 1 << 20,
 			Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 		})
 		ctx := context.Background()
--- a/io/cfingress/forward.go
+++ b/io/cfingress/forward.go
@@ -25,8 +25,8 @@
 	// noTargetRetry is when a caller should come back while a service has
 	// no target at all; a target that starts is listed within a heartbeat.
 	noTargetRetry cf.Millis = 1000
-	// uninformedRetry is the same while it is not known yet which requests are held.
-	uninformedRetry cf.Millis = 200
+	// unsyncedRetry is the same while it is not known yet which requests are held.
+	unsyncedRetry cf.Millis = 200
 	// stoppingRetry is the same for an instance that stops: others take the request.
 	stoppingRetry cf.Millis = 50
 )
@@ -36,36 +36,36 @@
 	target cf.Target
 	answer cf.TargetAnswer
 	err    error
-	sent   cf.Millis
+	sentAt cf.Millis
 	took   cf.Millis
-	// left: the caller has gone, which ended the attempt.
-	left bool
+	// callerGone: the caller has gone, which ended the attempt.
+	callerGone bool
 }
 
 // forwarding is one request on its way through the targets.
 type forwarding struct {
-	in       *Ingress
-	req      *cf.Request
-	key      cfquarantine.Key
-	access   cf.Access
-	route    cfsite.Route
-	service  cf.ServiceName
-	version  cfsite.ConfigVersion
-	attempts *cfbalance.Attempts
-	tried    map[cf.InstanceID]bool
-	results  chan attempt
-	pending  int
-	last     *attempt // a failure that a target answered, to be passed on
-	// held is until when the request is held, zero if it is not.
-	held cf.Millis
-	// uninformed: it is not known here yet which requests are held.
-	uninformed bool
-	use        use
-	room       *cfroom.Room
+	in          *Ingress
+	req         *cf.Request
+	key         cfquarantine.Key
+	access      cf.Access
+	route       cfsite.Route
+	service     cf.ServiceName
+	version     cfsite.ConfigVersion
+	attempts    *cfbalance.Attempts
+	tried       map[cf.InstanceID]bool
+	results     chan attempt
+	pending     int
+	lastFailure *attempt // a failure that a target answered, to be passed on
+	// heldUntil is until when the request is held, zero if it is not.
+	heldUntil cf.Millis
+	// unsynced: it is not known here yet which requests are held.
+	unsynced bool
+	usage    requestUsage
+	room     *cfroom.Room
 	// noRoom: an answer could not be held. Nothing more is sent, as another would be as large.
 	noRoom bool
-	// full are the targets that did not run the request.
-	full map[cf.InstanceID]bool
+	// notRun are the targets that did not run the request.
+	notRun map[cf.InstanceID]bool
 	// spent is what the caller had used of its time before the request came here.
 	spent cf.Millis
 	// refusal is why the request may not be sent, empty if it was not refused here.
@@ -83,7 +83,7 @@
 	// Again, by the same configuration as the route: the body may have taken seconds.
 	access, err := in.identify(config, route.Use(), req.Who, string(req.ID))
 	if err != nil {
-		in.deny(w, req, err)
+		in.reject(w, req, err)
 		return
 	}
 	deadline := req.Received + route.Timeout
@@ -93,8 +93,8 @@
 	f := &forwarding{
 		in: in, req: req, key: cfquarantine.KeyOf(req.Method, req.Host, req.Path, cfquarantine.CallerOf(access, req.Who), req.Body), access: access,
 		route: route, service: route.PickService(rand.Float64()), version: config.Version,
-		attempts: cfbalance.NewAttempts(route, deadline), tried: map[cf.InstanceID]bool{}, full: map[cf.InstanceID]bool{}, results: make(chan attempt, 8),
-		use: use{count: in.CountRequests, of: access.Organisation}, spent: in.callers.Spent(route.Name, req.Deadline, req.Received),
+		attempts: cfbalance.NewAttempts(route, deadline), tried: map[cf.InstanceID]bool{}, notRun: map[cf.InstanceID]bool{}, results: make(chan attempt, 8),
+		usage: requestUsage{count: in.CountRequests, organisation: access.Organisation}, spent: in.deadlines.Spent(route.Name, req.Deadline, req.Received),
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.attempts.Remaining(cf.Uptime()).Duration())
 	defer cancel()
@@ -103,45 +103,45 @@
 	}
 	defer f.room.Close()
 	if route.Kind == cfsite.KindStream {
-		f.stream(ctx, w)
+		f.forwardStream(ctx, w)
 		return
 	}
-	f.whole(ctx, w)
+	f.forwardBuffered(ctx, w)
 }
 
 // noRoute answers a request that no route takes.
 func (in *Ingress) noRoute(w http.ResponseWriter, req *cf.Request, config *cfsite.Config) {
-	b := in.belief()
+	status := in.configStatus()
 	in.Log.Info("no_route", zap.String("request_id", string(req.ID)), zap.String("host", req.Host), zap.String("path", req.Route),
-		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(b.Age)), zap.Bool("current", b.Current))
-	in.deny(w, req, in.definite(cf.ErrNotFound))
+		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(status.Age)), zap.Bool("current", status.Current))
+	in.reject(w, req, in.unlessStale(cf.ErrNotFound))
 }
 
-// deny answers a request that may go nowhere, or whose sender is not known.
-func (in *Ingress) deny(w http.ResponseWriter, req *cf.Request, err error) {
+// reject answers a request that may go nowhere, or whose sender is not known.
+func (in *Ingress) reject(w http.ResponseWriter, req *cf.Request, err error) {
 	var refusal *cf.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		answerRefusal(w, refusal.After, refusal.Reason)
-		in.count("forward", "unsure", req)
+		writeRefusal(w, refusal.After, refusal.Reason)
+		in.countRequest("forward", "unsure", req)
 	case errors.Is(err, cf.ErrUnauthenticated):
 		http.Error(w, err.Error(), http.StatusUnauthorized)
-		in.count("forward", "unauthenticated", req)
+		in.countRequest("forward", "unauthenticated", req)
 	default:
 		http.Error(w, "no route", http.StatusNotFound)
-		in.count("forward", "no_route", req)
+		in.countRequest("forward", "no_route", req)
 	}
 }
 
-// answerRefusal says that a request has not run, and when to come back.
-func answerRefusal(w http.ResponseWriter, after cf.Millis, reason string) {
+// writeRefusal says that a request has not run, and when to come back.
+func writeRefusal(w http.ResponseWriter, after cf.Millis, reason string) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(float64(after)/1000, 'f', 3, 64))
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// whole forwards a request whose answer is passed on once it is whole, so
+// forwardBuffered forwards a request whose answer is passed on once it is whole, so
 // that an answer cut short can be asked for again at another target.
-func (f *forwarding) whole(ctx context.Context, w http.ResponseWriter) {
+func (f *forwarding) forwardBuffered(ctx context.Context, w http.ResponseWriter) {
 	for {
 		if f.pending == 0 && f.noRoom {
 			f.failNoRoom(w)
@@ -150,11 +150,11 @@
 		if f.pending == 0 && !f.send(ctx, true) {
 			switch { // while it waited
 			case callerLeft(ctx):
-				f.expire(ctx, w)
+				f.giveUp(ctx, w)
 			case errors.Is(context.Cause(ctx), cf.ErrStopping) && !f.attempts.MayHaveRun():
 				f.refuse(w, stoppingRetry, cf.ErrStopping.Error())
 			default:
-				f.settle(w)
+				f.conclude(w)
 			}
 			return
 		}
@@ -166,18 +166,18 @@
 		case a := <-f.results:
 			f.pending--
 			if a.foundNoRoom() {
-				f.leave(a)
+				f.discard(a)
 				f.noRoom = true
 				continue // a hedged attempt may still answer
 			}
-			if f.take(a) {
-				f.pass(w, a)
+			if f.evaluate(a) {
+				f.writeAnswer(w, a)
 				return
 			}
 		case <-hedge:
 			f.send(ctx, false)
 		case <-ctx.Done():
-			f.expire(ctx, w)
+			f.giveUp(ctx, w)
 			return
 		}
 	}
@@ -186,7 +186,7 @@
 // send starts one attempt; false when there is no target or no attempt left. Where wait is
 // set it may wait for others of the same content.
 func (f *forwarding) send(ctx context.Context, wait bool) bool {
-	target, ok := f.choose(ctx, wait)
+	target, ok := f.chooseTarget(ctx, wait)
 	if !ok {
 		return false
 	}
@@ -195,22 +195,22 @@
 	f.in.Log.Info("request_sent", zap.String("request_id", string(f.req.ID)), zap.Stringer("request_digest", f.key.Content),
 		zap.Stringer("caller_digest", f.key.Caller), zap.String("organisation", string(f.access.Organisation)), zap.String("route", f.route.Name),
 		zap.String("target", string(target.ID)), zap.Int("tried", len(f.tried)), zap.Int64("left_ms", int64(f.attempts.Remaining(now))),
-		zap.Int64("config_version", int64(f.version)), zap.Int64("config_age_ms", int64(f.in.belief().Age)),
+		zap.Int64("config_version", int64(f.version)), zap.Int64("config_age_ms", int64(f.in.configStatus().Age)),
 		zap.Int64("targets_revision", int64(f.in.Site.TargetsRevision())))
 	call := f.call(now)
-	f.use.sent(target.ID, now)
+	f.usage.sent(target.ID, now)
 	go func() {
 		defer cflog.ExitOnPanic()
 		answer, err := f.in.Targets.Send(ctx, target, call)
-		f.results <- attempt{target: target, answer: answer, err: err, sent: now, took: cf.Uptime() - now}
+		f.results <- attempt{target: target, answer: answer, err: err, sentAt: now, took: cf.Uptime() - now}
 	}()
 	return true
 }
 
-// choose returns the target of the next attempt, which then counts as sent: its end is
+// chooseTarget returns the target of the next attempt, which then counts as sent: its end is
 // due to the guard. It returns false when there is none, or no attempt left, or the
 // request is held.
-func (f *forwarding) choose(ctx context.Context, wait bool) (cf.Target, bool) {
+func (f *forwarding) chooseTarget(ctx context.Context, wait bool) (cf.Target, bool) {
 	if ctx.Err() != nil || !f.attempts.MaySend(cf.Uptime()) {
 		return cf.Target{}, false
 	}
@@ -219,13 +219,13 @@
 		v = f.in.Guard.Evaluate(ctx, f.req.ID, f.key)
 	}
 	avoid := maps.Clone(f.tried)
-	var place place
+	var adm admission
 	if v.Pass || v.OtherTarget {
 		var ok bool
-		if place, ok = f.admit(ctx, wait, avoid); !ok {
+		if adm, ok = f.admit(ctx, wait, avoid); !ok {
 			return cf.Target{}, false
 		}
-		defer place.leave()
+		defer adm.cancel()
 	}
 	for v.Pass || v.OtherTarget {
 		now := cf.Uptime() // it may have waited
@@ -237,13 +237,13 @@
 			f.tried[target.ID] = true
 			f.attempts.Sent()
 			f.in.balancer.Sent(target.ID)
-			place.sent(target.ID, now)
+			adm.sent(target.ID, now)
 			return target, true
 		}
 		avoid[target.ID] = true
 	}
-	f.uninformed = v.Unsynced
-	if f.held = v.RetryAt; f.held > 0 {
+	f.unsynced = v.Unsynced
+	if f.heldUntil = v.RetryAt; f.heldUntil > 0 {
 		f.in.Guard.Refused(f.req.ID, f.key, v)
 	}
 	return cf.Target{}, false
@@ -257,20 +257,20 @@
 	}
 }
 
-// take judges an attempt; true when its answer is the caller's.
-func (f *forwarding) take(a attempt) bool {
+// evaluate judges an attempt; true when its answer is the caller's.
+func (f *forwarding) evaluate(a attempt) bool {
 	outcome, good := f.attempts.Classify(a.answer, a.err)
 	if outcome == cfbalance.Failed && a.err == nil {
-		f.last = &a
+		f.lastFailure = &a
 	}
-	f.use.ended(a.target.ID, outcome, a.answer.Wrote)
+	f.usage.ended(a.target.ID, outcome, a.answer.Wrote)
 	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
-		f.full[a.target.ID] = true
+		f.notRun[a.target.ID] = true
 	}
 	now := cf.Uptime()
-	f.done(a, outcome, now)
+	f.recordDone(a, outcome, now)
 	f.in.balancer.ConnectionKept(a.target.ID, now+a.answer.Kept)
-	f.follow(a)
+	f.notifyGuard(a)
 	if !good {
 		f.in.Log.Warn("attempt_failed", zap.String("request_id", string(f.req.ID)), zap.String("target", string(a.target.ID)),
 			zap.Int("status", a.answer.Status), zap.Bool("not_run", outcome == cfbalance.NotRun || outcome == cfbalance.Unreached),
@@ -279,12 +279,12 @@
 	return good
 }
 
-// follow tells the guard how an attempt ended.
-func (f *forwarding) follow(a attempt) {
+// notifyGuard tells the guard how an attempt ended.
+func (f *forwarding) notifyGuard(a attempt) {
 	switch {
 	case a.err == nil && !a.answer.NotRun:
-		f.in.Guard.Answered(f.key, a.target, a.sent)
-	case a.err != nil && !a.left && !errors.Is(a.err, cf.ErrNotRun) && !a.foundNoRoom():
+		f.in.Guard.Answered(f.key, a.target, a.sentAt)
+	case a.err != nil && !a.callerGone && !errors.Is(a.err, cf.ErrNotRun) && !a.foundNoRoom():
 		f.in.Guard.Lost(f.req.ID, f.key, a.target, a.answer.Heard)
 	default:
 		f.in.Guard.Dropped(f.key, a.target)
@@ -306,10 +306,10 @@
 			if a.answer.NotRun || errors.Is(a.err, cf.ErrNotRun) {
 				outcome = cfbalance.NotRun
 			}
-			f.use.ended(a.target.ID, outcome, a.answer.Wrote)
-			f.done(a, cfbalance.Abandoned, cf.Uptime())
+			f.usage.ended(a.target.ID, outcome, a.answer.Wrote)
+			f.recordDone(a, cfbalance.Abandoned, cf.Uptime())
 			if a.err == nil || overdue {
-				f.follow(a)
+				f.notifyGuard(a)
 			} else {
 				f.in.Guard.Dropped(f.key, a.target)
 			}
@@ -317,10 +317,10 @@
 	}()
 }
 
-// pass hands a target's answer to the caller.
-func (f *forwarding) pass(w http.ResponseWriter, a attempt) {
+// writeAnswer hands a target's answer to the caller.
+func (f *forwarding) writeAnswer(w http.ResponseWriter, a attempt) {
 	f.abandon(false)
-	f.dropBody()
+	f.releaseBody()
 	h := w.Header()
 	for k, v := range a.answer.Header {
 		h[k] = v
@@ -333,27 +333,27 @@
 	if f.req.Method != http.MethodHead {
 		_, err = w.Write(a.answer.Body)
 	}
-	outcome := f.delivered(err)
+	outcome := f.deliveryOutcome(err)
 	f.in.Log.Info("request_answered", zap.String("request_id", string(f.req.ID)), zap.String("target", string(a.target.ID)),
 		zap.Int("status", a.answer.Status), zap.String("outcome", outcome), zap.Int64("took_ms", int64(cf.Uptime()-f.req.Received)))
-	f.in.count("forward", outcome, f.req)
+	f.in.countRequest("forward", outcome, f.req)
 }
 
-// settle ends a request for which no attempt is under way or left.
-func (f *forwarding) settle(w http.ResponseWriter) {
+// conclude ends a request for which no attempt is under way or left.
+func (f *forwarding) conclude(w http.ResponseWriter) {
 	switch {
-	case f.held > 0 && !f.attempts.MayHaveRun():
-		f.refuse(w, f.held-cf.Uptime(), "the request is held: targets crashed under it")
-	case f.uninformed && !f.attempts.MayHaveRun():
-		f.refuse(w, uninformedRetry, "the instance has just started, and can't tell yet whether the request may run")
+	case f.heldUntil > 0 && !f.attempts.MayHaveRun():
+		f.refuse(w, f.heldUntil-cf.Uptime(), "the request is held: targets crashed under it")
+	case f.unsynced && !f.attempts.MayHaveRun():
+		f.refuse(w, unsyncedRetry, "the instance has just started, and can't tell yet whether the request may run")
 	case !f.attempts.MayHaveRun():
 		reason := "no target has room"
 		if f.refusal.Reason != "" {
 			reason = string(f.refusal.Reason)
 		}
-		f.refuse(w, f.comeBack(), reason)
-	case f.last != nil:
-		f.pass(w, *f.last)
+		f.refuse(w, f.retryAfter(), reason)
+	case f.lastFailure != nil:
+		f.writeAnswer(w, *f.lastFailure)
 	default:
 		f.fail(w, http.StatusBadGateway, "no target answered")
 	}
@@ -365,19 +365,19 @@
 	return errors.Is(ctx.Err(), context.Canceled) && !errors.Is(context.Cause(ctx), cf.ErrStopping)
 }
 
-// expire ends a request whose time is up or whose caller has gone.
-func (f *forwarding) expire(ctx context.Context, w http.ResponseWriter) {
+// giveUp ends a request whose time is up or whose caller has gone.
+func (f *forwarding) giveUp(ctx context.Context, w http.ResponseWriter) {
 	f.abandon(errors.Is(ctx.Err(), context.DeadlineExceeded))
 	if callerLeft(ctx) {
 		f.in.Log.Info("caller_gone", zap.String("request_id", string(f.req.ID)), zap.Int64("after_ms", int64(cf.Uptime()-f.req.Received)))
-		f.in.count("forward", "caller_gone", f.req)
+		f.in.countRequest("forward", "caller_gone", f.req)
 		panic(http.ErrAbortHandler)
 	}
-	f.failLate(ctx, w)
+	f.failTimeout(ctx, w)
 }
 
-// failLate ends a request that has run out of time, its own or the instance's.
-func (f *forwarding) failLate(ctx context.Context, w http.ResponseWriter) {
+// failTimeout ends a request that has run out of time, its own or the instance's.
+func (f *forwarding) failTimeout(ctx context.Context, w http.ResponseWriter) {
 	reason := "no answer in time"
 	if errors.Is(context.Cause(ctx), cf.ErrStopping) {
 		reason = cf.ErrStopping.Error()
@@ -385,35 +385,35 @@
 	f.fail(w, http.StatusGatewayTimeout, reason)
 }
 
-// comeBack returns when the caller of a request that found no place should try
+// retryAfter returns when the caller of a request that found no place should try
 // again.
-func (f *forwarding) comeBack() cf.Millis {
+func (f *forwarding) retryAfter() cf.Millis {
 	if len(f.tried) == 0 && f.refusal.Reason == "" {
 		return noTargetRetry
 	}
 	now := cf.Uptime()
 	throughput := f.in.throughput(f.service, now)
-	return f.in.returns.RetryAfter(f.service, throughput, len(f.in.Members.Live()), f.attempts.Remaining(now), now)
+	return f.in.retries.RetryAfter(f.service, throughput, len(f.in.Members.Live()), f.attempts.Remaining(now), now)
 }
 
 // refuse turns away a request that surely has not run.
 func (f *forwarding) refuse(w http.ResponseWriter, after cf.Millis, reason string) {
 	f.in.Log.Warn("request_refused", zap.String("request_id", string(f.req.ID)), zap.String("service", string(f.service)),
 		zap.String("reason", reason), zap.Int("tried", len(f.tried)), zap.Int64("retry_after_ms", int64(after)),
-		zap.String("organisation", string(f.access.Organisation)), zap.Int64("took_ms", int64(cf.Uptime()-f.req.Received)), zap.Inline(verdict(f.refusal)),
+		zap.String("organisation", string(f.access.Organisation)), zap.Int64("took_ms", int64(cf.Uptime()-f.req.Received)), zap.Inline(decisionFields(f.refusal)),
 		zap.Int64("config_version", int64(f.version)), zap.Int64("targets_revision", int64(f.in.Site.TargetsRevision())))
-	answerRefusal(w, after, reason)
-	f.in.count("forward", "refused", f.req)
+	writeRefusal(w, after, reason)
+	f.in.countRequest("forward", "refused", f.req)
 }
 
 func (f *forwarding) fail(w http.ResponseWriter, status int, reason string) {
 	f.in.Log.Warn("request_failed", zap.String("request_id", string(f.req.ID)), zap.Int("status", status), zap.String("reason", reason),
 		zap.Int("tried", len(f.tried)), zap.Int64("took_ms", int64(cf.Uptime()-f.req.Received)))
 	http.Error(w, reason, status)
-	f.in.count("forward", "failed", f.req)
+	f.in.countRequest("forward", "failed", f.req)
 }
 
-func (in *Ingress) count(call, outcome string, req *cf.Request) {
+func (in *Ingress) countRequest(call, outcome string, req *cf.Request) {
 	in.Metrics.Requests.WithLabelValues(call, outcome).Inc()
 	in.Metrics.Duration.WithLabelValues(call).Observe(float64(cf.Uptime()-req.Received) / 1000)
 }
--- a/io/cfingress/forward_test.go
+++ b/io/cfingress/forward_test.go
@@ -44,7 +44,7 @@
 
 // Guards against a request that fails as one of its hedged attempts found no room, though the
 // other answers.
-func TestHedgedAttemptAnswersBesideOneWithoutRoom(t *testing.T) {
+func TestHedgeAnswersIfOtherAttemptHasNoRoom(t *testing.T) {
 	// marker is when the first attempt claims to have been sent: the use of the request is
 	// counted by it once that attempt has ended.
 	const marker cf.Millis = 1
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -29,8 +29,8 @@
 	// resolveTTL is how long callers keep an address list. Some keep it
 	// three times as long, which must fit into a planned stop.
 	resolveTTL cf.Millis = 1500
-	// resolveMost bounds the address list.
-	resolveMost = 64
+	// resolveLimit bounds the address list.
+	resolveLimit = 64
 )
 
 type (
@@ -93,12 +93,12 @@
 	// Ingress implements currantford.Ingress.
 	Ingress struct {
 		Options
-		balancer  *cfbalance.Balancer
-		returns   *cfbalance.RetryScheduler
-		admission *cfadmission.Controller
-		callers   *cfadmission.DeadlineTracker
-		bodies    bodies
-		stopping  atomic.Bool
+		balancer   *cfbalance.Balancer
+		retries    *cfbalance.RetryScheduler
+		admission  *cfadmission.Controller
+		deadlines  *cfadmission.DeadlineTracker
+		bodyMemory bodyMemory
+		stopping   atomic.Bool
 	}
 
 	// Metrics are the ingress's counters.
@@ -135,7 +135,7 @@
 
 // New returns an ingress.
 func New(o Options) *Ingress {
-	in := &Ingress{Options: o, balancer: cfbalance.New(), returns: cfbalance.NewRetryScheduler(), admission: cfadmission.New(), callers: cfadmission.NewDeadlineTracker(), bodies: bodies{most: o.MemoryBytes / bodyPart}}
+	in := &Ingress{Options: o, balancer: cfbalance.New(), retries: cfbalance.NewRetryScheduler(), admission: cfadmission.New(), deadlines: cfadmission.NewDeadlineTracker(), bodyMemory: bodyMemory{limit: o.MemoryBytes / bodyDivisor}}
 	in.balancer.IgnorePace = o.IgnorePace
 	return in
 }
@@ -152,7 +152,7 @@
 
 // Resolve returns the addresses for a caller in domain.
 func (in *Ingress) Resolve(domain cf.FailureDomain) ([]string, cf.Millis) {
-	return cfmember.Nearest(in.Members.Live(), domain, resolveMost), resolveTTL
+	return cfmember.Nearest(in.Members.Live(), domain, resolveLimit), resolveTTL
 }
 
 // Limits returns the bounds on what callers may send.
--- a/io/cfingress/reads_test.go
+++ b/io/cfingress/reads_test.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// unreached is a coordinator that can't be asked.
-	unreached struct{ cfingress.Coordinator }
+	// unreachableCoordinator is a coordinator that can't be asked.
+	unreachableCoordinator struct{ cfingress.Coordinator }
 
 	// failingStore fails its first reads.
 	failingStore struct {
@@ -27,7 +27,7 @@
 	}
 )
 
-func (unreached) Results(context.Context, cf.BatchID, int, cf.Millis) (cf.ResultPage, error) {
+func (unreachableCoordinator) Results(context.Context, cf.BatchID, int, cf.Millis) (cf.ResultPage, error) {
 	return cf.ResultPage{}, cf.ErrNotLeader
 }
 
@@ -41,7 +41,7 @@
 
 // Guards against: readers who are sent away by one late answer of the store, and readers who
 // wait for a store that is known to be away.
-func TestOneLateAnswerOfTheStoreSendsNoReaderAway(t *testing.T) {
+func TestOneLateStoreAnswerRefusesNoReader(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		failures int
@@ -60,7 +60,7 @@
 		}
 		store := &failingStore{MemStore: cfstandin.NewMemStore(), failures: c.failures, failure: c.failure}
 		in := cfingress.New(cfingress.Options{
-			Store: store, Members: members{}, Site: site, Coordinator: unreached{},
+			Store: store, Members: noMembers{}, Site: site, Coordinator: unreachableCoordinator{},
 			Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 		})
 		_, err := in.Results(context.Background(), cf.Credentials{}, "b", 0, 0)
--- a/io/cfingress/ready_test.go
+++ b/io/cfingress/ready_test.go
@@ -18,7 +18,7 @@
 // platform takes it for ready and sends callers.
 func TestInstanceIsReadyOnceItKnowsTargets(t *testing.T) {
 	site := cfsite.New(cfstandin.Codec{})
-	in := cfingress.New(cfingress.Options{Members: members{}, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
+	in := cfingress.New(cfingress.Options{Members: noMembers{}, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 1, cfsite.Config{Version: 1})); err != nil {
 		t.Fatal(err)
 	}
--- a/io/cfingress/stream_test.go
+++ b/io/cfingress/stream_test.go
@@ -18,8 +18,8 @@
 
 var resumable = cfsite.Route{Kind: cfsite.KindStream, Resumable: true, MaxAttempts: 3, Timeout: 5000}
 
-// events hands on the events from first to last.
-func events(sink cf.StreamSink, first, last cf.EventID) error {
+// sendEvents hands on the events from first to last.
+func sendEvents(sink cf.StreamSink, first, last cf.EventID) error {
 	for id := first; id <= last; id++ {
 		if err := sink.Event(cf.StreamEvent{ID: id, Raw: []byte(fmt.Sprintf("id: %d\n\n", id))}); err != nil {
 			return err
@@ -42,20 +42,20 @@
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, call.ResumeAfter+1, 5)
+			err = sendEvents(sink, call.ResumeAfter+1, 5)
 		}
 		return answer, err
 	}}
 	in := newIngress(t, to, resumable, "a", "b")
-	w, broken := ask(in, cf.Request{ID: "r", ResumeAfter: 3})
-	if want := "id: 4\n\nid: 5\n\n"; broken || w.Body.String() != want {
-		t.Errorf("broken %t, events %q, want %q", broken, w.Body, want)
+	w, aborted := ask(in, cf.Request{ID: "r", ResumeAfter: 3})
+	if want := "id: 4\n\nid: 5\n\n"; aborted || w.Body.String() != want {
+		t.Errorf("broken %t, events %q, want %q", aborted, w.Body, want)
 	}
 }
 
-// wantBrokenOff plays a stream that breaks off after event 2, and whose second target answers
+// wantAborted plays a stream that breaks off after event 2, and whose second target answers
 // as given: the caller must see it broken off after those events.
-func wantBrokenOff(t *testing.T, resumed cf.TargetAnswer, resumeErr error) {
+func wantAborted(t *testing.T, resumed cf.TargetAnswer, resumeErr error) {
 	t.Helper()
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		if call.ResumeAfter > 0 {
@@ -63,7 +63,7 @@
 		}
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, 1, 2)
+			err = sendEvents(sink, 1, 2)
 		}
 		if err == nil {
 			err = eris.Wrap(cf.ErrBadAnswer, "broken off")
@@ -71,9 +71,9 @@
 		return answer, err
 	}}
 	in := newIngress(t, to, resumable, "a", "b")
-	w, broken := ask(in, cf.Request{ID: "r"})
-	if want := "id: 1\n\nid: 2\n\n"; !broken || w.Body.String() != want {
-		t.Errorf("broken %t, events %q, want them broken off after %q", broken, w.Body, want)
+	w, aborted := ask(in, cf.Request{ID: "r"})
+	if want := "id: 1\n\nid: 2\n\n"; !aborted || w.Body.String() != want {
+		t.Errorf("broken %t, events %q, want them broken off after %q", aborted, w.Body, want)
 	}
 }
 
@@ -82,25 +82,25 @@
 // Sequence: a stream breaks off after event 2; the target asked to resume it
 // answers that it knows no such path.
 // Cause: the failure was passed on to a caller whose answer had begun.
-func TestFailureAfterTheStreamBeganBreaksItOff(t *testing.T) {
-	wantBrokenOff(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}, Body: []byte("nothing here")}, nil)
+func TestFailureAfterStreamStartAbortsTheConnection(t *testing.T) {
+	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}, Body: []byte("nothing here")}, nil)
 }
 
-// deaf is an answer to a caller that takes no more than its beginning.
-type deaf struct{ *httptest.ResponseRecorder }
+// failingWriter is an answer to a caller that takes no more than its beginning.
+type failingWriter struct{ *httptest.ResponseRecorder }
 
-func (deaf) Write([]byte) (int, error) { return 0, errors.New("deadline exceeded") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("deadline exceeded") }
 
 // Symptom: targets generate a stream again and again for a caller that does not take it, and
 // count as failing.
 // Cause: a write to the caller that failed was taken for a fault of the target.
-func TestStreamWhoseCallerTakesNoMoreIsNotResumed(t *testing.T) {
+func TestStreamIsNotResumedAfterFailedWriteToCaller(t *testing.T) {
 	sends := 0
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		sends++
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, 1, 5)
+			err = sendEvents(sink, 1, 5)
 		}
 		return answer, err
 	}}, resumable, "a", "b")
@@ -111,23 +111,23 @@
 	}()
 	in.Forward(context.Background(), &cf.Request{
 		ID: "r", Method: http.MethodPost, Host: host, Route: "/x/a", Path: "/x/a", Received: cf.Uptime(),
-	}, deaf{httptest.NewRecorder()})
+	}, failingWriter{httptest.NewRecorder()})
 }
 
 // Guards against a resumed stream that looks complete, with an error's text among its
 // events, after the answer of its second target found no room.
-func TestResumedStreamWithoutRoomIsBrokenOff(t *testing.T) {
-	wantBrokenOff(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}}, eris.Wrap(cf.ErrNoRoom, "an answer of 64 MB"))
+func TestResumedStreamWithoutRoomIsAborted(t *testing.T) {
+	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}}, eris.Wrap(cf.ErrNoRoom, "an answer of 64 MB"))
 }
 
 // Guards against a target that counts as failing because callers leave their streams
 // between two events.
-func TestCallerThatLeavesAStreamIsNoFaultOfItsTarget(t *testing.T) {
+func TestCallerLeavingAStreamIsNotATargetFailure(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, 1, 2)
+			err = sendEvents(sink, 1, 2)
 		}
 		leave()
 		return answer, errors.Join(err, eris.Wrap(cf.ErrBadAnswer, "context canceled"))
--- a/io/cfingress/usage.go
+++ b/io/cfingress/usage.go
@@ -6,63 +6,63 @@
 )
 
 type (
-	// use counts a request for its organisation: once, however many targets it is sent
+	// requestUsage counts a request for its organisation: once, however many targets it is sent
 	// to, as of when the first of those that run it was sent it. It is counted as it is
 	// sent, since what an instance that is lost had sent would else be missing, and taken
 	// back where it turns out that it did not run.
-	use struct {
-		count func(o cf.Organisation, began cf.Millis, requests int64)
-		of    cf.Organisation
-		// tries are those that run it, or may.
-		tries []try
-		// began is when it was counted, zero if it is not.
-		began cf.Millis
+	requestUsage struct {
+		count        func(o cf.Organisation, began cf.Millis, requests int64)
+		organisation cf.Organisation
+		// sends are those that run it, or may.
+		sends []send
+		// countedAt is when it was counted, zero if it is not.
+		countedAt cf.Millis
 	}
 
-	try struct {
-		target cf.InstanceID
-		began  cf.Millis
+	send struct {
+		target    cf.InstanceID
+		startedAt cf.Millis
 	}
 )
 
 // sent notes that the request is sent to a target.
-func (u *use) sent(t cf.InstanceID, now cf.Millis) {
-	u.tries = append(u.tries, try{t, now})
-	u.settle()
+func (u *requestUsage) sent(t cf.InstanceID, now cf.Millis) {
+	u.sends = append(u.sends, send{t, now})
+	u.recount()
 }
 
 // ended notes how a try ended, and when it was sent in full, zero if that is not known.
-func (u *use) ended(t cf.InstanceID, outcome cfbalance.Outcome, wrote cf.Millis) {
-	for i := range u.tries {
-		if u.tries[i].target != t {
+func (u *requestUsage) ended(t cf.InstanceID, outcome cfbalance.Outcome, wrote cf.Millis) {
+	for i := range u.sends {
+		if u.sends[i].target != t {
 			continue
 		}
 		if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
-			u.tries = append(u.tries[:i], u.tries[i+1:]...)
+			u.sends = append(u.sends[:i], u.sends[i+1:]...)
 		} else if wrote > 0 {
-			u.tries[i].began = wrote
+			u.sends[i].startedAt = wrote
 		}
 		break
 	}
-	u.settle()
+	u.recount()
 }
 
-// settle counts the request anew where its beginning is another.
-func (u *use) settle() {
+// recount counts the request anew where its beginning is another.
+func (u *requestUsage) recount() {
 	first := cf.Millis(0)
-	for _, t := range u.tries {
-		if first == 0 || t.began < first {
-			first = t.began
+	for _, t := range u.sends {
+		if first == 0 || t.startedAt < first {
+			first = t.startedAt
 		}
 	}
-	if u.count == nil || first == u.began {
+	if u.count == nil || first == u.countedAt {
 		return
 	}
-	if u.began > 0 {
-		u.count(u.of, u.began, -1)
+	if u.countedAt > 0 {
+		u.count(u.organisation, u.countedAt, -1)
 	}
 	if first > 0 {
-		u.count(u.of, first, 1)
+		u.count(u.organisation, first, 1)
 	}
-	u.began = first
+	u.countedAt = first
 }
--- a/io/cflog/async.go
+++ b/io/cflog/async.go
@@ -12,22 +12,22 @@
 	// that stops reading must not stop the process: further lines are counted and
 	// dropped.
 	queueLines = 4096
-	// writeBytes bounds one write of several lines. POSIX lets a pipe take 4,096 bytes
+	// maxWriteBytes bounds one write of several lines. POSIX lets a pipe take 4,096 bytes
 	// (PIPE_BUF) as a whole; collectors cut larger writes apart.
-	writeBytes = 4096
-	// flushTick is how often a flush looks whether all is written.
-	flushTick = 5 * time.Millisecond
+	maxWriteBytes = 4096
+	// flushPollInterval is how often a flush looks whether all is written.
+	flushPollInterval = 5 * time.Millisecond
 )
 
 // AsyncWriter writes lines in the background and never blocks its callers. Close
 // writes what waits.
 type AsyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	waiting atomic.Int64
-	wg      sync.WaitGroup
-	once    sync.Once
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	waiting   atomic.Int64
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
 // NewAsyncWriter returns a writer in front of out.
@@ -51,9 +51,9 @@
 }
 
 // Flush waits until what was queued is written, for most at the longest.
-func (a *AsyncWriter) Flush(most time.Duration) {
-	for deadline := time.Now().Add(most); a.waiting.Load() > 0 && time.Now().Before(deadline); {
-		time.Sleep(flushTick)
+func (a *AsyncWriter) Flush(timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); a.waiting.Load() > 0 && time.Now().Before(deadline); {
+		time.Sleep(flushPollInterval)
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // Close writes what waits. Nothing may be written after it.
 func (a *AsyncWriter) Close() error {
-	a.once.Do(func() { close(a.lines) })
+	a.closeOnce.Do(func() { close(a.lines) })
 	a.wg.Wait()
 	return nil
 }
@@ -82,7 +82,7 @@
 		buf, lines = buf[:0], 0
 	}
 	for line := range a.lines {
-		if len(buf)+len(line) > writeBytes {
+		if len(buf)+len(line) > maxWriteBytes {
 			write()
 		}
 		buf, lines = append(buf, line...), lines+1
--- a/io/cflog/async_test.go
+++ b/io/cflog/async_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// writes keeps each write apart; the first waits until the others are queued.
-type writes struct {
+// writeRecorder keeps each write apart; the first waits until the others are queued.
+type writeRecorder struct {
 	begin chan struct{}
 	all   [][]byte
 }
 
-func (w *writes) Write(p []byte) (int, error) {
+func (w *writeRecorder) Write(p []byte) (int, error) {
 	<-w.begin
 	w.all = append(w.all, bytes.Clone(p))
 	return len(p), nil
@@ -21,10 +21,10 @@
 // Guards against: lines of a burst that are lost or torn, because one write was larger than a
 // pipe takes whole.
 func TestBurstIsWrittenInWholeLines(t *testing.T) {
-	out := &writes{begin: make(chan struct{})}
+	out := &writeRecorder{begin: make(chan struct{})}
 	a := NewAsyncWriter(out)
 	line := []byte(strings.Repeat("x", 450) + "\n")
-	long := []byte(strings.Repeat("y", 3*writeBytes) + "\n")
+	long := []byte(strings.Repeat("y", 3*maxWriteBytes) + "\n")
 	const lines = 300
 	for n := range lines {
 		if n == lines/2 {
@@ -38,8 +38,8 @@
 	}
 	got := 0
 	for _, w := range out.all {
-		if len(w) > writeBytes && !bytes.Equal(w, long) {
-			t.Errorf("a write of %d bytes, %d are taken whole", len(w), writeBytes)
+		if len(w) > maxWriteBytes && !bytes.Equal(w, long) {
+			t.Errorf("a write of %d bytes, %d are taken whole", len(w), maxWriteBytes)
 		}
 		if w[len(w)-1] != '\n' {
 			t.Error("a write ends within a line")
--- a/io/cflog/crash.go
+++ b/io/cflog/crash.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// exitPanic is the exit status of a process that ends itself, as the runtime's is.
-	exitPanic = 2
-	// flushMost is how long a process that ends itself waits for its last lines to be
+	// panicExitCode is the exit status of a process that ends itself, as the runtime's is.
+	panicExitCode = 2
+	// flushTimeout is how long a process that ends itself waits for its last lines to be
 	// read.
-	flushMost = time.Second
+	flushTimeout = time.Second
 )
 
 type (
@@ -53,7 +53,7 @@
 // process ends.
 func ExitOnPanic() {
 	if reason := recover(); reason != nil {
-		end(reason)
+		logAndExit(reason)
 	}
 }
 
@@ -66,19 +66,19 @@
 			case http.ErrAbortHandler: //nolint:errorlint // the value that the server knows
 				panic(reason)
 			default:
-				end(reason)
+				logAndExit(reason)
 			}
 		}()
 		h.ServeHTTP(w, r)
 	})
 }
 
-func end(reason any) {
+func logAndExit(reason any) {
 	r := reporter.Load()
 	if r == nil {
 		panic(reason)
 	}
 	r.log.Error("panic", zap.String("role", r.role()), zap.String("reason", fmt.Sprint(reason)), zap.ByteString("stack", debug.Stack()))
-	r.out.Flush(flushMost)
-	os.Exit(exitPanic)
+	r.out.Flush(flushTimeout)
+	os.Exit(panicExitCode)
 }
--- a/io/cflog/crash_test.go
+++ b/io/cflog/crash_test.go
@@ -20,13 +20,13 @@
 	if where := os.Getenv(panicEnv); where != "" {
 		log, out := cflog.NewStdout("entry", "entry-1")
 		cflog.ReportPanics(log, out, func() string { return "coordinator" })
-		fail := func() { var m map[string]int; m["a"] = 1 } //nolint:staticcheck // it is to panic
+		triggerPanic := func() { var m map[string]int; m["a"] = 1 } //nolint:staticcheck // it is to panic
 		var g cflog.Group
 		g.Go(func() {
 			if where == "goroutine" {
-				fail()
+				triggerPanic()
 			}
-			h := cflog.PanicHandler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { fail() }))
+			h := cflog.PanicHandler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { triggerPanic() }))
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		})
 		g.Wait()
@@ -36,7 +36,7 @@
 }
 
 // A process that ends by itself leaves no reason where its log is kept.
-func TestPanicLeavesItsReasonInTheLog(t *testing.T) {
+func TestPanicIsLogged(t *testing.T) {
 	for _, where := range []string{"goroutine", "handler"} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), panicEnv+"="+where)
@@ -58,7 +58,7 @@
 }
 
 // A handler that breaks an answer off ends its connection, not the process.
-func TestBrokenOffAnswersArePassedOn(t *testing.T) {
+func TestAbortHandlerPanicIsPassedOn(t *testing.T) {
 	defer func() {
 		if recover() != http.ErrAbortHandler { //nolint:errorlint // the value that the server knows
 			t.Error("another panic, or none")
--- a/io/cflog/library.go
+++ b/io/cflog/library.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// libraryBytes is how much of a library's line is logged. net/http quotes what a target
+	// maxLibraryBytes is how much of a library's line is logged. net/http quotes what a target
 	// sends after its answer, up to its whole buffer.
-	libraryBytes = 200
-	// libraryLines bounds such lines, a second.
-	libraryLines = 5
+	maxLibraryBytes = 200
+	// maxLibraryLines bounds such lines, a second.
+	maxLibraryLines = 5
 )
 
 // LibraryWriter is a writer for the standard logger. It logs the lines of libraries, cut short,
@@ -21,10 +21,10 @@
 type LibraryWriter struct {
 	log *zap.Logger
 
-	mu      sync.Mutex
-	since   time.Time
-	lines   int
-	dropped int
+	mu          sync.Mutex
+	windowStart time.Time
+	lines       int
+	dropped     int
 }
 
 // NewLibraryWriter returns a writer in front of log.
@@ -33,11 +33,11 @@
 // Write logs one line.
 func (l *LibraryWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
-	if now := time.Now(); now.Sub(l.since) >= time.Second {
-		l.since, l.lines = now, 0
+	if now := time.Now(); now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.lines = now, 0
 	}
 	l.lines++
-	if l.lines > libraryLines {
+	if l.lines > maxLibraryLines {
 		l.dropped++
 		l.mu.Unlock()
 		return len(p), nil
@@ -46,6 +46,6 @@
 	l.dropped = 0
 	l.mu.Unlock()
 	line := bytes.TrimSpace(p)
-	l.log.Warn("library_message", zap.ByteString("text", line[:min(len(line), libraryBytes)]), zap.Int("dropped", dropped))
+	l.log.Warn("library_message", zap.ByteString("text", line[:min(len(line), maxLibraryBytes)]), zap.Int("dropped", dropped))
 	return len(p), nil
 }
--- a/io/cflog/library_test.go
+++ b/io/cflog/library_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a log that is filled with what targets send after their answers.
-func TestLinesOfLibrariesAreBounded(t *testing.T) {
+func TestLibraryLogLinesAreLimited(t *testing.T) {
 	core, lines := observer.New(zap.WarnLevel)
 	std := log.New(NewLibraryWriter(zap.New(core)), "", 0)
 	for range 1000 {
@@ -20,7 +20,7 @@
 	for _, l := range lines.All() {
 		size += len(l.ContextMap()["text"].(string))
 	}
-	if n := lines.Len(); n == 0 || n > 4*libraryLines || size > n*libraryBytes {
+	if n := lines.Len(); n == 0 || n > 4*maxLibraryLines || size > n*maxLibraryBytes {
 		t.Errorf("%d lines of %d bytes for 1000 lines of 8 KB", n, size)
 	}
 }
--- a/io/cfroom/cfroom.go
+++ b/io/cfroom/cfroom.go
@@ -25,8 +25,8 @@
 	"currantford/core/cfhold"
 )
 
-// linesPerSecond bounds the log lines; each cut counts in the metrics.
-const linesPerSecond = 20
+// maxLogLinesPerSecond bounds the log lines; each cut counts in the metrics.
+const maxLogLinesPerSecond = 20
 
 type (
 	// Delivery is a caller's connection as bytes go out on it.
@@ -46,10 +46,10 @@
 	Conn struct {
 		Delivery
 		// room is that of the answer that is on its way, nil if none is.
-		room  atomic.Pointer[Room]
-		ended atomic.Bool
-		// request is that of the last room, until the next request begins.
-		request atomic.Pointer[string]
+		room   atomic.Pointer[Room]
+		closed atomic.Bool
+		// requestID is that of the last room, until the next request begins.
+		requestID atomic.Pointer[string]
 	}
 
 	// Options are what rooms work with.
@@ -81,11 +81,11 @@
 		// freed is closed when room may have come free, where waiters wait for it.
 		freed   chan struct{}
 		waiters int
-		// pressed tells whoever looks that one has begun to wait.
-		pressed chan struct{}
-		// lines are the log lines of the second that began at linesAt.
-		lines   int
-		linesAt cf.Millis
+		// pressure tells whoever looks that one has begun to wait.
+		pressure chan struct{}
+		// logLines are the log lines of the second that began at linesAt.
+		logLines       int
+		logWindowStart cf.Millis
 	}
 
 	// Room implements currantford.Room. A nil one has no bound.
@@ -93,15 +93,15 @@
 		rooms *Rooms
 		conn  *Conn
 		// answer is its number on the connection.
-		answer uint64
-		hold   *cfhold.Reservation // of rooms.mu
-		// seen: its caller was waited for at the last look. Only Look uses it.
-		seen bool
+		answer      uint64
+		reservation *cfhold.Reservation // of rooms.mu
+		// blocked: its caller was waited for at the last look. Only Look uses it.
+		blocked bool
 		// closed: nothing is taken any more.
 		closed bool
 		cut    atomic.Bool
-		// request is named in log lines.
-		request string
+		// requestID is named in log lines.
+		requestID string
 	}
 
 	// pendingCut is a connection that is to end, and what was held by then.
@@ -135,7 +135,7 @@
 func New(o Options) *Rooms {
 	return &Rooms{
 		options: o, log: o.Log, ledger: cfhold.New(cfhold.BoundsFor(o.MemoryBytes), o.Policy),
-		blocked: map[*cfhold.Reservation]*Room{}, freed: make(chan struct{}), pressed: make(chan struct{}, 1),
+		blocked: map[*cfhold.Reservation]*Room{}, freed: make(chan struct{}), pressure: make(chan struct{}, 1),
 	}
 }
 
@@ -148,14 +148,14 @@
 }
 
 // Open begins an answer to a caller, on the connection of the context if it has one.
-func (r *Rooms) Open(ctx context.Context, caller cfhold.Caller, kind cfhold.Kind, request string) *Room {
+func (r *Rooms) Open(ctx context.Context, caller cfhold.Caller, kind cfhold.Kind, requestID string) *Room {
 	if r == nil {
 		return nil
 	}
 	conn, _ := ctx.Value(connKey{}).(*Conn)
-	room := r.open(conn, caller, kind, request)
+	room := r.open(conn, caller, kind, requestID)
 	if conn != nil {
-		conn.request.Store(&request)
+		conn.requestID.Store(&requestID)
 		if before := conn.room.Swap(room); before != nil {
 			before.Close() // of a look between two answers
 		}
@@ -163,24 +163,24 @@
 	return room
 }
 
-func (r *Rooms) open(conn *Conn, caller cfhold.Caller, kind cfhold.Kind, request string) *Room {
-	room := &Room{rooms: r, conn: conn, request: request}
+func (r *Rooms) open(conn *Conn, caller cfhold.Caller, kind cfhold.Kind, requestID string) *Room {
+	room := &Room{rooms: r, conn: conn, requestID: requestID}
 	if conn != nil {
 		room.answer = conn.AnswerNumber()
 	}
 	r.mu.Lock()
-	room.hold = r.ledger.Open(caller, kind)
+	room.reservation = r.ledger.Open(caller, kind)
 	r.mu.Unlock()
 	return room
 }
 
 // RequestStarted notes that the next request begins.
-func (c *Conn) RequestStarted() { c.request.Store(nil) }
+func (c *Conn) RequestStarted() { c.requestID.Store(nil) }
 
 // RequestID names the request that is answered on the connection, empty if it has opened no
 // room.
 func (c *Conn) RequestID() string {
-	if request := c.request.Load(); request != nil {
+	if request := c.requestID.Load(); request != nil {
 		return *request
 	}
 	return ""
@@ -188,7 +188,7 @@
 
 // Closed notes that the connection has ended.
 func (c *Conn) Closed() {
-	c.ended.Store(true)
+	c.closed.Store(true)
 	if room := c.room.Load(); room != nil {
 		room.Close()
 	}
@@ -209,29 +209,29 @@
 }
 
 // Pressure receives when an answer has begun to wait for room.
-func (r *Rooms) Pressure() <-chan struct{} { return r.pressed }
+func (r *Rooms) Pressure() <-chan struct{} { return r.pressure }
 
 // Check looks at callers' connections and ends those that cfhold chooses. It makes a system
 // call for each connection on which a write is under way. It returns when to look again.
 func (r *Rooms) Check(conns []*Conn) cf.Millis {
 	now := cf.Uptime()
 	for _, c := range conns {
-		r.look(c, now)
+		r.checkConn(c, now)
 	}
 	r.mu.Lock()
-	cuts := r.cuts(now)
+	cuts := r.chooseCuts(now)
 	r.wake() // two attempts of one request may wait, of which the ledger knows one
 	wait := cfhold.CheckInterval
 	if r.waiters > 0 {
 		wait = cfhold.PressureCheckInterval
 	}
 	r.mu.Unlock()
-	r.cut(cuts)
+	r.cutAll(cuts)
 	return wait
 }
 
-// cuts decides whose connections end. r.mu is held.
-func (r *Rooms) cuts(now cf.Millis) []pendingCut {
+// chooseCuts decides whose connections end. r.mu is held.
+func (r *Rooms) chooseCuts(now cf.Millis) []pendingCut {
 	var out []pendingCut
 	for _, c := range r.ledger.Cuts(now) {
 		if room := r.blocked[c.Reservation]; room != nil {
@@ -241,8 +241,8 @@
 	return out
 }
 
-// cut ends connections.
-func (r *Rooms) cut(cuts []pendingCut) {
+// cutAll ends connections.
+func (r *Rooms) cutAll(cuts []pendingCut) {
 	for _, c := range cuts {
 		if c.room.conn.room.Load() != c.room {
 			continue // its answer has ended meanwhile, and the next may be on its way
@@ -254,20 +254,20 @@
 		}
 		r.options.Metrics.Cut.WithLabelValues(string(c.Reason)).Inc()
 		if c.logged {
-			r.log.Warn("slow_caller_cut", zap.String("request_id", c.room.request), zap.String("reason", string(c.Reason)), zap.Int64("held_bytes", c.Bytes),
+			r.log.Warn("slow_caller_cut", zap.String("request_id", c.room.requestID), zap.String("reason", string(c.Reason)), zap.Int64("held_bytes", c.Bytes),
 				zap.Int64("bytes_per_s", c.Rate), zap.Int64("blocked_ms", int64(c.Blocked)), zap.Int64("held_in_all", c.held))
 		}
 	}
 }
 
-func (r *Rooms) look(c *Conn, now cf.Millis) {
+func (r *Rooms) checkConn(c *Conn, now cf.Millis) {
 	write, writing := c.Writing()
 	room := c.room.Load()
 	if !writing {
-		if room != nil && room.seen {
-			room.seen = false
+		if room != nil && room.blocked {
+			room.blocked = false
 			r.mu.Lock()
-			r.rest(room)
+			r.unblock(room)
 			r.mu.Unlock()
 		}
 		return
@@ -279,33 +279,33 @@
 			room.Close() // the next request has opened its own, which the next look finds
 			return
 		}
-		if c.ended.Load() {
+		if c.closed.Load() {
 			room.Close()
 		}
 	}
 	acked := c.Acknowledged()
-	room.seen = true
+	room.blocked = true
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !room.closed {
-		r.ledger.ObserveWrite(room.hold, write, acked, now)
-		r.blocked[room.hold] = room
+		r.ledger.ObserveWrite(room.reservation, write, acked, now)
+		r.blocked[room.reservation] = room
 	}
 }
 
-// rest notes that a room's caller is not waited for. r.mu is held.
-func (r *Rooms) rest(m *Room) {
-	r.ledger.WriteDone(m.hold)
-	delete(r.blocked, m.hold)
+// unblock notes that a room's caller is not waited for. r.mu is held.
+func (r *Rooms) unblock(m *Room) {
+	r.ledger.WriteDone(m.reservation)
+	delete(r.blocked, m.reservation)
 }
 
 // allowLine says whether one more line may be logged now. r.mu is held.
 func (r *Rooms) allowLine(now cf.Millis) bool {
-	if now-r.linesAt >= 1000 {
-		r.lines, r.linesAt = 0, now
+	if now-r.logWindowStart >= 1000 {
+		r.logLines, r.logWindowStart = 0, now
 	}
-	r.lines++
-	return r.lines <= linesPerSecond
+	r.logLines++
+	return r.logLines <= maxLogLinesPerSecond
 }
 
 // Take implements currantford.Room.
@@ -319,24 +319,24 @@
 	if m == nil {
 		return most, nil
 	}
-	n, verdict, freed := m.try(least, most, 0)
+	n, verdict, freed := m.tryTake(least, most, 0)
 	if verdict == cfhold.Granted {
 		return n, nil
 	}
-	late := time.NewTimer(cfhold.MaxWait.Duration())
-	defer late.Stop()
-	for ; verdict != cfhold.Granted; n, verdict, freed = m.try(least, most, -1) {
+	timeout := time.NewTimer(cfhold.MaxWait.Duration())
+	defer timeout.Stop()
+	for ; verdict != cfhold.Granted; n, verdict, freed = m.tryTake(least, most, -1) {
 		if verdict == cfhold.TooLarge {
-			return 0, m.noRoom("over_bound", least)
+			return 0, m.refuse("over_bound", least)
 		}
 		select {
 		case <-freed:
 			continue
 		case <-ctx.Done():
-		case <-late.C:
+		case <-timeout.C:
 		}
-		m.giveUp()
-		return 0, m.noRoom("waited", least)
+		m.stopWaiting()
+		return 0, m.refuse("waited", least)
 	}
 	return n, nil
 }
@@ -348,11 +348,11 @@
 	}
 	r := m.rooms
 	r.mu.Lock()
-	granted := !m.closed && r.ledger.TakeUnbounded(m.hold, n)
+	granted := !m.closed && r.ledger.TakeUnbounded(m.reservation, n)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.mu.Unlock()
 	if !granted {
-		return m.noRoom("no_end", n)
+		return m.refuse("no_end", n)
 	}
 	return nil
 }
@@ -368,13 +368,13 @@
 	if m.closed {
 		return
 	}
-	r.ledger.Release(m.hold, n)
+	r.ledger.Release(m.reservation, n)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.wake()
 }
 
-// try takes bytes if it may; waiters is how many fewer wait by then.
-func (m *Room) try(least, most int64, waiters int) (int64, cfhold.Verdict, <-chan struct{}) {
+// tryTake takes bytes if it may; waiters is how many fewer wait by then.
+func (m *Room) tryTake(least, most int64, waiters int) (int64, cfhold.Verdict, <-chan struct{}) {
 	r := m.rooms
 	r.mu.Lock()
 	r.waiters += waiters
@@ -382,7 +382,7 @@
 		r.mu.Unlock()
 		return 0, cfhold.TooLarge, nil
 	}
-	n, v := r.ledger.TakeUpTo(m.hold, least, most)
+	n, v := r.ledger.TakeUpTo(m.reservation, least, most)
 	if v != cfhold.Wait {
 		r.options.Metrics.Held.Set(float64(r.ledger.Held())) // small takes are granted without being held
 		r.mu.Unlock()
@@ -390,7 +390,7 @@
 	}
 	r.waiters++
 	select {
-	case r.pressed <- struct{}{}:
+	case r.pressure <- struct{}{}:
 	default:
 	}
 	freed := r.freed
@@ -398,18 +398,18 @@
 	if r.waiters == 1 {
 		// Those that are known to be slow, without the next look. Where more wait, it is
 		// left to the look: each would sort all holds again whenever room comes free.
-		cuts = r.cuts(cf.Uptime())
+		cuts = r.chooseCuts(cf.Uptime())
 	}
 	r.mu.Unlock()
-	r.cut(cuts)
+	r.cutAll(cuts)
 	return 0, v, freed
 }
 
-func (m *Room) giveUp() {
+func (m *Room) stopWaiting() {
 	m.rooms.mu.Lock()
 	defer m.rooms.mu.Unlock()
 	m.rooms.waiters--
-	m.rooms.ledger.StopWaiting(m.hold)
+	m.rooms.ledger.StopWaiting(m.reservation)
 }
 
 // wake lets those that wait for room try again. r.mu is held.
@@ -420,7 +420,7 @@
 	}
 }
 
-func (m *Room) noRoom(reason string, n int64) error {
+func (m *Room) refuse(reason string, n int64) error {
 	r := m.rooms
 	r.mu.Lock()
 	if m.closed {
@@ -431,7 +431,7 @@
 	r.mu.Unlock()
 	r.options.Metrics.Refused.WithLabelValues(reason).Inc()
 	if logged {
-		r.log.Warn("answer_without_room", zap.String("request_id", m.request), zap.String("reason", reason), zap.Int64("bytes", n), zap.Int64("held_in_all", held))
+		r.log.Warn("answer_without_room", zap.String("request_id", m.requestID), zap.String("reason", reason), zap.Int64("bytes", n), zap.Int64("held_in_all", held))
 	}
 	return eris.Wrapf(cf.ErrNoRoom, "%d bytes, %s, %d held in all", n, reason, held)
 }
@@ -454,8 +454,8 @@
 		return
 	}
 	m.closed = true
-	r.rest(m)
-	r.ledger.Close(m.hold)
+	r.unblock(m)
+	r.ledger.Close(m.reservation)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.wake()
 }
--- a/io/cfroom/cfroom_test.go
+++ b/io/cfroom/cfroom_test.go
@@ -14,16 +14,16 @@
 	"currantford/io/cfroom"
 )
 
-const limit = 16 << 20 // 4 MB of answers, 3 of one caller beside others
+const memoryLimit = 16 << 20 // 4 MB of answers, 3 of one caller beside others
 
 func newRooms() (*cfroom.Rooms, *cfroom.Metrics) {
 	m := cfroom.NewMetrics(prometheus.NewRegistry())
-	return cfroom.New(cfroom.Options{MemoryBytes: limit, Metrics: m, Log: zap.NewNop()}), m
+	return cfroom.New(cfroom.Options{MemoryBytes: memoryLimit, Metrics: m, Log: zap.NewNop()}), m
 }
 
 // Symptom guarded against: an answer that waits for room is not read on when others have
 // ended, or room that was given back is missing.
-func TestWaitingAnswersGetRoom(t *testing.T) {
+func TestWaitingAnswersGetFreedMemory(t *testing.T) {
 	rooms, metrics := newRooms()
 	open := func() *cfroom.Room { return rooms.Open(t.Context(), "a", cfhold.Answer, "r") }
 	first := open()
@@ -54,18 +54,18 @@
 	}
 }
 
-// writing is a connection on which a write is always under way.
-type writing struct{}
+// writingConn is a connection on which a write is always under way.
+type writingConn struct{}
 
-func (writing) Writing() (uint64, bool) { return 1, true }
-func (writing) Acknowledged() int64     { return 0 }
-func (writing) AnswerNumber() uint64    { return 0 }
-func (writing) Cut(uint64) bool         { return true }
+func (writingConn) Writing() (uint64, bool) { return 1, true }
+func (writingConn) Acknowledged() int64     { return 0 }
+func (writingConn) AnswerNumber() uint64    { return 0 }
+func (writingConn) Cut(uint64) bool         { return true }
 
 // Guards against a look that closes the room which a request's handler has just opened.
-func TestLookLeavesTheRoomOfARequestOpen(t *testing.T) {
+func TestCheckKeepsRoomOfRequestOpen(t *testing.T) {
 	rooms, _ := newRooms()
-	conn := &cfroom.Conn{Delivery: writing{}}
+	conn := &cfroom.Conn{Delivery: writingConn{}}
 	ctx := cfroom.WithConn(t.Context(), conn)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -98,7 +98,7 @@
 }
 
 // Guards against a gauge that grows by small takes, which are granted without being held.
-func TestGaugeShowsWhatIsHeld(t *testing.T) {
+func TestHeldGaugeShowsReservedBytes(t *testing.T) {
 	rooms, metrics := newRooms()
 	small, large := rooms.Open(t.Context(), "a", cfhold.Answer, "r"), rooms.Open(t.Context(), "a", cfhold.Answer, "s")
 	if err := errors.Join(small.Take(t.Context(), 1<<10), large.Take(t.Context(), 1<<20)); err != nil {
@@ -117,7 +117,7 @@
 // What an answer at usual load pays.
 func BenchmarkAnswer(b *testing.B) {
 	rooms, _ := newRooms()
-	ctx := cfroom.WithConn(context.Background(), &cfroom.Conn{Delivery: writing{}})
+	ctx := cfroom.WithConn(context.Background(), &cfroom.Conn{Delivery: writingConn{}})
 	b.ReportAllocs()
 	for b.Loop() {
 		room := rooms.Open(ctx, "a", cfhold.Answer, "r")
--- a/io/cfroom/waiters_test.go
+++ b/io/cfroom/waiters_test.go
@@ -10,35 +10,35 @@
 	"currantford/core/cfhold"
 )
 
-// stuck is a connection whose caller reads nothing.
-type stuck struct{ cuts int }
+// stalledConn is a connection whose caller reads nothing.
+type stalledConn struct{ cuts int }
 
-func (*stuck) Writing() (uint64, bool) { return 1, true }
-func (*stuck) Acknowledged() int64     { return 0 }
-func (*stuck) AnswerNumber() uint64    { return 0 }
-func (s *stuck) Cut(uint64) bool {
+func (*stalledConn) Writing() (uint64, bool) { return 1, true }
+func (*stalledConn) Acknowledged() int64     { return 0 }
+func (*stalledConn) AnswerNumber() uint64    { return 0 }
+func (s *stalledConn) Cut(uint64) bool {
 	s.cuts++
 	return true
 }
 
 // Guards against a search for slow callers by each of many waiters whenever room comes free.
-func TestOnlyTheFirstWaiterLooksForSlowCallers(t *testing.T) {
+func TestOnlyFirstWaiterSearchesForSlowCallers(t *testing.T) {
 	rooms := New(Options{MemoryBytes: 16 << 20, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
-	slowStream := func() (*Conn, *stuck) {
-		s := &stuck{}
+	slowStream := func() (*Conn, *stalledConn) {
+		s := &stalledConn{}
 		conn := &Conn{Delivery: s}
 		room := rooms.Open(WithConn(t.Context(), conn), "s", cfhold.Stream, "")
 		now := cf.Uptime()
 		rooms.mu.Lock()
 		defer rooms.mu.Unlock()
-		rooms.ledger.ObserveWrite(room.hold, 1, 0, now-cfhold.StreamWriteTimeout)
-		rooms.ledger.ObserveWrite(room.hold, 1, 0, now)
-		rooms.blocked[room.hold] = room
+		rooms.ledger.ObserveWrite(room.reservation, 1, 0, now-cfhold.StreamWriteTimeout)
+		rooms.ledger.ObserveWrite(room.reservation, 1, 0, now)
+		rooms.blocked[room.reservation] = room
 		return conn, s
 	}
 	wait := func() {
 		t.Helper()
-		if _, v, _ := rooms.Open(t.Context(), "a", cfhold.Answer, "").try(3<<20, 3<<20, 0); v != cfhold.Wait {
+		if _, v, _ := rooms.Open(t.Context(), "a", cfhold.Answer, "").tryTake(3<<20, 3<<20, 0); v != cfhold.Wait {
 			t.Fatalf("verdict %v, want one that waits", v)
 		}
 	}
