--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -10,18 +10,19 @@
 	"currantford/core/cfsite"
 )
 
-// staleConfigRetry is when a caller should come back whose key this instance can't judge.
-// It hears of a configuration within a second of reaching anybody.
+// staleConfigRetry is the retry delay for a caller whose key this instance can't judge. An instance
+// learns of a new configuration within a second of reaching any other.
 const staleConfigRetry cf.Millis = 300
 
-// ConfigStatus is how far this instance can rely on its configuration, and how long ago it was
-// last known to be the newest.
+// ConfigStatus tells how far this instance can rely on its configuration, and how long ago the
+// configuration was last known to be the newest.
 type ConfigStatus struct {
 	cfaccess.ConfigFreshness
 	Age cf.Millis
 }
 
-// configStatus returns that of this instance; one that is not told relies on what it has.
+// configStatus returns the status of this instance's configuration. Without a ConfigStatus option
+// the configuration is taken as the newest.
 func (in *Ingress) configStatus() ConfigStatus {
 	if in.ConfigStatus == nil {
 		return ConfigStatus{ConfigFreshness: cfaccess.ConfigFreshness{Current: true, KeysTrusted: true}}
@@ -29,8 +30,8 @@
 	return in.ConfigStatus()
 }
 
-// identify says who a request comes from. It returns a refusal where another instance
-// may know better, or ErrUnauthenticated.
+// identify returns the access rights of the caller that sent a request. It returns a Refusal if
+// another instance may know the key, or ErrUnauthenticated.
 func (in *Ingress) identify(config *cfsite.Config, use cfaccess.Use, who cf.Credentials, request string) (cf.Access, error) {
 	status := in.configStatus()
 	verdict, access := config.Directory.Authenticate(who.Keys, use, status.ConfigFreshness)
@@ -55,8 +56,8 @@
 	return cf.Access{}, cf.ErrUnauthenticated
 }
 
-// Authenticate implements currantford.Ingress. A request without a route may be read: the
-// answer does not hang on who asks.
+// Authenticate implements currantford.Ingress. A request without a route passes: its body may be
+// read, since the answer does not depend on the caller.
 func (in *Ingress) Authenticate(host, path string, who cf.Credentials) error {
 	config := in.Site.Config()
 	route, ok := config.Match(host, path)
@@ -67,8 +68,9 @@
 	return err
 }
 
-// identifyReader returns whose batches a caller may use. One without any key may use those that
-// were handed in on public routes; whatever else it asks for, it is told to show a key.
+// identifyReader returns the organisation whose batches a caller may access. A caller without a key
+// may access the batches that were submitted on public routes; for any other batch the answer asks
+// for a key.
 func (in *Ingress) identifyReader(who cf.Credentials, id cf.BatchID) (owner cf.Organisation, anonymous bool, err error) {
 	config := in.Site.Config()
 	if config.Directory != nil && len(who.Keys) == 0 {
@@ -78,8 +80,8 @@
 	return access.Organisation, false, err
 }
 
-// unlessStale returns an answer that hangs on the configuration, or a refusal where another
-// instance may know a newer one.
+// unlessStale returns err, which depends on the configuration, or a Refusal if another instance may
+// know a newer configuration.
 func (in *Ingress) unlessStale(err error) error {
 	if in.configStatus().Current {
 		return err
@@ -87,8 +89,8 @@
 	return &cf.Refusal{After: staleConfigRetry, Reason: "the configuration may have changed"}
 }
 
-// hideNotFound turns the answer to a caller without a key into one that tells it nothing of
-// what there is.
+// hideNotFound replaces ErrNotFound for a caller without a key, so that the answer does not
+// disclose which batches exist.
 func (in *Ingress) hideNotFound(anonymous bool, err error) error {
 	if anonymous && errors.Is(err, cf.ErrNotFound) {
 		return in.unlessStale(cf.ErrUnauthenticated)
--- a/io/cfingress/admission.go
+++ b/io/cfingress/admission.go
@@ -14,26 +14,26 @@
 )
 
 type (
-	// admission is a request's place before the targets of its service; the zero value is that
-	// of a request which is not limited.
+	// admission is the ticket of a request that waits to be sent to a target of its service. The
+	// zero value belongs to a request that is not subject to admission control.
 	admission struct {
 		in     *Ingress
 		ticket *cfadmission.Ticket
-		// used says that the request has been sent.
+		// used is true once the request has been sent.
 		used bool
 	}
 
-	// decisionFields writes what decided a refusal to a log line.
+	// decisionFields logs the figures behind an admission decision.
 	decisionFields cfadmission.Decision
 )
 
-// Outcomes of the metric.
+// admissionOutcomes are the values of the metric's label for requests that were not sent.
 var admissionOutcomes = map[cfadmission.Reason]string{
 	cfadmission.NoCapacity: "no_room", cfadmission.OverShare: "over_share", cfadmission.TooLate: "too_late",
 	cfadmission.QueueFull: "queue_full", cfadmission.TargetsRefused: "targets_refused", cfadmission.NoRetryBudget: "no_budget",
 }
 
-// MarshalLogObject writes nothing where no limit has acted.
+// MarshalLogObject implements zapcore.ObjectMarshaler. It writes nothing if no limit was applied.
 func (d decisionFields) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	if d.Reason == "" {
 		return nil
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// objective returns the time in which an answer is wanted, zero for a request to which the
-// limits don't apply: a stream whose route names none is wanted for as long as it takes.
+// objective returns the response time objective, zero for a request that is not subject to
+// admission control: a stream whose route has no objective may take any time.
 func (f *forwarding) objective() cf.Millis {
 	if f.route.SLO > 0 || f.route.Kind == cfsite.KindStream {
 		return f.route.SLO
@@ -54,9 +54,9 @@
 	return f.route.Timeout
 }
 
-// admit waits until the request may be sent to one of its service's targets, and adds those
-// to avoid that it may not be sent to. It returns false where the request may not be sent,
-// and at once for a hedge that would have to wait.
+// admit waits until the request may be sent to a target of its service, and adds the targets to
+// which it must not be sent to avoid. It returns false if the request may not be sent. A hedge does
+// not wait: if it would have to, admit returns false at once.
 func (f *forwarding) admit(ctx context.Context, wait bool, avoid map[cf.InstanceID]bool) (admission, bool) {
 	candidates, objective := f.in.Site.Usable(f.service), f.objective()
 	if f.in.NoAdmission || objective <= 0 || len(candidates) == 0 {
@@ -112,7 +112,7 @@
 	f.in.Metrics.AdmissionWait.Observe(float64(waited) / 1000)
 }
 
-// recordRefused notes why the request, or a hedge beside it, was not sent.
+// recordRefused records why the request, or a hedge of it, was not sent.
 func (f *forwarding) recordRefused(d cfadmission.Decision, isRequest bool) {
 	if !isRequest {
 		f.in.Metrics.Admissions.WithLabelValues("no_hedge").Inc()
@@ -122,7 +122,7 @@
 	f.in.Metrics.Admissions.WithLabelValues(admissionOutcomes[d.Reason]).Inc()
 }
 
-// sent notes that the request goes to a target.
+// sent records that the request is sent to a target.
 func (a *admission) sent(id cf.InstanceID, now cf.Millis) {
 	if a.ticket != nil {
 		a.in.admission.Sent(a.ticket, id, now)
@@ -130,14 +130,14 @@
 	}
 }
 
-// cancel gives the place up if the request was not sent.
+// cancel cancels the ticket if the request was not sent.
 func (a *admission) cancel() {
 	if a.ticket != nil && !a.used {
 		a.in.admission.Cancel(a.ticket)
 	}
 }
 
-// recordDone tells the balancer and the limits what came of a send.
+// recordDone reports the result of a send to the balancer and to admission control.
 func (f *forwarding) recordDone(a attempt, outcome cfbalance.Outcome, now cf.Millis) {
 	f.in.balancer.Done(a.target.ID, outcome, a.answer.Load, a.took, now)
 	if f.in.NoAdmission || f.objective() <= 0 {
@@ -154,8 +154,8 @@
 	}
 }
 
-// throughput returns how a service frees places, as its limits say, else as its answers
-// have shown.
+// throughput returns the rate at which slots of a service become free. It is taken from the
+// service's limits if they are active, otherwise from its answers.
 func (in *Ingress) throughput(service cf.ServiceName, now cf.Millis) cfbalance.Throughput {
 	if !in.NoAdmission {
 		if perMs, work := in.admission.Throughput(service, now); perMs > 0 {
--- a/io/cfingress/admission_test.go
+++ b/io/cfingress/admission_test.go
@@ -23,10 +23,11 @@
 	"currantford/testbed/cfstandin"
 )
 
-// busyTarget is a target of two slots with a queue of 24, which counts what it runs.
+// busyTarget is a target with two slots and a queue of 24. It counts the requests that arrive and
+// those that it runs.
 type busyTarget struct {
 	slots     chan struct{}
-	held      atomic.Int64 // running and waiting
+	held      atomic.Int64 // running and queued
 	seen, ran atomic.Int64
 }
 
@@ -51,8 +52,8 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// overload lets callers ask two instances over real connections for several times what two
-// targets serve, and returns what came of it.
+// overload sends several times the capacity of two targets to two instances over real connections,
+// and returns the resulting counts.
 func overload(t *testing.T, noAdmission bool) (asked, answered, refused, seen, ran int64) {
 	t.Helper()
 	to := platform.NewTargets(32, prometheus.NewRegistry())
@@ -122,24 +123,24 @@
 	return 1000, answeredCount.Load(), refusedCount.Load(), seen, ran
 }
 
-// Load: a hundred callers at once before four slots. Without the decision targets are sent
-// what they must refuse; with it, a refusal is the instance's, and true.
+// A hundred callers send requests at once to targets with four slots. Without admission control the
+// targets receive requests that they must refuse. With admission control the instances refuse the
+// requests, and a refused request has not run.
 func TestOverloadIsRefusedBeforeTheTargets(t *testing.T) {
 	asked, answered, refused, seen, ran := overload(t, false)
 	_, _, _, seenWithout, _ := overload(t, true)
-	t.Logf("asked %d, answered %d, refused %d, seen by targets %d, run %d; seen without the decision %d", asked, answered, refused, seen, ran, seenWithout)
+	t.Logf("requests %d, answered %d, refused %d, received by targets %d, run %d; received without admission control %d", asked, answered, refused, seen, ran, seenWithout)
 	if answered+refused != asked || refused == 0 || ran < answered {
-		t.Errorf("answered %d and refused %d of %d, run %d", answered, refused, asked, ran)
+		t.Errorf("answered %d and refused %d of %d requests, run %d", answered, refused, asked, ran)
 	}
 	if seen >= asked || seenWithout < asked {
-		t.Errorf("targets saw %d of %d requests, %d without the decision", seen, asked, seenWithout)
+		t.Errorf("targets received %d of %d requests, %d without admission control", seen, asked, seenWithout)
 	}
 }
 
-// Symptom: 502 for a request that a target could still have taken.
-// Sequence: the first target breaks off under it; the second refuses it once, as it is full,
-// and takes it a moment later.
-// Cause: a target that did not run the request was not tried again.
+// Guards against 502 for a request that a target could still have run. The first target breaks the
+// connection; the second refuses the request once because it is full, and would accept it a moment
+// later. A target that did not run the request was not tried again.
 func TestRequestThatMayHaveRunWaitsForAFullTarget(t *testing.T) {
 	var full atomic.Int64
 	first := cf.InstanceID("")
@@ -159,9 +160,9 @@
 	}
 }
 
-// Symptom: a request whose caller has left while it waited counts as refused.
-// Sequence: the only target refuses; the request waits for it; the caller leaves.
-// Cause: the end of a wait was taken for a refusal, whatever had ended it.
+// Guards against counting a request as refused whose caller disconnected while it waited. The only
+// target left refuses the request, which then waits for it until the caller disconnects. Every end
+// of the wait was treated as a refusal.
 func TestCallerThatLeavesTheQueueIsNotRefused(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
 	lost := false
@@ -177,16 +178,16 @@
 	w := httptest.NewRecorder()
 	defer func() {
 		if recover() == nil {
-			t.Errorf("status %d for a caller that has left", w.Code)
+			t.Errorf("status %d for a caller that has disconnected", w.Code)
 		}
 	}()
 	in.Forward(ctx, &cf.Request{ID: "r", Method: http.MethodPost, Host: host, Route: "/x/a", Path: "/x/a", Received: cf.Uptime()}, w)
 }
 
-// Symptom: requests are refused as their service is full, which has one idle target.
-// Sequence: another target's address answers 421, as another process is there.
-// Cause: each answer "not run" was taken for a full target, and the other was not tried, as
-// callers that give themselves less time than the route had no retry budget.
+// Guards against refusing requests because their service is full although it has an idle target. At
+// the address of another target a different process answers 421. Each answer "not run" counted as a
+// full target, and the idle target was not tried, since callers with a deadline shorter than the
+// route's had no retry budget.
 func TestMisdirectedTargetDoesNotCountAsFull(t *testing.T) {
 	to := targets{send: func(x cf.Target, _ cf.TargetCall) (cf.TargetAnswer, error) {
 		if x.ID == "a" {
@@ -197,13 +198,13 @@
 	in := newIngress(t, to, cfsite.Route{Kind: cfsite.KindOnce, MaxAttempts: 2, Timeout: 2000, SLO: 150}, "a", "b")
 	for range 10 {
 		if w, _ := ask(in, cf.Request{ID: "r", Deadline: 1500}); w.Code != http.StatusOK {
-			t.Fatalf("status %d", w.Code)
+			t.Fatalf("status %d, want 200", w.Code)
 		}
 	}
 }
 
-// Guards against answers without room that count as in flight at their target for good: once
-// its limit acts, such a target is sent nothing more.
+// Guards against counting answers for which there was no memory as in flight for ever: once the
+// limit of their target is active, nothing more would be sent to it.
 func TestAnswerWithoutRoomIsNotInFlight(t *testing.T) {
 	noRoom := true
 	to := targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
@@ -215,13 +216,13 @@
 	in := newIngress(t, to, cfsite.Route{Kind: cfsite.KindIdempotent, MaxAttempts: 1, Timeout: 8000, SLO: 4000}, "a")
 	for range 100 {
 		if w, _ := ask(in, cf.Request{ID: "r"}); w.Code != http.StatusBadGateway {
-			t.Fatalf("status %d for an answer without room", w.Code)
+			t.Fatalf("status %d for an answer without memory, want 502", w.Code)
 		}
 	}
 	noRoom = false
-	for n := range 2 { // limits act from the first answer on
+	for n := range 2 { // the limits are active from the first answer on
 		if w, _ := ask(in, cf.Request{ID: "r"}); w.Code != http.StatusOK {
-			t.Errorf("request %d: status %d", n, w.Code)
+			t.Errorf("request %d: status %d, want 200", n, w.Code)
 		}
 	}
 }
--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -15,8 +15,8 @@
 	"currantford/io/cfroom"
 )
 
-// unreadRetry is when a caller should come back that has not read what it asked for before:
-// one that reads slowly is cut off within two seconds where others need the room.
+// unreadRetry is the retry delay for a caller that has not read its earlier answers. A caller that
+// reads slowly is cut off within two seconds if others need the memory.
 const unreadRetry cf.Millis = 2000
 
 // OpenRoom implements currantford.Ingress.
@@ -28,7 +28,8 @@
 	return in.Rooms.Open(ctx, callerOf(access, who), cfhold.Page, string(id))
 }
 
-// callerOf says whose answers count together.
+// callerOf returns the caller to whom the memory of an answer is charged: the organisation, or the
+// caller's machine if no organisation is known.
 func callerOf(access cf.Access, who cf.Credentials) cfhold.Caller {
 	if access.Organisation != "" {
 		return cfhold.Caller("o " + access.Organisation)
@@ -36,9 +37,10 @@
 	return cfhold.Caller("m " + who.Machine)
 }
 
-// openRoom opens the room of a request's answers. It returns false where the request is
-// refused, as its organisation does not read what it asked for before. Callers that are
-// known by their machine alone may be many: none is refused for what another does not read.
+// openRoom opens the memory reservation for a request's answers. It returns false if the request is
+// refused because its organisation does not read its earlier answers. A machine may be shared by
+// many callers, so requests without an organisation are never refused because of other callers'
+// unread answers.
 func (f *forwarding) openRoom(ctx context.Context, w http.ResponseWriter) (*cfroom.Room, bool) {
 	caller, kind := callerOf(f.access, f.req.Who), cfhold.Answer
 	if f.route.Kind == cfsite.KindStream {
@@ -51,22 +53,23 @@
 	return f.in.Rooms.Open(ctx, caller, kind, string(f.req.ID)), true
 }
 
-// foundNoRoom says whether the answer could not be held.
+// foundNoRoom reports whether there was no memory for the answer.
 func (a attempt) foundNoRoom() bool { return errors.Is(a.err, cf.ErrNoRoom) }
 
-// failNoRoom ends a request whose answer could not be held. It has run, so it is not refused.
+// failNoRoom ends a request without memory for its answer. The request has run, so it must not be
+// refused.
 func (f *forwarding) failNoRoom(w http.ResponseWriter) {
 	f.fail(w, http.StatusBadGateway, cf.ErrNoRoom.Error())
 }
 
-// discard ends an attempt for a reason that is not its target's.
+// discard ends an attempt that failed for a reason other than its target.
 func (f *forwarding) discard(a attempt) {
 	f.usage.ended(a.target.ID, cfbalance.Abandoned, a.answer.Wrote)
 	f.recordDone(a, cfbalance.Abandoned, cf.Uptime())
 	f.in.Guard.Dropped(f.key, a.target)
 }
 
-// deliveryOutcome notes that an answer was written to its caller, or why it was not.
+// deliveryOutcome returns the outcome of writing an answer to the caller.
 func (f *forwarding) deliveryOutcome(err error) (outcome string) {
 	switch {
 	case err == nil:
@@ -79,11 +82,11 @@
 	}
 }
 
-// releaseBody gives up the request's body before its answer is written: a caller that reads
-// slowly does not keep the memory that others' bodies need.
+// releaseBody releases the request's body before the answer is written, so that a caller that reads
+// slowly does not hold memory that other bodies need.
 func (f *forwarding) releaseBody() {
 	if f.pending > 0 || f.req.BodyDone == nil {
-		return // an attempt that was given up may still send it
+		return // a pending attempt may still send the body
 	}
 	f.req.Body = nil
 	f.req.BodyDone()
--- a/io/cfingress/atmostonce_test.go
+++ b/io/cfingress/atmostonce_test.go
@@ -18,34 +18,34 @@
 )
 
 type (
-	// bidOp is one operation on a bid: a try of its caller, or a look into the
-	// services' ledger.
+	// bidOp is an operation on a bid: an attempt by its caller, or a lookup in the services'
+	// ledger.
 	bidOp struct {
 		bid    int
 		lookup bool
 	}
 
-	// bidAnswer is what came of it.
+	// bidAnswer is the result of an operation.
 	bidAnswer struct {
-		status int // of a try
-		count  int // of a look
+		status int // of an attempt
+		count  int // of a lookup
 	}
 
-	// ledger is what the services recorded, and how they answer.
+	// ledger contains the bids that the services have recorded, and simulates their answers.
 	ledger struct {
 		mu     sync.Mutex
 		random *rand.Rand
 		counts map[string]int // by bid
 		late   sync.WaitGroup
-		// lostAsNotRun seeds a fault: a connection lost after the send is
-		// told as one that was never had.
+		// lostAsNotRun injects a fault: a connection that is lost after the send is reported as
+		// never established.
 		lostAsNotRun bool
 	}
 )
 
-// atMostOnceModel is the specification: a bid is recorded once at most, exactly once
-// if its caller was told of success, and not by a try that was refused. A try
-// whose end is not known may take effect at any later time, or never.
+// atMostOnceModel is the specification: a bid is recorded at most once; exactly once if its caller
+// received a success; and not by an attempt that was refused. An attempt with an unknown result may
+// take effect at any later time, or never.
 var atMostOnceModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		bids := map[int][]porcupine.Operation{}
@@ -89,7 +89,7 @@
 	l.counts[bid]++
 }
 
-// send plays a service that is full, fails, loses answers, or is reached late.
+// send simulates a service that is full, fails, loses answers, or receives requests late.
 func (l *ledger) send(_ cf.Target, call cf.TargetCall) (cf.TargetAnswer, error) {
 	lost := cf.ErrMaybeRan
 	if l.lostAsNotRun {
@@ -106,7 +106,7 @@
 			time.Sleep(time.Duration(l.draw(2000)) * time.Microsecond)
 			l.record(call.ID)
 		})
-		return cf.TargetAnswer{}, eris.Wrap(lost, "lost on the way")
+		return cf.TargetAnswer{}, eris.Wrap(lost, "request lost")
 	case 3:
 		l.record(call.ID)
 		return cf.TargetAnswer{}, eris.Wrap(lost, "answer lost")
@@ -119,8 +119,8 @@
 	}
 }
 
-// recordBids lets callers hand bids to two instances, each again after a
-// refusal, while others look into the ledger.
+// recordBids submits bids to two instances, each again after a refusal, with concurrent lookups in
+// the ledger. It returns the history.
 func recordBids(t *testing.T, seed uint64, lostAsNotRun bool) []porcupine.Operation {
 	t.Helper()
 	const bids, tries = 40, 4
@@ -138,7 +138,7 @@
 		answer := call()
 		ended := time.Since(start).Nanoseconds()
 		if !op.lookup && answer.status != http.StatusOK && answer.status != http.StatusServiceUnavailable {
-			ended = 1 << 60 // it may take effect at any later time
+			ended = 1 << 60 // the attempt may take effect at any later time
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -181,22 +181,22 @@
 	return history
 }
 
-// Histories of bids at two instances, with answers lost, late, foreign and
-// refused, fit the specification of at-most-once.
+// Histories of bids at two instances satisfy the at-most-once specification, although answers are
+// lost, late, of other requests, or refusals.
 func TestBidHistoriesFitAtMostOnce(t *testing.T) {
 	for seed := range uint64(15) {
 		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, false)) {
-			t.Errorf("seed %d: the history does not fit", seed)
+			t.Errorf("seed %d: the history violates the specification", seed)
 		}
 	}
 }
 
-// An adapter that takes a lost connection for none is found.
+// An adapter that reports a lost connection as never established must be detected.
 func TestRepeatedBidsAreDetected(t *testing.T) {
 	for seed := range uint64(15) {
 		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, true)) {
 			return
 		}
 	}
-	t.Error("no history with a bid sent again was found not to fit")
+	t.Error("no history with a repeated bid was found to violate the specification")
 }
--- a/io/cfingress/batches.go
+++ b/io/cfingress/batches.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// submitTimeout is how long an instance tries to write a batch when the
-	// store does not answer: a few answers of a slow store.
+	// submitTimeout is how long an instance tries to write a batch while the store does not answer.
+	// It allows a few answers of a slow store.
 	submitTimeout = 1500 * time.Millisecond
-	// maxSubmitRefusals is how often the store may refuse before the batch is
-	// turned away: one refusal may be a burst over its rate.
+	// maxSubmitRefusals is the number of refusals by the store after which a batch is refused. A
+	// single refusal may be due to a burst over the store's rate limit.
 	maxSubmitRefusals = 3
-	// endTimeout is the same for the end of a batch.
+	// endTimeout is how long an instance tries to record the end of a batch.
 	endTimeout = 2 * time.Second
-	// maxRetriedRead is how soon a read of a batch at the store must have failed to be made once
-	// more: readers wait 1.5 s longer than they allow, and the coordinator was asked before.
+	// maxRetriedRead is the longest that a failed read of a batch from the store may have taken to
+	// be repeated. Readers wait for 1.5 s more than the wait that they ask for, and the coordinator
+	// has been asked before.
 	maxRetriedRead cf.Millis = 600
-	// storeRetryPause is the pause between tries.
+	// storeRetryPause is the pause between attempts to write to the store.
 	storeRetryPause = 120 * time.Millisecond
-	// storeRetryAfter is when a caller should come back after the store refused:
-	// outages last seconds, and how many can't be told.
+	// storeRetryAfter is the retry delay for a caller after the store has refused a batch. Outages
+	// last seconds, and their end can't be predicted.
 	storeRetryAfter cf.Millis = 1000
 )
 
-// Submit accepts a batch: once its object is in the store it is kept, and the
-// coordinator, which watches for new ones, runs it.
+// Submit accepts a batch. A batch is kept once its object is in the store; the coordinator, which
+// watches for new batches, runs it.
 func (in *Ingress) Submit(ctx context.Context, who cf.Credentials, sub cf.Submission) error {
 	config := in.Site.Config()
 	route, ok := config.Match(sub.Host, sub.Path)
@@ -55,16 +56,16 @@
 		in.countBatch("submit", "refused", started)
 		return refusal
 	}
-	// Its way to the coordinator takes as long as the write: begun beside it,
-	// the batch is there when it is accepted.
+	// Sending the batch to the coordinator takes as long as writing it. Both start at the same
+	// time, so that the coordinator has the batch when it is accepted.
 	in.Coordinator.Prepare(sub)
 	refused := 0
 	inDoubt := false // a write without an answer may still take effect
 	for tries := 1; ; tries++ {
 		err = cfbatch.Create(ctx, in.Store, sub, in.ValueBytes)
 		if err == nil || errors.Is(err, cf.ErrConflict) {
-			// A conflict is the batch itself: submitted before, or written
-			// by a try whose answer was lost.
+			// A conflict means that the same batch was submitted before, or written by an attempt
+			// whose answer was lost.
 			in.Log.Info("batch_accepted", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)),
 				zap.Int("tries", tries), zap.Bool("again", err != nil), zap.Int64("took_ms", int64(cf.Uptime()-started)))
 			in.countBatch("submit", "accepted", started)
@@ -95,7 +96,7 @@
 	return &cf.Refusal{After: storeRetryAfter, Reason: "the store takes no batches now"}
 }
 
-// assignOrganisation gives a batch to an organisation.
+// assignOrganisation makes a batch, its items and its groups belong to an organisation.
 func assignOrganisation(sub *cf.Submission, o cf.Organisation) {
 	sub.ID = o.Batch(sub.ID)
 	for i := range sub.Items {
@@ -107,8 +108,7 @@
 	}
 }
 
-// Results reads a batch at the coordinator, or from the store where the
-// coordinator can't be asked.
+// Results reads a batch from the coordinator, or from the store if the coordinator can't be asked.
 func (in *Ingress) Results(ctx context.Context, who cf.Credentials, id cf.BatchID, after int, maxWait cf.Millis) (cf.ResultPage, error) {
 	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
@@ -141,9 +141,9 @@
 	return b.Page(after), nil
 }
 
-// readStore reads a batch from the store, with its results or without. A store that does not
-// answer is asked once more: one late answer is no reason to send the reader away. One that
-// turns calls away is not.
+// readStore reads a batch from the store, with or without its results. A read without an answer is
+// repeated once, since one late answer is no reason to refuse the reader. A read that the store
+// refused is not repeated.
 func (in *Ingress) readStore(ctx context.Context, id cf.BatchID, results bool) (*cfbatch.Batch, error) {
 	started := cf.Uptime()
 	b, err := in.fetch(ctx, id, results)
@@ -164,8 +164,8 @@
 	return cfbatch.Fetch(ctx, in.Store, object, results)
 }
 
-// readRefusal turns a failed read into a refusal: a read changes nothing, and only
-// the store's own word may say that a batch does not exist.
+// readRefusal turns a failed read into a Refusal, since a read changes nothing. ErrNotFound is
+// returned as it is: only the store can tell that a batch does not exist.
 func readRefusal(err error) error {
 	if errors.Is(err, cf.ErrNotFound) {
 		return err
@@ -202,8 +202,8 @@
 	return it.Body, nil
 }
 
-// End ends a batch. The end lies in the store, so that a coordinator that
-// takes over does not start its items again.
+// End ends a batch. The end is recorded in the store, so that a new coordinator does not start the
+// batch's items again.
 func (in *Ingress) End(ctx context.Context, who cf.Credentials, id cf.BatchID) error {
 	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
@@ -228,7 +228,7 @@
 		if !cf.Sleep(ctx, storeRetryPause) {
 			in.Log.Warn("batch_end_not_taken", cflog.Batch(id), cflog.Error(err))
 			if errors.Is(err, cf.ErrUnavailable) {
-				return err // it may have been taken
+				return err // the end may have been recorded
 			}
 			return readRefusal(err)
 		}
--- a/io/cfingress/bodymemory.go
+++ b/io/cfingress/bodymemory.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// bodyDivisor is the part of the process's memory that callers' bodies may
-	// take, as a divisor: a body is held until its answer, in one copy, and
-	// the collector needs about as much again.
+	// bodyDivisor divides the memory limit of the process: request bodies may take that part. One
+	// copy of a body is held until the request is answered, and the garbage collector needs about
+	// as much again.
 	bodyDivisor = 4
-	// unknownBodyBytes is reserved for a body whose length is not said.
+	// unknownBodyBytes is reserved for a body of unknown length.
 	unknownBodyBytes = 1 << 20
-	// bodyRetry is when a caller should come back whose body found no room;
-	// bodies are held for a request's time, a fraction of a second.
+	// bodyRetry is the retry delay for a caller if there is no memory for the body. Bodies are held
+	// for the duration of a request, a fraction of a second.
 	bodyRetry cf.Millis = 300
 )
 
-// bodyMemory bounds the memory that callers' bodies take. The load it answers: many
-// large bodies at once, each within the configuration's limit, that together
-// would end the process and with it every other caller's request.
+// bodyMemory limits the memory taken by request bodies. It is designed for many large bodies at
+// once, each within the configured limit, which together would exceed the memory of the process and
+// so end the requests of all other callers.
 type bodyMemory struct {
 	limit    int64
 	reserved atomic.Int64
 }
 
-// reserve takes room for a body, or refuses it. A body that is larger than all
-// the room is let in alone.
+// reserve reserves memory for a body, or returns a Refusal. A body larger than the limit is
+// accepted while no other is held.
 func (b *bodyMemory) reserve(n int64) (release func(), err error) {
 	if n < 0 {
 		n = unknownBodyBytes
--- a/io/cfingress/bodymemory_test.go
+++ b/io/cfingress/bodymemory_test.go
@@ -7,8 +7,8 @@
 	cf "currantford"
 )
 
-// Symptom: an instance is killed for its memory under many large bodies.
-// Load: bodies of 30 bytes arrive while there is room for 100.
+// Guards against an instance that is killed for its memory use under many large bodies. Bodies of
+// 30 bytes arrive while the limit is 100.
 func TestBodiesBeyondTheMemoryAreRefused(t *testing.T) {
 	b := &bodyMemory{limit: 100}
 	var releases []func()
@@ -22,17 +22,17 @@
 	_, err := b.reserve(30)
 	var refusal *cf.Refusal
 	if !errors.As(err, &refusal) || refusal.After <= 0 {
-		t.Errorf("a fourth body: %v, want a refusal with when to come back", err)
+		t.Errorf("fourth body: %v, want a refusal with a retry delay", err)
 	}
 	releases[0]()
 	if _, err := b.reserve(30); err != nil {
-		t.Errorf("after one has left: %v", err)
+		t.Errorf("fourth body after one was released: %v", err)
 	}
 	alone := &bodyMemory{limit: 100}
 	if _, err := alone.reserve(500); err != nil {
-		t.Errorf("a body larger than the room, alone: %v", err)
+		t.Errorf("single body larger than the limit: %v", err)
 	}
 	if _, err := alone.reserve(1); err == nil {
-		t.Error("another one beside it was let in")
+		t.Error("another body beside it was accepted")
 	}
 }
--- a/io/cfingress/fakes_test.go
+++ b/io/cfingress/fakes_test.go
@@ -19,10 +19,10 @@
 const host = "site.example"
 
 type (
-	// noMembers is an instance alone.
+	// noMembers lists no instances.
 	noMembers struct{}
 
-	// targets answers as its functions say.
+	// targets answers by its functions.
 	targets struct {
 		cf.Targets
 		send   func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error)
@@ -40,7 +40,7 @@
 	return t.stream(to, call, sink)
 }
 
-// newIngress returns an instance with one route, at /x/, to the targets named.
+// newIngress returns an instance with one route at /x/ and the given targets.
 func newIngress(t *testing.T, to cf.Targets, route cfsite.Route, ids ...cf.InstanceID) *cfingress.Ingress {
 	t.Helper()
 	site := cfsite.New(cfstandin.Codec{})
@@ -58,7 +58,7 @@
 	})
 }
 
-// ask sends one request; broken tells that its connection was broken off.
+// ask sends one request; aborted is true if the instance aborted the connection.
 func ask(in *cfingress.Ingress, req cf.Request) (w *httptest.ResponseRecorder, aborted bool) {
 	w = httptest.NewRecorder()
 	defer func() { aborted = recover() != nil }()
--- a/io/cfingress/feasibility.go
+++ b/io/cfingress/feasibility.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// checkTimeout is how long the coordinator may take to say that a step is infeasible, and
-	// storeReadTimeout how long the store may take to say that it does not have it.
+	// checkTimeout is how long the coordinator may take to report that a step is infeasible, and
+	// storeReadTimeout how long the store may take to report that it does not contain the step.
 	checkTimeout     = 100 * time.Millisecond
 	storeReadTimeout = 400 * time.Millisecond
 )
 
-// infeasible returns a refusal of a step of which not one group could be whole in time, as the
-// coordinator says. Without its answer, or where the store has the batch or does not say
-// that it has not, the step is accepted.
+// infeasible returns a Refusal if the coordinator reports that not one group of a step could be
+// complete in time. The step is accepted if the coordinator does not answer, or unless the store
+// confirms that it does not contain the batch.
 func (in *Ingress) infeasible(ctx context.Context, sub cf.Submission, slo cf.Millis) *cf.Refusal {
 	if slo <= 0 || in.Feasibility == nil {
 		return nil
@@ -41,8 +41,8 @@
 	return &cf.Refusal{After: retryAfter, Reason: "no group of the step could be whole in time"}
 }
 
-// withoutBodies returns what the coordinator must know of a step to say what is to be
-// expected of it.
+// withoutBodies returns the part of a step that the coordinator needs to estimate whether the step
+// is feasible.
 func withoutBodies(sub cf.Submission) cf.Submission {
 	items := sub.Items
 	sub.Items = make([]cf.Item, len(items))
--- a/io/cfingress/feasibility_test.go
+++ b/io/cfingress/feasibility_test.go
@@ -16,16 +16,17 @@
 )
 
 type (
-	// unreachableForWrites takes no word of batches, as a coordinator that can't be reached.
-	unreachableForWrites struct{ cfingress.Coordinator }
+	// discardingCoordinator discards reports about batches, like a coordinator that can't be
+	// reached.
+	discardingCoordinator struct{ cfingress.Coordinator }
 
-	// infeasible says that no step can be whole in time, at once or after the time for it.
+	// infeasible reports that no step can be complete in time, either at once or after the timeout.
 	infeasible struct{ late bool }
 )
 
-func (unreachableForWrites) Prepare(cf.Submission)          {}
-func (unreachableForWrites) Accepted(cf.BatchID, cf.Millis) {}
-func (unreachableForWrites) Changed(cf.BatchID, bool)       {}
+func (discardingCoordinator) Prepare(cf.Submission)          {}
+func (discardingCoordinator) Accepted(cf.BatchID, cf.Millis) {}
+func (discardingCoordinator) Changed(cf.BatchID, bool)       {}
 func (f infeasible) Infeasible(ctx context.Context, sub cf.Submission) (cf.Millis, bool) {
 	if f.late {
 		<-ctx.Done()
@@ -33,8 +34,8 @@
 	return 3000, true
 }
 
-// Guards against refused steps that the store keeps, and against refusals where the store
-// has the step or the coordinator's answer comes late.
+// Guards against refusing steps that are in the store, and against refusing a step because of an
+// answer of the coordinator that comes too late.
 func TestInfeasibleStepIsRefusedOnlyBeforeItIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -48,7 +49,7 @@
 			t.Fatal(err)
 		}
 		in := cfingress.New(cfingress.Options{
-			Store: store, Members: noMembers{}, Site: site, Coordinator: unreachableForWrites{}, Feasibility: infeasible{c.late}, ValueBytes: 1 << 20,
+			Store: store, Members: noMembers{}, Site: site, Coordinator: discardingCoordinator{}, Feasibility: infeasible{c.late}, ValueBytes: 1 << 20,
 			Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 		})
 		ctx := context.Background()
@@ -64,7 +65,7 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if _, err := store.Get(ctx, cf.KindBatch, "b"); errors.Is(err, cf.ErrNotFound) != c.refused {
-			t.Errorf("%s: the store says %v", c.name, err)
+			t.Errorf("%s: the store returned %v", c.name, err)
 		}
 	}
 }
--- a/io/cfingress/forward.go
+++ b/io/cfingress/forward.go
@@ -22,27 +22,29 @@
 )
 
 const (
-	// noTargetRetry is when a caller should come back while a service has
-	// no target at all; a target that starts is listed within a heartbeat.
+	// noTargetRetry is the retry delay for a caller whose service has no target at all. A target
+	// that starts is listed within one heartbeat.
 	noTargetRetry cf.Millis = 1000
-	// unsyncedRetry is the same while it is not known yet which requests are held.
+	// unsyncedRetry is the retry delay while this instance does not know yet which requests are
+	// held.
 	unsyncedRetry cf.Millis = 200
-	// stoppingRetry is the same for an instance that stops: others take the request.
+	// stoppingRetry is the retry delay given by an instance that is stopping. Other instances
+	// accept the request.
 	stoppingRetry cf.Millis = 50
 )
 
-// attempt is what came of one send.
+// attempt is the result of sending a request to a target once.
 type attempt struct {
 	target cf.Target
 	answer cf.TargetAnswer
 	err    error
 	sentAt cf.Millis
 	took   cf.Millis
-	// callerGone: the caller has gone, which ended the attempt.
+	// callerGone is true if the caller's disconnection ended the attempt.
 	callerGone bool
 }
 
-// forwarding is one request on its way through the targets.
+// forwarding is the state of a request that is being forwarded.
 type forwarding struct {
 	in          *Ingress
 	req         *cf.Request
@@ -55,20 +57,23 @@
 	tried       map[cf.InstanceID]bool
 	results     chan attempt
 	pending     int
-	lastFailure *attempt // a failure that a target answered, to be passed on
-	// heldUntil is until when the request is held, zero if it is not.
+	lastFailure *attempt // a failure reported by a target, which is returned to the caller if no attempt succeeds
+	// heldUntil is when a held request may be sent again, zero if the request is not held. A
+	// request is held after targets crashed while they ran it.
 	heldUntil cf.Millis
-	// unsynced: it is not known here yet which requests are held.
+	// unsynced is true if this instance does not know yet which requests are held.
 	unsynced bool
 	usage    requestUsage
 	room     *cfroom.Room
-	// noRoom: an answer could not be held. Nothing more is sent, as another would be as large.
+	// noRoom is true if there was no memory for an answer. The request is not sent again, since
+	// another answer would be as large.
 	noRoom bool
-	// notRun are the targets that did not run the request.
+	// notRun contains the targets that did not run the request.
 	notRun map[cf.InstanceID]bool
-	// spent is what the caller had used of its time before the request came here.
+	// spent is the part of its time that the caller had used before the request arrived.
 	spent cf.Millis
-	// refusal is why the request may not be sent, empty if it was not refused here.
+	// refusal is the decision by which admission control refused to send the request; its Reason is
+	// empty if there was none.
 	refusal cfadmission.Decision
 }
 
@@ -80,7 +85,8 @@
 		in.noRoute(w, req, config)
 		return
 	}
-	// Again, by the same configuration as the route: the body may have taken seconds.
+	// The caller is identified again by the configuration of the route, since receiving the body
+	// may have taken seconds.
 	access, err := in.identify(config, route.Use(), req.Who, string(req.ID))
 	if err != nil {
 		in.reject(w, req, err)
@@ -109,7 +115,7 @@
 	f.forwardBuffered(ctx, w)
 }
 
-// noRoute answers a request that no route takes.
+// noRoute answers a request that matches no route.
 func (in *Ingress) noRoute(w http.ResponseWriter, req *cf.Request, config *cfsite.Config) {
 	status := in.configStatus()
 	in.Log.Info("no_route", zap.String("request_id", string(req.ID)), zap.String("host", req.Host), zap.String("path", req.Route),
@@ -117,7 +123,7 @@
 	in.reject(w, req, in.unlessStale(cf.ErrNotFound))
 }
 
-// reject answers a request that may go nowhere, or whose sender is not known.
+// reject answers a request without a route, or with a caller that is not identified.
 func (in *Ingress) reject(w http.ResponseWriter, req *cf.Request, err error) {
 	var refusal *cf.Refusal
 	switch {
@@ -133,14 +139,14 @@
 	}
 }
 
-// writeRefusal says that a request has not run, and when to come back.
+// writeRefusal answers that a request has not run, and when the caller should retry.
 func writeRefusal(w http.ResponseWriter, after cf.Millis, reason string) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(float64(after)/1000, 'f', 3, 64))
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// forwardBuffered forwards a request whose answer is passed on once it is whole, so
-// that an answer cut short can be asked for again at another target.
+// forwardBuffered forwards a request whose answer is returned to the caller once it is complete. If
+// an answer is cut short, the request can be sent to another target.
 func (f *forwarding) forwardBuffered(ctx context.Context, w http.ResponseWriter) {
 	for {
 		if f.pending == 0 && f.noRoom {
@@ -148,7 +154,7 @@
 			return
 		}
 		if f.pending == 0 && !f.send(ctx, true) {
-			switch { // while it waited
+			switch { // the state when the wait in send ended
 			case callerLeft(ctx):
 				f.giveUp(ctx, w)
 			case errors.Is(context.Cause(ctx), cf.ErrStopping) && !f.attempts.MayHaveRun():
@@ -168,7 +174,7 @@
 			if a.foundNoRoom() {
 				f.discard(a)
 				f.noRoom = true
-				continue // a hedged attempt may still answer
+				continue // a hedged attempt may still be answered
 			}
 			if f.evaluate(a) {
 				f.writeAnswer(w, a)
@@ -183,8 +189,8 @@
 	}
 }
 
-// send starts one attempt; false when there is no target or no attempt left. Where wait is
-// set it may wait for others of the same content.
+// send starts an attempt. It returns false if no target or no attempt is left. If wait is true, it
+// may wait for admission and for other requests with the same content.
 func (f *forwarding) send(ctx context.Context, wait bool) bool {
 	target, ok := f.chooseTarget(ctx, wait)
 	if !ok {
@@ -207,9 +213,9 @@
 	return true
 }
 
-// chooseTarget returns the target of the next attempt, which then counts as sent: its end is
-// due to the guard. It returns false when there is none, or no attempt left, or the
-// request is held.
+// chooseTarget returns the target of the next attempt and records the send; the guard must be told
+// how the attempt ends. It returns false if no target or no attempt is left, or if the request is
+// held.
 func (f *forwarding) chooseTarget(ctx context.Context, wait bool) (cf.Target, bool) {
 	if ctx.Err() != nil || !f.attempts.MaySend(cf.Uptime()) {
 		return cf.Target{}, false
@@ -228,7 +234,7 @@
 		defer adm.cancel()
 	}
 	for v.Pass || v.OtherTarget {
-		now := cf.Uptime() // it may have waited
+		now := cf.Uptime() // admission may have waited
 		target, ok := f.in.balancer.Choose(f.in.Site.Usable(f.service), avoid, rand.Float64(), now)
 		if !ok || ctx.Err() != nil || !f.attempts.MaySend(now) {
 			return cf.Target{}, false
@@ -257,7 +263,8 @@
 	}
 }
 
-// evaluate judges an attempt; true when its answer is the caller's.
+// evaluate records the result of an attempt, and returns true if its answer is to be returned to
+// the caller.
 func (f *forwarding) evaluate(a attempt) bool {
 	outcome, good := f.attempts.Classify(a.answer, a.err)
 	if outcome == cfbalance.Failed && a.err == nil {
@@ -291,8 +298,8 @@
 	}
 }
 
-// abandon gives up what is still under way; its end is noted later. overdue says that it
-// should have been answered by now: its target may be gone.
+// abandon gives up the pending attempts; a goroutine records their results as they end. overdue is
+// true if they should have ended by now, so that their targets may be gone.
 func (f *forwarding) abandon(overdue bool) {
 	if f.pending == 0 {
 		return
@@ -317,7 +324,7 @@
 	}()
 }
 
-// writeAnswer hands a target's answer to the caller.
+// writeAnswer returns a target's answer to the caller.
 func (f *forwarding) writeAnswer(w http.ResponseWriter, a attempt) {
 	f.abandon(false)
 	f.releaseBody()
@@ -325,7 +332,7 @@
 	for k, v := range a.answer.Header {
 		h[k] = v
 	}
-	if f.req.Method != http.MethodHead { // else it is the target's
+	if f.req.Method != http.MethodHead { // an answer to HEAD keeps the length that the target stated
 		h.Set("Content-Length", strconv.Itoa(len(a.answer.Body)))
 	}
 	w.WriteHeader(a.answer.Status)
@@ -339,7 +346,7 @@
 	f.in.countRequest("forward", outcome, f.req)
 }
 
-// conclude ends a request for which no attempt is under way or left.
+// conclude ends a request that has no attempt pending or left.
 func (f *forwarding) conclude(w http.ResponseWriter) {
 	switch {
 	case f.heldUntil > 0 && !f.attempts.MayHaveRun():
@@ -359,13 +366,13 @@
 	}
 }
 
-// callerLeft says that a request's context has ended because its caller has gone. That of an
-// instance which stops ends as well, and is answered.
+// callerLeft reports whether a request's context ended because the caller disconnected. The context
+// also ends when the instance stops, but then the request is answered.
 func callerLeft(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled) && !errors.Is(context.Cause(ctx), cf.ErrStopping)
 }
 
-// giveUp ends a request whose time is up or whose caller has gone.
+// giveUp ends a request whose time is up or whose caller has disconnected.
 func (f *forwarding) giveUp(ctx context.Context, w http.ResponseWriter) {
 	f.abandon(errors.Is(ctx.Err(), context.DeadlineExceeded))
 	if callerLeft(ctx) {
@@ -376,7 +383,7 @@
 	f.failTimeout(ctx, w)
 }
 
-// failTimeout ends a request that has run out of time, its own or the instance's.
+// failTimeout ends a request that has run out of time, or whose instance is stopping.
 func (f *forwarding) failTimeout(ctx context.Context, w http.ResponseWriter) {
 	reason := "no answer in time"
 	if errors.Is(context.Cause(ctx), cf.ErrStopping) {
@@ -385,8 +392,7 @@
 	f.fail(w, http.StatusGatewayTimeout, reason)
 }
 
-// retryAfter returns when the caller of a request that found no place should try
-// again.
+// retryAfter returns the retry delay for the caller of a request that no target had capacity for.
 func (f *forwarding) retryAfter() cf.Millis {
 	if len(f.tried) == 0 && f.refusal.Reason == "" {
 		return noTargetRetry
@@ -396,7 +402,7 @@
 	return f.in.retries.RetryAfter(f.service, throughput, len(f.in.Members.Live()), f.attempts.Remaining(now), now)
 }
 
-// refuse turns away a request that surely has not run.
+// refuse refuses a request that certainly has not run.
 func (f *forwarding) refuse(w http.ResponseWriter, after cf.Millis, reason string) {
 	f.in.Log.Warn("request_refused", zap.String("request_id", string(f.req.ID)), zap.String("service", string(f.service)),
 		zap.String("reason", reason), zap.Int("tried", len(f.tried)), zap.Int64("retry_after_ms", int64(after)),
--- a/io/cfingress/forward_test.go
+++ b/io/cfingress/forward_test.go
@@ -12,11 +12,10 @@
 	"currantford/core/cfsite"
 )
 
-// Symptom: a log reading is refused as not run, and stands in the log.
-// Sequence: a service has one target left; it takes the reading, and the
-// connection breaks before its answer; the reading may be repeated, and no other
-// target is there to repeat it at.
-// Cause: what may be tried again was taken for what has not run.
+// Guards against refusing a log record as not run although it has been stored. The only target left
+// of a service receives the record, and the connection breaks before the answer. The request may be
+// repeated, but no other target is left to repeat it at. Requests that may be repeated were treated
+// as not run.
 func TestRequestThatMayHaveRunIsNotRefused(t *testing.T) {
 	to := targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 		return cf.TargetAnswer{}, eris.Wrap(cf.ErrMaybeRan, "connection lost")
@@ -27,7 +26,8 @@
 	}
 }
 
-// Guards against answers to HEAD with the length of their empty body in place of the target's.
+// Guards against answering HEAD with the length of the empty body instead of the length that the
+// target stated.
 func TestAnswerToHeadKeepsItsLength(t *testing.T) {
 	in := newIngress(t, targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 		return cf.TargetAnswer{Status: http.StatusOK, Header: http.Header{"Content-Length": {"42"}}}, nil
@@ -39,14 +39,14 @@
 	}
 }
 
-// hedged is a route whose requests are soon sent to a second target as well.
+// hedged is a route whose requests are sent to a second target after a short time.
 var hedged = cfsite.Route{Kind: cfsite.KindIdempotent, MaxAttempts: 3, Timeout: 5000, SLO: 20}
 
-// Guards against a request that fails as one of its hedged attempts found no room, though the
-// other answers.
+// Guards against failing a request because there was no memory for one of its hedged attempts,
+// although the other one is answered.
 func TestHedgeAnswersIfOtherAttemptHasNoRoom(t *testing.T) {
-	// marker is when the first attempt claims to have been sent: the use of the request is
-	// counted by it once that attempt has ended.
+	// marker is the time at which the first attempt claims to have been written. The request is
+	// counted with that time once the attempt has ended.
 	const marker cf.Millis = 1
 	var sends atomic.Int64
 	second, firstEnded := make(chan struct{}), make(chan struct{})
@@ -65,11 +65,11 @@
 		}
 	}
 	if w, _ := ask(in, cf.Request{ID: "r"}); w.Code != http.StatusOK {
-		t.Errorf("status %d, want the second attempt's 200", w.Code)
+		t.Errorf("status %d, want 200 of the second attempt", w.Code)
 	}
 }
 
-// Guards against a further send of a request none of whose hedged attempts found room.
+// Guards against sending a request again after there was no memory for any of its hedged attempts.
 func TestRequestWithoutRoomIsNotSentAgain(t *testing.T) {
 	var sends atomic.Int64
 	second := make(chan struct{})
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -1,12 +1,12 @@
-// Package cfingress is what an entry instance does for callers: it forwards
-// requests to targets, accepts batches, answers reads of them, and tells
-// callers which instances to use. The decisions are cfbalance's (targets,
-// attempts), cfsite's (routes) and cfmember's (instances).
+// Package cfingress implements what an entry instance does for callers: it forwards requests to
+// targets, accepts batches, answers reads of them, and tells callers which instances to use. The
+// decisions are made by cfbalance (targets, attempts), cfadmission (admission control), cfsite
+// (routes) and cfmember (instances).
 //
 // Usage:
 //
 //	in := cfingress.New(options)
-//	handler := platform.NewDeadlineTracker(in, log)
+//	handler := platform.NewCallers(in, log)
 package cfingress
 
 import (
@@ -26,65 +26,65 @@
 )
 
 const (
-	// resolveTTL is how long callers keep an address list. Some keep it
-	// three times as long, which must fit into a planned stop.
+	// resolveTTL is how long callers keep an address list. Some keep it three times as long, which
+	// must fit into the time of a planned stop.
 	resolveTTL cf.Millis = 1500
-	// resolveLimit bounds the address list.
+	// resolveLimit is the maximum number of addresses in the list.
 	resolveLimit = 64
 )
 
 type (
-	// Coordinator reads batches at whichever instance has the duty. It
-	// returns ErrNotLeader or ErrUnavailable when only the store can tell.
+	// Coordinator accesses batches at the instance that currently coordinates them. It returns
+	// ErrNotLeader or ErrUnavailable if only the store can answer.
 	Coordinator interface {
 		Results(ctx context.Context, id cf.BatchID, after int, wait cf.Millis) (cf.ResultPage, error)
 		ItemBody(ctx context.Context, id cf.BatchID, item cf.ItemID) ([]byte, error)
-		// Prepare gives it a batch that may be accepted.
+		// Prepare passes on a batch that is about to be accepted.
 		Prepare(sub cf.Submission)
-		// Accepted tells it that a batch has just been accepted.
+		// Accepted reports that a batch has just been accepted.
 		Accepted(id cf.BatchID, at cf.Millis)
-		// Changed tells it that a batch was accepted or ended; it learns
-		// the same from the store, perhaps later.
+		// Changed reports that a batch was accepted or has ended. The coordinator learns this from
+		// the store as well, perhaps later.
 		Changed(id cf.BatchID, ended bool)
 	}
 
-	// Feasibility asks the coordinator whether not one group of a step that is about to be accepted
-	// could be whole in time, and when to come back.
+	// Feasibility asks the coordinator whether a step that is about to be accepted is infeasible,
+	// so that not one of its groups could be complete in time, and when to retry.
 	Feasibility interface {
 		Infeasible(ctx context.Context, sub cf.Submission) (retryAfter cf.Millis, infeasible bool)
 	}
 
-	// Members shows the instances that take callers.
+	// Members lists the instances that accept callers.
 	Members interface {
 		Live() []cfmember.Entry
 	}
 
-	// Options are what an ingress works with.
+	// Options configure an Ingress.
 	Options struct {
 		Store       cf.Store
 		Targets     cf.Targets
 		Site        *cfsite.Site
 		Coordinator Coordinator
-		// Feasibility may be nil: no step is refused as infeasible.
+		// Feasibility may be nil; then no step is refused as infeasible.
 		Feasibility Feasibility
 		Members     Members
-		// Guard decides which requests may be sent, and learns how they ended.
+		// Guard decides which requests may be sent, and is told how they ended.
 		Guard *cfguard.Guard
-		// ConfigStatus tells how far this instance can rely on its configuration; nil: it
-		// is the newest.
+		// ConfigStatus returns how far this instance can rely on its configuration. If it is nil,
+		// the configuration is taken as the newest.
 		ConfigStatus func() ConfigStatus
-		// CountRequests counts requests of an organisation that began to run at an Uptime; nil
-		// where nobody asks.
+		// CountRequests counts requests of an organisation that began to run at the Uptime began.
+		// It may be nil.
 		CountRequests func(o cf.Organisation, began cf.Millis, requests int64)
-		// Rooms bounds what answers take of the memory; nil: nothing does.
+		// Rooms limits the memory taken by answers; nil means no limit.
 		Rooms *cfroom.Rooms
-		// NoAdmission sends requests on without limits of this instance's own.
+		// NoAdmission disables admission control.
 		NoAdmission bool
-		// ValueBytes is the store's limit for one object.
+		// ValueBytes is the store's size limit for one object.
 		ValueBytes int64
 		// MemoryBytes is the process's memory limit, zero if there is none.
 		MemoryBytes int64
-		// IgnorePace leaves out what targets say of their pace.
+		// IgnorePace disregards the pace that targets report.
 		IgnorePace bool
 		Metrics    *Metrics
 		Log        *zap.Logger
@@ -101,7 +101,7 @@
 		stopping   atomic.Bool
 	}
 
-	// Metrics are the ingress's counters.
+	// Metrics are the metrics of an Ingress.
 	Metrics struct {
 		Requests        *prometheus.CounterVec
 		Duration        *prometheus.HistogramVec
@@ -113,7 +113,7 @@
 
 var _ cf.Ingress = (*Ingress)(nil)
 
-// NewMetrics registers the ingress's metrics.
+// NewMetrics registers the metrics of an Ingress.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -133,29 +133,29 @@
 	return m
 }
 
-// New returns an ingress.
+// New returns an Ingress.
 func New(o Options) *Ingress {
 	in := &Ingress{Options: o, balancer: cfbalance.New(), retries: cfbalance.NewRetryScheduler(), admission: cfadmission.New(), deadlines: cfadmission.NewDeadlineTracker(), bodyMemory: bodyMemory{limit: o.MemoryBytes / bodyDivisor}}
 	in.balancer.IgnorePace = o.IgnorePace
 	return in
 }
 
-// Stop makes the instance not ready: callers are sent elsewhere, and those
-// who still come are served.
+// Stop makes the instance not ready. Callers are sent to other instances; requests that still
+// arrive are served.
 func (in *Ingress) Stop() { in.stopping.Store(true) }
 
-// Ready says whether callers may be sent to this instance. One that knows its
-// routes and no targets yet, or not which requests are held, would refuse them all.
+// Ready reports whether callers may be sent to this instance. Without targets, or without knowing
+// which requests are held, the instance would refuse all requests.
 func (in *Ingress) Ready() bool {
 	return !in.stopping.Load() && in.Guard.Synced() && in.Site.Config() != nil && in.Site.TargetsRevision() > 0
 }
 
-// Resolve returns the addresses for a caller in domain.
+// Resolve returns addresses of entry instances for a caller in a failure domain.
 func (in *Ingress) Resolve(domain cf.FailureDomain) ([]string, cf.Millis) {
 	return cfmember.Nearest(in.Members.Live(), domain, resolveLimit), resolveTTL
 }
 
-// Limits returns the bounds on what callers may send.
+// Limits returns the limits for what callers may send, and false while no configuration is known.
 func (in *Ingress) Limits() (cf.CallerLimits, bool) {
 	c := in.Site.Config()
 	if c == nil {
@@ -164,7 +164,7 @@
 	return cf.CallerLimits{BodyBytes: c.Limits.BodyBytes}, true
 }
 
-// TakesBatches says whether host and path belong to a route for batches.
+// TakesBatches reports whether host and path match a route for batches.
 func (in *Ingress) TakesBatches(host, path string) bool {
 	r, ok := in.Site.Config().Match(host, path)
 	return ok && r.Kind == cfsite.KindBatch
--- a/io/cfingress/reads_test.go
+++ b/io/cfingress/reads_test.go
@@ -39,8 +39,8 @@
 	return s.MemStore.Get(ctx, kind, name)
 }
 
-// Guards against: readers who are sent away by one late answer of the store, and readers who
-// wait for a store that is known to be away.
+// Guards against refusing readers because of one late answer of the store, and against readers who
+// wait for a store that is known to be down.
 func TestOneLateStoreAnswerRefusesNoReader(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -49,10 +49,10 @@
 		reads    int
 		refused  bool
 	}{
-		{"answers", 0, nil, 1, false},
+		{"immediate answer", 0, nil, 1, false},
 		{"one late answer", 1, cf.ErrUnavailable, 2, false},
-		{"no answers", 9, cf.ErrUnavailable, 2, true},
-		{"turned away", 9, cf.ErrRefused, 1, true},
+		{"no answer", 9, cf.ErrUnavailable, 2, true},
+		{"refused", 9, cf.ErrRefused, 1, true},
 	} {
 		site := cfsite.New(cfstandin.Codec{})
 		if _, err := site.ApplyConfig(cfstandin.Record("main", 1, cfsite.Config{Version: 1})); err != nil {
--- a/io/cfingress/ready_test.go
+++ b/io/cfingress/ready_test.go
@@ -12,10 +12,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Symptom: an instance that has just started refuses its first requests, though all
-// targets are up.
-// Sequence: it has read the configuration and not yet the list of targets; the
-// platform takes it for ready and sends callers.
+// Guards against an instance that refuses its first requests after the start although all targets
+// are up: it has read the configuration but not yet the list of targets, and the platform treats it
+// as ready and sends callers.
 func TestInstanceIsReadyOnceItKnowsTargets(t *testing.T) {
 	site := cfsite.New(cfstandin.Codec{})
 	in := cfingress.New(cfingress.Options{Members: noMembers{}, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
@@ -31,6 +30,6 @@
 	}
 	in.Stop()
 	if in.Ready() {
-		t.Error("ready while it stops")
+		t.Error("ready while stopping")
 	}
 }
--- a/io/cfingress/stream.go
+++ b/io/cfingress/stream.go
@@ -13,12 +13,12 @@
 	"currantford/core/cfbalance"
 )
 
-// streamStallTimeout is how long a resumable stream may send nothing before it is
-// resumed at another target; callers give up after two seconds or more.
+// streamStallTimeout is how long a resumable stream may send nothing before it is resumed at
+// another target. Callers give up after two seconds or more.
 const streamStallTimeout = 1200 * time.Millisecond
 
-// streamSink passes events on as they arrive. Across resumes the caller sees
-// one answer, with the headers of the first target.
+// streamSink passes events to the caller as they arrive. Even if the stream is resumed, the caller
+// sees a single answer, with the headers of the first target.
 type streamSink struct {
 	w        http.ResponseWriter
 	flush    *http.ResponseController
@@ -26,8 +26,8 @@
 	last     cf.EventID
 	watchdog *time.Timer
 	writing  atomic.Bool
-	// failed: the caller takes no more; its connection has ended, or was ended as it
-	// read too slowly.
+	// failed is true if a write to the caller failed: the connection has ended, or was cut because
+	// the caller read too slowly.
 	failed bool
 }
 
@@ -60,14 +60,14 @@
 	return s.recordWrite(err)
 }
 
-// recordWrite notes how a write to the caller ended.
+// recordWrite records the result of a write to the caller.
 func (s *streamSink) recordWrite(err error) error {
 	s.failed = s.failed || err != nil
 	return err
 }
 
-// forwardStream forwards a request whose answer is a stream of events, and resumes
-// it at another target where its route allows.
+// forwardStream forwards a request whose answer is a stream of events, and resumes the stream at
+// another target if the route allows it.
 func (f *forwarding) forwardStream(ctx context.Context, w http.ResponseWriter) {
 	sink := &streamSink{w: w, flush: http.NewResponseController(w), last: f.req.ResumeAfter}
 	for {
@@ -88,26 +88,26 @@
 			return
 		}
 		if sink.failed {
-			f.discard(a) // the fault is not its target's, and no other can go on
+			f.discard(a) // the target is not at fault, and no other target could continue
 			f.abortConnection(sink)
 		}
 		if a.callerGone && a.err != nil {
-			f.discard(a) // the caller went between two events, which is no fault of its target
+			f.discard(a) // the caller disconnected between two events, so the target is not at fault
 			f.endStream(ctx, w, sink)
 			return
 		}
 		if a.foundNoRoom() {
 			f.discard(a)
 			if sink.started {
-				f.abortConnection(sink) // an error written now would stand among the events
+				f.abortConnection(sink) // an error message written now would appear among the events
 			}
 			f.failNoRoom(w)
 			return
 		}
-		if f.evaluate(a) { // a refusal of the target's own, such as 400
+		if f.evaluate(a) { // a refusal by the target itself, such as 400
 			if sink.started {
-				// Passed on now, it would stand among the events of a
-				// stream that then looks complete.
+				// If the answer were passed on now, it would appear among the events of a stream
+				// that looks complete.
 				f.abortConnection(sink)
 			}
 			f.writeAnswer(w, a)
@@ -122,7 +122,7 @@
 	defer cancel()
 	if f.route.Resumable {
 		sink.watchdog = time.AfterFunc(streamStallTimeout, func() {
-			if !sink.writing.Load() { // else it is the caller that holds it up
+			if !sink.writing.Load() { // otherwise the caller blocks the stream
 				cancel()
 			}
 		})
@@ -141,8 +141,8 @@
 	}
 }
 
-// endStream ends a stream that no target completes. One that has begun is
-// broken off, so that it does not look complete.
+// endStream ends a stream that no target completes. If the stream has started, the connection is
+// aborted, so that the answer does not look complete.
 func (f *forwarding) endStream(ctx context.Context, w http.ResponseWriter, sink *streamSink) {
 	if sink.started || callerLeft(ctx) {
 		f.abortConnection(sink)
@@ -154,7 +154,7 @@
 	f.conclude(w)
 }
 
-// abortConnection closes the caller's connection in the midst of its answer.
+// abortConnection closes the caller's connection before the answer is complete.
 func (f *forwarding) abortConnection(sink *streamSink) {
 	f.in.Log.Warn("stream_broken_off", zap.String("request_id", string(f.req.ID)), zap.Int64("events", int64(sink.last)), zap.Bool("caller_slow", f.room.WasCut()))
 	outcome := "broken_off"
--- a/io/cfingress/stream_test.go
+++ b/io/cfingress/stream_test.go
@@ -18,7 +18,7 @@
 
 var resumable = cfsite.Route{Kind: cfsite.KindStream, Resumable: true, MaxAttempts: 3, Timeout: 5000}
 
-// sendEvents hands on the events from first to last.
+// sendEvents sends the events from first to last.
 func sendEvents(sink cf.StreamSink, first, last cf.EventID) error {
 	for id := first; id <= last; id++ {
 		if err := sink.Event(cf.StreamEvent{ID: id, Raw: []byte(fmt.Sprintf("id: %d\n\n", id))}); err != nil {
@@ -33,11 +33,9 @@
 	return answer, sink.Start(answer)
 }
 
-// Symptom: a caller that resumes its own stream gets nothing, at any target.
-// Sequence: the caller's connection breaks after event 3; it asks again with
-// that event as the last it has; a target goes on with event 4.
-// Cause: the instance expected every stream to begin with event 1 and took the
-// target's answer for a broken one.
+// Guards against a resumed stream without events. The caller's connection breaks after event 3; the
+// caller resumes the stream after that event, and a target continues with event 4. The instance
+// expected every stream to begin with event 1 and treated the answer as malformed.
 func TestCallerResumesItsStream(t *testing.T) {
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		answer, err := startStream(sink)
@@ -49,12 +47,12 @@
 	in := newIngress(t, to, resumable, "a", "b")
 	w, aborted := ask(in, cf.Request{ID: "r", ResumeAfter: 3})
 	if want := "id: 4\n\nid: 5\n\n"; aborted || w.Body.String() != want {
-		t.Errorf("broken %t, events %q, want %q", aborted, w.Body, want)
+		t.Errorf("aborted %t, events %q, want %q", aborted, w.Body, want)
 	}
 }
 
-// wantAborted plays a stream that breaks off after event 2, and whose second target answers
-// as given: the caller must see it broken off after those events.
+// wantAborted simulates a stream that breaks off after event 2, and that a second target resumes
+// with the given answer. It checks that the caller's connection is aborted after those events.
 func wantAborted(t *testing.T, resumed cf.TargetAnswer, resumeErr error) {
 	t.Helper()
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
@@ -73,27 +71,24 @@
 	in := newIngress(t, to, resumable, "a", "b")
 	w, aborted := ask(in, cf.Request{ID: "r"})
 	if want := "id: 1\n\nid: 2\n\n"; !aborted || w.Body.String() != want {
-		t.Errorf("broken %t, events %q, want them broken off after %q", aborted, w.Body, want)
+		t.Errorf("aborted %t, events %q, want an abort after %q", aborted, w.Body, want)
 	}
 }
 
-// Symptom: a stream ends as complete with a failure's text in the midst of its
-// events.
-// Sequence: a stream breaks off after event 2; the target asked to resume it
-// answers that it knows no such path.
-// Cause: the failure was passed on to a caller whose answer had begun.
+// Guards against a stream that looks complete with an error message among its events. The stream
+// breaks off after event 2, and the target that is asked to resume it answers that the path does
+// not exist. That failure was passed on to a caller whose answer had begun.
 func TestFailureAfterStreamStartAbortsTheConnection(t *testing.T) {
 	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}, Body: []byte("nothing here")}, nil)
 }
 
-// failingWriter is an answer to a caller that takes no more than its beginning.
+// failingWriter is an answer to a caller whose connection fails after the header.
 type failingWriter struct{ *httptest.ResponseRecorder }
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("deadline exceeded") }
 
-// Symptom: targets generate a stream again and again for a caller that does not take it, and
-// count as failing.
-// Cause: a write to the caller that failed was taken for a fault of the target.
+// Guards against targets that generate a stream again and again, and count as failed, for a caller
+// that does not receive it. A failed write to the caller was treated as a fault of the target.
 func TestStreamIsNotResumedAfterFailedWriteToCaller(t *testing.T) {
 	sends := 0
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
@@ -106,7 +101,7 @@
 	}}, resumable, "a", "b")
 	defer func() {
 		if recover() == nil || sends != 1 {
-			t.Errorf("%d sends, want one, and the stream broken off", sends)
+			t.Errorf("%d sends, want one and an aborted stream", sends)
 		}
 	}()
 	in.Forward(context.Background(), &cf.Request{
@@ -114,14 +109,14 @@
 	}, failingWriter{httptest.NewRecorder()})
 }
 
-// Guards against a resumed stream that looks complete, with an error's text among its
-// events, after the answer of its second target found no room.
+// Guards against a resumed stream that looks complete, with an error message among its events,
+// after there was no memory for the second target's answer.
 func TestResumedStreamWithoutRoomIsAborted(t *testing.T) {
 	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}}, eris.Wrap(cf.ErrNoRoom, "an answer of 64 MB"))
 }
 
-// Guards against a target that counts as failing because callers leave their streams
-// between two events.
+// Guards against counting a target as failed because callers disconnect between two events of their
+// streams.
 func TestCallerLeavingAStreamIsNotATargetFailure(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
@@ -136,10 +131,10 @@
 	in.Log = zap.New(core)
 	defer func() {
 		if recover() == nil {
-			t.Error("the stream was not broken off")
+			t.Error("the stream was not aborted")
 		}
 		if n := logged.FilterMessage("attempt_failed").Len(); n > 0 {
-			t.Errorf("%d attempts were charged to their target", n)
+			t.Errorf("%d attempts counted as failures of their target", n)
 		}
 	}()
 	in.Forward(ctx, &cf.Request{
--- a/io/cfingress/usage.go
+++ b/io/cfingress/usage.go
@@ -6,16 +6,16 @@
 )
 
 type (
-	// requestUsage counts a request for its organisation: once, however many targets it is sent
-	// to, as of when the first of those that run it was sent it. It is counted as it is
-	// sent, since what an instance that is lost had sent would else be missing, and taken
-	// back where it turns out that it did not run.
+	// requestUsage counts a request for its organisation: once, however many targets it is sent to,
+	// at the time when it was sent to the first of the targets that ran it. The request is counted
+	// when it is sent, because the count would otherwise be missing if this instance failed later.
+	// The count is reversed if it turns out that the request did not run.
 	requestUsage struct {
 		count        func(o cf.Organisation, began cf.Millis, requests int64)
 		organisation cf.Organisation
-		// sends are those that run it, or may.
+		// sends are the sends to targets that have run the request, or may have.
 		sends []send
-		// countedAt is when it was counted, zero if it is not.
+		// countedAt is the time for which the request was counted, zero if it is not counted.
 		countedAt cf.Millis
 	}
 
@@ -25,13 +25,14 @@
 	}
 )
 
-// sent notes that the request is sent to a target.
+// sent records that the request is sent to a target.
 func (u *requestUsage) sent(t cf.InstanceID, now cf.Millis) {
 	u.sends = append(u.sends, send{t, now})
 	u.recount()
 }
 
-// ended notes how a try ended, and when it was sent in full, zero if that is not known.
+// ended records how a send ended, and when the request was completely written, zero if that is not
+// known.
 func (u *requestUsage) ended(t cf.InstanceID, outcome cfbalance.Outcome, wrote cf.Millis) {
 	for i := range u.sends {
 		if u.sends[i].target != t {
@@ -47,7 +48,7 @@
 	u.recount()
 }
 
-// recount counts the request anew where its beginning is another.
+// recount updates the count if the time of the first send has changed.
 func (u *requestUsage) recount() {
 	first := cf.Millis(0)
 	for _, t := range u.sends {
