--- a/io/cfguard/guard.go
+++ b/io/cfguard/guard.go
@@ -1,17 +1,18 @@
-// Package cfguard follows the requests that go to targets, for cfquarantine, which
-// decides which of them may. Every path that can reach a target asks it: callers'
-// requests with their retries and hedges, streams, items of batches, reward calls.
+// Package cfguard applies the decisions of cfquarantine, which decides what requests may be sent to
+// targets, and reports to it how requests end. Every path by which a request can reach a target
+// uses it: callers' requests with their retries and hedges, streams, items of batches, and reward
+// calls.
 //
-// It checks targets that gave no answer by a new connection, hands what it learns to the
-// other instances, and takes what they have learned.
+// When a target gives no answer, the guard checks the target with a new connection. It shares its
+// strikes with the other instances, and merges theirs.
 //
 // Usage:
 //
 //	g := cfguard.New(options)
 //	defer g.Close()
-//	g.Inform(source, heldByOthers)
-//	v := g.Judge(ctx, id, key)
-//	v = g.Admit(key, target) // or g.AdmitDeferred(key, target, owed)
+//	g.Sync(source, heldByOthers)
+//	v := g.Evaluate(ctx, id, key)
+//	v = g.Admit(key, target) // or g.AdmitDeferred(key, target, work)
 //	if v.Pass { ... send; then g.Answered, g.Lost or g.Dropped }
 package cfguard
 
@@ -30,34 +31,33 @@
 )
 
 const (
-	// probeTimeout bounds the new connection by which a target is checked, here and
-	// then at another instance; the longest round trip between failure domains takes
-	// 16 ms.
+	// probeTimeout limits the new connection by which a target is checked, first from this
+	// instance, then from another. The longest round trip between failure domains takes 16 ms.
 	probeTimeout = 300 * time.Millisecond
-	// terminationTime is how long a target may still take connections after those that it had have
-	// ended: the sockets of a process are not closed all at once, and one that it has just
-	// started holds its listener until it has replaced its program.
+	// terminationTime is how long a target may still accept connections after its established ones
+	// have ended. The sockets of a process are not all closed at once, and a child process that it
+	// has just forked keeps the listener open until it has executed its program.
 	terminationTime = 100 * time.Millisecond
-	// sweepInterval is how often Sweep looks through what is known.
+	// sweepInterval is the minimum interval between sweeps.
 	sweepInterval cf.Millis = 500
 )
 
 type (
-	// Site shows the targets as they are listed.
+	// Site returns the targets as listed.
 	Site interface {
 		Target(id cf.InstanceID) (cf.Target, bool)
 	}
 
-	// Options are what a guard works with.
+	// Options configure a Guard.
 	Options struct {
 		Self    cf.EntryID
 		Targets cf.Targets
 		Site    Site
-		// ReachableElsewhere asks another instance whether it reaches a target: a link that is
-		// cut here alone looks like a crash. False where nobody does, or none is
-		// there to ask.
+		// ReachableElsewhere asks another instance whether it reaches a target, since a link that
+		// is cut only at this instance looks like a crash. It returns false if no instance reaches
+		// the target, or if there is none to ask.
 		ReachableElsewhere func(ctx context.Context, t cf.Target) bool
-		// Share hands strikes to the other instances. It does not wait.
+		// Share sends strikes to the other instances without waiting.
 		Share func([]cfquarantine.Strike)
 		// Disabled lets every request pass.
 		Disabled bool
@@ -65,11 +65,11 @@
 		Log      *zap.Logger
 	}
 
-	// Guard is safe for concurrent use; a nil one lets every request pass. Close
-	// waits for the checks under way.
+	// Guard decides which requests may be sent to targets. It is safe for concurrent use; a nil
+	// Guard lets every request pass. Close waits for checks in progress.
 	Guard struct {
 		Options
-		// Table holds the evidence.
+		// Table holds the strikes.
 		Table  *cfquarantine.Table
 		ctx    context.Context
 		cancel context.CancelFunc
@@ -80,7 +80,7 @@
 		lastSweep cf.Millis
 	}
 
-	// Metrics are the guard's counters.
+	// Metrics are the metrics of a Guard.
 	Metrics struct {
 		Strikes *prometheus.CounterVec
 		Refused prometheus.Counter
@@ -89,7 +89,7 @@
 	}
 )
 
-// NewMetrics registers the guard's metrics.
+// NewMetrics registers the metrics of a Guard.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Strikes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -105,8 +105,7 @@
 	return m
 }
 
-// New returns the guard of an instance that has just started: nothing passes before its
-// table is informed.
+// New returns the guard of an instance that has just started. No request passes before Sync.
 func New(o Options) *Guard {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Guard{
@@ -114,15 +113,15 @@
 	}
 }
 
-// Close ends the checks under way.
+// Close ends the checks in progress.
 func (g *Guard) Close() error {
 	g.cancel()
 	g.wg.Wait()
 	return nil
 }
 
-// Evaluate says whether a request may be sent to some target. Where others of the same
-// content are under way whose ends decide, it waits for them.
+// Evaluate reports whether a request may be sent to any target. If the decision depends on requests
+// in flight with the same content, it waits for them to end.
 func (g *Guard) Evaluate(ctx context.Context, id cf.RequestID, key cfquarantine.Key) cfquarantine.Verdict {
 	if g == nil || g.Disabled {
 		return cfquarantine.Verdict{Pass: true}
@@ -144,8 +143,8 @@
 	}
 }
 
-// Admit judges a request that is about to be sent to a target. One that passes counts as
-// under way there until Answered, Lost or Dropped.
+// Admit decides on a request that is about to be sent to a target. A request that passes counts as
+// in flight there until Answered, Lost or Dropped is called.
 func (g *Guard) Admit(key cfquarantine.Key, target cf.Target) cfquarantine.Verdict {
 	if g == nil || g.Disabled {
 		return cfquarantine.Verdict{Pass: true}
@@ -153,7 +152,7 @@
 	return g.Table.Admit(key, cfquarantine.IncarnationOf(target), cf.Uptime())
 }
 
-// AdmitDeferred is Admit for work that was handed in for later.
+// AdmitDeferred is Admit for deferred work.
 func (g *Guard) AdmitDeferred(key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
 	if g == nil || g.Disabled {
 		return cfquarantine.Verdict{Pass: true}
@@ -161,14 +160,14 @@
 	return g.Table.AdmitDeferred(key, cfquarantine.IncarnationOf(target), w, cf.Uptime())
 }
 
-// Paused logs that owed work waits until it is tried again, and on which evidence.
+// Paused logs that deferred work is paused, with the evidence.
 func (g *Guard) Paused(id cf.RequestID, key cfquarantine.Key, v cfquarantine.Verdict) {
 	g.Metrics.Paused.Inc()
 	g.Log.Warn("request_paused", zap.String("request_id", string(id)), digest(key), caller(key),
 		zap.Int64("paused_ms", int64(v.RetryAt-cf.Uptime())), zap.Any("strikes", v.Strikes))
 }
 
-// Refused logs that a request is held, and on which evidence.
+// Refused logs that a request is held, with the evidence.
 func (g *Guard) Refused(id cf.RequestID, key cfquarantine.Key, v cfquarantine.Verdict) {
 	g.Metrics.Refused.Inc()
 	g.Log.Warn("request_held", zap.String("request_id", string(id)), digest(key), caller(key),
@@ -179,19 +178,20 @@
 
 func caller(k cfquarantine.Key) zap.Field { return zap.Stringer("caller_digest", k.Caller) }
 
-// Answered takes the end of a send that a target answered.
+// Answered records that a target answered a request.
 func (g *Guard) Answered(key cfquarantine.Key, target cf.Target, sent cf.Millis) {
 	if g == nil || g.Disabled {
 		return
 	}
 	changed := g.Table.Answered(key, cfquarantine.IncarnationOf(target), sent, cf.Uptime())
 	if len(changed) > 0 {
-		g.Log.Info("strikes_void", zap.String("reason", "the request was run to its end"), digest(key), zap.Int("strikes", len(changed)))
+		g.Log.Info("strikes_void", zap.String("reason", "the request completed"), digest(key), zap.Int("strikes", len(changed)))
 		g.share(changed)
 	}
 }
 
-// Dropped takes the end of a send that tells nothing: it was not run, or given up here.
+// Dropped records the end of a send without any evidence: the request was not run, or this instance
+// gave it up.
 func (g *Guard) Dropped(key cfquarantine.Key, target cf.Target) {
 	if g == nil || g.Disabled {
 		return
@@ -199,14 +199,14 @@
 	g.Table.Dropped(key, cfquarantine.IncarnationOf(target))
 }
 
-// Lost takes the end of a send to which a target gave no answer; alive says that it was
-// heard of after it was sent the request.
+// Lost records that a target gave no answer to a request. alive is true if the target was known to
+// be alive after the request was sent: it accepted a new connection for it, or began to answer.
 func (g *Guard) Lost(id cf.RequestID, key cfquarantine.Key, target cf.Target, alive bool) {
 	if g == nil || g.Disabled {
 		return
 	}
 	if t, listed := g.Site.Target(target.ID); listed && t.Draining {
-		g.Dropped(key, target) // it ends as planned
+		g.Dropped(key, target) // the target terminates as planned
 		return
 	}
 	inc := cfquarantine.IncarnationOf(target)
@@ -216,13 +216,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.checking[inc] || g.ctx.Err() != nil {
-		return // the check under way looks again
+		return // the check in progress will include this loss
 	}
 	g.checking[inc] = true
 	g.wg.Go(func() { g.check(target, inc) })
 }
 
-// check asks a target for a connection until no loss there is unchecked.
+// check tests a target with new connections until all losses there have been checked.
 func (g *Guard) check(target cf.Target, inc cfquarantine.Incarnation) {
 	for g.ctx.Err() == nil {
 		asked := cf.Uptime()
@@ -247,7 +247,7 @@
 	}
 }
 
-// detectLoss says how a target is gone, empty if it is not.
+// detectLoss returns how a target was lost, empty if it was not.
 func (g *Guard) detectLoss(target cf.Target) (cfquarantine.Loss, error) {
 	err := g.Probe(g.ctx, target)
 	switch {
@@ -264,20 +264,20 @@
 	}
 }
 
-// Probe says whether a new connection to a target can be had from here.
+// Probe opens a new connection from this instance to a target, and returns an error if that fails.
 func (g *Guard) Probe(ctx context.Context, target cf.Target) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return g.Targets.Reach(ctx, target)
 }
 
-// replaced says whether a start of a target is not listed any more.
+// replaced reports whether an incarnation of a target is no longer listed.
 func (g *Guard) replaced(inc cfquarantine.Incarnation) bool {
 	t, listed := g.Site.Target(inc.ID)
 	return !listed || t.Born != inc.Born
 }
 
-// recordStrikes counts strikes that were found here, and shares them.
+// recordStrikes counts the strikes found by this instance, and shares all of them.
 func (g *Guard) recordStrikes(changed []cfquarantine.Strike) {
 	for i := range changed {
 		if changed[i].Scope < cfquarantine.Void && changed[i].SeenBy == g.Self {
@@ -293,7 +293,7 @@
 	}
 }
 
-// Merge takes strikes that another instance shares, and passes on what is news.
+// Merge merges strikes received from another instance, and shares those that were new.
 func (g *Guard) Merge(from cf.EntryID, in []cfquarantine.Strike) {
 	changed := g.Table.Merge(in, cf.Uptime())
 	if len(changed) == 0 {
@@ -305,17 +305,17 @@
 	g.share(changed)
 }
 
-// Sync takes what other instances hold, all of it, and lets requests pass from then on;
-// false if they did before.
+// Sync merges the strikes of all requests that other instances hold, and lets requests pass from
+// then on. It returns false if they passed before.
 func (g *Guard) Sync(source string, held []cfquarantine.Strike) bool {
 	g.Merge(cf.EntryID(source), held)
 	return g.Table.MarkSynced()
 }
 
-// Synced says whether it is known here what other instances hold.
+// Synced reports whether the requests held by other instances are known.
 func (g *Guard) Synced() bool { return g == nil || g.Disabled || g.Table.Synced() }
 
-// Release lets a held request pass again, by hand.
+// Release lets a held request pass again, on an operator's demand.
 func (g *Guard) Release(d cfquarantine.Digest) int {
 	changed := g.Table.Release(d, cf.Uptime())
 	g.Log.Info("request_freed", zap.Stringer("request_digest", d), zap.Int("strikes", len(changed)))
@@ -323,8 +323,8 @@
 	return len(changed)
 }
 
-// Sweep forgets what is over, and looks which struck targets the instance list shows as
-// gone or alive. current says that the list is current.
+// Sweep removes expired strikes, and checks whether the targets with strikes are listed as replaced
+// or alive. current is true if the instance list is current.
 func (g *Guard) Sweep(current bool, now cf.Millis) {
 	g.mu.Lock()
 	due := now-g.lastSweep >= sweepInterval
@@ -343,7 +343,7 @@
 		}
 	}
 	if voided := g.Table.Sweep(current, now); len(voided) > 0 {
-		g.Log.Info("strikes_void", zap.String("reason", "their targets live"), zap.Int("strikes", len(voided)))
+		g.Log.Info("strikes_void", zap.String("reason", "their targets are alive"), zap.Int("strikes", len(voided)))
 		g.share(voided)
 	}
 	_, held := g.Table.HeldStrikes(0, now)
--- a/io/cfguard/guard_test.go
+++ b/io/cfguard/guard_test.go
@@ -15,17 +15,17 @@
 )
 
 type (
-	// targets answer checks of their addresses as they are told.
+	// targets returns the configured result for connection checks.
 	targets struct {
 		cf.Targets
 		mu     sync.Mutex
 		reach  error
 		checks int
-		// acceptedFirst is how many connections the target takes before reach holds.
+		// acceptedFirst is the number of connections accepted before reach applies.
 		acceptedFirst int
 	}
 
-	// instanceList shows targets as the instance list does.
+	// instanceList returns targets like the instance list.
 	instanceList map[cf.InstanceID]cf.Target
 )
 
@@ -44,8 +44,8 @@
 	return t, ok
 }
 
-// Losses of three targets, each by what the guard can learn of it. Held is right only
-// where the targets themselves have ended.
+// Three targets are lost, for each cause that the guard can distinguish. The request must be held
+// only if the targets themselves have ended.
 func TestOnlyCrashesHoldRequests(t *testing.T) {
 	all := instanceList{}
 	for n := range 3 {
@@ -66,13 +66,13 @@
 		site    instanceList
 		held    bool
 	}{
-		{"processes have ended", cf.ErrNoProcess, false, all, true},
-		{"machines are silent", cf.ErrUnavailable, false, all, true},
-		{"reached again at once", nil, false, all, false},
-		{"links cut here alone, by resets", cf.ErrNoProcess, true, all, false},
-		{"links cut here alone, silently", cf.ErrUnavailable, true, all, false},
+		{"processes ended", cf.ErrNoProcess, false, all, true},
+		{"machines unreachable", cf.ErrUnavailable, false, all, true},
+		{"reachable again at once", nil, false, all, false},
+		{"links cut only here, with resets", cf.ErrNoProcess, true, all, false},
+		{"links cut only here, silently", cf.ErrUnavailable, true, all, false},
 		{"ended as planned", cf.ErrNoProcess, false, draining, false},
-		{"started again under their ids meanwhile", nil, false, later, true},
+		{"restarted with the same ids meanwhile", nil, false, later, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -86,17 +86,17 @@
 			key := cfquarantine.KeyOf("POST", "h", "/", "caller", []byte("x"))
 			for id, target := range all {
 				if v := g.Admit(key, target); !v.Pass {
-					t.Fatalf("not sent to %s: %+v", id, v)
+					t.Fatalf("request not admitted to %s: %+v", id, v)
 				}
 				g.Lost("r", key, target, true)
-				// The next waits for the check of the last.
+				// The next one waits for the check of the previous loss.
 				if v := g.Evaluate(context.Background(), "r", key); v.Wait {
-					t.Errorf("still waits: %+v", v)
+					t.Errorf("the request still waits: %+v", v)
 				}
 			}
 			for deadline := time.Now().Add(20 * time.Second); g.busy(); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatal("the checks do not end")
+					t.Fatal("the checks did not end")
 				}
 			}
 			v := g.Evaluate(context.Background(), "r", key)
@@ -116,8 +116,8 @@
 	return len(g.checking) > 0
 }
 
-// Guards against: a fourth target crashed by a request, because the check of the one before was
-// made while its process was ending and still took connections.
+// Guards against a request that crashes a fourth target because the check of the previous one was
+// made while its process was terminating and still accepted connections.
 func TestTerminatingTargetIsNotTakenForAlive(t *testing.T) {
 	g := New(Options{
 		Self: "e", Targets: &targets{reach: cf.ErrNoProcess, acceptedFirst: 1}, Site: instanceList{"t": {ID: "t"}}, Share: func([]cfquarantine.Strike) {},
@@ -131,15 +131,15 @@
 	g.Lost("r", key, cf.Target{ID: "t"}, true)
 	for deadline := time.Now().Add(20 * time.Second); g.busy(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the check does not end")
+			t.Fatal("the check did not end")
 		}
 	}
 	if strikes := g.Table.StrikesByPriority(0, 8, cf.Uptime()); len(strikes) != 1 {
-		t.Errorf("%d strikes of a target that has ended", len(strikes))
+		t.Errorf("%d strikes of a target that has ended, want 1", len(strikes))
 	}
 }
 
-// Many requests that one target loses at once cost it one check.
+// Many requests lost by one target at the same time must cause only one check.
 func TestConcurrentLossesShareACheck(t *testing.T) {
 	to := &targets{reach: cf.ErrNoProcess}
 	target := cf.Target{ID: "t"}
@@ -163,6 +163,6 @@
 	to.mu.Lock()
 	defer to.mu.Unlock()
 	if to.checks > 2 {
-		t.Errorf("%d checks for the losses of one moment, want two at most", to.checks)
+		t.Errorf("%d checks for concurrent losses, want at most 2", to.checks)
 	}
 }
--- a/io/cfingress/reads_test.go
+++ b/io/cfingress/reads_test.go
@@ -49,7 +49,7 @@
 		reads    int
 		refused  bool
 	}{
-		{"immediate answer", 0, nil, 1, false},
+		{"answers", 0, nil, 1, false},
 		{"one late answer", 1, cf.ErrUnavailable, 2, false},
 		{"no answer", 9, cf.ErrUnavailable, 2, true},
 		{"refused", 9, cf.ErrRefused, 1, true},
--- a/io/cflog/async.go
+++ b/io/cflog/async.go
@@ -8,19 +8,18 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written, about 1 MB. A reader
-	// that stops reading must not stop the process: further lines are counted and
-	// dropped.
+	// queueLines limits the lines waiting to be written, about 1 MB. A reader that stops reading
+	// must not block the process: further lines are dropped and counted.
 	queueLines = 4096
-	// maxWriteBytes bounds one write of several lines. POSIX lets a pipe take 4,096 bytes
-	// (PIPE_BUF) as a whole; collectors cut larger writes apart.
+	// maxWriteBytes limits a write of several lines. POSIX guarantees that a pipe takes 4,096 bytes
+	// (PIPE_BUF) atomically; log collectors split larger writes.
 	maxWriteBytes = 4096
-	// flushPollInterval is how often a flush looks whether all is written.
+	// flushPollInterval is how often Flush checks whether all lines are written.
 	flushPollInterval = 5 * time.Millisecond
 )
 
-// AsyncWriter writes lines in the background and never blocks its callers. Close
-// writes what waits.
+// AsyncWriter writes lines in the background and never blocks its callers. Close writes the lines
+// that are queued.
 type AsyncWriter struct {
 	out       io.Writer
 	lines     chan []byte
@@ -30,7 +29,7 @@
 	closeOnce sync.Once
 }
 
-// NewAsyncWriter returns a writer in front of out.
+// NewAsyncWriter returns an AsyncWriter that writes to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	a := &AsyncWriter{out: out, lines: make(chan []byte, queueLines)}
 	a.wg.Go(a.run)
@@ -50,33 +49,33 @@
 	return len(p), nil
 }
 
-// Flush waits until what was queued is written, for most at the longest.
+// Flush waits until the queued lines are written, but no longer than timeout.
 func (a *AsyncWriter) Flush(timeout time.Duration) {
 	for deadline := time.Now().Add(timeout); a.waiting.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(flushPollInterval)
 	}
 }
 
-// Dropped counts the lines that were dropped.
+// Dropped returns the number of dropped lines.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// Sync implements zapcore.WriteSyncer; lines are written as they come.
+// Sync implements zapcore.WriteSyncer. It does nothing, since lines are written as they arrive.
 func (a *AsyncWriter) Sync() error { return nil }
 
-// Close writes what waits. Nothing may be written after it.
+// Close writes the queued lines. Write must not be called afterwards.
 func (a *AsyncWriter) Close() error {
 	a.closeOnce.Do(func() { close(a.lines) })
 	a.wg.Wait()
 	return nil
 }
 
-// run writes whole lines, several in one call where several wait.
+// run writes whole lines, several in one call if several are queued.
 func (a *AsyncWriter) run() {
 	var buf []byte
 	var lines int64
 	write := func() {
 		if lines > 0 {
-			_, _ = a.out.Write(buf) // there is nowhere else to report it
+			_, _ = a.out.Write(buf) // there is nowhere else to report the error
 		}
 		a.waiting.Add(-lines)
 		buf, lines = buf[:0], 0
--- a/io/cflog/async_test.go
+++ b/io/cflog/async_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// writeRecorder keeps each write apart; the first waits until the others are queued.
+// writeRecorder records each write separately. The first write blocks until the other lines are
+// queued.
 type writeRecorder struct {
 	begin chan struct{}
 	all   [][]byte
@@ -18,8 +19,8 @@
 	return len(p), nil
 }
 
-// Guards against: lines of a burst that are lost or torn, because one write was larger than a
-// pipe takes whole.
+// Guards against lost or split lines in a burst, caused by writes larger than a pipe takes
+// atomically.
 func TestBurstIsWrittenInWholeLines(t *testing.T) {
 	out := &writeRecorder{begin: make(chan struct{})}
 	a := NewAsyncWriter(out)
@@ -39,14 +40,14 @@
 	got := 0
 	for _, w := range out.all {
 		if len(w) > maxWriteBytes && !bytes.Equal(w, long) {
-			t.Errorf("a write of %d bytes, %d are taken whole", len(w), maxWriteBytes)
+			t.Errorf("write of %d bytes, want at most %d", len(w), maxWriteBytes)
 		}
 		if w[len(w)-1] != '\n' {
-			t.Error("a write ends within a line")
+			t.Error("write ends within a line")
 		}
 		got += bytes.Count(w, []byte("\n"))
 	}
 	if got != lines+1 || len(out.all) > lines/4 {
-		t.Errorf("%d lines in %d writes, want %d in a few", got, len(out.all), lines+1)
+		t.Errorf("%d lines in %d writes, want %d lines in few writes", got, len(out.all), lines+1)
 	}
 }
--- a/io/cflog/crash.go
+++ b/io/cflog/crash.go
@@ -13,35 +13,34 @@
 )
 
 const (
-	// panicExitCode is the exit status of a process that ends itself, as the runtime's is.
+	// panicExitCode is the exit status after a panic, the same as that of the Go runtime.
 	panicExitCode = 2
-	// flushTimeout is how long a process that ends itself waits for its last lines to be
+	// flushTimeout is how long a process that ends after a panic waits for its last lines to be
 	// read.
 	flushTimeout = time.Second
 )
 
 type (
-	// panicReporter is how a process reports the panic that ends it.
+	// panicReporter logs the panic that ends the process.
 	panicReporter struct {
 		log  *zap.Logger
 		out  *AsyncWriter
 		role func() string
 	}
 
-	// Group is a WaitGroup whose goroutines leave a line in the log before a panic ends the
-	// process.
+	// Group is a sync.WaitGroup whose goroutines log a panic before it ends the process.
 	Group struct{ sync.WaitGroup }
 )
 
 var reporter atomic.Pointer[panicReporter]
 
-// ReportPanics makes a panic leave its reason and stack as one line of log, with the role that
-// the process has then, before it ends the process.
+// ReportPanics makes a panic log its reason and stack in one line, with the current role of the
+// process, before the process ends.
 func ReportPanics(log *zap.Logger, out *AsyncWriter, role func() string) {
 	reporter.Store(&panicReporter{log, out, role})
 }
 
-// Go runs f, as sync.WaitGroup does.
+// Go runs f in a goroutine, as sync.WaitGroup does.
 func (g *Group) Go(f func()) {
 	g.WaitGroup.Go(func() {
 		defer ExitOnPanic()
@@ -49,21 +48,22 @@
 	})
 }
 
-// ExitOnPanic is deferred by whatever runs apart. State that may be wrong is not served on: the
-// process ends.
+// ExitOnPanic must be deferred by every goroutine that is not started by a Group. After a panic it
+// ends the process, since the state may be inconsistent.
 func ExitOnPanic() {
 	if reason := recover(); reason != nil {
 		logAndExit(reason)
 	}
 }
 
-// PanicHandler answers by h. The server's own recovery would serve on after a panic.
+// PanicHandler returns a handler that calls h and ends the process if h panics. Without it the
+// recovery in net/http would let the process continue after a panic.
 func PanicHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			switch reason := recover(); reason {
 			case nil:
-			case http.ErrAbortHandler: //nolint:errorlint // the value that the server knows
+			case http.ErrAbortHandler: //nolint:errorlint // net/http compares the value itself
 				panic(reason)
 			default:
 				logAndExit(reason)
--- a/io/cflog/crash_test.go
+++ b/io/cflog/crash_test.go
@@ -13,14 +13,14 @@
 	"currantford/io/cflog"
 )
 
-// panicEnv tells this test's binary, as a process of its own, where to panic.
+// panicEnv tells the test binary, when it runs as a child process, where to panic.
 const panicEnv = "CFLOG_PANIC"
 
 func TestMain(m *testing.M) {
 	if where := os.Getenv(panicEnv); where != "" {
 		log, out := cflog.NewStdout("entry", "entry-1")
 		cflog.ReportPanics(log, out, func() string { return "coordinator" })
-		triggerPanic := func() { var m map[string]int; m["a"] = 1 } //nolint:staticcheck // it is to panic
+		triggerPanic := func() { var m map[string]int; m["a"] = 1 } //nolint:staticcheck // the panic is intended
 		var g cflog.Group
 		g.Go(func() {
 			if where == "goroutine" {
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// A process that ends by itself leaves no reason where its log is kept.
+// Guards against a process that ends after a panic without the reason in its log.
 func TestPanicIsLogged(t *testing.T) {
 	for _, where := range []string{"goroutine", "handler"} {
 		cmd := exec.Command(os.Args[0])
@@ -57,11 +57,11 @@
 	}
 }
 
-// A handler that breaks an answer off ends its connection, not the process.
+// A handler that aborts an answer must end its connection, not the process.
 func TestAbortHandlerPanicIsPassedOn(t *testing.T) {
 	defer func() {
-		if recover() != http.ErrAbortHandler { //nolint:errorlint // the value that the server knows
-			t.Error("another panic, or none")
+		if recover() != http.ErrAbortHandler { //nolint:errorlint // net/http compares the value itself
+			t.Error("the panic was not passed on")
 		}
 	}()
 	cflog.PanicHandler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })).ServeHTTP(nil, nil)
--- a/io/cflog/library.go
+++ b/io/cflog/library.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxLibraryBytes is how much of a library's line is logged. net/http quotes what a target
-	// sends after its answer, up to its whole buffer.
+	// maxLibraryBytes limits how much of a line written by a library is logged. net/http quotes
+	// what a target sends after its answer, up to its whole buffer.
 	maxLibraryBytes = 200
-	// maxLibraryLines bounds such lines, a second.
+	// maxLibraryLines is the maximum number of such lines per second.
 	maxLibraryLines = 5
 )
 
-// LibraryWriter is a writer for the standard logger. It logs the lines of libraries, cut short,
-// and some of them where there are many.
+// LibraryWriter is a writer for the standard logger. It logs the lines of libraries truncated, and
+// drops lines beyond maxLibraryLines.
 type LibraryWriter struct {
 	log *zap.Logger
 
@@ -27,7 +27,7 @@
 	dropped     int
 }
 
-// NewLibraryWriter returns a writer in front of log.
+// NewLibraryWriter returns a LibraryWriter that logs to log.
 func NewLibraryWriter(log *zap.Logger) *LibraryWriter { return &LibraryWriter{log: log} }
 
 // Write logs one line.
--- a/io/cflog/library_test.go
+++ b/io/cflog/library_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Guards against a log that is filled with what targets send after their answers.
+// Guards against a log that is flooded with quotes of what targets send after their answers.
 func TestLibraryLogLinesAreLimited(t *testing.T) {
 	core, lines := observer.New(zap.WarnLevel)
 	std := log.New(NewLibraryWriter(zap.New(core)), "", 0)
@@ -21,6 +21,6 @@
 		size += len(l.ContextMap()["text"].(string))
 	}
 	if n := lines.Len(); n == 0 || n > 4*maxLibraryLines || size > n*maxLibraryBytes {
-		t.Errorf("%d lines of %d bytes for 1000 lines of 8 KB", n, size)
+		t.Errorf("logged %d lines with %d bytes in total for 1000 lines of 8 KB", n, size)
 	}
 }
--- a/io/cflog/log.go
+++ b/io/cflog/log.go
@@ -1,7 +1,6 @@
-// Package cflog builds the project's loggers: zap, JSON lines on standard
-// error, one field set per process (component and instance id). Routing and
-// placement decisions are logged by the code that makes them, one line each,
-// with the message "decision".
+// Package cflog creates the project's loggers, which write JSON lines with zap. Each line carries
+// the component and the instance id. Routing and placement decisions are logged by the code that
+// makes them, one line each, with the message "decision".
 //
 // Usage:
 //
@@ -19,7 +18,7 @@
 	cf "currantford"
 )
 
-// New returns a JSON-line logger for one process.
+// New returns a logger on standard error.
 func New(component, id string) *zap.Logger {
 	enc := zap.NewProductionEncoderConfig()
 	enc.TimeKey = "ts_ms"
@@ -29,8 +28,8 @@
 	return zap.New(core).With(zap.String("component", component), zap.String("id", id))
 }
 
-// NewStdout returns a JSON-line logger on standard output that never blocks,
-// and the writer to close at the end.
+// NewStdout returns a logger on standard output that never blocks, and its writer, which must be
+// closed at the end.
 func NewStdout(component, id string) (*zap.Logger, *AsyncWriter) {
 	w := NewAsyncWriter(os.Stdout)
 	enc := zap.NewProductionEncoderConfig()
@@ -41,7 +40,7 @@
 	return zap.New(core).With(zap.String("component", component), zap.String("id", id)), w
 }
 
-// Batch returns the fields of a batch: its id as its submitter chose it, and whose it is.
+// Batch returns the fields of a batch: the id that its submitter chose, and its organisation.
 func Batch(id cf.BatchID) zap.Field { return zap.Inline(batchFields(id)) }
 
 type batchFields cf.BatchID
@@ -56,8 +55,8 @@
 	return nil
 }
 
-// Error returns the field of an error's message. zap.Error would add the call
-// stack that eris keeps, which is longer than all other fields together.
+// Error returns the field of an error's message. zap.Error would add the stack trace recorded by
+// eris, which is longer than all other fields together.
 func Error(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/io/cfroom/cfroom.go
+++ b/io/cfroom/cfroom.go
@@ -1,14 +1,14 @@
-// Package cfroom carries out cfhold's decisions: it accounts for what answers take of the
-// process's memory, makes those that find no room wait, and ends the connections of callers
-// that read too slowly.
+// Package cfroom limits the memory that answers take while callers read them, as decided by cfhold.
+// It counts the memory of each answer, makes answers wait while there is not enough memory, and
+// cuts the connections of callers that read too slowly.
 //
 // Usage:
 //
 //	rooms := cfroom.New(cfroom.Options{MemoryBytes: limit, Metrics: cfroom.NewMetrics(reg), Log: log})
-//	ctx = cfroom.WithConn(ctx, conn)              // for each connection of a caller
-//	room := rooms.Open(ctx, caller, cfhold.Answer) // for each answer
+//	ctx = cfroom.WithConn(ctx, conn)                          // for each connection of a caller
+//	room := rooms.Open(ctx, caller, cfhold.Answer, requestID) // for each answer
 //	defer room.Close()
-//	wait := rooms.Look(conns)                      // again after wait, or sooner by rooms.Pressed
+//	wait := rooms.Check(conns) // again after wait, or earlier if rooms.Pressure receives
 package cfroom
 
 import (
@@ -25,34 +25,35 @@
 	"currantford/core/cfhold"
 )
 
-// maxLogLinesPerSecond bounds the log lines; each cut counts in the metrics.
+// maxLogLinesPerSecond limits the log lines. Cuts beyond the limit are still counted in the
+// metrics.
 const maxLogLinesPerSecond = 20
 
 type (
-	// Delivery is a caller's connection as bytes go out on it.
+	// Delivery observes how the bytes written to a caller's connection are delivered.
 	Delivery interface {
-		// Writing returns the number of the write that is under way, false if none is.
+		// Writing returns the number of the write in progress, and false if there is none.
 		Writing() (write uint64, ok bool)
-		// Acknowledged returns how many bytes the caller's machine has acknowledged.
+		// Acknowledged returns the number of bytes that the caller's machine has acknowledged.
 		Acknowledged() int64
-		// AnswerNumber returns the number of the answer that is under way, or of the next one.
+		// AnswerNumber returns the number of the answer in progress, or of the next one.
 		AnswerNumber() uint64
-		// Cut makes the writes of an answer fail, and the connection end so that the caller
-		// sees it. It returns false where that answer has ended.
+		// Cut makes the writes of an answer fail and ends the connection in a way that the caller
+		// can detect. It returns false if the answer has already ended.
 		Cut(answer uint64) bool
 	}
 
 	// Conn is a caller's connection.
 	Conn struct {
 		Delivery
-		// room is that of the answer that is on its way, nil if none is.
+		// room is the Room of the answer in progress, nil if there is none.
 		room   atomic.Pointer[Room]
 		closed atomic.Bool
-		// requestID is that of the last room, until the next request begins.
+		// requestID is the request of the last Room, until the next request starts.
 		requestID atomic.Pointer[string]
 	}
 
-	// Options are what rooms work with.
+	// Options configure Rooms.
 	Options struct {
 		// MemoryBytes is the process's memory limit, zero if there is none.
 		MemoryBytes int64
@@ -61,50 +62,53 @@
 		Log         *zap.Logger
 	}
 
-	// Metrics are the counters of rooms.
+	// Metrics are the metrics of Rooms.
 	Metrics struct {
 		Held    prometheus.Gauge
 		Cut     *prometheus.CounterVec
 		Refused *prometheus.CounterVec
 	}
 
-	// Rooms is what a process holds of answers. It is safe for concurrent use; a nil one
-	// bounds nothing.
+	// Rooms manages the memory reserved for all answers of a process. It is safe for concurrent
+	// use; a nil Rooms has no limit.
 	Rooms struct {
 		options Options
 		log     *zap.Logger
 
 		mu     sync.Mutex
 		ledger *cfhold.Ledger
-		// blocked are those rooms whose callers were seen to be waited for.
+		// blocked contains the rooms with a write that waits for the caller.
 		blocked map[*cfhold.Reservation]*Room
-		// freed is closed when room may have come free, where waiters wait for it.
+		// freed is closed, and replaced, when memory may have become free while answers wait for
+		// it.
 		freed   chan struct{}
 		waiters int
-		// pressure tells whoever looks that one has begun to wait.
+		// pressure receives when an answer begins to wait.
 		pressure chan struct{}
-		// logLines are the log lines of the second that began at linesAt.
+		// logLines is the number of log lines in the second that began at logWindowStart.
 		logLines       int
 		logWindowStart cf.Millis
 	}
 
-	// Room implements currantford.Room. A nil one has no bound.
+	// Room is the memory reservation of one answer. It implements currantford.Room; a nil Room has
+	// no limit.
 	Room struct {
 		rooms *Rooms
 		conn  *Conn
-		// answer is its number on the connection.
+		// answer is the number of the answer on its connection.
 		answer      uint64
-		reservation *cfhold.Reservation // of rooms.mu
-		// blocked: its caller was waited for at the last look. Only Look uses it.
+		reservation *cfhold.Reservation // guarded by rooms.mu
+		// blocked is true if a write was waiting for the caller at the last check. It is used by
+		// Check only.
 		blocked bool
-		// closed: nothing is taken any more.
+		// closed is true once nothing more can be taken.
 		closed bool
 		cut    atomic.Bool
-		// requestID is named in log lines.
+		// requestID is used in log lines.
 		requestID string
 	}
 
-	// pendingCut is a connection that is to end, and what was held by then.
+	// pendingCut is a connection to be cut, with the bytes held in total when that was decided.
 	pendingCut struct {
 		cfhold.Cut
 		room   *Room
@@ -117,7 +121,7 @@
 
 var _ cf.Room = (*Room)(nil)
 
-// NewMetrics registers the metrics of rooms.
+// NewMetrics registers the metrics of Rooms.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Held: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -131,7 +135,7 @@
 	return m
 }
 
-// New returns rooms that hold nothing.
+// New returns Rooms without reservations.
 func New(o Options) *Rooms {
 	return &Rooms{
 		options: o, log: o.Log, ledger: cfhold.New(cfhold.BoundsFor(o.MemoryBytes), o.Policy),
@@ -139,7 +143,7 @@
 	}
 }
 
-// Enabled says whether anything is bounded.
+// Enabled reports whether memory is limited.
 func (r *Rooms) Enabled() bool { return r != nil && !r.options.Policy.Disabled }
 
 // WithConn adds a caller's connection to the context of its requests.
@@ -147,7 +151,8 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Open begins an answer to a caller, on the connection of the context if it has one.
+// Open opens the reservation for an answer to a caller, on the context's connection if there is
+// one.
 func (r *Rooms) Open(ctx context.Context, caller cfhold.Caller, kind cfhold.Kind, requestID string) *Room {
 	if r == nil {
 		return nil
@@ -157,7 +162,7 @@
 	if conn != nil {
 		conn.requestID.Store(&requestID)
 		if before := conn.room.Swap(room); before != nil {
-			before.Close() // of a look between two answers
+			before.Close() // opened by a check between two answers
 		}
 	}
 	return room
@@ -174,11 +179,11 @@
 	return room
 }
 
-// RequestStarted notes that the next request begins.
+// RequestStarted records that the next request starts.
 func (c *Conn) RequestStarted() { c.requestID.Store(nil) }
 
-// RequestID names the request that is answered on the connection, empty if it has opened no
-// room.
+// RequestID returns the request that is answered on the connection, empty if the request has not
+// opened a Room.
 func (c *Conn) RequestID() string {
 	if request := c.requestID.Load(); request != nil {
 		return *request
@@ -186,7 +191,7 @@
 	return ""
 }
 
-// Closed notes that the connection has ended.
+// Closed records that the connection has ended.
 func (c *Conn) Closed() {
 	c.closed.Store(true)
 	if room := c.room.Load(); room != nil {
@@ -194,7 +199,7 @@
 	}
 }
 
-// Refuses says whether a caller's next request is turned away.
+// Refuses reports whether the next request of a caller is to be refused.
 func (r *Rooms) Refuses(caller cfhold.Caller) bool {
 	if r == nil {
 		return false
@@ -208,11 +213,11 @@
 	return refused
 }
 
-// Pressure receives when an answer has begun to wait for room.
+// Pressure receives when an answer begins to wait for memory.
 func (r *Rooms) Pressure() <-chan struct{} { return r.pressure }
 
-// Check looks at callers' connections and ends those that cfhold chooses. It makes a system
-// call for each connection on which a write is under way. It returns when to look again.
+// Check checks callers' connections and cuts those chosen by cfhold. It makes a system call for
+// each connection with a write in progress. It returns the time until the next check.
 func (r *Rooms) Check(conns []*Conn) cf.Millis {
 	now := cf.Uptime()
 	for _, c := range conns {
@@ -220,7 +225,7 @@
 	}
 	r.mu.Lock()
 	cuts := r.chooseCuts(now)
-	r.wake() // two attempts of one request may wait, of which the ledger knows one
+	r.wake() // two attempts of one request may be waiting, while the ledger counts them as one
 	wait := cfhold.CheckInterval
 	if r.waiters > 0 {
 		wait = cfhold.PressureCheckInterval
@@ -230,7 +235,7 @@
 	return wait
 }
 
-// chooseCuts decides whose connections end. r.mu is held.
+// chooseCuts returns the connections to be cut. r.mu must be held.
 func (r *Rooms) chooseCuts(now cf.Millis) []pendingCut {
 	var out []pendingCut
 	for _, c := range r.ledger.Cuts(now) {
@@ -241,11 +246,11 @@
 	return out
 }
 
-// cutAll ends connections.
+// cutAll cuts connections.
 func (r *Rooms) cutAll(cuts []pendingCut) {
 	for _, c := range cuts {
 		if c.room.conn.room.Load() != c.room {
-			continue // its answer has ended meanwhile, and the next may be on its way
+			continue // the answer has ended meanwhile, and the next one may be in progress
 		}
 		c.room.cut.Store(true)
 		if !c.room.conn.Cut(c.room.answer) {
@@ -273,10 +278,10 @@
 		return
 	}
 	if room == nil {
-		// An answer that takes no room of its own, such as a refusal.
+		// The answer has no Room of its own, such as a refusal.
 		room = r.open(c, "", cfhold.Answer, "")
 		if !c.room.CompareAndSwap(nil, room) {
-			room.Close() // the next request has opened its own, which the next look finds
+			room.Close() // the next request has opened its own Room, which the next check will see
 			return
 		}
 		if c.closed.Load() {
@@ -293,13 +298,13 @@
 	}
 }
 
-// unblock notes that a room's caller is not waited for. r.mu is held.
+// unblock records that no write of a room waits for the caller. r.mu must be held.
 func (r *Rooms) unblock(m *Room) {
 	r.ledger.WriteDone(m.reservation)
 	delete(r.blocked, m.reservation)
 }
 
-// allowLine says whether one more line may be logged now. r.mu is held.
+// allowLine reports whether another line may be logged now. r.mu must be held.
 func (r *Rooms) allowLine(now cf.Millis) bool {
 	if now-r.logWindowStart >= 1000 {
 		r.logLines, r.logWindowStart = 0, now
@@ -373,7 +378,7 @@
 	r.wake()
 }
 
-// tryTake takes bytes if it may; waiters is how many fewer wait by then.
+// tryTake takes memory if available; waiters is added to the number of waiting answers.
 func (m *Room) tryTake(least, most int64, waiters int) (int64, cfhold.Verdict, <-chan struct{}) {
 	r := m.rooms
 	r.mu.Lock()
@@ -384,7 +389,7 @@
 	}
 	n, v := r.ledger.TakeUpTo(m.reservation, least, most)
 	if v != cfhold.Wait {
-		r.options.Metrics.Held.Set(float64(r.ledger.Held())) // small takes are granted without being held
+		r.options.Metrics.Held.Set(float64(r.ledger.Held())) // small takes are granted without being counted
 		r.mu.Unlock()
 		return n, v, nil
 	}
@@ -396,8 +401,9 @@
 	freed := r.freed
 	var cuts []pendingCut
 	if r.waiters == 1 {
-		// Those that are known to be slow, without the next look. Where more wait, it is
-		// left to the look: each would sort all holds again whenever room comes free.
+		// Cut the callers that are known to be slow without waiting for the next check. If more
+		// answers wait, it is left to that check, since otherwise each of them would sort all
+		// reservations whenever memory becomes free.
 		cuts = r.chooseCuts(cf.Uptime())
 	}
 	r.mu.Unlock()
@@ -412,7 +418,7 @@
 	m.rooms.ledger.StopWaiting(m.reservation)
 }
 
-// wake lets those that wait for room try again. r.mu is held.
+// wake lets the answers that wait for memory try again. r.mu must be held.
 func (r *Rooms) wake() {
 	if r.waiters > 0 {
 		close(r.freed)
@@ -436,7 +442,7 @@
 	return eris.Wrapf(cf.ErrNoRoom, "%d bytes, %s, %d held in all", n, reason, held)
 }
 
-// WasCut says whether the caller's connection was ended because it read too slowly.
+// WasCut reports whether the caller's connection was cut because it read too slowly.
 func (m *Room) WasCut() bool { return m != nil && m.cut.Load() }
 
 // Close implements currantford.Room.
--- a/io/cfroom/cfroom_test.go
+++ b/io/cfroom/cfroom_test.go
@@ -14,15 +14,15 @@
 	"currantford/io/cfroom"
 )
 
-const memoryLimit = 16 << 20 // 4 MB of answers, 3 of one caller beside others
+const memoryLimit = 16 << 20 // 4 MB for answers; 3 MB for one caller while there are others
 
 func newRooms() (*cfroom.Rooms, *cfroom.Metrics) {
 	m := cfroom.NewMetrics(prometheus.NewRegistry())
 	return cfroom.New(cfroom.Options{MemoryBytes: memoryLimit, Metrics: m, Log: zap.NewNop()}), m
 }
 
-// Symptom guarded against: an answer that waits for room is not read on when others have
-// ended, or room that was given back is missing.
+// Guards against answers that keep waiting for memory after others have ended, and against memory
+// that is not released.
 func TestWaitingAnswersGetFreedMemory(t *testing.T) {
 	rooms, metrics := newRooms()
 	open := func() *cfroom.Room { return rooms.Open(t.Context(), "a", cfhold.Answer, "r") }
@@ -42,19 +42,19 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := open().Take(ctx, 2<<20); !errors.Is(err, cf.ErrNoRoom) {
-		t.Errorf("an answer whose request is over: %v", err)
+		t.Errorf("take by a request that was cancelled: %v, want ErrNoRoom", err)
 	}
 	second.Close()
 	second.Close()
 	if err := second.Take(t.Context(), 1); !errors.Is(err, cf.ErrNoRoom) {
-		t.Errorf("an answer of a request that has ended: %v", err)
+		t.Errorf("take after Close: %v, want ErrNoRoom", err)
 	}
 	if held := testutil.ToFloat64(metrics.Held); held != 0 {
 		t.Errorf("%.0f bytes are still held", held)
 	}
 }
 
-// writingConn is a connection on which a write is always under way.
+// writingConn is a connection with a write always in progress.
 type writingConn struct{}
 
 func (writingConn) Writing() (uint64, bool) { return 1, true }
@@ -62,7 +62,7 @@
 func (writingConn) AnswerNumber() uint64    { return 0 }
 func (writingConn) Cut(uint64) bool         { return true }
 
-// Guards against a look that closes the room which a request's handler has just opened.
+// Guards against a check that closes the Room which a request's handler has just opened.
 func TestCheckKeepsRoomOfRequestOpen(t *testing.T) {
 	rooms, _ := newRooms()
 	conn := &cfroom.Conn{Delivery: writingConn{}}
@@ -93,11 +93,11 @@
 	close(stop)
 	<-stopped
 	if closed > 0 {
-		t.Errorf("%d live rooms were closed", closed)
+		t.Errorf("%d open rooms were closed", closed)
 	}
 }
 
-// Guards against a gauge that grows by small takes, which are granted without being held.
+// Guards against a gauge that grows with small takes, which are granted without being counted.
 func TestHeldGaugeShowsReservedBytes(t *testing.T) {
 	rooms, metrics := newRooms()
 	small, large := rooms.Open(t.Context(), "a", cfhold.Answer, "r"), rooms.Open(t.Context(), "a", cfhold.Answer, "s")
@@ -105,16 +105,16 @@
 		t.Fatal(err)
 	}
 	if held := testutil.ToFloat64(metrics.Held); held != 1<<20 {
-		t.Errorf("%.0f bytes shown, want %d", held, 1<<20)
+		t.Errorf("gauge at %.0f bytes, want %d", held, 1<<20)
 	}
 	small.Close()
 	large.Close()
 	if held := testutil.ToFloat64(metrics.Held); held != 0 {
-		t.Errorf("%.0f bytes shown after all were closed", held)
+		t.Errorf("gauge at %.0f bytes after all rooms were closed, want 0", held)
 	}
 }
 
-// What an answer at usual load pays.
+// BenchmarkAnswer measures the cost of an answer at usual load.
 func BenchmarkAnswer(b *testing.B) {
 	rooms, _ := newRooms()
 	ctx := cfroom.WithConn(context.Background(), &cfroom.Conn{Delivery: writingConn{}})
--- a/io/cfroom/waiters_test.go
+++ b/io/cfroom/waiters_test.go
@@ -21,7 +21,8 @@
 	return true
 }
 
-// Guards against a search for slow callers by each of many waiters whenever room comes free.
+// Guards against a search for slow callers by each of many waiting answers whenever memory becomes
+// free.
 func TestOnlyFirstWaiterSearchesForSlowCallers(t *testing.T) {
 	rooms := New(Options{MemoryBytes: 16 << 20, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
 	slowStream := func() (*Conn, *stalledConn) {
@@ -39,7 +40,7 @@
 	wait := func() {
 		t.Helper()
 		if _, v, _ := rooms.Open(t.Context(), "a", cfhold.Answer, "").tryTake(3<<20, 3<<20, 0); v != cfhold.Wait {
-			t.Fatalf("verdict %v, want one that waits", v)
+			t.Fatalf("verdict %v, want Wait", v)
 		}
 	}
 	if err := rooms.Open(t.Context(), "a", cfhold.Answer, "").Take(t.Context(), 3<<20); err != nil {
@@ -53,6 +54,6 @@
 		t.Errorf("%d cuts by the first waiter, %d by the second; want 1 and 0", first.cuts, second.cuts)
 	}
 	if rooms.Check([]*Conn{conn}); second.cuts != 1 {
-		t.Errorf("%d cuts by the look, want 1", second.cuts)
+		t.Errorf("%d cuts by Check, want 1", second.cuts)
 	}
 }
