--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -51,7 +51,7 @@
 	in.Log.Info("request_not_identified", zap.String("request_id", request), zap.String("outcome", outcome), zap.String("reason", reason),
 		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(status.Age)), zap.Bool("current", status.Current))
 	if verdict == cfaccess.Undetermined {
-		return cf.Access{}, &cf.Refusal{After: staleConfigRetry, Reason: "the configuration may have changed"}
+		return cf.Access{}, &cf.Refusal{RetryAfter: staleConfigRetry, Reason: "the configuration may have changed"}
 	}
 	return cf.Access{}, cf.ErrUnauthenticated
 }
@@ -86,7 +86,7 @@
 	if in.configStatus().Current {
 		return err
 	}
-	return &cf.Refusal{After: staleConfigRetry, Reason: "the configuration may have changed"}
+	return &cf.Refusal{RetryAfter: staleConfigRetry, Reason: "the configuration may have changed"}
 }
 
 // hideNotFound replaces ErrNotFound for a caller without a key, so that the answer does not
--- a/io/cfingress/admission_test.go
+++ b/io/cfingress/admission_test.go
@@ -80,7 +80,7 @@
 		in := cfingress.New(cfingress.Options{
 			Members: noMembers{}, Targets: to, Site: site, NoAdmission: noAdmission, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 		})
-		server := httptest.NewServer(platform.NewCallers(in, zap.NewNop()))
+		server := httptest.NewServer(platform.NewCallerAPI(in, zap.NewNop()))
 		t.Cleanup(server.Close)
 		addrs = append(addrs, server.URL)
 	}
@@ -197,7 +197,7 @@
 	}}
 	in := newIngress(t, to, cfsite.Route{Kind: cfsite.KindOnce, MaxAttempts: 2, Timeout: 2000, SLO: 150}, "a", "b")
 	for range 10 {
-		if w, _ := ask(in, cf.Request{ID: "r", Deadline: 1500}); w.Code != http.StatusOK {
+		if w, _ := ask(in, cf.Request{ID: "r", Timeout: 1500}); w.Code != http.StatusOK {
 			t.Fatalf("status %d, want 200", w.Code)
 		}
 	}
--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -29,20 +29,20 @@
 }
 
 // callerOf returns the caller to whom the memory of an answer is charged: the organisation, or the
-// caller's machine if no organisation is known.
+// client ID if no organisation is known.
 func callerOf(access cf.Access, who cf.Credentials) cfhold.Caller {
 	if access.Organisation != "" {
 		return cfhold.Caller("o " + access.Organisation)
 	}
-	return cfhold.Caller("m " + who.Machine)
+	return cfhold.Caller("m " + who.ClientID)
 }
 
 // openRoom opens the memory reservation for a request's answers. It returns false if the request is
-// refused because its organisation does not read its earlier answers. A machine may be shared by
-// many callers, so requests without an organisation are never refused because of other callers'
-// unread answers.
+// refused because its organisation does not read its earlier answers. Many callers may share a
+// client ID, which is their machine, so requests without an organisation are never refused because
+// of other callers' unread answers.
 func (f *forwarding) openRoom(ctx context.Context, w http.ResponseWriter) (*cfroom.Room, bool) {
-	caller, kind := callerOf(f.access, f.req.Who), cfhold.Answer
+	caller, kind := callerOf(f.access, f.req.Credentials), cfhold.Answer
 	if f.route.Kind == cfsite.KindStream {
 		kind = cfhold.Stream
 	}
@@ -64,7 +64,7 @@
 
 // discard ends an attempt that failed for a reason other than its target.
 func (f *forwarding) discard(a attempt) {
-	f.usage.ended(a.target.ID, cfbalance.Abandoned, a.answer.Wrote)
+	f.usage.ended(a.target.ID, cfbalance.Abandoned, a.answer.SentAt)
 	f.recordDone(a, cfbalance.Abandoned, cf.Uptime())
 	f.in.Guard.Dropped(f.key, a.target)
 }
@@ -85,9 +85,9 @@
 // releaseBody releases the request's body before the answer is written, so that a caller that reads
 // slowly does not hold memory that other bodies need.
 func (f *forwarding) releaseBody() {
-	if f.pending > 0 || f.req.BodyDone == nil {
+	if f.pending > 0 || f.req.ReleaseBody == nil {
 		return // a pending attempt may still send the body
 	}
 	f.req.Body = nil
-	f.req.BodyDone()
+	f.req.ReleaseBody()
 }
--- a/io/cfingress/bodymemory.go
+++ b/io/cfingress/bodymemory.go
@@ -34,7 +34,7 @@
 	}
 	if held := b.reserved.Add(n); b.limit > 0 && held > b.limit && held > n {
 		b.reserved.Add(-n)
-		return nil, &cf.Refusal{After: bodyRetry, Reason: "no memory for the body now"}
+		return nil, &cf.Refusal{RetryAfter: bodyRetry, Reason: "no memory for the body now"}
 	}
 	return func() { b.reserved.Add(-n) }, nil
 }
--- a/io/cfingress/bodymemory_test.go
+++ b/io/cfingress/bodymemory_test.go
@@ -21,7 +21,7 @@
 	}
 	_, err := b.reserve(30)
 	var refusal *cf.Refusal
-	if !errors.As(err, &refusal) || refusal.After <= 0 {
+	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
 		t.Errorf("fourth body: %v, want a refusal with a retry delay", err)
 	}
 	releases[0]()
--- a/io/cfingress/forward.go
+++ b/io/cfingress/forward.go
@@ -87,20 +87,20 @@
 	}
 	// The caller is identified again by the configuration of the route, since receiving the body
 	// may have taken seconds.
-	access, err := in.identify(config, route.Use(), req.Who, string(req.ID))
+	access, err := in.identify(config, route.Use(), req.Credentials, string(req.ID))
 	if err != nil {
 		in.reject(w, req, err)
 		return
 	}
 	deadline := req.Received + route.Timeout
-	if req.Deadline > 0 && (route.Timeout <= 0 || req.Deadline < route.Timeout) {
-		deadline = req.Received + req.Deadline
+	if req.Timeout > 0 && (route.Timeout <= 0 || req.Timeout < route.Timeout) {
+		deadline = req.Received + req.Timeout
 	}
 	f := &forwarding{
-		in: in, req: req, key: cfquarantine.KeyOf(req.Method, req.Host, req.Path, cfquarantine.CallerOf(access, req.Who), req.Body), access: access,
+		in: in, req: req, key: cfquarantine.KeyOf(req.Method, req.Host, req.Path, cfquarantine.CallerOf(access, req.Credentials), req.Body), access: access,
 		route: route, service: route.PickService(rand.Float64()), version: config.Version,
 		attempts: cfbalance.NewAttempts(route, deadline), tried: map[cf.InstanceID]bool{}, notRun: map[cf.InstanceID]bool{}, results: make(chan attempt, 8),
-		usage: requestUsage{count: in.CountRequests, organisation: access.Organisation}, spent: in.deadlines.Spent(route.Name, req.Deadline, req.Received),
+		usage: requestUsage{count: in.CountRequests, organisation: access.Organisation}, spent: in.deadlines.Spent(route.Name, req.Timeout, req.Received),
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.attempts.Remaining(cf.Uptime()).Duration())
 	defer cancel()
@@ -128,7 +128,7 @@
 	var refusal *cf.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		writeRefusal(w, refusal.After, refusal.Reason)
+		writeRefusal(w, refusal.RetryAfter, refusal.Reason)
 		in.countRequest("forward", "unsure", req)
 	case errors.Is(err, cf.ErrUnauthenticated):
 		http.Error(w, err.Error(), http.StatusUnauthorized)
@@ -270,13 +270,13 @@
 	if outcome == cfbalance.Failed && a.err == nil {
 		f.lastFailure = &a
 	}
-	f.usage.ended(a.target.ID, outcome, a.answer.Wrote)
+	f.usage.ended(a.target.ID, outcome, a.answer.SentAt)
 	if outcome == cfbalance.NotRun || outcome == cfbalance.Unreached {
 		f.notRun[a.target.ID] = true
 	}
 	now := cf.Uptime()
 	f.recordDone(a, outcome, now)
-	f.in.balancer.ConnectionKept(a.target.ID, now+a.answer.Kept)
+	f.in.balancer.ConnectionKept(a.target.ID, now+a.answer.KeepAlive)
 	f.notifyGuard(a)
 	if !good {
 		f.in.Log.Warn("attempt_failed", zap.String("request_id", string(f.req.ID)), zap.String("target", string(a.target.ID)),
@@ -292,7 +292,7 @@
 	case a.err == nil && !a.answer.NotRun:
 		f.in.Guard.Answered(f.key, a.target, a.sentAt)
 	case a.err != nil && !a.callerGone && !errors.Is(a.err, cf.ErrNotRun) && !a.foundNoRoom():
-		f.in.Guard.Lost(f.req.ID, f.key, a.target, a.answer.Heard)
+		f.in.Guard.Lost(f.req.ID, f.key, a.target, a.answer.Alive)
 	default:
 		f.in.Guard.Dropped(f.key, a.target)
 	}
@@ -313,7 +313,7 @@
 			if a.answer.NotRun || errors.Is(a.err, cf.ErrNotRun) {
 				outcome = cfbalance.NotRun
 			}
-			f.usage.ended(a.target.ID, outcome, a.answer.Wrote)
+			f.usage.ended(a.target.ID, outcome, a.answer.SentAt)
 			f.recordDone(a, cfbalance.Abandoned, cf.Uptime())
 			if a.err == nil || overdue {
 				f.notifyGuard(a)
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -6,7 +6,7 @@
 // Usage:
 //
 //	in := cfingress.New(options)
-//	handler := platform.NewCallers(in, log)
+//	handler := platform.NewCallerAPI(in, log)
 package cfingress
 
 import (
@@ -164,8 +164,8 @@
 	return cf.CallerLimits{BodyBytes: c.Limits.BodyBytes}, true
 }
 
-// TakesBatches reports whether host and path match a route for batches.
-func (in *Ingress) TakesBatches(host, path string) bool {
+// AcceptsBatches reports whether host and path match a route for batches.
+func (in *Ingress) AcceptsBatches(host, path string) bool {
 	r, ok := in.Site.Config().Match(host, path)
 	return ok && r.Kind == cfsite.KindBatch
 }
--- a/io/cfingress/stream.go
+++ b/io/cfingress/stream.go
@@ -79,7 +79,7 @@
 		now := cf.Uptime()
 		a := f.streamAttempt(ctx, target, sink, now)
 		if a.err == nil && a.answer.Status/100 == 2 {
-			f.usage.ended(target.ID, cfbalance.Answered, a.answer.Wrote)
+			f.usage.ended(target.ID, cfbalance.Answered, a.answer.SentAt)
 			f.recordDone(a, cfbalance.Answered, cf.Uptime())
 			f.notifyGuard(a)
 			f.in.Log.Info("stream_answered", zap.String("request_id", string(f.req.ID)), zap.String("target", string(target.ID)),
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -187,9 +187,9 @@
 	n.peerSrv.Handle(opAskHolder, decoded(n.serveAskHolder))
 	n.peerSrv.Handle(opAlive, func(context.Context, cbor.RawMessage) (any, error) { return true, nil })
 	n.peerSrv.Handle(opMirror, decoded(n.serveMirror))
-	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.host.Orders(ctx, o) }))
-	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.Collect) (any, error) { return n.host.Collect(ctx, c) }))
-	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.Relayed(ctx, body) })
+	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.host.ApplyOrders(ctx, o) }))
+	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.CollectRequest) (any, error) { return n.host.Collect(ctx, c) }))
+	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.HandleRelayed(ctx, body) })
 	n.peerSrv.Handle(opStrikes, decoded(n.quarantine.serve))
 	n.peerSrv.Handle(opHeld, decoded(n.quarantine.serveHeld))
 	n.peerSrv.Handle(opReach, decoded(n.quarantine.serveReach))
@@ -378,7 +378,7 @@
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, StreamRouter: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
 		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: neighbour{n}, Metrics: n.metrics, Log: n.log,
-		PageBudget: n.pages, LoadLimit: before.MaxLoads, HasPredecessor: before.Entry != "", Policy: n.settings.Policy.Policy,
+		PageBudget: n.pages, MaxLoads: before.MaxLoads, HasPredecessor: before.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
@@ -422,7 +422,7 @@
 	n.autoscale.end()
 	if c := n.coord.Swap(nil); c != nil {
 		pool := n.pool.Swap(nil)
-		pool.Hurry()
+		pool.LimitStopWait()
 		defer func() { _ = pool.Close() }()
 		n.members.StopCoordinating(n.self(), cf.Uptime())
 		_ = c.Close()
