--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -38,9 +38,9 @@
 }
 
 // openRoom opens the memory reservation for a request's answers. It returns false if the request is
-// refused because its organisation does not read its earlier answers. Many callers may share a
-// client ID, which is their machine, so requests without an organisation are never refused because
-// of other callers' unread answers.
+// refused because its organisation does not read its earlier answers. A client ID may be an address
+// shared by many callers, so requests without an organisation are never refused because of other
+// callers' unread answers.
 func (f *forwarding) openRoom(ctx context.Context, w http.ResponseWriter) (*cfroom.Room, bool) {
 	caller, kind := callerOf(f.access, f.req.Credentials), cfhold.Answer
 	if f.route.Kind == cfsite.KindStream {
