--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -69,7 +69,8 @@
 	f.in.Guard.Dropped(f.key, a.target)
 }
 
-// deliveryOutcome returns the outcome of writing an answer to the caller.
+// deliveryOutcome returns the outcome of writing an answer to the caller, and logs if the caller
+// was cut off.
 func (f *forwarding) deliveryOutcome(err error) (outcome string) {
 	switch {
 	case err == nil:
--- a/io/cfingress/feasibility.go
+++ b/io/cfingress/feasibility.go
@@ -19,8 +19,8 @@
 )
 
 // infeasible returns a Refusal if the coordinator reports that not one group of a step could be
-// complete in time. The step is accepted if the coordinator does not answer, or unless the store
-// confirms that it does not contain the batch.
+// complete in time. The step is accepted if the coordinator does not answer in time, or if the
+// store does not confirm that it lacks the batch.
 func (in *Ingress) infeasible(ctx context.Context, sub cf.Submission, slo cf.Millis) *cf.Refusal {
 	if slo <= 0 || in.Feasibility == nil {
 		return nil
--- a/io/cflog/async.go
+++ b/io/cflog/async.go
@@ -11,7 +11,7 @@
 	// queueLines limits the lines waiting to be written, about 1 MB. A reader that stops reading
 	// must not block the process: further lines are dropped and counted.
 	queueLines = 4096
-	// maxWriteBytes limits a write of several lines. POSIX guarantees that a pipe takes 4,096 bytes
+	// maxWriteBytes limits a write of several lines. A pipe takes writes of up to 4,096 bytes
 	// (PIPE_BUF) atomically; log collectors split larger writes.
 	maxWriteBytes = 4096
 	// flushPollInterval is how often Flush checks whether all lines are written.
--- a/io/cflog/crash.go
+++ b/io/cflog/crash.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// PanicHandler returns a handler that calls h and ends the process if h panics. Without it the
-// recovery in net/http would let the process continue after a panic.
+// PanicHandler returns a handler that calls h and ends the process if h panics, except with
+// http.ErrAbortHandler. Without it the recovery in net/http would let the process continue after a
+// panic.
 func PanicHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
