--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -23,7 +23,7 @@
 
 func newTestNode(t *testing.T, store cf.Store) *Node {
 	t.Helper()
-	s := Settings{Entry: "a", Listen: ListenSettings{Peers: "127.0.0.1:1"}, Bounds: Bounds{GraceS: 1, KeepResultsS: 1, LeaseMs: 3000}, Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}}
+	s := Settings{Entry: "a", Listen: ListenSettings{Peers: "127.0.0.1:1"}, Bounds: Bounds{GraceS: 1, KeepResultsS: 1, LeaseMs: 3000}, Members: MemberSettings{HubThreshold: cfmember.DefaultHubThreshold}}
 	n := New(s, Adapter{Store: store, Codec: cfstandin.Codec{}, Relay: noRelay{}}, prometheus.NewRegistry(), zap.NewNop())
 	t.Cleanup(func() { _ = n.Close() })
 	return n
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -180,7 +180,7 @@
 	addr := l.Addr().String()
 	s := Settings{
 		Entry: cf.EntryID(fmt.Sprintf("front-%03d", i)), Domain: cf.FailureDomain(fmt.Sprint("d", i%fleetDomains)),
-		Listen: ListenSettings{Peers: addr, Callers: addr}, Bounds: Bounds{GraceS: 1, KeepResultsS: 1, LeaseMs: 3000}, Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}, Machine: MachineSettings{Cores: 1, CPUShare: 0.2},
+		Listen: ListenSettings{Peers: addr, Callers: addr}, Bounds: Bounds{GraceS: 1, KeepResultsS: 1, LeaseMs: 3000}, Members: MemberSettings{HubThreshold: cfmember.DefaultHubThreshold}, Machine: MachineSettings{Cores: 1, CPUShare: 0.2},
 	}
 	if i/fleetDomains%5 == 0 {
 		s.Machine.CPUShare = 1
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -142,7 +142,7 @@
 	n := &Node{
 		settings: s, adapter: a, log: log, site: cfsite.New(a.Codec), metrics: cfcoord.NewMetrics(reg),
 		peers: cfpeer.NewClient(), peerSrv: cfpeer.NewServer(), ctx: ctx, cancel: cancel,
-		started: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubsFrom), candidateDone: make(chan struct{}), pages: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
+		started: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubThreshold), candidateDone: make(chan struct{}), pages: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
 		host: cfrunner.NewHost(a.Targets, log), watchMetrics: cfwatch.NewMetrics(reg),
 	}
 	n.feedMetrics = newFeedMetrics(reg, n)
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -298,9 +298,9 @@
 	}
 }
 
-// FreeRequest frees a held request at the running instance of the settings, which tells
+// ReleaseRequest frees a held request at the running instance of the settings, which tells
 // the others. It returns ErrNotFound where the instance knows nothing of it.
-func FreeRequest(s Settings, digest cfquarantine.Digest) error {
+func ReleaseRequest(s Settings, digest cfquarantine.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
 	peers := cfpeer.NewClient()
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -39,9 +39,9 @@
 
 	// MemberSettings say how the instances hear of each other.
 	MemberSettings struct {
-		// HubsFrom is from how many instances on some pass the coordinator's news on to
+		// HubThreshold is from how many instances on some pass the coordinator's news on to
 		// the others; cfmember.DefaultHubThreshold where it is not given.
-		HubsFrom int `json:"hubs_from"`
+		HubThreshold int `json:"hubs_from"`
 	}
 
 	// PolicySettings turn decisions off, to measure what they bring.
@@ -146,7 +146,7 @@
 // ReadSettings reads and checks a settings file. Errors name the JSON path of
 // each bad field.
 func ReadSettings(path string) (Settings, error) {
-	s := Settings{Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}, Scaling: defaultScaling}
+	s := Settings{Members: MemberSettings{HubThreshold: cfmember.DefaultHubThreshold}, Scaling: defaultScaling}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return s, eris.Wrap(err, "read settings")
@@ -200,7 +200,7 @@
 	if s.Bounds.KeyTrustMs < 0 {
 		bad("bounds.key_trust_ms", "must not be under 0")
 	}
-	if s.Members.HubsFrom < 2 {
+	if s.Members.HubThreshold < 2 {
 		bad("members.hubs_from", "must be over 1")
 	}
 	if s.Usage.WindowS < 0 || s.Usage.LateS < 0 {
--- a/nodecommands/commands.go
+++ b/nodecommands/commands.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	return cfnode.FreeRequest(s, digest)
+	return cfnode.ReleaseRequest(s, digest)
 }
 
 // Execute implements flags.Commander.
