--- a/io/cfingress/access.go
+++ b/io/cfingress/access.go
@@ -10,30 +10,31 @@
 	"currantford/core/cfsite"
 )
 
-// unsureRetry is when a caller should come back whose key this instance can't judge.
-// It hears of a configuration within a second of reaching anybody.
-const unsureRetry cf.Millis = 300
+// staleConfigRetry is the retry delay for a caller whose key this instance can't judge. An instance
+// learns of a new configuration within a second of reaching any other.
+const staleConfigRetry cf.Millis = 300
 
-// ConfigStatus is how far this instance can rely on its configuration, and how long ago it was
-// last known to be the newest.
+// ConfigStatus tells how far this instance can rely on its configuration, and how long ago the
+// configuration was last known to be the newest.
 type ConfigStatus struct {
 	cfaccess.ConfigFreshness
 	Age cf.Millis
 }
 
-// belief returns that of this instance; one that is not told relies on what it has.
-func (in *Ingress) belief() ConfigStatus {
+// configStatus returns the status of this instance's configuration. Without a ConfigStatus option
+// the configuration is taken as the newest.
+func (in *Ingress) configStatus() ConfigStatus {
 	if in.ConfigStatus == nil {
 		return ConfigStatus{ConfigFreshness: cfaccess.ConfigFreshness{Current: true, KeysTrusted: true}}
 	}
 	return in.ConfigStatus()
 }
 
-// identify says who a request comes from. It returns a refusal where another instance
-// may know better, or ErrUnauthenticated.
+// identify returns the access rights of the caller that sent a request. It returns a Refusal if
+// another instance may know the key, or ErrUnauthenticated.
 func (in *Ingress) identify(config *cfsite.Config, use cfaccess.Use, who cf.Credentials, request string) (cf.Access, error) {
-	b := in.belief()
-	verdict, access := config.Directory.Authenticate(who.Keys, use, b.ConfigFreshness)
+	status := in.configStatus()
+	verdict, access := config.Directory.Authenticate(who.Keys, use, status.ConfigFreshness)
 	if verdict == cfaccess.Accepted {
 		return access, nil
 	}
@@ -48,15 +49,15 @@
 	}
 	in.Metrics.Unauthenticated.WithLabelValues(outcome, reason).Inc()
 	in.Log.Info("request_not_identified", zap.String("request_id", request), zap.String("outcome", outcome), zap.String("reason", reason),
-		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(b.Age)), zap.Bool("current", b.Current))
+		zap.Int64("config_version", int64(config.Version)), zap.Int64("config_age_ms", int64(status.Age)), zap.Bool("current", status.Current))
 	if verdict == cfaccess.Undetermined {
-		return cf.Access{}, &cf.Refusal{RetryAfter: unsureRetry, Reason: "the configuration may have changed"}
+		return cf.Access{}, &cf.Refusal{RetryAfter: staleConfigRetry, Reason: "the configuration may have changed"}
 	}
 	return cf.Access{}, cf.ErrUnauthenticated
 }
 
-// Authenticate implements currantford.Ingress. A request without a route may be read: the
-// answer does not hang on who asks.
+// Authenticate implements currantford.Ingress. A request without a route passes: its body may be
+// read, since the answer does not depend on the caller.
 func (in *Ingress) Authenticate(host, path string, who cf.Credentials) error {
 	config := in.Site.Config()
 	route, ok := config.Match(host, path)
@@ -67,9 +68,10 @@
 	return err
 }
 
-// reader returns whose batches a caller may use. One without any key may use those that
-// were handed in on public routes; whatever else it asks for, it is told to show a key.
-func (in *Ingress) reader(who cf.Credentials, id cf.BatchID) (owner cf.Organisation, anonymous bool, err error) {
+// identifyReader returns the organisation whose batches a caller may access. A caller without a key
+// may access the batches that were submitted on public routes; for any other batch the answer asks
+// for a key.
+func (in *Ingress) identifyReader(who cf.Credentials, id cf.BatchID) (owner cf.Organisation, anonymous bool, err error) {
 	config := in.Site.Config()
 	if config.Directory != nil && len(who.Keys) == 0 {
 		return "", true, nil
@@ -78,20 +80,20 @@
 	return access.Organisation, false, err
 }
 
-// definite returns an answer that hangs on the configuration, or a refusal where another
-// instance may know a newer one.
-func (in *Ingress) definite(err error) error {
-	if in.belief().Current {
+// unlessStale returns err, which depends on the configuration, or a Refusal if another instance may
+// know a newer configuration.
+func (in *Ingress) unlessStale(err error) error {
+	if in.configStatus().Current {
 		return err
 	}
-	return &cf.Refusal{RetryAfter: unsureRetry, Reason: "the configuration may have changed"}
+	return &cf.Refusal{RetryAfter: staleConfigRetry, Reason: "the configuration may have changed"}
 }
 
-// notFound turns the answer to a caller without a key into one that tells it nothing of
-// what there is.
-func (in *Ingress) notFound(anonymous bool, err error) error {
+// hideNotFound replaces ErrNotFound for a caller without a key, so that the answer does not
+// disclose which batches exist.
+func (in *Ingress) hideNotFound(anonymous bool, err error) error {
 	if anonymous && errors.Is(err, cf.ErrNotFound) {
-		return in.definite(cf.ErrUnauthenticated)
+		return in.unlessStale(cf.ErrUnauthenticated)
 	}
 	return err
 }
--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -15,32 +15,34 @@
 	"currantford/io/cfroom"
 )
 
-// unreadRetry is when a caller should come back that has not read what it asked for before:
-// one that reads slowly is cut off within two seconds where others need the room.
+// unreadRetry is the retry delay for a caller that has not read its earlier answers. A caller that
+// reads slowly is cut off within two seconds if others need the memory.
 const unreadRetry cf.Millis = 2000
 
 // OpenRoom implements currantford.Ingress.
 func (in *Ingress) OpenRoom(ctx context.Context, who cf.Credentials, id cf.BatchID) cf.Room {
 	var access cf.Access
 	if config := in.Site.Config(); config != nil {
-		_, access = config.Directory.Authenticate(who.Keys, cfaccess.Use{}, in.belief().ConfigFreshness)
+		_, access = config.Directory.Authenticate(who.Keys, cfaccess.Use{}, in.configStatus().ConfigFreshness)
 	}
-	return in.Rooms.Open(ctx, holderOf(access, who), cfhold.Page, string(id))
+	return in.Rooms.Open(ctx, callerOf(access, who), cfhold.Page, string(id))
 }
 
-// holderOf says whose answers count together.
-func holderOf(access cf.Access, who cf.Credentials) cfhold.Caller {
+// callerOf returns the caller to whom the memory of an answer is charged: the organisation, or the
+// client ID if no organisation is known.
+func callerOf(access cf.Access, who cf.Credentials) cfhold.Caller {
 	if access.Organisation != "" {
 		return cfhold.Caller("o " + access.Organisation)
 	}
 	return cfhold.Caller("m " + who.ClientID)
 }
 
-// openRoom opens the room of a request's answers. It returns false where the request is
-// refused, as its organisation does not read what it asked for before. Callers that are
-// known by their machine alone may be many: none is refused for what another does not read.
+// openRoom opens the memory reservation for a request's answers. It returns false if the request is
+// refused because its organisation does not read its earlier answers. A client ID may be an address
+// shared by many callers, so requests without an organisation are never refused because of other
+// callers' unread answers.
 func (f *forwarding) openRoom(ctx context.Context, w http.ResponseWriter) (*cfroom.Room, bool) {
-	caller, kind := holderOf(f.access, f.req.Credentials), cfhold.Answer
+	caller, kind := callerOf(f.access, f.req.Credentials), cfhold.Answer
 	if f.route.Kind == cfsite.KindStream {
 		kind = cfhold.Stream
 	}
@@ -51,23 +53,25 @@
 	return f.in.Rooms.Open(ctx, caller, kind, string(f.req.ID)), true
 }
 
-// foundNoRoom says whether the answer could not be held.
+// foundNoRoom reports whether there was no memory for the answer.
 func (a attempt) foundNoRoom() bool { return errors.Is(a.err, cf.ErrNoRoom) }
 
-// failNoRoom ends a request whose answer could not be held. It has run, so it is not refused.
+// failNoRoom ends a request without memory for its answer. The request has run, so it must not be
+// refused.
 func (f *forwarding) failNoRoom(w http.ResponseWriter) {
 	f.fail(w, http.StatusBadGateway, cf.ErrNoRoom.Error())
 }
 
-// leave ends an attempt for a reason that is not its target's.
-func (f *forwarding) leave(a attempt) {
-	f.use.ended(a.target.ID, cfbalance.Abandoned, a.answer.SentAt)
-	f.done(a, cfbalance.Abandoned, cf.Uptime())
+// discard ends an attempt that failed for a reason other than its target.
+func (f *forwarding) discard(a attempt) {
+	f.usage.ended(a.target.ID, cfbalance.Abandoned, a.answer.SentAt)
+	f.recordDone(a, cfbalance.Abandoned, cf.Uptime())
 	f.in.Guard.Dropped(f.key, a.target)
 }
 
-// delivered notes that an answer was written to its caller, or why it was not.
-func (f *forwarding) delivered(err error) (outcome string) {
+// deliveryOutcome returns the outcome of writing an answer to the caller, and logs if the caller
+// was cut off.
+func (f *forwarding) deliveryOutcome(err error) (outcome string) {
 	switch {
 	case err == nil:
 		return "answered"
@@ -79,11 +83,11 @@
 	}
 }
 
-// dropBody gives up the request's body before its answer is written: a caller that reads
-// slowly does not keep the memory that others' bodies need.
-func (f *forwarding) dropBody() {
+// releaseBody releases the request's body before the answer is written, so that a caller that reads
+// slowly does not hold memory that other bodies need.
+func (f *forwarding) releaseBody() {
 	if f.pending > 0 || f.req.ReleaseBody == nil {
-		return // an attempt that was given up may still send it
+		return // a pending attempt may still send the body
 	}
 	f.req.Body = nil
 	f.req.ReleaseBody()
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -143,7 +143,7 @@
 	n := &Node{
 		settings: s, adapter: a, log: log, site: cfsite.New(a.Codec), metrics: cfcoord.NewMetrics(reg),
 		peers: cfpeer.NewClient(), peerSrv: cfpeer.NewServer(), ctx: ctx, cancel: cancel,
-		startedAt: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubsFrom), candidateDone: make(chan struct{}), linkBudget: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
+		startedAt: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubThreshold), candidateDone: make(chan struct{}), linkBudget: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
 		runnerHost: cfrunner.NewHost(a.Targets, log), watchMetrics: cfwatch.NewMetrics(reg),
 	}
 	n.feedMetrics = newFeedMetrics(reg, n)
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -299,9 +299,9 @@
 	}
 }
 
-// FreeRequest frees a held request at the running instance of the settings, which informs the
+// ReleaseRequest frees a held request at the running instance of the settings, which informs the
 // others. It returns ErrNotFound if the instance does not know the request.
-func FreeRequest(s Settings, digest cfquarantine.Digest) error {
+func ReleaseRequest(s Settings, digest cfquarantine.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
 	peers := cfpeer.NewClient()
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -39,9 +39,9 @@
 
 	// MemberSettings configures how the instances learn of each other.
 	MemberSettings struct {
-		// HubsFrom is the number of instances from which hubs relay the coordinator's updates to
+		// HubThreshold is the number of instances from which hubs relay the coordinator's updates to
 		// the other instances; the default is cfmember.HubsFrom.
-		HubsFrom int `json:"hubs_from"`
+		HubThreshold int `json:"hubs_from"`
 	}
 
 	// PolicySettings disables single decisions, to measure their effect.
@@ -144,7 +144,7 @@
 // ReadSettings reads and checks a settings file. Its errors name the JSON path of each invalid
 // field.
 func ReadSettings(path string) (Settings, error) {
-	s := Settings{Members: MemberSettings{HubsFrom: cfmember.DefaultHubThreshold}, Scaling: defaultScaling}
+	s := Settings{Members: MemberSettings{HubThreshold: cfmember.DefaultHubThreshold}, Scaling: defaultScaling}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return s, eris.Wrap(err, "read settings")
@@ -198,7 +198,7 @@
 	if s.Bounds.KeyTrustMs < 0 {
 		addError("bounds.key_trust_ms", "must not be under 0")
 	}
-	if s.Members.HubsFrom < 2 {
+	if s.Members.HubThreshold < 2 {
 		addError("members.hubs_from", "must be over 1")
 	}
 	if s.Usage.WindowS < 0 || s.Usage.LateS < 0 {
