--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -14,9 +14,9 @@
 // autoscale runs the duty of ordering engines while this instance is the coordinator. A nil
 // autoscale orders nothing.
 type autoscale struct {
-	node    *Node
-	metrics *cfautoscale.Metrics
-	duty    atomic.Pointer[cfautoscale.Controller]
+	node       *Node
+	metrics    *cfautoscale.Metrics
+	controller atomic.Pointer[cfautoscale.Controller]
 }
 
 // newAutoscale returns nil if no engines are to be ordered.
@@ -43,7 +43,7 @@
 		},
 		NoteOrder: n.candidate.Ordered, Demand: c.Demand, Policies: a.policies, Metrics: a.metrics, Log: n.log,
 	})
-	a.duty.Store(d)
+	a.controller.Store(d)
 	d.Start()
 }
 
@@ -72,7 +72,7 @@
 	if a == nil {
 		return
 	}
-	if d := a.duty.Swap(nil); d != nil {
+	if d := a.controller.Swap(nil); d != nil {
 		_ = d.Close()
 	}
 }
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -351,7 +351,7 @@
 	if update == nil {
 		return true, nil
 	}
-	age := n.configBelief().Age
+	age := n.configStatus().Age
 	changed, err := n.site.ApplyConfigUpdate(*update)
 	if changed {
 		cfwatch.LogConfigApplied(n.log, n.site, "coordinator", age)
--- a/io/cfnode/feedmetrics.go
+++ b/io/cfnode/feedmetrics.go
@@ -37,7 +37,7 @@
 		}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "currantford_config_age_seconds", Help: "Time since the configuration here was last known to be the newest.",
-		}, func() float64 { return float64(n.configBelief().Age) / 1000 }),
+		}, func() float64 { return float64(n.configStatus().Age) / 1000 }),
 	)
 	return m
 }
--- a/io/cfnode/freshness.go
+++ b/io/cfnode/freshness.go
@@ -25,14 +25,14 @@
 	return at
 }
 
-// configBelief returns how far this instance can rely on its configuration.
+// configStatus returns how far this instance can rely on its configuration.
 //
 // An instance that is cut off continues with the keys that it knows, as its callers may not reach
 // another one. A key that has been revoked in the meantime would be accepted there for just as
 // long, so the instance stops after the time that its settings allow. While another instance has no
 // answer from the store either, the store is unavailable to all and no key can have been revoked:
 // the instance then continues, unless its settings make revocations strict.
-func (n *Node) configBelief() cfingress.ConfigStatus {
+func (n *Node) configStatus() cfingress.ConfigStatus {
 	now := cf.Uptime()
 	age := now - n.configCurrentAt(now)
 	maxAge := n.settings.Bounds.KeyTrustMs
@@ -43,8 +43,8 @@
 	}
 }
 
-// updateBelief refreshes what configBelief depends on. It is called several times a second.
-func (n *Node) updateBelief(now cf.Millis) {
+// updateConfigStatus refreshes what configStatus depends on. It is called several times a second.
+func (n *Node) updateConfigStatus(now cf.Millis) {
 	currentAt := n.configCurrentAt(now)
 	n.lastCurrentAt.Store(int64(currentAt))
 	if now-currentAt >= outageAskAge && n.settings.Bounds.KeyTrustMs > 0 {
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -154,7 +154,7 @@
 	}
 	n.autoscale = newAutoscale(n, reg)
 	n.guard = cfguard.New(cfguard.Options{
-		Self: s.Entry, Targets: a.Targets, Site: n.site, Share: n.quarantine.share, ReachableElsewhere: n.quarantine.witness, Disabled: s.Policy.NoQuarantine,
+		Self: s.Entry, Targets: a.Targets, Site: n.site, Share: n.quarantine.share, ReachableElsewhere: n.quarantine.reachableElsewhere, Disabled: s.Policy.NoQuarantine,
 		Metrics: cfguard.NewMetrics(reg), Log: log,
 	})
 	n.quarantine.guard = n.guard
@@ -169,7 +169,7 @@
 	}
 	n.ingress = cfingress.New(cfingress.Options{
 		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: coordinatorClient{n}, Members: n, Guard: n.guard, Feasibility: n.feasibility(),
-		ConfigStatus: n.configBelief, CountRequests: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
+		ConfigStatus: n.configStatus, CountRequests: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
 		ValueBytes: s.Store.ValueBytes, MemoryBytes: s.Memory.LimitMB << 20,
 		IgnorePace: s.Policy.IgnorePace, Metrics: cfingress.NewMetrics(reg), Log: log,
 	})
@@ -194,7 +194,7 @@
 	n.peerSrv.Handle(opStrikes, decoded(n.quarantine.serve))
 	n.peerSrv.Handle(opHeld, decoded(n.quarantine.serveHeld))
 	n.peerSrv.Handle(opReach, decoded(n.quarantine.serveReach))
-	n.peerSrv.Handle(opFree, decoded(n.quarantine.serveFree))
+	n.peerSrv.Handle(opFree, decoded(n.quarantine.serveRelease))
 	a.Relay.SetRelay(n.relay)
 	return n
 }
@@ -375,7 +375,7 @@
 	n.runnerPool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, StreamRouter: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
-		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: replicaClient{n}, Metrics: n.metrics, Log: n.log,
+		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: mirrorPeers{n}, Metrics: n.metrics, Log: n.log,
 		PageBudget: n.linkBudget, MaxLoads: previous.MaxLoads, HasPredecessor: previous.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
@@ -394,7 +394,7 @@
 	}
 	n.replicas.mu.Lock()
 	defer n.replicas.mu.Unlock()
-	return maxLoads, n.replicas.ownReplicaAddr, n.usage.reportedBase()
+	return maxLoads, n.replicas.ownReplicaAddr, n.usage.snapshot()
 }
 
 // newPool returns the pool for a duty that begins.
@@ -452,7 +452,7 @@
 		case w != nil && n.coord.Load() != nil:
 			w.coordinated = true
 		}
-		n.updateBelief(now)
+		n.updateConfigStatus(now)
 		n.quarantine.tick(now)
 		for _, t := range n.site.DropLapsed(now) {
 			n.log.Info("target_changed", zap.String("target", string(t.ID)), zap.Bool("gone", true), zap.String("reason", "lapsed"))
@@ -475,7 +475,7 @@
 	state := n.status(now)
 	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", state.FallbackWatcher), zap.Bool("behind_hub", state.BehindHub), zap.Bool("holder_named", state.HolderNamed),
 		ageField("word_age_ms", state.UpdatedAt, now), ageField("unsure_age_ms", state.UncertainAt, now), ageField("away_age_ms", state.OutageConfirmedAt, now),
-		zap.Int64("config_age_ms", int64(n.configBelief().Age)))
+		zap.Int64("config_age_ms", int64(n.configStatus().Age)))
 }
 
 // ageField returns the time since at as a log field, or no field if at is zero.
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -34,12 +34,12 @@
 	maxStrikesPerCall = 64
 	// strikesTimeout bounds a call to another instance.
 	strikesTimeout = 400 * time.Millisecond
-	// freeTimeout bounds the command that frees a request.
-	freeTimeout = 5 * time.Second
-	// witnessTimeout bounds the question whether another instance reaches a target, including its
-	// connection attempt. maxWitnesses is how many instances are asked.
-	witnessTimeout = 450 * time.Millisecond
-	maxWitnesses   = 2
+	// releaseTimeout bounds the command that releases a held request.
+	releaseTimeout = 5 * time.Second
+	// reachTimeout bounds the question whether another instance reaches a target, including its
+	// connection attempt. maxReachPeers is how many instances are asked.
+	reachTimeout  = 450 * time.Millisecond
+	maxReachPeers = 2
 	// heldExchangeInterval is the minimum time between the exchanges of an instance that holds
 	// other requests than its peer, strikeExchangeInterval that of an instance that merely knows
 	// other strikes: at most 1 KB/s while a caller crashes targets with a different request each
@@ -58,8 +58,8 @@
 		Offset  int                   `cbor:"after,omitempty"`
 	}
 
-	// freeMessage asks an instance to free a held request.
-	freeMessage struct {
+	// releaseMessage asks an instance to release a held request.
+	releaseMessage struct {
 		Digest cfquarantine.Digest `cbor:"digest"`
 	}
 
@@ -181,8 +181,9 @@
 	return q.guard.Table.ExchangeReply(m.Strikes, m.Offset, exchangeSize, cf.Uptime()), nil
 }
 
-// witness asks other instances whether they reach a target, those of other failure domains first.
-func (q *quarantine) witness(ctx context.Context, target cf.Target) bool {
+// reachableElsewhere asks other instances whether they reach a target, those of other failure
+// domains first.
+func (q *quarantine) reachableElsewhere(ctx context.Context, target cf.Target) bool {
 	sameDomain := func(e cfmember.Entry) bool { return e.Domain == q.node.settings.Domain }
 	others := slices.DeleteFunc(slices.Clone(q.node.Live()), func(e cfmember.Entry) bool { return e.ID == q.node.settings.Entry })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -196,8 +197,8 @@
 			return 1
 		}
 	})
-	others = others[:min(len(others), maxWitnesses)]
-	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
+	others = others[:min(len(others), maxReachPeers)]
+	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
 	answers := make(chan bool, len(others))
 	for _, e := range others {
@@ -220,8 +221,8 @@
 	return q.guard.Probe(ctx, target) == nil, nil
 }
 
-// serveFree frees a held request at an operator's command.
-func (q *quarantine) serveFree(_ context.Context, m freeMessage) (any, error) {
+// serveRelease releases a held request at an operator's command.
+func (q *quarantine) serveRelease(_ context.Context, m releaseMessage) (any, error) {
 	return q.guard.Release(m.Digest), nil
 }
 
@@ -299,15 +300,15 @@
 	}
 }
 
-// ReleaseRequest frees a held request at the running instance of the settings, which informs the
-// others. It returns ErrNotFound if the instance does not know the request.
+// ReleaseRequest releases a held request. It calls the running instance of the settings, which
+// informs the others, and returns ErrNotFound if that instance does not know the request.
 func ReleaseRequest(s Settings, digest cfquarantine.Digest) error {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	peers := cfpeer.NewClient()
 	defer func() { _ = peers.Close() }()
 	var freed int
-	if err := peers.Call(ctx, s.Listen.Peers, opFree, freeMessage{digest}, &freed); err != nil {
+	if err := peers.Call(ctx, s.Listen.Peers, opFree, releaseMessage{digest}, &freed); err != nil {
 		return err
 	}
 	if freed == 0 {
--- a/io/cfnode/server.go
+++ b/io/cfnode/server.go
@@ -96,7 +96,7 @@
 }
 
 // Write implements net.Conn. A write that blocks because the caller does not read is detected by
-// Rooms.Look, at no cost to other writes.
+// Rooms.Check, at no cost to other writes.
 func (c *conn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	defer c.writes.Add(1)
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -39,8 +39,8 @@
 
 	// MemberSettings configures how the instances learn of each other.
 	MemberSettings struct {
-		// HubThreshold is the number of instances from which hubs relay the coordinator's updates to
-		// the other instances; the default is cfmember.HubsFrom.
+		// HubThreshold is the number of instances from which hubs relay the coordinator's updates
+		// to the other instances; the default is cfmember.DefaultHubThreshold.
 		HubThreshold int `json:"hubs_from"`
 	}
 
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -76,13 +76,13 @@
 		ownReplicaAddr string
 	}
 
-	// replicaClient implements cfcoord.Neighbour.
-	replicaClient struct{ n *Node }
+	// mirrorPeers implements cfcoord.MirrorPeers.
+	mirrorPeers struct{ n *Node }
 )
 
-// Choose implements cfcoord.Neighbour. It prefers an instance of the same failure domain that has
+// Choose implements cfcoord.MirrorPeers. It prefers an instance of the same failure domain that has
 // the capacity, since traffic within a failure domain is free.
-func (b replicaClient) Choose(avoid string) string {
+func (b mirrorPeers) Choose(avoid string) string {
 	addr := cfmember.TextReplica(b.n.Live(), b.n.self(), avoid).PeerAddr
 	b.n.replicas.mu.Lock()
 	defer b.n.replicas.mu.Unlock()
@@ -90,8 +90,8 @@
 	return addr
 }
 
-// Copy implements cfcoord.Neighbour.
-func (b replicaClient) Copy(addr string, part cfcoord.Mirror) ([]cf.ItemID, error) {
+// Copy implements cfcoord.MirrorPeers.
+func (b mirrorPeers) Copy(addr string, part cfcoord.Mirror) ([]cf.ItemID, error) {
 	ctx, cancel := context.WithTimeout(b.n.ctx, textsTimeout.Duration())
 	defer cancel()
 	var missing []cf.ItemID
@@ -222,9 +222,9 @@
 	slices.SortFunc(sources, func(a, b textsSource) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Size, a.Size))
 	})
-	for _, h := range sources[:min(len(sources), maxTextsSources)] {
-		timeout := textsTimeout + min(cf.Millis(h.Size/textsBytesPerMs), maxTextsWait)
-		if got := n.queryTexts(ctx, map[string]bool{h.addr: true}, h.addr, textsCall{term, true}, timeout); len(got) > 0 {
+	for _, source := range sources[:min(len(sources), maxTextsSources)] {
+		timeout := textsTimeout + min(cf.Millis(source.Size/textsBytesPerMs), maxTextsWait)
+		if got := n.queryTexts(ctx, map[string]bool{source.addr: true}, source.addr, textsCall{term, true}, timeout); len(got) > 0 {
 			return got[0]
 		}
 	}
--- a/io/cfnode/texts_test.go
+++ b/io/cfnode/texts_test.go
@@ -116,11 +116,11 @@
 	n.candidate.write(ctx) // a renewal
 	successor := newTestNode(t, store)
 	successor.candidate.probe(ctx)
-	before, _ := successor.candidate.holder()
-	if before.MaxLoads != 9 || before.ReplicaAddr != "10.0.0.7:1" {
-		t.Fatalf("the lease holds %d loads and replica address %q", before.MaxLoads, before.ReplicaAddr)
+	previous, _ := successor.candidate.holder()
+	if previous.MaxLoads != 9 || previous.ReplicaAddr != "10.0.0.7:1" {
+		t.Fatalf("the lease holds %d loads and replica address %q", previous.MaxLoads, previous.ReplicaAddr)
 	}
-	successor.beginDuty(before, nil)
+	successor.beginDuty(previous, nil)
 	if loads, _, _ := successor.dutyState(); loads != 9 {
 		t.Errorf("the successor starts with %d loads, want 9", loads)
 	}
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -46,9 +46,9 @@
 	meter   *cfusage.Meter
 	clock   cfusage.Clock
 	metrics *cfmeter.Metrics
-	// duty is set while this instance reports to the platform.
-	duty   atomic.Pointer[cfmeter.Collector]
-	sentAt atomic.Int64 // Uptime
+	// collector is set while this instance has the reporting duty.
+	collector atomic.Pointer[cfmeter.Collector]
+	sentAt    atomic.Int64 // Uptime
 }
 
 func newUsage(n *Node, metrics *cfmeter.Metrics) *usage {
@@ -80,8 +80,8 @@
 	if now-cf.Millis(last) < min(cf.Millis(1000*len(n.Live())/maxUsageMessages), maxUsageDelay) || !u.sentAt.CompareAndSwap(last, int64(now)) {
 		return
 	}
-	if u.duty.Load() != nil {
-		return // The duty reads this instance's own counts.
+	if u.collector.Load() != nil {
+		return // The collector reads this instance's own counts.
 	}
 	holder, _ := n.candidate.holder()
 	n.wg.Go(func() {
@@ -111,7 +111,7 @@
 }
 
 func (u *usage) serve(_ context.Context, m usageMessage) (any, error) {
-	d := u.duty.Load()
+	d := u.collector.Load()
 	if d == nil || d.Lease.Fence != m.Term {
 		return false, nil
 	}
@@ -133,7 +133,7 @@
 	if u == nil || r == nil {
 		return false, 0
 	}
-	d := u.duty.Load()
+	d := u.collector.Load()
 	if d == nil {
 		return false, 0
 	}
@@ -178,9 +178,9 @@
 	}
 }
 
-// begin starts the reporting duty under the coordinator's term. base is the usage that had been
-// reported to the previous holder.
-func (u *usage) begin(expected []cf.EntryID, base json.RawMessage) {
+// begin starts the reporting duty under the coordinator's term. inherited is the usage that had
+// been reported to the previous holder.
+func (u *usage) begin(expected []cf.EntryID, inherited json.RawMessage) {
 	if u == nil {
 		return
 	}
@@ -193,20 +193,20 @@
 		Timing: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
 		// A previous holder may have called until its lease expired.
 		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= earliest },
-		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, OnSettled: u.meter.Settle, Instances: expected, Inherited: base,
+		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, OnSettled: u.meter.Settle, Instances: expected, Inherited: inherited,
 		Metrics: u.metrics, Log: n.log,
 	})
-	u.duty.Store(d)
+	u.collector.Store(d)
 	d.Start()
 }
 
-// reportedBase returns the reported usage for a successor, or nil while this instance has no
-// reporting duty.
-func (u *usage) reportedBase() json.RawMessage {
+// snapshot returns the reported usage for a successor, or nil while this instance has no reporting
+// duty.
+func (u *usage) snapshot() json.RawMessage {
 	if u == nil {
 		return nil
 	}
-	d := u.duty.Load()
+	d := u.collector.Load()
 	if d == nil {
 		return nil
 	}
@@ -237,7 +237,7 @@
 	}
 }
 
-// ownReport returns this instance's counts to its own duty.
+// ownReport returns this instance's counts to its own collector.
 func (u *usage) ownReport(term cf.Revision) cfusage.MeterReport {
 	r := u.meter.Report(term, u.now())
 	u.meter.Acknowledge(term, r)
@@ -249,7 +249,7 @@
 	if u == nil {
 		return
 	}
-	if d := u.duty.Swap(nil); d != nil {
+	if d := u.collector.Swap(nil); d != nil {
 		_ = d.Close()
 	}
 }
