--- a/io/cfnode/holder.go
+++ b/io/cfnode/holder.go
@@ -31,7 +31,7 @@
 	Rev    cf.Revision    `cbor:"rev"`
 }
 
-// holderAnswer states which holder an instance knows and how its access to the store is. Fresh
+// holderAnswer states which holder an instance knows and whether the store answers it. Fresh
 // reports that its view of the store is current, StoreUnresponsive that it queries the store itself
 // without an answer.
 type holderAnswer struct {
@@ -90,12 +90,12 @@
 	holder, rev := n.candidate.holder()
 	now := cf.Uptime()
 	w := n.watchers.Load()
-	// An update of a coordinator that has become uncertain since does not count as current.
+	// An update does not count as current if the coordinator has become uncertain since.
 	current := n.feed.current(now) && n.feed.asOf.Load() > n.feed.uncertainAt.Load()
 	return holderAnswer{holder, rev, current || n.ownViewCurrent(now), w != nil && w.config.StoreUnresponsive(now)}, nil
 }
 
-// askHolder asks another instance who the holder is and how its access to the store is.
+// askHolder asks another instance who the holder is and whether the store answers it.
 func (n *Node) askHolder(ctx context.Context, addr string) (holderAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
