--- a/clock.go
+++ b/clock.go
@@ -27,11 +27,11 @@
 
 // Backoff returns m doubled for each of times, up to most: the pause after so many
 // failures in a row.
-func (m Millis) Backoff(times int, most Millis) Millis {
-	for ; times > 0 && 0 < m && m < most; times-- {
+func (m Millis) Backoff(failures int, limit Millis) Millis {
+	for ; failures > 0 && 0 < m && m < limit; failures-- {
 		m *= 2
 	}
-	return min(m, most)
+	return min(m, limit)
 }
 
 // Uptime returns the span since the machine started. Unlike Go's monotonic
--- a/io/cfautoscale/cfautoscale.go
+++ b/io/cfautoscale/cfautoscale.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// wantedName is the object that holds what is wanted.
-	wantedName = "engines"
+	// stateName is the object that holds what is wanted.
+	stateName = "engines"
 	// tick is how often the duty looks: two looks and an order take less than the time in
 	// which an engine is in service.
 	tick = 500 * time.Millisecond
@@ -41,8 +41,8 @@
 
 // Warnings.
 const (
-	warnNotRead     = "engines_wanted_not_read"
-	warnUnconfirmed = "engines_wanted_unconfirmed"
+	warnLoadFailed      = "engines_wanted_not_read"
+	warnSaveUnconfirmed = "engines_wanted_unconfirmed"
 )
 
 type (
@@ -74,12 +74,12 @@
 		wg     cflog.Group
 
 		// What follows is the loop's alone.
-		keeper   *cfscale.Reconciler
-		deciders map[cf.ServiceName]*cfscale.Decider
-		// why is what last changed the orders of a service.
-		why map[cf.ServiceName]cfscale.Rationale
-		// warned is when each warning was last logged, without those whose cause has ended.
-		warned map[string]cf.Millis
+		reconciler *cfscale.Reconciler
+		deciders   map[cf.ServiceName]*cfscale.Decider
+		// rationale is what last changed the orders of a service.
+		rationale map[cf.ServiceName]cfscale.Rationale
+		// warnedAt is when each warning was last logged, without those whose cause has ended.
+		warnedAt map[string]cf.Millis
 	}
 
 	// Metrics are the duty's counters.
@@ -107,8 +107,8 @@
 	return m
 }
 
-// clear sets the gauges to zero: only the holder reports them.
-func (m *Metrics) clear() {
+// reset sets the gauges to zero: only the holder reports them.
+func (m *Metrics) reset() {
 	m.Wanted.Set(0)
 	m.Serving.Set(0)
 	m.Needed.Set(0)
@@ -118,98 +118,98 @@
 func New(o Options) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Controller{
-		Options: o, ctx: ctx, cancel: cancel, keeper: cfscale.NewReconciler(o.Lease.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
-		why: map[cf.ServiceName]cfscale.Rationale{}, warned: map[string]cf.Millis{},
+		Options: o, ctx: ctx, cancel: cancel, reconciler: cfscale.NewReconciler(o.Lease.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
+		rationale: map[cf.ServiceName]cfscale.Rationale{}, warnedAt: map[string]cf.Millis{},
 	}
 }
 
 // Start begins the duty.
-func (d *Controller) Start() { d.wg.Go(d.loop) }
+func (c *Controller) Start() { c.wg.Go(c.loop) }
 
 // Close ends the duty.
-func (d *Controller) Close() error {
-	d.cancel()
-	d.wg.Wait()
+func (c *Controller) Close() error {
+	c.cancel()
+	c.wg.Wait()
 	return nil
 }
 
-func (d *Controller) loop() {
-	defer d.Metrics.clear()
+func (c *Controller) loop() {
+	defer c.Metrics.reset()
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		d.look()
+		c.reconcile()
 		select {
-		case <-d.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// look decides, and does what is due.
-func (d *Controller) look() {
-	terms := d.Policies()
-	if len(terms) == 0 {
+// reconcile decides, and does what is due.
+func (c *Controller) reconcile() {
+	policies := c.Policies()
+	if len(policies) == 0 {
 		return // nothing may be ordered, and nothing is read
 	}
-	if kept, known := d.keeper.Stored(); known {
-		d.act(d.decide(terms, kept), terms)
+	if stored, known := c.reconciler.Stored(); known {
+		c.apply(c.decide(policies, stored), policies)
 		return
 	}
-	if d.read() {
-		kept, _ := d.keeper.Stored()
-		d.act(d.decide(terms, kept), terms)
+	if c.load() {
+		stored, _ := c.reconciler.Stored()
+		c.apply(c.decide(policies, stored), policies)
 	}
 }
 
 // decide returns what is wanted.
-func (d *Controller) decide(terms map[cf.ServiceName]cfscale.Policy, kept cfscale.StoredState) cfscale.StoredState {
+func (c *Controller) decide(policies map[cf.ServiceName]cfscale.Policy, stored cfscale.StoredState) cfscale.StoredState {
 	now := cf.Uptime()
 	var wanted cfscale.StoredState
 	var target, serving, need float64
-	for service, t := range terms {
-		decider := d.deciders[service]
+	for service, policy := range policies {
+		decider := c.deciders[service]
 		if decider == nil {
-			decider = cfscale.NewDecider(t, now, d.HasPredecessor)
-			d.deciders[service] = decider
+			decider = cfscale.NewDecider(policy, now, c.HasPredecessor)
+			c.deciders[service] = decider
 		}
-		decider.SetPolicy(t)
-		demand, known := d.Demand(service)
+		decider.SetPolicy(policy)
+		demand, known := c.Demand(service)
 		if !known {
 			continue
 		}
-		orders, why := decider.Decide(now, demand, kept)
-		if why.Cause != "" || d.why[service].Cause == "" {
-			d.why[service] = why
+		orders, rationale := decider.Decide(now, demand, stored)
+		if rationale.Cause != "" || c.rationale[service].Cause == "" {
+			c.rationale[service] = rationale
 		}
-		for _, pool := range decider.PoolsToReorder(now, demand, kept) {
-			d.Log.Info("engines_missing", zap.String("service", string(pool.Service)), zap.String("failure_domain", string(pool.Domain)),
+		for _, pool := range decider.PoolsToReorder(now, demand, stored) {
+			c.Log.Info("engines_missing", zap.String("service", string(pool.Service)), zap.String("failure_domain", string(pool.Domain)),
 				zap.Bool("spot", pool.Spot), zap.Int("in_service", demand.Engines[pool]))
-			d.keeper.RepeatOrder(pool)
+			c.reconciler.RepeatOrder(pool)
 		}
 		wanted.Orders = append(wanted.Orders, orders...)
 		wanted.Preexisting = append(wanted.Preexisting, decider.Preexisting()...)
-		target, serving, need = target+float64(why.Desired), serving+float64(why.Serving), need+why.Need
+		target, serving, need = target+float64(rationale.Desired), serving+float64(rationale.Serving), need+rationale.Need
 	}
-	d.Metrics.Wanted.Set(target)
-	d.Metrics.Serving.Set(serving)
-	d.Metrics.Needed.Set(need)
+	c.Metrics.Wanted.Set(target)
+	c.Metrics.Serving.Set(serving)
+	c.Metrics.Needed.Set(need)
 	return wanted
 }
 
-// act does what is due until nothing is.
-func (d *Controller) act(wanted cfscale.StoredState, terms map[cf.ServiceName]cfscale.Policy) {
-	may := func(s cf.ServiceName) bool { _, ok := terms[s]; return ok }
-	for d.ctx.Err() == nil && d.MayAct() {
-		step := d.keeper.Next(cf.Uptime(), wanted, may)
-		switch step.Kind {
+// apply does what is due until nothing is.
+func (c *Controller) apply(wanted cfscale.StoredState, policies map[cf.ServiceName]cfscale.Policy) {
+	allowed := func(s cf.ServiceName) bool { _, ok := policies[s]; return ok }
+	for c.ctx.Err() == nil && c.MayAct() {
+		action := c.reconciler.Next(cf.Uptime(), wanted, allowed)
+		switch action.Kind {
 		case cfscale.ActionWrite:
-			if !d.keep(step) {
+			if !c.save(action) {
 				return
 			}
 		case cfscale.ActionOrder:
-			if !d.give(step.Order) {
+			if !c.sendOrder(action.Order) {
 				return
 			}
 		case cfscale.ActionRead: // at the next look: what is wanted follows from it
@@ -220,67 +220,67 @@
 	}
 }
 
-// read reads what lies in the store.
-func (d *Controller) read() bool {
-	r, err := d.Store.Get(d.ctx, cf.KindScaling, wantedName)
-	var kept cfscale.StoredState
+// load reads what lies in the store.
+func (c *Controller) load() bool {
+	r, err := c.Store.Get(c.ctx, cf.KindScaling, stateName)
+	var stored cfscale.StoredState
 	if err == nil {
-		if err = json.Unmarshal(r.Spec, &kept); err != nil {
-			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", wantedName, err)
+		if err = json.Unmarshal(r.Spec, &stored); err != nil {
+			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", stateName, err)
 		}
 	}
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		d.keeper.LoadedEmpty()
+		c.reconciler.LoadedEmpty()
 	case err != nil:
-		d.warn(warnNotRead, err)
+		c.warn(warnLoadFailed, err)
 		return false
 	default:
-		d.keeper.Loaded(kept, r.Rev)
-		d.Log.Info("engines_wanted_read", zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", kept.Orders))
+		c.reconciler.Loaded(stored, r.Rev)
+		c.Log.Info("engines_wanted_read", zap.Int64("term", int64(c.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", stored.Orders))
 	}
-	delete(d.warned, warnNotRead)
+	delete(c.warnedAt, warnLoadFailed)
 	return true
 }
 
 // warn logs a warning when its cause begins, and each warnEvery while it lasts.
-func (d *Controller) warn(event string, err error) {
+func (c *Controller) warn(event string, err error) {
 	now := cf.Uptime()
-	if last, warned := d.warned[event]; warned && now-last < warnEvery {
+	if last, warned := c.warnedAt[event]; warned && now-last < warnEvery {
 		return
 	}
-	d.warned[event] = now
-	d.Log.Warn(event, cflog.Error(err))
+	c.warnedAt[event] = now
+	c.Log.Warn(event, cflog.Error(err))
 }
 
-// keep writes what is wanted.
-func (d *Controller) keep(step cfscale.Action) bool {
+// save writes what is wanted.
+func (c *Controller) save(action cfscale.Action) bool {
 	var r cf.Record
 	var err error
-	if step.Rev == 0 {
-		r, err = d.Store.Create(d.ctx, cf.KindScaling, wantedName, step.State)
+	if action.Rev == 0 {
+		r, err = c.Store.Create(c.ctx, cf.KindScaling, stateName, action.State)
 	} else {
-		r, err = d.Store.Replace(d.ctx, cf.KindScaling, wantedName, step.Rev, step.State)
+		r, err = c.Store.Replace(c.ctx, cf.KindScaling, stateName, action.Rev, action.State)
 	}
 	if err != nil || r.Rev == 0 {
-		d.keeper.WriteInDoubt()
-		d.warn(warnUnconfirmed, err)
+		c.reconciler.WriteInDoubt()
+		c.warn(warnSaveUnconfirmed, err)
 		return false
 	}
-	delete(d.warned, warnUnconfirmed)
-	d.keeper.Written(step.State, r.Rev)
-	d.Log.Info("engines_wanted_kept", zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", step.State.Orders))
+	delete(c.warnedAt, warnSaveUnconfirmed)
+	c.reconciler.Written(action.State, r.Rev)
+	c.Log.Info("engines_wanted_kept", zap.Int64("term", int64(c.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", action.State.Orders))
 	return true
 }
 
-// give gives an order.
-func (d *Controller) give(o cf.EngineOrder) bool {
-	ctx, cancel := context.WithTimeout(d.ctx, orderTimeout)
+// sendOrder gives an order.
+func (c *Controller) sendOrder(o cf.EngineOrder) bool {
+	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
-	d.NoteOrder()
-	began := time.Now()
-	err := d.Scaling.OrderEngines(ctx, d.Lease, o)
-	d.NoteOrder()
+	c.NoteOrder()
+	started := time.Now()
+	err := c.Scaling.OrderEngines(ctx, c.Lease, o)
+	c.NoteOrder()
 	outcome := "taken"
 	switch {
 	case errors.Is(err, cf.ErrFenced):
@@ -292,18 +292,18 @@
 	case err != nil:
 		outcome = "refused"
 	}
-	why := d.why[o.Service]
-	cause := why.Cause
+	rationale := c.rationale[o.Service]
+	cause := rationale.Cause
 	if cause == "" {
 		cause = cfscale.CauseInherited
 	}
-	d.Metrics.Orders.WithLabelValues(string(cause), outcome).Inc()
-	d.Log.Info("engines_ordered", zap.String("service", string(o.Service)), zap.String("failure_domain", string(o.Domain)), zap.Bool("spot", o.Spot),
-		zap.Int("count", o.Count), zap.Int64("term", int64(d.Lease.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
-		zap.Float64("need", why.Need), zap.Float64("need_recent", why.RecentNeed), zap.Float64("need_shown", why.ObservedNeed), zap.Float64("worst_step", why.WorstStep), zap.Int("target", why.Desired), zap.Int("in_service", why.Serving),
-		zap.Int("booting", why.Booting), zap.Float64("earns", why.MarginalValue), zap.Float64("costs", why.MarginalCost),
-		zap.Int64("took_ms", time.Since(began).Milliseconds()), cflog.Error(err))
-	now, decider := cf.Uptime(), d.deciders[o.Service]
+	c.Metrics.Orders.WithLabelValues(string(cause), outcome).Inc()
+	c.Log.Info("engines_ordered", zap.String("service", string(o.Service)), zap.String("failure_domain", string(o.Domain)), zap.Bool("spot", o.Spot),
+		zap.Int("count", o.Count), zap.Int64("term", int64(c.Lease.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
+		zap.Float64("need", rationale.Need), zap.Float64("need_recent", rationale.RecentNeed), zap.Float64("need_shown", rationale.ObservedNeed), zap.Float64("worst_step", rationale.WorstStep), zap.Int("target", rationale.Desired), zap.Int("in_service", rationale.Serving),
+		zap.Int("booting", rationale.Booting), zap.Float64("earns", rationale.MarginalValue), zap.Float64("costs", rationale.MarginalCost),
+		zap.Int64("took_ms", time.Since(started).Milliseconds()), cflog.Error(err))
+	now, decider := cf.Uptime(), c.deciders[o.Service]
 	if decider != nil && errors.Is(err, cf.ErrConflict) {
 		decider.Refused(o.EnginePool, now)
 	} else if decider != nil {
@@ -311,12 +311,12 @@
 	}
 	switch {
 	case err == nil:
-		d.keeper.OrderAccepted(o, now)
+		c.reconciler.OrderAccepted(o, now)
 		return true
 	case errors.Is(err, cf.ErrUnavailable):
-		d.keeper.OrderInDoubt(o, now)
+		c.reconciler.OrderInDoubt(o, now)
 	default:
-		d.keeper.OrderRejected(o, now)
+		c.reconciler.OrderRejected(o, now)
 	}
 	// Others may be taken where one was refused; without an answer they would wait for
 	// theirs in vain.
--- a/io/cfmeter/cfmeter.go
+++ b/io/cfmeter/cfmeter.go
@@ -28,15 +28,15 @@
 )
 
 const (
-	// reportsName is the object that holds the reports until they are sent.
-	reportsName = "reports"
+	// outboxName is the object that holds the reports until they are sent.
+	outboxName = "reports"
 	// tick is how often the duty looks whether a window is due.
 	tick = 100 * time.Millisecond
 	// sendTimeout bounds a report. One without an answer is sent again, the same.
 	sendTimeout = 1500 * time.Millisecond
-	// loggedMost bounds the organisations of a log line; the store has them all until the
+	// maxLoggedCounts bounds the organisations of a log line; the store has them all until the
 	// report is sent.
-	loggedMost = 200
+	maxLoggedCounts = 200
 )
 
 type (
@@ -70,9 +70,9 @@
 		cancel context.CancelFunc
 		wg     cflog.Group
 
-		mu      sync.Mutex
-		account *cfusage.Aggregator
-		keeper  *cfusage.Reporter
+		mu         sync.Mutex
+		aggregator *cfusage.Aggregator
+		reporter   *cfusage.Reporter
 	}
 
 	// Metrics are the duty's counters.
@@ -97,170 +97,170 @@
 // New returns a duty that has not started.
 func New(o Options) *Collector {
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &Collector{Options: o, ctx: ctx, cancel: cancel, account: cfusage.NewAggregator(o.Timing.Length), keeper: cfusage.NewReporter(o.Timing)}
+	c := &Collector{Options: o, ctx: ctx, cancel: cancel, aggregator: cfusage.NewAggregator(o.Timing.Length), reporter: cfusage.NewReporter(o.Timing)}
 	now := o.Now()
 	for _, e := range o.Instances {
-		d.account.Expect(e, now)
+		c.aggregator.Expect(e, now)
 	}
 	if len(o.Inherited) > 0 {
 		var base cfusage.Snapshot
 		if err := json.Unmarshal(o.Inherited, &base); err != nil {
 			o.Log.Error("usage_base_not_read", cflog.Error(err))
 		}
-		d.account.Restore(base)
+		c.aggregator.Restore(base)
 		o.Log.Info("usage_restored", zap.Int64("first_window", int64(base.First)), zap.Int("entries", len(base.Sources)), zap.Int("counts", len(base.Rows)))
 	}
-	return d
+	return c
 }
 
 // Snapshot returns what a successor needs if this instance is lost.
-func (d *Collector) Snapshot() json.RawMessage {
-	d.mu.Lock()
-	base := d.account.Snapshot()
-	d.mu.Unlock()
+func (c *Collector) Snapshot() json.RawMessage {
+	c.mu.Lock()
+	base := c.aggregator.Snapshot()
+	c.mu.Unlock()
 	if len(base.Rows) == 0 {
 		return nil
 	}
 	out, err := json.Marshal(base)
 	if err != nil {
-		d.Log.Error("usage_base_not_kept", cflog.Error(err))
+		c.Log.Error("usage_base_not_kept", cflog.Error(err))
 	}
 	return out
 }
 
 // Start begins the duty.
-func (d *Collector) Start() { d.wg.Go(d.loop) }
+func (c *Collector) Start() { c.wg.Go(c.loop) }
 
 // Close ends the duty.
-func (d *Collector) Close() error {
-	d.cancel()
-	d.wg.Wait()
+func (c *Collector) Close() error {
+	c.cancel()
+	c.wg.Wait()
 	return nil
 }
 
 // Add takes what an instance has counted. It returns the last window of which there is a
 // report.
-func (d *Collector) Add(r cfusage.MeterReport) cf.UsageWindow {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, late := range d.account.Add(r) {
+func (c *Collector) Add(r cfusage.MeterReport) cf.UsageWindow {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, late := range c.aggregator.Add(r) {
 		n := int64(0)
 		for _, count := range late.Counts {
 			n += count
 		}
 		if n > 0 {
-			d.Metrics.Late.Add(float64(n))
-			d.Log.Warn("usage_late", zap.String("entry", string(r.Source.Entry)), zap.Int64("window", int64(late.Window)), zap.Int64("requests", n))
+			c.Metrics.Late.Add(float64(n))
+			c.Log.Warn("usage_late", zap.String("entry", string(r.Source.Entry)), zap.Int64("window", int64(late.Window)), zap.Int64("requests", n))
 		}
 	}
-	return d.keeper.Settled()
+	return c.reporter.Settled()
 }
 
-func (d *Collector) loop() {
+func (c *Collector) loop() {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		for d.step() {
+		for c.runNext() {
 		}
 		select {
-		case <-d.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// step does what is due; it returns true if more may be.
-func (d *Collector) step() bool {
-	d.Add(d.LocalCounts(d.Lease.Fence))
-	if d.ctx.Err() != nil || !d.MayAct() {
+// runNext does what is due; it returns true if more may be.
+func (c *Collector) runNext() bool {
+	c.Add(c.LocalCounts(c.Lease.Fence))
+	if c.ctx.Err() != nil || !c.MayAct() {
 		return false
 	}
-	d.mu.Lock()
-	step := d.keeper.Next(d.Now(), d.account)
-	d.mu.Unlock()
+	c.mu.Lock()
+	step := c.reporter.Next(c.Now(), c.aggregator)
+	c.mu.Unlock()
 	switch step.Kind {
 	case cfusage.Read:
-		return d.read()
+		return c.load()
 	case cfusage.Write:
-		return d.keep(step)
+		return c.save(step)
 	case cfusage.Send:
-		return d.send(step.Report)
+		return c.send(step.Report)
 	default:
 		return false
 	}
 }
 
-// read reads what lies in the store.
-func (d *Collector) read() bool {
-	r, err := d.Store.Get(d.ctx, cf.KindUsage, reportsName)
-	var kept cfusage.Outbox
+// load reads what lies in the store.
+func (c *Collector) load() bool {
+	r, err := c.Store.Get(c.ctx, cf.KindUsage, outboxName)
+	var stored cfusage.Outbox
 	if err == nil {
-		if err = json.Unmarshal(r.Spec, &kept); err != nil {
-			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", reportsName, err)
+		if err = json.Unmarshal(r.Spec, &stored); err != nil {
+			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", outboxName, err)
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		d.keeper.InitOutbox(d.Now(), d.account)
+		c.reporter.InitOutbox(c.Now(), c.aggregator)
 	case err != nil:
-		d.Log.Warn("usage_not_read", cflog.Error(err))
+		c.Log.Warn("usage_not_read", cflog.Error(err))
 		return false
 	default:
-		d.keeper.SetOutbox(kept, r.Rev)
+		c.reporter.SetOutbox(stored, r.Rev)
 	}
-	d.settle()
+	c.markSettled()
 	return true
 }
 
-// keep writes the reports that are due.
-func (d *Collector) keep(step cfusage.Step) bool {
+// save writes the reports that are due.
+func (c *Collector) save(step cfusage.Step) bool {
 	var r cf.Record
 	var err error
 	if step.Rev == 0 {
-		r, err = d.Store.Create(d.ctx, cf.KindUsage, reportsName, step.Outbox)
+		r, err = c.Store.Create(c.ctx, cf.KindUsage, outboxName, step.Outbox)
 	} else {
-		r, err = d.Store.Replace(d.ctx, cf.KindUsage, reportsName, step.Rev, step.Outbox)
+		r, err = c.Store.Replace(c.ctx, cf.KindUsage, outboxName, step.Rev, step.Outbox)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil || r.Rev == 0 {
-		d.keeper.InvalidateOutbox()
-		d.Log.Warn("usage_in_doubt", zap.Int64("window", int64(step.Outbox.Settled)), cflog.Error(err))
+		c.reporter.InvalidateOutbox()
+		c.Log.Warn("usage_in_doubt", zap.Int64("window", int64(step.Outbox.Settled)), cflog.Error(err))
 		return false
 	}
-	d.keeper.SetOutbox(step.Outbox, r.Rev)
-	d.settle()
+	c.reporter.SetOutbox(step.Outbox, r.Rev)
+	c.markSettled()
 	for _, p := range step.Outbox.Pending {
-		d.logKept(p, r.Rev)
+		c.logSaved(p, r.Rev)
 	}
 	return true
 }
 
-// logKept logs a report as it lies in the store, as far as a line can hold it.
-func (d *Collector) logKept(p cf.UsageReport, rev cf.Revision) {
+// logSaved logs a report as it lies in the store, as far as a line can hold it.
+func (c *Collector) logSaved(p cf.UsageReport, rev cf.Revision) {
 	counts := zap.Skip()
-	if len(p.Counts) <= loggedMost {
+	if len(p.Counts) <= maxLoggedCounts {
 		counts = zap.Any("counts", p.Counts)
 	}
-	d.Log.Info("usage_kept", zap.Int64("window", int64(p.Window)), zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(rev)),
+	c.Log.Info("usage_kept", zap.Int64("window", int64(p.Window)), zap.Int64("term", int64(c.Lease.Fence)), zap.Int64("revision", int64(rev)),
 		zap.Int("organisations", len(p.Counts)), counts)
 }
 
-// settle lets the instances forget what is kept. d.mu is held.
-func (d *Collector) settle() {
-	d.account.Settle(d.keeper.Settled())
-	d.OnSettled(d.keeper.Settled())
+// markSettled lets the instances forget what is kept. d.mu is held.
+func (c *Collector) markSettled() {
+	c.aggregator.Settle(c.reporter.Settled())
+	c.OnSettled(c.reporter.Settled())
 }
 
 // send sends a report.
-func (d *Collector) send(report cf.UsageReport) bool {
-	ctx, cancel := context.WithTimeout(d.ctx, sendTimeout)
+func (c *Collector) send(report cf.UsageReport) bool {
+	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
-	began := time.Now()
-	err := d.Metering.ReportUsage(ctx, d.Lease, report)
+	started := time.Now()
+	err := c.Metering.ReportUsage(ctx, c.Lease, report)
 	outcome := "taken"
 	switch {
 	case errors.Is(err, cf.ErrFenced):
@@ -270,15 +270,15 @@
 	case err != nil:
 		outcome = "refused"
 	}
-	d.Metrics.Reports.WithLabelValues(outcome).Inc()
-	d.Log.Info("usage_sent", zap.Int64("window", int64(report.Window)), zap.Int64("term", int64(d.Lease.Fence)), zap.String("outcome", outcome),
-		zap.Int64("took_ms", time.Since(began).Milliseconds()), zap.Int64("after_its_end_ms", int64(d.Now()-report.Window.End(d.Timing.Length))), cflog.Error(err))
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.Metrics.Reports.WithLabelValues(outcome).Inc()
+	c.Log.Info("usage_sent", zap.Int64("window", int64(report.Window)), zap.Int64("term", int64(c.Lease.Fence)), zap.String("outcome", outcome),
+		zap.Int64("took_ms", time.Since(started).Milliseconds()), zap.Int64("after_its_end_ms", int64(c.Now()-report.Window.End(c.Timing.Length))), cflog.Error(err))
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		d.keeper.NotSent(report.Window, d.Now())
+		c.reporter.NotSent(report.Window, c.Now())
 		return false
 	}
-	d.keeper.Sent(report.Window)
+	c.reporter.Sent(report.Window)
 	return true
 }
--- a/io/cfpeer/cancel_test.go
+++ b/io/cfpeer/cancel_test.go
@@ -46,12 +46,12 @@
 		var out string
 		answer <- c.Call(ctx, addr, "wait", nil, &out)
 	}()
-	gone, leave := context.WithCancel(ctx)
-	leave()
+	cancelled, cancelNow := context.WithCancel(ctx)
+	cancelNow()
 	// The library chooses at random whether it sees the context before or
 	// after it has begun to write.
 	for range 50 {
-		if err := c.Call(gone, addr, "echo", nil, &got); err == nil {
+		if err := c.Call(cancelled, addr, "echo", nil, &got); err == nil {
 			t.Error("a call with a cancelled context succeeded")
 		}
 	}
--- a/io/cfpeer/dial_test.go
+++ b/io/cfpeer/dial_test.go
@@ -39,14 +39,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
-	var first atomic.Bool
+	var firstDone atomic.Bool
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			if client.Call(ctx, l.Addr().String(), "store", 1, nil) == nil {
 				t.Error("a call to a silent peer succeeded")
 			}
 		}
-		first.Store(true)
+		firstDone.Store(true)
 	})
 	<-connected
 	for range 8 {
@@ -56,7 +56,7 @@
 		}
 		stop()
 	}
-	if first.Load() {
+	if firstDone.Load() {
 		t.Error("calls of 50 ms waited for one of 20 s")
 	}
 	cancel()
--- a/io/cfpeer/peer.go
+++ b/io/cfpeer/peer.go
@@ -69,19 +69,19 @@
 	// readers it started.
 	Client struct {
 		mu    sync.Mutex
-		slots map[string]*slot
+		peers map[string]*peer
 		wg    cflog.Group
 	}
 
-	// slot is the connection to one peer. It is taken while dialling: a peer that
+	// peer is the connection to one peer. It is taken while dialling: a peer that
 	// does not answer holds up calls to itself only, and each for its own time
 	// at most.
-	slot struct {
-		taken chan struct{}
-		conn  *conn
-		// failed is the error of the last try to connect, tries counts them.
-		failed error
-		tries  atomic.Int64
+	peer struct {
+		sem  chan struct{}
+		conn *conn
+		// dialErr is the error of the last try to connect, tries counts them.
+		dialErr error
+		dials   atomic.Int64
 	}
 
 	conn struct {
@@ -164,7 +164,7 @@
 		out, err = h(s.ctx, m.Body)
 	}
 	if err != nil {
-		reply.Error, reply.Code = err.Error(), code(err)
+		reply.Error, reply.Code = err.Error(), errorCode(err)
 	} else if reply.Body, err = cbor.Marshal(out); err != nil {
 		reply.Error, reply.Code = err.Error(), "invalid"
 	}
@@ -172,7 +172,7 @@
 	_ = ws.Write(s.ctx, websocket.MessageBinary, data)
 }
 
-func code(err error) string {
+func errorCode(err error) string {
 	for c, s := range sentinels {
 		if errors.Is(err, s) {
 			return c
@@ -182,17 +182,17 @@
 }
 
 // NewClient returns a client with no connections.
-func NewClient() *Client { return &Client{slots: map[string]*slot{}} }
+func NewClient() *Client { return &Client{peers: map[string]*peer{}} }
 
 // Close ends every connection and waits for their readers.
 func (c *Client) Close() error {
 	c.mu.Lock()
-	for _, s := range c.slots {
-		s.taken <- struct{}{}
-		if s.conn != nil {
-			_ = s.conn.ws.CloseNow() // the reader ends with its error
+	for _, p := range c.peers {
+		p.sem <- struct{}{}
+		if p.conn != nil {
+			_ = p.conn.ws.CloseNow() // the reader ends with its error
 		}
-		s.release()
+		p.release()
 	}
 	c.mu.Unlock()
 	c.wg.Wait()
@@ -260,69 +260,69 @@
 }
 
 func (c *Client) conn(ctx context.Context, addr string) (*conn, error) {
-	s := c.slot(addr)
-	before := s.tries.Load()
-	if !s.take(ctx) {
+	p := c.peer(addr)
+	before := p.dials.Load()
+	if !p.acquire(ctx) {
 		return nil, eris.Wrapf(cf.ErrUnavailable, "peer %s: %v", addr, ctx.Err())
 	}
-	defer s.release()
-	if s.conn != nil && !s.conn.isBroken() {
-		return s.conn, nil
+	defer p.release()
+	if p.conn != nil && !p.conn.isBroken() {
+		return p.conn, nil
 	}
 	// Whoever waited while another call tried in vain has its answer.
-	if s.failed != nil && s.tries.Load() > before {
-		return nil, s.failed
+	if p.dialErr != nil && p.dials.Load() > before {
+		return nil, p.dialErr
 	}
-	ws, err := s.dial(ctx, addr)
+	ws, err := p.dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	ws.SetReadLimit(readLimit)
 	cn := &conn{ws: ws, pending: map[uint64]chan Message{}}
-	s.conn = cn
+	p.conn = cn
 	c.wg.Go(func() { c.read(cn) })
 	return cn, nil
 }
 
-// take waits for the slot; false if ctx ended before.
-func (s *slot) take(ctx context.Context) bool {
+// acquire waits for the slot; false if ctx ended before.
+func (p *peer) acquire(ctx context.Context) bool {
 	select {
-	case s.taken <- struct{}{}:
+	case p.sem <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (s *slot) release() { <-s.taken }
+func (p *peer) release() { <-p.sem }
 
 // dial connects to a peer. The slot is taken, by a call that may have seconds: with all
 // of them for its try, it would hold a coordinator's renewals and watches up for as long.
-func (s *slot) dial(ctx context.Context, addr string) (*websocket.Conn, error) {
+func (p *peer) dial(ctx context.Context, addr string) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	ws, _, err := websocket.Dial(ctx, "ws://"+addr+"/v1/peer", nil) //nolint:bodyclose // the library closes the handshake body itself
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.failed = eris.Wrapf(cf.ErrNoProcess, "dial peer %s", addr)
+		p.dialErr = eris.Wrapf(cf.ErrNoProcess, "dial peer %s", addr)
 	case err != nil:
-		s.failed = eris.Wrapf(cf.ErrUnavailable, "dial peer %s: %v", addr, err)
+		p.dialErr = eris.Wrapf(cf.ErrUnavailable, "dial peer %s: %v", addr, err)
 	default:
-		s.failed = nil
+		p.dialErr = nil
 	}
-	s.tries.Add(1)
-	return ws, s.failed
+	p.dials.Add(1)
+	return ws, p.dialErr
 }
 
-func (c *Client) slot(addr string) *slot {
+func (c *Client) peer(addr string) *peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.slots[addr]
-	if s == nil {
-		s = &slot{taken: make(chan struct{}, 1)}
-		c.slots[addr] = s
+	p := c.peers[addr]
+	if p == nil {
+		p = &peer{sem: make(chan struct{}, 1)}
+		c.peers[addr] = p
 	}
-	return s
+	return p
 }
 
 // write sends one message. It does not take the caller's context: the library
--- a/io/cfrunner/assign.go
+++ b/io/cfrunner/assign.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// ownPerCore is how many usual runs a coordinator of one core holds itself. A usual
+	// localRunsPerCore is how many usual runs a coordinator of one core holds itself. A usual
 	// run brings an event each usualPace ms; their events then take a third of the core.
 	// The load it answers: the runs of two steps at a coordinator of a fifth of a core,
 	// which then handles events, renewals and acceptances seconds late.
-	ownPerCore = 500
-	usualPace  = 40
-	// heldPerCore is the same of another instance, which serves callers and may be
+	localRunsPerCore     = 500
+	typicalEventInterval = 40
+	// hostRunsPerCore is the same of another instance, which serves callers and may be
 	// the next coordinator: an eighth of its core.
-	heldPerCore = 200
+	hostRunsPerCore = 200
 )
 
 // Plan says which instance holds the streams of which engine; those of an engine
 // that is not in it stay with the coordinator.
 type Plan map[cf.InstanceID]cfmember.Entry
 
-// usualRuns returns how many usual runs cost as much as runs whose events come each pace ms;
+// typicalRuns returns how many usual runs cost as much as runs whose events come each pace ms;
 // a pace that is not known is zero.
-func usualRuns(runs int, pace float64) int {
-	if pace <= 0 {
+func typicalRuns(runs int, eventInterval float64) int {
+	if eventInterval <= 0 {
 		return runs
 	}
-	return int(float64(runs) * usualPace / pace)
+	return int(float64(runs) * typicalEventInterval / eventInterval)
 }
 
 // Assign divides the engines among the instances, if more runs are under way at once
@@ -39,30 +39,30 @@
 // near its engines, the strong ones first; which ones changes little as instances
 // come and go, and an engine stays with the instance that it had before: that one has
 // connections to it.
-func Assign(engines []cf.Target, runs int, members []cfmember.Entry, self cfmember.Entry, before Plan) Plan {
+func Assign(engines []cf.Target, runs int, members []cfmember.Entry, self cfmember.Entry, previous Plan) Plan {
 	members = slices.DeleteFunc(slices.Clone(members), func(e cfmember.Entry) bool { return e.ID == self.ID })
-	if len(members) == 0 || len(engines) == 0 || holdsAll(runs, self) {
+	if len(members) == 0 || len(engines) == 0 || canRunAll(runs, self) {
 		return nil
 	}
 	// Each engine is expected to have its part of the runs.
-	perSlot := min(float64(runs)/float64(max(slots(engines), 1)), 1)
-	near := map[cf.FailureDomain][]cfmember.Entry{}
+	runsPerSlot := min(float64(runs)/float64(max(totalSlots(engines), 1)), 1)
+	membersByDomain := map[cf.FailureDomain][]cfmember.Entry{}
 	for _, e := range members {
-		near[e.Domain] = append(near[e.Domain], e)
+		membersByDomain[e.Domain] = append(membersByDomain[e.Domain], e)
 	}
 	// Engines of a failure domain without instances go to those of any.
-	at := map[cf.FailureDomain][]cf.Target{}
+	enginesByDomain := map[cf.FailureDomain][]cf.Target{}
 	for _, t := range engines {
 		d := t.Domain
-		if len(near[d]) == 0 {
+		if len(membersByDomain[d]) == 0 {
 			d = ""
 		}
-		at[d] = append(at[d], t)
+		enginesByDomain[d] = append(enginesByDomain[d], t)
 	}
-	near[""] = members
+	membersByDomain[""] = members
 	plan := Plan{}
-	for d, ts := range at {
-		plan.divide(ts, perSlot, near[d], before)
+	for d, ts := range enginesByDomain {
+		plan.assign(ts, runsPerSlot, membersByDomain[d], previous)
 	}
 	return plan
 }
@@ -76,7 +76,7 @@
 	var best cfmember.Entry
 	for _, e := range p {
 		near, bestNear := e.Domain == t.Domain, best.Domain == t.Domain
-		if best.ID == "" || near && !bestNear || near == bestNear && weight(t.ID, e.ID) > weight(t.ID, best.ID) {
+		if best.ID == "" || near && !bestNear || near == bestNear && rendezvousHash(t.ID, e.ID) > rendezvousHash(t.ID, best.ID) {
 			best = e
 		}
 	}
@@ -84,12 +84,12 @@
 	return best, true
 }
 
-// holdsAll says whether an instance can hold so many runs by itself.
-func holdsAll(runs int, self cfmember.Entry) bool { return float64(runs) <= ownPerCore*self.Capacity }
+// canRunAll says whether an instance can hold so many runs by itself.
+func canRunAll(runs int, e cfmember.Entry) bool { return float64(runs) <= localRunsPerCore*e.Capacity }
 
-// divide gives engines to the first instances, in the order of their weight, that
+// assign gives engines to the first instances, in the order of their weight, that
 // can carry them together.
-func (p Plan) divide(engines []cf.Target, perSlot float64, members []cfmember.Entry, before Plan) {
+func (p Plan) assign(engines []cf.Target, runsPerSlot float64, members []cfmember.Entry, previous Plan) {
 	order, strongest := slices.Clone(members), cfmember.MaxCapacity(members)
 	slices.SortFunc(order, func(a, b cfmember.Entry) int {
 		strongA, strongB := cfmember.NearMax(a.Capacity, strongest), cfmember.NearMax(b.Capacity, strongest)
@@ -99,22 +99,22 @@
 			}
 			return 1
 		}
-		return cmp.Compare(weight("", a.ID), weight("", b.ID))
+		return cmp.Compare(rendezvousHash("", a.ID), rendezvousHash("", b.ID))
 	})
-	need, taken := perSlot*float64(slots(engines)), 0
-	for need > 0 && taken < len(order) {
-		need -= heldPerCore * order[taken].Capacity
-		taken++
+	need, hosts := runsPerSlot*float64(totalSlots(engines)), 0
+	for need > 0 && hosts < len(order) {
+		need -= hostRunsPerCore * order[hosts].Capacity
+		hosts++
 	}
-	order = order[:taken]
-	room := map[cf.EntryID]float64{}
+	order = order[:hosts]
+	free := map[cf.EntryID]float64{}
 	for _, e := range order {
-		room[e.ID] = heldPerCore * e.Capacity
+		free[e.ID] = hostRunsPerCore * e.Capacity
 	}
 	for _, t := range engines {
-		runs := perSlot * float64(t.Slots)
-		if e := before[t.ID]; room[e.ID] >= runs && e.ID != "" {
-			room[e.ID] -= runs
+		runs := runsPerSlot * float64(t.Slots)
+		if e := previous[t.ID]; free[e.ID] >= runs && e.ID != "" {
+			free[e.ID] -= runs
 			p[t.ID] = e
 		}
 	}
@@ -122,26 +122,26 @@
 		if p[t.ID].ID != "" {
 			continue
 		}
-		runs := perSlot * float64(t.Slots)
+		runs := runsPerSlot * float64(t.Slots)
 		e := slices.MaxFunc(order, func(a, b cfmember.Entry) int {
-			if fitsA, fitsB := room[a.ID] >= runs, room[b.ID] >= runs; !fitsA || !fitsB {
-				return cmp.Compare(room[a.ID], room[b.ID])
+			if fitsA, fitsB := free[a.ID] >= runs, free[b.ID] >= runs; !fitsA || !fitsB {
+				return cmp.Compare(free[a.ID], free[b.ID])
 			}
-			return cmp.Compare(weight(t.ID, a.ID), weight(t.ID, b.ID))
+			return cmp.Compare(rendezvousHash(t.ID, a.ID), rendezvousHash(t.ID, b.ID))
 		})
-		room[e.ID] -= runs
+		free[e.ID] -= runs
 		p[t.ID] = e
 	}
 }
 
-// weight orders instances at random, and the same way each time.
-func weight(t cf.InstanceID, e cf.EntryID) uint64 {
+// rendezvousHash orders instances at random, and the same way each time.
+func rendezvousHash(t cf.InstanceID, e cf.EntryID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(string(t) + "/" + string(e))) // a hash takes everything
 	return h.Sum64()
 }
 
-func slots(engines []cf.Target) int {
+func totalSlots(engines []cf.Target) int {
 	n := 0
 	for _, t := range engines {
 		n += t.Slots
--- a/io/cfrunner/assign_test.go
+++ b/io/cfrunner/assign_test.go
@@ -8,7 +8,7 @@
 	"currantford/core/cfmember"
 )
 
-func site(domains, instances, engines, slots int, capacity float64) (members []cfmember.Entry, targets []cf.Target) {
+func newDeployment(domains, instances, engines, slots int, capacity float64) (members []cfmember.Entry, targets []cf.Target) {
 	for d := range domains {
 		domain := cf.FailureDomain(fmt.Sprint("d", d))
 		for i := range instances {
@@ -23,9 +23,9 @@
 
 // Load: two steps of 160 items at 33 engines of six slots, before 80 instances of a
 // fifth of a core; the coordinator alone was a second behind its streams' events.
-func TestWeakCoordinatorsDivideTheirStreams(t *testing.T) {
-	members, engines := site(6, 13, 6, 6, 0.192)
-	plan := Assign(engines, slots(engines), members, members[0], nil)
+func TestWeakCoordinatorAssignsStreamsToHosts(t *testing.T) {
+	members, engines := newDeployment(6, 13, 6, 6, 0.192)
+	plan := Assign(engines, totalSlots(engines), members, members[0], nil)
 	held := map[cf.EntryID]int{}
 	for _, e := range engines {
 		m, ok := plan[e.ID]
@@ -38,7 +38,7 @@
 		held[m.ID] += e.Slots
 	}
 	for id, n := range held {
-		if float64(n) > 0.192*heldPerCore {
+		if float64(n) > 0.192*hostRunsPerCore {
 			t.Errorf("%s holds %d runs", id, n)
 		}
 	}
@@ -49,22 +49,22 @@
 
 // What one instance can carry stays with the coordinator: nothing is paid for a
 // division that nobody needs.
-func TestStrongCoordinatorsHoldTheirStreamsThemselves(t *testing.T) {
-	members, engines := site(4, 2, 3, 12, 0.4)
-	if plan := Assign(engines, slots(engines), members, members[0], nil); len(plan) > 0 {
+func TestStrongCoordinatorKeepsItsStreams(t *testing.T) {
+	members, engines := newDeployment(4, 2, 3, 12, 0.4)
+	if plan := Assign(engines, totalSlots(engines), members, members[0], nil); len(plan) > 0 {
 		t.Errorf("%d engines are divided", len(plan))
 	}
-	if plan := Assign(engines, slots(engines), members[:1], cfmember.Entry{ID: members[0].ID}, nil); len(plan) > 0 {
+	if plan := Assign(engines, totalSlots(engines), members[:1], cfmember.Entry{ID: members[0].ID}, nil); len(plan) > 0 {
 		t.Error("an instance without others divides its streams")
 	}
 }
 
 // An instance that goes, or is not reached, changes little but its own part; strong
 // instances go first, and engines without an instance near them have one all the same.
-func TestDivisionChangesLittle(t *testing.T) {
-	members, engines := site(6, 13, 6, 6, 0.192)
+func TestAssignmentIsStable(t *testing.T) {
+	members, engines := newDeployment(6, 13, 6, 6, 0.192)
 	self := members[0]
-	before := Assign(engines, slots(engines), members, self, nil)
+	before := Assign(engines, totalSlots(engines), members, self, nil)
 	gone := before[engines[0].ID]
 	var rest []cfmember.Entry
 	for _, m := range members {
@@ -72,7 +72,7 @@
 			rest = append(rest, m)
 		}
 	}
-	after := Assign(engines, slots(engines), rest, self, nil)
+	after := Assign(engines, totalSlots(engines), rest, self, nil)
 	for _, e := range engines {
 		if before[e.ID].ID != gone.ID && after[e.ID].ID != before[e.ID].ID {
 			t.Errorf("%s moved from %s to %s", e.ID, before[e.ID].ID, after[e.ID].ID)
@@ -80,7 +80,7 @@
 	}
 	members[5].Capacity = 0.8
 	for _, e := range engines[:6] {
-		if m := Assign(engines, slots(engines), members, self, nil)[e.ID]; m.ID != members[5].ID {
+		if m := Assign(engines, totalSlots(engines), members, self, nil)[e.ID]; m.ID != members[5].ID {
 			t.Errorf("%s is held by %s, a weak one", e.ID, m.ID)
 		}
 	}
@@ -92,8 +92,8 @@
 
 // Load: a step of 320 runs before 300 engines of six slots: what may run is not what
 // does, and a strong coordinator holds it.
-func TestDivisionGoesByTheRunsUnderWay(t *testing.T) {
-	members, engines := site(6, 5, 50, 6, 0.8)
+func TestAssignmentDependsOnRunsInProgress(t *testing.T) {
+	members, engines := newDeployment(6, 5, 50, 6, 0.8)
 	if plan := Assign(engines, 320, members, members[0], nil); len(plan) > 0 {
 		t.Errorf("%d engines are divided for 320 runs", len(plan))
 	}
@@ -108,8 +108,8 @@
 
 // Load: more engines come into use while streams are divided. Those that were divided stay
 // where connections to them are kept.
-func TestDividedEnginesStay(t *testing.T) {
-	members, engines := site(6, 13, 12, 6, 0.192)
+func TestAssignedEnginesStayWhenEnginesAreAdded(t *testing.T) {
+	members, engines := newDeployment(6, 13, 12, 6, 0.192)
 	self := members[0]
 	few := engines[:len(engines)/2]
 	before := Assign(few, 300, members, self, nil)
@@ -128,11 +128,11 @@
 // Load: six steps of 224 items at engines whose events come each 80 ms. A coordinator of 1.6
 // cores holds them by itself, and one of 0.8 does not.
 func TestSlowEventsCostLess(t *testing.T) {
-	runs := usualRuns(6*224, 80)
-	if !holdsAll(runs, cfmember.Entry{Capacity: 1.6}) || holdsAll(runs, cfmember.Entry{Capacity: 0.8}) {
+	runs := typicalRuns(6*224, 80)
+	if !canRunAll(runs, cfmember.Entry{Capacity: 1.6}) || canRunAll(runs, cfmember.Entry{Capacity: 0.8}) {
 		t.Errorf("%d usual runs", runs)
 	}
-	if usualRuns(100, 0) != 100 {
+	if typicalRuns(100, 0) != 100 {
 		t.Error("a pace that is not known counts")
 	}
 }
--- a/io/cfrunner/cfrunner.go
+++ b/io/cfrunner/cfrunner.go
@@ -39,12 +39,12 @@
 )
 
 const (
-	// startFresh is how old the host's clock in an order may be. A question for
+	// maxOrderAge is how old the host's clock in an order may be. A question for
 	// news tells it several times a second; a batch's end must hold within 3 s.
-	startFresh cf.Millis = 1000
-	// reportEvery is how long a host gathers what its streams bring. A step's end
+	maxOrderAge cf.Millis = 1000
+	// reportInterval is how long a host gathers what its streams bring. A step's end
 	// does not wait for it: the end of a run is reported at once.
-	reportEvery cf.Millis = 150
+	reportInterval cf.Millis = 150
 )
 
 type (
--- a/io/cfrunner/cfrunner_test.go
+++ b/io/cfrunner/cfrunner_test.go
@@ -15,29 +15,29 @@
 	"currantford/core/cfmember"
 )
 
-// gated is a target whose streams wait for their events.
-type gated struct {
+// fake is a target whose streams wait for their events.
+type fake struct {
 	cf.Targets
-	mu    sync.Mutex
-	runs  map[cf.RequestID]int // how often each was begun
-	over  int                  // how many have ended
-	event chan cf.StreamEvent
+	mu       sync.Mutex
+	starts   map[cf.RequestID]int // how often each was begun
+	finished int                  // how many have ended
+	events   chan cf.StreamEvent
 }
 
-func newGated() *gated { return &gated{runs: map[cf.RequestID]int{}, event: make(chan cf.StreamEvent)} }
+func newFake() *fake { return &fake{starts: map[cf.RequestID]int{}, events: make(chan cf.StreamEvent)} }
 
-func (g *gated) Stream(ctx context.Context, _ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (g *fake) Stream(ctx context.Context, _ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	g.mu.Lock()
-	g.runs[call.ID]++
+	g.starts[call.ID]++
 	g.mu.Unlock()
 	defer func() {
 		g.mu.Lock()
-		g.over++
+		g.finished++
 		g.mu.Unlock()
 	}()
 	for {
 		select {
-		case ev, more := <-g.event:
+		case ev, more := <-g.events:
 			if !more {
 				return cf.TargetAnswer{Status: 200}, nil
 			}
@@ -50,31 +50,31 @@
 	}
 }
 
-func (g *gated) begun(id cf.RequestID) int {
+func (g *fake) startCount(id cf.RequestID) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.runs[id]
+	return g.starts[id]
 }
 
-func (g *gated) ended() int {
+func (g *fake) finishedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.over
+	return g.finished
 }
 
-// wire calls a host directly. lose, if set, says which answers are lost.
-type wire struct {
-	mu   sync.Mutex
-	host *Host
-	gone bool
-	lose func(op string) bool
-	// late, if set, is how long calls are on their way; their answers are lost.
-	late time.Duration
+// fakePeer calls a host directly. lose, if set, says which answers are lost.
+type fakePeer struct {
+	mu           sync.Mutex
+	host         *Host
+	unreachable  bool
+	dropResponse func(op string) bool
+	// delay, if set, is how long calls are on their way; their answers are lost.
+	delay time.Duration
 }
 
-func (w *wire) Call(ctx context.Context, _, op string, body, out any) error {
+func (w *fakePeer) Call(ctx context.Context, _, op string, body, out any) error {
 	w.mu.Lock()
-	host, gone, lose, late := w.host, w.gone, w.lose, w.late
+	host, gone, lose, late := w.host, w.unreachable, w.dropResponse, w.delay
 	w.mu.Unlock()
 	if late > 0 {
 		if c, ok := body.(CollectRequest); ok {
@@ -106,21 +106,21 @@
 	return err
 }
 
-func (w *wire) set(f func(*wire)) {
+func (w *fakePeer) set(f func(*fakePeer)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(w)
 }
 
-// sink collects a run's events.
-type sink struct {
+// recordingSink collects a run's events.
+type recordingSink struct {
 	mu     sync.Mutex
 	events []cf.StreamEvent
 }
 
-func (s *sink) Start(cf.TargetAnswer) error { return nil }
+func (s *recordingSink) Start(cf.TargetAnswer) error { return nil }
 
-func (s *sink) Event(ev cf.StreamEvent) error {
+func (s *recordingSink) Event(ev cf.StreamEvent) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if want := cf.EventID(len(s.events) + 1); ev.ID != want {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (s *sink) len() int {
+func (s *recordingSink) len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.events)
@@ -141,10 +141,10 @@
 
 const manySlots = 1000
 
-// pool returns a pool that holds nothing itself, and the wire to its only host.
-func pool(t *testing.T, targets cf.Targets) (*Pool, *wire) {
+// newTestPool returns a pool that holds nothing itself, and the wire to its only host.
+func newTestPool(t *testing.T, targets cf.Targets) (*Pool, *fakePeer) {
 	t.Helper()
-	w := &wire{host: NewHost(targets, zap.NewNop())}
+	w := &fakePeer{host: NewHost(targets, zap.NewNop())}
 	t.Cleanup(func() { _ = w.host.Close() })
 	p := NewPool(Options{
 		Self: cfmember.Entry{ID: "self", Capacity: 0.001}, Term: 5, Local: targets, Peers: w, Log: zap.NewNop(),
@@ -165,16 +165,16 @@
 	}
 }
 
-type ended struct {
+type runResult struct {
 	answer cf.TargetAnswer
 	err    error
 }
 
-func begin(ctx context.Context, p *Pool, id cf.RequestID, s cf.StreamSink) chan ended {
-	done := make(chan ended, 1)
+func startRun(ctx context.Context, p *Pool, id cf.RequestID, s cf.StreamSink) chan runResult {
+	done := make(chan runResult, 1)
 	go func() {
 		a, err := p.Route(engine).Stream(ctx, engine, cf.TargetCall{ID: id}, s)
-		done <- ended{a, err}
+		done <- runResult{a, err}
 	}()
 	return done
 }
@@ -184,48 +184,48 @@
 // orders and questions for news alike.
 // Cause guarded against: a report that is not given again, or taken twice; an order
 // that is carried out twice.
-func TestLostAnswersLoseNoEvents(t *testing.T) {
-	g := newGated()
-	p, w := pool(t, g)
+func TestLostResponsesLoseNoEvents(t *testing.T) {
+	g := newFake()
+	p, w := newTestPool(t, g)
 	n := 0
-	w.set(func(w *wire) {
+	w.set(func(w *fakePeer) {
 		var mu sync.Mutex
-		w.lose = func(string) bool {
+		w.dropResponse = func(string) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			n++
 			return n%2 == 1
 		}
 	})
-	s := &sink{}
-	done := begin(context.Background(), p, "r", s)
+	s := &recordingSink{}
+	done := startRun(context.Background(), p, "r", s)
 	const events = 40
 	for i := range events {
-		g.event <- cf.StreamEvent{ID: cf.EventID(i + 1), Data: "x", Version: 1}
+		g.events <- cf.StreamEvent{ID: cf.EventID(i + 1), Data: "x", Version: 1}
 	}
-	close(g.event)
+	close(g.events)
 	if e := <-done; e.err != nil || e.answer.Status != 200 {
 		t.Fatalf("ended with %+v, %v", e.answer, e.err)
 	}
-	if s.len() != events || g.begun("r") != 1 {
-		t.Errorf("%d of %d events, begun %d times", s.len(), events, g.begun("r"))
+	if s.len() != events || g.startCount("r") != 1 {
+		t.Errorf("%d of %d events, begun %d times", s.len(), events, g.startCount("r"))
 	}
 }
 
 // Symptom: an item runs at two engines at once.
 // Sequence: a run is stopped, to go on elsewhere; its host holds it until then.
 // Cause guarded against: a stream that counts as over before its host has ended it.
-func TestStoppedRunIsOverWhenItsHostSaysSo(t *testing.T) {
-	g := newGated()
-	p, _ := pool(t, g)
+func TestStoppedRunEndsWhenHostConfirms(t *testing.T) {
+	g := newFake()
+	p, _ := newTestPool(t, g)
 	ctx, cancel := context.WithCancel(context.Background())
-	done := begin(ctx, p, "r", &sink{})
-	eventually(t, "the run", func() bool { return g.begun("r") == 1 })
+	done := startRun(ctx, p, "r", &recordingSink{})
+	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
 	cancel()
 	if e := <-done; e.err == nil {
 		t.Error("a stopped run has no error")
 	}
-	if g.ended() != 1 {
+	if g.finishedCount() != 1 {
 		t.Error("the run counts as over, and its host holds it")
 	}
 }
@@ -235,17 +235,17 @@
 // Sequence: the link between coordinator and host is cut; the host stops its runs by
 // itself, and only then the coordinator takes them for lost.
 // Cause guarded against: a host without a bound, or a coordinator with a shorter one.
-func TestCutHostStopsItsRunsFirst(t *testing.T) {
-	g := newGated()
-	p, w := pool(t, g)
-	done := begin(context.Background(), p, "r", &sink{})
-	eventually(t, "the run", func() bool { return g.begun("r") == 1 })
-	w.set(func(w *wire) { w.gone = true })
+func TestUnreachableHostStopsItsRunsFirst(t *testing.T) {
+	g := newFake()
+	p, w := newTestPool(t, g)
+	done := startRun(context.Background(), p, "r", &recordingSink{})
+	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
+	w.set(func(w *fakePeer) { w.unreachable = true })
 	e := <-done
 	if !errors.Is(e.err, cf.ErrUnavailable) {
 		t.Errorf("a run whose host is lost ends with %v", e.err)
 	}
-	if g.ended() != 1 {
+	if g.finishedCount() != 1 {
 		t.Error("the run counts as lost while its host holds it")
 	}
 }
@@ -255,16 +255,16 @@
 // takes the runs for lost by when it sent the last question, the host holds them by when
 // that arrived.
 // Cause: a question counted as of its arrival.
-func TestLateQuestionsDoNotHoldRuns(t *testing.T) {
-	g := newGated()
-	p, w := pool(t, g)
-	done := begin(context.Background(), p, "r", &sink{})
-	eventually(t, "the run", func() bool { return g.begun("r") == 1 })
-	w.set(func(w *wire) { w.late = 900 * time.Millisecond })
+func TestDelayedPollsDoNotExtendRuns(t *testing.T) {
+	g := newFake()
+	p, w := newTestPool(t, g)
+	done := startRun(context.Background(), p, "r", &recordingSink{})
+	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
+	w.set(func(w *fakePeer) { w.delay = 900 * time.Millisecond })
 	if e := <-done; !errors.Is(e.err, cf.ErrUnavailable) {
 		t.Errorf("a run whose host is lost ends with %v", e.err)
 	}
-	if g.ended() != 1 {
+	if g.finishedCount() != 1 {
 		t.Error("the run counts as lost while its host holds it")
 	}
 }
@@ -272,14 +272,14 @@
 // Symptom: runs wait for ever.
 // Sequence: the host's process is killed and starts again at once.
 // Cause guarded against: taking the new process for the one that has the runs.
-func TestRunsOfAHostThatStartsAgainAreLost(t *testing.T) {
-	g := newGated()
-	p, w := pool(t, g)
-	done := begin(context.Background(), p, "r", &sink{})
-	eventually(t, "the run", func() bool { return g.begun("r") == 1 })
+func TestRunsOfRestartedHostFail(t *testing.T) {
+	g := newFake()
+	p, w := newTestPool(t, g)
+	done := startRun(context.Background(), p, "r", &recordingSink{})
+	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
 	again := NewHost(g, zap.NewNop())
 	t.Cleanup(func() { _ = again.Close() })
-	w.set(func(w *wire) { w.host = again })
+	w.set(func(w *fakePeer) { w.host = again })
 	if e := <-done; !errors.Is(e.err, cf.ErrUnavailable) {
 		t.Errorf("ended with %v", e.err)
 	}
@@ -289,8 +289,8 @@
 // Sequence: an order is held up on a link for longer than it may be; a later
 // coordinator has called meanwhile.
 // Cause guarded against: orders without age or term.
-func TestOldOrdersStartNothing(t *testing.T) {
-	g := newGated()
+func TestStaleOrdersStartNothing(t *testing.T) {
+	g := newFake()
 	h := NewHost(g, zap.NewNop())
 	t.Cleanup(func() { _ = h.Close() })
 	duty := Incarnation{Term: 5, Number: 1}
@@ -298,7 +298,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := Orders{Incarnation: duty, Session: first.Session, HostClock: first.HostClock - startFresh - 1, Starts: []StartOrder{{Run: 1, Call: cf.TargetCall{ID: "old"}}}}
+	old := Orders{Incarnation: duty, Session: first.Session, HostClock: first.HostClock - maxOrderAge - 1, Starts: []StartOrder{{Run: 1, Call: cf.TargetCall{ID: "old"}}}}
 	if _, err := h.ApplyOrders(context.Background(), old); err != nil {
 		t.Fatal(err)
 	}
@@ -311,7 +311,7 @@
 	if _, err := h.ApplyOrders(context.Background(), late); !errors.Is(err, cf.ErrFenced) {
 		t.Errorf("an order of an earlier term: %v", err)
 	}
-	if g.begun("old")+g.begun("late") > 0 {
+	if g.startCount("old")+g.startCount("late") > 0 {
 		t.Error("an old order was carried out")
 	}
 }
@@ -321,54 +321,54 @@
 // Sequence: the new process counts its runs from the beginning; the host still has
 // those of the old one.
 // Cause guarded against: taking two processes of one term for one.
-func TestCoordinatorThatStartsAgainBeginsAnew(t *testing.T) {
-	g := newGated()
-	p, _ := pool(t, g)
-	done := begin(context.Background(), p, "before", &sink{})
-	eventually(t, "the run", func() bool { return g.begun("before") == 1 })
+func TestRestartedCoordinatorGetsNewSession(t *testing.T) {
+	g := newFake()
+	p, _ := newTestPool(t, g)
+	done := startRun(context.Background(), p, "before", &recordingSink{})
+	eventually(t, "the run", func() bool { return g.startCount("before") == 1 })
 	q := NewPool(p.Options)
 	t.Cleanup(func() { _ = q.Close() })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	begin(ctx, q, "after", &sink{})
-	eventually(t, "the new run", func() bool { return g.begun("after") == 1 })
-	eventually(t, "the end of the run before", func() bool { return g.ended() == 1 })
+	startRun(ctx, q, "after", &recordingSink{})
+	eventually(t, "the new run", func() bool { return g.startCount("after") == 1 })
+	eventually(t, "the end of the run before", func() bool { return g.finishedCount() == 1 })
 	_ = p.Close()
 	<-done
 }
 
-// refusing targets are gone: no connection to them can be had.
-type refusing struct{ cf.Targets }
+// refusingTargets targets are gone: no connection to them can be had.
+type refusingTargets struct{ cf.Targets }
 
-func (refusing) Stream(context.Context, cf.Target, cf.TargetCall, cf.StreamSink) (cf.TargetAnswer, error) {
+func (refusingTargets) Stream(context.Context, cf.Target, cf.TargetCall, cf.StreamSink) (cf.TargetAnswer, error) {
 	return cf.TargetAnswer{}, eris.Wrap(cf.ErrNotRun, "connection refused")
 }
 
 // Symptom: a request that reached no target counts as one under which a target was lost.
 // Cause: a host's word on the end of a run left out that it was never sent.
-func TestHostTellsThatARunWasNotSent(t *testing.T) {
-	p, _ := pool(t, refusing{})
-	_, err := p.Route(engine).Stream(context.Background(), engine, cf.TargetCall{ID: "1"}, &sink{})
+func TestHostReportsThatRunWasNotSent(t *testing.T) {
+	p, _ := newTestPool(t, refusingTargets{})
+	_, err := p.Route(engine).Stream(context.Background(), engine, cf.TargetCall{ID: "1"}, &recordingSink{})
 	if !errors.Is(err, cf.ErrNotRun) {
 		t.Errorf("error %v, want one that says it was not run", err)
 	}
 }
 
-// flood is a target whose streams send events of a kilobyte without end.
-type flood struct {
+// floodTargets is a target whose streams send events of a kilobyte without end.
+type floodTargets struct {
 	cf.Targets
-	numbered bool
-	sent     chan int
+	numbered   bool
+	sentEvents chan int
 }
 
-func (f flood) Stream(ctx context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (f floodTargets) Stream(ctx context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	for n := 1; ctx.Err() == nil; n++ {
 		ev := cf.StreamEvent{Data: string(make([]byte, 1<<10))}
 		if f.numbered {
 			ev.ID = cf.EventID(n)
 		}
 		if err := sink.Event(ev); err != nil || n == 100_000 {
-			f.sent <- n
+			f.sentEvents <- n
 			return cf.TargetAnswer{}, err
 		}
 	}
@@ -377,9 +377,9 @@
 
 // Guards against a stream without end that takes its host's memory, and makes a report too large
 // for the link, so that the runs of all its engines are lost.
-func TestStreamsWithoutEndLeaveRoomForReports(t *testing.T) {
+func TestUnboundedStreamsStayWithinReportLimit(t *testing.T) {
 	for _, numbered := range []bool{false, true} {
-		f := flood{numbered: numbered, sent: make(chan int, 100)}
+		f := floodTargets{numbered: numbered, sentEvents: make(chan int, 100)}
 		host := NewHost(f, zap.NewNop())
 		defer func() { _ = host.Close() }()
 		duty := Incarnation{Term: 5, Number: 1}
@@ -417,7 +417,7 @@
 		}
 		events := 0
 		for range starts {
-			events = max(events, <-f.sent)
+			events = max(events, <-f.sentEvents)
 		}
 		t.Logf("numbered %t: %d bytes in a report, %d events of a stream", numbered, most, events)
 		if most > 4<<20 {
--- a/io/cfrunner/host.go
+++ b/io/cfrunner/host.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// watchEvery is how often a host looks whether its coordinator still asks.
-	watchEvery = 100 * time.Millisecond
-	// unsentMost bounds the events that a host holds for a coordinator, and reportMost those
+	// pollCheckInterval is how often a host looks whether its coordinator still asks.
+	pollCheckInterval = 100 * time.Millisecond
+	// maxUnsentBytes bounds the events that a host holds for a coordinator, and reportMost those
 	// of a report: together they are under half of what the link takes in a message. A usual
 	// stream brings a kilobyte between two reports.
-	unsentMost = 2 << 20
-	reportMost = 2 << 20
-	// eventExtra is what an event takes beside its data.
-	eventExtra = 64
+	maxUnsentBytes = 2 << 20
+	maxReportBytes = 2 << 20
+	// eventOverhead is what an event takes beside its data.
+	eventOverhead = 64
 )
 
 type (
@@ -46,34 +46,34 @@
 
 	// session is what a host holds for one coordinator.
 	session struct {
-		id     SessionID
-		duty   Incarnation
-		ctx    context.Context
-		cancel context.CancelFunc
+		id          SessionID
+		coordinator Incarnation
+		ctx         context.Context
+		cancel      context.CancelFunc
 
-		mu    sync.Mutex
-		asked cf.Millis // when the coordinator last asked for news
-		runs  map[RunID]*hosted
-		last  RunID // the latest that was started
-		// news are the ends of runs that are not among runs.
-		news []RunUpdate
-		// sent is the latest report, acked the number of the latest that is known
+		mu          sync.Mutex
+		lastPoll    cf.Millis // when the coordinator last asked for news
+		runs        map[RunID]*hostedRun
+		lastStarted RunID // the latest that was started
+		// unheldEnds are the ends of runs that are not among runs.
+		unheldEnds []RunUpdate
+		// lastReport is the latest report, acked the number of the latest that is known
 		// to have arrived.
-		sent  Report
-		acked int64
+		lastReport Report
+		acked      int64
 		// unsent is what events take that no report has.
 		unsent *cfhold.Pool
-		ended  chan struct{} // wakes a question for news
+		wakeup chan struct{} // wakes a question for news
 	}
 
-	// hosted is a run of a session.
-	hosted struct {
+	// hostedRun is a run of a session.
+	hostedRun struct {
 		cancel context.CancelFunc
 		events []Event
 		end    *RunEnd
-		// last is the last event, held what those take that no report has.
-		last cf.EventID
-		held int64
+		// lastEvent is the last event, held what those take that no report has.
+		lastEvent   cf.EventID
+		unsentBytes int64
 	}
 )
 
@@ -99,55 +99,55 @@
 	}
 	h.term = term
 	if h.session != nil {
-		h.drop("a later coordinator has called")
+		h.endSession("a later coordinator has called")
 	}
 }
 
-// drop ends the session. h.mu is held.
-func (h *Host) drop(reason string) {
+// endSession ends the session. h.mu is held.
+func (h *Host) endSession(reason string) {
 	s := h.session
 	h.session = nil
 	s.cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.log.Info("runs_dropped", zap.Int("runs", len(s.runs)), zap.Int64("term", int64(s.duty.Term)), zap.String("reason", reason))
+	h.log.Info("runs_dropped", zap.Int("runs", len(s.runs)), zap.Int64("term", int64(s.coordinator.Term)), zap.String("reason", reason))
 }
 
-// join returns the session of a coordinator, a new one if there is none.
-func (h *Host) join(d Incarnation) (*session, error) {
-	h.Fence(d.Term)
+// sessionOf returns the session of a coordinator, a new one if there is none.
+func (h *Host) sessionOf(coordinator Incarnation) (*session, error) {
+	h.Fence(coordinator.Term)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if d.Term < h.term || h.ctx.Err() != nil {
-		return nil, eris.Wrapf(cf.ErrFenced, "term %d", d.Term)
+	if coordinator.Term < h.term || h.ctx.Err() != nil {
+		return nil, eris.Wrapf(cf.ErrFenced, "term %d", coordinator.Term)
 	}
-	if h.session != nil && h.session.duty != d {
-		h.drop("the coordinator has started again")
+	if h.session != nil && h.session.coordinator != coordinator {
+		h.endSession("the coordinator has started again")
 	}
 	if h.session == nil {
 		ctx, cancel := context.WithCancel(h.ctx)
 		h.session = &session{
-			id: SessionID(rand.Uint64()), duty: d, ctx: ctx, cancel: cancel, asked: cf.Uptime(),
-			runs: map[RunID]*hosted{}, unsent: cfhold.NewPool(unsentMost), ended: make(chan struct{}, 1),
+			id: SessionID(rand.Uint64()), coordinator: coordinator, ctx: ctx, cancel: cancel, lastPoll: cf.Uptime(),
+			runs: map[RunID]*hostedRun{}, unsent: cfhold.NewPool(maxUnsentBytes), wakeup: make(chan struct{}, 1),
 		}
 		s := h.session
-		h.wg.Go(func() { h.watch(s) })
+		h.wg.Go(func() { h.monitor(s) })
 	}
 	return h.session, nil
 }
 
-// watch ends a session whose coordinator does not ask any more.
-func (h *Host) watch(s *session) {
-	for cf.Sleep(s.ctx, watchEvery) {
+// monitor ends a session whose coordinator does not ask any more.
+func (h *Host) monitor(s *session) {
+	for cf.Sleep(s.ctx, pollCheckInterval) {
 		s.mu.Lock()
-		held := holds(s.asked, cf.Uptime())
+		active := keepsRuns(s.lastPoll, cf.Uptime())
 		s.mu.Unlock()
-		if held {
+		if active {
 			continue
 		}
 		h.mu.Lock()
 		if h.session == s {
-			h.drop("the coordinator asks no more")
+			h.endSession("the coordinator asks no more")
 		}
 		h.mu.Unlock()
 	}
@@ -156,7 +156,7 @@
 // ApplyOrders starts and stops runs. Starts that the session knows are passed over: an
 // order without an answer is given again.
 func (h *Host) ApplyOrders(_ context.Context, o Orders) (bool, error) {
-	s, err := h.join(o.Incarnation)
+	s, err := h.sessionOf(o.Incarnation)
 	if err != nil {
 		return false, err
 	}
@@ -167,14 +167,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range o.Starts {
-		if st.Run <= s.last {
+		if st.Run <= s.lastStarted {
 			continue
 		}
-		s.last = st.Run
-		if age > startFresh || s.ctx.Err() != nil {
+		s.lastStarted = st.Run
+		if age > maxOrderAge || s.ctx.Err() != nil {
 			h.log.Warn("run_not_started", zap.String("request_id", string(st.Call.ID)), zap.String("target", string(st.Target.ID)),
 				zap.Int64("order_age_ms", int64(age)))
-			s.settle(st.Run, RunEnd{NotRun: true})
+			s.reportEnd(st.Run, RunEnd{NotRun: true})
 			continue
 		}
 		h.start(s, st)
@@ -183,7 +183,7 @@
 		if r := s.runs[id]; r != nil {
 			r.cancel()
 		} else {
-			s.settle(id, RunEnd{UnknownRun: true}) // ended, or never begun
+			s.reportEnd(id, RunEnd{UnknownRun: true}) // ended, or never begun
 		}
 	}
 	return true, nil
@@ -192,7 +192,7 @@
 // start runs a stream. s.mu is held.
 func (h *Host) start(s *session, st StartOrder) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	r := &hosted{cancel: cancel, last: st.Call.ResumeAfter}
+	r := &hostedRun{cancel: cancel, lastEvent: st.Call.ResumeAfter}
 	s.runs[st.Run] = r
 	h.wg.Go(func() {
 		defer cancel()
@@ -211,7 +211,7 @@
 // hostSink gathers the events of a run.
 type hostSink struct {
 	s *session
-	r *hosted
+	r *hostedRun
 }
 
 func (k hostSink) Start(cf.TargetAnswer) error { return nil }
@@ -219,28 +219,28 @@
 func (k hostSink) Event(ev cf.StreamEvent) error {
 	k.s.mu.Lock()
 	defer k.s.mu.Unlock()
-	if ev.ID != k.r.last+1 {
-		return eris.Wrapf(cf.ErrBadAnswer, "event %d after %d", ev.ID, k.r.last)
+	if ev.ID != k.r.lastEvent+1 {
+		return eris.Wrapf(cf.ErrBadAnswer, "event %d after %d", ev.ID, k.r.lastEvent)
 	}
-	size := k.r.held + int64(len(ev.Data)) + eventExtra
-	if !k.s.unsent.Grow(k.r.held, size) {
+	size := k.r.unsentBytes + int64(len(ev.Data)) + eventOverhead
+	if !k.s.unsent.Grow(k.r.unsentBytes, size) {
 		return eris.Wrapf(cf.ErrBadAnswer, "events of %d bytes between two reports", size)
 	}
-	k.r.last, k.r.held = ev.ID, size
+	k.r.lastEvent, k.r.unsentBytes = ev.ID, size
 	k.r.events = append(k.r.events, Event{ID: ev.ID, Data: ev.Data, Version: ev.Version, At: cf.Uptime()})
 	return nil
 }
 
-// settle reports the end of a run that is not held. s.mu is held.
-func (s *session) settle(id RunID, end RunEnd) {
-	s.news = append(s.news, RunUpdate{Run: id, End: &end})
+// reportEnd reports the end of a run that is not held. s.mu is held.
+func (s *session) reportEnd(id RunID, end RunEnd) {
+	s.unheldEnds = append(s.unheldEnds, RunUpdate{Run: id, End: &end})
 	s.wake()
 }
 
 // wake ends a question's wait. s.mu is held.
 func (s *session) wake() {
 	select {
-	case s.ended <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default: // one is woken already
 	}
 }
@@ -248,24 +248,24 @@
 // Collect answers a question for news: after a while, or as soon as a run has
 // ended.
 func (h *Host) Collect(ctx context.Context, c CollectRequest) (Report, error) {
-	s, err := h.join(c.Incarnation)
+	s, err := h.sessionOf(c.Incarnation)
 	if err != nil {
 		return Report{}, err
 	}
-	if r, lost := s.acknowledge(c); lost {
+	if r, resend := s.acknowledge(c); resend {
 		return r, nil
 	}
-	timer := time.NewTimer(reportEvery.Duration())
+	timer := time.NewTimer(reportInterval.Duration())
 	defer timer.Stop()
 	select {
-	case <-s.ended:
+	case <-s.wakeup:
 	case <-timer.C:
 	case <-s.ctx.Done():
 		return Report{}, eris.Wrap(cf.ErrUnavailable, "the session is over")
 	case <-ctx.Done():
 		return Report{}, eris.Wrap(cf.ErrUnavailable, "the instance stops")
 	}
-	return s.report(), nil
+	return s.nextReport(), nil
 }
 
 // acknowledge notes that the coordinator asks, and what it has; it returns the
@@ -274,46 +274,46 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Session == s.id {
-		s.asked = max(s.asked, askedAt(c.HostClock, cf.Uptime()))
+		s.lastPoll = max(s.lastPoll, effectivePollTime(c.HostClock, cf.Uptime()))
 		s.acked = max(s.acked, c.LastReport)
 	}
-	return s.again()
+	return s.unacknowledged()
 }
 
-// again returns the latest report if it is not known to have arrived. s.mu is held.
-func (s *session) again() (Report, bool) {
-	r := s.sent
+// unacknowledged returns the latest report if it is not known to have arrived. s.mu is held.
+func (s *session) unacknowledged() (Report, bool) {
+	r := s.lastReport
 	r.HostClock = cf.Uptime()
-	return r, s.acked < s.sent.Number
+	return r, s.acked < s.lastReport.Number
 }
 
-// report returns what is new, or once more what did not arrive.
-func (s *session) report() Report {
+// nextReport returns what is new, or once more what did not arrive.
+func (s *session) nextReport() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r, lost := s.again(); lost {
+	if r, resend := s.unacknowledged(); resend {
 		return r
 	}
-	out := Report{Session: s.id, Number: s.sent.Number + 1, HostClock: cf.Uptime(), Runs: s.news}
-	s.news = nil
+	out := Report{Session: s.id, Number: s.lastReport.Number + 1, HostClock: cf.Uptime(), Runs: s.unheldEnds}
+	s.unheldEnds = nil
 	size := int64(0)
 	for id, r := range s.runs {
 		if len(r.events) == 0 && r.end == nil {
 			continue
 		}
-		if size > 0 && size+r.held > reportMost {
+		if size > 0 && size+r.unsentBytes > maxReportBytes {
 			s.wake() // the next report has it
 			continue
 		}
-		size += r.held
-		s.unsent.Free(r.held)
-		r.held = 0
+		size += r.unsentBytes
+		s.unsent.Free(r.unsentBytes)
+		r.unsentBytes = 0
 		out.Runs = append(out.Runs, RunUpdate{Run: id, Events: r.events, End: r.end})
 		r.events = nil
 		if r.end != nil {
 			delete(s.runs, id)
 		}
 	}
-	s.sent = out
+	s.lastReport = out
 	return out
 }
--- a/io/cfrunner/link.go
+++ b/io/cfrunner/link.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	// answerTime is how long a host's answer may take beyond its wait. An instance
+	// responseTimeout is how long a host's answer may take beyond its wait. An instance
 	// of a fifth of a core that is busy answers some 100 ms late.
-	answerTime cf.Millis = 550
-	// lostAfter is how many questions in a row without an answer make a host count
+	responseTimeout cf.Millis = 550
+	// maxFailedPolls is how many questions in a row without an answer make a host count
 	// as lost.
-	lostAfter = 2
-	// orderRetry is the pause before orders without an answer are given again.
-	orderRetry = 50 * time.Millisecond
-	// idleAfter is how long a link without runs is kept.
-	idleAfter cf.Millis = 3000
-	// hurryTime is how long a stopped run waits for its host when the
+	maxFailedPolls = 2
+	// retryDelay is the pause before orders without an answer are given again.
+	retryDelay = 50 * time.Millisecond
+	// linkIdleTimeout is how long a link without runs is kept.
+	linkIdleTimeout cf.Millis = 3000
+	// shortStopWait is how long a stopped run waits for its host when the
 	// coordinator's time is over.
-	hurryTime = 120 * time.Millisecond
+	shortStopWait = 120 * time.Millisecond
 )
 
 type (
 	// link is a pool's connection to one host.
 	link struct {
-		pool *Pool
-		id   cf.EntryID
-		addr string
-		kick chan struct{} // wakes the giving of orders
+		pool   *Pool
+		id     cf.EntryID
+		addr   string
+		wakeup chan struct{} // wakes the giving of orders
 
-		mu   sync.Mutex
-		over bool // the host is lost, or the link was idle
+		mu     sync.Mutex
+		closed bool // the host is lost, or the link was idle
 		// session, clock and got are those of the latest report, which arrived at
 		// clockAt.
-		session SessionID
-		clock   cf.Millis
-		clockAt cf.Millis
-		got     int64
-		runs    map[RunID]*run
-		starts  []StartOrder
-		stops   []RunID
-		used    cf.Millis // when it last had a run
+		session    SessionID
+		clock      cf.Millis
+		clockAt    cf.Millis
+		lastReport int64
+		runs       map[RunID]*run
+		starts     []StartOrder
+		stops      []RunID
+		lastUsed   cf.Millis // when it last had a run
 	}
 
 	// run is a stream that a host holds.
@@ -59,69 +59,69 @@
 		wake chan struct{}
 
 		// What follows is guarded by link.mu.
-		given  bool // the host has the order
-		events []cf.StreamEvent
-		seen   cf.Millis
-		end    *RunEnd
-		err    error // without the host's word
+		delivered bool // the host has the order
+		events    []cf.StreamEvent
+		watermark cf.Millis
+		end       *RunEnd
+		err       error // without the host's word
 	}
 )
 
 func newLink(p *Pool, e cfmember.Entry) *link {
-	return &link{pool: p, id: e.ID, addr: e.PeerAddr, kick: make(chan struct{}, 1), runs: map[RunID]*run{}, used: cf.Uptime()}
+	return &link{pool: p, id: e.ID, addr: e.PeerAddr, wakeup: make(chan struct{}, 1), runs: map[RunID]*run{}, lastUsed: cf.Uptime()}
 }
 
-func (l *link) isOver() bool {
+func (l *link) isClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.over
+	return l.closed
 }
 
 // start orders a run; nil if the link is over.
 func (l *link) start(t cf.Target, call cf.TargetCall) *run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.closed {
 		return nil
 	}
-	id := RunID(l.pool.runs.Add(1)) // under the lock: a host takes them in their order
+	id := RunID(l.pool.lastRun.Add(1)) // under the lock: a host takes them in their order
 	r := &run{link: l, id: id, wake: make(chan struct{}, 1)}
 	l.runs[id] = r
 	l.starts = append(l.starts, StartOrder{id, t, call})
-	l.poke()
+	l.wakeSender()
 	return r
 }
 
-// poke makes orders be given now.
-func (l *link) poke() {
+// wakeSender makes orders be given now.
+func (l *link) wakeSender() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default: // they are about to be
 	}
 }
 
-// order gives orders until the link is over. Those of a moment go together.
-func (l *link) order() {
+// sendOrders gives orders until the link is over. Those of a moment go together.
+func (l *link) sendOrders() {
 	for {
 		select {
-		case <-l.kick:
+		case <-l.wakeup:
 		case <-l.pool.ctx.Done():
 			return
 		}
-		if l.isOver() {
+		if l.isClosed() {
 			return
 		}
 		o, some := l.takeOrders()
 		if !some {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(l.pool.ctx, answerTime.Duration())
+		ctx, cancel := context.WithTimeout(l.pool.ctx, responseTimeout.Duration())
 		var ok bool
 		err := l.pool.Peers.Call(ctx, l.addr, OpOrders, o, &ok)
 		cancel()
-		l.gave(o, err)
+		l.ordersSent(o, err)
 		if err != nil {
-			cf.Sleep(l.pool.ctx, orderRetry)
+			cf.Sleep(l.pool.ctx, retryDelay)
 		}
 	}
 }
@@ -133,96 +133,96 @@
 	if l.session == 0 || len(l.starts)+len(l.stops) == 0 {
 		return Orders{}, false
 	}
-	o := Orders{Incarnation: l.pool.duty, Session: l.session, HostClock: l.clock, Starts: l.starts, Stops: l.stops}
+	o := Orders{Incarnation: l.pool.self, Session: l.session, HostClock: l.clock, Starts: l.starts, Stops: l.stops}
 	l.starts, l.stops = nil, nil
 	return o, true
 }
 
-// gave takes what came of orders. Without an answer the host may have them: they
+// ordersSent takes what came of orders. Without an answer the host may have them: they
 // are given again, and it passes over what it knows.
-func (l *link) gave(o Orders, err error) {
+func (l *link) ordersSent(o Orders, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		l.starts = append(o.Starts, l.starts...)
 		l.stops = append(o.Stops, l.stops...)
-		l.poke()
+		l.wakeSender()
 		return
 	}
 	for _, s := range o.Starts {
 		if r := l.runs[s.Run]; r != nil {
-			r.given = true
+			r.delivered = true
 		}
 	}
 }
 
-// collect asks for news until the host is lost, or has had no runs for a while.
-func (l *link) collect() {
+// poll asks for news until the host is lost, or has had no runs for a while.
+func (l *link) poll() {
 	for failures := 0; l.pool.ctx.Err() == nil; {
-		if l.idle() {
+		if l.closeIfIdle() {
 			return
 		}
-		asked := cf.Uptime()
+		sentAt := cf.Uptime()
 		l.mu.Lock()
-		call := CollectRequest{Incarnation: l.pool.duty, Session: l.session, LastReport: l.got, HostClock: l.clock + asked - l.clockAt}
+		call := CollectRequest{Incarnation: l.pool.self, Session: l.session, LastReport: l.lastReport, HostClock: l.clock + sentAt - l.clockAt}
 		l.mu.Unlock()
-		ctx, cancel := context.WithTimeout(l.pool.ctx, (reportEvery + answerTime).Duration())
+		ctx, cancel := context.WithTimeout(l.pool.ctx, (reportInterval + responseTimeout).Duration())
 		var rep Report
 		err := l.pool.Peers.Call(ctx, l.addr, OpCollect, call, &rep)
 		cancel()
 		if err == nil {
 			failures = 0
-			l.take(rep, cf.Uptime())
+			l.handleReport(rep, cf.Uptime())
 			continue
 		}
 		failures++
-		ended := errors.Is(err, cf.ErrNoProcess) || errors.Is(err, cf.ErrFenced)
-		if !ended && failures < lostAfter {
-			cf.Sleep(l.pool.ctx, orderRetry)
+		stopped := errors.Is(err, cf.ErrNoProcess) || errors.Is(err, cf.ErrFenced)
+		if !stopped && failures < maxFailedPolls {
+			cf.Sleep(l.pool.ctx, retryDelay)
 			continue
 		}
-		if !ended {
-			cf.Sleep(l.pool.ctx, (givenUpBy(asked) - cf.Uptime()).Duration())
+		if !stopped {
+			cf.Sleep(l.pool.ctx, (runsStoppedBy(sentAt) - cf.Uptime()).Duration())
 		}
-		l.finish(err)
+		l.closeWithError(err)
 		return
 	}
-	l.finish(eris.Wrap(cf.ErrUnavailable, "the coordinator stops"))
+	l.closeWithError(eris.Wrap(cf.ErrUnavailable, "the coordinator stops"))
 }
 
-// idle ends a link without runs.
-func (l *link) idle() bool {
+// closeIfIdle ends a link without runs.
+func (l *link) closeIfIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := cf.Uptime()
 	if len(l.runs) > 0 {
-		l.used = now
+		l.lastUsed = now
 	}
-	l.over = now-l.used > idleAfter
-	if l.over {
-		l.poke()
+	l.closed = now-l.lastUsed > linkIdleTimeout
+	if l.closed {
+		l.wakeSender()
 	}
-	return l.over
+	return l.closed
 }
 
-// finish ends the runs of a lost host.
-func (l *link) finish(cause error) {
+// closeWithError ends the runs of a lost host.
+func (l *link) closeWithError(cause error) {
 	l.mu.Lock()
-	l.over = true
+	l.closed = true
 	n := len(l.runs)
 	for _, r := range l.runs {
 		r.fail(eris.Wrapf(cf.ErrUnavailable, "instance %s is lost: %v", l.id, cause))
 	}
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 	if l.pool.ctx.Err() == nil {
 		l.pool.Log.Warn("runner_lost", zap.String("entry", string(l.id)), zap.Int("runs", n), cflog.Error(cause))
-		l.pool.lost(l.id)
+		l.pool.excludeHost(l.id)
 	}
 }
 
-// take takes a report that arrived at now.
-func (l *link) take(rep Report, now cf.Millis) {
+// handleReport takes a report that arrived at now.
+func (l *link) handleReport(rep Report, now cf.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if rep.Session != l.session {
@@ -230,18 +230,18 @@
 			l.pool.Log.Warn("runner_began_anew", zap.String("entry", string(l.id)), zap.Int("runs", len(l.runs)))
 		}
 		for _, r := range l.runs {
-			if r.given {
+			if r.delivered {
 				r.fail(eris.Wrapf(cf.ErrUnavailable, "instance %s holds it no more", l.id))
 			}
 		}
-		l.session, l.got = rep.Session, 0
+		l.session, l.lastReport = rep.Session, 0
 	}
 	l.clock, l.clockAt = rep.HostClock, now
-	l.poke()
-	if rep.Number <= l.got {
+	l.wakeSender()
+	if rep.Number <= l.lastReport {
 		return // it was given again, and had arrived
 	}
-	l.got = rep.Number
+	l.lastReport = rep.Number
 	offset := now - rep.HostClock
 	for _, n := range rep.Runs {
 		r := l.runs[n.Run]
@@ -255,10 +255,10 @@
 			r.end = n.End
 			delete(l.runs, n.Run)
 		}
-		r.poke()
+		r.notify()
 	}
 	for _, r := range l.runs {
-		r.seen = now
+		r.watermark = now
 	}
 }
 
@@ -266,10 +266,10 @@
 func (r *run) fail(err error) {
 	r.err = err
 	delete(r.link.runs, r.id)
-	r.poke()
+	r.notify()
 }
 
-func (r *run) poke() {
+func (r *run) notify() {
 	select {
 	case r.wake <- struct{}{}:
 	default: // it is awake
@@ -282,60 +282,60 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, s := range l.starts {
-		if s.Run == r.id && !r.given { // the host may have it, from an order without an answer
+		if s.Run == r.id && !r.delivered { // the host may have it, from an order without an answer
 			l.starts = append(l.starts[:i:i], l.starts[i+1:]...)
 			break
 		}
 	}
 	l.stops = append(l.stops, r.id)
-	l.poke()
+	l.wakeSender()
 }
 
 // follow hands the run's events on until it has ended. A run that ctx ends is
 // stopped; it is over when its host says so.
 func (r *run) follow(ctx context.Context, sink cf.StreamSink) (cf.TargetAnswer, error) {
-	seer, _ := sink.(cf.WatermarkSink)
+	progress, _ := sink.(cf.WatermarkSink)
 	stopped := ctx.Done()
-	var hurried <-chan struct{}
-	var late <-chan time.Time
-	var failure error
-	for began := false; ; {
+	var limited <-chan struct{}
+	var waited <-chan time.Time
+	var sinkErr error
+	for started := false; ; {
 		select {
 		case <-r.wake:
 		case <-stopped:
-			stopped, hurried = nil, r.link.pool.hurried
+			stopped, limited = nil, r.link.pool.stopWaitLimited
 			r.stop()
 			continue
-		case <-hurried:
-			hurried, late = nil, time.After(hurryTime)
+		case <-limited:
+			limited, waited = nil, time.After(shortStopWait)
 			continue
-		case <-late:
+		case <-waited:
 			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "stopped without its host's word")
 		}
-		events, seen, end, err := r.news()
+		events, watermark, end, err := r.takeUpdates()
 		for _, ev := range events {
-			if failure != nil {
+			if sinkErr != nil {
 				break
 			}
-			if !began {
-				began, failure = true, sink.Start(cf.TargetAnswer{Status: 200})
+			if !started {
+				started, sinkErr = true, sink.Start(cf.TargetAnswer{Status: 200})
 			}
-			if failure == nil {
-				failure = sink.Event(ev)
+			if sinkErr == nil {
+				sinkErr = sink.Event(ev)
 			}
-			if failure != nil && end == nil && err == nil {
+			if sinkErr != nil && end == nil && err == nil {
 				r.stop()
 			}
 		}
-		if seer != nil && seen > 0 {
-			seer.Watermark(seen)
+		if progress != nil && watermark > 0 {
+			progress.Watermark(watermark)
 		}
 		switch {
 		case err != nil:
 			return cf.TargetAnswer{}, err
 		case end == nil:
-		case failure != nil:
-			return cf.TargetAnswer{}, failure
+		case sinkErr != nil:
+			return cf.TargetAnswer{}, sinkErr
 		case end.UnknownRun:
 			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "not held")
 		case end.NotSent:
@@ -348,10 +348,10 @@
 	}
 }
 
-// news takes what the run has brought.
-func (r *run) news() (events []cf.StreamEvent, seen cf.Millis, end *RunEnd, err error) {
+// takeUpdates takes what the run has brought.
+func (r *run) takeUpdates() (events []cf.StreamEvent, watermark cf.Millis, end *RunEnd, err error) {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
 	events, r.events = r.events, nil
-	return events, r.seen, r.end, r.err
+	return events, r.watermark, r.end, r.err
 }
--- a/io/cfrunner/pool.go
+++ b/io/cfrunner/pool.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// planEvery is how often the division is looked at again: engines and
+	// planInterval is how often the division is looked at again: engines and
 	// instances come and go, and a run that begins goes by the division of then.
-	planEvery cf.Millis = 250
-	// avoidFor is how long an instance that was lost gets no runs.
-	avoidFor cf.Millis = 8000
-	// usedFor is how long an engine that has run something is counted among those that
+	planInterval cf.Millis = 250
+	// excludeTime is how long an instance that was lost gets no runs.
+	excludeTime cf.Millis = 8000
+	// engineIdleTimeout is how long an engine that has run something is counted among those that
 	// are divided.
-	usedFor cf.Millis = 60000
+	engineIdleTimeout cf.Millis = 60000
 )
 
 type (
@@ -51,30 +51,30 @@
 	// here. It is safe for concurrent use. Close stops what it started and waits.
 	Pool struct {
 		Options
-		duty   Incarnation
+		self   Incarnation
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
-		// hurried is closed when the coordinator's time is over.
-		hurried chan struct{}
-		hurry   sync.Once
+		// stopWaitLimited is closed when the coordinator's time is over.
+		stopWaitLimited chan struct{}
+		limitOnce       sync.Once
 
 		mu sync.Mutex
-		// used are the engines that run something or lately did.
-		used    map[cf.InstanceID]usedEngine
-		plan    Plan
-		planned cf.Millis // when, zero if never
-		links   map[cf.EntryID]*link
-		avoid   map[cf.EntryID]cf.Millis
-		running int
-		peak    cfpeak.Peak
-		// runs counts the runs.
-		runs atomic.Uint64
+		// usedEngines are the engines that run something or lately did.
+		usedEngines   map[cf.InstanceID]usedEngine
+		plan          Plan
+		plannedAt     cf.Millis // when, zero if never
+		links         map[cf.EntryID]*link
+		excludedUntil map[cf.EntryID]cf.Millis
+		running       int
+		peak          cfpeak.Peak
+		// lastRun counts the runs.
+		lastRun atomic.Uint64
 	}
 
 	usedEngine struct {
-		target cf.Target
-		at     cf.Millis
+		target   cf.Target
+		lastUsed cf.Millis
 	}
 )
 
@@ -82,8 +82,8 @@
 func NewPool(o Options) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
-		Options: o, duty: Incarnation{Term: o.Term, Number: rand.Uint64()}, ctx: ctx, cancel: cancel, hurried: make(chan struct{}),
-		used: map[cf.InstanceID]usedEngine{}, links: map[cf.EntryID]*link{}, avoid: map[cf.EntryID]cf.Millis{},
+		Options: o, self: Incarnation{Term: o.Term, Number: rand.Uint64()}, ctx: ctx, cancel: cancel, stopWaitLimited: make(chan struct{}),
+		usedEngines: map[cf.InstanceID]usedEngine{}, links: map[cf.EntryID]*link{}, excludedUntil: map[cf.EntryID]cf.Millis{},
 	}
 }
 
@@ -97,19 +97,19 @@
 
 // LimitStopWait makes streams that are stopped from now on wait only briefly for their
 // hosts: a successor waits for what this instance has.
-func (p *Pool) LimitStopWait() { p.hurry.Do(func() { close(p.hurried) }) }
+func (p *Pool) LimitStopWait() { p.limitOnce.Do(func() { close(p.stopWaitLimited) }) }
 
 // Route returns the way of a stream that is about to begin. A sink that is a
 // cf.SeenSink also learns until when no events were missing.
 func (p *Pool) Route(t cf.Target) cf.StreamRoute {
-	p.count(1)
+	p.countRuns(1)
 	l := p.linkFor(t)
 	via := p.Self.ID
 	if l != nil {
 		via = l.id
 	}
 	return cf.StreamRoute{Via: via, Stream: func(ctx context.Context, t cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
-		defer p.count(-1)
+		defer p.countRuns(-1)
 		for ; l != nil; l = p.linkFor(t) { // it may have ended meanwhile
 			if r := l.start(t, call); r != nil {
 				return r.follow(ctx, sink)
@@ -119,23 +119,23 @@
 	}}
 }
 
-// count notes the begin or the end of a run.
-func (p *Pool) count(n int) {
+// countRuns notes the begin or the end of a run.
+func (p *Pool) countRuns(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running += n
 	p.peak.Observe(p.running, cf.Uptime())
-	if len(p.plan) == 0 && !holdsAll(p.load(p.running), p.Self) {
-		p.planned = 0 // a step begins all its runs within a moment
+	if len(p.plan) == 0 && !canRunAll(p.typicalRuns(p.running), p.Self) {
+		p.plannedAt = 0 // a step begins all its runs within a moment
 	}
 }
 
-// load returns what runs cost, in usual ones.
-func (p *Pool) load(runs int) int {
+// typicalRuns returns what runs cost, in usual ones.
+func (p *Pool) typicalRuns(runs int) int {
 	if p.Pace == nil {
 		return runs
 	}
-	return usualRuns(runs, p.Pace())
+	return typicalRuns(runs, p.Pace())
 }
 
 // linkFor returns the link to the instance that holds a target's streams, nil if
@@ -144,46 +144,46 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := cf.Uptime()
-	p.used[t.ID] = usedEngine{t, now}
+	p.usedEngines[t.ID] = usedEngine{t, now}
 	p.replan(now)
 	e, ok := p.plan.For(t)
 	if !ok || p.ctx.Err() != nil {
 		return nil
 	}
 	l := p.links[e.ID]
-	if l == nil || l.isOver() {
+	if l == nil || l.isClosed() {
 		l = newLink(p, e)
 		p.links[e.ID] = l
-		p.wg.Go(l.collect)
-		p.wg.Go(l.order)
+		p.wg.Go(l.poll)
+		p.wg.Go(l.sendOrders)
 	}
 	return l
 }
 
 // replan divides the engines among the instances. p.mu is held.
 func (p *Pool) replan(now cf.Millis) {
-	if p.planned > 0 && now-p.planned < planEvery {
+	if p.plannedAt > 0 && now-p.plannedAt < planInterval {
 		return
 	}
-	p.planned = now
+	p.plannedAt = now
 	var members []cfmember.Entry
 	for _, e := range p.Members() {
-		if now >= p.avoid[e.ID] {
+		if now >= p.excludedUntil[e.ID] {
 			members = append(members, e)
 		}
 	}
 	var engines []cf.Target
-	for id, u := range p.used {
-		if now-u.at > usedFor {
-			delete(p.used, id)
+	for id, u := range p.usedEngines {
+		if now-u.lastUsed > engineIdleTimeout {
+			delete(p.usedEngines, id)
 			continue
 		}
 		engines = append(engines, u.target)
 	}
 	slices.SortFunc(engines, func(a, b cf.Target) int { return cmp.Compare(a.ID, b.ID) })
-	before := len(p.plan)
-	p.plan = Assign(engines, p.load(p.peak.Max(now)), members, p.Self, p.plan)
-	if (before == 0) != (len(p.plan) == 0) {
+	previous := len(p.plan)
+	p.plan = Assign(engines, p.typicalRuns(p.peak.Max(now)), members, p.Self, p.plan)
+	if (previous == 0) != (len(p.plan) == 0) {
 		hosts := map[cf.EntryID]bool{}
 		for _, e := range p.plan {
 			hosts[e.ID] = true
@@ -192,10 +192,10 @@
 	}
 }
 
-// lost notes that an instance is not reached.
-func (p *Pool) lost(e cf.EntryID) {
+// excludeHost notes that an instance is not reached.
+func (p *Pool) excludeHost(e cf.EntryID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.avoid[e] = cf.Uptime() + avoidFor
-	p.planned = 0
+	p.excludedUntil[e] = cf.Uptime() + excludeTime
+	p.plannedAt = 0
 }
--- a/io/cfrunner/unboundedstream_test.go
+++ b/io/cfrunner/unboundedstream_test.go
@@ -10,16 +10,16 @@
 	cf "currantford"
 )
 
-// endless sends events without end, and tells how many bytes were taken.
-type endless struct {
+// endlessTargets sends events without end, and tells how many bytes were taken.
+type endlessTargets struct {
 	cf.Targets
-	taken chan int
+	accepted chan int
 }
 
-func (e endless) Stream(ctx context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (e endlessTargets) Stream(ctx context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	const data = "0123456789"
 	taken := 0
-	defer func() { e.taken <- taken }()
+	defer func() { e.accepted <- taken }()
 	for id := cf.EventID(1); taken < 64<<20 && ctx.Err() == nil; id++ {
 		if err := sink.Event(cf.StreamEvent{ID: id, Data: data, Version: 1}); err != nil {
 			return cf.TargetAnswer{Status: 200}, err
@@ -31,11 +31,11 @@
 
 // Guards against: a report that is too long to arrive, and a host's memory, where a target's
 // events have no end.
-func TestEventsWithoutEndAreCutOffAtTheHost(t *testing.T) {
-	targets := endless{taken: make(chan int, 1)}
+func TestUnboundedStreamIsCutOffAtHost(t *testing.T) {
+	targets := endlessTargets{accepted: make(chan int, 1)}
 	h := NewHost(targets, zap.NewNop())
 	defer func() { _ = h.Close() }()
-	s, err := h.join(Incarnation{Term: 1})
+	s, err := h.sessionOf(Incarnation{Term: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	h.start(s, StartOrder{Run: 1})
 	s.mu.Unlock()
 	select {
-	case n := <-targets.taken:
+	case n := <-targets.accepted:
 		if n > 4<<20 {
 			t.Errorf("%d bytes of one run were taken", n)
 		}
--- a/organisation.go
+++ b/organisation.go
@@ -36,20 +36,20 @@
 // ErrUnauthenticated: the request bears no key that is in force, and needs one.
 var ErrUnauthenticated = errors.New("no key that is in force")
 
-// keyShown stands wherever a key would be printed.
-const keyShown = "(key)"
+// redactedKey stands wherever a key would be printed.
+const redactedKey = "(key)"
 
 // String hides the key.
-func (APIKey) String() string { return keyShown }
+func (APIKey) String() string { return redactedKey }
 
 // GoString hides the key.
-func (APIKey) GoString() string { return keyShown }
+func (APIKey) GoString() string { return redactedKey }
 
 // MarshalText hides the key.
-func (APIKey) MarshalText() ([]byte, error) { return []byte(keyShown), nil }
+func (APIKey) MarshalText() ([]byte, error) { return []byte(redactedKey), nil }
 
-// scopeMark ends the organisation in an id. Names are escaped so that it stands in none.
-const scopeMark = "~"
+// scopeSeparator ends the organisation in an id. Names are escaped so that it stands in none.
+const scopeSeparator = "~"
 
 // Within the system the ids of batches, items and groups belong to their
 // organisation: two that choose the same id have two batches, and none reaches, learns
@@ -57,21 +57,21 @@
 // organisation is as its caller chose it.
 
 func scoped(o Organisation, id string) string {
-	if o == "" && !strings.Contains(id, scopeMark) {
+	if o == "" && !strings.Contains(id, scopeSeparator) {
 		return id
 	}
-	return strings.ReplaceAll(url.QueryEscape(string(o)), scopeMark, "%7E") + scopeMark + id
+	return strings.ReplaceAll(url.QueryEscape(string(o)), scopeSeparator, "%7E") + scopeSeparator + id
 }
 
-func bare(id string) string {
-	if _, rest, ok := strings.Cut(id, scopeMark); ok {
+func unscoped(id string) string {
+	if _, rest, ok := strings.Cut(id, scopeSeparator); ok {
 		return rest
 	}
 	return id
 }
 
 func owner(id string) Organisation {
-	name, _, ok := strings.Cut(id, scopeMark)
+	name, _, ok := strings.Cut(id, scopeSeparator)
 	if !ok {
 		return ""
 	}
@@ -95,7 +95,7 @@
 func (id BatchID) Organisation() Organisation { return owner(string(id)) }
 
 // Unscoped returns the id as the caller chose it.
-func (id BatchID) Unscoped() string { return bare(string(id)) }
+func (id BatchID) Unscoped() string { return unscoped(string(id)) }
 
 // RequestID returns the id that the item bears at a target, as its submitter chose it.
-func (id ItemID) RequestID() RequestID { return RequestID(bare(string(id))) }
+func (id ItemID) RequestID() RequestID { return RequestID(unscoped(string(id))) }
--- a/organisation_test.go
+++ b/organisation_test.go
@@ -4,7 +4,7 @@
 
 // Ids of two organisations never meet, however they are chosen, and each is found again
 // as its caller chose it.
-func TestIDsBelongToTheirOrganisation(t *testing.T) {
+func TestIDsAreScopedByOrganisation(t *testing.T) {
 	ids := []BatchID{"b", "a~b", "~b", "~", "", "a/b", "x y", "a~~b"}
 	organisations := []Organisation{"", "a", "~", "a~b", "a b", "a/b", "%61"}
 	seen := map[BatchID]string{}
--- a/store.go
+++ b/store.go
@@ -71,13 +71,13 @@
 	KindUsage = "currantford-usage"
 	// KindScaling holds the engines that are wanted, before they are ordered.
 	KindScaling = "currantford-scaling"
-	// kindParts is the head of the kind that holds one batch's items, where
+	// kindPartsPrefix is the head of the kind that holds one batch's items, where
 	// they do not fit into its object.
-	kindParts = "currantford-parts-"
-	// kindResults is the head of the kind that holds one batch's results.
-	kindResults = "currantford-results-"
-	// kindTexts is the head of the kind that holds one batch's texts under way.
-	kindTexts = "currantford-texts-"
+	kindPartsPrefix = "currantford-parts-"
+	// kindResultsPrefix is the head of the kind that holds one batch's results.
+	kindResultsPrefix = "currantford-results-"
+	// kindTextsPrefix is the head of the kind that holds one batch's texts under way.
+	kindTextsPrefix = "currantford-texts-"
 )
 
 var (
@@ -89,12 +89,12 @@
 )
 
 // KindParts is the kind under which the items of a large batch are kept.
-func KindParts(id BatchID) string { return kindParts + string(id) }
+func KindParts(id BatchID) string { return kindPartsPrefix + string(id) }
 
 // KindTexts is the kind under which long texts of a batch are kept while they are
 // generated.
-func KindTexts(id BatchID) string { return kindTexts + string(id) }
+func KindTexts(id BatchID) string { return kindTextsPrefix + string(id) }
 
 // KindResults is the kind under which the results of a batch are kept, one
 // object per chunk. A kind of its own lets one list call read a batch.
-func KindResults(id BatchID) string { return kindResults + string(id) }
+func KindResults(id BatchID) string { return kindResultsPrefix + string(id) }
