--- a/clock.go
+++ b/clock.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sleep waits for d, or until ctx ends; it returns false then.
+// Sleep waits for d. It returns false if ctx ends before.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
@@ -25,8 +25,8 @@
 	}
 }
 
-// Backoff returns m doubled for each of times, up to most: the pause after so many
-// failures in a row.
+// Backoff returns the retry delay after the given number of consecutive failures: m doubled once
+// per failure, up to limit.
 func (m Millis) Backoff(failures int, limit Millis) Millis {
 	for ; failures > 0 && 0 < m && m < limit; failures-- {
 		m *= 2
@@ -34,14 +34,13 @@
 	return min(m, limit)
 }
 
-// Uptime returns the span since the machine started. Unlike Go's monotonic
-// clock it goes on while the machine is suspended: a lease holder that slept
-// through its lease would otherwise believe itself still valid and act beside
-// its successor.
+// Uptime returns the time since the machine booted. Unlike Go's monotonic clock it advances while
+// the machine is suspended. Otherwise an instance that was suspended until after its lease had
+// expired would consider the lease valid and act alongside its successor.
 func Uptime() Millis {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock exists on every kernel the project supports.
+		// Every kernel that the project supports provides this clock.
 		panic("currantford: no CLOCK_BOOTTIME: " + err.Error())
 	}
 	return Millis(ts.Nano() / 1e6)
--- a/clock_test.go
+++ b/clock_test.go
@@ -12,7 +12,7 @@
 		{50, 1 << 40, 1600, 1600}, {300, 3, 2000, 2000}, {300, 0, 200, 200}, {0, 1 << 40, 200, 0},
 	} {
 		if got := c.initial.Backoff(c.failures, c.limit); got != c.want {
-			t.Errorf("%d doubled %d times up to %d is %d, want %d", c.initial, c.failures, c.limit, got, c.want)
+			t.Errorf("Millis(%d).Backoff(%d, %d) = %d, want %d", c.initial, c.failures, c.limit, got, c.want)
 		}
 	}
 }
--- a/ingress.go
+++ b/ingress.go
@@ -7,58 +7,58 @@
 )
 
 type (
-	// Refusal turns a request away that surely has not run. It is an
-	// ErrRefused that says when to come back.
+	// Refusal is the error of a request that was rejected and certainly not run. It is an
+	// ErrRefused that also states when to retry.
 	Refusal struct {
 		RetryAfter Millis
 		Reason     string
 	}
 
-	// CallerLimits bound what a caller may send.
+	// CallerLimits holds the limits on what a caller may send.
 	CallerLimits struct {
 		BodyBytes int64
 	}
 
-	// Ingress is what an entry instance offers to callers; the adapter
-	// translates their protocol into it.
+	// Ingress is the interface that an entry instance offers to callers. The adapter translates the
+	// callers' protocol to it.
 	Ingress interface {
-		// Ready says whether callers may be sent to this instance.
+		// Ready reports whether callers may be sent to this instance.
 		Ready() bool
-		// Resolve returns the addresses of the entry instances that take
-		// callers, those of the caller's failure domain first.
+		// Resolve returns the addresses of the entry instances that serve callers, those in the
+		// caller's failure domain first.
 		Resolve(domain FailureDomain) (addrs []string, ttl Millis)
-		// Limits returns false before any configuration is known.
+		// Limits returns the limits for callers. It returns false until a configuration is known.
 		Limits() (CallerLimits, bool)
-		// ReserveBody takes room in memory for a body of n bytes, -1 if its
-		// length is not said, until release is called.
+		// ReserveBody reserves memory for a request body of n bytes, or of unknown length if n is
+		// -1, until release is called.
 		ReserveBody(n int64) (release func(), err error)
-		// OpenRoom begins the account of what an answer to a caller about a batch takes of
-		// the memory.
+		// OpenRoom returns the memory accounting of an answer to a caller about the batch id.
 		OpenRoom(ctx context.Context, who Credentials, id BatchID) Room
-		// AcceptsBatches says whether a request is the submission of a batch.
+		// AcceptsBatches reports whether requests to host and path submit batches.
 		AcceptsBatches(host, path string) bool
-		// Authenticate says whether a request may go on that is not read yet. It
-		// returns an ErrRefused or ErrUnauthenticated.
+		// Authenticate reports whether a request may proceed before its body is read. It returns an
+		// ErrRefused or ErrUnauthenticated if not.
 		Authenticate(host, path string, who Credentials) error
-		// Forward answers a request by sending it to a target.
+		// Forward sends a request to a target and writes the target's answer to w.
 		Forward(ctx context.Context, req *Request, w http.ResponseWriter)
-		// Submit accepts a batch for good, or returns an ErrRefused,
-		// ErrUnauthenticated, ErrNotFound, or ErrUnavailable when it is not known
-		// which. The calls below find only batches of the caller's organisation.
+		// Submit accepts a batch durably. Otherwise it returns an ErrRefused, ErrUnauthenticated or
+		// ErrNotFound, or ErrUnavailable if it is unknown whether the batch was accepted. The
+		// methods below find only batches of the caller's organisation.
 		Submit(ctx context.Context, who Credentials, sub Submission) error
-		// Results reads a batch from a position on, waiting for one result.
+		// Results returns a page of a batch's results from position after on. It waits up to wait
+		// for a result.
 		Results(ctx context.Context, who Credentials, id BatchID, after int, wait Millis) (ResultPage, error)
 		// ItemBody returns the body of an item.
 		ItemBody(ctx context.Context, who Credentials, id BatchID, item ItemID) ([]byte, error)
-		// End ends a batch: none of its items is started any more.
+		// End ends a batch: no further items of it are started.
 		End(ctx context.Context, who Credentials, id BatchID) error
 	}
 )
 
-// Error says why and until when.
+// Error returns the reason and the time after which the caller may retry.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused: %s, come back in %d ms", r.Reason, r.RetryAfter)
 }
 
-// Is makes a Refusal an ErrRefused.
+// Is reports a Refusal as an ErrRefused.
 func (r *Refusal) Is(target error) bool { return target == ErrRefused }
--- a/organisation.go
+++ b/organisation.go
@@ -7,54 +7,57 @@
 )
 
 type (
-	// Organisation names who a caller belongs to, as the configuration does. The
-	// zero value is nobody: a caller on a public route, or a deployment that keeps no
-	// organisations.
+	// Organisation is the name of the organisation that a caller belongs to, as in the
+	// configuration. The zero value stands for no organisation: a caller on a public route, or a
+	// deployment without organisations.
 	Organisation string
 
-	// APIKey proves that a caller belongs to an organisation. However it is printed,
-	// it does not show: a key in a log line, an error or a message lets whoever reads
-	// it act for its organisation.
+	// APIKey authenticates a caller as a member of an organisation. Formatting or encoding it never
+	// shows the key, since anyone who reads a key in a log line, an error or a message could use it
+	// to act for its organisation.
 	APIKey string
 
-	// Credentials are what a request bears of who sends it.
+	// Credentials holds what a request carries to identify its sender.
 	Credentials struct {
 		Keys []APIKey
-		// ClientID tells callers apart where there are no organisations.
+		// ClientID distinguishes callers in deployments without organisations: the Authorization
+		// header, or the client's IP address without one.
 		ClientID string
 	}
 
-	// Access is who a request was found to come from.
+	// Access is the identity and priority determined for a request.
 	Access struct {
 		Organisation Organisation
-		// Priority ranks the request, 0 first, where Ranked is set.
+		// Priority is the rank of the request, 0 being the highest. It is valid only if Ranked is
+		// set.
 		Priority int
 		Ranked   bool
 	}
 )
 
-// ErrUnauthenticated: the request bears no key that is in force, and needs one.
+// ErrUnauthenticated means that the request requires a valid key and carries none.
 var ErrUnauthenticated = errors.New("no key that is in force")
 
-// redactedKey stands wherever a key would be printed.
+// redactedKey replaces a key wherever it would be printed.
 const redactedKey = "(key)"
 
-// String hides the key.
+// String returns a placeholder instead of the key.
 func (APIKey) String() string { return redactedKey }
 
-// GoString hides the key.
+// GoString returns a placeholder instead of the key.
 func (APIKey) GoString() string { return redactedKey }
 
-// MarshalText hides the key.
+// MarshalText returns a placeholder instead of the key.
 func (APIKey) MarshalText() ([]byte, error) { return []byte(redactedKey), nil }
 
-// scopeSeparator ends the organisation in an id. Names are escaped so that it stands in none.
+// scopeSeparator separates the organisation from the rest of an id. It is escaped in organisation
+// names, so the first one in an id is always the separator.
 const scopeSeparator = "~"
 
-// Within the system the ids of batches, items and groups belong to their
-// organisation: two that choose the same id have two batches, and none reaches, learns
-// of, or takes the texts of another's, whichever path asks for it. An id without an
-// organisation is as its caller chose it.
+// Inside the system the ids of batches, items and groups are scoped by organisation. Two
+// organisations that choose the same id have two separate batches, and neither can find, read or
+// take over the texts of the other's batch through any path. An id without an organisation is used
+// as its caller chose it, unless it contains the separator.
 
 func scoped(o Organisation, id string) string {
 	if o == "" && !strings.Contains(id, scopeSeparator) {
@@ -77,25 +80,25 @@
 	}
 	o, err := url.QueryUnescape(name)
 	if err != nil {
-		return "" // no id of this system
+		return "" // not an id that this system generated
 	}
 	return Organisation(o)
 }
 
-// Batch returns the id of an organisation's batch.
+// Batch returns the scoped id of a batch of the organisation.
 func (o Organisation) Batch(id BatchID) BatchID { return BatchID(scoped(o, string(id))) }
 
-// Item returns the id of an item of an organisation's batch.
+// Item returns the scoped id of an item of one of the organisation's batches.
 func (o Organisation) Item(id ItemID) ItemID { return ItemID(scoped(o, string(id))) }
 
-// Group returns the id of a group of an organisation's items.
+// Group returns the scoped id of a group of items of the organisation.
 func (o Organisation) Group(id GroupID) GroupID { return GroupID(scoped(o, string(id))) }
 
-// Organisation returns whose batch it is.
+// Organisation returns the organisation that the batch belongs to.
 func (id BatchID) Organisation() Organisation { return owner(string(id)) }
 
-// Unscoped returns the id as the caller chose it.
+// Unscoped returns the id as chosen by the caller.
 func (id BatchID) Unscoped() string { return unscoped(string(id)) }
 
-// RequestID returns the id that the item bears at a target, as its submitter chose it.
+// RequestID returns the item's request id at a target, which is the id chosen by the submitter.
 func (id ItemID) RequestID() RequestID { return RequestID(unscoped(string(id))) }
--- a/organisation_test.go
+++ b/organisation_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-// Ids of two organisations never meet, however they are chosen, and each is found again
-// as its caller chose it.
+// Guards against ids of two organisations that become equal for some choice of names and ids, and
+// against scoped ids that do not yield the organisation and the caller's id again.
 func TestIDsAreScopedByOrganisation(t *testing.T) {
 	ids := []BatchID{"b", "a~b", "~b", "~", "", "a/b", "x y", "a~~b"}
 	organisations := []Organisation{"", "a", "~", "a~b", "a b", "a/b", "%61"}
 	seen := map[BatchID]string{}
 	for _, o := range organisations {
 		for _, id := range ids {
-			in := o.Batch(id)
-			if in.Unscoped() != string(id) || in.Organisation() != o {
-				t.Errorf("batch %q of %q is %q: %q of %q", id, o, in, in.Unscoped(), in.Organisation())
+			scopedID := o.Batch(id)
+			if scopedID.Unscoped() != string(id) || scopedID.Organisation() != o {
+				t.Errorf("batch %q of organisation %q has id %q, which yields batch %q of organisation %q", id, o, scopedID, scopedID.Unscoped(), scopedID.Organisation())
 			}
-			if other, met := seen[in]; met {
-				t.Errorf("batch %q of %q is that of %s", id, o, other)
+			if other, duplicate := seen[scopedID]; duplicate {
+				t.Errorf("batch %q of organisation %q has the same id as %s", id, o, other)
 			}
-			seen[in] = string(o) + "'s " + string(id)
+			seen[scopedID] = string(o) + "'s " + string(id)
 		}
 	}
 	if got := Organisation("").Batch("7c41"); got != "7c41" {
-		t.Errorf("without an organisation: %q", got)
+		t.Errorf("id without an organisation: %q, want it unchanged", got)
 	}
 }
--- a/target.go
+++ b/target.go
@@ -7,20 +7,21 @@
 )
 
 type (
-	// InstanceID names one start of a target; a restart has a new one.
+	// InstanceID identifies a target in the instance list. A restarted target usually has a new id;
+	// Target.Started distinguishes restarts under the same id.
 	InstanceID string
-	// ServiceName names a group of interchangeable targets.
+	// ServiceName is the name of a group of interchangeable targets.
 	ServiceName string
-	// ModelName names a model whose weights are versioned.
+	// ModelName is the name of a model with versioned weights.
 	ModelName string
 
-	// ModelState is a model as a target holds it.
+	// ModelState is a model and the version of it that a target has loaded.
 	ModelState struct {
 		Name    ModelName     `cbor:"name"`
 		Version WeightVersion `cbor:"version"`
 	}
 
-	// Target is one back end as the instance list shows it.
+	// Target is a back end as shown in the instance list.
 	Target struct {
 		ID       InstanceID    `cbor:"id"`
 		Service  ServiceName   `cbor:"service"`
@@ -29,109 +30,108 @@
 		Slots    int           `cbor:"slots"`
 		Draining bool          `cbor:"draining"`
 		Models   []ModelState  `cbor:"models,omitempty"`
-		// Started is the wall clock's time of the target's start; zero when it
-		// does not say. A target may start again under its id: it then holds
-		// nothing of before, and counts anew.
+		// Started is the wall-clock time at which the target started, zero if unknown. A target
+		// that restarts under the same id has lost all previous state, and its counters start
+		// again.
 		Started Millis `cbor:"born,omitempty"`
-		// Spot: the platform may reclaim it; Leaves is how long it stays then, as of its
-		// entry, zero when it does not say.
+		// Spot marks a target that the platform may reclaim. ReclaimNotice is how long a reclaimed
+		// target still runs, as stated in its instance list entry; zero if not stated.
 		Spot          bool   `cbor:"spot,omitempty"`
 		ReclaimNotice Millis `cbor:"leaves,omitempty"`
 	}
 
-	// TargetLoad is what a target says of itself in an answer.
+	// TargetLoad is the load that a target reports in an answer.
 	TargetLoad struct {
 		Running int
 		Waiting int
 		Slots   int
-		// Pace is how long work takes there at the moment, in percent of what is
-		// usual; zero where the target does not say.
+		// Pace is the duration of work at the target as a percentage of the usual duration, zero if
+		// the target does not report it.
 		Pace int
-		// At is the Uptime at which the target's word arrived.
+		// At is the Uptime at which the report arrived.
 		At Millis
 	}
 
-	// TargetCall is one request as it is sent to one target.
+	// TargetCall is a request as sent to a target.
 	TargetCall struct {
 		ID      RequestID
 		Method  string
 		Host    string
-		Path    string // path and query, as the caller sent them
+		Path    string // path and query, as sent by the caller
 		Header  http.Header
 		Body    []byte
-		Timeout Millis // what is left of the caller's deadline
-		// ResumeAfter is the last event already delivered; zero starts anew.
+		Timeout Millis // remaining time until the caller's deadline
+		// ResumeAfter is the last event that was already delivered, zero for a stream from the
+		// beginning.
 		ResumeAfter EventID
-		// ExpectVersion makes a target with other weights refuse.
+		// ExpectVersion makes a target with other weights refuse the call.
 		ExpectVersion WeightVersion
-		// Urgency ranks the call at a target, 0 first, where Ranked is set;
-		// a target admits more urgent calls first.
+		// Urgency is the rank of the call at a target, 0 being the most urgent; targets admit more
+		// urgent calls first. It is valid only if Ranked is set.
 		Urgency int
 		Ranked  bool
-		// Organisation is whose request it is, as this system has found out.
+		// Organisation is the organisation to which this system attributes the request.
 		Organisation Organisation
-		// FreshConnection forbids a kept connection: on one that the target
-		// is closing it is unknown whether the request was read.
+		// FreshConnection forbids reuse of an idle connection. If the target closes a reused
+		// connection, it is unknown whether it has read the request.
 		FreshConnection bool
-		// Room is what the answer takes of the memory before it is read; without one it
-		// must be small.
+		// Room accounts for the memory of the answer. Memory is reserved before it is read into.
+		// Without a Room, only a small answer is accepted.
 		Room Room
 	}
 
-	// TargetAnswer is a target's whole answer to a call.
+	// TargetAnswer is a target's complete answer to a call.
 	TargetAnswer struct {
 		Status int
 		Header http.Header
 		Body   []byte
-		// NotRun is the target's word that it did not run the request.
+		// NotRun is set if the target states that it did not run the request.
 		NotRun bool
 		Load   *TargetLoad
-		// KeepAlive is how long the connection is kept for another call, zero if it
-		// is not.
+		// KeepAlive is how long the connection stays open for another call, zero if it is closed.
 		KeepAlive Millis
-		// Alive says that the target was alive after the call was sent: it took a
-		// new connection for it, or has begun to answer. It is set beside an error
-		// too.
+		// Alive reports that the target was alive after the call was sent: it accepted a new
+		// connection for the call or began to answer. It is set together with an error, too.
 		Alive bool
-		// SentAt is the Uptime at which the call had been sent in full, zero if it was
-		// not. It is set beside an error too.
+		// SentAt is the Uptime at which the call had been sent completely, zero if it was not. It
+		// is set together with an error, too.
 		SentAt Millis
-		// Signature is the target's mark on the answer, which proves that
-		// the target made it for this request.
+		// Signature is the target's signature of the answer. It proves that the target produced the
+		// answer for this request.
 		Signature string
 	}
 
-	// EventID numbers the events of a stream, from 1.
+	// EventID is the number of an event within a stream, starting at 1.
 	EventID int64
 
-	// StreamEvent is one event of a target's stream.
+	// StreamEvent is an event of a target's stream.
 	StreamEvent struct {
 		ID      EventID
 		Data    string
 		Version WeightVersion
-		// At is the Uptime at which it arrived, zero where it arrives now.
+		// At is the Uptime at which the event arrived, zero if it has just arrived.
 		At Millis
-		// Raw is the event as the target sent it, blank line included.
+		// Raw is the event's original encoding, including the blank line at its end.
 		Raw []byte
 	}
 
-	// StreamSink receives a stream; an error ends the run.
+	// StreamSink receives the events of a stream. If a method returns an error, the run ends.
 	StreamSink interface {
-		// Start is called once, when a success begins.
+		// Start is called once, at the beginning of a successful answer.
 		Start(TargetAnswer) error
-		// Event is called for each whole event, in order.
+		// Event is called for each complete event, in order.
 		Event(StreamEvent) error
 	}
 
-	// StreamRoute is how one stream reaches its target: Via names the instance that
-	// holds it, and Stream, to be called once, is Targets.Stream by that way.
+	// StreamRoute is the path of a stream to its target. Via is the instance that runs the stream.
+	// Stream has the effect of Targets.Stream through that instance and may be called once.
 	StreamRoute struct {
 		Via    EntryID
 		Stream func(ctx context.Context, t Target, call TargetCall, sink StreamSink) (TargetAnswer, error)
 	}
 
-	// WatermarkSink is a StreamSink that learns until when no event was missing, where
-	// events are handed on some time after they arrived.
+	// WatermarkSink is a StreamSink whose events may be delivered some time after they arrived.
+	// Watermark reports that all events that arrived up to the Uptime at have been delivered.
 	WatermarkSink interface {
 		Watermark(at Millis)
 	}
@@ -140,63 +140,64 @@
 	WeightOrder struct {
 		Model   ModelName
 		Version WeightVersion
-		// KeepRuns lets running streams go on under the new version;
-		// without it the target finishes them first.
+		// KeepRuns lets running streams continue with the new version; otherwise the target
+		// finishes them first.
 		KeepRuns bool
 		Holder   EntryID
 		Fence    Revision
-		// ExpectSeq is the target's order counter; a late copy of an order
-		// finds another value and is refused.
+		// ExpectSeq is the expected value of the target's order counter. The target refuses a
+		// delayed duplicate of an order, since its counter has a different value by then.
 		ExpectSeq int64
 	}
 
-	// TargetReport is a model target's account of its orders and weights.
+	// TargetReport is a model target's report about its orders, weights and runs.
 	TargetReport struct {
 		Models []ModelState
 		Busy   bool
 		Seq    int64
-		// Started is the start of the target that reports, as in Target.
+		// Started is the start time of the reporting target, as in Target.
 		Started Millis
-		// Memory is what it can hold of the runs' prompts and texts, zero where
-		// it does not say.
+		// Memory is the number of prompt and output tokens that the target can hold for all its
+		// runs, zero if not reported.
 		Memory Tokens
 		Runs   []TargetRun
 	}
 
-	// TargetRun is a run as its target holds it.
+	// TargetRun is a run as reported by its target.
 	TargetRun struct {
 		ID RequestID
-		// Tokens are those in memory, of the prompt and of the events made.
+		// Tokens is the number of tokens in the target's memory, those of the prompt and those of
+		// the events generated so far.
 		Tokens Tokens
 		Events EventID
 	}
 
-	// Targets sends work and orders to targets. Errors: ErrNotRun (the
-	// request surely did not reach a handler), ErrMaybeRan, ErrBadAnswer.
+	// Targets sends requests and orders to targets. Its methods return ErrNotRun (the request
+	// certainly did not reach a handler), ErrMaybeRan or ErrBadAnswer.
 	Targets interface {
-		// Send sends a request and returns the whole answer, or an ErrNoRoom where it
-		// can't be held.
+		// Send sends a request and returns the complete answer, or an ErrNoRoom if there is no
+		// memory for the answer.
 		Send(ctx context.Context, t Target, call TargetCall) (TargetAnswer, error)
-		// Stream sends a request whose answer is a stream of events. The
-		// answer's body is only set when the status is not a success.
+		// Stream sends a request that is answered by a stream of events. The returned answer has a
+		// body only if its status is not a success.
 		Stream(ctx context.Context, t Target, call TargetCall, sink StreamSink) (TargetAnswer, error)
 		Report(ctx context.Context, t Target) (TargetReport, error)
-		// Reach says whether a new connection to the target can be had: nil,
+		// Reach reports whether a new connection to the target can be established: it returns nil,
 		// ErrNoProcess or ErrUnavailable.
 		Reach(ctx context.Context, t Target) error
-		// Order returns nil when the target accepted the order or the order
-		// already held, ErrConflict when the order's counter did not match.
+		// Order returns nil if the target accepted the order or had already executed it, and
+		// ErrConflict if the order's counter did not match.
 		Order(ctx context.Context, t Target, o WeightOrder) error
 	}
 )
 
 var (
-	// ErrNotRun: the request was certainly not run by the target.
+	// ErrNotRun means that the target certainly did not run the request.
 	ErrNotRun = errors.New("request was not run")
-	// ErrBadAnswer: the target's answer was cut short, malformed or belongs
-	// to another request; the request may have run.
+	// ErrBadAnswer means that the target's answer was truncated, malformed or belongs to another
+	// request. The request may have run.
 	ErrBadAnswer = errors.New("bad answer from target")
 )
 
-// Failed says whether the target answered that it failed.
+// Failed reports whether the target answered with a server error.
 func (a *TargetAnswer) Failed() bool { return a.Status >= http.StatusInternalServerError }
