--- a/io/cfrunner/assign.go
+++ b/io/cfrunner/assign.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// localRunsPerCore is how many usual runs a coordinator of one core holds itself. A usual
-	// run brings an event each usualPace ms; their events then take a third of the core.
-	// The load it answers: the runs of two steps at a coordinator of a fifth of a core,
-	// which then handles events, renewals and acceptances seconds late.
+	// localRunsPerCore is the number of typical runs that a coordinator with one core executes
+	// itself. A typical run produces an event each typicalEventInterval ms, so the events of these
+	// runs take a third of the core. With more, such as the runs of two steps on a fifth of a core,
+	// a coordinator handles events, lease renewals and batch submissions seconds late.
 	localRunsPerCore     = 500
 	typicalEventInterval = 40
-	// hostRunsPerCore is the same of another instance, which serves callers and may be
-	// the next coordinator: an eighth of its core.
+	// hostRunsPerCore is the corresponding number for a host, which also serves callers and may
+	// become the next coordinator. The events take an eighth of its core.
 	hostRunsPerCore = 200
 )
 
-// Plan says which instance holds the streams of which engine; those of an engine
-// that is not in it stay with the coordinator.
+// Plan maps engines to the hosts that run their streams. The coordinator itself runs the streams of
+// engines that are not in the plan.
 type Plan map[cf.InstanceID]cfmember.Entry
 
-// typicalRuns returns how many usual runs cost as much as runs whose events come each pace ms;
-// a pace that is not known is zero.
+// typicalRuns returns the number of typical runs that cost as much as the given runs, whose events
+// come each eventInterval ms. An eventInterval of zero is unknown.
 func typicalRuns(runs int, eventInterval float64) int {
 	if eventInterval <= 0 {
 		return runs
@@ -34,23 +34,22 @@
 	return int(float64(runs) * typicalEventInterval / eventInterval)
 }
 
-// Assign divides the engines among the instances, if more runs are under way at once
-// than the coordinator, self, can hold. As few instances as can carry it are taken, each
-// near its engines, the strong ones first; which ones changes little as instances
-// come and go, and an engine stays with the instance that it had before: that one has
-// connections to it.
+// Assign assigns the engines to hosts if there are more concurrent runs than the coordinator, self,
+// can execute. It uses as few hosts as can carry the load, in the failure domain of their engines
+// and with instances of high capacity first. The choice changes little when instances join or
+// leave, and an engine keeps its previous host, which has open connections to it.
 func Assign(engines []cf.Target, runs int, members []cfmember.Entry, self cfmember.Entry, previous Plan) Plan {
 	members = slices.DeleteFunc(slices.Clone(members), func(e cfmember.Entry) bool { return e.ID == self.ID })
 	if len(members) == 0 || len(engines) == 0 || canRunAll(runs, self) {
 		return nil
 	}
-	// Each engine is expected to have its part of the runs.
+	// The runs are expected to be spread evenly over the engines' slots.
 	runsPerSlot := min(float64(runs)/float64(max(totalSlots(engines), 1)), 1)
 	membersByDomain := map[cf.FailureDomain][]cfmember.Entry{}
 	for _, e := range members {
 		membersByDomain[e.Domain] = append(membersByDomain[e.Domain], e)
 	}
-	// Engines of a failure domain without instances go to those of any.
+	// Engines in a failure domain without instances are assigned to instances of any domain.
 	enginesByDomain := map[cf.FailureDomain][]cf.Target{}
 	for _, t := range engines {
 		d := t.Domain
@@ -67,8 +66,8 @@
 	return plan
 }
 
-// For returns the instance that holds the streams of an engine, one of those in the plan if
-// the engine is new to it; false if the coordinator does.
+// For returns the host of an engine. It assigns one of the plan's hosts to an engine that is not in
+// the plan yet. It returns false if the coordinator runs the engine's streams itself.
 func (p Plan) For(t cf.Target) (cfmember.Entry, bool) {
 	if e, known := p[t.ID]; known || len(p) == 0 {
 		return e, known
@@ -84,11 +83,11 @@
 	return best, true
 }
 
-// canRunAll says whether an instance can hold so many runs by itself.
+// canRunAll reports whether an instance can execute all runs by itself.
 func canRunAll(runs int, e cfmember.Entry) bool { return float64(runs) <= localRunsPerCore*e.Capacity }
 
-// assign gives engines to the first instances, in the order of their weight, that
-// can carry them together.
+// assign assigns engines to the first members, in the order of high capacity and rendezvous hash,
+// that can together carry their runs.
 func (p Plan) assign(engines []cf.Target, runsPerSlot float64, members []cfmember.Entry, previous Plan) {
 	order, strongest := slices.Clone(members), cfmember.MaxCapacity(members)
 	slices.SortFunc(order, func(a, b cfmember.Entry) int {
@@ -134,10 +133,11 @@
 	}
 }
 
-// rendezvousHash orders instances at random, and the same way each time.
+// rendezvousHash returns a pseudo-random but reproducible rank of an instance for an engine
+// (rendezvous hashing).
 func rendezvousHash(t cf.InstanceID, e cf.EntryID) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(string(t) + "/" + string(e))) // a hash takes everything
+	_, _ = h.Write([]byte(string(t) + "/" + string(e))) // a hash.Hash never returns an error
 	return h.Sum64()
 }
 
--- a/io/cfrunner/cfrunner.go
+++ b/io/cfrunner/cfrunner.go
@@ -1,22 +1,16 @@
-// Package cfrunner divides the streams of a coordinator's runs among the other
-// instances. A host holds the streams of some engines, near them, and sends the
-// coordinator what they brought a few times a second: one message for all events of
-// that time, where each event of each stream woke the coordinator up before. The
-// coordinator still decides everything; its pool looks to it like the targets
-// themselves.
+// Package cfrunner distributes the streams of a coordinator's runs over the other instances. A run
+// is one streamed request to an engine. A host is an instance that runs the streams of some
+// engines, preferably in its own failure domain, and sends the coordinator the events a few times a
+// second. One message then carries all events of that interval; without hosts, each event of each
+// stream wakes the coordinator up. The coordinator still makes all decisions, and uses its Pool in
+// the same way as the targets themselves.
 //
-// What can go wrong, and why it does no harm:
+// Failures and how the protocol handles them:
 //
-//   - An order that was held up on its way must start nothing late. Each names the
-//     host's own clock as the coordinator last heard it; a host starts nothing by one
-//     that is old.
-//   - A coordinator that is gone must not keep engines busy. A host that is not asked
-//     for news for Patience stops its runs; so does one that hears of a later term.
-//   - A run must not go on elsewhere while its host still holds it. A pool waits for
-//     the host's word that it has ended, or until the host must have given it up:
-//     questions count as of when they were sent, by the host's own clock.
-//   - An answer that is lost must not lose events. Reports are numbered, and given
-//     again until they are acknowledged.
+//   - A delayed order must not start a run late. Each order contains the host's own clock as of the latest report that the coordinator received, and a host starts nothing for an outdated order.
+//   - Engines must not stay busy with runs of a coordinator that no longer exists. A host that is not polled for PollTimeout stops its runs, and so does a host that learns of a later term.
+//   - A run must not continue elsewhere while its host still executes it. A Pool waits until the host confirms the end of the run or has certainly stopped it. A poll extends the host's runs as of the time at which it was sent, by the host's own clock.
+//   - A lost response must not lose events. Reports are numbered, and sent again until they are acknowledged.
 //
 // Usage:
 //
@@ -32,81 +26,83 @@
 	cf "currantford"
 )
 
-// Operations of the peer link.
+// Operations of the peer protocol.
 const (
 	OpOrders  = "run_orders"
 	OpCollect = "run_collect"
 )
 
 const (
-	// maxOrderAge is how old the host's clock in an order may be. A question for
-	// news tells it several times a second; a batch's end must hold within 3 s.
+	// maxOrderAge is the maximum age of the host clock in an order. Reports update that clock
+	// several times a second. None of a batch's runs may start later than 3 s after the end of the
+	// batch.
 	maxOrderAge cf.Millis = 1000
-	// reportInterval is how long a host gathers what its streams bring. A step's end
-	// does not wait for it: the end of a run is reported at once.
+	// reportInterval is how long a host collects events before it reports them. The end of a run is
+	// reported immediately, so that it does not delay the end of a training step.
 	reportInterval cf.Millis = 150
 )
 
 type (
-	// RunID numbers the runs of a coordinator, rising.
+	// RunID is the number of a run; a coordinator assigns increasing numbers.
 	RunID uint64
 
-	// SessionID names what a host holds for one coordinator. A host that has
-	// started again, or has stopped its runs, begins another one.
+	// SessionID identifies a host's session with a coordinator, which comprises the runs that the
+	// host executes for it. A host that has restarted or stopped its runs begins a new session.
 	SessionID uint64
 
-	// StartOrder asks a host to hold the stream of a run.
+	// StartOrder orders a host to execute a run.
 	StartOrder struct {
 		Run    RunID         `cbor:"run"`
 		Target cf.Target     `cbor:"target"`
 		Call   cf.TargetCall `cbor:"call"`
 	}
 
-	// Incarnation names a coordinator's time: its term, and a number of its own, since an
-	// instance that starts again may go on with its term.
+	// Incarnation identifies a coordinator process by its term and a random number, since an
+	// instance that restarts may keep its term.
 	Incarnation struct {
 		Term   cf.Revision `cbor:"term"`
 		Number uint64      `cbor:"number"`
 	}
 
-	// Orders start and stop runs of a session.
+	// Orders is a request to start and stop runs of a session.
 	Orders struct {
 		Incarnation Incarnation `cbor:"duty"`
 		Session     SessionID   `cbor:"session"`
-		// HostClock is the host's clock as of the latest report.
+		// HostClock is the host's clock as of its latest report.
 		HostClock cf.Millis    `cbor:"clock"`
 		Starts    []StartOrder `cbor:"starts,omitempty"`
 		Stops     []RunID      `cbor:"stops,omitempty"`
 	}
 
-	// CollectRequest asks a host for news.
+	// CollectRequest polls a host for a report.
 	CollectRequest struct {
 		Incarnation Incarnation `cbor:"duty"`
 		Session     SessionID   `cbor:"session"`
-		// LastReport is the number of the last report that arrived.
+		// LastReport is the number of the latest report received.
 		LastReport int64 `cbor:"got"`
-		// HostClock is the host's clock when the question was sent, or some time before:
-		// by its latest report and the time since that arrived.
+		// HostClock is a lower bound of the host's clock at the time at which the request was sent:
+		// the clock of the host's latest report plus the time since that report arrived.
 		HostClock cf.Millis `cbor:"clock"`
 	}
 
-	// Report is what the streams of a session brought since the report before.
+	// Report contains the events and ended runs of a session since the previous report.
 	Report struct {
 		Session SessionID `cbor:"session"`
 		Number  int64     `cbor:"number"`
-		// HostClock is the host's clock now; the events' times are by it.
+		// HostClock is the host's clock at the time of the report; the times of the events refer to
+		// the same clock.
 		HostClock cf.Millis   `cbor:"clock"`
 		Runs      []RunUpdate `cbor:"runs,omitempty"`
 	}
 
-	// RunUpdate is what one run brought.
+	// RunUpdate contains the new events of a run, and its end if it has ended.
 	RunUpdate struct {
 		Run    RunID   `cbor:"run"`
 		Events []Event `cbor:"events,omitempty"`
 		End    *RunEnd `cbor:"end,omitempty"`
 	}
 
-	// Event is one event of a stream.
+	// Event is an event of a stream.
 	Event struct {
 		ID      cf.EventID       `cbor:"id"`
 		Data    string           `cbor:"data"`
@@ -114,16 +110,16 @@
 		At      cf.Millis        `cbor:"at"`
 	}
 
-	// RunEnd is how a run ended.
+	// RunEnd is the outcome of a run.
 	RunEnd struct {
 		Status int    `cbor:"status,omitempty"`
 		NotRun bool   `cbor:"not_run,omitempty"`
 		Error  string `cbor:"error,omitempty"`
-		// NotSent: the error is that the request did not reach the target.
+		// NotSent marks Error as one of a request that did not reach the target.
 		NotSent bool `cbor:"not_sent,omitempty"`
-		// Alive is that of the target's answer.
+		// Alive has the value of the target's answer.
 		Alive bool `cbor:"heard,omitempty"`
-		// UnknownRun: the host has no such run.
+		// UnknownRun means that the host does not execute such a run.
 		UnknownRun bool `cbor:"not_held,omitempty"`
 	}
 )
--- a/io/cfrunner/cfrunner_test.go
+++ b/io/cfrunner/cfrunner_test.go
@@ -15,12 +15,12 @@
 	"currantford/core/cfmember"
 )
 
-// fake is a target whose streams wait for their events.
+// fake is a Targets implementation whose streams deliver the events sent to a channel.
 type fake struct {
 	cf.Targets
 	mu       sync.Mutex
-	starts   map[cf.RequestID]int // how often each was begun
-	finished int                  // how many have ended
+	starts   map[cf.RequestID]int // number of runs started, by request
+	finished int                  // number of runs that have ended
 	events   chan cf.StreamEvent
 }
 
@@ -62,28 +62,28 @@
 	return g.finished
 }
 
-// fakePeer calls a host directly. lose, if set, says which answers are lost.
+// fakePeer calls a host directly. dropResponse, if set, decides which responses are lost.
 type fakePeer struct {
 	mu           sync.Mutex
 	host         *Host
 	unreachable  bool
 	dropResponse func(op string) bool
-	// delay, if set, is how long calls are on their way; their answers are lost.
+	// delay, if set, is the delay of calls on their way to the host; their responses are lost.
 	delay time.Duration
 }
 
 func (w *fakePeer) Call(ctx context.Context, _, op string, body, out any) error {
 	w.mu.Lock()
-	host, gone, lose, late := w.host, w.unreachable, w.dropResponse, w.delay
+	host, unreachable, dropResponse, delay := w.host, w.unreachable, w.dropResponse, w.delay
 	w.mu.Unlock()
-	if late > 0 {
+	if delay > 0 {
 		if c, ok := body.(CollectRequest); ok {
-			time.AfterFunc(late, func() { _, _ = host.Collect(context.Background(), c) })
+			time.AfterFunc(delay, func() { _, _ = host.Collect(context.Background(), c) })
 		}
 		<-ctx.Done()
 		return cf.ErrUnavailable
 	}
-	if gone {
+	if unreachable {
 		<-ctx.Done()
 		return cf.ErrUnavailable
 	}
@@ -100,7 +100,7 @@
 			*out.(*Report) = r
 		}
 	}
-	if err == nil && lose != nil && lose(op) {
+	if err == nil && dropResponse != nil && dropResponse(op) {
 		return cf.ErrUnavailable
 	}
 	return err
@@ -136,12 +136,12 @@
 	return len(s.events)
 }
 
-// engine is the one that runs all.
+// engine is the target of all runs.
 var engine = cf.Target{ID: "e", Slots: manySlots}
 
 const manySlots = 1000
 
-// newTestPool returns a pool that holds nothing itself, and the wire to its only host.
+// newTestPool returns a Pool that runs nothing locally, and the fake peer with its only host.
 func newTestPool(t *testing.T, targets cf.Targets) (*Pool, *fakePeer) {
 	t.Helper()
 	w := &fakePeer{host: NewHost(targets, zap.NewNop())}
@@ -160,7 +160,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("timeout waiting for: %s", what)
 		}
 	}
 }
@@ -179,11 +179,9 @@
 	return done
 }
 
-// Symptom: a sample's text lacks an event, or has one twice.
-// Sequence: half of the host's answers are lost after it has acted on the calls,
-// orders and questions for news alike.
-// Cause guarded against: a report that is not given again, or taken twice; an order
-// that is carried out twice.
+// Guards against missing and duplicate events in a sample's text when half of the host's responses,
+// to orders and polls alike, are lost after the host has acted on the calls. Reports must be sent
+// again but applied once, and repeated orders must be executed once.
 func TestLostResponsesLoseNoEvents(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
@@ -205,156 +203,146 @@
 	}
 	close(g.events)
 	if e := <-done; e.err != nil || e.answer.Status != 200 {
-		t.Fatalf("ended with %+v, %v", e.answer, e.err)
+		t.Fatalf("the run ended with %+v, %v", e.answer, e.err)
 	}
 	if s.len() != events || g.startCount("r") != 1 {
-		t.Errorf("%d of %d events, begun %d times", s.len(), events, g.startCount("r"))
+		t.Errorf("%d of %d events, run started %d times", s.len(), events, g.startCount("r"))
 	}
 }
 
-// Symptom: an item runs at two engines at once.
-// Sequence: a run is stopped, to go on elsewhere; its host holds it until then.
-// Cause guarded against: a stream that counts as over before its host has ended it.
+// Guards against an item that runs at two engines at once because a stopped run counts as ended
+// before its host has ended it.
 func TestStoppedRunEndsWhenHostConfirms(t *testing.T) {
 	g := newFake()
 	p, _ := newTestPool(t, g)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := startRun(ctx, p, "r", &recordingSink{})
-	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
+	eventually(t, "the start of the run", func() bool { return g.startCount("r") == 1 })
 	cancel()
 	if e := <-done; e.err == nil {
-		t.Error("a stopped run has no error")
+		t.Error("a stopped run ended without an error")
 	}
 	if g.finishedCount() != 1 {
-		t.Error("the run counts as over, and its host holds it")
+		t.Error("the run counts as ended while its host still executes it")
 	}
 }
 
-// Symptom: engines are kept busy by runs of a coordinator that is gone; an item runs
-// at two engines at once.
-// Sequence: the link between coordinator and host is cut; the host stops its runs by
-// itself, and only then the coordinator takes them for lost.
-// Cause guarded against: a host without a bound, or a coordinator with a shorter one.
+// Guards against engines kept busy by runs of a coordinator that no longer exists, and against an
+// item that runs at two engines at once. When the link between coordinator and host fails, the host
+// must stop its runs by itself, before the coordinator considers them lost.
 func TestUnreachableHostStopsItsRunsFirst(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
 	done := startRun(context.Background(), p, "r", &recordingSink{})
-	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
+	eventually(t, "the start of the run", func() bool { return g.startCount("r") == 1 })
 	w.set(func(w *fakePeer) { w.unreachable = true })
 	e := <-done
 	if !errors.Is(e.err, cf.ErrUnavailable) {
-		t.Errorf("a run whose host is lost ends with %v", e.err)
+		t.Errorf("a run whose host is lost ended with %v, want ErrUnavailable", e.err)
 	}
 	if g.finishedCount() != 1 {
-		t.Error("the run counts as lost while its host holds it")
+		t.Error("the run counts as lost while its host still executes it")
 	}
 }
 
-// Symptom: an item runs at two engines at once for half a second and more.
-// Sequence: the link holds questions up for 0.9 s and loses the answers; the coordinator
-// takes the runs for lost by when it sent the last question, the host holds them by when
-// that arrived.
-// Cause: a question counted as of its arrival.
+// Guards against an item that runs at two engines at once for half a second and more. The link
+// delays polls by 0.9 s and loses the responses; the coordinator counts from when it sent the
+// latest poll, so a host that counts from the poll's arrival keeps the runs too long.
 func TestDelayedPollsDoNotExtendRuns(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
 	done := startRun(context.Background(), p, "r", &recordingSink{})
-	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
+	eventually(t, "the start of the run", func() bool { return g.startCount("r") == 1 })
 	w.set(func(w *fakePeer) { w.delay = 900 * time.Millisecond })
 	if e := <-done; !errors.Is(e.err, cf.ErrUnavailable) {
-		t.Errorf("a run whose host is lost ends with %v", e.err)
+		t.Errorf("a run whose host is lost ended with %v, want ErrUnavailable", e.err)
 	}
 	if g.finishedCount() != 1 {
-		t.Error("the run counts as lost while its host holds it")
+		t.Error("the run counts as lost while its host still executes it")
 	}
 }
 
-// Symptom: runs wait for ever.
-// Sequence: the host's process is killed and starts again at once.
-// Cause guarded against: taking the new process for the one that has the runs.
+// Guards against runs that wait forever because a host process that was killed and restarted at
+// once is mistaken for the one that had the runs.
 func TestRunsOfRestartedHostFail(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
 	done := startRun(context.Background(), p, "r", &recordingSink{})
-	eventually(t, "the run", func() bool { return g.startCount("r") == 1 })
+	eventually(t, "the start of the run", func() bool { return g.startCount("r") == 1 })
 	again := NewHost(g, zap.NewNop())
 	t.Cleanup(func() { _ = again.Close() })
 	w.set(func(w *fakePeer) { w.host = again })
 	if e := <-done; !errors.Is(e.err, cf.ErrUnavailable) {
-		t.Errorf("ended with %v", e.err)
+		t.Errorf("the run ended with %v, want ErrUnavailable", e.err)
 	}
 }
 
-// Symptom: an item of an ended batch reaches an engine seconds after its end.
-// Sequence: an order is held up on a link for longer than it may be; a later
-// coordinator has called meanwhile.
-// Cause guarded against: orders without age or term.
+// Guards against an item of an ended batch that reaches an engine seconds after the end, because an
+// order was delayed on the link or comes from a coordinator with an earlier term.
 func TestStaleOrdersStartNothing(t *testing.T) {
 	g := newFake()
 	h := NewHost(g, zap.NewNop())
 	t.Cleanup(func() { _ = h.Close() })
-	duty := Incarnation{Term: 5, Number: 1}
-	first, err := h.Collect(context.Background(), CollectRequest{Incarnation: duty})
+	coordinator := Incarnation{Term: 5, Number: 1}
+	first, err := h.Collect(context.Background(), CollectRequest{Incarnation: coordinator})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := Orders{Incarnation: duty, Session: first.Session, HostClock: first.HostClock - maxOrderAge - 1, Starts: []StartOrder{{Run: 1, Call: cf.TargetCall{ID: "old"}}}}
-	if _, err := h.ApplyOrders(context.Background(), old); err != nil {
+	stale := Orders{Incarnation: coordinator, Session: first.Session, HostClock: first.HostClock - maxOrderAge - 1, Starts: []StartOrder{{Run: 1, Call: cf.TargetCall{ID: "old"}}}}
+	if _, err := h.ApplyOrders(context.Background(), stale); err != nil {
 		t.Fatal(err)
 	}
-	r, err := h.Collect(context.Background(), CollectRequest{Incarnation: duty, Session: first.Session, LastReport: first.Number})
+	r, err := h.Collect(context.Background(), CollectRequest{Incarnation: coordinator, Session: first.Session, LastReport: first.Number})
 	if err != nil || len(r.Runs) != 1 || r.Runs[0].End == nil || !r.Runs[0].End.NotRun {
-		t.Errorf("news of an old order: %+v, %v", r.Runs, err)
+		t.Errorf("report after a stale order: %+v, %v; want a run that was not run", r.Runs, err)
 	}
 	h.Fence(6)
-	late := Orders{Incarnation: duty, Session: first.Session, HostClock: r.HostClock, Starts: []StartOrder{{Run: 2, Call: cf.TargetCall{ID: "late"}}}}
-	if _, err := h.ApplyOrders(context.Background(), late); !errors.Is(err, cf.ErrFenced) {
-		t.Errorf("an order of an earlier term: %v", err)
+	fenced := Orders{Incarnation: coordinator, Session: first.Session, HostClock: r.HostClock, Starts: []StartOrder{{Run: 2, Call: cf.TargetCall{ID: "late"}}}}
+	if _, err := h.ApplyOrders(context.Background(), fenced); !errors.Is(err, cf.ErrFenced) {
+		t.Errorf("an order with an earlier term: error %v, want ErrFenced", err)
 	}
 	if g.startCount("old")+g.startCount("late") > 0 {
-		t.Error("an old order was carried out")
+		t.Error("a stale order was executed")
 	}
 }
 
-// Symptom: samples of a step are lost after its coordinator's process was killed and
-// started again at once, with the lease that it had.
-// Sequence: the new process counts its runs from the beginning; the host still has
-// those of the old one.
-// Cause guarded against: taking two processes of one term for one.
+// Guards against lost samples after a coordinator process was killed and restarted at once with the
+// same lease. The new process numbers its runs from the beginning while the host still has the runs
+// of the old one, so the host must tell two processes with the same term apart.
 func TestRestartedCoordinatorGetsNewSession(t *testing.T) {
 	g := newFake()
 	p, _ := newTestPool(t, g)
 	done := startRun(context.Background(), p, "before", &recordingSink{})
-	eventually(t, "the run", func() bool { return g.startCount("before") == 1 })
+	eventually(t, "the start of the run", func() bool { return g.startCount("before") == 1 })
 	q := NewPool(p.Options)
 	t.Cleanup(func() { _ = q.Close() })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	startRun(ctx, q, "after", &recordingSink{})
-	eventually(t, "the new run", func() bool { return g.startCount("after") == 1 })
-	eventually(t, "the end of the run before", func() bool { return g.finishedCount() == 1 })
+	eventually(t, "the start of the new run", func() bool { return g.startCount("after") == 1 })
+	eventually(t, "the end of the old run", func() bool { return g.finishedCount() == 1 })
 	_ = p.Close()
 	<-done
 }
 
-// refusingTargets targets are gone: no connection to them can be had.
+// refusingTargets is a Targets implementation to which no connection can be established.
 type refusingTargets struct{ cf.Targets }
 
 func (refusingTargets) Stream(context.Context, cf.Target, cf.TargetCall, cf.StreamSink) (cf.TargetAnswer, error) {
 	return cf.TargetAnswer{}, eris.Wrap(cf.ErrNotRun, "connection refused")
 }
 
-// Symptom: a request that reached no target counts as one under which a target was lost.
-// Cause: a host's word on the end of a run left out that it was never sent.
+// Guards against counting a request that was never sent as one during which a target was lost,
+// because the host's report on the end of the run omits that it was not sent.
 func TestHostReportsThatRunWasNotSent(t *testing.T) {
 	p, _ := newTestPool(t, refusingTargets{})
 	_, err := p.Route(engine).Stream(context.Background(), engine, cf.TargetCall{ID: "1"}, &recordingSink{})
 	if !errors.Is(err, cf.ErrNotRun) {
-		t.Errorf("error %v, want one that says it was not run", err)
+		t.Errorf("error %v, want ErrNotRun", err)
 	}
 }
 
-// floodTargets is a target whose streams send events of a kilobyte without end.
+// floodTargets is a Targets implementation whose streams send one-kilobyte events without end.
 type floodTargets struct {
 	cf.Targets
 	numbered   bool
@@ -375,15 +363,15 @@
 	return cf.TargetAnswer{}, ctx.Err()
 }
 
-// Guards against a stream without end that takes its host's memory, and makes a report too large
-// for the link, so that the runs of all its engines are lost.
+// Guards against an endless stream that exhausts its host's memory and makes a report too large for
+// the link, which fails the runs of all engines of the host.
 func TestUnboundedStreamsStayWithinReportLimit(t *testing.T) {
 	for _, numbered := range []bool{false, true} {
 		f := floodTargets{numbered: numbered, sentEvents: make(chan int, 100)}
 		host := NewHost(f, zap.NewNop())
 		defer func() { _ = host.Close() }()
-		duty := Incarnation{Term: 5, Number: 1}
-		first, err := host.Collect(t.Context(), CollectRequest{Incarnation: duty})
+		coordinator := Incarnation{Term: 5, Number: 1}
+		first, err := host.Collect(t.Context(), CollectRequest{Incarnation: coordinator})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -391,12 +379,12 @@
 		for i := range starts {
 			starts[i] = StartOrder{Run: RunID(i + 1), Call: cf.TargetCall{ID: "r"}}
 		}
-		if _, err := host.ApplyOrders(t.Context(), Orders{Incarnation: duty, Session: first.Session, HostClock: cf.Uptime(), Starts: starts}); err != nil {
+		if _, err := host.ApplyOrders(t.Context(), Orders{Incarnation: coordinator, Session: first.Session, HostClock: cf.Uptime(), Starts: starts}); err != nil {
 			t.Fatal(err)
 		}
-		most, ends, got := 0, 0, first.Number
+		maxReport, ends, got := 0, 0, first.Number
 		for ends < len(starts) {
-			r, err := host.Collect(t.Context(), CollectRequest{Incarnation: duty, Session: first.Session, LastReport: got, HostClock: cf.Uptime()})
+			r, err := host.Collect(t.Context(), CollectRequest{Incarnation: coordinator, Session: first.Session, LastReport: got, HostClock: cf.Uptime()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -409,19 +397,19 @@
 				if n.End != nil {
 					ends++
 					if n.End.Error == "" {
-						t.Errorf("numbered %t: run %d ended as if it were whole", numbered, n.Run)
+						t.Errorf("numbered %t: run %d ended without an error", numbered, n.Run)
 					}
 				}
 			}
-			most = max(most, size)
+			maxReport = max(maxReport, size)
 		}
 		events := 0
 		for range starts {
 			events = max(events, <-f.sentEvents)
 		}
-		t.Logf("numbered %t: %d bytes in a report, %d events of a stream", numbered, most, events)
-		if most > 4<<20 {
-			t.Errorf("numbered %t: %d bytes in a report, over half of what the link takes", numbered, most)
+		t.Logf("numbered %t: at most %d bytes in a report, at most %d events of a stream", numbered, maxReport, events)
+		if maxReport > 4<<20 {
+			t.Errorf("numbered %t: %d bytes in a report, more than half of the link's message size limit", numbered, maxReport)
 		}
 	}
 }
--- a/io/cfrunner/host.go
+++ b/io/cfrunner/host.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// pollCheckInterval is how often a host looks whether its coordinator still asks.
+	// pollCheckInterval is how often a host checks whether its coordinator still polls.
 	pollCheckInterval = 100 * time.Millisecond
-	// maxUnsentBytes bounds the events that a host holds for a coordinator, and reportMost those
-	// of a report: together they are under half of what the link takes in a message. A usual
-	// stream brings a kilobyte between two reports.
+	// maxUnsentBytes limits the events that a host buffers for a coordinator, and maxReportBytes
+	// those in a report. Together they are at most half of the link's message size limit. A typical
+	// stream produces a kilobyte between two reports.
 	maxUnsentBytes = 2 << 20
 	maxReportBytes = 2 << 20
-	// eventOverhead is what an event takes beside its data.
+	// eventOverhead is the size of an event in addition to its data.
 	eventOverhead = 64
 )
 
 type (
-	// Host holds streams for the coordinator. It is safe for concurrent use.
-	// Close stops its runs and waits for them.
+	// Host executes runs for the coordinator. It is safe for concurrent use. Close stops its runs
+	// and waits for them.
 	Host struct {
 		targets cf.Targets
 		log     *zap.Logger
@@ -38,13 +38,12 @@
 		wg      cflog.Group
 
 		mu sync.Mutex
-		// term is the highest that was heard of; orders of a lower one are
-		// refused.
+		// term is the highest known term; orders with a lower one are rejected.
 		term    cf.Revision
 		session *session
 	}
 
-	// session is what a host holds for one coordinator.
+	// session comprises the runs that a host executes for one coordinator.
 	session struct {
 		id          SessionID
 		coordinator Incarnation
@@ -52,18 +51,18 @@
 		cancel      context.CancelFunc
 
 		mu          sync.Mutex
-		lastPoll    cf.Millis // when the coordinator last asked for news
+		lastPoll    cf.Millis // effective time of the latest poll
 		runs        map[RunID]*hostedRun
-		lastStarted RunID // the latest that was started
-		// unheldEnds are the ends of runs that are not among runs.
+		lastStarted RunID // the latest run that was started
+		// unheldEnds are outcomes of runs that are not in runs.
 		unheldEnds []RunUpdate
-		// lastReport is the latest report, acked the number of the latest that is known
-		// to have arrived.
+		// lastReport is the latest report, acked the number of the latest report that has certainly
+		// arrived.
 		lastReport Report
 		acked      int64
-		// unsent is what events take that no report has.
+		// unsent accounts for the size of the events that are not in any report yet.
 		unsent *cfhold.Pool
-		wakeup chan struct{} // wakes a question for news
+		wakeup chan struct{} // ends the wait of a poll
 	}
 
 	// hostedRun is a run of a session.
@@ -71,13 +70,14 @@
 		cancel context.CancelFunc
 		events []Event
 		end    *RunEnd
-		// lastEvent is the last event, held what those take that no report has.
+		// lastEvent is the latest event, unsentBytes the size of the events that are not in any
+		// report yet.
 		lastEvent   cf.EventID
 		unsentBytes int64
 	}
 )
 
-// NewHost returns a host without runs.
+// NewHost returns a Host without runs.
 func NewHost(targets cf.Targets, log *zap.Logger) *Host {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Host{targets: targets, log: log, ctx: ctx, cancel: cancel}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Fence stops the runs of coordinators before term.
+// Fence stops the runs of coordinators with a term lower than term.
 func (h *Host) Fence(term cf.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,11 +99,11 @@
 	}
 	h.term = term
 	if h.session != nil {
-		h.endSession("a later coordinator has called")
+		h.endSession("a coordinator with a later term exists")
 	}
 }
 
-// endSession ends the session. h.mu is held.
+// endSession ends the session. h.mu must be held.
 func (h *Host) endSession(reason string) {
 	s := h.session
 	h.session = nil
@@ -113,7 +113,7 @@
 	h.log.Info("runs_dropped", zap.Int("runs", len(s.runs)), zap.Int64("term", int64(s.coordinator.Term)), zap.String("reason", reason))
 }
 
-// sessionOf returns the session of a coordinator, a new one if there is none.
+// sessionOf returns the session of a coordinator, and begins one if necessary.
 func (h *Host) sessionOf(coordinator Incarnation) (*session, error) {
 	h.Fence(coordinator.Term)
 	h.mu.Lock()
@@ -122,7 +122,7 @@
 		return nil, eris.Wrapf(cf.ErrFenced, "term %d", coordinator.Term)
 	}
 	if h.session != nil && h.session.coordinator != coordinator {
-		h.endSession("the coordinator has started again")
+		h.endSession("the coordinator has restarted")
 	}
 	if h.session == nil {
 		ctx, cancel := context.WithCancel(h.ctx)
@@ -136,7 +136,7 @@
 	return h.session, nil
 }
 
-// monitor ends a session whose coordinator does not ask any more.
+// monitor ends a session whose coordinator has stopped polling.
 func (h *Host) monitor(s *session) {
 	for cf.Sleep(s.ctx, pollCheckInterval) {
 		s.mu.Lock()
@@ -147,14 +147,14 @@
 		}
 		h.mu.Lock()
 		if h.session == s {
-			h.endSession("the coordinator asks no more")
+			h.endSession("the coordinator has stopped polling")
 		}
 		h.mu.Unlock()
 	}
 }
 
-// ApplyOrders starts and stops runs. Starts that the session knows are passed over: an
-// order without an answer is given again.
+// ApplyOrders starts and stops runs. It ignores starts that the session already knows, since the
+// coordinator repeats orders to which it received no response.
 func (h *Host) ApplyOrders(_ context.Context, o Orders) (bool, error) {
 	s, err := h.sessionOf(o.Incarnation)
 	if err != nil {
@@ -183,13 +183,13 @@
 		if r := s.runs[id]; r != nil {
 			r.cancel()
 		} else {
-			s.reportEnd(id, RunEnd{UnknownRun: true}) // ended, or never begun
+			s.reportEnd(id, RunEnd{UnknownRun: true}) // it has ended or never started
 		}
 	}
 	return true, nil
 }
 
-// start runs a stream. s.mu is held.
+// start executes a run in a goroutine. s.mu must be held.
 func (h *Host) start(s *session, st StartOrder) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	r := &hostedRun{cancel: cancel, lastEvent: st.Call.ResumeAfter}
@@ -208,7 +208,7 @@
 	})
 }
 
-// hostSink gathers the events of a run.
+// hostSink buffers the events of a run.
 type hostSink struct {
 	s *session
 	r *hostedRun
@@ -231,22 +231,22 @@
 	return nil
 }
 
-// reportEnd reports the end of a run that is not held. s.mu is held.
+// reportEnd adds the outcome of a run that the host does not execute to the next report. s.mu must
+// be held.
 func (s *session) reportEnd(id RunID, end RunEnd) {
 	s.unheldEnds = append(s.unheldEnds, RunUpdate{Run: id, End: &end})
 	s.wake()
 }
 
-// wake ends a question's wait. s.mu is held.
+// wake ends the wait of a poll. s.mu must be held.
 func (s *session) wake() {
 	select {
 	case s.wakeup <- struct{}{}:
-	default: // one is woken already
+	default: // already signalled
 	}
 }
 
-// Collect answers a question for news: after a while, or as soon as a run has
-// ended.
+// Collect answers a poll after reportInterval, or as soon as a run has ended.
 func (h *Host) Collect(ctx context.Context, c CollectRequest) (Report, error) {
 	s, err := h.sessionOf(c.Incarnation)
 	if err != nil {
@@ -268,8 +268,8 @@
 	return s.nextReport(), nil
 }
 
-// acknowledge notes that the coordinator asks, and what it has; it returns the
-// latest report if that did not arrive.
+// acknowledge records the time of the poll and the latest report that the coordinator has received.
+// If the latest report did not arrive, it returns that report and true.
 func (s *session) acknowledge(c CollectRequest) (Report, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,14 +280,15 @@
 	return s.unacknowledged()
 }
 
-// unacknowledged returns the latest report if it is not known to have arrived. s.mu is held.
+// unacknowledged returns the latest report, and whether it still has to be acknowledged. s.mu must
+// be held.
 func (s *session) unacknowledged() (Report, bool) {
 	r := s.lastReport
 	r.HostClock = cf.Uptime()
 	return r, s.acked < s.lastReport.Number
 }
 
-// nextReport returns what is new, or once more what did not arrive.
+// nextReport returns a new report, or the latest one again if that did not arrive.
 func (s *session) nextReport() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -302,7 +303,7 @@
 			continue
 		}
 		if size > 0 && size+r.unsentBytes > maxReportBytes {
-			s.wake() // the next report has it
+			s.wake() // the next report includes it
 			continue
 		}
 		size += r.unsentBytes
--- a/io/cfrunner/link.go
+++ b/io/cfrunner/link.go
@@ -15,33 +15,32 @@
 )
 
 const (
-	// responseTimeout is how long a host's answer may take beyond its wait. An instance
-	// of a fifth of a core that is busy answers some 100 ms late.
+	// responseTimeout is how long a host's response may take in addition to its wait for events. A
+	// busy instance with a fifth of a core responds about 100 ms late.
 	responseTimeout cf.Millis = 550
-	// maxFailedPolls is how many questions in a row without an answer make a host count
-	// as lost.
+	// maxFailedPolls is the number of consecutive polls without a response after which a host
+	// counts as lost.
 	maxFailedPolls = 2
-	// retryDelay is the pause before orders without an answer are given again.
+	// retryDelay is the delay before a failed poll or orders without a response are sent again.
 	retryDelay = 50 * time.Millisecond
 	// linkIdleTimeout is how long a link without runs is kept.
 	linkIdleTimeout cf.Millis = 3000
-	// shortStopWait is how long a stopped run waits for its host when the
-	// coordinator's time is over.
+	// shortStopWait is how long a stopped run waits for its host's confirmation after the instance
+	// has ceased to be the coordinator.
 	shortStopWait = 120 * time.Millisecond
 )
 
 type (
-	// link is a pool's connection to one host.
+	// link is a Pool's connection to one host.
 	link struct {
 		pool   *Pool
 		id     cf.EntryID
 		addr   string
-		wakeup chan struct{} // wakes the giving of orders
+		wakeup chan struct{} // wakes sendOrders
 
 		mu     sync.Mutex
 		closed bool // the host is lost, or the link was idle
-		// session, clock and got are those of the latest report, which arrived at
-		// clockAt.
+		// session, clock and lastReport are from the latest report, which arrived at clockAt.
 		session    SessionID
 		clock      cf.Millis
 		clockAt    cf.Millis
@@ -49,21 +48,21 @@
 		runs       map[RunID]*run
 		starts     []StartOrder
 		stops      []RunID
-		lastUsed   cf.Millis // when it last had a run
+		lastUsed   cf.Millis // when the link last had a run
 	}
 
-	// run is a stream that a host holds.
+	// run is a stream executed by a host.
 	run struct {
 		link *link
 		id   RunID
 		wake chan struct{}
 
-		// What follows is guarded by link.mu.
-		delivered bool // the host has the order
+		// The fields below are guarded by link.mu.
+		delivered bool // the host has received the order
 		events    []cf.StreamEvent
 		watermark cf.Millis
 		end       *RunEnd
-		err       error // without the host's word
+		err       error // reason for the end, if the host has not reported one
 	}
 )
 
@@ -77,14 +76,14 @@
 	return l.closed
 }
 
-// start orders a run; nil if the link is over.
+// start orders the host to start a run. It returns nil if the link is closed.
 func (l *link) start(t cf.Target, call cf.TargetCall) *run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil
 	}
-	id := RunID(l.pool.lastRun.Add(1)) // under the lock: a host takes them in their order
+	id := RunID(l.pool.lastRun.Add(1)) // under the lock, since numbers must reach the host in order
 	r := &run{link: l, id: id, wake: make(chan struct{}, 1)}
 	l.runs[id] = r
 	l.starts = append(l.starts, StartOrder{id, t, call})
@@ -92,15 +91,16 @@
 	return r
 }
 
-// wakeSender makes orders be given now.
+// wakeSender makes sendOrders send the pending orders.
 func (l *link) wakeSender() {
 	select {
 	case l.wakeup <- struct{}{}:
-	default: // they are about to be
+	default: // already signalled
 	}
 }
 
-// sendOrders gives orders until the link is over. Those of a moment go together.
+// sendOrders sends orders until the link is closed. Orders that are pending at the same time are
+// sent together.
 func (l *link) sendOrders() {
 	for {
 		select {
@@ -126,7 +126,7 @@
 	}
 }
 
-// takeOrders returns the orders to give now; none before the host's clock is known.
+// takeOrders returns the orders to be sent now. It returns none until the host's clock is known.
 func (l *link) takeOrders() (Orders, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,8 +138,8 @@
 	return o, true
 }
 
-// ordersSent takes what came of orders. Without an answer the host may have them: they
-// are given again, and it passes over what it knows.
+// ordersSent handles the outcome of sending orders. Without a response, the host may still have
+// received them: they are sent again, and the host ignores those that it knows.
 func (l *link) ordersSent(o Orders, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// poll asks for news until the host is lost, or has had no runs for a while.
+// poll polls the host until the host is lost or has had no runs for linkIdleTimeout.
 func (l *link) poll() {
 	for failures := 0; l.pool.ctx.Err() == nil; {
 		if l.closeIfIdle() {
@@ -187,10 +187,10 @@
 		l.closeWithError(err)
 		return
 	}
-	l.closeWithError(eris.Wrap(cf.ErrUnavailable, "the coordinator stops"))
+	l.closeWithError(eris.Wrap(cf.ErrUnavailable, "the coordinator is stopping"))
 }
 
-// closeIfIdle ends a link without runs.
+// closeIfIdle closes the link if it has had no runs for linkIdleTimeout.
 func (l *link) closeIfIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,13 +205,13 @@
 	return l.closed
 }
 
-// closeWithError ends the runs of a lost host.
+// closeWithError closes the link to a lost host and ends its runs.
 func (l *link) closeWithError(cause error) {
 	l.mu.Lock()
 	l.closed = true
 	n := len(l.runs)
 	for _, r := range l.runs {
-		r.fail(eris.Wrapf(cf.ErrUnavailable, "instance %s is lost: %v", l.id, cause))
+		r.fail(eris.Wrapf(cf.ErrUnavailable, "lost contact with instance %s: %v", l.id, cause))
 	}
 	l.mu.Unlock()
 	l.wakeSender()
@@ -221,7 +221,7 @@
 	}
 }
 
-// handleReport takes a report that arrived at now.
+// handleReport handles a report that arrived at now.
 func (l *link) handleReport(rep Report, now cf.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -231,7 +231,7 @@
 		}
 		for _, r := range l.runs {
 			if r.delivered {
-				r.fail(eris.Wrapf(cf.ErrUnavailable, "instance %s holds it no more", l.id))
+				r.fail(eris.Wrapf(cf.ErrUnavailable, "instance %s has restarted or has stopped its runs", l.id))
 			}
 		}
 		l.session, l.lastReport = rep.Session, 0
@@ -239,7 +239,7 @@
 	l.clock, l.clockAt = rep.HostClock, now
 	l.wakeSender()
 	if rep.Number <= l.lastReport {
-		return // it was given again, and had arrived
+		return // a repeated report that had already arrived
 	}
 	l.lastReport = rep.Number
 	offset := now - rep.HostClock
@@ -262,7 +262,7 @@
 	}
 }
 
-// fail ends a run without its host's word. link.mu is held.
+// fail ends a run whose end the host has not reported. link.mu must be held.
 func (r *run) fail(err error) {
 	r.err = err
 	delete(r.link.runs, r.id)
@@ -272,17 +272,17 @@
 func (r *run) notify() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // it is awake
+	default: // already signalled
 	}
 }
 
-// stop asks the host to end the run.
+// stop orders the host to end the run.
 func (r *run) stop() {
 	l := r.link
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, s := range l.starts {
-		if s.Run == r.id && !r.delivered { // the host may have it, from an order without an answer
+		if s.Run == r.id && !r.delivered { // after orders without a response, the host may already have it
 			l.starts = append(l.starts[:i:i], l.starts[i+1:]...)
 			break
 		}
@@ -291,8 +291,8 @@
 	l.wakeSender()
 }
 
-// follow hands the run's events on until it has ended. A run that ctx ends is
-// stopped; it is over when its host says so.
+// follow passes the run's events to sink until the run has ended. When ctx ends, it stops the run
+// and waits for the host's confirmation.
 func (r *run) follow(ctx context.Context, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	progress, _ := sink.(cf.WatermarkSink)
 	stopped := ctx.Done()
@@ -310,7 +310,7 @@
 			limited, waited = nil, time.After(shortStopWait)
 			continue
 		case <-waited:
-			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "stopped without its host's word")
+			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "stopped without confirmation by the host")
 		}
 		events, watermark, end, err := r.takeUpdates()
 		for _, ev := range events {
@@ -337,7 +337,7 @@
 		case sinkErr != nil:
 			return cf.TargetAnswer{}, sinkErr
 		case end.UnknownRun:
-			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "not held")
+			return cf.TargetAnswer{}, eris.Wrap(cf.ErrUnavailable, "the host has no such run")
 		case end.NotSent:
 			return cf.TargetAnswer{}, eris.Wrap(cf.ErrNotRun, end.Error)
 		case end.Error != "":
@@ -348,7 +348,7 @@
 	}
 }
 
-// takeUpdates takes what the run has brought.
+// takeUpdates returns the events since the previous call, the watermark and the run's outcome.
 func (r *run) takeUpdates() (events []cf.StreamEvent, watermark cf.Millis, end *RunEnd, err error) {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
--- a/io/cfrunner/linkmodel_test.go
+++ b/io/cfrunner/linkmodel_test.go
@@ -6,15 +6,15 @@
 	cf "currantford"
 )
 
-// pollDelays is what a link does to one question and its answer.
+// pollDelays holds the delays that a link causes for a poll and its response.
 type pollDelays struct {
-	request  cf.Millis // on its way to the host
-	response cf.Millis // the answer's, lost if under 0
+	request  cf.Millis // delay on the way to the host
+	response cf.Millis // delay of the response, negative if it is lost
 }
 
-// simulateLinks plays every sequence of so many questions over a link that delays and loses
-// them, and returns the first in which a host still holds its runs when the coordinator
-// takes them for lost. Clocks of host and coordinator differ by a minute.
+// simulateLinks simulates every sequence of n polls over a link that delays and loses messages. It
+// returns the number of sequences, and the first one in which a host still keeps its runs when the
+// coordinator considers them lost. The clocks of host and coordinator differ by a minute.
 func simulateLinks(n int, pollTime func(clock, now cf.Millis) cf.Millis) (simulated int, violation []pollDelays) {
 	const offset cf.Millis = 60_000
 	choices := []pollDelays{}
@@ -45,10 +45,10 @@
 	return simulated, violation
 }
 
-// keepsRunsWhenLost plays one sequence, after which the link is silent.
+// keepsRunsWhenLost simulates one sequence, after which the link delivers nothing.
 func keepsRunsWhenLost(seq []pollDelays, offset cf.Millis, pollTime func(clock, now cf.Millis) cf.Millis) bool {
 	now, sent, failures := cf.Millis(0), cf.Millis(0), 0
-	clock, clockAt := offset, cf.Millis(0) // of the report that began the session
+	clock, clockAt := offset, cf.Millis(0) // from the report that began the session
 	type arrival struct{ at, clock cf.Millis }
 	var arrivals []arrival
 	for i := 0; failures < maxFailedPolls; i++ {
@@ -72,26 +72,27 @@
 	for _, a := range arrivals {
 		hostNow := a.at + offset
 		if !keepsRuns(lastPoll, hostNow) {
-			break // the session is over; what comes later begins another
+			break // the session has ended; a later poll begins another one
 		}
 		lastPoll = max(lastPoll, pollTime(a.clock, hostNow))
 	}
 	return keepsRuns(lastPoll, lostAt-cf.MillisOf(pollCheckInterval)+offset)
 }
 
-// No sequence of late and lost questions and answers lets a host hold runs that go on
-// elsewhere.
+// Guards against a sequence of delayed and lost polls and responses after which a host keeps runs
+// that continue elsewhere.
 func TestHostStopsRunsBeforeTheyCountAsLost(t *testing.T) {
 	simulated, violation := simulateLinks(4, effectivePollTime)
-	t.Logf("%d sequences", simulated)
+	t.Logf("%d sequences simulated", simulated)
 	if violation != nil {
-		t.Errorf("held when taken for lost: %+v", violation)
+		t.Errorf("the host keeps its runs when they count as lost, after polls with delays %+v", violation)
 	}
 }
 
-// The exploration finds what it is there to find: a question that counts as of its arrival.
+// Checks that the model detects the fault that it is meant to find: polls that count as of their
+// arrival.
 func TestLinkModelDetectsPollsCountedOnArrival(t *testing.T) {
 	if _, violation := simulateLinks(4, func(_, now cf.Millis) cf.Millis { return now }); violation == nil {
-		t.Error("not found")
+		t.Error("no violation found for polls that count as of their arrival")
 	}
 }
--- a/io/cfrunner/polltimeout.go
+++ b/io/cfrunner/polltimeout.go
@@ -5,22 +5,22 @@
 )
 
 const (
-	// PollTimeout is how long a host keeps its runs without a question for news:
-	// several questions, and less than a successor of a silent coordinator waits
-	// before it takes over.
+	// PollTimeout is how long a host keeps its runs without a poll. It spans several polls and is
+	// shorter than the delay after which a successor takes over from an unresponsive coordinator.
 	PollTimeout cf.Millis = 1200
-	// pollTimeoutSlack is added to the host's patience, for its look at the clock.
+	// pollTimeoutSlack is added to PollTimeout because a host checks for the timeout periodically.
 	pollTimeoutSlack cf.Millis = 150
 )
 
-// effectivePollTime says as of when a question counts that arrives at a host now; clock is the
-// host's own when it was sent, or some time before. One that was held up on its way must
-// not hold the runs for longer: the coordinator counts from when it sent it.
+// effectivePollTime returns the time as of which a host counts a poll that arrives at now; clock is
+// a lower bound of the host's clock when the poll was sent. A poll that was delayed on its way must
+// not extend the runs beyond the time that the coordinator expects, which counts from the sending
+// of the poll.
 func effectivePollTime(clock, now cf.Millis) cf.Millis { return min(now, clock) }
 
-// keepsRuns says whether a host that was last asked then keeps its runs.
+// keepsRuns reports whether a host with the given time of the latest poll still keeps its runs.
 func keepsRuns(lastPoll, now cf.Millis) bool { return now-lastPoll <= PollTimeout }
 
-// runsStoppedBy returns when a host whose last question was sent then has surely given its
-// runs up, if it has heard nothing later.
+// runsStoppedBy returns the time by which a host has certainly stopped its runs, if it received no
+// poll that was sent after lastPoll.
 func runsStoppedBy(lastPoll cf.Millis) cf.Millis { return lastPoll + PollTimeout + pollTimeoutSlack }
--- a/io/cfrunner/pool.go
+++ b/io/cfrunner/pool.go
@@ -17,58 +17,57 @@
 )
 
 const (
-	// planInterval is how often the division is looked at again: engines and
-	// instances come and go, and a run that begins goes by the division of then.
+	// planInterval is the time between updates of the plan, since engines and instances join and
+	// leave. A run follows the plan that is in effect when it begins.
 	planInterval cf.Millis = 250
-	// excludeTime is how long an instance that was lost gets no runs.
+	// excludeTime is how long a lost host gets no runs.
 	excludeTime cf.Millis = 8000
-	// engineIdleTimeout is how long an engine that has run something is counted among those that
-	// are divided.
+	// engineIdleTimeout is how long an engine without runs is still included in the plan.
 	engineIdleTimeout cf.Millis = 60000
 )
 
 type (
-	// Caller reaches other instances.
+	// Caller sends calls to other instances.
 	Caller interface {
 		Call(ctx context.Context, addr, op string, body, out any) error
 	}
 
-	// Options are what a pool works with.
+	// Options configures a Pool.
 	Options struct {
 		Self  cfmember.Entry
 		Term  cf.Revision
 		Local cf.Targets
 		Peers Caller
-		// Members returns the instances that are alive.
+		// Members returns the live instances.
 		Members func() []cfmember.Entry
-		// Pace returns how long an event takes at a usual engine, in ms, zero while that
-		// is not known; nil: it never is.
+		// Pace returns the time per event at a typical engine in ms, zero while it is unknown. If
+		// Pace is nil, it is always unknown.
 		Pace func() float64
 		Log  *zap.Logger
 	}
 
-	// Pool runs streams at other instances, as a coordinator's division says, or
-	// here. It is safe for concurrent use. Close stops what it started and waits.
+	// Pool runs streams through hosts or locally, according to the coordinator's plan. It is safe
+	// for concurrent use. Close stops all runs and waits for the goroutines to end.
 	Pool struct {
 		Options
 		self   Incarnation
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
-		// stopWaitLimited is closed when the coordinator's time is over.
+		// stopWaitLimited is closed when the instance ceases to be the coordinator.
 		stopWaitLimited chan struct{}
 		limitOnce       sync.Once
 
 		mu sync.Mutex
-		// usedEngines are the engines that run something or lately did.
+		// usedEngines are the engines that have runs or recently had some.
 		usedEngines   map[cf.InstanceID]usedEngine
 		plan          Plan
-		plannedAt     cf.Millis // when, zero if never
+		plannedAt     cf.Millis // zero before the first plan, or if a new one is needed at once
 		links         map[cf.EntryID]*link
 		excludedUntil map[cf.EntryID]cf.Millis
 		running       int
 		peak          cfpeak.Peak
-		// lastRun counts the runs.
+		// lastRun is the number of the latest run.
 		lastRun atomic.Uint64
 	}
 
@@ -78,7 +77,7 @@
 	}
 )
 
-// NewPool returns a pool without runs.
+// NewPool returns a Pool without runs.
 func NewPool(o Options) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
@@ -87,7 +86,7 @@
 	}
 }
 
-// Close ends all streams and waits.
+// Close stops all streams and waits for the goroutines to end.
 func (p *Pool) Close() error {
 	p.LimitStopWait()
 	p.cancel()
@@ -95,12 +94,12 @@
 	return nil
 }
 
-// LimitStopWait makes streams that are stopped from now on wait only briefly for their
-// hosts: a successor waits for what this instance has.
+// LimitStopWait limits how long streams that are stopped from now on wait for their hosts'
+// confirmation, since a successor waits for the results of this instance.
 func (p *Pool) LimitStopWait() { p.limitOnce.Do(func() { close(p.stopWaitLimited) }) }
 
-// Route returns the way of a stream that is about to begin. A sink that is a
-// cf.SeenSink also learns until when no events were missing.
+// Route returns the route of a stream that is about to begin. If the stream's sink is a
+// cf.WatermarkSink, it also receives watermarks.
 func (p *Pool) Route(t cf.Target) cf.StreamRoute {
 	p.countRuns(1)
 	l := p.linkFor(t)
@@ -110,7 +109,7 @@
 	}
 	return cf.StreamRoute{Via: via, Stream: func(ctx context.Context, t cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		defer p.countRuns(-1)
-		for ; l != nil; l = p.linkFor(t) { // it may have ended meanwhile
+		for ; l != nil; l = p.linkFor(t) { // the link may have been closed meanwhile
 			if r := l.start(t, call); r != nil {
 				return r.follow(ctx, sink)
 			}
@@ -119,18 +118,18 @@
 	}}
 }
 
-// countRuns notes the begin or the end of a run.
+// countRuns adds n to the number of runs in progress.
 func (p *Pool) countRuns(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running += n
 	p.peak.Observe(p.running, cf.Uptime())
 	if len(p.plan) == 0 && !canRunAll(p.typicalRuns(p.running), p.Self) {
-		p.plannedAt = 0 // a step begins all its runs within a moment
+		p.plannedAt = 0 // all runs of a step begin almost simultaneously
 	}
 }
 
-// typicalRuns returns what runs cost, in usual ones.
+// typicalRuns returns the equivalent number of typical runs.
 func (p *Pool) typicalRuns(runs int) int {
 	if p.Pace == nil {
 		return runs
@@ -138,8 +137,7 @@
 	return typicalRuns(runs, p.Pace())
 }
 
-// linkFor returns the link to the instance that holds a target's streams, nil if
-// this one does.
+// linkFor returns the link to the host of a target's streams, nil if this instance runs them.
 func (p *Pool) linkFor(t cf.Target) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +158,7 @@
 	return l
 }
 
-// replan divides the engines among the instances. p.mu is held.
+// replan updates the plan if it is due. p.mu must be held.
 func (p *Pool) replan(now cf.Millis) {
 	if p.plannedAt > 0 && now-p.plannedAt < planInterval {
 		return
@@ -192,7 +190,7 @@
 	}
 }
 
-// excludeHost notes that an instance is not reached.
+// excludeHost excludes a lost host from the plan for excludeTime.
 func (p *Pool) excludeHost(e cf.EntryID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/cfrunner/unboundedstream_test.go
+++ b/io/cfrunner/unboundedstream_test.go
@@ -10,7 +10,8 @@
 	cf "currantford"
 )
 
-// endlessTargets sends events without end, and tells how many bytes were taken.
+// endlessTargets is a Targets implementation whose streams send events without end. It reports the
+// number of bytes that the sink accepted.
 type endlessTargets struct {
 	cf.Targets
 	accepted chan int
@@ -29,8 +30,8 @@
 	return cf.TargetAnswer{Status: 200}, nil
 }
 
-// Guards against: a report that is too long to arrive, and a host's memory, where a target's
-// events have no end.
+// Guards against an endless stream that exhausts a host's memory or makes a report too long for the
+// link.
 func TestUnboundedStreamIsCutOffAtHost(t *testing.T) {
 	targets := endlessTargets{accepted: make(chan int, 1)}
 	h := NewHost(targets, zap.NewNop())
@@ -45,9 +46,9 @@
 	select {
 	case n := <-targets.accepted:
 		if n > 4<<20 {
-			t.Errorf("%d bytes of one run were taken", n)
+			t.Errorf("%d bytes of one run were accepted, want at most 4 MB", n)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the run has not ended")
+		t.Fatal("the run has not ended within 20 s")
 	}
 }
