--- a/io/cfautoscale/cfautoscale.go
+++ b/io/cfautoscale/cfautoscale.go
@@ -1,13 +1,13 @@
-// Package cfautoscale is the duty of ordering engines from the platform. One instance at a
-// time has it, with the coordinator's lease: it is given a term, acts under it alone, and
-// ends with it. How many engines are wanted, and when that is written and ordered, is
-// cfscale's decision; this package carries it out.
+// Package cfautoscale orders engines from the platform. Only the instance that holds the
+// coordinator's lease does so: its Controller is created for a lease term, acts under this term
+// only, and is closed at its end. Package cfscale decides how many engines are wanted and when to
+// store and order them; this package executes the decisions.
 //
 // Usage:
 //
-//	d := cfautoscale.New(options)
-//	d.Start()
-//	defer d.Close()
+//	c := cfautoscale.New(options)
+//	c.Start()
+//	defer c.Close()
 package cfautoscale
 
 import (
@@ -26,63 +26,62 @@
 )
 
 const (
-	// stateName is the object that holds what is wanted.
+	// stateName is the name of the object that stores the wanted engines.
 	stateName = "engines"
-	// tick is how often the duty looks: two looks and an order take less than the time in
-	// which an engine is in service.
+	// tick is the interval between reconciliations. Two of them and an order take less time than an
+	// engine needs to come into service.
 	tick = 500 * time.Millisecond
-	// orderTimeout bounds an order. It is less than the time between two holders' orders;
-	// one without an answer is given again, the same.
+	// orderTimeout limits the duration of an order call. It is less than the time between the
+	// orders of two lease holders. An order without a response is sent again unchanged.
 	orderTimeout = 1500 * time.Millisecond
-	// warnEvery is the least time between two equal warnings: the duty looks twice a second
-	// while the store is unavailable.
+	// warnEvery is the minimum time between two equal warnings, since the controller reconciles
+	// twice a second while the store is unavailable.
 	warnEvery cf.Millis = 10_000
 )
 
-// Warnings.
+// Log messages of warnings.
 const (
 	warnLoadFailed      = "engines_wanted_not_read"
 	warnSaveUnconfirmed = "engines_wanted_unconfirmed"
 )
 
 type (
-	// Options are what the duty works with.
+	// Options configures a Controller.
 	Options struct {
 		Lease cf.LeaseToken
-		// HasPredecessor says that another had the duty before.
+		// HasPredecessor reports whether there was a Controller of an earlier term.
 		HasPredecessor bool
 		Store          cf.Store
 		Scaling        cf.Scaling
-		// MayAct says whether the term allows an order now; Ordered notes that one is
-		// given now, or has just ended.
+		// MayAct reports whether the term allows an order now. NoteOrder is called when an order
+		// begins and when it ends.
 		MayAct    func() bool
 		NoteOrder func()
-		// Demand returns what a service's open steps ask for, false while that is not
-		// known.
+		// Demand returns the demand of a service's open steps, and false while it is unknown.
 		Demand func(cf.ServiceName) (cfscale.Demand, bool)
-		// Policies are those of the services whose engines may be ordered.
+		// Policies returns the policies of the services whose engines may be ordered.
 		Policies func() map[cf.ServiceName]cfscale.Policy
 		Metrics  *Metrics
 		Log      *zap.Logger
 	}
 
-	// Controller orders engines. Close ends it and waits for the call under way.
+	// Controller orders engines. Close stops it and waits for the call in progress.
 	Controller struct {
 		Options
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
 
-		// What follows is the loop's alone.
+		// The fields below are used only by the goroutine of loop.
 		reconciler *cfscale.Reconciler
 		deciders   map[cf.ServiceName]*cfscale.Decider
-		// rationale is what last changed the orders of a service.
+		// rationales holds the reason for the latest change of each service's orders.
 		rationale map[cf.ServiceName]cfscale.Rationale
-		// warnedAt is when each warning was last logged, without those whose cause has ended.
+		// warnedAt is when each warning was last logged, without warnings whose cause has ended.
 		warnedAt map[string]cf.Millis
 	}
 
-	// Metrics are the duty's counters.
+	// Metrics holds the controller's metrics.
 	Metrics struct {
 		Orders  *prometheus.CounterVec
 		Wanted  prometheus.Gauge
@@ -91,7 +90,7 @@
 	}
 )
 
-// NewMetrics registers the duty's metrics.
+// NewMetrics registers the controller's metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Name: name, Help: help})
@@ -107,14 +106,14 @@
 	return m
 }
 
-// reset sets the gauges to zero: only the holder reports them.
+// reset sets the gauges to zero, since only the lease holder reports them.
 func (m *Metrics) reset() {
 	m.Wanted.Set(0)
 	m.Serving.Set(0)
 	m.Needed.Set(0)
 }
 
-// New returns a duty that has not started.
+// New returns a Controller that is not started.
 func New(o Options) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Controller{
@@ -123,10 +122,10 @@
 	}
 }
 
-// Start begins the duty.
+// Start starts the controller.
 func (c *Controller) Start() { c.wg.Go(c.loop) }
 
-// Close ends the duty.
+// Close stops the controller and waits for it to end.
 func (c *Controller) Close() error {
 	c.cancel()
 	c.wg.Wait()
@@ -147,11 +146,11 @@
 	}
 }
 
-// reconcile decides, and does what is due.
+// reconcile decides what is wanted and takes the due actions.
 func (c *Controller) reconcile() {
 	policies := c.Policies()
 	if len(policies) == 0 {
-		return // nothing may be ordered, and nothing is read
+		return // nothing may be ordered, so no state is needed
 	}
 	if stored, known := c.reconciler.Stored(); known {
 		c.apply(c.decide(policies, stored), policies)
@@ -163,7 +162,7 @@
 	}
 }
 
-// decide returns what is wanted.
+// decide returns the wanted state.
 func (c *Controller) decide(policies map[cf.ServiceName]cfscale.Policy, stored cfscale.StoredState) cfscale.StoredState {
 	now := cf.Uptime()
 	var wanted cfscale.StoredState
@@ -198,7 +197,7 @@
 	return wanted
 }
 
-// apply does what is due until nothing is.
+// apply takes actions until none is due.
 func (c *Controller) apply(wanted cfscale.StoredState, policies map[cf.ServiceName]cfscale.Policy) {
 	allowed := func(s cf.ServiceName) bool { _, ok := policies[s]; return ok }
 	for c.ctx.Err() == nil && c.MayAct() {
@@ -212,7 +211,7 @@
 			if !c.sendOrder(action.Order) {
 				return
 			}
-		case cfscale.ActionRead: // at the next look: what is wanted follows from it
+		case cfscale.ActionRead: // the next reconciliation reads it, since the wanted state depends on it
 			return
 		default:
 			return
@@ -220,7 +219,7 @@
 	}
 }
 
-// load reads what lies in the store.
+// load reads the stored state.
 func (c *Controller) load() bool {
 	r, err := c.Store.Get(c.ctx, cf.KindScaling, stateName)
 	var stored cfscale.StoredState
@@ -243,7 +242,7 @@
 	return true
 }
 
-// warn logs a warning when its cause begins, and each warnEvery while it lasts.
+// warn logs a warning when its cause begins, and every warnEvery while the cause persists.
 func (c *Controller) warn(event string, err error) {
 	now := cf.Uptime()
 	if last, warned := c.warnedAt[event]; warned && now-last < warnEvery {
@@ -253,7 +252,7 @@
 	c.Log.Warn(event, cflog.Error(err))
 }
 
-// save writes what is wanted.
+// save writes the wanted state to the store.
 func (c *Controller) save(action cfscale.Action) bool {
 	var r cf.Record
 	var err error
@@ -273,7 +272,8 @@
 	return true
 }
 
-// sendOrder gives an order.
+// sendOrder sends an order to the platform. It returns false if no further order should be sent
+// now.
 func (c *Controller) sendOrder(o cf.EngineOrder) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
@@ -318,7 +318,7 @@
 	default:
 		c.reconciler.OrderRejected(o, now)
 	}
-	// Others may be taken where one was refused; without an answer they would wait for
-	// theirs in vain.
+	// After a refused order, orders for other pools may still succeed. After an order without a
+	// response, further orders would wait for their responses in vain.
 	return !errors.Is(err, cf.ErrUnavailable) && !errors.Is(err, cf.ErrFenced)
 }
--- a/io/cfautoscale/cfautoscale_test.go
+++ b/io/cfautoscale/cfautoscale_test.go
@@ -15,7 +15,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// unavailableStore refuses writes while it is away, and reads while it is unread.
+// unavailableStore fails writes if failWrites is set, and reads if failReads is set.
 type unavailableStore struct {
 	*cfstandin.MemStore
 	failWrites, failReads bool
@@ -35,7 +35,7 @@
 	return s.MemStore.Create(ctx, kind, name, spec)
 }
 
-// recordingScaling takes orders.
+// recordingScaling accepts and records all orders.
 type recordingScaling struct{ orders []cf.EngineOrder }
 
 func (a *recordingScaling) OrderEngines(_ context.Context, _ cf.LeaseToken, o cf.EngineOrder) error {
@@ -59,8 +59,8 @@
 	})
 }
 
-// Symptom: engines are ordered that no successor hears of, before the handover has passed, or
-// of a service whose engines may not be ordered.
+// Guards against orders that a successor cannot know of because they are not stored, orders before
+// the end of the handover, and orders for a service whose engines may not be ordered.
 func TestOrdersAreSentOnlyOnceStored(t *testing.T) {
 	store, scaling, mayAct, enabled := &unavailableStore{MemStore: cfstandin.NewMemStore(), failWrites: true}, &recordingScaling{}, false, false
 	controller := newController(store, scaling, &mayAct, &enabled)
@@ -70,7 +70,7 @@
 		controller.reconcile()
 		controller.reconcile()
 		if len(scaling.orders) > 0 {
-			t.Fatalf("ordered %v", scaling.orders)
+			t.Fatalf("ordered %v, want no orders", scaling.orders)
 		}
 	}
 	store.failWrites = false
@@ -78,11 +78,12 @@
 	controller.reconcile()
 	stored, _ := controller.reconciler.Stored()
 	if len(scaling.orders) == 0 || !slices.Equal(stored.Orders, scaling.orders) {
-		t.Errorf("ordered %v, kept %v", scaling.orders, stored.Orders)
+		t.Errorf("ordered %v, stored %v; want the same orders", scaling.orders, stored.Orders)
 	}
 }
 
-// Symptom: an instance that lost the duty still reports engines, beside the new holder.
+// Guards against an instance that lost the lease and still reports engine gauges in addition to the
+// new holder.
 func TestCloseResetsGauges(t *testing.T) {
 	mayAct, enabled := true, true
 	controller := newController(cfstandin.NewMemStore(), &recordingScaling{}, &mayAct, &enabled)
@@ -102,18 +103,18 @@
 	}
 	controller.reconcile()
 	if total() == 0 {
-		t.Fatal("the holder reports nothing")
+		t.Fatal("the lease holder reports no engines")
 	}
 	controller.Start()
 	if err := controller.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if sum := total(); sum != 0 {
-		t.Errorf("the gauges add up to %v after the end", sum)
+		t.Errorf("the sum of the gauges is %v after Close, want 0", sum)
 	}
 }
 
-// Symptom: while the store is unavailable each look logs the same warning.
+// Guards against logging the same warning at each reconciliation while the store is unavailable.
 func TestUnavailableStoreIsLoggedOnce(t *testing.T) {
 	store, mayAct, enabled := &unavailableStore{MemStore: cfstandin.NewMemStore()}, true, true
 	controller := newController(store, &recordingScaling{}, &mayAct, &enabled)
@@ -129,7 +130,7 @@
 		for outage := range 2 {
 			c.set(true)
 			for range 4 {
-				// Forgets what was read, so that each look reads and writes.
+				// Discards the loaded state, so that each reconciliation reads and writes.
 				store.MemStore, controller.reconciler = cfstandin.NewMemStore(), cfscale.NewReconciler(3, 0)
 				controller.reconcile()
 			}
--- a/io/cfmeter/cfmeter.go
+++ b/io/cfmeter/cfmeter.go
@@ -1,14 +1,14 @@
-// Package cfmeter is the duty of reporting use to the platform. One instance at a time
-// has it, with the coordinator's lease: it is given a term, acts under it alone, and ends
-// with it. What is reported of which window, and when, is cfusage's decision; this package
-// carries it out.
+// Package cfmeter reports usage to the platform. Only the instance that holds the coordinator's
+// lease does so: its Collector is created for a lease term, acts under this term only, and is
+// closed at its end. Package cfusage decides what to report for which window and when; this package
+// executes the decisions.
 //
 // Usage:
 //
-//	d := cfmeter.New(options)
-//	d.Start()
-//	defer d.Close()
-//	d.Take(report) // of an instance
+//	c := cfmeter.New(options)
+//	c.Start()
+//	defer c.Close()
+//	c.Add(report) // an instance's counts
 package cfmeter
 
 import (
@@ -28,42 +28,43 @@
 )
 
 const (
-	// outboxName is the object that holds the reports until they are sent.
+	// outboxName is the name of the object that stores the reports until they are sent.
 	outboxName = "reports"
-	// tick is how often the duty looks whether a window is due.
+	// tick is the interval between checks for due windows.
 	tick = 100 * time.Millisecond
-	// sendTimeout bounds a report. One without an answer is sent again, the same.
+	// sendTimeout limits the duration of a report call. A report without a response is sent again
+	// unchanged.
 	sendTimeout = 1500 * time.Millisecond
-	// maxLoggedCounts bounds the organisations of a log line; the store has them all until the
-	// report is sent.
+	// maxLoggedCounts is the maximum number of organisations in a log line. The store has the
+	// counts of all organisations until the report is sent.
 	maxLoggedCounts = 200
 )
 
 type (
-	// Options are what the duty works with.
+	// Options configures a Collector.
 	Options struct {
 		Lease    cf.LeaseToken
 		Store    cf.Store
 		Metering cf.Metering
 		Timing   cfusage.WindowTiming
-		// MayAct says whether the term allows a call now.
+		// MayAct reports whether the term allows a call now.
 		MayAct func() bool
 		// Now returns the time of day.
 		Now func() cf.Millis
-		// LocalCounts returns the counts of this instance, Taken that they were taken.
+		// LocalCounts returns the new counts of this instance and marks them as reported.
 		LocalCounts func(term cf.Revision) cfusage.MeterReport
-		// OnSettled tells the last window of which a report lies in the store.
+		// OnSettled is called with the last window whose report is stored.
 		OnSettled func(cf.UsageWindow)
 		// Instances are the instances that may have counts.
 		Instances []cf.EntryID
-		// Inherited is what the holder before had heard, as Snapshot gave it.
+		// Inherited is the Snapshot of the previous lease holder.
 		Inherited json.RawMessage
 		Metrics   *Metrics
 		Log       *zap.Logger
 	}
 
-	// Collector reports use. It is safe for concurrent use. Close ends it and waits for the
-	// call under way.
+	// Collector adds up the counts of all instances and reports them. It is safe for concurrent
+	// use. Close stops it and waits for the call in progress.
 	Collector struct {
 		Options
 		ctx    context.Context
@@ -75,14 +76,14 @@
 		reporter   *cfusage.Reporter
 	}
 
-	// Metrics are the duty's counters.
+	// Metrics holds the collector's metrics.
 	Metrics struct {
 		Reports *prometheus.CounterVec
 		Late    prometheus.Counter
 	}
 )
 
-// NewMetrics registers the duty's metrics.
+// NewMetrics registers the collector's metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Reports: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -94,7 +95,7 @@
 	return m
 }
 
-// New returns a duty that has not started.
+// New returns a Collector that is not started.
 func New(o Options) *Collector {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Collector{Options: o, ctx: ctx, cancel: cancel, aggregator: cfusage.NewAggregator(o.Timing.Length), reporter: cfusage.NewReporter(o.Timing)}
@@ -113,7 +114,7 @@
 	return c
 }
 
-// Snapshot returns what a successor needs if this instance is lost.
+// Snapshot returns the state that a successor needs if this instance is lost.
 func (c *Collector) Snapshot() json.RawMessage {
 	c.mu.Lock()
 	base := c.aggregator.Snapshot()
@@ -128,18 +129,17 @@
 	return out
 }
 
-// Start begins the duty.
+// Start starts the collector.
 func (c *Collector) Start() { c.wg.Go(c.loop) }
 
-// Close ends the duty.
+// Close stops the collector and waits for it to end.
 func (c *Collector) Close() error {
 	c.cancel()
 	c.wg.Wait()
 	return nil
 }
 
-// Add takes what an instance has counted. It returns the last window of which there is a
-// report.
+// Add adds an instance's counts. It returns the last window whose report is stored.
 func (c *Collector) Add(r cfusage.MeterReport) cf.UsageWindow {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-// runNext does what is due; it returns true if more may be.
+// runNext takes the next step. It returns true if another step may be due.
 func (c *Collector) runNext() bool {
 	c.Add(c.LocalCounts(c.Lease.Fence))
 	if c.ctx.Err() != nil || !c.MayAct() {
@@ -191,7 +191,7 @@
 	}
 }
 
-// load reads what lies in the store.
+// load reads the outbox from the store.
 func (c *Collector) load() bool {
 	r, err := c.Store.Get(c.ctx, cf.KindUsage, outboxName)
 	var stored cfusage.Outbox
@@ -215,7 +215,7 @@
 	return true
 }
 
-// save writes the reports that are due.
+// save writes the due reports to the outbox in the store.
 func (c *Collector) save(step cfusage.Step) bool {
 	var r cf.Record
 	var err error
@@ -239,7 +239,7 @@
 	return true
 }
 
-// logSaved logs a report as it lies in the store, as far as a line can hold it.
+// logSaved logs a stored report, without its counts if there are too many for a log line.
 func (c *Collector) logSaved(p cf.UsageReport, rev cf.Revision) {
 	counts := zap.Skip()
 	if len(p.Counts) <= maxLoggedCounts {
@@ -249,13 +249,14 @@
 		zap.Int("organisations", len(p.Counts)), counts)
 }
 
-// markSettled lets the instances forget what is kept. d.mu is held.
+// markSettled tells the aggregator and the instances which windows are stored, so that they may
+// discard the counts. c.mu must be held.
 func (c *Collector) markSettled() {
 	c.aggregator.Settle(c.reporter.Settled())
 	c.OnSettled(c.reporter.Settled())
 }
 
-// send sends a report.
+// send sends a report to the platform.
 func (c *Collector) send(report cf.UsageReport) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
--- a/io/cfpeer/cancel_test.go
+++ b/io/cfpeer/cancel_test.go
@@ -13,12 +13,10 @@
 	"currantford/io/cfpeer"
 )
 
-// Symptom: an instance loses the coordinator for half a second, again and
-// again, although both run and the link is sound.
-// Sequence: a call waits for its answer; another caller on the same link goes
-// away, and its call is made with a context that is cancelled already.
-// Cause: the WebSocket library closes a connection when a write's context is
-// cancelled, and the caller's context was handed to it.
+// Guards against an instance that repeatedly loses the coordinator for half a second although both
+// processes and the link work. The WebSocket library closes a connection when the context of a
+// write is cancelled, so a cancelled call whose context is passed to the library fails all other
+// calls on the same connection.
 func TestCancelledCallLeavesOthersAlone(t *testing.T) {
 	srv := cfpeer.NewServer()
 	release := make(chan struct{})
@@ -48,8 +46,7 @@
 	}()
 	cancelled, cancelNow := context.WithCancel(ctx)
 	cancelNow()
-	// The library chooses at random whether it sees the context before or
-	// after it has begun to write.
+	// The library randomly detects the cancelled context before or after it begins to write.
 	for range 50 {
 		if err := c.Call(cancelled, addr, "echo", nil, &got); err == nil {
 			t.Error("a call with a cancelled context succeeded")
@@ -58,6 +55,6 @@
 	time.Sleep(50 * time.Millisecond)
 	close(release)
 	if err := <-answer; err != nil {
-		t.Errorf("the waiting call failed with the cancelled one: %v", err)
+		t.Errorf("the waiting call failed together with the cancelled one: %v", err)
 	}
 }
--- a/io/cfpeer/dial_test.go
+++ b/io/cfpeer/dial_test.go
@@ -11,12 +11,10 @@
 	"currantford/io/cfpeer"
 )
 
-// Symptom: after an outage of the store a coordinator neither renews its lease nor
-// sees a new configuration for six seconds, though the store answers all others.
-// Sequence: a call that may take seconds goes to a peer that takes connections and
-// says nothing; then others go there that have milliseconds.
-// Cause: the first one tried to connect for all its time, and the others waited for
-// it whatever time they had.
+// Guards against a coordinator that, after an outage of the store, neither renews its lease nor
+// receives a new configuration for six seconds although the store works. A call with a timeout of
+// seconds to a peer that accepts connections and never responds must not spend all its time
+// dialling while calls with timeouts of milliseconds wait for the same connection.
 func TestCallsDoNotWaitForAnothersTryToConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +55,7 @@
 		stop()
 	}
 	if firstDone.Load() {
-		t.Error("calls of 50 ms waited for one of 20 s")
+		t.Error("calls with a timeout of 50 ms waited for one with a timeout of 20 s")
 	}
 	cancel()
 	wg.Wait()
--- a/io/cfpeer/peer.go
+++ b/io/cfpeer/peer.go
@@ -1,11 +1,10 @@
-// Package cfpeer is the link between entry instances: request and answer
-// over one WebSocket connection per peer, each message CBOR-encoded.
+// Package cfpeer connects entry instances: it carries requests and responses over one WebSocket
+// connection per peer, each message encoded in CBOR.
 //
-// An entry that does not lead a pool forwards a trainer's fetch or
-// acknowledgement to the entry that does, so that trainers may use any
-// entry the list gives them. Calls carry an id; answers may come back in
-// any order. A broken connection fails every call waiting on it with
-// ErrUnavailable, and the next call dials again.
+// For example, an entry instance that does not lead a pool forwards a trainer's fetch or
+// acknowledgement to the one that does, so that trainers may use any entry instance in the list.
+// Calls have an id, and responses may arrive in any order. When a connection breaks, all calls
+// waiting on it fail with ErrUnavailable, and the next call dials again.
 //
 // Usage:
 //
@@ -36,16 +35,16 @@
 
 const (
 	readLimit = 8 << 20
-	// writeTimeout bounds a write to a peer that does not read; a sound one
-	// takes a message within milliseconds.
+	// writeTimeout limits a write to a peer that does not read. A working peer accepts a message
+	// within milliseconds.
 	writeTimeout = time.Second
-	// dialTimeout bounds the try to connect: a few round trips between failure
-	// domains, of 16 ms at most, and one packet that is sent again.
+	// dialTimeout allows for a few round trips between failure domains, of at most 16 ms each, and
+	// one retransmitted packet.
 	dialTimeout = 1200 * time.Millisecond
 )
 
 type (
-	// Message is one call or answer on the wire.
+	// Message is a call or response on the wire.
 	Message struct {
 		ID    uint64          `cbor:"id"`
 		Op    string          `cbor:"op,omitempty"`
@@ -54,10 +53,10 @@
 		Code  string          `cbor:"code,omitempty"`
 	}
 
-	// HandlerFunc answers one call.
+	// HandlerFunc handles a call and returns the response's body.
 	HandlerFunc func(ctx context.Context, body cbor.RawMessage) (any, error)
 
-	// Server accepts peer connections. Close waits for running handlers.
+	// Server accepts connections from peers. Close waits for running handlers.
 	Server struct {
 		handlers map[string]HandlerFunc
 		ctx      context.Context
@@ -65,21 +64,19 @@
 		wg       cflog.Group
 	}
 
-	// Client keeps one connection per peer address. Close waits for the
-	// readers it started.
+	// Client keeps one connection per peer address. Close waits for its goroutines to end.
 	Client struct {
 		mu    sync.Mutex
 		peers map[string]*peer
 		wg    cflog.Group
 	}
 
-	// peer is the connection to one peer. It is taken while dialling: a peer that
-	// does not answer holds up calls to itself only, and each for its own time
-	// at most.
+	// peer holds the connection to one peer. Its semaphore is held while dialling, so an
+	// unresponsive peer delays only calls to itself, and each call for at most its own timeout.
 	peer struct {
 		sem  chan struct{}
 		conn *conn
-		// dialErr is the error of the last try to connect, tries counts them.
+		// dialErr is the error of the latest dial, dials the number of dials.
 		dialErr error
 		dials   atomic.Int64
 	}
@@ -93,7 +90,7 @@
 	}
 )
 
-// sentinels maps wire codes to the root package's errors.
+// sentinels maps error codes on the wire to the root package's errors.
 var sentinels = map[string]error{
 	"not_found":   cf.ErrNotFound,
 	"conflict":    cf.ErrConflict,
@@ -104,35 +101,35 @@
 	"refused":     cf.ErrRefused,
 }
 
-// notSent is an error of a call that never left: it is unavailable, and was
-// certainly not carried out.
+// notSent is the error of a call that was not sent, and so certainly not executed.
 type notSent struct{ cause error }
 
 func (e *notSent) Error() string { return "not sent: " + e.cause.Error() }
 
-// Is makes it an ErrUnavailable and an ErrNotRun.
+// Is reports a notSent error as both ErrUnavailable and ErrNotRun.
 func (e *notSent) Is(target error) bool { return target == cf.ErrUnavailable || target == cf.ErrNotRun }
 
-// Unwrap keeps the cause, such as cf.ErrNoProcess.
+// Unwrap returns the cause, such as cf.ErrNoProcess.
 func (e *notSent) Unwrap() error { return e.cause }
 
-// NewServer returns a server with no handlers.
+// NewServer returns a Server without handlers.
 func NewServer() *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{handlers: map[string]HandlerFunc{}, ctx: ctx, cancel: cancel}
 }
 
-// Handle registers the handler of an op. Call it before serving.
+// Handle registers the handler of an operation. It must not be called after the server has begun to
+// serve.
 func (s *Server) Handle(op string, h HandlerFunc) { s.handlers[op] = h }
 
-// Close ends every connection and waits for running handlers.
+// Close closes all connections and waits for running handlers.
 func (s *Server) Close() error {
 	s.cancel()
 	s.wg.Wait()
 	return nil
 }
 
-// ServeHTTP upgrades to WebSocket and answers calls until the peer leaves.
+// ServeHTTP upgrades the connection to WebSocket and handles calls until it is closed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ws, err := websocket.Accept(w, r, nil)
 	if err != nil {
@@ -181,16 +178,16 @@
 	return "unavailable"
 }
 
-// NewClient returns a client with no connections.
+// NewClient returns a Client without connections.
 func NewClient() *Client { return &Client{peers: map[string]*peer{}} }
 
-// Close ends every connection and waits for their readers.
+// Close closes all connections and waits for their goroutines to end.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	for _, p := range c.peers {
 		p.sem <- struct{}{}
 		if p.conn != nil {
-			_ = p.conn.ws.CloseNow() // the reader ends with its error
+			_ = p.conn.ws.CloseNow() // the goroutine that reads from it ends with the resulting error
 		}
 		p.release()
 	}
@@ -199,10 +196,9 @@
 	return nil
 }
 
-// Call sends op with body to the peer at addr and decodes the answer into
-// out. Errors from the peer come back as the root package's sentinels; a
-// connection that breaks gives ErrUnavailable, and whether the peer acted on
-// the call is then unknown.
+// Call sends op with body to the peer at addr and decodes the response into out. An error of the
+// peer is returned as one of the root package's sentinel errors. If the connection breaks, Call
+// returns ErrUnavailable, and it is unknown whether the peer executed the call.
 func (c *Client) Call(ctx context.Context, addr, op string, body, out any) error {
 	if ctx.Err() != nil {
 		return &notSent{eris.Wrapf(ctx.Err(), "peer %s", addr)}
@@ -248,10 +244,9 @@
 		}
 		return eris.Wrap(cbor.Unmarshal(m.Body, out), "decode peer answer")
 	case <-ctx.Done():
-		// A connection can go silent without a reset. One on which an answer
-		// is overdue is given up, so that the next call dials again.
-		// Closing waits for the library's own goroutines, up to seconds where
-		// one of them is writing; the caller has no time left.
+		// A connection can fail without a reset, so one with an overdue response is closed, and the
+		// next call dials again. Closing waits for the library's own goroutines, up to seconds if
+		// one of them is writing, so it must not delay the caller, whose deadline has passed.
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.wg.Go(func() { _ = cn.ws.CloseNow() })
 		}
@@ -269,7 +264,7 @@
 	if p.conn != nil && !p.conn.isBroken() {
 		return p.conn, nil
 	}
-	// Whoever waited while another call tried in vain has its answer.
+	// If another call's dial failed while this call waited, this call returns the same error.
 	if p.dialErr != nil && p.dials.Load() > before {
 		return nil, p.dialErr
 	}
@@ -284,7 +279,7 @@
 	return cn, nil
 }
 
-// acquire waits for the slot; false if ctx ended before.
+// acquire acquires the semaphore. It returns false if ctx ends before.
 func (p *peer) acquire(ctx context.Context) bool {
 	select {
 	case p.sem <- struct{}{}:
@@ -296,8 +291,9 @@
 
 func (p *peer) release() { <-p.sem }
 
-// dial connects to a peer. The slot is taken, by a call that may have seconds: with all
-// of them for its try, it would hold a coordinator's renewals and watches up for as long.
+// dial connects to the peer. The semaphore must be held. dialTimeout limits the dial because a call
+// may have a timeout of seconds, and would otherwise delay a coordinator's lease renewals and
+// watches for as long.
 func (p *peer) dial(ctx context.Context, addr string) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -325,9 +321,9 @@
 	return p
 }
 
-// write sends one message. It does not take the caller's context: the library
-// closes the connection when a write's context ends, and one caller that goes
-// away would fail all calls of its process that wait for answers.
+// write sends one message. It does not use the caller's context: the library closes the connection
+// when a write's context ends, so one cancelled call would fail all other calls of the process that
+// wait for responses.
 func (cn *conn) write(data []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
@@ -340,9 +336,9 @@
 	return cn.broken != nil
 }
 
-// read delivers answers to their callers. When the connection breaks, every
-// waiting call fails at once instead of waiting for its own timeout, and the
-// connection is forgotten so that the next call dials again.
+// read delivers responses to their callers. When the connection breaks, all waiting calls fail
+// immediately instead of waiting for their own timeouts, and the connection is marked as broken so
+// that the next call dials again.
 func (c *Client) read(cn *conn) {
 	for {
 		_, data, err := cn.ws.Read(context.Background())
--- a/io/cfpeer/size_test.go
+++ b/io/cfpeer/size_test.go
@@ -11,10 +11,9 @@
 	cf "currantford"
 )
 
-// BenchmarkMessageSize reports the encoded size of the messages that
-// docs/CAPACITY.md multiplies out: a load report (JSON, as engines send it;
-// CBOR, as a peer digest would carry it) and a batch of samples by their
-// text length.
+// BenchmarkMessageSize reports the encoded sizes that docs/CAPACITY.md uses for its estimates: that
+// of a load report, in JSON as sent by engines and in CBOR as in a digest between peers, and that
+// of a sample by the length of its text.
 func BenchmarkMessageSize(b *testing.B) {
 	load := cf.Load{Engine: "forecast-0001", Addr: "10.1.2.3:8000", Domain: "bayan-a", Active: 7, Queued: 3,
 		KVUsed: 12000, KVBudget: 60000, Backlog: 850, Weights: 41, Power: 640, Reported: 1796236511601}
