--- a/io/cfingress/stream_test.go
+++ b/io/cfingress/stream_test.go
@@ -18,8 +18,8 @@
 
 var resumable = cfsite.Route{Kind: cfsite.KindStream, Resumable: true, MaxAttempts: 3, Timeout: 5000}
 
-// events hands on the events from first to last.
-func events(sink cf.StreamSink, first, last cf.EventID) error {
+// sendEvents sends the events from first to last.
+func sendEvents(sink cf.StreamSink, first, last cf.EventID) error {
 	for id := first; id <= last; id++ {
 		if err := sink.Event(cf.StreamEvent{ID: id, Raw: []byte(fmt.Sprintf("id: %d\n\n", id))}); err != nil {
 			return err
@@ -33,29 +33,27 @@
 	return answer, sink.Start(answer)
 }
 
-// Symptom: a caller that resumes its own stream gets nothing, at any target.
-// Sequence: the caller's connection breaks after event 3; it asks again with
-// that event as the last it has; a target goes on with event 4.
-// Cause: the instance expected every stream to begin with event 1 and took the
-// target's answer for a broken one.
+// Guards against a resumed stream without events. The caller's connection breaks after event 3; the
+// caller resumes the stream after that event, and a target continues with event 4. The instance
+// expected every stream to begin with event 1 and treated the answer as malformed.
 func TestCallerResumesItsStream(t *testing.T) {
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, call.ResumeAfter+1, 5)
+			err = sendEvents(sink, call.ResumeAfter+1, 5)
 		}
 		return answer, err
 	}}
 	in := newIngress(t, to, resumable, "a", "b")
-	w, broken := ask(in, cf.Request{ID: "r", ResumeAfter: 3})
-	if want := "id: 4\n\nid: 5\n\n"; broken || w.Body.String() != want {
-		t.Errorf("broken %t, events %q, want %q", broken, w.Body, want)
+	w, aborted := ask(in, cf.Request{ID: "r", ResumeAfter: 3})
+	if want := "id: 4\n\nid: 5\n\n"; aborted || w.Body.String() != want {
+		t.Errorf("aborted %t, events %q, want %q", aborted, w.Body, want)
 	}
 }
 
-// wantBrokenOff plays a stream that breaks off after event 2, and whose second target answers
-// as given: the caller must see it broken off after those events.
-func wantBrokenOff(t *testing.T, resumed cf.TargetAnswer, resumeErr error) {
+// wantAborted simulates a stream that breaks off after event 2, and that a second target resumes
+// with the given answer. It checks that the caller's connection is aborted after those events.
+func wantAborted(t *testing.T, resumed cf.TargetAnswer, resumeErr error) {
 	t.Helper()
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		if call.ResumeAfter > 0 {
@@ -63,7 +61,7 @@
 		}
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, 1, 2)
+			err = sendEvents(sink, 1, 2)
 		}
 		if err == nil {
 			err = eris.Wrap(cf.ErrBadAnswer, "broken off")
@@ -71,63 +69,60 @@
 		return answer, err
 	}}
 	in := newIngress(t, to, resumable, "a", "b")
-	w, broken := ask(in, cf.Request{ID: "r"})
-	if want := "id: 1\n\nid: 2\n\n"; !broken || w.Body.String() != want {
-		t.Errorf("broken %t, events %q, want them broken off after %q", broken, w.Body, want)
+	w, aborted := ask(in, cf.Request{ID: "r"})
+	if want := "id: 1\n\nid: 2\n\n"; !aborted || w.Body.String() != want {
+		t.Errorf("aborted %t, events %q, want an abort after %q", aborted, w.Body, want)
 	}
 }
 
-// Symptom: a stream ends as complete with a failure's text in the midst of its
-// events.
-// Sequence: a stream breaks off after event 2; the target asked to resume it
-// answers that it knows no such path.
-// Cause: the failure was passed on to a caller whose answer had begun.
-func TestFailureAfterTheStreamBeganBreaksItOff(t *testing.T) {
-	wantBrokenOff(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}, Body: []byte("nothing here")}, nil)
+// Guards against a stream that looks complete with an error message among its events. The stream
+// breaks off after event 2, and the target that is asked to resume it answers that the path does
+// not exist. That failure was passed on to a caller whose answer had begun.
+func TestFailureAfterStreamStartAbortsTheConnection(t *testing.T) {
+	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}, Body: []byte("nothing here")}, nil)
 }
 
-// deaf is an answer to a caller that takes no more than its beginning.
-type deaf struct{ *httptest.ResponseRecorder }
+// failingWriter is an answer to a caller whose connection fails after the header.
+type failingWriter struct{ *httptest.ResponseRecorder }
 
-func (deaf) Write([]byte) (int, error) { return 0, errors.New("deadline exceeded") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("deadline exceeded") }
 
-// Symptom: targets generate a stream again and again for a caller that does not take it, and
-// count as failing.
-// Cause: a write to the caller that failed was taken for a fault of the target.
-func TestStreamWhoseCallerTakesNoMoreIsNotResumed(t *testing.T) {
+// Guards against targets that generate a stream again and again, and count as failed, for a caller
+// that does not receive it. A failed write to the caller was treated as a fault of the target.
+func TestStreamIsNotResumedAfterFailedWriteToCaller(t *testing.T) {
 	sends := 0
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		sends++
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, 1, 5)
+			err = sendEvents(sink, 1, 5)
 		}
 		return answer, err
 	}}, resumable, "a", "b")
 	defer func() {
 		if recover() == nil || sends != 1 {
-			t.Errorf("%d sends, want one, and the stream broken off", sends)
+			t.Errorf("%d sends, want one and an aborted stream", sends)
 		}
 	}()
 	in.Forward(context.Background(), &cf.Request{
 		ID: "r", Method: http.MethodPost, Host: host, Route: "/x/a", Path: "/x/a", Received: cf.Uptime(),
-	}, deaf{httptest.NewRecorder()})
+	}, failingWriter{httptest.NewRecorder()})
 }
 
-// Guards against a resumed stream that looks complete, with an error's text among its
-// events, after the answer of its second target found no room.
-func TestResumedStreamWithoutRoomIsBrokenOff(t *testing.T) {
-	wantBrokenOff(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}}, eris.Wrap(cf.ErrNoRoom, "an answer of 64 MB"))
+// Guards against a resumed stream that looks complete, with an error message among its events,
+// after there was no memory for the second target's answer.
+func TestResumedStreamWithoutRoomIsAborted(t *testing.T) {
+	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}}, eris.Wrap(cf.ErrNoRoom, "an answer of 64 MB"))
 }
 
-// Guards against a target that counts as failing because callers leave their streams
-// between two events.
-func TestCallerThatLeavesAStreamIsNoFaultOfItsTarget(t *testing.T) {
+// Guards against counting a target as failed because callers disconnect between two events of their
+// streams.
+func TestCallerLeavingAStreamIsNotATargetFailure(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		answer, err := startStream(sink)
 		if err == nil {
-			err = events(sink, 1, 2)
+			err = sendEvents(sink, 1, 2)
 		}
 		leave()
 		return answer, errors.Join(err, eris.Wrap(cf.ErrBadAnswer, "context canceled"))
@@ -136,10 +131,10 @@
 	in.Log = zap.New(core)
 	defer func() {
 		if recover() == nil {
-			t.Error("the stream was not broken off")
+			t.Error("the stream was not aborted")
 		}
 		if n := logged.FilterMessage("attempt_failed").Len(); n > 0 {
-			t.Errorf("%d attempts were charged to their target", n)
+			t.Errorf("%d attempts counted as failures of their target", n)
 		}
 	}()
 	in.Forward(ctx, &cf.Request{
--- a/io/cflog/async_test.go
+++ b/io/cflog/async_test.go
@@ -6,25 +6,26 @@
 	"testing"
 )
 
-// writes keeps each write apart; the first waits until the others are queued.
-type writes struct {
+// writeRecorder records each write separately. The first write blocks until the other lines are
+// queued.
+type writeRecorder struct {
 	begin chan struct{}
 	all   [][]byte
 }
 
-func (w *writes) Write(p []byte) (int, error) {
+func (w *writeRecorder) Write(p []byte) (int, error) {
 	<-w.begin
 	w.all = append(w.all, bytes.Clone(p))
 	return len(p), nil
 }
 
-// Guards against: lines of a burst that are lost or torn, because one write was larger than a
-// pipe takes whole.
+// Guards against lost or split lines in a burst, caused by writes larger than a pipe takes
+// atomically.
 func TestBurstIsWrittenInWholeLines(t *testing.T) {
-	out := &writes{begin: make(chan struct{})}
+	out := &writeRecorder{begin: make(chan struct{})}
 	a := NewAsyncWriter(out)
 	line := []byte(strings.Repeat("x", 450) + "\n")
-	long := []byte(strings.Repeat("y", 3*writeBytes) + "\n")
+	long := []byte(strings.Repeat("y", 3*maxWriteBytes) + "\n")
 	const lines = 300
 	for n := range lines {
 		if n == lines/2 {
@@ -38,15 +39,15 @@
 	}
 	got := 0
 	for _, w := range out.all {
-		if len(w) > writeBytes && !bytes.Equal(w, long) {
-			t.Errorf("a write of %d bytes, %d are taken whole", len(w), writeBytes)
+		if len(w) > maxWriteBytes && !bytes.Equal(w, long) {
+			t.Errorf("write of %d bytes, want at most %d", len(w), maxWriteBytes)
 		}
 		if w[len(w)-1] != '\n' {
-			t.Error("a write ends within a line")
+			t.Error("write ends within a line")
 		}
 		got += bytes.Count(w, []byte("\n"))
 	}
 	if got != lines+1 || len(out.all) > lines/4 {
-		t.Errorf("%d lines in %d writes, want %d in a few", got, len(out.all), lines+1)
+		t.Errorf("%d lines in %d writes, want %d lines in few writes", got, len(out.all), lines+1)
 	}
 }
