--- a/io/cfautoscale/cfautoscale.go
+++ b/io/cfautoscale/cfautoscale.go
@@ -76,7 +76,7 @@
 		reconciler *cfscale.Reconciler
 		deciders   map[cf.ServiceName]*cfscale.Decider
 		// rationales holds the reason for the latest change of each service's orders.
-		rationale map[cf.ServiceName]cfscale.Rationale
+		rationales map[cf.ServiceName]cfscale.Rationale
 		// warnedAt is when each warning was last logged, without warnings whose cause has ended.
 		warnedAt map[string]cf.Millis
 	}
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Controller{
 		Options: o, ctx: ctx, cancel: cancel, reconciler: cfscale.NewReconciler(o.Lease.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
-		rationale: map[cf.ServiceName]cfscale.Rationale{}, warnedAt: map[string]cf.Millis{},
+		rationales: map[cf.ServiceName]cfscale.Rationale{}, warnedAt: map[string]cf.Millis{},
 	}
 }
 
@@ -179,8 +179,8 @@
 			continue
 		}
 		orders, rationale := decider.Decide(now, demand, stored)
-		if rationale.Cause != "" || c.rationale[service].Cause == "" {
-			c.rationale[service] = rationale
+		if rationale.Cause != "" || c.rationales[service].Cause == "" {
+			c.rationales[service] = rationale
 		}
 		for _, pool := range decider.PoolsToReorder(now, demand, stored) {
 			c.Log.Info("engines_missing", zap.String("service", string(pool.Service)), zap.String("failure_domain", string(pool.Domain)),
@@ -292,7 +292,7 @@
 	case err != nil:
 		outcome = "refused"
 	}
-	rationale := c.rationale[o.Service]
+	rationale := c.rationales[o.Service]
 	cause := rationale.Cause
 	if cause == "" {
 		cause = cfscale.CauseInherited
--- a/io/cfpeer/cancel_test.go
+++ b/io/cfpeer/cancel_test.go
@@ -17,7 +17,7 @@
 // processes and the link work. The WebSocket library closes a connection when the context of a
 // write is cancelled, so a cancelled call whose context is passed to the library fails all other
 // calls on the same connection.
-func TestCancelledCallLeavesOthersAlone(t *testing.T) {
+func TestCancelledCallDoesNotFailOthers(t *testing.T) {
 	srv := cfpeer.NewServer()
 	release := make(chan struct{})
 	srv.Handle("wait", func(context.Context, cbor.RawMessage) (any, error) {
--- a/io/cfpeer/dial_test.go
+++ b/io/cfpeer/dial_test.go
@@ -15,7 +15,7 @@
 // receives a new configuration for six seconds although the store works. A call with a timeout of
 // seconds to a peer that accepts connections and never responds must not spend all its time
 // dialling while calls with timeouts of milliseconds wait for the same connection.
-func TestCallsDoNotWaitForAnothersTryToConnect(t *testing.T) {
+func TestCallsDoNotWaitForAnothersDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/io/cfrunner/cfrunner.go
+++ b/io/cfrunner/cfrunner.go
@@ -7,10 +7,15 @@
 //
 // Failures and how the protocol handles them:
 //
-//   - A delayed order must not start a run late. Each order contains the host's own clock as of the latest report that the coordinator received, and a host starts nothing for an outdated order.
-//   - Engines must not stay busy with runs of a coordinator that no longer exists. A host that is not polled for PollTimeout stops its runs, and so does a host that learns of a later term.
-//   - A run must not continue elsewhere while its host still executes it. A Pool waits until the host confirms the end of the run or has certainly stopped it. A poll extends the host's runs as of the time at which it was sent, by the host's own clock.
-//   - A lost response must not lose events. Reports are numbered, and sent again until they are acknowledged.
+//   - A delayed order must not start a run late. Each order contains the host's own clock as of the
+//     latest report that the coordinator received, and a host starts nothing for an outdated order.
+//   - Engines must not stay busy with runs of a coordinator that no longer exists. A host that is
+//     not polled for PollTimeout stops its runs, and so does a host that learns of a later term.
+//   - A run must not continue elsewhere while its host still executes it. A Pool waits until the
+//     host confirms the end of the run or has certainly stopped it. A poll extends the host's runs
+//     as of the time at which it was sent, by the host's own clock.
+//   - A lost response must not lose events. Reports are numbered, and sent again until they are
+//     acknowledged.
 //
 // Usage:
 //
