--- a/io/cfpeer/dial_test.go
+++ b/io/cfpeer/dial_test.go
@@ -11,13 +11,11 @@
 	"currantford/io/cfpeer"
 )
 
-// Symptom: after an outage of the store a coordinator neither renews its lease nor
-// sees a new configuration for six seconds, though the store answers all others.
-// Sequence: a call that may take seconds goes to a peer that takes connections and
-// says nothing; then others go there that have milliseconds.
-// Cause: the first one tried to connect for all its time, and the others waited for
-// it whatever time they had.
-func TestCallsDoNotWaitForAnothersTryToConnect(t *testing.T) {
+// Guards against a coordinator that, after an outage of the store, neither renews its lease nor
+// receives a new configuration for six seconds although the store works. A call with a timeout of
+// seconds to a peer that accepts connections and never responds must not spend all its time
+// dialling while calls with timeouts of milliseconds wait for the same connection.
+func TestCallsDoNotWaitForAnothersDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,14 +37,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
-	var first atomic.Bool
+	var firstDone atomic.Bool
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			if client.Call(ctx, l.Addr().String(), "store", 1, nil) == nil {
 				t.Error("a call to a silent peer succeeded")
 			}
 		}
-		first.Store(true)
+		firstDone.Store(true)
 	})
 	<-connected
 	for range 8 {
@@ -56,8 +54,8 @@
 		}
 		stop()
 	}
-	if first.Load() {
-		t.Error("calls of 50 ms waited for one of 20 s")
+	if firstDone.Load() {
+		t.Error("calls with a timeout of 50 ms waited for one with a timeout of 20 s")
 	}
 	cancel()
 	wg.Wait()
--- a/io/cfrunner/unboundedstream_test.go
+++ b/io/cfrunner/unboundedstream_test.go
@@ -10,16 +10,17 @@
 	cf "currantford"
 )
 
-// endless sends events without end, and tells how many bytes were taken.
-type endless struct {
+// endlessTargets is a Targets implementation whose streams send events without end. It reports the
+// number of bytes that the sink accepted.
+type endlessTargets struct {
 	cf.Targets
-	taken chan int
+	accepted chan int
 }
 
-func (e endless) Stream(ctx context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (e endlessTargets) Stream(ctx context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	const data = "0123456789"
 	taken := 0
-	defer func() { e.taken <- taken }()
+	defer func() { e.accepted <- taken }()
 	for id := cf.EventID(1); taken < 64<<20 && ctx.Err() == nil; id++ {
 		if err := sink.Event(cf.StreamEvent{ID: id, Data: data, Version: 1}); err != nil {
 			return cf.TargetAnswer{Status: 200}, err
@@ -29,13 +30,13 @@
 	return cf.TargetAnswer{Status: 200}, nil
 }
 
-// Guards against: a report that is too long to arrive, and a host's memory, where a target's
-// events have no end.
-func TestEventsWithoutEndAreCutOffAtTheHost(t *testing.T) {
-	targets := endless{taken: make(chan int, 1)}
+// Guards against an endless stream that exhausts a host's memory or makes a report too long for the
+// link.
+func TestUnboundedStreamIsCutOffAtHost(t *testing.T) {
+	targets := endlessTargets{accepted: make(chan int, 1)}
 	h := NewHost(targets, zap.NewNop())
 	defer func() { _ = h.Close() }()
-	s, err := h.join(Incarnation{Term: 1})
+	s, err := h.sessionOf(Incarnation{Term: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,11 +44,11 @@
 	h.start(s, StartOrder{Run: 1})
 	s.mu.Unlock()
 	select {
-	case n := <-targets.taken:
+	case n := <-targets.accepted:
 		if n > 4<<20 {
-			t.Errorf("%d bytes of one run were taken", n)
+			t.Errorf("%d bytes of one run were accepted, want at most 4 MB", n)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the run has not ended")
+		t.Fatal("the run has not ended within 20 s")
 	}
 }
