--- a/older/cfconfig/config.go
+++ b/older/cfconfig/config.go
@@ -111,11 +111,11 @@
 		Name      cf.PoolName `json:"name"`
 		GroupSize int         `json:"group_size"`
 		MaxTokens cf.Tokens   `json:"max_tokens"`
-		// StaleVersions and StaleAge bound a sample's staleness: behind
+		// MaxVersionLag and MaxSampleAge bound a sample's staleness: behind
 		// the pool's current weights by at most this many versions, and
 		// at most this old when delivered.
-		StaleVersions cf.WeightVersion `json:"staleness_versions"`
-		StaleAge      cf.Millis        `json:"staleness_ms"`
+		MaxVersionLag cf.WeightVersion `json:"staleness_versions"`
+		MaxSampleAge  cf.Millis        `json:"staleness_ms"`
 		Prompts       []string         `json:"prompts"`
 		Claims        []Claim          `json:"claims"`
 	}
@@ -321,7 +321,7 @@
 		if pl.GroupSize < 1 {
 			add(p+".group_size", "must be at least 1")
 		}
-		if pl.StaleVersions < 0 || pl.StaleAge <= 0 {
+		if pl.MaxVersionLag < 0 || pl.MaxSampleAge <= 0 {
 			add(p, "staleness_versions must be >= 0 and staleness_ms > 0")
 		}
 		for j, c := range pl.Claims {
--- a/older/cfentry/entry.go
+++ b/older/cfentry/entry.go
@@ -119,7 +119,7 @@
 	e.services = newServiceSet(site, e)
 	for _, p := range site.Pools {
 		e.pools[p.Name] = cfpool.New(p, cfpool.Options{
-			Store: e.store, Backend: e.engines, Holder: id, Addr: self.Addr, Lease: site.Lease, Log: log,
+			Store: e.store, Backend: e.engines, Entry: id, Addr: self.Addr, Lease: site.Lease, Log: log,
 		})
 	}
 	e.registerPeerOps()
@@ -270,7 +270,7 @@
 		e.mu.Lock()
 		for _, o := range objs {
 			var in Instance
-			if cfplatform.Decode(o, &in) == nil {
+			if cfplatform.DecodeValue(o, &in) == nil {
 				e.instances[in.ID] = in
 			}
 		}
--- a/older/cfentry/services.go
+++ b/older/cfentry/services.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// KindOnce is the kind of the at-most-once markers of non-idempotent
+	// KindAtMostOnce is the kind of the at-most-once markers of non-idempotent
 	// calls, one per service and idempotency key.
-	KindOnce = "once"
+	KindAtMostOnce = "once"
 	// idempotentRetries bounds the tries of an idempotent call.
 	idempotentRetries = 3
 	// resultTTL is how long an answer is kept for repeats of its key.
@@ -182,7 +182,7 @@
 func (s *serviceSet) sendOnce(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
 	store := s.entry.store
 	name := sv.Name + "/" + key
-	marker, err := cfplatform.PutJSON(ctx, store, KindOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, cf.CreateOnly)
+	marker, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, cf.CreateOnly)
 	switch {
 	case errors.Is(err, cf.ErrConflict):
 		return s.replay(ctx, name)
@@ -191,7 +191,7 @@
 		// if it is ours, go on; if it cannot be read, the call has not
 		// been sent, and "not run" is true.
 		var cur onceValue
-		obj, gerr := cfplatform.GetJSON(ctx, store, KindOnce, name, &cur)
+		obj, gerr := cfplatform.GetJSON(ctx, store, KindAtMostOnce, name, &cur)
 		if gerr != nil || cur.Entry != s.entry.self.ID || cur.State != onceSending {
 			return 0, nil, eris.Wrapf(cf.ErrUnavailable, "at-most-once marker for %s: %v", name, err)
 		}
@@ -206,14 +206,14 @@
 			// Nothing left this process; still, the marker stays, so a
 			// repeat is answered "may have run" only if we cannot
 			// remove it.
-			if _, derr := cfplatform.PutJSON(ctx, store, KindOnce, name, onceValue{State: onceNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
+			if _, derr := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, onceValue{State: onceNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
 				return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s unreachable: %v", sv.Name, err)
 			}
 		}
 		return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "service %s: %v", sv.Name, err)
 	}
 	done := onceValue{State: onceDone, Entry: s.entry.self.ID, Status: status, Body: out}
-	if _, err := cfplatform.PutJSON(ctx, store, KindOnce, name, done, marker.Version); err != nil {
+	if _, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, done, marker.Version); err != nil {
 		s.entry.log.Warn("at-most-once answer not recorded", zap.String("key", name), zap.Error(err))
 	}
 	return status, out, nil
@@ -222,7 +222,7 @@
 // replay answers a repeat of a non-idempotent key from its marker.
 func (s *serviceSet) replay(ctx context.Context, name string) (int, []byte, error) {
 	var cur onceValue
-	obj, err := cfplatform.GetJSON(ctx, s.entry.store, KindOnce, name, &cur)
+	obj, err := cfplatform.GetJSON(ctx, s.entry.store, KindAtMostOnce, name, &cur)
 	switch {
 	case err != nil:
 		return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: marker unreadable: %v", name, err)
@@ -230,7 +230,7 @@
 		return cur.Status, cur.Body, nil
 	case cur.State == onceNotSent:
 		// The earlier try never left its entry: take the marker over.
-		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
+		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindAtMostOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
 			return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: %v", name, err)
 		}
 		return 0, nil, eris.Wrapf(cf.ErrUnavailable, "%s: earlier try was not sent; try again", name)
--- a/older/cfplatform/client.go
+++ b/older/cfplatform/client.go
@@ -153,8 +153,8 @@
 	return s.Put(ctx, kind, name, value, ifVersion)
 }
 
-// Decode decodes an object's value into v.
-func Decode(obj cf.Object, v any) error {
+// DecodeValue decodes an object's value into v.
+func DecodeValue(obj cf.Object, v any) error {
 	if err := json.Unmarshal(obj.Value, v); err != nil {
 		return eris.Wrapf(cf.ErrInvalid, "object %s/%s: %v", obj.Kind, obj.Name, err)
 	}
--- a/older/cfpool/claim.go
+++ b/older/cfpool/claim.go
@@ -118,7 +118,7 @@
 	if len(s.Weights) == 0 {
 		return true
 	}
-	return p.weights-s.Weights[0] > p.settings.StaleVersions || s.Created.Since() > p.settings.StaleAge
+	return p.weights-s.Weights[0] > p.settings.MaxVersionLag || s.Created.Since() > p.settings.MaxSampleAge
 }
 
 // Fetch returns up to max samples after the claim's committed cursor, whole
--- a/older/cfpool/pool.go
+++ b/older/cfpool/pool.go
@@ -52,11 +52,11 @@
 	Options struct {
 		Store   cf.ObjectStore
 		Backend cf.Backend
-		// Holder names this entry instance; Addr is where peers reach it.
-		Holder cf.EntryID
-		Addr   string
-		Lease  cfconfig.Lease
-		Log    *zap.Logger
+		// Entry names this entry instance; Addr is where peers reach it.
+		Entry cf.EntryID
+		Addr  string
+		Lease cfconfig.Lease
+		Log   *zap.Logger
 	}
 
 	// Pool is one rollout pool as seen by one entry. Close waits for its
@@ -114,7 +114,7 @@
 	return &Pool{
 		settings: settings,
 		opts:     opts,
-		holder:   fmt.Sprintf("%s/%d", opts.Holder, time.Now().UnixNano()),
+		holder:   fmt.Sprintf("%s/%d", opts.Entry, time.Now().UnixNano()),
 		claims:   map[cf.ClaimName]*claimLog{},
 		changed:  make(chan struct{}),
 	}
@@ -129,7 +129,7 @@
 	t := time.NewTicker(p.opts.Lease.Renew.Duration())
 	defer t.Stop()
 	for {
-		p.KeepLease(ctx)
+		p.UpdateLease(ctx)
 		select {
 		case <-ctx.Done():
 			p.stepDown("stopping")
@@ -144,7 +144,7 @@
 	if p.stop != nil {
 		p.stop()
 	}
-	// Generation may have been started by a KeepLease outside Run; stop
+	// Generation may have been started by a UpdateLease outside Run; stop
 	// it too, or Close would wait for it for ever.
 	p.stepDown("closing")
 	p.wg.Wait()
@@ -160,15 +160,15 @@
 
 func (p *Pool) leaseName() string { return "pool/" + string(p.settings.Name) }
 
-// KeepLease runs one round of the lease protocol: take the lease when it is
+// UpdateLease runs one round of the lease protocol: take the lease when it is
 // free or lapsed, renew it when held, follow the holder otherwise. Run calls
 // it every renew_ms; tests call it to step the protocol.
-func (p *Pool) KeepLease(ctx context.Context) {
+func (p *Pool) UpdateLease(ctx context.Context) {
 	start := time.Now()
 	ttl := p.opts.Lease.TTL
 	var cur leaseValue
 	obj, err := cfplatform.GetJSON(ctx, p.opts.Store, KindLease, p.leaseName(), &cur)
-	next := leaseValue{Holder: p.holder, Entry: p.opts.Holder, Addr: p.opts.Addr, Expires: cf.Now() + ttl}
+	next := leaseValue{Holder: p.holder, Entry: p.opts.Entry, Addr: p.opts.Addr, Expires: cf.Now() + ttl}
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
 		next.Epoch = 1
--- a/older/cfpool/session_test.go
+++ b/older/cfpool/session_test.go
@@ -56,12 +56,12 @@
 		srv := httptest.NewServer(cfobjects.NewServer(cfobjects.ServerSettings{}).Handler())
 		defer srv.Close()
 		store := cfplatform.NewClient(srv.URL)
-		settings := cfconfig.Pool{Name: "forecast", GroupSize: 2, MaxTokens: 4, StaleVersions: 1, StaleAge: 60000,
+		settings := cfconfig.Pool{Name: "forecast", GroupSize: 2, MaxTokens: 4, MaxVersionLag: 1, MaxSampleAge: 60000,
 			Prompts: []string{"bayan hall", "tuul east"}, Claims: []cfconfig.Claim{{Name: "spoilage", Buffer: 4}}}
 		be := &backend{}
 		pools := map[string]*cfpool.Pool{}
 		for _, id := range []string{"a", "b"} {
-			p := cfpool.New(settings, cfpool.Options{Store: store, Backend: be, Holder: cf.EntryID(id), Addr: id,
+			p := cfpool.New(settings, cfpool.Options{Store: store, Backend: be, Entry: cf.EntryID(id), Addr: id,
 				Lease: cfconfig.Lease{TTL: 60000, Renew: 1000}})
 			defer func() { _ = p.Close() }()
 			pools[id] = p
@@ -75,7 +75,7 @@
 			p := pools[entry]
 			switch d.Cmd {
 			case "lease":
-				p.KeepLease(ctx)
+				p.UpdateLease(ctx)
 				leader, _, _ := p.Leader()
 				return fmt.Sprintf("leader %s\n", leader)
 			case "settle":
--- a/older/cfroute/route.go
+++ b/older/cfroute/route.go
@@ -60,13 +60,13 @@
 	// Calibrate fits the costs from observed spans; off, the starting costs
 	// stay, which is the paper's uncalibrated variant.
 	Calibrate bool `json:"calibrate"`
-	// Batch is the engines' decode batch, to turn ledger work into backlog.
-	Batch int `json:"batch"`
-	// MinWidth: pools narrower than this use least-loaded.
-	MinWidth int `json:"min_width"`
-	// Scarcity: when every candidate's backlog exceeds it, two random
+	// DecodeBatch is the engines' decode batch, to turn ledger work into backlog.
+	DecodeBatch int `json:"batch"`
+	// MinCandidates: pools narrower than this use least-loaded.
+	MinCandidates int `json:"min_width"`
+	// ScarcityBacklog: when every candidate's backlog exceeds it, two random
 	// candidates are priced instead of all.
-	Scarcity cf.Millis `json:"scarcity_backlog_ms"`
+	ScarcityBacklog cf.Millis `json:"scarcity_backlog_ms"`
 	// LiveSLO is the time to first token promised to live requests; the
 	// SLO term makes a live request avoid engines that would miss it.
 	LiveSLO cf.Millis `json:"live_ttft_slo_ms"`
@@ -80,9 +80,9 @@
 		PrefillMicrosPerToken: 40,
 		DecodeMillisPerToken:  2,
 		Calibrate:             true,
-		Batch:                 8,
-		MinWidth:              4,
-		Scarcity:              2000,
+		DecodeBatch:           8,
+		MinCandidates:         4,
+		ScarcityBacklog:       2000,
 		LiveSLO:               500,
 		Seed:                  1,
 	}
@@ -113,8 +113,8 @@
 		return nil, eris.Wrapf(cf.ErrInvalid, "routing policy %q", s.Policy)
 	}
 	d := DefaultSettings()
-	if s.Batch <= 0 {
-		s.Batch = d.Batch
+	if s.DecodeBatch <= 0 {
+		s.DecodeBatch = d.DecodeBatch
 	}
 	if s.PrefillMicrosPerToken <= 0 {
 		s.PrefillMicrosPerToken = d.PrefillMicrosPerToken
@@ -155,7 +155,7 @@
 	case r.settings.Policy == LeastLoaded:
 		d.Candidates = r.scores(job, live, r.queue)
 		pick, d.Reason = argmin(d.Candidates), reasonLeast
-	case len(live) < r.settings.MinWidth:
+	case len(live) < r.settings.MinCandidates:
 		d.Candidates = r.scores(job, live, r.queue)
 		pick, d.Reason = argmin(d.Candidates), reasonNarrow
 	default:
@@ -236,7 +236,7 @@
 
 // cost is the marginal-cost score in milliseconds.
 func (r *router) cost(job cf.Job, l cf.Load) float64 {
-	backlog := max(float64(l.Backlog), r.entry(l.Engine).work/float64(r.settings.Batch))
+	backlog := max(float64(l.Backlog), r.entry(l.Engine).work/float64(r.settings.DecodeBatch))
 	score := backlog + r.own(job)
 	if l.KVBudget > 0 {
 		after := float64(l.KVUsed+job.PromptTokens+job.MaxTokens) / float64(l.KVBudget)
@@ -253,11 +253,11 @@
 }
 
 func (r *router) scarce(live []cf.Load) bool {
-	if r.settings.Scarcity <= 0 {
+	if r.settings.ScarcityBacklog <= 0 {
 		return false
 	}
 	for _, l := range live {
-		if max(l.Backlog, cf.Millis(r.entry(l.Engine).work/float64(r.settings.Batch))) < r.settings.Scarcity {
+		if max(l.Backlog, cf.Millis(r.entry(l.Engine).work/float64(r.settings.DecodeBatch))) < r.settings.ScarcityBacklog {
 			return false
 		}
 	}
