--- a/io/cfingress/atmostonce_test.go
+++ b/io/cfingress/atmostonce_test.go
@@ -18,35 +18,35 @@
 )
 
 type (
-	// bidOp is one operation on a bid: a try of its caller, or a look into the
-	// services' ledger.
+	// bidOp is an operation on a bid: an attempt by its caller, or a lookup in the services'
+	// ledger.
 	bidOp struct {
-		bid  int
-		look bool
+		bid    int
+		lookup bool
 	}
 
-	// bidAnswer is what came of it.
+	// bidAnswer is the result of an operation.
 	bidAnswer struct {
-		status int // of a try
-		count  int // of a look
+		status int // of an attempt
+		count  int // of a lookup
 	}
 
-	// ledger is what the services recorded, and how they answer.
+	// ledger contains the bids that the services have recorded, and simulates their answers.
 	ledger struct {
 		mu     sync.Mutex
 		random *rand.Rand
 		counts map[string]int // by bid
 		late   sync.WaitGroup
-		// lostIsUnrun seeds a fault: a connection lost after the send is
-		// told as one that was never had.
-		lostIsUnrun bool
+		// lostAsNotRun injects a fault: a connection that is lost after the send is reported as
+		// never established.
+		lostAsNotRun bool
 	}
 )
 
-// onceModel is the specification: a bid is recorded once at most, exactly once
-// if its caller was told of success, and not by a try that was refused. A try
-// whose end is not known may take effect at any later time, or never.
-var onceModel = porcupine.NondeterministicModel{
+// atMostOnceModel is the specification: a bid is recorded at most once; exactly once if its caller
+// received a success; and not by an attempt that was refused. An attempt with an unknown result may
+// take effect at any later time, or never.
+var atMostOnceModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		bids := map[int][]porcupine.Operation{}
 		for _, op := range history {
@@ -63,9 +63,9 @@
 	Step: func(state, input, output any) []any {
 		recorded, op, answer := state.(int), input.(bidOp), output.(bidAnswer)
 		switch {
-		case op.look && answer.count == recorded, !op.look && answer.status == http.StatusServiceUnavailable:
+		case op.lookup && answer.count == recorded, !op.lookup && answer.status == http.StatusServiceUnavailable:
 			return []any{recorded}
-		case op.look, recorded > 0:
+		case op.lookup, recorded > 0:
 			return nil
 		case answer.status == http.StatusOK:
 			return []any{1}
@@ -89,10 +89,10 @@
 	l.counts[bid]++
 }
 
-// send plays a service that is full, fails, loses answers, or is reached late.
+// send simulates a service that is full, fails, loses answers, or receives requests late.
 func (l *ledger) send(_ cf.Target, call cf.TargetCall) (cf.TargetAnswer, error) {
 	lost := cf.ErrMaybeRan
-	if l.lostIsUnrun {
+	if l.lostAsNotRun {
 		lost = cf.ErrNotRun
 	}
 	time.Sleep(time.Duration(l.draw(300)) * time.Microsecond)
@@ -106,7 +106,7 @@
 			time.Sleep(time.Duration(l.draw(2000)) * time.Microsecond)
 			l.record(call.ID)
 		})
-		return cf.TargetAnswer{}, eris.Wrap(lost, "lost on the way")
+		return cf.TargetAnswer{}, eris.Wrap(lost, "request lost")
 	case 3:
 		l.record(call.ID)
 		return cf.TargetAnswer{}, eris.Wrap(lost, "answer lost")
@@ -119,12 +119,12 @@
 	}
 }
 
-// recordBids lets callers hand bids to two instances, each again after a
-// refusal, while others look into the ledger.
-func recordBids(t *testing.T, seed uint64, lostIsUnrun bool) []porcupine.Operation {
+// recordBids submits bids to two instances, each again after a refusal, with concurrent lookups in
+// the ledger. It returns the history.
+func recordBids(t *testing.T, seed uint64, lostAsNotRun bool) []porcupine.Operation {
 	t.Helper()
 	const bids, tries = 40, 4
-	l := &ledger{random: rand.New(rand.NewPCG(seed, 1)), counts: map[string]int{}, lostIsUnrun: lostIsUnrun}
+	l := &ledger{random: rand.New(rand.NewPCG(seed, 1)), counts: map[string]int{}, lostAsNotRun: lostAsNotRun}
 	route := cfsite.Route{Kind: cfsite.KindOnce, MaxAttempts: 3, Timeout: 1000}
 	var instances []*cfingress.Ingress
 	for range 2 {
@@ -137,16 +137,16 @@
 		began := time.Since(start).Nanoseconds()
 		answer := call()
 		ended := time.Since(start).Nanoseconds()
-		if !op.look && answer.status != http.StatusOK && answer.status != http.StatusServiceUnavailable {
-			ended = 1 << 60 // it may take effect at any later time
+		if !op.lookup && answer.status != http.StatusOK && answer.status != http.StatusServiceUnavailable {
+			ended = 1 << 60 // the attempt may take effect at any later time
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{ClientId: client, Input: op, Call: began, Output: answer, Return: ended})
 		return answer
 	}
-	look := func(client, bid int) {
-		record(client, bidOp{bid: bid, look: true}, func() bidAnswer {
+	lookUp := func(client, bid int) {
+		record(client, bidOp{bid: bid, lookup: true}, func() bidAnswer {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return bidAnswer{count: l.counts[fmt.Sprint(bid)]}
@@ -169,34 +169,34 @@
 		wg.Go(func() {
 			for range 4 {
 				time.Sleep(time.Duration(l.draw(500)) * time.Microsecond)
-				look(2*bid+1, bid)
+				lookUp(2*bid+1, bid)
 			}
 		})
 	}
 	wg.Wait()
 	l.late.Wait()
 	for bid := range bids {
-		look(2*bid+1, bid)
+		lookUp(2*bid+1, bid)
 	}
 	return history
 }
 
-// Histories of bids at two instances, with answers lost, late, foreign and
-// refused, fit the specification of at-most-once.
+// Histories of bids at two instances satisfy the at-most-once specification, although answers are
+// lost, late, of other requests, or refusals.
 func TestBidHistoriesFitAtMostOnce(t *testing.T) {
 	for seed := range uint64(15) {
-		if !porcupine.CheckOperations(onceModel.ToModel(), recordBids(t, seed, false)) {
-			t.Errorf("seed %d: the history does not fit", seed)
+		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, false)) {
+			t.Errorf("seed %d: the history violates the specification", seed)
 		}
 	}
 }
 
-// An adapter that takes a lost connection for none is found.
-func TestBidHistoriesShowRepeatedBids(t *testing.T) {
+// An adapter that reports a lost connection as never established must be detected.
+func TestRepeatedBidsAreDetected(t *testing.T) {
 	for seed := range uint64(15) {
-		if !porcupine.CheckOperations(onceModel.ToModel(), recordBids(t, seed, true)) {
+		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, true)) {
 			return
 		}
 	}
-	t.Error("no history with a bid sent again was found not to fit")
+	t.Error("no history with a repeated bid was found to violate the specification")
 }
--- a/io/cfingress/batches.go
+++ b/io/cfingress/batches.go
@@ -14,57 +14,58 @@
 )
 
 const (
-	// submitBudget is how long an instance tries to write a batch when the
-	// store does not answer: a few answers of a slow store.
-	submitBudget = 1500 * time.Millisecond
-	// submitRefusals is how often the store may refuse before the batch is
-	// turned away: one refusal may be a burst over its rate.
-	submitRefusals = 3
-	// endBudget is the same for the end of a batch.
-	endBudget = 2 * time.Second
-	// readAgain is how soon a read of a batch at the store must have failed to be made once
-	// more: readers wait 1.5 s longer than they allow, and the coordinator was asked before.
-	readAgain cf.Millis = 600
-	// storeRetry is the pause between tries.
-	storeRetry = 120 * time.Millisecond
-	// storeBack is when a caller should come back after the store refused:
-	// outages last seconds, and how many can't be told.
-	storeBack cf.Millis = 1000
+	// submitTimeout is how long an instance tries to write a batch while the store does not answer.
+	// It allows a few answers of a slow store.
+	submitTimeout = 1500 * time.Millisecond
+	// maxSubmitRefusals is the number of refusals by the store after which a batch is refused. A
+	// single refusal may be due to a burst over the store's rate limit.
+	maxSubmitRefusals = 3
+	// endTimeout is how long an instance tries to record the end of a batch.
+	endTimeout = 2 * time.Second
+	// maxRetriedRead is the longest that a failed read of a batch from the store may have taken to
+	// be repeated. Readers wait for 1.5 s more than the wait that they ask for, and the coordinator
+	// has been asked before.
+	maxRetriedRead cf.Millis = 600
+	// storeRetryPause is the pause between attempts to write to the store.
+	storeRetryPause = 120 * time.Millisecond
+	// storeRetryAfter is the retry delay for a caller after the store has refused a batch. Outages
+	// last seconds, and their end can't be predicted.
+	storeRetryAfter cf.Millis = 1000
 )
 
-// Submit accepts a batch: once its object is in the store it is kept, and the
-// coordinator, which watches for new ones, runs it.
+// Submit accepts a batch. A batch is kept once its object is in the store; the coordinator, which
+// watches for new batches, runs it.
 func (in *Ingress) Submit(ctx context.Context, who cf.Credentials, sub cf.Submission) error {
 	config := in.Site.Config()
 	route, ok := config.Match(sub.Host, sub.Path)
 	if !ok {
-		return in.definite(cf.ErrNotFound)
+		return in.unlessStale(cf.ErrNotFound)
 	}
 	access, err := in.identify(config, route.Use(), who, string(sub.ID))
 	if err != nil {
 		return err
 	}
-	belongs(&sub, access.Organisation)
+	assignOrganisation(&sub, access.Organisation)
 	sub.Accepted = cf.Now()
 	started := cf.Uptime()
-	ctx, cancel := context.WithTimeout(ctx, submitBudget)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if refusal := in.infeasible(ctx, sub, route.ResultsSLO); refusal != nil {
-		in.Log.Info("batch_refused", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)), zap.Int64("after_ms", int64(refusal.After)),
+		in.Log.Info("batch_refused", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)), zap.Int64("after_ms", int64(refusal.RetryAfter)),
 			zap.String("reason", refusal.Reason), zap.Int64("took_ms", int64(cf.Uptime()-started)))
 		in.countBatch("submit", "refused", started)
 		return refusal
 	}
-	// Its way to the coordinator takes as long as the write: begun beside it,
-	// the batch is there when it is accepted.
+	// Sending the batch to the coordinator takes as long as writing it. Both start at the same
+	// time, so that the coordinator has the batch when it is accepted.
 	in.Coordinator.Prepare(sub)
 	refused := 0
-	doubt := false // a write without an answer may still take effect
+	inDoubt := false // a write without an answer may still take effect
 	for tries := 1; ; tries++ {
 		err = cfbatch.Create(ctx, in.Store, sub, in.ValueBytes)
 		if err == nil || errors.Is(err, cf.ErrConflict) {
-			// A conflict is the batch itself: submitted before, or written
-			// by a try whose answer was lost.
+			// A conflict means that the same batch was submitted before, or written by an attempt
+			// whose answer was lost.
 			in.Log.Info("batch_accepted", cflog.Batch(sub.ID), zap.Int("items", len(sub.Items)),
 				zap.Int("tries", tries), zap.Bool("again", err != nil), zap.Int64("took_ms", int64(cf.Uptime()-started)))
 			in.countBatch("submit", "accepted", started)
@@ -79,24 +80,24 @@
 			in.Log.Warn("batch_invalid", cflog.Batch(sub.ID), cflog.Error(err))
 			return err
 		}
-		doubt = doubt || errors.Is(err, cf.ErrUnavailable)
+		inDoubt = inDoubt || errors.Is(err, cf.ErrUnavailable)
 		if errors.Is(err, cf.ErrRefused) {
 			refused++
 		}
-		if refused == submitRefusals && !doubt || !cf.Sleep(ctx, storeRetry) {
+		if refused == maxSubmitRefusals && !inDoubt || !cf.Sleep(ctx, storeRetryPause) {
 			break
 		}
 	}
-	in.Log.Warn("batch_not_accepted", cflog.Batch(sub.ID), zap.Bool("in_doubt", doubt), cflog.Error(err))
+	in.Log.Warn("batch_not_accepted", cflog.Batch(sub.ID), zap.Bool("in_doubt", inDoubt), cflog.Error(err))
 	in.countBatch("submit", "not_accepted", started)
-	if doubt {
+	if inDoubt {
 		return eris.Wrap(cf.ErrUnavailable, "the store did not answer")
 	}
-	return &cf.Refusal{After: storeBack, Reason: "the store takes no batches now"}
+	return &cf.Refusal{RetryAfter: storeRetryAfter, Reason: "the store takes no batches now"}
 }
 
-// belongs gives a batch to an organisation.
-func belongs(sub *cf.Submission, o cf.Organisation) {
+// assignOrganisation makes a batch, its items and its groups belong to an organisation.
+func assignOrganisation(sub *cf.Submission, o cf.Organisation) {
 	sub.ID = o.Batch(sub.ID)
 	for i := range sub.Items {
 		it := &sub.Items[i]
@@ -107,26 +108,25 @@
 	}
 }
 
-// Results reads a batch at the coordinator, or from the store where the
-// coordinator can't be asked.
-func (in *Ingress) Results(ctx context.Context, who cf.Credentials, id cf.BatchID, after int, longest cf.Millis) (cf.ResultPage, error) {
-	owner, anonymous, err := in.reader(who, id)
+// Results reads a batch from the coordinator, or from the store if the coordinator can't be asked.
+func (in *Ingress) Results(ctx context.Context, who cf.Credentials, id cf.BatchID, after int, maxWait cf.Millis) (cf.ResultPage, error) {
+	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
 		return cf.ResultPage{}, err
 	}
-	page, err := in.results(ctx, owner.Batch(id), after, longest)
+	page, err := in.results(ctx, owner.Batch(id), after, maxWait)
 	if err != nil {
-		return page, in.notFound(anonymous, err)
+		return page, in.hideNotFound(anonymous, err)
 	}
 	for i := range page.Results {
-		page.Results[i].ID = cf.ItemID(page.Results[i].ID.Request())
+		page.Results[i].ID = cf.ItemID(page.Results[i].ID.RequestID())
 	}
 	return page, nil
 }
 
-func (in *Ingress) results(ctx context.Context, id cf.BatchID, after int, longest cf.Millis) (cf.ResultPage, error) {
+func (in *Ingress) results(ctx context.Context, id cf.BatchID, after int, maxWait cf.Millis) (cf.ResultPage, error) {
 	started := cf.Uptime()
-	page, err := in.Coordinator.Results(ctx, id, after, longest)
+	page, err := in.Coordinator.Results(ctx, id, after, maxWait)
 	if err == nil {
 		in.countBatch("results", "coordinator", started)
 		return page, nil
@@ -141,17 +141,17 @@
 	return b.Page(after), nil
 }
 
-// readStore reads a batch from the store, with its results or without. A store that does not
-// answer is asked once more: one late answer is no reason to send the reader away. One that
-// turns calls away is not.
+// readStore reads a batch from the store, with or without its results. A read without an answer is
+// repeated once, since one late answer is no reason to refuse the reader. A read that the store
+// refused is not repeated.
 func (in *Ingress) readStore(ctx context.Context, id cf.BatchID, results bool) (*cfbatch.Batch, error) {
 	started := cf.Uptime()
 	b, err := in.fetch(ctx, id, results)
-	if errors.Is(err, cf.ErrUnavailable) && cf.Uptime()-started < readAgain {
+	if errors.Is(err, cf.ErrUnavailable) && cf.Uptime()-started < maxRetriedRead {
 		b, err = in.fetch(ctx, id, results)
 	}
 	if err != nil {
-		return nil, unsure(err)
+		return nil, readRefusal(err)
 	}
 	return b, nil
 }
@@ -164,24 +164,24 @@
 	return cfbatch.Fetch(ctx, in.Store, object, results)
 }
 
-// unsure turns a failed read into a refusal: a read changes nothing, and only
-// the store's own word may say that a batch does not exist.
-func unsure(err error) error {
+// readRefusal turns a failed read into a Refusal, since a read changes nothing. ErrNotFound is
+// returned as it is: only the store can tell that a batch does not exist.
+func readRefusal(err error) error {
 	if errors.Is(err, cf.ErrNotFound) {
 		return err
 	}
-	return &cf.Refusal{After: storeBack / 2, Reason: err.Error()}
+	return &cf.Refusal{RetryAfter: storeRetryAfter / 2, Reason: err.Error()}
 }
 
 // ItemBody returns the body of an item.
 func (in *Ingress) ItemBody(ctx context.Context, who cf.Credentials, id cf.BatchID, item cf.ItemID) ([]byte, error) {
-	owner, anonymous, err := in.reader(who, id)
+	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
 		return nil, err
 	}
 	body, err := in.itemBody(ctx, owner.Batch(id), owner.Item(item))
 	if err != nil {
-		return nil, in.notFound(anonymous, err)
+		return nil, in.hideNotFound(anonymous, err)
 	}
 	return body, nil
 }
@@ -202,21 +202,21 @@
 	return it.Body, nil
 }
 
-// End ends a batch. The end lies in the store, so that a coordinator that
-// takes over does not start its items again.
+// End ends a batch. The end is recorded in the store, so that a new coordinator does not start the
+// batch's items again.
 func (in *Ingress) End(ctx context.Context, who cf.Credentials, id cf.BatchID) error {
-	owner, anonymous, err := in.reader(who, id)
+	owner, anonymous, err := in.identifyReader(who, id)
 	if err != nil {
 		return err
 	}
 	if err := in.end(ctx, owner.Batch(id)); err != nil {
-		return in.notFound(anonymous, err)
+		return in.hideNotFound(anonymous, err)
 	}
 	return nil
 }
 
 func (in *Ingress) end(ctx context.Context, id cf.BatchID) error {
-	ctx, cancel := context.WithTimeout(ctx, endBudget)
+	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	for {
 		err := in.Store.SetStatus(ctx, cf.KindBatch, string(id), cf.BatchStatus{Ended: true})
@@ -225,12 +225,12 @@
 			in.Coordinator.Changed(id, true)
 			return err
 		}
-		if !cf.Sleep(ctx, storeRetry) {
+		if !cf.Sleep(ctx, storeRetryPause) {
 			in.Log.Warn("batch_end_not_taken", cflog.Batch(id), cflog.Error(err))
 			if errors.Is(err, cf.ErrUnavailable) {
-				return err // it may have been taken
+				return err // the end may have been recorded
 			}
-			return unsure(err)
+			return readRefusal(err)
 		}
 	}
 }
