--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -19,13 +19,13 @@
 func crashBursts(seed uint64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
-		Engines:  cfreplay.Engines{Count: 9, Slots: 12, Domains: 3, Alone: 42, Beside: 1.7, Load: 900, LoadsMost: 10},
-		Trainers: []cfreplay.Trainer{{Model: "a", Events: 14, Longest: 40, Least: 10, Most: 12, Size: 8, Want: 1, Every: 4000, Train: 750}},
+		Engines:  cfreplay.EngineOptions{Count: 9, Slots: 12, FailureDomains: 3, EventTime: 42, EventTimePerRun: 1.7, LoadTime: 900, FullSpeedLoads: 10},
+		Trainers: []cfreplay.Trainer{{Model: "a", MeanEvents: 14, MaxEvents: 40, MinGroups: 10, MaxGroups: 12, GroupSize: 8, RequiredFraction: 1, StepInterval: 4000, TrainTime: 750}},
 		Crashes:  cfreplay.Crashes{Quarantine: cfquarantine.New("i")},
 	}
 	for _, at := range []cf.Millis{5000, 11_000, 17_000} {
 		for n := range cf.Millis(5) {
-			o.Crashes.Waves = append(o.Crashes.Waves, cfreplay.Wave{At: at + 400*n, Share: 0.3, Down: 400})
+			o.Crashes.Bursts = append(o.Crashes.Bursts, cfreplay.CrashBurst{At: at + 400*n, Fraction: 0.3, Downtime: 400})
 		}
 	}
 	return o
@@ -48,11 +48,11 @@
 				r := cfreplay.New(o)
 				r.Run(60_000)
 				got := r.Outcomes()[0]
-				if n := r.Unplaced(); n >= maxUnplaced {
+				if n := r.MaxUnplaced(); n >= maxUnplaced {
 					t.Errorf("an item had no engine for %d ms while slots were free, want less than %d", n, maxUnplaced)
 				}
-				if got.InTime < got.Owed {
-					t.Errorf("%d of %d groups in time, %d late, of %d steps", got.InTime, got.Owed, got.Late, got.Steps)
+				if got.InTime < got.Required {
+					t.Errorf("%d of %d groups in time, %d late, of %d steps", got.InTime, got.Required, got.Late, got.Steps)
 				}
 			})
 		}
@@ -67,12 +67,12 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			o := crashBursts(seed)
-			o.Crashes.Waves = nil
-			o.Crashes.GuiltyDown = 3000
-			o.Crashes.Guilty = func(it cf.Item) bool { return it.ID == "a-3-04-02" }
+			o.Crashes.Bursts = nil
+			o.Crashes.FaultyDowntime = 3000
+			o.Crashes.IsFaulty = func(it cf.Item) bool { return it.ID == "a-3-04-02" }
 			r := cfreplay.New(o)
 			r.Run(60_000)
-			crashes := r.GuiltyCrashes()
+			crashes := r.FaultyItemCrashes()
 			// Three at once, and then one after each pause of 1, 2, 4 and 4 s until its step
 			// expires.
 			if n := len(crashes); n < 6 || n > 7 {
@@ -83,15 +83,15 @@
 				if waited := crashes[i].At - crashes[i-1].At; waited < pause {
 					t.Errorf("crash %d comes %d ms after the previous one, want at least %d", i+1, waited, pause)
 				}
-				if crashes[i].Beside >= limit {
-					t.Errorf("crash %d ends %d other runs, want fewer than %d", i+1, crashes[i].Beside, limit)
+				if crashes[i].OtherRuns >= limit {
+					t.Errorf("crash %d ends %d other runs, want fewer than %d", i+1, crashes[i].OtherRuns, limit)
 				}
 			}
-			if n := r.Unplaced(); n >= maxUnplaced {
+			if n := r.MaxUnplaced(); n >= maxUnplaced {
 				t.Errorf("an item had no engine for %d ms while slots were free, want less than %d", n, maxUnplaced)
 			}
-			if got := r.Outcomes()[0]; got.InTime < got.Owed-1 {
-				t.Errorf("%d of %d groups in time, want all but its own", got.InTime, got.Owed)
+			if got := r.Outcomes()[0]; got.InTime < got.Required-1 {
+				t.Errorf("%d of %d groups in time, want all but its own", got.InTime, got.Required)
 			}
 		})
 	}
--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -17,22 +17,22 @@
 func overloaded(seed uint64, events ...float64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
-		Engines: cfreplay.Engines{Count: 15, Slots: 6, Domains: 3, Alone: 42.1, Beside: 1.67, Load: 900, LoadsMost: 10, LoadSpread: 0.5},
+		Engines: cfreplay.EngineOptions{Count: 15, Slots: 6, FailureDomains: 3, EventTime: 42.1, EventTimePerRun: 1.67, LoadTime: 900, FullSpeedLoads: 10, LoadJitter: 0.5},
 	}
 	for i, mean := range events {
 		o.Trainers = append(o.Trainers, cfreplay.Trainer{
-			Model: cf.ModelName(fmt.Sprint("m", i)), Events: mean, Longest: 98, Least: 10, Most: 14, Size: []int{8, 16, 16, 8}[i],
-			Want: 0.9, Every: 4000, Train: 750, Carries: true,
+			Model: cf.ModelName(fmt.Sprint("m", i)), MeanEvents: mean, MaxEvents: 98, MinGroups: 10, MaxGroups: 14, GroupSize: []int{8, 16, 16, 8}[i],
+			RequiredFraction: 0.9, StepInterval: 4000, TrainTime: 750, CarryOver: true,
 		})
 	}
 	return o
 }
 
 // totalWorth returns the worth of the trainers' results, in total and for each trainer.
-func totalWorth(r *cfreplay.Replay) (sum float64, each []float64) {
+func totalWorth(r *cfreplay.Simulation) (sum float64, each []float64) {
 	for _, o := range r.Outcomes() {
-		sum += o.Worth
-		each = append(each, o.Worth)
+		sum += o.Value
+		each = append(each, o.Value)
 	}
 	return sum, each
 }
@@ -45,13 +45,13 @@
 		n := int(math.Round(38 * load))
 		o := overloaded(seed)
 		o.Engines.Count = 4
-		o.Trainers = []cfreplay.Trainer{{Model: "a", Events: 14, Longest: 98, Least: n, Most: n, Size: 8, Want: 0.9, Every: 4000, Train: 750}}
+		o.Trainers = []cfreplay.Trainer{{Model: "a", MeanEvents: 14, MaxEvents: 98, MinGroups: n, MaxGroups: n, GroupSize: 8, RequiredFraction: 0.9, StepInterval: 4000, TrainTime: 750}}
 		r := cfreplay.New(o)
 		r.Run(20_000) // lengths are unknown before
 		before := r.Outcomes()[0]
 		r.Run(20_000 + replayTime)
 		inTime += r.Outcomes()[0].InTime - before.InTime
-		best += r.Outcomes()[0].Best - before.Best
+		best += r.Outcomes()[0].UpperBound - before.UpperBound
 	}
 	return float64(inTime) / float64(best)
 }
@@ -83,10 +83,10 @@
 // TestTrainersProgressBeyondCapacity guards against a closed loop in which each step ends at the
 // trainers' timeout, and against one trainer losing out to the others.
 func TestTrainersProgressBeyondCapacity(t *testing.T) {
-	for name, disturb := range map[string]func(*cfreplay.Replay){
-		"undisturbed":  func(*cfreplay.Replay) {},
-		"slow engines": func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
-		"lost domain":  func(r *cfreplay.Replay) { r.Run(30_000); r.Lose("d1") },
+	for name, disturb := range map[string]func(*cfreplay.Simulation){
+		"undisturbed":  func(*cfreplay.Simulation) {},
+		"slow engines": func(r *cfreplay.Simulation) { r.Run(8000); r.SlowEngines(3, 4); r.Run(16_000); r.SlowEngines(0, 1) },
+		"lost domain":  func(r *cfreplay.Simulation) { r.Run(30_000); r.LoseDomain("d1") },
 	} {
 		run := func(limits cfrollout.Limits) (float64, []float64) {
 			o := overloaded(3, 25, 27, 32, 35)
@@ -133,8 +133,8 @@
 // TestShareWeights guards against share weights without effect: here one trainer counts twice.
 func TestShareWeights(t *testing.T) {
 	o := overloaded(5, 12, 12)
-	o.Trainers[1].Size = o.Trainers[0].Size
-	o.Weights = map[cf.ModelName]float64{"m0": 2}
+	o.Trainers[1].GroupSize = o.Trainers[0].GroupSize
+	o.ShareWeights = map[cf.ModelName]float64{"m0": 2}
 	r := cfreplay.New(o)
 	r.Run(20_000)
 	if s := r.Shares(); s["m0"] < 9 || s["m1"] < 4 {
@@ -154,7 +154,7 @@
 	before := r.Outcomes()[0]
 	r.Run(replayTime + 30_000)
 	after := r.Outcomes()[0]
-	if inTime, owed := after.InTime-before.InTime, after.Owed-before.Owed; owed < 60 || float64(inTime) < 0.9*float64(owed) {
+	if inTime, owed := after.InTime-before.InTime, after.Required-before.Required; owed < 60 || float64(inTime) < 0.9*float64(owed) {
 		t.Errorf("%d of %d groups in time in the 45 s after the overload", inTime, owed)
 	}
 }
--- a/older/cfentry/site_test.go
+++ b/older/cfentry/site_test.go
@@ -69,7 +69,7 @@
 	for i := range s.Engines {
 		l := listen(t)
 		s.Engines[i].Addr = l.Addr().String()
-		e := cfengine.New(cfengine.Settings{ID: s.Engines[i].ID, Model: s.Engines[i].Model, LoadLag: 20, SwapDelay: 10, CheckFencing: s.Engines[i].CheckFencing})
+		e := cfengine.New(cfengine.Settings{ID: s.Engines[i].ID, Model: s.Engines[i].Model, ReportInterval: 20, SwapDelay: 10, CheckFencing: s.Engines[i].CheckFencing})
 		t.Cleanup(func() { _ = e.Close() })
 		ts.engines[s.Engines[i].ID] = serve(t, l, e.Handler())
 	}
--- a/older/cfroute/bench_test.go
+++ b/older/cfroute/bench_test.go
@@ -86,7 +86,7 @@
 			m.DecodeMillisPerToken *= 3 // an older, slower accelerator
 			m.PrefillMicrosPerToken *= 3
 		}
-		e := cfengine.New(cfengine.Settings{ID: cf.EngineID(fmt.Sprintf("e%d", i)), Model: m, LoadLag: 50})
+		e := cfengine.New(cfengine.Settings{ID: cf.EngineID(fmt.Sprintf("e%d", i)), Model: m, ReportInterval: 50})
 		srv := httptest.NewServer(e.Handler())
 		defer srv.Close()
 		defer func() { _ = e.Close() }()
--- a/older/commands/subcommands.go
+++ b/older/commands/subcommands.go
@@ -132,7 +132,7 @@
 		return err
 	}
 	log := cflog.New("engine", c.ID)
-	e := cfengine.New(cfengine.Settings{ID: row.ID, Model: row.Model, LoadLag: row.LoadLag, SwapDelay: row.SwapDelay, CheckFencing: row.CheckFencing})
+	e := cfengine.New(cfengine.Settings{ID: row.ID, Model: row.Model, ReportInterval: row.LoadLag, SwapDelay: row.SwapDelay, CheckFencing: row.CheckFencing})
 	defer func() { _ = e.Close() }()
 	leave := registerInstance(context.Background(), site, c.ID, cfentry.RoleEngine, row.Addr, row.Domain)
 	return serveUntilSignal(row.Addr, e.Handler(), site.Drain, leave, log)
--- a/older/commands/trial.go
+++ b/older/commands/trial.go
@@ -64,7 +64,7 @@
 		if len(parts) != 3 || parts[0] == "" || parts[1] == "" || parts[2] == "" {
 			return nil, eris.Wrapf(cf.ErrInvalid, "group %q is not NAME=STORE=ENTRY[,ENTRY]", a)
 		}
-		out = append(out, cftrial.Group{Name: parts[0], Store: parts[1], Entries: strings.Split(parts[2], ",")})
+		out = append(out, cftrial.Group{Name: parts[0], StoreAddr: parts[1], Entries: strings.Split(parts[2], ",")})
 	}
 	return out, nil
 }
--- a/testbed/cfengine/engine.go
+++ b/testbed/cfengine/engine.go
@@ -21,8 +21,8 @@
 	Settings struct {
 		ID    cf.EngineID `json:"id"`
 		Model Model       `json:"model"`
-		// LoadLag is how old a load report is when served.
-		LoadLag cf.Millis `json:"load_lag_ms"`
+		// ReportInterval is how old a load report is when served.
+		ReportInterval cf.Millis `json:"load_lag_ms"`
 		// SwapDelay is how long loading new weights takes.
 		SwapDelay cf.Millis `json:"swap_ms"`
 		// CheckFencing refuses weight orders with an old epoch; engines of
@@ -116,11 +116,11 @@
 	return mux
 }
 
-// report refreshes the served load report every LoadLag, so that routers
+// report refreshes the served load report every ReportInterval, so that routers
 // see the engine as it was, as real engines report it.
 func (e *Engine) report() {
 	defer e.wg.Done()
-	t := time.NewTicker(max(e.settings.LoadLag, 10).Duration())
+	t := time.NewTicker(max(e.settings.ReportInterval, 10).Duration())
 	defer t.Stop()
 	for {
 		select {
@@ -207,7 +207,7 @@
 		http.Error(w, "request exceeds the KV budget", http.StatusBadRequest)
 		return
 	}
-	estimate := e.settings.Model.Service(promptTokens, req.MaxTokens, e.settings.Model.MaxBatch/2)
+	estimate := e.settings.Model.RequestTime(promptTokens, req.MaxTokens, e.settings.Model.MaxBatch/2)
 	if err := e.acquire(r.Context(), req.Priority, kv, estimate); err != nil {
 		e.reqs.WithLabelValues("cancelled").Inc()
 		return
@@ -223,7 +223,7 @@
 	id := fmt.Sprintf("cmpl-%s-%d", e.settings.ID, e.seq)
 	e.mu.Unlock()
 	versions := []cf.WeightVersion{e.currentWeights()}
-	if !sleep(ctx, e.settings.Model.Prefill(promptTokens)) {
+	if !sleep(ctx, e.settings.Model.PrefillTime(promptTokens)) {
 		return
 	}
 	flusher, _ := w.(http.Flusher)
@@ -237,7 +237,7 @@
 	var text strings.Builder
 	for i := cf.Tokens(0); i < maxTokens; i++ {
 		e.mu.Lock()
-		step := e.settings.Model.Step(e.active)
+		step := e.settings.Model.DecodeStepTime(e.active)
 		e.mu.Unlock()
 		if !sleep(ctx, step) {
 			e.reqs.WithLabelValues("cancelled").Inc()
--- a/testbed/cfengine/model.go
+++ b/testbed/cfengine/model.go
@@ -56,20 +56,20 @@
 	}
 }
 
-// Prefill is the prompt pass's span for n prompt tokens.
-func (m Model) Prefill(n cf.Tokens) float64 {
+// PrefillTime is the prompt pass's span for n prompt tokens.
+func (m Model) PrefillTime(n cf.Tokens) float64 {
 	return float64(m.PrefillBase) + m.PrefillMicrosPerToken*float64(n)/1000
 }
 
-// Step is one decode step's span with active sequences in the batch.
-func (m Model) Step(active int) float64 {
+// DecodeStepTime is one decode step's span with active sequences in the batch.
+func (m Model) DecodeStepTime(active int) float64 {
 	return m.DecodeMillisPerToken * (1 + m.BatchSlope*float64(max(active-1, 0)))
 }
 
-// Service is the span, in milliseconds, of a whole request at a batch of
+// RequestTime is the span, in milliseconds, of a whole request at a batch of
 // active sequences.
-func (m Model) Service(prompt, output cf.Tokens, active int) float64 {
-	return m.Prefill(prompt) + float64(output)*m.Step(active)
+func (m Model) RequestTime(prompt, output cf.Tokens, active int) float64 {
+	return m.PrefillTime(prompt) + float64(output)*m.DecodeStepTime(active)
 }
 
 // Power is the draw with active sequences.
--- a/testbed/cfload/load.go
+++ b/testbed/cfload/load.go
@@ -64,10 +64,10 @@
 
 	// Fault is one scheduled platform fault.
 	Fault struct {
-		At          cf.Millis `json:"at_ms"`
-		Outage      cf.Millis `json:"outage_ms"`
-		Slow        cf.Millis `json:"slow_ms"`
-		LoseAnswers int       `json:"lose_answers"`
+		At            cf.Millis `json:"at_ms"`
+		Outage        cf.Millis `json:"outage_ms"`
+		ResponseDelay cf.Millis `json:"slow_ms"`
+		DropResponses int       `json:"lose_answers"`
 	}
 
 	// Summary is the report of one run.
@@ -80,24 +80,24 @@
 
 	// CompletionSummary counts live completions by outcome.
 	CompletionSummary struct {
-		Sent    int       `json:"sent"`
-		Whole   int       `json:"whole"`
-		Partial int       `json:"partial"`
-		Refused int       `json:"refused"`
-		TTFTp50 cf.Millis `json:"ttft_ms_p50"`
-		TTFTp99 cf.Millis `json:"ttft_ms_p99"`
+		Sent     int       `json:"sent"`
+		Complete int       `json:"whole"`
+		Partial  int       `json:"partial"`
+		Refused  int       `json:"refused"`
+		TTFTp50  cf.Millis `json:"ttft_ms_p50"`
+		TTFTp99  cf.Millis `json:"ttft_ms_p99"`
 	}
 
 	// ServiceSummary counts one service's calls by answer, and by how many
 	// times each key reached the service.
 	ServiceSummary struct {
-		Sent         int `json:"sent"`
-		OK           int `json:"ok"`
-		NotRun       int `json:"not_run"`
-		MaybeRan     int `json:"may_have_run"`
-		ReachedOnce  int `json:"reached_once"`
-		ReachedTwice int `json:"reached_more_than_once"`
-		NeverReached int `json:"never_reached"`
+		Sent              int `json:"sent"`
+		OK                int `json:"ok"`
+		NotRun            int `json:"not_run"`
+		MaybeRan          int `json:"may_have_run"`
+		ReachedOnce       int `json:"reached_once"`
+		ReachedRepeatedly int `json:"reached_more_than_once"`
+		NeverReached      int `json:"never_reached"`
 	}
 
 	// JournalLine is one request's record.
@@ -341,7 +341,7 @@
 	s.Sent++
 	switch l.Outcome {
 	case "whole":
-		s.Whole++
+		s.Complete++
 		r.ttft = append(r.ttft, ttft)
 	case "partial":
 		s.Partial++
@@ -407,7 +407,7 @@
 		case <-ctx.Done():
 			return
 		}
-		_ = pc.InjectFaults(ctx, f.Outage, f.Slow, f.LoseAnswers)
+		_ = pc.InjectFaults(ctx, f.Outage, f.ResponseDelay, f.DropResponses)
 	}
 }
 
@@ -438,7 +438,7 @@
 			case 1:
 				s.ReachedOnce++
 			default:
-				s.ReachedTwice++
+				s.ReachedRepeatedly++
 			}
 		}
 		r.sum.Services[sl.Name] = s
--- a/testbed/cfobjects/server.go
+++ b/testbed/cfobjects/server.go
@@ -65,9 +65,9 @@
 
 	// Faults are the injected faults now in force.
 	Faults struct {
-		OutageUntil cf.Millis `json:"outage_until_ms"`
-		Slow        cf.Millis `json:"slow_ms"`
-		LoseAnswers int       `json:"lose_answers"`
+		OutageUntil   cf.Millis `json:"outage_until_ms"`
+		ResponseDelay cf.Millis `json:"slow_ms"`
+		DropResponses int       `json:"lose_answers"`
 	}
 
 	pendingWrite struct {
@@ -114,8 +114,8 @@
 		s.mu.Lock()
 		f := s.faults
 		s.mu.Unlock()
-		if f.Slow > 0 {
-			time.Sleep(f.Slow.Duration())
+		if f.ResponseDelay > 0 {
+			time.Sleep(f.ResponseDelay.Duration())
 		}
 		if cf.Now() < f.OutageUntil {
 			http.Error(w, "platform outage", http.StatusServiceUnavailable)
@@ -203,7 +203,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.faults = Faults{OutageUntil: cf.Now() + body.Outage, Slow: body.Slow, LoseAnswers: body.LoseAnswers}
+	s.faults = Faults{OutageUntil: cf.Now() + body.Outage, ResponseDelay: body.Slow, DropResponses: body.LoseAnswers}
 	f := s.faults
 	s.mu.Unlock()
 	writeJSON(w, http.StatusOK, f)
@@ -284,8 +284,8 @@
 func (s *Server) loseAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.DropResponses > 0 {
+		s.faults.DropResponses--
 		return true
 	}
 	return false
--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -17,23 +17,23 @@
 )
 
 type (
-	// Wave is a moment at which a part of the engines end, with all that they run. They
+	// CrashBurst is a moment at which a part of the engines end, with all that they run. They
 	// are back under their ids after Down.
-	Wave struct {
-		At    cf.Millis
-		Share float64
-		Down  cf.Millis
+	CrashBurst struct {
+		At       cf.Millis
+		Fraction float64
+		Downtime cf.Millis
 	}
 
 	// Crashes are the ends of engines that a replay plays.
 	Crashes struct {
-		Waves []Wave
+		Bursts []CrashBurst
 		// Quarantine judges the items; nil lets all pass.
 		Quarantine *cfquarantine.Table
-		// Guilty says whether an item ends each engine that runs it; the engine is back
-		// after GuiltyDown.
-		Guilty     func(cf.Item) bool
-		GuiltyDown cf.Millis
+		// IsFaulty says whether an item ends each engine that runs it; the engine is back
+		// after FaultyDowntime.
+		IsFaulty       func(cf.Item) bool
+		FaultyDowntime cf.Millis
 		// Body returns the body of an item; each has one of its own if it is nil.
 		Body func(cf.Item) string
 	}
@@ -42,8 +42,8 @@
 	Crash struct {
 		At   cf.Millis
 		Item cf.ItemID
-		// Beside counts the other runs that were lost with it.
-		Beside int
+		// OtherRuns counts the other runs that were lost with it.
+		OtherRuns int
 	}
 
 	// idle is how long an item has been at no engine since its last run there, while the
@@ -54,8 +54,8 @@
 	}
 )
 
-// Key returns the quarantine's key of an item.
-func (r *Replay) Key(b cf.BatchID, it cf.Item) cfquarantine.Key {
+// QuarantineKey returns the quarantine's key of an item.
+func (r *Simulation) QuarantineKey(b cf.BatchID, it cf.Item) cfquarantine.Key {
 	it.Body = []byte(it.ID)
 	if body := r.options.Crashes.Body; body != nil {
 		it.Body = []byte(body(it))
@@ -63,27 +63,27 @@
 	return cfquarantine.KeyOfItem(&cf.Submission{ID: b, Host: host}, it)
 }
 
-// Unplaced returns the longest time that an item which was not done has been at no engine while
+// MaxUnplaced returns the longest time that an item which was not done has been at no engine while
 // the engines were less than half full.
-func (r *Replay) Unplaced() cf.Millis { return r.unplaced }
+func (r *Simulation) MaxUnplaced() cf.Millis { return r.unplaced }
 
-// GuiltyCrashes returns the ends of engines under guilty items.
-func (r *Replay) GuiltyCrashes() []Crash { return r.guilty }
+// FaultyItemCrashes returns the ends of engines under guilty items.
+func (r *Simulation) FaultyItemCrashes() []Crash { return r.guilty }
 
 // admit asks the quarantine whether an item may be sent to an engine.
-func (r *Replay) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := r.options.Crashes.Quarantine.AdmitDeferred(r.Key(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
+func (r *Simulation) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
+	v := r.options.Crashes.Quarantine.AdmitDeferred(r.QuarantineKey(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
 		cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()}, r.now)
 	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
 // follow tells the quarantine how a run ended at an engine; lost says that the engine ended.
-func (r *Replay) followRun(w *cfrollout.Work, at cf.Target, outcome cfrollout.Outcome, lost bool) {
+func (r *Simulation) followRun(w *cfrollout.Work, at cf.Target, outcome cfrollout.Outcome, lost bool) {
 	q := r.options.Crashes.Quarantine
 	if q == nil {
 		return
 	}
-	key, inc := r.Key(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(at)
+	key, inc := r.QuarantineKey(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(at)
 	switch {
 	case outcome == cfrollout.OutcomeDone:
 		q.Answered(key, inc, w.Started, r.now)
@@ -95,14 +95,14 @@
 }
 
 // playCrashes ends the engines whose time has come, and brings back those that were down.
-func (r *Replay) playCrashes() {
+func (r *Simulation) playCrashes() {
 	c := &r.options.Crashes
-	for _, wave := range c.Waves {
+	for _, wave := range c.Bursts {
 		if wave.At != r.now {
 			continue
 		}
-		for _, i := range r.random.Perm(len(r.engines))[:int(wave.Share*float64(len(r.engines))+0.5)] {
-			r.crash(r.engines[i], wave.Down)
+		for _, i := range r.random.Perm(len(r.engines))[:int(wave.Fraction*float64(len(r.engines))+0.5)] {
+			r.crash(r.engines[i], wave.Downtime)
 		}
 	}
 	for _, e := range r.engines {
@@ -118,13 +118,13 @@
 				c.Quarantine.Replaced(before, r.now)
 			}
 		}
-		if c.Guilty == nil || e.back > 0 {
+		if c.IsFaulty == nil || e.back > 0 {
 			continue
 		}
 		for _, w := range sorted(e.runs) {
-			if c.Guilty(w.Item) && r.now-w.Started >= crashAfter {
+			if c.IsFaulty(w.Item) && r.now-w.Started >= crashAfter {
 				r.guilty = append(r.guilty, Crash{r.now, w.Item.ID, len(e.runs) - 1})
-				r.crash(e, c.GuiltyDown)
+				r.crash(e, c.FaultyDowntime)
 				break
 			}
 		}
@@ -135,7 +135,7 @@
 }
 
 // crash ends an engine and its runs. It is listed until it is back.
-func (r *Replay) crash(e *engine, down cf.Millis) {
+func (r *Simulation) crash(e *engine, down cf.Millis) {
 	if e.back > 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // noteIdle adds to the times of the items that are at no engine.
-func (r *Replay) noteIdle() {
+func (r *Simulation) noteIdle() {
 	running, slots := 0, 0
 	at := map[cf.ItemID]bool{}
 	for _, e := range r.engines {
--- a/testbed/cfreplay/replay.go
+++ b/testbed/cfreplay/simulation.go
@@ -30,35 +30,35 @@
 )
 
 type (
-	// Engines shape the engines of a replay.
-	Engines struct {
-		Count, Slots, Domains int
-		// Alone is what an event takes with no other run, Beside what each run adds, in ms.
-		Alone, Beside float64
-		// Load is what a change of weights takes; runs stand still meanwhile. Beyond LoadsMost
+	// EngineOptions shape the engines of a replay.
+	EngineOptions struct {
+		Count, Slots, FailureDomains int
+		// EventTime is what an event takes with no other run, Beside what each run adds, in ms.
+		EventTime, EventTimePerRun float64
+		// LoadTime is what a change of weights takes; runs stand still meanwhile. Beyond FullSpeedLoads
 		// at once all take longer, by as much as there are more; zero is no bound.
-		Load      cf.Millis
-		LoadsMost int
-		// LoadSpread is by how much a load may take longer, as a part of Load.
-		LoadSpread float64
-		// SlowPart of the engines are SlowFactor times slower, drawn anew every SlowEvery.
-		SlowPart, SlowFactor float64
-		SlowEvery            cf.Millis
+		LoadTime       cf.Millis
+		FullSpeedLoads int
+		// LoadJitter is by how much a load may take longer, as a part of Load.
+		LoadJitter float64
+		// SlowFraction of the engines are SlowFactor times slower, drawn anew every SlowInterval.
+		SlowFraction, SlowFactor float64
+		SlowInterval             cf.Millis
 	}
 
 	// Options are what a replay plays.
 	Options struct {
 		Seed     uint64
 		Limits   cfrollout.Limits
-		Engines  Engines
+		Engines  EngineOptions
 		Trainers []Trainer
-		// Weights are the weights of trainers' shares, 1 where not given.
-		Weights map[cf.ModelName]float64
-		Crashes Crashes
+		// ShareWeights are the weights of trainers' shares, 1 where not given.
+		ShareWeights map[cf.ModelName]float64
+		Crashes      Crashes
 	}
 
-	// Replay is a load under way. It is not safe for concurrent use.
-	Replay struct {
+	// Simulation is a load under way. It is not safe for concurrent use.
+	Simulation struct {
 		options  Options
 		planner  *cfrollout.Planner
 		random   *rand.Rand
@@ -86,13 +86,13 @@
 )
 
 // New returns a replay at its beginning.
-func New(o Options) *Replay {
-	r := &Replay{options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), idle: map[idle]cf.Millis{}}
+func New(o Options) *Simulation {
+	r := &Simulation{options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), idle: map[idle]cf.Millis{}}
 	if o.Crashes.Quarantine != nil {
 		o.Limits.Admit = r.admit
 	}
 	r.planner = cfrollout.New(o.Limits)
-	r.planner.SetShareWeights(o.Weights)
+	r.planner.SetShareWeights(o.ShareWeights)
 	var held []cf.ModelState
 	for _, t := range o.Trainers {
 		held = append(held, cf.ModelState{Name: t.Model, Version: 1})
@@ -102,7 +102,7 @@
 		e := &engine{held: map[cf.ModelName]cf.WeightVersion{}, runs: map[*cfrollout.Work]*run{}, slow: 1}
 		e.target = cf.Target{
 			ID: cf.InstanceID(fmt.Sprintf("e%03d", i)), Service: service, Slots: o.Engines.Slots, Models: held, Started: 1,
-			Domain: cf.FailureDomain(fmt.Sprint("d", i%max(o.Engines.Domains, 1))),
+			Domain: cf.FailureDomain(fmt.Sprint("d", i%max(o.Engines.FailureDomains, 1))),
 		}
 		for _, t := range o.Trainers {
 			e.held[t.Model] = 1
@@ -114,7 +114,7 @@
 }
 
 // listEngines tells the planner which engines there are.
-func (r *Replay) listEngines() {
+func (r *Simulation) listEngines() {
 	var targets []cf.Target
 	for _, e := range r.engines {
 		targets = append(targets, e.target)
@@ -127,9 +127,9 @@
 }
 
 // Run plays until a time.
-func (r *Replay) Run(until cf.Millis) {
+func (r *Simulation) Run(until cf.Millis) {
 	for ; r.now < until; r.now += tick {
-		if every := r.options.Engines.SlowEvery; every > 0 && r.now%every == 0 {
+		if every := r.options.Engines.SlowInterval; every > 0 && r.now%every == 0 {
 			r.redraw()
 		}
 		for _, e := range r.engines {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Lose ends the engines of a failure domain, and with them their runs.
-func (r *Replay) Lose(domain cf.FailureDomain) {
+// LoseDomain ends the engines of a failure domain, and with them their runs.
+func (r *Simulation) LoseDomain(domain cf.FailureDomain) {
 	var lost []*engine
 	r.engines = slices.DeleteFunc(r.engines, func(e *engine) bool {
 		if e.target.Domain != domain {
@@ -161,8 +161,8 @@
 	}
 }
 
-// Slow makes the first n engines so many times slower, and the others as fast as usual.
-func (r *Replay) Slow(n int, factor float64) {
+// SlowEngines makes the first n engines so many times slower, and the others as fast as usual.
+func (r *Simulation) SlowEngines(n int, factor float64) {
 	for i, e := range r.engines {
 		if e.slow = 1; i < n {
 			e.slow = factor
@@ -171,30 +171,30 @@
 }
 
 // redraw draws which engines are slow.
-func (r *Replay) redraw() {
+func (r *Simulation) redraw() {
 	for _, e := range r.engines {
-		if e.slow = 1; r.random.Float64() < r.options.Engines.SlowPart {
+		if e.slow = 1; r.random.Float64() < r.options.Engines.SlowFraction {
 			e.slow = r.options.Engines.SlowFactor
 		}
 	}
 }
 
 // loadFactor is how much longer loads take now than one alone.
-func (r *Replay) loadFactor() float64 {
+func (r *Simulation) loadFactor() float64 {
 	n := 0
 	for _, e := range r.engines {
 		if e.loading != "" {
 			n++
 		}
 	}
-	if most := r.options.Engines.LoadsMost; most > 0 && n > most {
+	if most := r.options.Engines.FullSpeedLoads; most > 0 && n > most {
 		return float64(n) / float64(most)
 	}
 	return 1
 }
 
 // Shares counts the engines of each trainer.
-func (r *Replay) Shares() map[cf.ModelName]int {
+func (r *Simulation) Shares() map[cf.ModelName]int {
 	out := map[cf.ModelName]int{}
 	for _, e := range r.engines {
 		if known, ok := r.planner.Engine(e.target.ID); ok {
@@ -205,7 +205,7 @@
 }
 
 // Outcomes returns what the trainers got so far, in their order.
-func (r *Replay) Outcomes() []Outcome {
+func (r *Simulation) Outcomes() []Outcome {
 	var out []Outcome
 	for _, t := range r.trainers {
 		out = append(out, t.outcome)
@@ -214,7 +214,7 @@
 }
 
 // look does what a coordinator does at a look, and what trainers do meanwhile.
-func (r *Replay) look() {
+func (r *Simulation) look() {
 	for _, t := range r.trainers {
 		t.follow(r.now)
 	}
@@ -236,14 +236,14 @@
 			r.planner.SwapFailed(e.target.ID, r.now)
 			continue
 		}
-		e.loading, e.version, e.left = s.Model, s.Version, float64(r.options.Engines.Load)*(1+r.options.Engines.LoadSpread*r.random.Float64())
+		e.loading, e.version, e.left = s.Model, s.Version, float64(r.options.Engines.LoadTime)*(1+r.options.Engines.LoadJitter*r.random.Float64())
 	}
 	for _, w := range r.planner.Moves(r.now) {
 		r.end(w, cfrollout.OutcomeStopped)
 	}
 }
 
-func (r *Replay) lengthOf(w *cfrollout.Work) float64 {
+func (r *Simulation) lengthOf(w *cfrollout.Work) float64 {
 	for _, t := range r.trainers {
 		if t.Model == w.Batch.Sub.Model {
 			return t.lengths[w.Item.ID]
@@ -253,7 +253,7 @@
 }
 
 // end ends a run.
-func (r *Replay) end(w *cfrollout.Work, outcome cfrollout.Outcome) {
+func (r *Simulation) end(w *cfrollout.Work, outcome cfrollout.Outcome) {
 	for _, e := range r.engines {
 		if e.runs[w] != nil {
 			r.endAt(e, w, outcome, false)
@@ -264,13 +264,13 @@
 }
 
 // endAt ends a run at an engine; lost says that the engine ended.
-func (r *Replay) endAt(e *engine, w *cfrollout.Work, outcome cfrollout.Outcome, lost bool) {
+func (r *Simulation) endAt(e *engine, w *cfrollout.Work, outcome cfrollout.Outcome, lost bool) {
 	delete(e.runs, w)
 	r.followRun(w, e.target, outcome, lost)
 	r.finished(w, outcome)
 }
 
-func (r *Replay) finished(w *cfrollout.Work, outcome cfrollout.Outcome) {
+func (r *Simulation) finished(w *cfrollout.Work, outcome cfrollout.Outcome) {
 	if !r.planner.Finished(w, outcome, r.now) {
 		return
 	}
@@ -280,7 +280,7 @@
 }
 
 // generate lets an engine work for a tick.
-func (r *Replay) generate(e *engine) {
+func (r *Simulation) generate(e *engine) {
 	if e.back > 0 {
 		return
 	}
@@ -293,7 +293,7 @@
 		}
 		return
 	}
-	pace := (r.options.Engines.Alone + r.options.Engines.Beside*float64(len(e.runs))) * e.slow
+	pace := (r.options.Engines.EventTime + r.options.Engines.EventTimePerRun*float64(len(e.runs))) * e.slow
 	var done []*cfrollout.Work
 	for _, w := range sorted(e.runs) {
 		x := e.runs[w]
--- a/testbed/cfreplay/trainer.go
+++ b/testbed/cfreplay/trainer.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// Due is how long after its acceptance a step's results are due, Full until when its
+	// StepDue is how long after its acceptance a step's results are due, Full until when its
 	// groups count in full, and End when its trainer gives it up.
-	Due  cf.Millis = 7500
-	Full cf.Millis = 8200
-	End  cf.Millis = 12000
+	StepDue        cf.Millis = 7500
+	FullValueUntil cf.Millis = 8200
+	StepTimeout    cf.Millis = 12000
 	// tokens are those of an event, prompt those of a prompt.
 	tokens = 74
 	prompt = 300
@@ -31,16 +31,16 @@
 	// Trainer shapes a trainer and its steps.
 	Trainer struct {
 		Model cf.ModelName
-		// Events is the mean length of a text, Longest the most.
-		Events, Longest float64
-		// Least and Most are how many groups a step has, Size the items of each; the
+		// MeanEvents is the mean length of a text, Longest the most.
+		MeanEvents, MaxEvents float64
+		// MinGroups and Most are how many groups a step has, Size the items of each; the
 		// trainer waits for Want of them.
-		Least, Most, Size int
-		Want              float64
-		// Every is the least time between steps, Train the training after each.
-		Every, Train cf.Millis
-		// Carries: groups that were not whole are submitted again with the next step.
-		Carries bool
+		MinGroups, MaxGroups, GroupSize int
+		RequiredFraction                float64
+		// StepInterval is the least time between steps, Train the training after each.
+		StepInterval, TrainTime cf.Millis
+		// CarryOver: groups that were not whole are submitted again with the next step.
+		CarryOver bool
 		// From and Until are when it hands in steps; zero for ever.
 		From, Until cf.Millis
 	}
@@ -48,21 +48,21 @@
 	// Outcome is what a trainer got of the steps that have ended.
 	Outcome struct {
 		Steps int
-		// Owed are the groups that it waited for. Of them InTime were whole
+		// Required are the groups that it waited for. Of them InTime were whole
 		// until Full, and Late until End.
-		Owed, InTime, Late int
-		// Best bounds InTime: what the trainer's share of the engines, all slots full from the
+		Required, InTime, Late int
+		// UpperBound bounds InTime: what the trainer's share of the engines, all slots full from the
 		// first moment on, would have made whole.
-		Best int
-		// Took is the time of the steps in all.
-		Took cf.Millis
-		// Worth counts a group in time as 1, and a late one as less, down to 0 at End.
-		Worth float64
+		UpperBound int
+		// StepTime is the time of the steps in all.
+		StepTime cf.Millis
+		// Value counts a group in time as 1, and a late one as less, down to 0 at End.
+		Value float64
 	}
 
 	trainer struct {
 		Trainer
-		replay   *Replay
+		replay   *Simulation
 		lengths  map[cf.ItemID]float64
 		items    map[cf.GroupID][]cf.Item
 		step     int
@@ -77,7 +77,7 @@
 	}
 )
 
-func newTrainer(r *Replay, t Trainer) *trainer {
+func newTrainer(r *Simulation, t Trainer) *trainer {
 	return &trainer{
 		Trainer: t, replay: r, lengths: map[cf.ItemID]float64{}, items: map[cf.GroupID][]cf.Item{},
 		next: t.From + cf.Millis(r.random.IntN(1000)),
@@ -86,11 +86,11 @@
 
 // draw returns the length of a text.
 func (t *trainer) draw() float64 {
-	n := t.Events / (1 + longPart*(longFactor-1)) * math.Exp(spread*t.replay.random.NormFloat64()-spread*spread/2)
+	n := t.MeanEvents / (1 + longPart*(longFactor-1)) * math.Exp(spread*t.replay.random.NormFloat64()-spread*spread/2)
 	if t.replay.random.Float64() < longPart {
 		n *= longFactor
 	}
-	return math.Ceil(min(max(n, 1), t.Longest))
+	return math.Ceil(min(max(n, 1), t.MaxEvents))
 }
 
 // submit hands in a step.
@@ -98,13 +98,13 @@
 	r := t.replay
 	t.step++
 	r.planner.SetVersion(t.Model, cf.WeightVersion(t.step))
-	n := t.Least + r.random.IntN(t.Most-t.Least+1)
+	n := t.MinGroups + r.random.IntN(t.MaxGroups-t.MinGroups+1)
 	sub := cf.Submission{
 		ID: cf.BatchID(fmt.Sprintf("%s-%d", t.Model, t.step)), Model: t.Model, MinVersion: cf.WeightVersion(max(t.step-1, 1)),
-		TargetGroups: int(math.Ceil(t.Want * float64(n))), Accepted: now,
+		TargetGroups: int(math.Ceil(t.RequiredFraction * float64(n))), Accepted: now,
 	}
 	var groups []cf.GroupID
-	if t.Carries {
+	if t.CarryOver {
 		groups = append(groups, t.unwhole[:min(len(t.unwhole), sub.TargetGroups/2)]...)
 	}
 	carried := len(groups)
@@ -118,17 +118,17 @@
 	for _, g := range groups[:carried] {
 		t.batch.CarryOver(g)
 	}
-	terms := cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 5 * End, Due: now + Due, Span: Due}
+	terms := cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 5 * StepTimeout, Due: now + StepDue, Span: StepDue}
 	for _, w := range r.planner.AddBatch(t.batch, terms) {
 		t.take(w)
 	}
-	t.current = Outcome{Steps: 1, Owed: sub.TargetGroups, Best: t.best(groups)}
+	t.current = Outcome{Steps: 1, Required: sub.TargetGroups, UpperBound: t.best(groups)}
 }
 
 // group draws the items of a group.
 func (t *trainer) group(id cf.BatchID, k int) cf.GroupID {
 	g := cf.GroupID(fmt.Sprintf("%s-%02d", id, k))
-	for i := range t.Size {
+	for i := range t.GroupSize {
 		it := cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%02d", g, i)), Group: g, PromptTokens: prompt}
 		length := t.draw()
 		t.lengths[it.ID] = length
@@ -143,7 +143,7 @@
 // engine's slots make events at a pace that no order of the work exceeds.
 func (t *trainer) best(groups []cf.GroupID) int {
 	e := t.replay.options.Engines
-	pace := e.Alone + e.Beside*float64(e.Slots)
+	pace := e.EventTime + e.EventTimePerRun*float64(e.Slots)
 	slots := float64(t.replay.Shares()[t.Model] * e.Slots)
 	var works []float64
 	for _, g := range groups {
@@ -152,14 +152,14 @@
 			work += t.lengths[it.ID] * pace
 			longest = max(longest, t.lengths[it.ID])
 		}
-		if longest*(e.Alone+e.Beside) <= float64(Full) {
+		if longest*(e.EventTime+e.EventTimePerRun) <= float64(FullValueUntil) {
 			works = append(works, work)
 		}
 	}
 	slices.Sort(works)
 	n, sum := 0, 0.0
 	for _, w := range works {
-		if sum += w; sum > slots*float64(Full) || n == int(math.Ceil(t.Want*float64(len(groups)))) {
+		if sum += w; sum > slots*float64(FullValueUntil) || n == int(math.Ceil(t.RequiredFraction*float64(len(groups)))) {
 			break
 		}
 		n++
@@ -182,7 +182,7 @@
 		}
 		return
 	}
-	given := now >= t.accepted+End
+	given := now >= t.accepted+StepTimeout
 	if len(t.pending) == 0 && !given {
 		return
 	}
@@ -217,12 +217,12 @@
 	}
 	t.read[g] = true
 	switch {
-	case took <= Full:
+	case took <= FullValueUntil:
 		t.current.InTime++
-		t.current.Worth++
-	case took < End:
+		t.current.Value++
+	case took < StepTimeout:
 		t.current.Late++
-		t.current.Worth += float64(End-took) / float64(End-Full)
+		t.current.Value += float64(StepTimeout-took) / float64(StepTimeout-FullValueUntil)
 	}
 }
 
@@ -230,15 +230,15 @@
 func (t *trainer) finish(now cf.Millis) {
 	c, sum := t.current, &t.outcome
 	sum.Steps += c.Steps
-	sum.Owed += c.Owed
+	sum.Required += c.Required
 	sum.InTime += c.InTime
 	sum.Late += c.Late
-	sum.Best += c.Best
-	sum.Worth += c.Worth
-	sum.Took += now - t.accepted
+	sum.UpperBound += c.UpperBound
+	sum.Value += c.Value
+	sum.StepTime += now - t.accepted
 	for _, w := range t.replay.planner.EndBatch(t.batch.Sub.ID) {
 		t.replay.end(w, cfrollout.OutcomeStopped)
 	}
 	t.batch = nil
-	t.next = max(now+t.Train, t.accepted+t.Every)
+	t.next = max(now+t.TrainTime, t.accepted+t.StepInterval)
 }
--- a/testbed/cftrial/plan.go
+++ b/testbed/cftrial/plan.go
@@ -49,28 +49,28 @@
 		For  standin.Millis `json:"for_ms"`
 		// Count is how many targets it concerns, Times how much slower they
 		// are, Every which of the store's writes lose their answer.
-		Count int     `json:"count"`
-		Times float64 `json:"times"`
-		Every int     `json:"every"`
+		Count             int     `json:"count"`
+		SlowFactor        float64 `json:"times"`
+		DropResponseEvery int     `json:"every"`
 	}
 
 	// Group is a set of entry processes with one policy.
 	Group struct {
-		Name    string
-		Store   string // where its store's stand-in listens
-		Entries []string
+		Name      string
+		StoreAddr string // where its store's stand-in listens
+		Entries   []string
 	}
 )
 
 // Kinds of faults.
 const (
-	StoreDown   FaultKind = "store_down"
-	StoreSlow   FaultKind = "store_slow"
-	StoreLost   FaultKind = "store_lost"
-	EngineSlow  FaultKind = "engine_slow"
-	EngineBreak FaultKind = "engine_break"
-	EngineFull  FaultKind = "engine_full"
-	PlainFull   FaultKind = "plain_full"
+	StoreDown         FaultKind = "store_down"
+	StoreSlow         FaultKind = "store_slow"
+	StoreResponseLost FaultKind = "store_lost"
+	EngineSlow        FaultKind = "engine_slow"
+	EngineAborts      FaultKind = "engine_break"
+	EngineAtCapacity  FaultKind = "engine_full"
+	PlainAtCapacity   FaultKind = "plain_full"
 )
 
 // slowStore is the delay of a slow store's answers, 75 times the usual.
@@ -122,7 +122,7 @@
 	}
 	for i, f := range p.Faults {
 		switch f.Kind {
-		case StoreDown, StoreSlow, StoreLost, EngineSlow, EngineBreak, EngineFull, PlainFull:
+		case StoreDown, StoreSlow, StoreResponseLost, EngineSlow, EngineAborts, EngineAtCapacity, PlainAtCapacity:
 		default:
 			bad(fmt.Sprintf("faults[%d].kind", i), fmt.Sprintf("unknown kind %q", f.Kind))
 		}
--- a/testbed/cftrial/report.go
+++ b/testbed/cftrial/report.go
@@ -24,38 +24,38 @@
 
 // Summary is a group's figures.
 type Summary struct {
-	Group       string  `json:"group"`
-	Steps       int     `json:"steps"`
-	Whole       int     `json:"steps_whole"`
-	StepP50     float64 `json:"step_p50_ms"`
-	StepP90     float64 `json:"step_p90_ms"`
-	IdleMean    float64 `json:"trainer_idle_mean_ms"`
-	StaleMean   float64 `json:"staleness_mean_versions"`
-	StaleMost   int     `json:"staleness_most_versions"`
-	Calls       int     `json:"requests"`
-	CallsOK     int     `json:"requests_ok"`
-	CallP50     float64 `json:"request_p50_ms"`
-	CallP99     float64 `json:"request_p99_ms"`
-	StoreCalls  int     `json:"store_calls"`
-	Loads       int     `json:"weight_loads"`
-	Runs        int     `json:"item_runs"`
-	BrokenRules int     `json:"broken_rules"`
+	Group          string  `json:"group"`
+	Steps          int     `json:"steps"`
+	StepsCompleted int     `json:"steps_whole"`
+	StepP50        float64 `json:"step_p50_ms"`
+	StepP90        float64 `json:"step_p90_ms"`
+	MeanIdle       float64 `json:"trainer_idle_mean_ms"`
+	MeanStaleness  float64 `json:"staleness_mean_versions"`
+	MaxStaleness   int     `json:"staleness_most_versions"`
+	Calls          int     `json:"requests"`
+	CallsOK        int     `json:"requests_ok"`
+	CallP50        float64 `json:"request_p50_ms"`
+	CallP99        float64 `json:"request_p99_ms"`
+	StoreCalls     int     `json:"store_calls"`
+	WeightLoads    int     `json:"weight_loads"`
+	ItemRuns       int     `json:"item_runs"`
+	Violations     int     `json:"broken_rules"`
 }
 
 // Summaries returns the figures of each group.
 func (r *Report) Summaries() []Summary {
 	var out []Summary
 	for _, g := range r.Groups {
-		s := Summary{Group: g.Name, Steps: len(g.Steps), Calls: len(g.Calls), Loads: g.Loads, Runs: g.Runs}
+		s := Summary{Group: g.Name, Steps: len(g.Steps), Calls: len(g.Calls), WeightLoads: g.WeightLoads, ItemRuns: g.ItemRuns}
 		var took, calls []float64
 		for _, st := range g.Steps {
 			took = append(took, st.TookMs)
-			s.IdleMean += st.IdleMs / float64(len(g.Steps))
-			s.StaleMean += st.MeanStaleness / float64(len(g.Steps))
-			s.StaleMost = max(s.StaleMost, st.MaxStaleness)
-			s.BrokenRules += len(st.Faults)
+			s.MeanIdle += st.IdleMs / float64(len(g.Steps))
+			s.MeanStaleness += st.MeanStaleness / float64(len(g.Steps))
+			s.MaxStaleness = max(s.MaxStaleness, st.MaxStaleness)
+			s.Violations += len(st.Faults)
 			if st.Completed {
-				s.Whole++
+				s.StepsCompleted++
 			}
 		}
 		for _, c := range g.Calls {
@@ -152,16 +152,16 @@
 		name  string
 		value func(Summary) string
 	}{
-		{"steps, whole in time", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Steps, s.Whole) }},
+		{"steps, whole in time", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Steps, s.StepsCompleted) }},
 		{"step p50 / p90, ms", func(s Summary) string { return fmt.Sprintf("%.0f / %.0f", s.StepP50, s.StepP90) }},
-		{"trainer idle a step, ms", func(s Summary) string { return fmt.Sprintf("%.0f", s.IdleMean) }},
-		{"staleness mean / most, versions", func(s Summary) string { return fmt.Sprintf("%.2f / %d", s.StaleMean, s.StaleMost) }},
+		{"trainer idle a step, ms", func(s Summary) string { return fmt.Sprintf("%.0f", s.MeanIdle) }},
+		{"staleness mean / most, versions", func(s Summary) string { return fmt.Sprintf("%.2f / %d", s.MeanStaleness, s.MaxStaleness) }},
 		{"requests, answered", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Calls, s.CallsOK) }},
 		{"request p50 / p99, ms", func(s Summary) string { return fmt.Sprintf("%.0f / %.0f", s.CallP50, s.CallP99) }},
 		{"calls to the store", func(s Summary) string { return fmt.Sprint(s.StoreCalls) }},
-		{"loads of weights", func(s Summary) string { return fmt.Sprint(s.Loads) }},
-		{"item runs", func(s Summary) string { return fmt.Sprint(s.Runs) }},
-		{"broken rules", func(s Summary) string { return fmt.Sprint(s.BrokenRules) }},
+		{"loads of weights", func(s Summary) string { return fmt.Sprint(s.WeightLoads) }},
+		{"item runs", func(s Summary) string { return fmt.Sprint(s.ItemRuns) }},
+		{"broken rules", func(s Summary) string { return fmt.Sprint(s.Violations) }},
 	}
 	var out []row
 	for _, l := range lines {
--- a/testbed/cftrial/report_test.go
+++ b/testbed/cftrial/report_test.go
@@ -41,7 +41,7 @@
 		r.Groups = append(r.Groups, g)
 	}
 	s := r.Summaries()
-	if len(s) != 2 || s[0].Whole != 9 || s[0].StepP50 != 600 || s[1].StepP50 != 700 || s[0].StoreCalls != 3 || s[0].CallsOK != 10 {
+	if len(s) != 2 || s[0].StepsCompleted != 9 || s[0].StepP50 != 600 || s[1].StepP50 != 700 || s[0].StoreCalls != 3 || s[0].CallsOK != 10 {
 		t.Errorf("summaries: %+v", s)
 	}
 	path := filepath.Join(t.TempDir(), "report.html")
--- a/testbed/cftrial/run.go
+++ b/testbed/cftrial/run.go
@@ -35,9 +35,9 @@
 		Steps []standin.StepReport `json:"steps"`
 		Calls []standin.CallReport `json:"calls"`
 		// StoreCalls counts the calls to the store by method and kind.
-		StoreCalls map[string]int `json:"store_calls"`
-		Loads      int            `json:"weight_loads"`
-		Runs       int            `json:"item_runs"`
+		StoreCalls  map[string]int `json:"store_calls"`
+		WeightLoads int            `json:"weight_loads"`
+		ItemRuns    int            `json:"item_runs"`
 	}
 )
 
@@ -60,7 +60,7 @@
 
 func runGroup(ctx context.Context, p Plan, g Group, log *zap.Logger) (GroupReport, error) {
 	r := GroupReport{Name: g.Name}
-	site, err := standin.StartDeployment(p.Site, g.Store)
+	site, err := standin.StartDeployment(p.Site, g.StoreAddr)
 	if err != nil {
 		return r, eris.Wrapf(err, "stand-ins of group %s", g.Name)
 	}
@@ -78,8 +78,8 @@
 	}
 	r.StoreCalls = site.Store.Calls()
 	for _, e := range site.Engines {
-		r.Loads += len(e.Orders())
-		r.Runs += len(e.Runs())
+		r.WeightLoads += len(e.Orders())
+		r.ItemRuns += len(e.Runs())
 	}
 	return r, nil
 }
@@ -186,11 +186,11 @@
 		site.Store.SetFaults(standin.StoreFaults{Down: true})
 	case StoreSlow:
 		site.Store.SetFaults(standin.StoreFaults{ResponseDelay: slowStore * time.Millisecond})
-	case StoreLost:
-		site.Store.SetFaults(standin.StoreFaults{DropResponseEvery: max(f.Every, 1)})
+	case StoreResponseLost:
+		site.Store.SetFaults(standin.StoreFaults{DropResponseEvery: max(f.DropResponseEvery, 1)})
 	default:
 		targets := site.Engines
-		if f.Kind == PlainFull {
+		if f.Kind == PlainAtCapacity {
 			targets = site.PlainTargets
 		}
 		targets = targets[:min(max(f.Count, 1), len(targets))]
@@ -209,8 +209,8 @@
 func engineFault(f Fault) standin.EngineFaults {
 	switch f.Kind {
 	case EngineSlow:
-		return standin.EngineFaults{SlowFactor: f.Times}
-	case EngineBreak:
+		return standin.EngineFaults{SlowFactor: f.SlowFactor}
+	case EngineAborts:
 		return standin.EngineFaults{AbortAfterEvents: 5}
 	default:
 		return standin.EngineFaults{AtCapacity: true}
