--- a/testbed/cfengine/engine.go
+++ b/testbed/cfengine/engine.go
@@ -36,20 +36,20 @@
 	Engine struct {
 		settings Settings
 
-		mu       sync.Mutex
-		active   int
-		kvUsed   cf.Tokens
-		queue    []*waiter
-		seq      int64
-		weights  cf.WeightVersion
-		epoch    cf.Epoch
-		backlog  float64
-		snapshot cf.Load
+		mu           sync.Mutex
+		active       int
+		kvUsed       cf.Tokens
+		queue        []*waiter
+		seq          int64
+		weights      cf.WeightVersion
+		epoch        cf.Epoch
+		backlog      float64
+		reportedLoad cf.Load
 
-		stop chan struct{}
-		wg   sync.WaitGroup
-		reg  *prometheus.Registry
-		reqs *prometheus.CounterVec
+		stop        chan struct{}
+		wg          sync.WaitGroup
+		registry    *prometheus.Registry
+		completions *prometheus.CounterVec
 	}
 
 	waiter struct {
@@ -88,14 +88,14 @@
 	if settings.Model.MaxBatch == 0 {
 		settings.Model = DefaultModel()
 	}
-	e := &Engine{settings: settings, weights: settings.Weights, stop: make(chan struct{}), reg: prometheus.NewRegistry()}
-	e.reqs = prometheus.NewCounterVec(prometheus.CounterOpts{
+	e := &Engine{settings: settings, weights: settings.Weights, stop: make(chan struct{}), registry: prometheus.NewRegistry()}
+	e.completions = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "currantford_engine_requests_total", Help: "Completions by outcome.",
 	}, []string{"outcome"})
-	e.reg.MustRegister(e.reqs)
-	e.snapshot = e.load()
+	e.registry.MustRegister(e.completions)
+	e.reportedLoad = e.currentLoad()
 	e.wg.Add(1)
-	go e.report()
+	go e.refreshReports()
 	return e
 }
 
@@ -112,13 +112,13 @@
 	mux.HandleFunc("POST /v1/completions", e.handleCompletion)
 	mux.HandleFunc("GET /v1/load", e.handleLoad)
 	mux.HandleFunc("POST /v1/weights", e.handleWeights)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(e.reg, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// report refreshes the served load report every ReportInterval, so that routers
+// refreshReports refreshes the served load report every ReportInterval, so that routers
 // see the engine as it was, as real engines report it.
-func (e *Engine) report() {
+func (e *Engine) refreshReports() {
 	defer e.wg.Done()
 	t := time.NewTicker(max(e.settings.ReportInterval, 10).Duration())
 	defer t.Stop()
@@ -127,15 +127,15 @@
 		case <-e.stop:
 			return
 		case <-t.C:
-			l := e.load()
+			l := e.currentLoad()
 			e.mu.Lock()
-			e.snapshot = l
+			e.reportedLoad = l
 			e.mu.Unlock()
 		}
 	}
 }
 
-func (e *Engine) load() cf.Load {
+func (e *Engine) currentLoad() cf.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return cf.Load{
@@ -153,7 +153,7 @@
 
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	l := e.snapshot
+	l := e.reportedLoad
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, l)
 }
@@ -209,7 +209,7 @@
 	}
 	estimate := e.settings.Model.RequestTime(promptTokens, req.MaxTokens, e.settings.Model.MaxBatch/2)
 	if err := e.acquire(r.Context(), req.Priority, kv, estimate); err != nil {
-		e.reqs.WithLabelValues("cancelled").Inc()
+		e.completions.WithLabelValues("cancelled").Inc()
 		return
 	}
 	defer e.release(kv, estimate)
@@ -240,7 +240,7 @@
 		step := e.settings.Model.DecodeStepTime(e.active)
 		e.mu.Unlock()
 		if !sleep(ctx, step) {
-			e.reqs.WithLabelValues("cancelled").Inc()
+			e.completions.WithLabelValues("cancelled").Inc()
 			return
 		}
 		if v := e.currentWeights(); v != versions[len(versions)-1] {
@@ -260,7 +260,7 @@
 	u := &usage{PromptTokens: promptTokens, CompletionTokens: maxTokens, TotalTokens: promptTokens + maxTokens}
 	last := completion{ID: id, Object: "text_completion", Created: time.Now().Unix(), Model: model,
 		Usage: u, WeightVersions: versions, Engine: e.settings.ID}
-	e.reqs.WithLabelValues("done").Inc()
+	e.completions.WithLabelValues("done").Inc()
 	if !stream {
 		last.Choices = []choice{{Text: text.String(), FinishReason: &finish}}
 		writeJSON(w, http.StatusOK, last)
@@ -287,7 +287,7 @@
 	e.seq++
 	wt := &waiter{priority: priority, seq: e.seq, kv: kv, ready: make(chan struct{})}
 	e.queue = append(e.queue, wt)
-	e.grantLocked()
+	e.admitLocked()
 	e.mu.Unlock()
 	select {
 	case <-wt.ready:
@@ -301,10 +301,10 @@
 			e.active--
 			e.kvUsed -= kv
 		default:
-			e.removeLocked(wt)
+			e.dequeueLocked(wt)
 		}
 		e.backlog -= estimate
-		e.grantLocked()
+		e.admitLocked()
 		return ctx.Err()
 	}
 }
@@ -315,12 +315,12 @@
 	e.active--
 	e.kvUsed -= kv
 	e.backlog -= estimate
-	e.grantLocked()
+	e.admitLocked()
 }
 
-// grantLocked admits waiters, highest priority then oldest first, while a
+// admitLocked admits waiters, highest priority then oldest first, while a
 // batch slot and KV room remain.
-func (e *Engine) grantLocked() {
+func (e *Engine) admitLocked() {
 	for e.active < e.settings.Model.MaxBatch && len(e.queue) > 0 {
 		best := 0
 		for i, wt := range e.queue {
@@ -333,14 +333,14 @@
 		if e.kvUsed+wt.kv > e.settings.Model.KVBudget {
 			return
 		}
-		e.removeLocked(wt)
+		e.dequeueLocked(wt)
 		e.active++
 		e.kvUsed += wt.kv
 		close(wt.ready)
 	}
 }
 
-func (e *Engine) removeLocked(wt *waiter) {
+func (e *Engine) dequeueLocked(wt *waiter) {
 	for i, q := range e.queue {
 		if q == wt {
 			e.queue = append(e.queue[:i], e.queue[i+1:]...)
--- a/testbed/cfload/load.go
+++ b/testbed/cfload/load.go
@@ -112,15 +112,15 @@
 	}
 
 	runner struct {
-		plan    Plan
-		site    cfconfig.Site
-		client  *http.Client
-		entries []string
-		mu      sync.Mutex
-		n       int
-		journal *json.Encoder
-		ttft    []cf.Millis
-		sum     Summary
+		plan      Plan
+		site      cfconfig.Site
+		client    *http.Client
+		entries   []string
+		mu        sync.Mutex
+		nextEntry int
+		journal   *json.Encoder
+		ttft      []cf.Millis
+		summary   Summary
 	}
 )
 
@@ -148,9 +148,9 @@
 // Run drives the plan and returns its summary. Journal lines go to journal.
 func Run(ctx context.Context, plan Plan, site cfconfig.Site, journal io.Writer) (Summary, error) {
 	r := &runner{plan: plan, site: site, client: &http.Client{Timeout: 30 * time.Second},
-		journal: json.NewEncoder(journal), sum: Summary{Services: map[string]ServiceSummary{}}}
+		journal: json.NewEncoder(journal), summary: Summary{Services: map[string]ServiceSummary{}}}
 	if err := r.discover(ctx); err != nil {
-		return r.sum, err
+		return r.summary, err
 	}
 	// Requests run on reqCtx, which outlives the plan's span: when the span
 	// ends no new request starts, but those in flight finish, so that the
@@ -162,14 +162,14 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		r.refresh(ctx)
+		r.refreshEntries(ctx)
 	}()
 	for range plan.Completions.Workers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := 0; ctx.Err() == nil; i++ {
-				r.completion(reqCtx, i)
+				r.sendCompletion(reqCtx, i)
 			}
 		}()
 	}
@@ -180,7 +180,7 @@
 			go func() {
 				defer wg.Done()
 				for k := range keys {
-					r.service(reqCtx, sl.Name, fmt.Sprintf("%s-%d", sl.Name, k))
+					r.callService(reqCtx, sl.Name, fmt.Sprintf("%s-%d", sl.Name, k))
 				}
 			}()
 		}
@@ -199,17 +199,17 @@
 			}
 		}()
 	}
-	r.faults(ctx)
+	r.injectFaults(ctx)
 	wg.Wait()
-	r.settle()
-	return r.sum, nil
+	r.summarize()
+	return r.summary, nil
 }
 
 // discover waits for the first entry list.
 func (r *runner) discover(ctx context.Context) error {
 	deadline := time.Now().Add(15 * time.Second)
 	for time.Now().Before(deadline) {
-		if _, err := r.list(ctx, r.plan.Bootstrap); err == nil {
+		if _, err := r.fetchEntries(ctx, r.plan.Bootstrap); err == nil {
 			return nil
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -217,9 +217,9 @@
 	return eris.Wrapf(cf.ErrUnavailable, "no entry listed by %s", r.plan.Bootstrap)
 }
 
-// refresh asks for the entry list again when its ttl_ms runs out, as
+// refreshEntries asks for the entry list again when its ttl_ms runs out, as
 // callers are told to, from any entry that answers.
-func (r *runner) refresh(ctx context.Context) {
+func (r *runner) refreshEntries(ctx context.Context) {
 	ttl := time.Second
 	for {
 		select {
@@ -227,14 +227,14 @@
 			return
 		case <-time.After(ttl):
 		}
-		if got, err := r.list(ctx, r.pick()); err == nil {
+		if got, err := r.fetchEntries(ctx, r.pickEntry()); err == nil {
 			ttl = got.Duration()
 		}
 	}
 }
 
-// list reads GET /v1/entries from base and keeps the answer.
-func (r *runner) list(ctx context.Context, base string) (cf.Millis, error) {
+// fetchEntries reads GET /v1/entries from base and keeps the answer.
+func (r *runner) fetchEntries(ctx context.Context, base string) (cf.Millis, error) {
 	var list struct {
 		Entries []struct {
 			URL string `json:"url"`
@@ -260,22 +260,22 @@
 	return max(list.TTL, 100), nil
 }
 
-func (r *runner) pick() string {
+func (r *runner) pickEntry() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.n++
-	return r.entries[r.n%len(r.entries)]
+	r.nextEntry++
+	return r.entries[r.nextEntry%len(r.entries)]
 }
 
-func (r *runner) record(l JournalLine) {
+func (r *runner) writeJournal(l JournalLine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_ = r.journal.Encode(l)
 }
 
-// completion sends one live completion and checks that its answer is whole:
+// sendCompletion sends one live completion and checks that its answer is whole:
 // the stream must end with [DONE] and carry no error event.
-func (r *runner) completion(ctx context.Context, i int) {
+func (r *runner) sendCompletion(ctx context.Context, i int) {
 	c := r.plan.Completions
 	prompt := c.Prompts[i%len(c.Prompts)]
 	body, _ := json.Marshal(struct {
@@ -284,7 +284,7 @@
 		MaxTokens cf.Tokens `json:"max_tokens"`
 		Stream    bool      `json:"stream"`
 	}{"forecast", prompt, c.MaxTokens, true})
-	entry := r.pick()
+	entry := r.pickEntry()
 	start := time.Now()
 	line := JournalLine{Kind: "completion", Key: fmt.Sprint(i), Entry: entry}
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, entry+"/v1/completions", bytes.NewReader(body))
@@ -295,14 +295,14 @@
 			return
 		}
 		line.Outcome = "refused"
-		r.count(line, 0)
+		r.countCompletion(line, 0)
 		return
 	}
 	defer resp.Body.Close()
 	line.Status = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
 		line.Outcome = "refused"
-		r.count(line, 0)
+		r.countCompletion(line, 0)
 		return
 	}
 	var ttft time.Duration
@@ -330,14 +330,14 @@
 	}
 	line.TTFT = cf.MillisOf(ttft)
 	line.Total = cf.MillisOf(time.Since(start))
-	r.count(line, line.TTFT)
+	r.countCompletion(line, line.TTFT)
 }
 
-func (r *runner) count(l JournalLine, ttft cf.Millis) {
-	r.record(l)
+func (r *runner) countCompletion(l JournalLine, ttft cf.Millis) {
+	r.writeJournal(l)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &r.sum.Completions
+	s := &r.summary.Completions
 	s.Sent++
 	switch l.Outcome {
 	case "whole":
@@ -350,16 +350,16 @@
 	}
 }
 
-// service sends one call, and repeats it with the same key while the entry
+// callService sends one call, and repeats it with the same key while the entry
 // says it did not run, as a careful caller would.
-func (r *runner) service(ctx context.Context, name, key string) {
+func (r *runner) callService(ctx context.Context, name, key string) {
 	body, _ := json.Marshal(struct {
 		Key string `json:"key"`
 		At  int64  `json:"at_ms"`
 	}{key, int64(cf.Now())})
 	outcome, status := "not_run", 0
 	for range 3 {
-		entry := r.pick()
+		entry := r.pickEntry()
 		req, _ := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodPost, entry+"/v1/services/"+name+"/call", bytes.NewReader(body))
 		req.Header.Set("Idempotency-Key", key)
 		resp, err := r.client.Do(req)
@@ -382,10 +382,10 @@
 		}
 		break
 	}
-	r.record(JournalLine{Kind: "service_" + name, Key: key, Status: status, Outcome: outcome})
+	r.writeJournal(JournalLine{Kind: "service_" + name, Key: key, Status: status, Outcome: outcome})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.sum.Services[name]
+	s := r.summary.Services[name]
 	s.Sent++
 	switch outcome {
 	case "ok":
@@ -395,10 +395,10 @@
 	default:
 		s.MaybeRan++
 	}
-	r.sum.Services[name] = s
+	r.summary.Services[name] = s
 }
 
-func (r *runner) faults(ctx context.Context) {
+func (r *runner) injectFaults(ctx context.Context) {
 	pc := cfplatform.NewClient(r.site.PlatformURL())
 	start := time.Now()
 	for _, f := range r.plan.Faults {
@@ -411,12 +411,12 @@
 	}
 }
 
-// settle reads each service's call counts and the TTFT percentiles.
-func (r *runner) settle() {
+// summarize reads each service's call counts and the TTFT percentiles.
+func (r *runner) summarize() {
 	sort.Slice(r.ttft, func(i, j int) bool { return r.ttft[i] < r.ttft[j] })
 	if n := len(r.ttft); n > 0 {
-		r.sum.Completions.TTFTp50 = r.ttft[n/2]
-		r.sum.Completions.TTFTp99 = r.ttft[min(n*99/100, n-1)]
+		r.summary.Completions.TTFTp50 = r.ttft[n/2]
+		r.summary.Completions.TTFTp99 = r.ttft[min(n*99/100, n-1)]
 	}
 	for _, sl := range r.plan.Services {
 		sv, err := r.site.Service(sl.Name)
@@ -430,7 +430,7 @@
 		}
 		_ = json.NewDecoder(resp.Body).Decode(&counts)
 		resp.Body.Close()
-		s := r.sum.Services[sl.Name]
+		s := r.summary.Services[sl.Name]
 		for k := range s.Sent {
 			switch counts.Calls[fmt.Sprintf("%s-%d", sl.Name, k)] {
 			case 0:
@@ -441,7 +441,7 @@
 				s.ReachedRepeatedly++
 			}
 		}
-		r.sum.Services[sl.Name] = s
+		r.summary.Services[sl.Name] = s
 	}
 }
 
--- a/testbed/cfobjects/server.go
+++ b/testbed/cfobjects/server.go
@@ -58,9 +58,9 @@
 		pending  []pendingWrite
 		faults   Faults
 
-		calls *prometheus.CounterVec
-		total atomic.Int64
-		reg   *prometheus.Registry
+		calls     *prometheus.CounterVec
+		callCount atomic.Int64
+		registry  *prometheus.Registry
 	}
 
 	// Faults are the injected faults now in force.
@@ -82,35 +82,35 @@
 		settings: settings,
 		changed:  make(chan struct{}),
 		objects:  map[string]map[string]cf.Object{},
-		reg:      prometheus.NewRegistry(),
+		registry: prometheus.NewRegistry(),
 	}
 	s.calls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "currantford_platform_calls_total",
 		Help: "Calls to the object API stand-in by operation; a waiting watch counts once.",
 	}, []string{"op"})
-	s.reg.MustRegister(s.calls)
+	s.registry.MustRegister(s.calls)
 	return s
 }
 
 // Calls returns the number of object API calls served so far.
-func (s *Server) Calls() int64 { return s.total.Load() }
+func (s *Server) Calls() int64 { return s.callCount.Load() }
 
 // Handler returns the HTTP API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/objects/{kind}/{name...}", s.faulty("get", s.handleGet))
-	mux.HandleFunc("PUT /v1/objects/{kind}/{name...}", s.faulty("put", s.handlePut))
-	mux.HandleFunc("GET /v1/objects/{kind}", s.faulty("watch", s.handleWatch))
+	mux.HandleFunc("GET /v1/objects/{kind}/{name...}", s.withFaults("get", s.handleGet))
+	mux.HandleFunc("PUT /v1/objects/{kind}/{name...}", s.withFaults("put", s.handlePut))
+	mux.HandleFunc("GET /v1/objects/{kind}", s.withFaults("watch", s.handleWatch))
 	mux.HandleFunc("POST /v1/faults", s.handleFaults)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(s.reg, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// faulty counts the call and applies outage and slowness before it runs.
-func (s *Server) faulty(op string, h http.HandlerFunc) http.HandlerFunc {
+// withFaults counts the call and applies outage and slowness before it runs.
+func (s *Server) withFaults(op string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.WithLabelValues(op).Inc()
-		s.total.Add(1)
+		s.callCount.Add(1)
 		s.mu.Lock()
 		f := s.faults
 		s.mu.Unlock()
@@ -127,7 +127,7 @@
 
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.promoteLocked()
+	s.publishPendingLocked()
 	obj, ok := s.objects[r.PathValue("kind")][r.PathValue("name")]
 	s.mu.Unlock()
 	if !ok {
@@ -155,7 +155,7 @@
 		writeJSON(w, http.StatusConflict, obj)
 		return
 	}
-	if s.loseAnswer() {
+	if s.shouldDropResponse() {
 		// The change took effect; the caller never hears of it.
 		panic(http.ErrAbortHandler)
 	}
@@ -171,7 +171,7 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		objs, rev, changed, next := s.since(kind, after)
+		objs, rev, changed, visible := s.objectsAfter(kind, after)
 		if len(objs) > 0 || wait == 0 {
 			writeJSON(w, http.StatusOK, struct {
 				Objects  []cf.Object `json:"objects"`
@@ -183,7 +183,7 @@
 		select {
 		case <-changed:
 			wait = time.Nanosecond
-		case <-next:
+		case <-visible:
 			wait = time.Nanosecond
 		case <-deadline.C:
 		case <-r.Context().Done():
@@ -214,7 +214,7 @@
 func (s *Server) put(kind, name string, value []byte, ifVersion int64) (cf.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.promoteLocked()
+	s.publishPendingLocked()
 	cur, exists := s.objects[kind][name]
 	for _, p := range s.pending {
 		if p.obj.Kind == kind && p.obj.Name == name {
@@ -236,27 +236,27 @@
 	return obj, nil
 }
 
-// since returns the visible objects of kind newer than after, the revision,
+// objectsAfter returns the visible objects of kind newer than after, the revision,
 // a channel closed on the next write and one that fires when the next
 // lagged write becomes visible.
-func (s *Server) since(kind string, after int64) ([]cf.Object, int64, <-chan struct{}, <-chan time.Time) {
+func (s *Server) objectsAfter(kind string, after int64) ([]cf.Object, int64, <-chan struct{}, <-chan time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.promoteLocked()
+	s.publishPendingLocked()
 	var objs []cf.Object
 	for _, o := range s.objects[kind] {
 		if o.Version > after {
 			objs = append(objs, o)
 		}
 	}
-	var next <-chan time.Time
+	var visible <-chan time.Time
 	if len(s.pending) > 0 {
-		next = time.After(max(s.pending[0].visibleAt-cf.Now(), 1).Duration())
+		visible = time.After(max(s.pending[0].visibleAt-cf.Now(), 1).Duration())
 	}
-	return objs, s.revision, s.changed, next
+	return objs, s.revision, s.changed, visible
 }
 
-func (s *Server) promoteLocked() {
+func (s *Server) publishPendingLocked() {
 	now := cf.Now()
 	n := 0
 	for n < len(s.pending) && s.pending[n].visibleAt <= now {
@@ -281,7 +281,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Server) loseAnswer() bool {
+func (s *Server) shouldDropResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.DropResponses > 0 {
--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -10,10 +10,10 @@
 
 const (
 	host = "h"
-	// crashAfter is how long an engine runs an item that ends it.
-	crashAfter cf.Millis = 80
-	// sweepEvery is how often the quarantine forgets what is over.
-	sweepEvery cf.Millis = 500
+	// crashDelay is how long an engine runs an item that ends it.
+	crashDelay cf.Millis = 80
+	// sweepInterval is how often the quarantine forgets what is over.
+	sweepInterval cf.Millis = 500
 )
 
 type (
@@ -46,18 +46,18 @@
 		OtherRuns int
 	}
 
-	// idle is how long an item has been at no engine since its last run there, while the
+	// itemKey is how long an item has been at no engine since its last run there, while the
 	// engines were less than half full.
-	idle struct {
+	itemKey struct {
 		batch cf.BatchID
 		item  cf.ItemID
 	}
 )
 
 // QuarantineKey returns the quarantine's key of an item.
-func (r *Simulation) QuarantineKey(b cf.BatchID, it cf.Item) cfquarantine.Key {
+func (sim *Simulation) QuarantineKey(b cf.BatchID, it cf.Item) cfquarantine.Key {
 	it.Body = []byte(it.ID)
-	if body := r.options.Crashes.Body; body != nil {
+	if body := sim.options.Crashes.Body; body != nil {
 		it.Body = []byte(body(it))
 	}
 	return cfquarantine.KeyOfItem(&cf.Submission{ID: b, Host: host}, it)
@@ -65,117 +65,117 @@
 
 // MaxUnplaced returns the longest time that an item which was not done has been at no engine while
 // the engines were less than half full.
-func (r *Simulation) MaxUnplaced() cf.Millis { return r.unplaced }
+func (sim *Simulation) MaxUnplaced() cf.Millis { return sim.maxUnplaced }
 
 // FaultyItemCrashes returns the ends of engines under guilty items.
-func (r *Simulation) FaultyItemCrashes() []Crash { return r.guilty }
+func (sim *Simulation) FaultyItemCrashes() []Crash { return sim.faultyCrashes }
 
 // admit asks the quarantine whether an item may be sent to an engine.
-func (r *Simulation) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := r.options.Crashes.Quarantine.AdmitDeferred(r.QuarantineKey(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
-		cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()}, r.now)
+func (sim *Simulation) admit(w *cfrollout.Work, engine cf.Target, isolated bool) cfrollout.Admission {
+	v := sim.options.Crashes.Quarantine.AdmitDeferred(sim.QuarantineKey(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(engine),
+		cfquarantine.DeferredWork{Isolated: isolated, WaitingSince: w.WaitingSince()}, sim.now)
 	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
 // follow tells the quarantine how a run ended at an engine; lost says that the engine ended.
-func (r *Simulation) followRun(w *cfrollout.Work, at cf.Target, outcome cfrollout.Outcome, lost bool) {
-	q := r.options.Crashes.Quarantine
+func (sim *Simulation) recordRun(w *cfrollout.Work, at cf.Target, outcome cfrollout.Outcome, lost bool) {
+	q := sim.options.Crashes.Quarantine
 	if q == nil {
 		return
 	}
-	key, inc := r.QuarantineKey(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(at)
+	key, inc := sim.QuarantineKey(w.Batch.Sub.ID, w.Item), cfquarantine.IncarnationOf(at)
 	switch {
 	case outcome == cfrollout.OutcomeDone:
-		q.Answered(key, inc, w.Started, r.now)
+		q.Answered(key, inc, w.Started, sim.now)
 	case lost:
-		q.Lost(key, inc, true, r.now)
+		q.Lost(key, inc, true, sim.now)
 	default:
 		q.Dropped(key, inc)
 	}
 }
 
-// playCrashes ends the engines whose time has come, and brings back those that were down.
-func (r *Simulation) playCrashes() {
-	c := &r.options.Crashes
+// applyCrashes ends the engines whose time has come, and brings back those that were down.
+func (sim *Simulation) applyCrashes() {
+	c := &sim.options.Crashes
 	for _, wave := range c.Bursts {
-		if wave.At != r.now {
+		if wave.At != sim.now {
 			continue
 		}
-		for _, i := range r.random.Perm(len(r.engines))[:int(wave.Fraction*float64(len(r.engines))+0.5)] {
-			r.crash(r.engines[i], wave.Downtime)
+		for _, i := range sim.random.Perm(len(sim.engines))[:int(wave.Fraction*float64(len(sim.engines))+0.5)] {
+			sim.crashEngine(sim.engines[i], wave.Downtime)
 		}
 	}
-	for _, e := range r.engines {
-		if e.back > 0 && r.now >= e.back {
-			e.back = 0
+	for _, e := range sim.engines {
+		if e.restartAt > 0 && sim.now >= e.restartAt {
+			e.restartAt = 0
 			before := cfquarantine.IncarnationOf(e.target)
-			e.target.Started = r.now
-			r.listEngines()
-			for m, v := range e.held {
-				r.planner.SwapDone(e.target.ID, m, v)
+			e.target.Started = sim.now
+			sim.updatePlanner()
+			for m, v := range e.versions {
+				sim.planner.SwapDone(e.target.ID, m, v)
 			}
 			if c.Quarantine != nil {
-				c.Quarantine.Replaced(before, r.now)
+				c.Quarantine.Replaced(before, sim.now)
 			}
 		}
-		if c.IsFaulty == nil || e.back > 0 {
+		if c.IsFaulty == nil || e.restartAt > 0 {
 			continue
 		}
-		for _, w := range sorted(e.runs) {
-			if c.IsFaulty(w.Item) && r.now-w.Started >= crashAfter {
-				r.guilty = append(r.guilty, Crash{r.now, w.Item.ID, len(e.runs) - 1})
-				r.crash(e, c.FaultyDowntime)
+		for _, w := range sortedRuns(e.runs) {
+			if c.IsFaulty(w.Item) && sim.now-w.Started >= crashDelay {
+				sim.faultyCrashes = append(sim.faultyCrashes, Crash{sim.now, w.Item.ID, len(e.runs) - 1})
+				sim.crashEngine(e, c.FaultyDowntime)
 				break
 			}
 		}
 	}
-	if c.Quarantine != nil && r.now%sweepEvery == 0 {
-		c.Quarantine.Sweep(true, r.now)
+	if c.Quarantine != nil && sim.now%sweepInterval == 0 {
+		c.Quarantine.Sweep(true, sim.now)
 	}
 }
 
-// crash ends an engine and its runs. It is listed until it is back.
-func (r *Simulation) crash(e *engine, down cf.Millis) {
-	if e.back > 0 {
+// crashEngine ends an engine and its runs. It is listed until it is back.
+func (sim *Simulation) crashEngine(e *engine, down cf.Millis) {
+	if e.restartAt > 0 {
 		return
 	}
-	e.back, e.loading = r.now+down, ""
-	for _, w := range sorted(e.runs) {
-		r.endAt(e, w, cfrollout.OutcomeBroken, true)
+	e.restartAt, e.loading = sim.now+down, ""
+	for _, w := range sortedRuns(e.runs) {
+		sim.endRunAt(e, w, cfrollout.OutcomeBroken, true)
 	}
-	if q := r.options.Crashes.Quarantine; q != nil {
-		q.Checked(cfquarantine.IncarnationOf(e.target), r.now, cfquarantine.LossRefused, r.now)
+	if q := sim.options.Crashes.Quarantine; q != nil {
+		q.Checked(cfquarantine.IncarnationOf(e.target), sim.now, cfquarantine.LossRefused, sim.now)
 	}
 }
 
-// noteIdle adds to the times of the items that are at no engine.
-func (r *Simulation) noteIdle() {
+// recordUnplaced adds to the times of the items that are at no engine.
+func (sim *Simulation) recordUnplaced() {
 	running, slots := 0, 0
 	at := map[cf.ItemID]bool{}
-	for _, e := range r.engines {
+	for _, e := range sim.engines {
 		for w := range e.runs {
 			at[w.Item.ID] = true
 		}
-		if e.back == 0 {
+		if e.restartAt == 0 {
 			running, slots = running+len(e.runs), slots+e.target.Slots
 		}
 	}
-	seen := map[idle]cf.Millis{}
-	for _, t := range r.trainers {
+	seen := map[itemKey]cf.Millis{}
+	for _, t := range sim.trainers {
 		if t.batch == nil {
 			continue
 		}
 		for _, it := range t.batch.Sub.Items {
-			done := t.batch.Listed(it.ID) || slices.ContainsFunc(t.pending, func(p cf.Result) bool { return p.ID == it.ID })
+			done := t.batch.Listed(it.ID) || slices.ContainsFunc(t.pendingResults, func(p cf.Result) bool { return p.ID == it.ID })
 			if done || at[it.ID] {
 				continue
 			}
-			k := idle{t.batch.Sub.ID, it.ID}
-			if seen[k] = r.idle[k]; 2*running < slots {
-				seen[k] += lookEvery
+			k := itemKey{t.batch.Sub.ID, it.ID}
+			if seen[k] = sim.unplacedFor[k]; 2*running < slots {
+				seen[k] += planInterval
 			}
-			r.unplaced = max(r.unplaced, seen[k])
+			sim.maxUnplaced = max(sim.maxUnplaced, seen[k])
 		}
 	}
-	r.idle = seen
+	sim.unplacedFor = seen
 }
--- a/testbed/cfreplay/simulation.go
+++ b/testbed/cfreplay/simulation.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	service cf.ServiceName = "engines"
+	engineService cf.ServiceName = "engines"
 	// tick is the step of the clock, lookEvery how often the planner looks.
-	tick      cf.Millis = 10
-	lookEvery cf.Millis = 20
+	tick         cf.Millis = 10
+	planInterval cf.Millis = 20
 )
 
 type (
@@ -59,26 +59,26 @@
 
 	// Simulation is a load under way. It is not safe for concurrent use.
 	Simulation struct {
-		options  Options
-		planner  *cfrollout.Planner
-		random   *rand.Rand
-		engines  []*engine
-		trainers []*trainer
-		now      cf.Millis
-		guilty   []Crash
-		idle     map[idle]cf.Millis
-		unplaced cf.Millis
+		options       Options
+		planner       *cfrollout.Planner
+		random        *rand.Rand
+		engines       []*engine
+		trainers      []*trainer
+		now           cf.Millis
+		faultyCrashes []Crash
+		unplacedFor   map[itemKey]cf.Millis
+		maxUnplaced   cf.Millis
 	}
 
 	engine struct {
-		target  cf.Target
-		held    map[cf.ModelName]cf.WeightVersion
-		loading cf.ModelName
-		version cf.WeightVersion
-		left    float64 // ms of the load
-		slow    float64
-		runs    map[*cfrollout.Work]*run
-		back    cf.Millis // when it is up again, zero while it is
+		target         cf.Target
+		versions       map[cf.ModelName]cf.WeightVersion
+		loading        cf.ModelName
+		loadingVersion cf.WeightVersion
+		loadRemaining  float64 // ms of the load
+		slowFactor     float64
+		runs           map[*cfrollout.Work]*run
+		restartAt      cf.Millis // when it is up again, zero while it is
 	}
 
 	// run is how far a text is, in events.
@@ -87,117 +87,117 @@
 
 // New returns a replay at its beginning.
 func New(o Options) *Simulation {
-	r := &Simulation{options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), idle: map[idle]cf.Millis{}}
+	sim := &Simulation{options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), unplacedFor: map[itemKey]cf.Millis{}}
 	if o.Crashes.Quarantine != nil {
-		o.Limits.Admit = r.admit
+		o.Limits.Admit = sim.admit
 	}
-	r.planner = cfrollout.New(o.Limits)
-	r.planner.SetShareWeights(o.ShareWeights)
-	var held []cf.ModelState
+	sim.planner = cfrollout.New(o.Limits)
+	sim.planner.SetShareWeights(o.ShareWeights)
+	var initial []cf.ModelState
 	for _, t := range o.Trainers {
-		held = append(held, cf.ModelState{Name: t.Model, Version: 1})
-		r.trainers = append(r.trainers, newTrainer(r, t))
+		initial = append(initial, cf.ModelState{Name: t.Model, Version: 1})
+		sim.trainers = append(sim.trainers, newTrainer(sim, t))
 	}
 	for i := range o.Engines.Count {
-		e := &engine{held: map[cf.ModelName]cf.WeightVersion{}, runs: map[*cfrollout.Work]*run{}, slow: 1}
+		e := &engine{versions: map[cf.ModelName]cf.WeightVersion{}, runs: map[*cfrollout.Work]*run{}, slowFactor: 1}
 		e.target = cf.Target{
-			ID: cf.InstanceID(fmt.Sprintf("e%03d", i)), Service: service, Slots: o.Engines.Slots, Models: held, Started: 1,
+			ID: cf.InstanceID(fmt.Sprintf("e%03d", i)), Service: engineService, Slots: o.Engines.Slots, Models: initial, Started: 1,
 			Domain: cf.FailureDomain(fmt.Sprint("d", i%max(o.Engines.FailureDomains, 1))),
 		}
 		for _, t := range o.Trainers {
-			e.held[t.Model] = 1
+			e.versions[t.Model] = 1
 		}
-		r.engines = append(r.engines, e)
+		sim.engines = append(sim.engines, e)
 	}
-	r.listEngines()
-	return r
+	sim.updatePlanner()
+	return sim
 }
 
-// listEngines tells the planner which engines there are.
-func (r *Simulation) listEngines() {
+// updatePlanner tells the planner which engines there are.
+func (sim *Simulation) updatePlanner() {
 	var targets []cf.Target
-	for _, e := range r.engines {
+	for _, e := range sim.engines {
 		targets = append(targets, e.target)
 	}
 	var models []cf.ModelName
-	for _, t := range r.trainers {
+	for _, t := range sim.trainers {
 		models = append(models, t.Model)
 	}
-	r.planner.SetEngines(targets, map[cf.ServiceName][]cf.ModelName{service: models})
+	sim.planner.SetEngines(targets, map[cf.ServiceName][]cf.ModelName{engineService: models})
 }
 
 // Run plays until a time.
-func (r *Simulation) Run(until cf.Millis) {
-	for ; r.now < until; r.now += tick {
-		if every := r.options.Engines.SlowInterval; every > 0 && r.now%every == 0 {
-			r.redraw()
+func (sim *Simulation) Run(until cf.Millis) {
+	for ; sim.now < until; sim.now += tick {
+		if every := sim.options.Engines.SlowInterval; every > 0 && sim.now%every == 0 {
+			sim.drawSlowEngines()
 		}
-		for _, e := range r.engines {
-			r.generate(e)
+		for _, e := range sim.engines {
+			sim.advance(e)
 		}
-		r.playCrashes()
-		if r.now%lookEvery == 0 {
-			r.look()
-			r.noteIdle()
+		sim.applyCrashes()
+		if sim.now%planInterval == 0 {
+			sim.runPlanner()
+			sim.recordUnplaced()
 		}
 	}
 }
 
 // LoseDomain ends the engines of a failure domain, and with them their runs.
-func (r *Simulation) LoseDomain(domain cf.FailureDomain) {
+func (sim *Simulation) LoseDomain(domain cf.FailureDomain) {
 	var lost []*engine
-	r.engines = slices.DeleteFunc(r.engines, func(e *engine) bool {
+	sim.engines = slices.DeleteFunc(sim.engines, func(e *engine) bool {
 		if e.target.Domain != domain {
 			return false
 		}
 		lost = append(lost, e)
 		return true
 	})
-	r.listEngines()
+	sim.updatePlanner()
 	for _, e := range lost {
-		for _, w := range sorted(e.runs) {
-			r.end(w, cfrollout.OutcomeBroken)
+		for _, w := range sortedRuns(e.runs) {
+			sim.endRun(w, cfrollout.OutcomeBroken)
 		}
 	}
 }
 
 // SlowEngines makes the first n engines so many times slower, and the others as fast as usual.
-func (r *Simulation) SlowEngines(n int, factor float64) {
-	for i, e := range r.engines {
-		if e.slow = 1; i < n {
-			e.slow = factor
+func (sim *Simulation) SlowEngines(n int, factor float64) {
+	for i, e := range sim.engines {
+		if e.slowFactor = 1; i < n {
+			e.slowFactor = factor
 		}
 	}
 }
 
-// redraw draws which engines are slow.
-func (r *Simulation) redraw() {
-	for _, e := range r.engines {
-		if e.slow = 1; r.random.Float64() < r.options.Engines.SlowFraction {
-			e.slow = r.options.Engines.SlowFactor
+// drawSlowEngines draws which engines are slow.
+func (sim *Simulation) drawSlowEngines() {
+	for _, e := range sim.engines {
+		if e.slowFactor = 1; sim.random.Float64() < sim.options.Engines.SlowFraction {
+			e.slowFactor = sim.options.Engines.SlowFactor
 		}
 	}
 }
 
-// loadFactor is how much longer loads take now than one alone.
-func (r *Simulation) loadFactor() float64 {
+// loadSlowdown is how much longer loads take now than one alone.
+func (sim *Simulation) loadSlowdown() float64 {
 	n := 0
-	for _, e := range r.engines {
+	for _, e := range sim.engines {
 		if e.loading != "" {
 			n++
 		}
 	}
-	if most := r.options.Engines.FullSpeedLoads; most > 0 && n > most {
-		return float64(n) / float64(most)
+	if limit := sim.options.Engines.FullSpeedLoads; limit > 0 && n > limit {
+		return float64(n) / float64(limit)
 	}
 	return 1
 }
 
 // Shares counts the engines of each trainer.
-func (r *Simulation) Shares() map[cf.ModelName]int {
+func (sim *Simulation) Shares() map[cf.ModelName]int {
 	out := map[cf.ModelName]int{}
-	for _, e := range r.engines {
-		if known, ok := r.planner.Engine(e.target.ID); ok {
+	for _, e := range sim.engines {
+		if known, ok := sim.planner.Engine(e.target.ID); ok {
 			out[known.Model]++
 		}
 	}
@@ -205,46 +205,46 @@
 }
 
 // Outcomes returns what the trainers got so far, in their order.
-func (r *Simulation) Outcomes() []Outcome {
+func (sim *Simulation) Outcomes() []Outcome {
 	var out []Outcome
-	for _, t := range r.trainers {
+	for _, t := range sim.trainers {
 		out = append(out, t.outcome)
 	}
 	return out
 }
 
-// look does what a coordinator does at a look, and what trainers do meanwhile.
-func (r *Simulation) look() {
-	for _, t := range r.trainers {
-		t.follow(r.now)
+// runPlanner does what a coordinator does at a look, and what trainers do meanwhile.
+func (sim *Simulation) runPlanner() {
+	for _, t := range sim.trainers {
+		t.poll(sim.now)
 	}
-	at := make(map[cf.InstanceID]*engine, len(r.engines))
-	for _, e := range r.engines {
+	at := make(map[cf.InstanceID]*engine, len(sim.engines))
+	for _, e := range sim.engines {
 		at[e.target.ID] = e
 	}
-	for _, w := range r.planner.Place(r.now) {
+	for _, w := range sim.planner.Place(sim.now) {
 		e := at[w.Engine]
-		if e.back > 0 {
-			r.endAt(e, w, cfrollout.OutcomeBroken, false) // nothing takes its connection
+		if e.restartAt > 0 {
+			sim.endRunAt(e, w, cfrollout.OutcomeBroken, false) // nothing takes its connection
 			continue
 		}
-		e.runs[w] = &run{done: float64(w.Text.Last), length: r.lengthOf(w)}
+		e.runs[w] = &run{done: float64(w.Text.Last), length: sim.textLength(w)}
 	}
-	for _, s := range r.planner.Swaps(r.now) {
+	for _, s := range sim.planner.Swaps(sim.now) {
 		e := at[s.Target.ID]
-		if e.back > 0 {
-			r.planner.SwapFailed(e.target.ID, r.now)
+		if e.restartAt > 0 {
+			sim.planner.SwapFailed(e.target.ID, sim.now)
 			continue
 		}
-		e.loading, e.version, e.left = s.Model, s.Version, float64(r.options.Engines.LoadTime)*(1+r.options.Engines.LoadJitter*r.random.Float64())
+		e.loading, e.loadingVersion, e.loadRemaining = s.Model, s.Version, float64(sim.options.Engines.LoadTime)*(1+sim.options.Engines.LoadJitter*sim.random.Float64())
 	}
-	for _, w := range r.planner.Moves(r.now) {
-		r.end(w, cfrollout.OutcomeStopped)
+	for _, w := range sim.planner.Moves(sim.now) {
+		sim.endRun(w, cfrollout.OutcomeStopped)
 	}
 }
 
-func (r *Simulation) lengthOf(w *cfrollout.Work) float64 {
-	for _, t := range r.trainers {
+func (sim *Simulation) textLength(w *cfrollout.Work) float64 {
+	for _, t := range sim.trainers {
 		if t.Model == w.Batch.Sub.Model {
 			return t.lengths[w.Item.ID]
 		}
@@ -252,70 +252,70 @@
 	return 1
 }
 
-// end ends a run.
-func (r *Simulation) end(w *cfrollout.Work, outcome cfrollout.Outcome) {
-	for _, e := range r.engines {
+// endRun ends a run.
+func (sim *Simulation) endRun(w *cfrollout.Work, outcome cfrollout.Outcome) {
+	for _, e := range sim.engines {
 		if e.runs[w] != nil {
-			r.endAt(e, w, outcome, false)
+			sim.endRunAt(e, w, outcome, false)
 			return
 		}
 	}
-	r.finished(w, outcome)
+	sim.finishRun(w, outcome)
 }
 
-// endAt ends a run at an engine; lost says that the engine ended.
-func (r *Simulation) endAt(e *engine, w *cfrollout.Work, outcome cfrollout.Outcome, lost bool) {
+// endRunAt ends a run at an engine; lost says that the engine ended.
+func (sim *Simulation) endRunAt(e *engine, w *cfrollout.Work, outcome cfrollout.Outcome, lost bool) {
 	delete(e.runs, w)
-	r.followRun(w, e.target, outcome, lost)
-	r.finished(w, outcome)
+	sim.recordRun(w, e.target, outcome, lost)
+	sim.finishRun(w, outcome)
 }
 
-func (r *Simulation) finished(w *cfrollout.Work, outcome cfrollout.Outcome) {
-	if !r.planner.Finished(w, outcome, r.now) {
+func (sim *Simulation) finishRun(w *cfrollout.Work, outcome cfrollout.Outcome) {
+	if !sim.planner.Finished(w, outcome, sim.now) {
 		return
 	}
-	for _, t := range r.trainers {
-		t.take(w)
+	for _, t := range sim.trainers {
+		t.addResult(w)
 	}
 }
 
-// generate lets an engine work for a tick.
-func (r *Simulation) generate(e *engine) {
-	if e.back > 0 {
+// advance lets an engine work for a tick.
+func (sim *Simulation) advance(e *engine) {
+	if e.restartAt > 0 {
 		return
 	}
 	if e.loading != "" {
-		if e.left -= float64(tick) / r.loadFactor(); e.left <= 0 {
-			e.held[e.loading] = e.version
-			r.planner.LoadEnded(e.target.ID, r.now)
-			r.planner.SwapDone(e.target.ID, e.loading, e.version)
+		if e.loadRemaining -= float64(tick) / sim.loadSlowdown(); e.loadRemaining <= 0 {
+			e.versions[e.loading] = e.loadingVersion
+			sim.planner.LoadEnded(e.target.ID, sim.now)
+			sim.planner.SwapDone(e.target.ID, e.loading, e.loadingVersion)
 			e.loading = ""
 		}
 		return
 	}
-	pace := (r.options.Engines.EventTime + r.options.Engines.EventTimePerRun*float64(len(e.runs))) * e.slow
+	pace := (sim.options.Engines.EventTime + sim.options.Engines.EventTimePerRun*float64(len(e.runs))) * e.slowFactor
 	var done []*cfrollout.Work
-	for _, w := range sorted(e.runs) {
-		x := e.runs[w]
-		x.done += float64(tick) / pace
-		for float64(w.Text.Last) < min(math.Floor(x.done), x.length) {
-			w.Progress.RecordEvent(r.now)
-			ev := cf.StreamEvent{ID: w.Text.Last + 1, Version: e.held[w.Batch.Sub.Model]}
+	for _, w := range sortedRuns(e.runs) {
+		progress := e.runs[w]
+		progress.done += float64(tick) / pace
+		for float64(w.Text.Last) < min(math.Floor(progress.done), progress.length) {
+			w.Progress.RecordEvent(sim.now)
+			ev := cf.StreamEvent{ID: w.Text.Last + 1, Version: e.versions[w.Batch.Sub.Model]}
 			if err := w.Text.Append(ev); err != nil {
 				panic(err) // the replay itself made the event
 			}
 		}
-		if float64(w.Text.Last) >= x.length {
+		if float64(w.Text.Last) >= progress.length {
 			done = append(done, w)
 		}
 	}
 	for _, w := range done {
-		r.end(w, cfrollout.OutcomeDone)
+		sim.endRun(w, cfrollout.OutcomeDone)
 	}
 }
 
-// sorted returns runs in the order of their items, so that a seed plays the same again.
-func sorted(runs map[*cfrollout.Work]*run) []*cfrollout.Work {
+// sortedRuns returns runs in the order of their items, so that a seed plays the same again.
+func sortedRuns(runs map[*cfrollout.Work]*run) []*cfrollout.Work {
 	out := make([]*cfrollout.Work, 0, len(runs))
 	for w := range runs {
 		out = append(out, w)
--- a/testbed/cfreplay/trainer.go
+++ b/testbed/cfreplay/trainer.go
@@ -16,15 +16,15 @@
 	StepDue        cf.Millis = 7500
 	FullValueUntil cf.Millis = 8200
 	StepTimeout    cf.Millis = 12000
-	// tokens are those of an event, prompt those of a prompt.
-	tokens = 74
-	prompt = 300
-	// longPart of the texts have longFactor times the usual length; spread and wrong are the
+	// tokensPerEvent are those of an event, prompt those of a prompt.
+	tokensPerEvent = 74
+	promptTokens   = 300
+	// longFraction of the texts have longFactor times the usual length; spread and wrong are the
 	// logarithmic deviations of lengths and of their hints.
-	longPart   = 0.08
-	longFactor = 5
-	spread     = 0.5
-	wrong      = 0.47
+	longFraction    = 0.08
+	longFactor      = 5
+	lengthLogStdDev = 0.5
+	hintLogStdDev   = 0.47
 )
 
 type (
@@ -62,90 +62,90 @@
 
 	trainer struct {
 		Trainer
-		replay   *Simulation
-		lengths  map[cf.ItemID]float64
-		items    map[cf.GroupID][]cf.Item
-		step     int
-		next     cf.Millis
-		batch    *cfbatch.Batch
-		accepted cf.Millis
-		pending  []cf.Result
-		read     map[cf.GroupID]bool
-		unwhole  []cf.GroupID
+		sim            *Simulation
+		lengths        map[cf.ItemID]float64
+		items          map[cf.GroupID][]cf.Item
+		stepNumber     int
+		nextStepAt     cf.Millis
+		batch          *cfbatch.Batch
+		accepted       cf.Millis
+		pendingResults []cf.Result
+		countedGroups  map[cf.GroupID]bool
+		incomplete     []cf.GroupID
 		// current is the outcome of the step under way, outcome that of the ended ones.
 		current, outcome Outcome
 	}
 )
 
-func newTrainer(r *Simulation, t Trainer) *trainer {
+func newTrainer(sim *Simulation, t Trainer) *trainer {
 	return &trainer{
-		Trainer: t, replay: r, lengths: map[cf.ItemID]float64{}, items: map[cf.GroupID][]cf.Item{},
-		next: t.From + cf.Millis(r.random.IntN(1000)),
+		Trainer: t, sim: sim, lengths: map[cf.ItemID]float64{}, items: map[cf.GroupID][]cf.Item{},
+		nextStepAt: t.From + cf.Millis(sim.random.IntN(1000)),
 	}
 }
 
-// draw returns the length of a text.
-func (t *trainer) draw() float64 {
-	n := t.MeanEvents / (1 + longPart*(longFactor-1)) * math.Exp(spread*t.replay.random.NormFloat64()-spread*spread/2)
-	if t.replay.random.Float64() < longPart {
+// drawLength returns the length of a text.
+func (t *trainer) drawLength() float64 {
+	n := t.MeanEvents / (1 + longFraction*(longFactor-1)) * math.Exp(lengthLogStdDev*t.sim.random.NormFloat64()-lengthLogStdDev*lengthLogStdDev/2)
+	if t.sim.random.Float64() < longFraction {
 		n *= longFactor
 	}
 	return math.Ceil(min(max(n, 1), t.MaxEvents))
 }
 
-// submit hands in a step.
-func (t *trainer) submit(now cf.Millis) {
-	r := t.replay
-	t.step++
-	r.planner.SetVersion(t.Model, cf.WeightVersion(t.step))
-	n := t.MinGroups + r.random.IntN(t.MaxGroups-t.MinGroups+1)
+// submitStep hands in a step.
+func (t *trainer) submitStep(now cf.Millis) {
+	sim := t.sim
+	t.stepNumber++
+	sim.planner.SetVersion(t.Model, cf.WeightVersion(t.stepNumber))
+	n := t.MinGroups + sim.random.IntN(t.MaxGroups-t.MinGroups+1)
 	sub := cf.Submission{
-		ID: cf.BatchID(fmt.Sprintf("%s-%d", t.Model, t.step)), Model: t.Model, MinVersion: cf.WeightVersion(max(t.step-1, 1)),
+		ID: cf.BatchID(fmt.Sprintf("%s-%d", t.Model, t.stepNumber)), Model: t.Model, MinVersion: cf.WeightVersion(max(t.stepNumber-1, 1)),
 		TargetGroups: int(math.Ceil(t.RequiredFraction * float64(n))), Accepted: now,
 	}
 	var groups []cf.GroupID
 	if t.CarryOver {
-		groups = append(groups, t.unwhole[:min(len(t.unwhole), sub.TargetGroups/2)]...)
+		groups = append(groups, t.incomplete[:min(len(t.incomplete), sub.TargetGroups/2)]...)
 	}
 	carried := len(groups)
 	for k := carried; k < n; k++ {
-		groups = append(groups, t.group(sub.ID, k))
+		groups = append(groups, t.drawGroup(sub.ID, k))
 	}
 	for _, g := range groups {
 		sub.Items = append(sub.Items, t.items[g]...)
 	}
-	t.batch, t.accepted, t.read = cfbatch.New(sub), now, map[cf.GroupID]bool{}
+	t.batch, t.accepted, t.countedGroups = cfbatch.New(sub), now, map[cf.GroupID]bool{}
 	for _, g := range groups[:carried] {
 		t.batch.CarryOver(g)
 	}
-	terms := cfrollout.Terms{Service: service, MaxAttempts: 3, MaxWait: 5 * StepTimeout, Due: now + StepDue, Span: StepDue}
-	for _, w := range r.planner.AddBatch(t.batch, terms) {
-		t.take(w)
+	terms := cfrollout.Terms{Service: engineService, MaxAttempts: 3, MaxWait: 5 * StepTimeout, Due: now + StepDue, Span: StepDue}
+	for _, w := range sim.planner.AddBatch(t.batch, terms) {
+		t.addResult(w)
 	}
-	t.current = Outcome{Steps: 1, Required: sub.TargetGroups, UpperBound: t.best(groups)}
+	t.current = Outcome{Steps: 1, Required: sub.TargetGroups, UpperBound: t.upperBound(groups)}
 }
 
-// group draws the items of a group.
-func (t *trainer) group(id cf.BatchID, k int) cf.GroupID {
+// drawGroup draws the items of a group.
+func (t *trainer) drawGroup(id cf.BatchID, k int) cf.GroupID {
 	g := cf.GroupID(fmt.Sprintf("%s-%02d", id, k))
 	for i := range t.GroupSize {
-		it := cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%02d", g, i)), Group: g, PromptTokens: prompt}
-		length := t.draw()
+		it := cf.Item{ID: cf.ItemID(fmt.Sprintf("%s-%02d", g, i)), Group: g, PromptTokens: promptTokens}
+		length := t.drawLength()
 		t.lengths[it.ID] = length
-		it.LengthHint = cf.Tokens(max(1, tokens*length*math.Exp(wrong*t.replay.random.NormFloat64())))
-		it.MaxTokens = cf.Tokens(prompt + tokens*length)
+		it.LengthHint = cf.Tokens(max(1, tokensPerEvent*length*math.Exp(hintLogStdDev*t.sim.random.NormFloat64())))
+		it.MaxTokens = cf.Tokens(promptTokens + tokensPerEvent*length)
 		t.items[g] = append(t.items[g], it)
 	}
 	return g
 }
 
-// best bounds the groups of a step that can be whole until Full, by the least work first: an
+// upperBound bounds the groups of a step that can be whole until Full, by the least work first: an
 // engine's slots make events at a pace that no order of the work exceeds.
-func (t *trainer) best(groups []cf.GroupID) int {
-	e := t.replay.options.Engines
+func (t *trainer) upperBound(groups []cf.GroupID) int {
+	e := t.sim.options.Engines
 	pace := e.EventTime + e.EventTimePerRun*float64(e.Slots)
-	slots := float64(t.replay.Shares()[t.Model] * e.Slots)
-	var works []float64
+	slots := float64(t.sim.Shares()[t.Model] * e.Slots)
+	var groupWork []float64
 	for _, g := range groups {
 		work, longest := 0.0, 0.0
 		for _, it := range t.items[g] {
@@ -153,12 +153,12 @@
 			longest = max(longest, t.lengths[it.ID])
 		}
 		if longest*(e.EventTime+e.EventTimePerRun) <= float64(FullValueUntil) {
-			works = append(works, work)
+			groupWork = append(groupWork, work)
 		}
 	}
-	slices.Sort(works)
+	slices.Sort(groupWork)
 	n, sum := 0, 0.0
-	for _, w := range works {
+	for _, w := range groupWork {
 		if sum += w; sum > slots*float64(FullValueUntil) || n == int(math.Ceil(t.RequiredFraction*float64(len(groups)))) {
 			break
 		}
@@ -167,55 +167,55 @@
 	return n
 }
 
-// take keeps a complete text for the next listing.
-func (t *trainer) take(w *cfrollout.Work) {
+// addResult keeps a complete text for the next listing.
+func (t *trainer) addResult(w *cfrollout.Work) {
 	if t.batch != nil && t.batch.Sub.ID == w.Batch.Sub.ID {
-		t.pending = append(t.pending, cf.Result{ID: w.Item.ID, State: cf.ItemDone})
+		t.pendingResults = append(t.pendingResults, cf.Result{ID: w.Item.ID, State: cf.ItemDone})
 	}
 }
 
-// follow lists what is complete, and lets the trainer read it.
-func (t *trainer) follow(now cf.Millis) {
+// poll lists what is complete, and lets the trainer read it.
+func (t *trainer) poll(now cf.Millis) {
 	if t.batch == nil {
-		if now >= t.next && (t.Until == 0 || now < t.Until) {
-			t.submit(now)
+		if now >= t.nextStepAt && (t.Until == 0 || now < t.Until) {
+			t.submitStep(now)
 		}
 		return
 	}
-	given := now >= t.accepted+StepTimeout
-	if len(t.pending) == 0 && !given {
+	timedOut := now >= t.accepted+StepTimeout
+	if len(t.pendingResults) == 0 && !timedOut {
 		return
 	}
-	t.batch.Apply(t.batch.NextChunk(), t.pending)
-	t.pending = nil
-	whole, missing := 0, false
-	var unwhole []cf.GroupID
-	last := cf.GroupID("")
+	t.batch.Apply(t.batch.NextChunk(), t.pendingResults)
+	t.pendingResults = nil
+	complete, carriedOpen := 0, false
+	var incomplete []cf.GroupID
+	group := cf.GroupID("")
 	for _, it := range t.batch.Sub.Items {
-		if it.Group == last {
+		if it.Group == group {
 			continue
 		}
-		last = it.Group
-		if t.batch.GroupRemaining(last) == 0 {
-			whole++
-			t.count(last, now-t.accepted)
+		group = it.Group
+		if t.batch.GroupRemaining(group) == 0 {
+			complete++
+			t.countGroup(group, now-t.accepted)
 			continue
 		}
-		unwhole = append(unwhole, last)
-		missing = missing || t.batch.CarriedOver(last)
+		incomplete = append(incomplete, group)
+		carriedOpen = carriedOpen || t.batch.CarriedOver(group)
 	}
-	if whole >= t.batch.Sub.TargetGroups && !missing || given {
-		t.unwhole = unwhole
-		t.finish(now)
+	if complete >= t.batch.Sub.TargetGroups && !carriedOpen || timedOut {
+		t.incomplete = incomplete
+		t.finishStep(now)
 	}
 }
 
-// count notes a group that is whole so long after the step's acceptance.
-func (t *trainer) count(g cf.GroupID, took cf.Millis) {
-	if t.read[g] || len(t.read) >= t.batch.Sub.TargetGroups {
+// countGroup notes a group that is whole so long after the step's acceptance.
+func (t *trainer) countGroup(g cf.GroupID, took cf.Millis) {
+	if t.countedGroups[g] || len(t.countedGroups) >= t.batch.Sub.TargetGroups {
 		return
 	}
-	t.read[g] = true
+	t.countedGroups[g] = true
 	switch {
 	case took <= FullValueUntil:
 		t.current.InTime++
@@ -226,8 +226,8 @@
 	}
 }
 
-// finish ends a step.
-func (t *trainer) finish(now cf.Millis) {
+// finishStep ends a step.
+func (t *trainer) finishStep(now cf.Millis) {
 	c, sum := t.current, &t.outcome
 	sum.Steps += c.Steps
 	sum.Required += c.Required
@@ -236,9 +236,9 @@
 	sum.UpperBound += c.UpperBound
 	sum.Value += c.Value
 	sum.StepTime += now - t.accepted
-	for _, w := range t.replay.planner.EndBatch(t.batch.Sub.ID) {
-		t.replay.end(w, cfrollout.OutcomeStopped)
+	for _, w := range t.sim.planner.EndBatch(t.batch.Sub.ID) {
+		t.sim.endRun(w, cfrollout.OutcomeStopped)
 	}
 	t.batch = nil
-	t.next = max(now+t.TrainTime, t.accepted+t.StepInterval)
+	t.nextStepAt = max(now+t.TrainTime, t.accepted+t.StepInterval)
 }
--- a/testbed/cfstandin/service.go
+++ b/testbed/cfstandin/service.go
@@ -33,8 +33,8 @@
 		idempotent bool
 		mu         sync.Mutex
 		calls      map[string]int
-		answers    map[string][]byte
-		reg        *prometheus.Registry
+		responses  map[string][]byte
+		registry   *prometheus.Registry
 		total      prometheus.Counter
 	}
 
@@ -46,9 +46,9 @@
 
 // NewService returns a service stand-in.
 func NewService(name string, idempotent bool) *Service {
-	s := &Service{name: name, idempotent: idempotent, calls: map[string]int{}, answers: map[string][]byte{}, reg: prometheus.NewRegistry()}
+	s := &Service{name: name, idempotent: idempotent, calls: map[string]int{}, responses: map[string][]byte{}, registry: prometheus.NewRegistry()}
 	s.total = prometheus.NewCounter(prometheus.CounterOpts{Name: "currantford_service_calls_total", Help: "Calls received."})
-	s.reg.MustRegister(s.total)
+	s.registry.MustRegister(s.total)
 	return s
 }
 
@@ -60,7 +60,7 @@
 		defer s.mu.Unlock()
 		writeJSON(w, CallCounts{Calls: s.calls})
 	})
-	mux.Handle("GET /metrics", promhttp.HandlerFor(s.reg, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("POST /", s.handleCall)
 	return mux
 }
@@ -72,7 +72,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[key]++
-	if prev, ok := s.answers[key]; ok && s.idempotent {
+	if prev, ok := s.responses[key]; ok && s.idempotent {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(prev)
 		return
@@ -83,7 +83,7 @@
 		Accepted bool            `json:"accepted"`
 		Echo     json.RawMessage `json:"echo,omitempty"`
 	}{s.name, key, true, validJSON(body)})
-	s.answers[key] = answer
+	s.responses[key] = answer
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(answer)
 }
--- a/testbed/cfstandin/trainer.go
+++ b/testbed/cfstandin/trainer.go
@@ -49,14 +49,14 @@
 	}
 
 	trainer struct {
-		settings cfconfig.Trainer
-		client   *http.Client
-		entries  []string
-		next     int
-		log      *zap.Logger
-		seen     map[cf.SampleID]bool
-		ages     []cf.Millis
-		report   TrainerReport
+		settings    cfconfig.Trainer
+		client      *http.Client
+		entries     []string
+		entryIndex  int
+		log         *zap.Logger
+		seenSamples map[cf.SampleID]bool
+		ages        []cf.Millis
+		report      TrainerReport
 	}
 )
 
@@ -65,12 +65,12 @@
 // next entry when one fails.
 func RunTrainer(ctx context.Context, settings cfconfig.Trainer, bootstrap string, log *zap.Logger) (TrainerReport, error) {
 	t := &trainer{settings: settings, client: &http.Client{Timeout: callTimeout}, entries: []string{bootstrap},
-		log: log, seen: map[cf.SampleID]bool{}, report: TrainerReport{Trainer: settings.Name}}
+		log: log, seenSamples: map[cf.SampleID]bool{}, report: TrainerReport{Trainer: settings.Name}}
 	t.refreshEntries(ctx)
 	for step := 1; step <= settings.Steps && ctx.Err() == nil; step++ {
 		start := time.Now()
-		if err := t.collect(ctx); err != nil {
-			return t.finish(), err
+		if err := t.collectStep(ctx); err != nil {
+			return t.finalReport(), err
 		}
 		t.report.Idle += cf.MillisOf(time.Since(start))
 		busy := time.Now()
@@ -82,15 +82,15 @@
 		// Time spent getting new weights accepted is time the trainer
 		// waits on the system: it counts as idle, not as training.
 		published := time.Now()
-		t.publish(ctx, cf.WeightVersion(step))
+		t.publishWeights(ctx, cf.WeightVersion(step))
 		t.report.Idle += cf.MillisOf(time.Since(published))
 		t.report.Steps = step
 		log.Info("step done", zap.Int("step", step), zap.Int("samples", t.report.Samples))
 	}
-	return t.finish(), ctx.Err()
+	return t.finalReport(), ctx.Err()
 }
 
-func (t *trainer) finish() TrainerReport {
+func (t *trainer) finalReport() TrainerReport {
 	r := t.report
 	if total := r.Idle + r.Busy; total > 0 {
 		r.IdleFraction = float64(r.Idle) / float64(total)
@@ -103,16 +103,16 @@
 	return r
 }
 
-// collect fetches and acks batches until a step's samples are in hand.
-func (t *trainer) collect(ctx context.Context) error {
+// collectStep fetches and acks batches until a step's samples are in hand.
+func (t *trainer) collectStep(ctx context.Context) error {
 	got := 0
 	for got < t.settings.StepSamples {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		batch, err := t.fetch(ctx, t.settings.StepSamples-got)
+		batch, err := t.fetchSamples(ctx, t.settings.StepSamples-got)
 		if err != nil {
-			t.retry(ctx, err)
+			t.switchEntry(ctx, err)
 			continue
 		}
 		if len(batch.Samples) == 0 {
@@ -121,22 +121,22 @@
 		if err := t.ack(ctx, batch.Cursor); err != nil {
 			// Not acknowledged: these samples are not ours; the leader
 			// delivers what is after the committed cursor again.
-			t.retry(ctx, err)
+			t.switchEntry(ctx, err)
 			continue
 		}
 		for _, s := range batch.Samples {
-			t.take(s, batch.Weights)
+			t.recordSample(s, batch.Weights)
 		}
 		got += len(batch.Samples)
 	}
 	return nil
 }
 
-func (t *trainer) take(s cf.Sample, current cf.WeightVersion) {
-	if t.seen[s.ID] {
+func (t *trainer) recordSample(s cf.Sample, current cf.WeightVersion) {
+	if t.seenSamples[s.ID] {
 		t.report.Duplicates++
 	}
-	t.seen[s.ID] = true
+	t.seenSamples[s.ID] = true
 	t.report.Samples++
 	if len(s.Weights) == 0 {
 		t.report.Unattributed++
@@ -149,13 +149,13 @@
 	t.ages = append(t.ages, s.Created.Since())
 }
 
-func (t *trainer) base() string { return t.entries[t.next%len(t.entries)] }
+func (t *trainer) entryURL() string { return t.entries[t.entryIndex%len(t.entries)] }
 
-func (t *trainer) retry(ctx context.Context, err error) {
+func (t *trainer) switchEntry(ctx context.Context, err error) {
 	t.report.Retries++
-	t.log.Info("trainer retry", zap.String("entry", t.base()), zap.Error(err))
-	t.next++
-	if t.next%len(t.entries) == 0 {
+	t.log.Info("trainer retry", zap.String("entry", t.entryURL()), zap.Error(err))
+	t.entryIndex++
+	if t.entryIndex%len(t.entries) == 0 {
 		t.refreshEntries(ctx)
 	}
 	select {
@@ -165,10 +165,10 @@
 }
 
 func (t *trainer) claimURL(suffix string) string {
-	return fmt.Sprintf("%s/v1/pools/%s/claims/%s/%s", t.base(), url.PathEscape(string(t.settings.Pool)), url.PathEscape(string(t.settings.Claim)), suffix)
+	return fmt.Sprintf("%s/v1/pools/%s/claims/%s/%s", t.entryURL(), url.PathEscape(string(t.settings.Pool)), url.PathEscape(string(t.settings.Claim)), suffix)
 }
 
-func (t *trainer) fetch(ctx context.Context, limit int) (cf.Batch, error) {
+func (t *trainer) fetchSamples(ctx context.Context, limit int) (cf.Batch, error) {
 	var b cf.Batch
 	u := t.claimURL("samples") + "?max=" + strconv.Itoa(limit) + "&wait_ms=" + strconv.FormatInt(fetchWait.Milliseconds(), 10)
 	err := t.call(ctx, http.MethodGet, u, nil, &b)
@@ -188,22 +188,22 @@
 		if err == nil || status == http.StatusConflict || status == http.StatusBadRequest {
 			return err
 		}
-		t.retry(ctx, err)
+		t.switchEntry(ctx, err)
 	}
 	return err
 }
 
-func (t *trainer) publish(ctx context.Context, v cf.WeightVersion) {
+func (t *trainer) publishWeights(ctx context.Context, v cf.WeightVersion) {
 	body, _ := json.Marshal(struct {
 		Version cf.WeightVersion `json:"weight_version"`
 	}{v})
 	for range 10 {
-		u := fmt.Sprintf("%s/v1/pools/%s/weights", t.base(), url.PathEscape(string(t.settings.Pool)))
+		u := fmt.Sprintf("%s/v1/pools/%s/weights", t.entryURL(), url.PathEscape(string(t.settings.Pool)))
 		err := t.call(ctx, http.MethodPost, u, body, nil)
 		if err == nil {
 			return
 		}
-		t.retry(ctx, err)
+		t.switchEntry(ctx, err)
 	}
 }
 
--- a/testbed/cftrial/plan.go
+++ b/testbed/cftrial/plan.go
@@ -73,8 +73,8 @@
 	PlainAtCapacity   FaultKind = "plain_full"
 )
 
-// slowStore is the delay of a slow store's answers, 75 times the usual.
-const slowStore = 300
+// slowStoreDelayMs is the delay of a slow store's answers, 75 times the usual.
+const slowStoreDelayMs = 300
 
 // ReadPlan reads and checks a plan. Errors name the JSON path of each fault.
 func ReadPlan(path string) (Plan, error) {
@@ -94,7 +94,7 @@
 // Check returns an error for each bad field.
 func (p *Plan) Check() error {
 	var errs []error
-	bad := func(path, what string) {
+	addError := func(path, what string) {
 		errs = append(errs, fmt.Errorf("%w: $.%s: %s", cf.ErrInvalid, path, what))
 	}
 	positive := []struct {
@@ -108,26 +108,26 @@
 	}
 	for _, f := range positive {
 		if f.value <= 0 {
-			bad(f.path, "must be over 0")
+			addError(f.path, "must be over 0")
 		}
 	}
 	if len(p.Seeds) == 0 {
-		bad("seeds", "needs one at least")
+		addError("seeds", "needs one at least")
 	}
 	if len(p.Site.Models) == 0 {
-		bad("site.models", "needs one at least")
+		addError("site.models", "needs one at least")
 	}
 	if p.RequestsPerS > 0 && p.Site.PlainTargets == 0 {
-		bad("site.plains", "must be over 0 for single requests")
+		addError("site.plains", "must be over 0 for single requests")
 	}
 	for i, f := range p.Faults {
 		switch f.Kind {
 		case StoreDown, StoreSlow, StoreResponseLost, EngineSlow, EngineAborts, EngineAtCapacity, PlainAtCapacity:
 		default:
-			bad(fmt.Sprintf("faults[%d].kind", i), fmt.Sprintf("unknown kind %q", f.Kind))
+			addError(fmt.Sprintf("faults[%d].kind", i), fmt.Sprintf("unknown kind %q", f.Kind))
 		}
 		if f.For <= 0 {
-			bad(fmt.Sprintf("faults[%d].for_ms", i), "must be over 0")
+			addError(fmt.Sprintf("faults[%d].for_ms", i), "must be over 0")
 		}
 	}
 	return errors.Join(errs...)
--- a/testbed/cftrial/report.go
+++ b/testbed/cftrial/report.go
@@ -91,7 +91,7 @@
 	return eris.Wrap(os.WriteFile(path, raw, 0o600), "write report")
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Plan.Name}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:60em}td,th{padding:.2em .8em;text-align:right}th:first-child,td:first-child{text-align:left}</style>
 <h1>{{.Plan.Name}}</h1>
@@ -135,19 +135,19 @@
 	}
 	rows := r.Summaries()
 	var buf bytes.Buffer
-	err := page.Execute(&buf, struct {
+	err := reportTemplate.Execute(&buf, struct {
 		Plan  Plan
 		Rows  []Summary
 		Table []row
 		Plots []figure
-	}{r.Plan, rows, table(rows), plots})
+	}{r.Plan, rows, summaryTable(rows), plots})
 	if err != nil {
 		return eris.Wrap(err, "fill report")
 	}
 	return eris.Wrap(os.WriteFile(path, buf.Bytes(), 0o600), "write report")
 }
 
-func table(rows []Summary) []row {
+func summaryTable(rows []Summary) []row {
 	lines := []struct {
 		name  string
 		value func(Summary) string
--- a/testbed/cftrial/report_test.go
+++ b/testbed/cftrial/report_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestPlanFaultsNameTheirPath(t *testing.T) {
+func TestPlanErrorsNameTheirPath(t *testing.T) {
 	p := cftrial.Plan{Faults: []cftrial.Fault{{Kind: "rain"}}}
 	err := p.Check()
 	for _, path := range []string{"$.seconds", "$.seeds", "$.site.models", "$.faults[0].kind", "$.faults[0].for_ms"} {
--- a/testbed/cftrial/run.go
+++ b/testbed/cftrial/run.go
@@ -118,13 +118,13 @@
 	var calls []standin.CallReport
 	var mu sync.Mutex
 	wg.Go(func() {
-		requests(ctx, p, g, seed, start, func(c standin.CallReport) {
+		sendRequests(ctx, p, g, seed, start, func(c standin.CallReport) {
 			mu.Lock()
 			defer mu.Unlock()
 			calls = append(calls, c)
 		})
 	})
-	wg.Go(func() { faults(ctx, p.Faults, site, start) })
+	wg.Go(func() { injectFaults(ctx, p.Faults, site, start) })
 	wg.Wait()
 	var steps []standin.StepReport
 	for _, t := range trainers {
@@ -133,8 +133,8 @@
 	return steps, calls
 }
 
-// requests sends single requests at the plan's rate and waits for all of them.
-func requests(ctx context.Context, p Plan, g Group, seed uint64, start time.Time, done func(standin.CallReport)) {
+// sendRequests sends single requests at the plan's rate and waits for all of them.
+func sendRequests(ctx context.Context, p Plan, g Group, seed uint64, start time.Time, done func(standin.CallReport)) {
 	if p.RequestsPerS <= 0 {
 		return
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// faults injects the plan's faults; those of one system end together.
-func faults(ctx context.Context, fs []Fault, site *standin.Deployment, start time.Time) {
+// injectFaults injects the plan's faults; those of one system end together.
+func injectFaults(ctx context.Context, fs []Fault, site *standin.Deployment, start time.Time) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, f := range fs {
@@ -169,23 +169,23 @@
 				return
 			case <-time.After(time.Until(start.Add(f.At.Duration()))):
 			}
-			heal := inject(f, site)
+			stop := injectFault(f, site)
 			select {
 			case <-ctx.Done():
 			case <-time.After(f.For.Duration()):
 			}
-			heal()
+			stop()
 		})
 	}
 }
 
-// inject begins a fault and returns what ends it.
-func inject(f Fault, site *standin.Deployment) func() {
+// injectFault begins a fault and returns what ends it.
+func injectFault(f Fault, site *standin.Deployment) func() {
 	switch f.Kind {
 	case StoreDown:
 		site.Store.SetFaults(standin.StoreFaults{Down: true})
 	case StoreSlow:
-		site.Store.SetFaults(standin.StoreFaults{ResponseDelay: slowStore * time.Millisecond})
+		site.Store.SetFaults(standin.StoreFaults{ResponseDelay: slowStoreDelayMs * time.Millisecond})
 	case StoreResponseLost:
 		site.Store.SetFaults(standin.StoreFaults{DropResponseEvery: max(f.DropResponseEvery, 1)})
 	default:
@@ -195,7 +195,7 @@
 		}
 		targets = targets[:min(max(f.Count, 1), len(targets))]
 		for _, e := range targets {
-			e.SetFaults(engineFault(f))
+			e.SetFaults(engineFaults(f))
 		}
 		return func() {
 			for _, e := range targets {
@@ -206,7 +206,7 @@
 	return func() { site.Store.SetFaults(standin.StoreFaults{}) }
 }
 
-func engineFault(f Fault) standin.EngineFaults {
+func engineFaults(f Fault) standin.EngineFaults {
 	switch f.Kind {
 	case EngineSlow:
 		return standin.EngineFaults{SlowFactor: f.SlowFactor}
