--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -10,51 +10,50 @@
 
 const (
 	host = "h"
-	// crashDelay is how long an engine runs an item that ends it.
+	// crashDelay is how long an engine runs a faulty item before it crashes.
 	crashDelay cf.Millis = 80
-	// sweepInterval is how often the quarantine forgets what is over.
+	// sweepInterval is the time between two sweeps of the quarantine's expired records.
 	sweepInterval cf.Millis = 500
 )
 
 type (
-	// CrashBurst is a moment at which a part of the engines end, with all that they run. They
-	// are back under their ids after Down.
+	// CrashBurst is a number of engines that crash at the same moment, with all of their runs. They
+	// restart under the same ids after Downtime.
 	CrashBurst struct {
 		At       cf.Millis
 		Fraction float64
 		Downtime cf.Millis
 	}
 
-	// Crashes are the ends of engines that a replay plays.
+	// Crashes describes the engine crashes of a simulation.
 	Crashes struct {
 		Bursts []CrashBurst
-		// Quarantine judges the items; nil lets all pass.
+		// Quarantine decides which items may be sent to an engine. If it is nil, all items may.
 		Quarantine *cfquarantine.Table
-		// IsFaulty says whether an item ends each engine that runs it; the engine is back
+		// IsFaulty reports whether an item crashes each engine that runs it. The engine restarts
 		// after FaultyDowntime.
 		IsFaulty       func(cf.Item) bool
 		FaultyDowntime cf.Millis
-		// Body returns the body of an item; each has one of its own if it is nil.
+		// Body returns the body of an item. If Body is nil, each item has a body of its own.
 		Body func(cf.Item) string
 	}
 
-	// Crash is an end of an engine under a guilty item.
+	// Crash is an engine crash that was caused by a faulty item.
 	Crash struct {
 		At   cf.Millis
 		Item cf.ItemID
-		// OtherRuns counts the other runs that were lost with it.
+		// OtherRuns is the number of other runs that were lost in the crash.
 		OtherRuns int
 	}
 
-	// itemKey is how long an item has been at no engine since its last run there, while the
-	// engines were less than half full.
+	// itemKey identifies an item of a batch.
 	itemKey struct {
 		batch cf.BatchID
 		item  cf.ItemID
 	}
 )
 
-// QuarantineKey returns the quarantine's key of an item.
+// QuarantineKey returns the key of an item in the quarantine.
 func (sim *Simulation) QuarantineKey(b cf.BatchID, it cf.Item) cfquarantine.Key {
 	it.Body = []byte(it.ID)
 	if body := sim.options.Crashes.Body; body != nil {
@@ -63,11 +62,11 @@
 	return cfquarantine.KeyOfItem(&cf.Submission{ID: b, Host: host}, it)
 }
 
-// MaxUnplaced returns the longest time that an item which was not done has been at no engine while
-// the engines were less than half full.
+// MaxUnplaced returns the longest time that an unfinished item had no engine while the engines were
+// less than half full.
 func (sim *Simulation) MaxUnplaced() cf.Millis { return sim.maxUnplaced }
 
-// FaultyItemCrashes returns the ends of engines under guilty items.
+// FaultyItemCrashes returns the engine crashes that were caused by faulty items.
 func (sim *Simulation) FaultyItemCrashes() []Crash { return sim.faultyCrashes }
 
 // admit asks the quarantine whether an item may be sent to an engine.
@@ -77,8 +76,9 @@
 	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
-// follow tells the quarantine how a run ended at an engine; lost says that the engine ended.
-func (sim *Simulation) recordRun(w *cfrollout.Work, at cf.Target, outcome cfrollout.Outcome, lost bool) {
+// recordRun reports to the quarantine how a run ended at an engine. crashed says that the engine
+// crashed.
+func (sim *Simulation) recordRun(w *cfrollout.Work, at cf.Target, outcome cfrollout.Outcome, crashed bool) {
 	q := sim.options.Crashes.Quarantine
 	if q == nil {
 		return
@@ -87,22 +87,23 @@
 	switch {
 	case outcome == cfrollout.OutcomeDone:
 		q.Answered(key, inc, w.Started, sim.now)
-	case lost:
+	case crashed:
 		q.Lost(key, inc, true, sim.now)
 	default:
 		q.Dropped(key, inc)
 	}
 }
 
-// applyCrashes ends the engines whose time has come, and brings back those that were down.
+// applyCrashes crashes the engines that are due to crash, and restarts those whose downtime is
+// over.
 func (sim *Simulation) applyCrashes() {
 	c := &sim.options.Crashes
-	for _, wave := range c.Bursts {
-		if wave.At != sim.now {
+	for _, burst := range c.Bursts {
+		if burst.At != sim.now {
 			continue
 		}
-		for _, i := range sim.random.Perm(len(sim.engines))[:int(wave.Fraction*float64(len(sim.engines))+0.5)] {
-			sim.crashEngine(sim.engines[i], wave.Downtime)
+		for _, i := range sim.random.Perm(len(sim.engines))[:int(burst.Fraction*float64(len(sim.engines))+0.5)] {
+			sim.crashEngine(sim.engines[i], burst.Downtime)
 		}
 	}
 	for _, e := range sim.engines {
@@ -134,12 +135,13 @@
 	}
 }
 
-// crashEngine ends an engine and its runs. It is listed until it is back.
-func (sim *Simulation) crashEngine(e *engine, down cf.Millis) {
+// crashEngine crashes an engine and ends its runs. The planner still lists the engine while it is
+// down.
+func (sim *Simulation) crashEngine(e *engine, downtime cf.Millis) {
 	if e.restartAt > 0 {
 		return
 	}
-	e.restartAt, e.loading = sim.now+down, ""
+	e.restartAt, e.loading = sim.now+downtime, ""
 	for _, w := range sortedRuns(e.runs) {
 		sim.endRunAt(e, w, cfrollout.OutcomeBroken, true)
 	}
@@ -148,34 +150,35 @@
 	}
 }
 
-// recordUnplaced adds to the times of the items that are at no engine.
+// recordUnplaced adds planInterval to the waiting time of each unfinished item without an engine,
+// if the engines are less than half full. The time of an item starts anew when an engine runs it.
 func (sim *Simulation) recordUnplaced() {
 	running, slots := 0, 0
-	at := map[cf.ItemID]bool{}
+	placed := map[cf.ItemID]bool{}
 	for _, e := range sim.engines {
 		for w := range e.runs {
-			at[w.Item.ID] = true
+			placed[w.Item.ID] = true
 		}
 		if e.restartAt == 0 {
 			running, slots = running+len(e.runs), slots+e.target.Slots
 		}
 	}
-	seen := map[itemKey]cf.Millis{}
+	unplaced := map[itemKey]cf.Millis{}
 	for _, t := range sim.trainers {
 		if t.batch == nil {
 			continue
 		}
 		for _, it := range t.batch.Sub.Items {
 			done := t.batch.Listed(it.ID) || slices.ContainsFunc(t.pendingResults, func(p cf.Result) bool { return p.ID == it.ID })
-			if done || at[it.ID] {
+			if done || placed[it.ID] {
 				continue
 			}
 			k := itemKey{t.batch.Sub.ID, it.ID}
-			if seen[k] = sim.unplacedFor[k]; 2*running < slots {
-				seen[k] += planInterval
+			if unplaced[k] = sim.unplacedFor[k]; 2*running < slots {
+				unplaced[k] += planInterval
 			}
-			sim.maxUnplaced = max(sim.maxUnplaced, seen[k])
+			sim.maxUnplaced = max(sim.maxUnplaced, unplaced[k])
 		}
 	}
-	sim.unplacedFor = seen
+	sim.unplacedFor = unplaced
 }
--- a/testbed/cfreplay/simulation.go
+++ b/testbed/cfreplay/simulation.go
@@ -1,14 +1,13 @@
-// Package cfreplay plays trainers before model engines against a planner of
-// cfrollout, without a network and with a clock of its own: minutes of a load take
-// a second. It stands for engines, trainers and coordinator at once; what it leaves
-// out are failures of streams other than crashes of engines, the store, and the time that calls
-// take.
+// Package cfreplay simulates trainers and model engines around a planner of cfrollout, without a
+// network and with a virtual clock: a second of computing covers minutes of load. The simulation
+// takes the place of the engines, the trainers and the coordinator. It leaves out the store, the
+// duration of calls, and all failures of streams other than engine crashes.
 //
 // Usage:
 //
-//	r := cfreplay.New(cfreplay.Options{Engines: cfreplay.Engines{Count: 15, Slots: 6, Alone: 42, Beside: 1.7}, Trainers: trainers})
-//	r.Run(60_000)
-//	for _, o := range r.Outcomes() { ... }
+//	sim := cfreplay.New(cfreplay.Options{Engines: cfreplay.EngineOptions{Count: 15, Slots: 6, EventTime: 42, EventTimePerRun: 1.7}, Trainers: trainers})
+//	sim.Run(60_000)
+//	for _, o := range sim.Outcomes() { ... }
 package cfreplay
 
 import (
@@ -24,40 +23,46 @@
 
 const (
 	engineService cf.ServiceName = "engines"
-	// tick is the step of the clock, lookEvery how often the planner looks.
+	// tick is the step of the virtual clock, planInterval the time between two calls of the
+	// planner.
 	tick         cf.Millis = 10
 	planInterval cf.Millis = 20
 )
 
 type (
-	// EngineOptions shape the engines of a replay.
+	// EngineOptions describes the engines of a simulation.
 	EngineOptions struct {
 		Count, Slots, FailureDomains int
-		// EventTime is what an event takes with no other run, Beside what each run adds, in ms.
+		// EventTime is the duration of an event in ms at an engine without runs. Each run of the
+		// engine adds EventTimePerRun, in ms.
 		EventTime, EventTimePerRun float64
-		// LoadTime is what a change of weights takes; runs stand still meanwhile. Beyond FullSpeedLoads
-		// at once all take longer, by as much as there are more; zero is no bound.
+		// LoadTime is the duration of a weight load. The engine's runs make no progress during the
+		// load. If more than FullSpeedLoads engines load at once, each load is slowed down in
+		// proportion to their number; zero means no limit.
 		LoadTime       cf.Millis
 		FullSpeedLoads int
-		// LoadJitter is by how much a load may take longer, as a part of Load.
+		// LoadJitter bounds the random addition to the duration of a load, as a fraction of
+		// LoadTime.
 		LoadJitter float64
-		// SlowFraction of the engines are SlowFactor times slower, drawn anew every SlowInterval.
+		// SlowFraction is the probability of an engine to be SlowFactor times slower. The slow
+		// engines are drawn anew every SlowInterval.
 		SlowFraction, SlowFactor float64
 		SlowInterval             cf.Millis
 	}
 
-	// Options are what a replay plays.
+	// Options configures a simulation.
 	Options struct {
 		Seed     uint64
 		Limits   cfrollout.Limits
 		Engines  EngineOptions
 		Trainers []Trainer
-		// ShareWeights are the weights of trainers' shares, 1 where not given.
+		// ShareWeights maps models to the weights of their trainers' shares. The default weight is
+		// 1.
 		ShareWeights map[cf.ModelName]float64
 		Crashes      Crashes
 	}
 
-	// Simulation is a load under way. It is not safe for concurrent use.
+	// Simulation is a running simulation. It is not safe for concurrent use.
 	Simulation struct {
 		options       Options
 		planner       *cfrollout.Planner
@@ -75,17 +80,17 @@
 		versions       map[cf.ModelName]cf.WeightVersion
 		loading        cf.ModelName
 		loadingVersion cf.WeightVersion
-		loadRemaining  float64 // ms of the load
+		loadRemaining  float64 // in ms, at full speed
 		slowFactor     float64
 		runs           map[*cfrollout.Work]*run
-		restartAt      cf.Millis // when it is up again, zero while it is
+		restartAt      cf.Millis // zero while the engine is up
 	}
 
-	// run is how far a text is, in events.
+	// run is the progress and the final length of a text, in events.
 	run struct{ done, length float64 }
 )
 
-// New returns a replay at its beginning.
+// New returns a simulation at time zero.
 func New(o Options) *Simulation {
 	sim := &Simulation{options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), unplacedFor: map[itemKey]cf.Millis{}}
 	if o.Crashes.Quarantine != nil {
@@ -113,7 +118,7 @@
 	return sim
 }
 
-// updatePlanner tells the planner which engines there are.
+// updatePlanner passes the current list of engines to the planner.
 func (sim *Simulation) updatePlanner() {
 	var targets []cf.Target
 	for _, e := range sim.engines {
@@ -126,10 +131,10 @@
 	sim.planner.SetEngines(targets, map[cf.ServiceName][]cf.ModelName{engineService: models})
 }
 
-// Run plays until a time.
+// Run advances the simulation to the given time.
 func (sim *Simulation) Run(until cf.Millis) {
 	for ; sim.now < until; sim.now += tick {
-		if every := sim.options.Engines.SlowInterval; every > 0 && sim.now%every == 0 {
+		if interval := sim.options.Engines.SlowInterval; interval > 0 && sim.now%interval == 0 {
 			sim.drawSlowEngines()
 		}
 		for _, e := range sim.engines {
@@ -143,7 +148,7 @@
 	}
 }
 
-// LoseDomain ends the engines of a failure domain, and with them their runs.
+// LoseDomain removes the engines of a failure domain and ends their runs.
 func (sim *Simulation) LoseDomain(domain cf.FailureDomain) {
 	var lost []*engine
 	sim.engines = slices.DeleteFunc(sim.engines, func(e *engine) bool {
@@ -161,7 +166,8 @@
 	}
 }
 
-// SlowEngines makes the first n engines so many times slower, and the others as fast as usual.
+// SlowEngines makes the first n engines slower by the given factor, and sets all others to full
+// speed.
 func (sim *Simulation) SlowEngines(n int, factor float64) {
 	for i, e := range sim.engines {
 		if e.slowFactor = 1; i < n {
@@ -170,7 +176,7 @@
 	}
 }
 
-// drawSlowEngines draws which engines are slow.
+// drawSlowEngines selects the slow engines at random.
 func (sim *Simulation) drawSlowEngines() {
 	for _, e := range sim.engines {
 		if e.slowFactor = 1; sim.random.Float64() < sim.options.Engines.SlowFraction {
@@ -179,7 +185,7 @@
 	}
 }
 
-// loadSlowdown is how much longer loads take now than one alone.
+// loadSlowdown returns the factor by which current weight loads are slower than a single one.
 func (sim *Simulation) loadSlowdown() float64 {
 	n := 0
 	for _, e := range sim.engines {
@@ -193,7 +199,7 @@
 	return 1
 }
 
-// Shares counts the engines of each trainer.
+// Shares returns the number of engines of each trainer's model.
 func (sim *Simulation) Shares() map[cf.ModelName]int {
 	out := map[cf.ModelName]int{}
 	for _, e := range sim.engines {
@@ -204,7 +210,7 @@
 	return out
 }
 
-// Outcomes returns what the trainers got so far, in their order.
+// Outcomes returns the results of each trainer so far, in the order of Options.Trainers.
 func (sim *Simulation) Outcomes() []Outcome {
 	var out []Outcome
 	for _, t := range sim.trainers {
@@ -213,7 +219,8 @@
 	return out
 }
 
-// runPlanner does what a coordinator does at a look, and what trainers do meanwhile.
+// runPlanner makes the trainers read and submit, and then does what a coordinator does in one pass:
+// it places runs, starts weight loads and stops the runs that are to be moved.
 func (sim *Simulation) runPlanner() {
 	for _, t := range sim.trainers {
 		t.poll(sim.now)
@@ -225,7 +232,7 @@
 	for _, w := range sim.planner.Place(sim.now) {
 		e := at[w.Engine]
 		if e.restartAt > 0 {
-			sim.endRunAt(e, w, cfrollout.OutcomeBroken, false) // nothing takes its connection
+			sim.endRunAt(e, w, cfrollout.OutcomeBroken, false) // the engine is down and refuses the connection
 			continue
 		}
 		e.runs[w] = &run{done: float64(w.Text.Last), length: sim.textLength(w)}
@@ -252,7 +259,7 @@
 	return 1
 }
 
-// endRun ends a run.
+// endRun ends a run at whichever engine it is.
 func (sim *Simulation) endRun(w *cfrollout.Work, outcome cfrollout.Outcome) {
 	for _, e := range sim.engines {
 		if e.runs[w] != nil {
@@ -263,10 +270,10 @@
 	sim.finishRun(w, outcome)
 }
 
-// endRunAt ends a run at an engine; lost says that the engine ended.
-func (sim *Simulation) endRunAt(e *engine, w *cfrollout.Work, outcome cfrollout.Outcome, lost bool) {
+// endRunAt ends a run at an engine. crashed says that the engine crashed.
+func (sim *Simulation) endRunAt(e *engine, w *cfrollout.Work, outcome cfrollout.Outcome, crashed bool) {
 	delete(e.runs, w)
-	sim.recordRun(w, e.target, outcome, lost)
+	sim.recordRun(w, e.target, outcome, crashed)
 	sim.finishRun(w, outcome)
 }
 
@@ -279,7 +286,7 @@
 	}
 }
 
-// advance lets an engine work for a tick.
+// advance simulates one tick of an engine.
 func (sim *Simulation) advance(e *engine) {
 	if e.restartAt > 0 {
 		return
@@ -302,7 +309,7 @@
 			w.Progress.RecordEvent(sim.now)
 			ev := cf.StreamEvent{ID: w.Text.Last + 1, Version: e.versions[w.Batch.Sub.Model]}
 			if err := w.Text.Append(ev); err != nil {
-				panic(err) // the replay itself made the event
+				panic(err) // cannot happen: the simulation generates valid events
 			}
 		}
 		if float64(w.Text.Last) >= progress.length {
@@ -314,7 +321,8 @@
 	}
 }
 
-// sortedRuns returns runs in the order of their items, so that a seed plays the same again.
+// sortedRuns returns the runs in the order of their item ids, so that equal seeds give equal
+// results.
 func sortedRuns(runs map[*cfrollout.Work]*run) []*cfrollout.Work {
 	out := make([]*cfrollout.Work, 0, len(runs))
 	for w := range runs {
--- a/testbed/cfreplay/trainer.go
+++ b/testbed/cfreplay/trainer.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// StepDue is how long after its acceptance a step's results are due, Full until when its
-	// groups count in full, and End when its trainer gives it up.
+	// Times after a step's acceptance: at StepDue its results are due, until FullValueUntil a
+	// complete group counts in full, and at StepTimeout its trainer abandons the step.
 	StepDue        cf.Millis = 7500
 	FullValueUntil cf.Millis = 8200
 	StepTimeout    cf.Millis = 12000
-	// tokensPerEvent are those of an event, prompt those of a prompt.
+	// tokensPerEvent is the number of tokens of an event, promptTokens that of a prompt.
 	tokensPerEvent = 74
 	promptTokens   = 300
-	// longFraction of the texts have longFactor times the usual length; spread and wrong are the
-	// logarithmic deviations of lengths and of their hints.
+	// longFraction of the texts are longFactor times longer than the others. lengthLogStdDev is the
+	// standard deviation of the logarithm of the lengths, hintLogStdDev that of the error of the
+	// length hints.
 	longFraction    = 0.08
 	longFactor      = 5
 	lengthLogStdDev = 0.5
@@ -28,35 +29,39 @@
 )
 
 type (
-	// Trainer shapes a trainer and its steps.
+	// Trainer describes a trainer and its steps.
 	Trainer struct {
 		Model cf.ModelName
-		// MeanEvents is the mean length of a text, Longest the most.
+		// MeanEvents and MaxEvents are the mean and the maximum length of a text, in events.
 		MeanEvents, MaxEvents float64
-		// MinGroups and Most are how many groups a step has, Size the items of each; the
-		// trainer waits for Want of them.
+		// MinGroups and MaxGroups bound the number of groups of a step, and GroupSize is the number
+		// of items of a group. The trainer waits for RequiredFraction of the groups.
 		MinGroups, MaxGroups, GroupSize int
 		RequiredFraction                float64
-		// StepInterval is the least time between steps, Train the training after each.
+		// StepInterval is the minimum time between the starts of two steps, TrainTime the time for
+		// training after each step.
 		StepInterval, TrainTime cf.Millis
-		// CarryOver: groups that were not whole are submitted again with the next step.
+		// CarryOver says that the incomplete groups of a step are submitted again with the next
+		// step.
 		CarryOver bool
-		// From and Until are when it hands in steps; zero for ever.
+		// From and Until are the times between which the trainer submits steps. If Until is zero,
+		// it submits steps without end.
 		From, Until cf.Millis
 	}
 
-	// Outcome is what a trainer got of the steps that have ended.
+	// Outcome holds the results of a trainer's finished steps.
 	Outcome struct {
 		Steps int
-		// Required are the groups that it waited for. Of them InTime were whole
-		// until Full, and Late until End.
+		// Required is the number of groups that the trainer waited for. InTime of them were
+		// complete by FullValueUntil, and Late more of them before StepTimeout.
 		Required, InTime, Late int
-		// UpperBound bounds InTime: what the trainer's share of the engines, all slots full from the
-		// first moment on, would have made whole.
+		// UpperBound is an upper bound of InTime: the number of groups that the trainer's share of
+		// the engines could complete if all of its slots were in use from the first moment on.
 		UpperBound int
-		// StepTime is the time of the steps in all.
+		// StepTime is the total duration of the steps.
 		StepTime cf.Millis
-		// Value counts a group in time as 1, and a late one as less, down to 0 at End.
+		// Value is the sum of the groups' values: 1 for a group in time, and for a late one a
+		// fraction that falls to 0 at StepTimeout.
 		Value float64
 	}
 
@@ -72,7 +77,7 @@
 		pendingResults []cf.Result
 		countedGroups  map[cf.GroupID]bool
 		incomplete     []cf.GroupID
-		// current is the outcome of the step under way, outcome that of the ended ones.
+		// current is the outcome of the step in progress, outcome the sum of the finished ones.
 		current, outcome Outcome
 	}
 )
@@ -84,7 +89,7 @@
 	}
 }
 
-// drawLength returns the length of a text.
+// drawLength returns a random text length, in events.
 func (t *trainer) drawLength() float64 {
 	n := t.MeanEvents / (1 + longFraction*(longFactor-1)) * math.Exp(lengthLogStdDev*t.sim.random.NormFloat64()-lengthLogStdDev*lengthLogStdDev/2)
 	if t.sim.random.Float64() < longFraction {
@@ -93,7 +98,7 @@
 	return math.Ceil(min(max(n, 1), t.MaxEvents))
 }
 
-// submitStep hands in a step.
+// submitStep submits the next step.
 func (t *trainer) submitStep(now cf.Millis) {
 	sim := t.sim
 	t.stepNumber++
@@ -125,7 +130,7 @@
 	t.current = Outcome{Steps: 1, Required: sub.TargetGroups, UpperBound: t.upperBound(groups)}
 }
 
-// drawGroup draws the items of a group.
+// drawGroup creates a group with items of random lengths.
 func (t *trainer) drawGroup(id cf.BatchID, k int) cf.GroupID {
 	g := cf.GroupID(fmt.Sprintf("%s-%02d", id, k))
 	for i := range t.GroupSize {
@@ -139,8 +144,9 @@
 	return g
 }
 
-// upperBound bounds the groups of a step that can be whole until Full, by the least work first: an
-// engine's slots make events at a pace that no order of the work exceeds.
+// upperBound returns an upper bound of the number of a step's groups that can be complete by
+// FullValueUntil. It takes the groups with the least work first. No order of the work makes the
+// slots of an engine yield events faster than at the pace assumed here.
 func (t *trainer) upperBound(groups []cf.GroupID) int {
 	e := t.sim.options.Engines
 	pace := e.EventTime + e.EventTimePerRun*float64(e.Slots)
@@ -167,14 +173,15 @@
 	return n
 }
 
-// addResult keeps a complete text for the next listing.
+// addResult keeps a complete text until the next poll.
 func (t *trainer) addResult(w *cfrollout.Work) {
 	if t.batch != nil && t.batch.Sub.ID == w.Batch.Sub.ID {
 		t.pendingResults = append(t.pendingResults, cf.Result{ID: w.Item.ID, State: cf.ItemDone})
 	}
 }
 
-// poll lists what is complete, and lets the trainer read it.
+// poll adds the complete texts to the batch and lets the trainer read them. Without a current step,
+// it submits the next one when it is due.
 func (t *trainer) poll(now cf.Millis) {
 	if t.batch == nil {
 		if now >= t.nextStepAt && (t.Until == 0 || now < t.Until) {
@@ -210,7 +217,7 @@
 	}
 }
 
-// countGroup notes a group that is whole so long after the step's acceptance.
+// countGroup counts a group that was complete the given time after the acceptance of the step.
 func (t *trainer) countGroup(g cf.GroupID, took cf.Millis) {
 	if t.countedGroups[g] || len(t.countedGroups) >= t.batch.Sub.TargetGroups {
 		return
@@ -226,7 +233,7 @@
 	}
 }
 
-// finishStep ends a step.
+// finishStep ends the current step and adds its results to the outcome.
 func (t *trainer) finishStep(now cf.Millis) {
 	c, sum := t.current, &t.outcome
 	sum.Steps += c.Steps
