--- a/testbed/cfengine/engine.go
+++ b/testbed/cfengine/engine.go
@@ -17,22 +17,22 @@
 )
 
 type (
-	// Settings shape one engine stand-in.
+	// Settings configures an engine stand-in.
 	Settings struct {
 		ID    cf.EngineID `json:"id"`
 		Model Model       `json:"model"`
-		// ReportInterval is how old a load report is when served.
+		// ReportInterval is the time between two updates of the load report that is served.
 		ReportInterval cf.Millis `json:"load_lag_ms"`
-		// SwapDelay is how long loading new weights takes.
+		// SwapDelay is the time that an engine takes to load new weights.
 		SwapDelay cf.Millis `json:"swap_ms"`
-		// CheckFencing refuses weight orders with an old epoch; engines of
-		// some deployments ignore the epoch instead.
+		// CheckFencing makes the engine refuse weight orders with an old epoch. Engines of some
+		// deployments ignore the epoch instead.
 		CheckFencing bool `json:"check_fencing"`
-		// Weights is the version served at start.
+		// Weights is the weight version that is served at the start.
 		Weights cf.WeightVersion `json:"weight_version"`
 	}
 
-	// Engine is one engine stand-in. Close waits for its goroutines.
+	// Engine is an engine stand-in. Close waits for its goroutines.
 	Engine struct {
 		settings Settings
 
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Handler serves the OpenAI-compatible API, load reports and orders.
+// Handler serves the OpenAI-compatible API, load reports and weight orders.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.handleCompletion)
@@ -116,8 +116,8 @@
 	return mux
 }
 
-// refreshReports refreshes the served load report every ReportInterval, so that routers
-// see the engine as it was, as real engines report it.
+// refreshReports updates the load report every ReportInterval. Routers therefore see an outdated
+// state of the engine, as with real engines.
 func (e *Engine) refreshReports() {
 	defer e.wg.Done()
 	t := time.NewTicker(max(e.settings.ReportInterval, 10).Duration())
@@ -216,7 +216,8 @@
 	e.generate(w, r.Context(), req.Model, prompt, promptTokens, req.MaxTokens, req.Stream)
 }
 
-// generate charges the timing model and writes the answer, streamed or whole.
+// generate waits as long as the timing model requires and writes the response, as a stream of
+// events or as one document.
 func (e *Engine) generate(w http.ResponseWriter, ctx context.Context, model, prompt string, promptTokens, maxTokens cf.Tokens, stream bool) {
 	e.mu.Lock()
 	e.seq++
@@ -280,7 +281,8 @@
 	return e.weights
 }
 
-// acquire waits for a batch slot and KV room; higher priority goes first.
+// acquire waits for a batch slot and for space in the KV cache. Requests of higher priority are
+// admitted first.
 func (e *Engine) acquire(ctx context.Context, priority int, kv cf.Tokens, estimate float64) error {
 	e.mu.Lock()
 	e.backlog += estimate
@@ -297,7 +299,7 @@
 		defer e.mu.Unlock()
 		select {
 		case <-wt.ready:
-			// Granted while we gave up: hand the slot back.
+			// The request was admitted at the moment of its cancellation, so its slot is returned.
 			e.active--
 			e.kvUsed -= kv
 		default:
@@ -318,8 +320,8 @@
 	e.admitLocked()
 }
 
-// admitLocked admits waiters, highest priority then oldest first, while a
-// batch slot and KV room remain.
+// admitLocked admits waiting requests, by priority and then by age, while a batch slot is free and
+// the KV cache has space.
 func (e *Engine) admitLocked() {
 	for e.active < e.settings.Model.MaxBatch && len(e.queue) > 0 {
 		best := 0
--- a/testbed/cfload/load.go
+++ b/testbed/cfload/load.go
@@ -1,8 +1,8 @@
-// Package cfload is the load and experiment tool: it drives live
-// completions and plain-service calls against running entries for a bounded
-// time, applies a fault schedule to the platform stand-in, writes one
-// journal line per request and prints a report. Requests go to the entries
-// that GET /v1/entries lists, in turn, as a caller without a balancer would.
+// Package cfload is the load generator for the older interface. It sends live completions and calls
+// to plain services to running entry instances for a limited time, injects scheduled faults into
+// the platform stand-in, writes a journal line for each request and returns a summary. It sends its
+// requests in turn to the entry instances listed by GET /v1/entries, as a caller without a load
+// balancer does.
 //
 // Usage:
 //
@@ -38,7 +38,7 @@
 var defaultPlan []byte
 
 type (
-	// Plan is one experiment.
+	// Plan describes a load run.
 	Plan struct {
 		Duration    cf.Millis     `json:"duration_ms"`
 		Bootstrap   string        `json:"bootstrap"`
@@ -47,7 +47,7 @@
 		Faults      []Fault       `json:"faults"`
 	}
 
-	// Completions is the live completion workload.
+	// Completions describes the load of live completions.
 	Completions struct {
 		Workers   int       `json:"workers"`
 		MaxTokens cf.Tokens `json:"max_tokens"`
@@ -55,14 +55,16 @@
 		Prompts   []string  `json:"prompts"`
 	}
 
-	// ServiceLoad is a plain-service workload: calls each with its own key.
+	// ServiceLoad describes the load of a plain service. Each of its calls has an idempotency key
+	// of its own.
 	ServiceLoad struct {
 		Name    string `json:"name"`
 		Calls   int    `json:"calls"`
 		Workers int    `json:"workers"`
 	}
 
-	// Fault is one scheduled platform fault.
+	// Fault is a scheduled change of the platform stand-in's faults. It replaces all earlier ones,
+	// so a Fault without values ends them.
 	Fault struct {
 		At            cf.Millis `json:"at_ms"`
 		Outage        cf.Millis `json:"outage_ms"`
@@ -70,7 +72,7 @@
 		DropResponses int       `json:"lose_answers"`
 	}
 
-	// Summary is the report of one run.
+	// Summary holds the results of a run.
 	Summary struct {
 		Completions CompletionSummary         `json:"completions"`
 		Services    map[string]ServiceSummary `json:"services"`
@@ -88,8 +90,8 @@
 		TTFTp99  cf.Millis `json:"ttft_ms_p99"`
 	}
 
-	// ServiceSummary counts one service's calls by answer, and by how many
-	// times each key reached the service.
+	// ServiceSummary counts the calls of a service by outcome, and their keys by the number of
+	// times that each reached the service.
 	ServiceSummary struct {
 		Sent              int `json:"sent"`
 		OK                int `json:"ok"`
@@ -100,7 +102,7 @@
 		NeverReached      int `json:"never_reached"`
 	}
 
-	// JournalLine is one request's record.
+	// JournalLine is the record of a request.
 	JournalLine struct {
 		Kind    string    `json:"kind"`
 		Key     string    `json:"key"`
@@ -124,7 +126,7 @@
 	}
 )
 
-// LoadPlan reads a plan; "" means the embedded one.
+// LoadPlan reads and checks a plan. An empty path selects the embedded plan.
 func LoadPlan(path string) (Plan, error) {
 	data := defaultPlan
 	if path != "" {
@@ -145,16 +147,16 @@
 	return p, nil
 }
 
-// Run drives the plan and returns its summary. Journal lines go to journal.
+// Run executes the plan, writes the journal lines to journal and returns the summary.
 func Run(ctx context.Context, plan Plan, site cfconfig.Site, journal io.Writer) (Summary, error) {
 	r := &runner{plan: plan, site: site, client: &http.Client{Timeout: 30 * time.Second},
 		journal: json.NewEncoder(journal), summary: Summary{Services: map[string]ServiceSummary{}}}
 	if err := r.discover(ctx); err != nil {
 		return r.summary, err
 	}
-	// Requests run on reqCtx, which outlives the plan's span: when the span
-	// ends no new request starts, but those in flight finish, so that the
-	// tool's own deadline never shows up as a cut answer.
+	// Requests use reqCtx, which outlives the duration of the plan: after it no new requests start,
+	// but those in flight finish. Otherwise the tool's own deadline would show up as truncated
+	// responses.
 	reqCtx := ctx
 	ctx, cancel := context.WithTimeout(ctx, plan.Duration.Duration())
 	defer cancel()
@@ -205,7 +207,7 @@
 	return r.summary, nil
 }
 
-// discover waits for the first entry list.
+// discover waits until the bootstrap instance returns a list of entry instances.
 func (r *runner) discover(ctx context.Context) error {
 	deadline := time.Now().Add(15 * time.Second)
 	for time.Now().Before(deadline) {
@@ -214,11 +216,11 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return eris.Wrapf(cf.ErrUnavailable, "no entry listed by %s", r.plan.Bootstrap)
+	return eris.Wrapf(cf.ErrUnavailable, "%s lists no entry instance", r.plan.Bootstrap)
 }
 
-// refreshEntries asks for the entry list again when its ttl_ms runs out, as
-// callers are told to, from any entry that answers.
+// refreshEntries fetches the list of entry instances again after its ttl_ms, as the interface
+// requires of callers, from the next entry instance in turn.
 func (r *runner) refreshEntries(ctx context.Context) {
 	ttl := time.Second
 	for {
@@ -233,7 +235,7 @@
 	}
 }
 
-// fetchEntries reads GET /v1/entries from base and keeps the answer.
+// fetchEntries gets /v1/entries from base, stores the list and returns its time to live.
 func (r *runner) fetchEntries(ctx context.Context, base string) (cf.Millis, error) {
 	var list struct {
 		Entries []struct {
@@ -248,7 +250,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil || len(list.Entries) == 0 {
-		return 0, eris.Wrapf(cf.ErrUnavailable, "entry list from %s", base)
+		return 0, eris.Wrapf(cf.ErrUnavailable, "no entry list from %s", base)
 	}
 	urls := make([]string, len(list.Entries))
 	for i, e := range list.Entries {
@@ -273,8 +275,8 @@
 	_ = r.journal.Encode(l)
 }
 
-// sendCompletion sends one live completion and checks that its answer is whole:
-// the stream must end with [DONE] and carry no error event.
+// sendCompletion sends a live completion and checks that the response is complete: the stream must
+// end with [DONE] and contain no error event.
 func (r *runner) sendCompletion(ctx context.Context, i int) {
 	c := r.plan.Completions
 	prompt := c.Prompts[i%len(c.Prompts)]
@@ -350,8 +352,8 @@
 	}
 }
 
-// callService sends one call, and repeats it with the same key while the entry
-// says it did not run, as a careful caller would.
+// callService sends a call and repeats it with the same key while the response says that the call
+// was not run, or no response arrives, up to three attempts in all.
 func (r *runner) callService(ctx context.Context, name, key string) {
 	body, _ := json.Marshal(struct {
 		Key string `json:"key"`
@@ -411,7 +413,7 @@
 	}
 }
 
-// summarize reads each service's call counts and the TTFT percentiles.
+// summarize adds the call counts of the services and the TTFT percentiles to the summary.
 func (r *runner) summarize() {
 	sort.Slice(r.ttft, func(i, j int) bool { return r.ttft[i] < r.ttft[j] })
 	if n := len(r.ttft); n > 0 {
@@ -445,7 +447,7 @@
 	}
 }
 
-// CountDecisions counts the decision lines in JSON-line log files.
+// CountDecisions counts the lines of routing decisions in JSON log files.
 func CountDecisions(paths []string) int {
 	n := 0
 	for _, p := range paths {
--- a/testbed/cfobjects/server.go
+++ b/testbed/cfobjects/server.go
@@ -1,16 +1,14 @@
-// Package cfobjects is the stand-in for the platform's object API and
-// instance list that the older interface uses.
+// Package cfobjects is a stand-in for the platform's object API and instance list, as used by the
+// older interface.
 //
-// It holds versioned JSON objects by kind and name. Each write takes the
-// store's next revision as the object's version; a write may be conditional
-// on the version the writer last read. A watch is a long poll for the objects
-// of a kind written after a revision. Instances are objects of kind
-// "instance" that become visible only after a lag, as the real instance list
-// does.
+// It stores versioned JSON objects by kind and name. Each write takes the store's next revision as
+// the version of the object. A write may be conditional on the version that the writer last read. A
+// watch is a long poll for the objects of a kind that were written after a given revision. Objects
+// of the kind "instance" become visible only after a delay, as in the platform's instance list.
 //
-// It injects the faults the brief names: an outage (every call answers 503),
-// slowness (every call waits), and lost answers (the change takes effect,
-// then the connection is dropped before the answer).
+// The server can inject three faults: an outage (every call gets status 503), slow responses (every
+// call is delayed), and lost responses (a write takes effect, but the connection is closed before
+// the response).
 //
 // Usage:
 //
@@ -41,18 +39,18 @@
 )
 
 type (
-	// ServerSettings shape the stand-in.
+	// ServerSettings configures a server.
 	ServerSettings struct {
-		// InstanceLag delays the visibility of instance-list writes.
+		// InstanceLag is the delay after which writes of instances become visible.
 		InstanceLag cf.Millis
 	}
 
-	// Server is the object API stand-in. It is safe for concurrent use.
+	// Server is a stand-in for the object API. It is safe for concurrent use.
 	Server struct {
 		settings ServerSettings
 
 		mu       sync.Mutex
-		changed  chan struct{} // closed and replaced on every visible write
+		changed  chan struct{} // closed and replaced at each visible write
 		revision int64
 		objects  map[string]map[string]cf.Object
 		pending  []pendingWrite
@@ -63,7 +61,7 @@
 		registry  *prometheus.Registry
 	}
 
-	// Faults are the injected faults now in force.
+	// Faults holds the faults that are currently injected.
 	Faults struct {
 		OutageUntil   cf.Millis `json:"outage_until_ms"`
 		ResponseDelay cf.Millis `json:"slow_ms"`
@@ -76,7 +74,7 @@
 	}
 )
 
-// NewServer returns an empty store.
+// NewServer returns a server without objects.
 func NewServer(settings ServerSettings) *Server {
 	s := &Server{
 		settings: settings,
@@ -92,10 +90,10 @@
 	return s
 }
 
-// Calls returns the number of object API calls served so far.
+// Calls returns the number of object API calls so far.
 func (s *Server) Calls() int64 { return s.callCount.Load() }
 
-// Handler returns the HTTP API.
+// Handler returns the handler of the HTTP API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/objects/{kind}/{name...}", s.withFaults("get", s.handleGet))
@@ -106,7 +104,7 @@
 	return mux
 }
 
-// withFaults counts the call and applies outage and slowness before it runs.
+// withFaults counts a call and applies delays and outages before h handles it.
 func (s *Server) withFaults(op string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.WithLabelValues(op).Inc()
@@ -156,7 +154,7 @@
 		return
 	}
 	if s.shouldDropResponse() {
-		// The change took effect; the caller never hears of it.
+		// The write has taken effect, but the caller gets no response.
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, obj)
@@ -209,8 +207,8 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// put applies one conditional write and returns the object as stored; on a
-// conflict it returns the current object and ErrConflict.
+// put applies a conditional write and returns the stored object. On a conflict it returns the
+// current object and ErrConflict.
 func (s *Server) put(kind, name string, value []byte, ifVersion int64) (cf.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,9 +234,9 @@
 	return obj, nil
 }
 
-// objectsAfter returns the visible objects of kind newer than after, the revision,
-// a channel closed on the next write and one that fires when the next
-// lagged write becomes visible.
+// objectsAfter returns the visible objects of a kind with versions above after, the current
+// revision, a channel that is closed at the next visible write, and a channel that receives when
+// the next pending write becomes visible.
 func (s *Server) objectsAfter(kind string, after int64) ([]cf.Object, int64, <-chan struct{}, <-chan time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,9 +258,8 @@
 	now := cf.Now()
 	n := 0
 	for n < len(s.pending) && s.pending[n].visibleAt <= now {
-		// A lagged write takes its revision when it becomes visible: a
-		// watcher that has already seen later revisions of other kinds
-		// would otherwise never be shown it.
+		// A pending write takes a new revision when it becomes visible. With its old one, it would
+		// be missed by a watcher that has already seen later revisions of other kinds.
 		s.revision++
 		obj := s.pending[n].obj
 		obj.Version = s.revision
--- a/testbed/cfstandin/codec.go
+++ b/testbed/cfstandin/codec.go
@@ -7,8 +7,8 @@
 	"currantford/core/cfsite"
 )
 
-// Codec decodes records written as the product's own types, for tests without
-// the adapter.
+// Codec decodes records that contain the product's own types in JSON. Tests use it in place of the
+// platform adapter.
 type Codec struct{}
 
 var _ cfsite.Codec = Codec{}
@@ -30,8 +30,8 @@
 // RetirementDone implements cfsite.Codec.
 func (Codec) RetirementDone() any { return "done" }
 
-// Record returns a record that Codec decodes to v. What does not fit into JSON is
-// a mistake of the test.
+// Record returns a record that Codec decodes to v. It panics if v cannot be encoded, since that is
+// a mistake in the test.
 func Record(name string, rev cf.Revision, v any) cf.Record {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/testbed/cfstandin/memstore.go
+++ b/testbed/cfstandin/memstore.go
@@ -9,8 +9,7 @@
 	cf "currantford"
 )
 
-// MemStore is an object store in memory, for tests of one package. It is safe
-// for concurrent use.
+// MemStore is an in-memory object store for unit tests. It is safe for concurrent use.
 type MemStore struct {
 	mu      sync.Mutex
 	rev     cf.Revision
@@ -45,8 +44,8 @@
 	return out, nil
 }
 
-// Watch implements currantford.Store without waiting: it returns what lies
-// there and is newer than since. Removals are not shown.
+// Watch implements currantford.Store without waiting: it returns the current records that are newer
+// than since. It does not report removals.
 func (s *MemStore) Watch(ctx context.Context, kind string, since cf.Revision, _ cf.Millis) (cf.Records, error) {
 	all, err := s.List(ctx, kind)
 	out := cf.Records{Rev: all.Rev}
--- a/testbed/cfstandin/service.go
+++ b/testbed/cfstandin/service.go
@@ -1,9 +1,8 @@
-// Package cfstandin holds the stand-ins of the systems currantford serves
-// that are small enough to share a package: a plain service (bids, log
-// readings) that records every call, a scoring service, and a trainer that
-// claims samples, measures its idle time and the samples' staleness, and
-// publishes new weights after each step. The engine and the platform have
-// packages of their own (cfengine, cfplatform).
+// Package cfstandin holds small stand-ins for the systems around currantford: a plain service
+// (bids, log readings) that records every call, a scoring service, a trainer that claims samples,
+// measures its idle time and the staleness of the samples and publishes new weights after each
+// step, and an in-memory object store with its codec. The stand-ins for engines and for the
+// platform are in the packages cfengine and cfobjects.
 //
 // Usage:
 //
@@ -25,9 +24,9 @@
 )
 
 type (
-	// Service is a plain service stand-in. It records every call by
-	// idempotency key, so a test can count how often each reached it. An
-	// idempotent service answers a repeated key with its first answer.
+	// Service is a stand-in for a plain service. It counts calls by idempotency key, so that a test
+	// can check how often each call reached the service. An idempotent service responds to a
+	// repeated key with its first response.
 	Service struct {
 		name       string
 		idempotent bool
@@ -38,7 +37,7 @@
 		total      prometheus.Counter
 	}
 
-	// CallCounts is the answer of GET /calls.
+	// CallCounts is the response to GET /calls: the number of calls by idempotency key.
 	CallCounts struct {
 		Calls map[string]int `json:"calls"`
 	}
@@ -88,8 +87,8 @@
 	_, _ = w.Write(answer)
 }
 
-// ScorerHandler is the scoring service stand-in: POST /v1/score with a
-// prompt and a text answers a score in [0, 1) that depends only on them.
+// ScorerHandler returns a stand-in for the scoring service. POST /v1/score with a prompt and a text
+// returns a score in [0, 1) that depends on these two only.
 func ScorerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/score", func(w http.ResponseWriter, r *http.Request) {
--- a/testbed/cfstandin/trainer.go
+++ b/testbed/cfstandin/trainer.go
@@ -25,22 +25,22 @@
 )
 
 type (
-	// TrainerReport is what a trainer stand-in measured: the two figures
-	// the users weigh (idle time, staleness) and the delivery checks.
+	// TrainerReport holds the measurements of a trainer stand-in: its idle time, the staleness of
+	// its samples, and the results of the delivery checks.
 	TrainerReport struct {
 		Trainer    string `json:"trainer"`
 		Steps      int    `json:"steps"`
 		Samples    int    `json:"samples"`
 		Duplicates int    `json:"duplicates"`
-		// Unattributed counts samples that named no weight version.
+		// Unattributed is the number of samples without a weight version.
 		Unattributed int `json:"unattributed"`
-		// Idle is the time spent waiting for a step's samples; Busy the
-		// time spent training.
+		// Idle is the time spent waiting for samples and for the acceptance of new weights, Busy
+		// the time spent training.
 		Idle         cf.Millis `json:"idle_ms"`
 		Busy         cf.Millis `json:"busy_ms"`
 		IdleFraction float64   `json:"idle_fraction"`
-		// Staleness at delivery: versions behind the pool's weights, and
-		// age since the sample was scored.
+		// Staleness of the samples at delivery: the number of versions behind the pool's current
+		// weights, and the time since the sample was scored.
 		StaleVersionsMax cf.WeightVersion `json:"staleness_versions_max"`
 		StaleAgeP50      cf.Millis        `json:"staleness_ms_p50"`
 		StaleAgeMax      cf.Millis        `json:"staleness_ms_max"`
@@ -60,9 +60,9 @@
 	}
 )
 
-// RunTrainer runs a trainer stand-in to its last step or until ctx ends. It
-// learns the entries from GET /v1/entries on bootstrap, and moves to the
-// next entry when one fails.
+// RunTrainer runs a trainer stand-in until its last step is done or ctx ends. It gets the list of
+// entry instances from GET /v1/entries at bootstrap, and switches to the next entry instance after
+// a failed call.
 func RunTrainer(ctx context.Context, settings cfconfig.Trainer, bootstrap string, log *zap.Logger) (TrainerReport, error) {
 	t := &trainer{settings: settings, client: &http.Client{Timeout: callTimeout}, entries: []string{bootstrap},
 		log: log, seenSamples: map[cf.SampleID]bool{}, report: TrainerReport{Trainer: settings.Name}}
@@ -79,13 +79,13 @@
 		case <-ctx.Done():
 		}
 		t.report.Busy += cf.MillisOf(time.Since(busy))
-		// Time spent getting new weights accepted is time the trainer
-		// waits on the system: it counts as idle, not as training.
+		// The time until new weights are accepted counts as idle, because the trainer is waiting
+		// for the system and not training.
 		published := time.Now()
 		t.publishWeights(ctx, cf.WeightVersion(step))
 		t.report.Idle += cf.MillisOf(time.Since(published))
 		t.report.Steps = step
-		log.Info("step done", zap.Int("step", step), zap.Int("samples", t.report.Samples))
+		log.Info("step completed", zap.Int("step", step), zap.Int("samples", t.report.Samples))
 	}
 	return t.finalReport(), ctx.Err()
 }
@@ -103,7 +103,7 @@
 	return r
 }
 
-// collectStep fetches and acks batches until a step's samples are in hand.
+// collectStep fetches and acknowledges batches until it has all samples of a step.
 func (t *trainer) collectStep(ctx context.Context) error {
 	got := 0
 	for got < t.settings.StepSamples {
@@ -119,8 +119,8 @@
 			continue
 		}
 		if err := t.ack(ctx, batch.Cursor); err != nil {
-			// Not acknowledged: these samples are not ours; the leader
-			// delivers what is after the committed cursor again.
+			// The batch is not acknowledged, so its samples are not counted. The leader of the pool
+			// delivers everything after the committed cursor again.
 			t.switchEntry(ctx, err)
 			continue
 		}
@@ -153,7 +153,7 @@
 
 func (t *trainer) switchEntry(ctx context.Context, err error) {
 	t.report.Retries++
-	t.log.Info("trainer retry", zap.String("entry", t.entryURL()), zap.Error(err))
+	t.log.Info("call failed, trying the next entry instance", zap.String("entry", t.entryURL()), zap.Error(err))
 	t.entryIndex++
 	if t.entryIndex%len(t.entries) == 0 {
 		t.refreshEntries(ctx)
@@ -175,8 +175,8 @@
 	return b, err
 }
 
-// ack acknowledges a cursor, asking again while the outcome is unknown: an
-// ack is idempotent, so asking twice is safe.
+// ack acknowledges a cursor. It repeats the call while the outcome is unknown, which is safe
+// because acknowledgements are idempotent.
 func (t *trainer) ack(ctx context.Context, cursor int64) error {
 	body, _ := json.Marshal(struct {
 		Cursor int64 `json:"cursor"`
--- a/testbed/cftrial/plan.go
+++ b/testbed/cftrial/plan.go
@@ -1,9 +1,9 @@
-// Package cftrial is the load and experiment tool for a whole deployment: it
-// runs the platform's stand-ins for one or two groups of entry processes, the
-// same load and faults for each, and writes a report that compares them.
+// Package cftrial runs load experiments against a whole deployment. It starts the platform's
+// stand-ins for one or two groups of entry processes, applies the same load and the same faults to
+// each group, and writes a report that compares them.
 //
-// The entries are separate processes, started by whoever runs the tool
-// (scripts/trial.sh), so that what is measured are the deployed programs.
+// The entry processes are started by the user of the tool (scripts/trial.sh), so that the programs
+// under test are the deployed ones.
 //
 // Usage:
 //
@@ -26,38 +26,38 @@
 )
 
 type (
-	// Plan is a load with its faults.
+	// Plan describes a load and its faults.
 	Plan struct {
 		Name string `json:"name"`
-		// Seconds is how long each seed's load lasts.
+		// Seconds is the duration of the load of each seed.
 		Seconds float64                    `json:"seconds"`
 		Seeds   []uint64                   `json:"seeds"`
 		Site    standin.DeploymentSettings `json:"site"`
 		Step    standin.StepShape          `json:"step"`
-		// RequestsPerS is the rate of single requests.
+		// RequestsPerS is the rate of single requests, per second.
 		RequestsPerS float64 `json:"requests_per_s"`
 		Faults       []Fault `json:"faults"`
 	}
 
-	// FaultKind names what goes wrong.
+	// FaultKind is the kind of an injected fault.
 	FaultKind string
 
-	// Fault is one thing that goes wrong, times from the start of a seed.
+	// Fault is an injected fault. Its times count from the start of a seed.
 	Fault struct {
 		Kind FaultKind      `json:"kind"`
 		At   standin.Millis `json:"at_ms"`
 		For  standin.Millis `json:"for_ms"`
-		// Count is how many targets it concerns, Times how much slower they
-		// are, Every which of the store's writes lose their answer.
+		// Count is the number of affected targets, SlowFactor the factor by which they are slower.
+		// The store drops the response of every DropResponseEvery-th write.
 		Count             int     `json:"count"`
 		SlowFactor        float64 `json:"times"`
 		DropResponseEvery int     `json:"every"`
 	}
 
-	// Group is a set of entry processes with one policy.
+	// Group is a set of entry processes with a common policy.
 	Group struct {
 		Name      string
-		StoreAddr string // where its store's stand-in listens
+		StoreAddr string // address at which the stand-in of the group's store listens
 		Entries   []string
 	}
 )
@@ -73,10 +73,10 @@
 	PlainAtCapacity   FaultKind = "plain_full"
 )
 
-// slowStoreDelayMs is the delay of a slow store's answers, 75 times the usual.
+// slowStoreDelayMs is the response delay of a slow store in ms, 75 times the usual delay.
 const slowStoreDelayMs = 300
 
-// ReadPlan reads and checks a plan. Errors name the JSON path of each fault.
+// ReadPlan reads and checks a plan. Errors name the JSON path of each invalid field.
 func ReadPlan(path string) (Plan, error) {
 	var p Plan
 	raw, err := os.ReadFile(path)
@@ -91,7 +91,7 @@
 	return p, p.Check()
 }
 
-// Check returns an error for each bad field.
+// Check returns an error that names each invalid field.
 func (p *Plan) Check() error {
 	var errs []error
 	addError := func(path, what string) {
@@ -112,13 +112,13 @@
 		}
 	}
 	if len(p.Seeds) == 0 {
-		addError("seeds", "needs one at least")
+		addError("seeds", "must not be empty")
 	}
 	if len(p.Site.Models) == 0 {
-		addError("site.models", "needs one at least")
+		addError("site.models", "must not be empty")
 	}
 	if p.RequestsPerS > 0 && p.Site.PlainTargets == 0 {
-		addError("site.plains", "must be over 0 for single requests")
+		addError("site.plains", "must be over 0 if requests_per_s is")
 	}
 	for i, f := range p.Faults {
 		switch f.Kind {
--- a/testbed/cftrial/report.go
+++ b/testbed/cftrial/report.go
@@ -22,7 +22,7 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Summary is a group's figures.
+// Summary holds the results of a group.
 type Summary struct {
 	Group          string  `json:"group"`
 	Steps          int     `json:"steps"`
@@ -39,10 +39,11 @@
 	StoreCalls     int     `json:"store_calls"`
 	WeightLoads    int     `json:"weight_loads"`
 	ItemRuns       int     `json:"item_runs"`
-	Violations     int     `json:"broken_rules"`
+	// Violations is the number of errors that the trainers found in their results.
+	Violations int `json:"broken_rules"`
 }
 
-// Summaries returns the figures of each group.
+// Summaries returns the results of each group.
 func (r *Report) Summaries() []Summary {
 	var out []Summary
 	for _, g := range r.Groups {
@@ -82,7 +83,7 @@
 	return s[min(int(q*float64(len(s))), len(s)-1)]
 }
 
-// WriteJSON writes the whole report.
+// WriteJSON writes the report as JSON.
 func (r *Report) WriteJSON(path string) error {
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -95,7 +96,7 @@
 <html lang="en"><meta charset="utf-8"><title>{{.Plan.Name}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:60em}td,th{padding:.2em .8em;text-align:right}th:first-child,td:first-child{text-align:left}</style>
 <h1>{{.Plan.Name}}</h1>
-<p>{{.Plan.Seconds}} s a seed, seeds {{.Plan.Seeds}}, {{.Plan.Site.Engines}} engines of {{.Plan.Site.Slots}} slots,
+<p>{{.Plan.Seconds}} s per seed, seeds {{.Plan.Seeds}}, {{.Plan.Site.Engines}} engines of {{.Plan.Site.Slots}} slots,
 steps of {{.Plan.Step.Groups}} x {{.Plan.Step.GroupSize}} items, {{len .Plan.Faults}} faults.</p>
 <table><tr><th></th>{{range .Rows}}<th>{{.Group}}</th>{{end}}</tr>
 {{range .Table}}<tr><td>{{.Name}}</td>{{range .Values}}<td>{{.}}</td>{{end}}</tr>
@@ -116,16 +117,17 @@
 	}
 )
 
-// WriteHTML writes a page with the figures side by side and the plots.
+// WriteHTML writes an HTML page with a table that compares the groups' results, and with plots of
+// their distributions.
 func (r *Report) WriteHTML(path string) error {
 	var plots []figure
 	for _, p := range []struct {
 		title, axis string
 		values      func(GroupReport) []float64
 	}{
-		{"Time of a step, from its submission to its wanted groups", "ms", stepTimes},
-		{"Time of a single request", "ms", callTimes},
-		{"Staleness of a step's samples when read, mean", "versions", staleness},
+		{"Duration of a step, from its submission until its required groups are complete", "ms", stepTimes},
+		{"Duration of a single request", "ms", callTimes},
+		{"Mean staleness of a step's samples when they are read", "versions", staleness},
 	} {
 		svg, err := r.cdf(p.axis, p.values)
 		if err != nil {
@@ -142,7 +144,7 @@
 		Plots []figure
 	}{r.Plan, rows, summaryTable(rows), plots})
 	if err != nil {
-		return eris.Wrap(err, "fill report")
+		return eris.Wrap(err, "render report")
 	}
 	return eris.Wrap(os.WriteFile(path, buf.Bytes(), 0o600), "write report")
 }
@@ -152,16 +154,16 @@
 		name  string
 		value func(Summary) string
 	}{
-		{"steps, whole in time", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Steps, s.StepsCompleted) }},
+		{"steps, completed in time", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Steps, s.StepsCompleted) }},
 		{"step p50 / p90, ms", func(s Summary) string { return fmt.Sprintf("%.0f / %.0f", s.StepP50, s.StepP90) }},
-		{"trainer idle a step, ms", func(s Summary) string { return fmt.Sprintf("%.0f", s.MeanIdle) }},
-		{"staleness mean / most, versions", func(s Summary) string { return fmt.Sprintf("%.2f / %d", s.MeanStaleness, s.MaxStaleness) }},
-		{"requests, answered", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Calls, s.CallsOK) }},
+		{"trainer idle time per step, ms", func(s Summary) string { return fmt.Sprintf("%.0f", s.MeanIdle) }},
+		{"staleness mean / max, versions", func(s Summary) string { return fmt.Sprintf("%.2f / %d", s.MeanStaleness, s.MaxStaleness) }},
+		{"requests, successful", func(s Summary) string { return fmt.Sprintf("%d, %d", s.Calls, s.CallsOK) }},
 		{"request p50 / p99, ms", func(s Summary) string { return fmt.Sprintf("%.0f / %.0f", s.CallP50, s.CallP99) }},
 		{"calls to the store", func(s Summary) string { return fmt.Sprint(s.StoreCalls) }},
-		{"loads of weights", func(s Summary) string { return fmt.Sprint(s.WeightLoads) }},
+		{"weight loads", func(s Summary) string { return fmt.Sprint(s.WeightLoads) }},
 		{"item runs", func(s Summary) string { return fmt.Sprint(s.ItemRuns) }},
-		{"broken rules", func(s Summary) string { return fmt.Sprint(s.Violations) }},
+		{"errors in results", func(s Summary) string { return fmt.Sprint(s.Violations) }},
 	}
 	var out []row
 	for _, l := range lines {
@@ -195,7 +197,7 @@
 	return out
 }
 
-// cdf plots the part of the values up to x, a line a group.
+// cdf plots the cumulative distribution of the values, with a line for each group.
 func (r *Report) cdf(axis string, values func(GroupReport) []float64) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = axis, "part"
@@ -221,6 +223,6 @@
 	if _, err := c.WriteTo(&buf); err != nil {
 		return "", eris.Wrap(err, "write plot")
 	}
-	// The drawing is the library's own output, not anybody's input.
+	// The SVG comes from the plot library, not from user input, so it needs no escaping.
 	return template.HTML(buf.String()), nil
 }
--- a/testbed/cftrial/report_test.go
+++ b/testbed/cftrial/report_test.go
@@ -10,7 +10,7 @@
 	"currantford/testbed/cftrial"
 )
 
-// Every plan that the project ships is valid.
+// TestShippedPlansAreValid guards against plans in scripts/plans that the tool rejects.
 func TestShippedPlansAreValid(t *testing.T) {
 	for _, name := range []string{"slow-engine", "store-outage", "on-call"} {
 		if _, err := cftrial.ReadPlan(filepath.Join("..", "..", "scripts", "plans", name+".json")); err != nil {
@@ -24,12 +24,14 @@
 	err := p.Check()
 	for _, path := range []string{"$.seconds", "$.seeds", "$.site.models", "$.faults[0].kind", "$.faults[0].for_ms"} {
 		if err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s is not named in %v", path, err)
+			t.Errorf("the error does not name %s: %v", path, err)
 		}
 	}
 }
 
-// The report compares the groups' figures and draws them.
+// TestReportShowsBothGroups checks the summaries, and that the HTML page shows each group and the
+// plots. The page's template reads fields by name, so a renamed field fails only when the template
+// is executed.
 func TestReportShowsBothGroups(t *testing.T) {
 	r := cftrial.Report{Plan: cftrial.Plan{Name: "a plan"}}
 	for i, name := range []string{"now", "other"} {
--- a/testbed/cftrial/run.go
+++ b/testbed/cftrial/run.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// readyWait bounds the wait for a group's entries.
+	// readyWait is the time limit for a group's entry processes to become ready.
 	readyWait = 20 * time.Second
-	// seedPause lets a seed's last steps end before the next begins.
+	// seedPause lets the last steps of a seed end before the next seed begins.
 	seedPause = 500 * time.Millisecond
 )
 
 type (
-	// Report is what a run came to.
+	// Report holds the measurements of a run.
 	Report struct {
 		Plan   Plan          `json:"plan"`
 		Groups []GroupReport `json:"groups"`
 	}
 
-	// GroupReport is one group's part of it.
+	// GroupReport holds the measurements of a group.
 	GroupReport struct {
 		Name  string               `json:"name"`
 		Steps []standin.StepReport `json:"steps"`
 		Calls []standin.CallReport `json:"calls"`
-		// StoreCalls counts the calls to the store by method and kind.
+		// StoreCalls is the number of calls to the store, by method and kind.
 		StoreCalls  map[string]int `json:"store_calls"`
 		WeightLoads int            `json:"weight_loads"`
 		ItemRuns    int            `json:"item_runs"`
 	}
 )
 
-// Run plays a plan on all groups at the same time, one seed after the other.
+// Run executes a plan for all groups at the same time, and its seeds one after another.
 func Run(ctx context.Context, p Plan, groups []Group, log *zap.Logger) (Report, error) {
 	r := Report{Plan: p, Groups: make([]GroupReport, len(groups))}
 	errs := make([]error, len(groups))
@@ -62,7 +62,7 @@
 	r := GroupReport{Name: g.Name}
 	site, err := standin.StartDeployment(p.Site, g.StoreAddr)
 	if err != nil {
-		return r, eris.Wrapf(err, "stand-ins of group %s", g.Name)
+		return r, eris.Wrapf(err, "start stand-ins of group %s", g.Name)
 	}
 	defer func() { _ = site.Close() }()
 	if err := waitReady(ctx, g); err != nil {
@@ -84,7 +84,8 @@
 	return r, nil
 }
 
-// waitReady waits until every entry answers requests by the configuration.
+// waitReady waits until every entry process has loaded the configuration: from then on it returns
+// status 404 for a path without a route.
 func waitReady(ctx context.Context, g Group) error {
 	deadline := time.Now().Add(readyWait)
 	for _, e := range g.Entries {
@@ -133,7 +134,7 @@
 	return steps, calls
 }
 
-// sendRequests sends single requests at the plan's rate and waits for all of them.
+// sendRequests sends single requests at the plan's rate until ctx ends, and waits for all of them.
 func sendRequests(ctx context.Context, p Plan, g Group, seed uint64, start time.Time, done func(standin.CallReport)) {
 	if p.RequestsPerS <= 0 {
 		return
@@ -158,7 +159,7 @@
 	}
 }
 
-// injectFaults injects the plan's faults; those of one system end together.
+// injectFaults injects the plan's faults and returns when all of them have ended.
 func injectFaults(ctx context.Context, fs []Fault, site *standin.Deployment, start time.Time) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -179,7 +180,9 @@
 	}
 }
 
-// injectFault begins a fault and returns what ends it.
+// injectFault starts a fault and returns the function that ends it. The function clears all faults
+// of the store or of the affected targets, so of overlapping faults of the same system the first to
+// end also ends the others.
 func injectFault(f Fault, site *standin.Deployment) func() {
 	switch f.Kind {
 	case StoreDown:
