--- a/scripts/check-layout.sh
+++ b/scripts/check-layout.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Fails if a package imports what its folder may not touch (tests aside):
-# decisions have no sockets, files, clock, logger or metrics; the product knows
-# neither the adapter nor a stand-in; only what wires programs knows both.
+# Fails if a package imports another one that the rules for its folder forbid.
+# Imports of tests are not checked. core/ uses no sockets, files, clock, logger or
+# metrics. core/ and io/ import neither the platform adapter nor a stand-in. Only
+# the packages that assemble the programs import both.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-check() { # FOLDER FORBIDDEN-IMPORTS
+check() { # FOLDER FORBIDDEN_IMPORTS_REGEXP
   go list -f '{{$p := .ImportPath}}{{range .Imports}}{{$p}} {{.}}{{"\n"}}{{end}}' "./$1/..." |
     grep -v '^currantford/platform/standin ' | grep -E " ($2)\$" || true
 }
@@ -15,7 +16,7 @@
   check older 'currantford/(core|io|platform|nodecommands)(/.*)?' | grep -vE ' currantford/io/(cfpeer|cflog)$' || true
 )
 if [ -n "$found" ]; then
-  echo "imports that their folders forbid:" >&2
+  echo "imports that are forbidden in their folders:" >&2
   echo "$found" >&2
   exit 1
 fi
--- a/scripts/check-names.sh
+++ b/scripts/check-names.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Fails if a name of the platform's protocols stands in a Go file outside
-# platform/ (tests aside): each is decoded once, in the adapter.
+# Fails if a Go file outside platform/ contains a name of the platform's protocols.
+# These names are encoded and decoded in one place, the adapter. Tests are not
+# checked.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='(^|[^-A-Za-z])Currantford-[A-Z]|(^|[^a-z])/currantford/|Kv-|kv-(move|pin|handle|events|list)|path-prefix|max-attempts|can-resume|slo-ms|timeout-ms|max-wait-s|single-version|min-version|target-groups|next-token|current-rev|allow-stale|wait-ms|max-conns|health-path|max-body-bytes|max-header-bytes|idle-timeout-ms|header-timeout-ms|port-range|value-bytes|ttl-s|cold-left-ms|num-(waiting|running)|kv-(used|total|capacity)|X-Api-Key|api-keys|"tenants?"'
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts a small site of separate processes on loopback with the embedded
-# default settings, drives it for a bounded time, prints the summary and
-# stops every process it started, by pid. An optional argument names a load
-# plan (for example scripts/plans/faults.json); the embedded plan otherwise.
+# Starts a small deployment of separate processes on loopback with the embedded
+# default settings, applies a load for a limited time, prints the summary and
+# stops each process that it started, by pid. The optional argument is a load
+# plan, such as scripts/plans/faults.json; the default is the embedded plan.
 set -euo pipefail
 plan=${1:+$(realpath "$1")}
 cd "$(dirname "$0")/.."
@@ -17,9 +17,9 @@
   "$bin" "$@" >"$dir/$name.out" 2>"$dir/$name.log" &
   pids+=($!)
 }
-# mark ends a group of processes; groups stop in reverse order, each group
-# waited for before the next, so that entries drain while the platform and
-# the engines still answer.
+# mark closes the current group of processes. Groups are stopped in reverse order,
+# each after the previous one has exited, so that the entry processes drain while
+# the platform and the engines are still running.
 mark() { groups+=("${pids[*]}"); pids=(); }
 stop_all() {
   mark
@@ -47,12 +47,12 @@
 mark
 start trainer standin trainer --name spoilage --report "$dir/trainer.json"
 
-# A process that could not start (a port already taken, say) ends the demo
-# here, with its log, instead of skewing the figures.
+# If a process failed to start, for example because its port is in use, prints its
+# errors and exits. The results would be wrong without it.
 sleep 0.5
 for p in ${groups[*]} ${pids[*]}; do
   if ! kill -0 "$p" 2>/dev/null; then
-    echo "demo: a process exited at start; logs in $dir:" >&2
+    echo "demo: a process exited at startup; its errors (logs are in $dir):" >&2
     grep -h '"level":"error"\|^currantford:' "$dir"/*.log "$dir"/*.out >&2 || true
     exit 1
   fi
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# The test command: every package's tests but those listed in KNOWN-RED.txt (an
-# entry begins with the test's name, or with the seed that shows it), and each benchmark once as a smoke run (no
-# timing is asserted).
+# The test command. Runs the tests of all packages except those listed in
+# KNOWN-RED.txt, whose entries begin with the name of the test, or with the seed
+# that reproduces the failure. Then runs each benchmark once as a smoke test,
+# without checking its timing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 skip='^$'
--- a/scripts/trial.sh
+++ b/scripts/trial.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Compares two policies side by side: two groups of three entry processes on
-# loopback, the same load and faults for both, several seeds; writes
-# OUT/report.html and report.json, prints a summary a group, and keeps the
-# entries' logs in OUT. Stops every process by its pid.
+# Compares two policies. Starts two groups of three entry processes on loopback,
+# one group per policy, and applies the same load and the same faults to both, for
+# each seed of the plan. Writes OUT/report.html and OUT/report.json, prints a summary
+# of each group and keeps the logs of the entry processes in OUT. Stops each process
+# by its pid.
 #
 #   scripts/trial.sh [PLAN] [POLICY_B_JSON] [OUT]
 set -euo pipefail
@@ -20,7 +21,7 @@
 }
 trap stop EXIT
 groups=()
-start_group() { # name, first port, policy
+start_group() { # NAME FIRST_PORT POLICY_JSON
   local name=$1 port=$2 policy=$3 entries=()
   local store=127.0.0.1:$port
   for i in 1 2 3; do
--- a/scripts/weak-site.sh
+++ b/scripts/weak-site.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Makes of a deployment's site file one whose callers' instances are all of the weakest
-# kind that it has: what a deployment stands on shows where its strong instances are
-# gone.
+# Writes a copy of a deployment's site file in which all instances that serve callers
+# (class "front") have the size of the weakest one. Trials with this file show whether
+# the deployment depends on its strong instances.
 #
 #   bash scripts/weak-site.sh SITE.toml OUT.toml
 set -euo pipefail
