--- a/testbed/cfload/load.go
+++ b/testbed/cfload/load.go
@@ -80,7 +80,8 @@
 		Trainer     *cfstandin.TrainerReport  `json:"trainer,omitempty"`
 	}
 
-	// CompletionSummary counts live completions by outcome.
+	// CompletionSummary counts live completions by outcome and holds percentiles of the time to
+	// first token (TTFT).
 	CompletionSummary struct {
 		Sent     int       `json:"sent"`
 		Complete int       `json:"whole"`
--- a/testbed/cfreplay/crashes.go
+++ b/testbed/cfreplay/crashes.go
@@ -10,15 +10,15 @@
 
 const (
 	host = "h"
-	// crashDelay is how long an engine runs a faulty item before it crashes.
+	// crashDelay is how long a faulty item runs before its engine crashes.
 	crashDelay cf.Millis = 80
-	// sweepInterval is the time between two sweeps of the quarantine's expired records.
+	// sweepInterval is the time between two removals of expired records from the quarantine.
 	sweepInterval cf.Millis = 500
 )
 
 type (
-	// CrashBurst is a number of engines that crash at the same moment, with all of their runs. They
-	// restart under the same ids after Downtime.
+	// CrashBurst is a simultaneous crash of a fraction of the engines, with all of their runs. The
+	// engines restart under the same ids after Downtime.
 	CrashBurst struct {
 		At       cf.Millis
 		Fraction float64
--- a/testbed/cftrial/plan.go
+++ b/testbed/cftrial/plan.go
@@ -62,7 +62,7 @@
 	}
 )
 
-// Kinds of faults.
+// Kinds of injected faults.
 const (
 	StoreDown         FaultKind = "store_down"
 	StoreSlow         FaultKind = "store_slow"
