--- a/nodecommands/commands.go
+++ b/nodecommands/commands.go
@@ -25,9 +25,9 @@
 	"currantford/platform"
 )
 
-// idlePerTarget bounds the kept connections to one target: as many as a
+// maxIdleConnsPerTarget bounds the kept connections to one target: as many as a
 // model engine runs items at once.
-const idlePerTarget = 12
+const maxIdleConnsPerTarget = 12
 
 type (
 	// SettingsOption is the settings flag shared by every command.
@@ -114,7 +114,7 @@
 	}, func() float64 { return float64(out.Dropped()) }))
 	store := platform.NewStore(s.Store.Addr, reg)
 	defer func() { _ = store.Close() }()
-	targets := platform.NewTargets(idlePerTarget, reg)
+	targets := platform.NewTargets(maxIdleConnsPerTarget, reg)
 	defer func() { _ = targets.Close() }()
 	adapter := cfnode.Adapter{Store: store, Targets: targets, Codec: platform.Codec{}, Relay: platform.NewRelay(store)}
 	if s.Control.Addr != "" {
--- a/older/cfconfig/config.go
+++ b/older/cfconfig/config.go
@@ -196,7 +196,7 @@
 		return Site{}, Faults{{Path: "$", Message: "not JSON: " + err.Error()}}
 	}
 	var faults Faults
-	unknownFields(reflect.TypeFor[Site](), raw, "$", &faults)
+	collectUnknownFields(reflect.TypeFor[Site](), raw, "$", &faults)
 	var s Site
 	dec := json.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(&s); err != nil {
@@ -273,18 +273,18 @@
 	if len(s.Entries) == 0 {
 		add("$.entries", "at least one entry instance is needed")
 	}
-	ids := map[string]string{}
-	unique := func(path, id string) {
+	pathsByID := map[string]string{}
+	checkUnique := func(path, id string) {
 		if id == "" {
 			add(path, "must not be empty")
-		} else if prev, ok := ids[id]; ok {
+		} else if prev, ok := pathsByID[id]; ok {
 			add(path, "%q is also used at %s", id, prev)
 		}
-		ids[id] = path
+		pathsByID[id] = path
 	}
 	for i, e := range s.Entries {
 		p := fmt.Sprintf("$.entries[%d]", i)
-		unique(p+".id", string(e.ID))
+		checkUnique(p+".id", string(e.ID))
 		checkAddr(p+".addr", e.Addr)
 		if e.Domain == "" {
 			add(p+".failure_domain", "must not be empty")
@@ -292,7 +292,7 @@
 	}
 	for i, e := range s.Engines {
 		p := fmt.Sprintf("$.engines[%d]", i)
-		unique(p+".id", string(e.ID))
+		checkUnique(p+".id", string(e.ID))
 		checkAddr(p+".addr", e.Addr)
 		switch e.Role {
 		case RoleLive, RoleRollout, RoleShared:
@@ -305,7 +305,7 @@
 	}
 	for i, sv := range s.Services {
 		p := fmt.Sprintf("$.services[%d]", i)
-		unique(p+".name", sv.Name)
+		checkUnique(p+".name", sv.Name)
 		checkAddr(p+".addr", sv.Addr)
 	}
 	if len(s.Pools) > 0 {
@@ -314,7 +314,7 @@
 	claims := map[string]bool{}
 	for i, pl := range s.Pools {
 		p := fmt.Sprintf("$.pools[%d]", i)
-		unique(p+".name", string(pl.Name))
+		checkUnique(p+".name", string(pl.Name))
 		if len(pl.Prompts) == 0 {
 			add(p+".prompts", "at least one prompt is needed")
 		}
@@ -349,9 +349,9 @@
 	return fs
 }
 
-// unknownFields walks a decoded document beside the settings type and
+// collectUnknownFields walks a decoded document beside the settings type and
 // records every key the type does not have, with its path.
-func unknownFields(t reflect.Type, v any, path string, fs *Faults) {
+func collectUnknownFields(t reflect.Type, v any, path string, fs *Faults) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -380,7 +380,7 @@
 				*fs = append(*fs, Fault{Path: path + "." + k, Message: "unknown field"})
 				continue
 			}
-			unknownFields(ft, obj[k], path+"."+k, fs)
+			collectUnknownFields(ft, obj[k], path+"."+k, fs)
 		}
 	case reflect.Slice:
 		list, ok := v.([]any)
@@ -388,7 +388,7 @@
 			return
 		}
 		for i, item := range list {
-			unknownFields(t.Elem(), item, fmt.Sprintf("%s[%d]", path, i), fs)
+			collectUnknownFields(t.Elem(), item, fmt.Sprintf("%s[%d]", path, i), fs)
 		}
 	}
 }
--- a/older/cfentry/claims.go
+++ b/older/cfentry/claims.go
@@ -21,9 +21,9 @@
 )
 
 type (
-	// claimCall is the peer message of a fetch, an ack or a weights order,
+	// poolCall is the peer message of a fetch, an ack or a weights order,
 	// forwarded from any entry to the pool's leader.
-	claimCall struct {
+	poolCall struct {
 		Pool    cf.PoolName      `cbor:"pool"`
 		Claim   cf.ClaimName     `cbor:"claim,omitempty"`
 		Max     int              `cbor:"max,omitempty"`
@@ -33,9 +33,9 @@
 	}
 )
 
-// registerPeerOps answers the calls other entries forward to this one
+// registerPeerHandlers answers the calls other entries forward to this one
 // while it leads a pool.
-func (e *Entry) registerPeerOps() {
+func (e *Entry) registerPeerHandlers() {
 	e.peerSrv.Handle("fetch", func(ctx context.Context, body cbor.RawMessage) (any, error) {
 		c, p, err := e.decodeCall(body)
 		if err != nil {
@@ -59,8 +59,8 @@
 	})
 }
 
-func (e *Entry) decodeCall(body cbor.RawMessage) (claimCall, *cfpool.Pool, error) {
-	var c claimCall
+func (e *Entry) decodeCall(body cbor.RawMessage) (poolCall, *cfpool.Pool, error) {
+	var c poolCall
 	if err := cbor.Unmarshal(body, &c); err != nil {
 		return c, nil, eris.Wrap(cf.ErrInvalid, err.Error())
 	}
@@ -95,14 +95,14 @@
 }
 
 // callLeader forwards c to the leading entry at addr over the peer link.
-func (e *Entry) callLeader(ctx context.Context, addr, op string, c claimCall, out any) error {
+func (e *Entry) callLeader(ctx context.Context, addr, op string, c poolCall, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait.Duration()+peerTimeout)
 	defer cancel()
 	return e.peers.Call(ctx, addr, op, c, out)
 }
 
 func (e *Entry) handleFetch(ctx iris.Context) {
-	c := claimCall{Pool: cf.PoolName(ctx.Params().Get("pool")), Claim: cf.ClaimName(ctx.Params().Get("claim"))}
+	c := poolCall{Pool: cf.PoolName(ctx.Params().Get("pool")), Claim: cf.ClaimName(ctx.Params().Get("claim"))}
 	c.Max, _ = strconv.Atoi(ctx.URLParamDefault("max", "16"))
 	wait, _ := strconv.ParseInt(ctx.URLParamDefault("wait_ms", "2000"), 10, 64)
 	c.Wait = min(cf.Millis(wait), cf.MillisOf(maxFetchWait))
@@ -116,7 +116,7 @@
 		err = e.callLeader(ctx.Request().Context(), addr, "fetch", c, &batch)
 	}
 	if err != nil {
-		e.claimFailure(ctx, "fetch", err)
+		e.writePoolError(ctx, "fetch", err)
 		return
 	}
 	if batch.Samples == nil {
@@ -131,10 +131,10 @@
 		Cursor int64 `json:"cursor"`
 	}
 	if err := ctx.ReadJSON(&body); err != nil {
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", err)
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", err)
 		return
 	}
-	c := claimCall{Pool: cf.PoolName(ctx.Params().Get("pool")), Claim: cf.ClaimName(ctx.Params().Get("claim")), Cursor: body.Cursor}
+	c := poolCall{Pool: cf.PoolName(ctx.Params().Get("pool")), Claim: cf.ClaimName(ctx.Params().Get("claim")), Cursor: body.Cursor}
 	p, addr, err := e.leaderOf(c.Pool)
 	switch {
 	case err != nil:
@@ -144,7 +144,7 @@
 		err = e.callLeader(ctx.Request().Context(), addr, "ack", c, nil)
 	}
 	if err != nil {
-		e.claimFailure(ctx, "ack", err)
+		e.writePoolError(ctx, "ack", err)
 		return
 	}
 	e.metrics.requests.WithLabelValues("ack", "ok").Inc()
@@ -158,10 +158,10 @@
 		Version cf.WeightVersion `json:"weight_version"`
 	}
 	if err := ctx.ReadJSON(&body); err != nil {
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", err)
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", err)
 		return
 	}
-	c := claimCall{Pool: cf.PoolName(ctx.Params().Get("pool")), Version: body.Version}
+	c := poolCall{Pool: cf.PoolName(ctx.Params().Get("pool")), Version: body.Version}
 	p, addr, err := e.leaderOf(c.Pool)
 	switch {
 	case err != nil:
@@ -171,7 +171,7 @@
 		err = e.callLeader(ctx.Request().Context(), addr, "weights", c, nil)
 	}
 	if err != nil {
-		e.claimFailure(ctx, "weights", err)
+		e.writePoolError(ctx, "weights", err)
 		return
 	}
 	_ = ctx.JSON(struct {
@@ -179,20 +179,20 @@
 	}{body.Version})
 }
 
-// claimFailure maps a pool error to an answer. A trainer that is told to
+// writePoolError maps a pool error to an answer. A trainer that is told to
 // come back gets Retry-After at once; no answer is held back.
-func (e *Entry) claimFailure(ctx iris.Context, route string, err error) {
+func (e *Entry) writePoolError(ctx iris.Context, route string, err error) {
 	e.metrics.requests.WithLabelValues(route, "error").Inc()
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		refuse(ctx, http.StatusNotFound, "not_found", "no", err)
+		writeError(ctx, http.StatusNotFound, "not_found", "no", err)
 	case errors.Is(err, cf.ErrInvalid):
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", err)
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", err)
 	case errors.Is(err, cf.ErrFenced), errors.Is(err, cf.ErrConflict):
-		refuse(ctx, http.StatusConflict, "fenced", "no", err)
+		writeError(ctx, http.StatusConflict, "fenced", "no", err)
 	case errors.Is(err, cf.ErrNotLeader):
-		refuse(ctx, http.StatusServiceUnavailable, "not_leader", "no", err)
+		writeError(ctx, http.StatusServiceUnavailable, "not_leader", "no", err)
 	default:
-		refuse(ctx, http.StatusServiceUnavailable, "unavailable", "unknown", err)
+		writeError(ctx, http.StatusServiceUnavailable, "unavailable", "unknown", err)
 	}
 }
--- a/older/cfentry/delivery_test.go
+++ b/older/cfentry/delivery_test.go
@@ -13,7 +13,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// TestSamplesOnceAcrossLeaderLoss: a trainer gets every sample once when
+// TestSamplesDeliveredOnceAcrossLeaderChange: a trainer gets every sample once when
 // the entry leading its pool stops in the middle of a step.
 //
 // Symptom: a trainer trains on the same sample twice, or waits for ever.
@@ -22,7 +22,7 @@
 // other entry takes over and goes on from the committed cursor.
 // Cause it guards against: a new leader starting from its own memory
 // instead of the cursor in the platform, or acks that are not idempotent.
-func TestSamplesOnceAcrossLeaderLoss(t *testing.T) {
+func TestSamplesDeliveredOnceAcrossLeaderChange(t *testing.T) {
 	ts := startSite(t, 2, nil)
 	ctx := context.Background()
 	var lease struct {
@@ -47,14 +47,14 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		sctx, cancel := context.WithTimeout(ctx, 5*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		_ = ts.entries[leader].Shutdown(sctx)
+		_ = ts.entries[leader].Shutdown(shutdownCtx)
 	}()
 	settings := cfconfig.Trainer{Name: "t", Pool: "forecast", Claim: "spoilage", StepSamples: 8, Steps: 5, TrainTime: 50}
-	rctx, cancel := context.WithTimeout(ctx, 30*time.Second)
+	trainerCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
-	report, err := cfstandin.RunTrainer(rctx, settings, ts.urls[survivor], zap.NewNop())
+	report, err := cfstandin.RunTrainer(trainerCtx, settings, ts.urls[survivor], zap.NewNop())
 	if err != nil {
 		t.Fatalf("trainer stopped after %d steps: %v", report.Steps, err)
 	}
--- a/older/cfentry/engines.go
+++ b/older/cfentry/engines.go
@@ -28,30 +28,30 @@
 	priorityRollout = 0
 	// maxAttempts bounds how many engines one request is tried on.
 	maxAttempts = 3
-	// pollTimeout bounds one load report read; an engine that does not
+	// loadPollTimeout bounds one load report read; an engine that does not
 	// answer in time counts as unreachable for that round.
-	pollTimeout = 500 * time.Millisecond
+	loadPollTimeout = 500 * time.Millisecond
 	// unreachableAfter is the number of failed polls in a row after which
 	// an engine gets no new work: a crashed engine would otherwise keep
 	// receiving requests that fail on connect.
 	unreachableAfter = 2
-	maxBody          = 1 << 20
+	maxBodyBytes     = 1 << 20
 )
 
 type (
 	engineSet struct {
-		entry   *Entry
-		scorer  string
-		client  *http.Client
-		mu      sync.Mutex
-		engines map[cf.EngineID]*engineState
-		seq     atomic.Int64
+		entry      *Entry
+		scorer     string
+		client     *http.Client
+		mu         sync.Mutex
+		engines    map[cf.EngineID]*engineState
+		requestSeq atomic.Int64
 	}
 
 	engineState struct {
-		settings cfconfig.Engine
-		load     cf.Load
-		failures int
+		settings    cfconfig.Engine
+		load        cf.Load
+		failedPolls int
 	}
 )
 
@@ -63,22 +63,22 @@
 	return s
 }
 
-// poll reads every engine's load report once, in parallel.
-func (s *engineSet) poll(ctx context.Context) {
+// pollLoads reads every engine's load report once, in parallel.
+func (s *engineSet) pollLoads(ctx context.Context) {
 	var wg sync.WaitGroup
 	for id, st := range s.engines {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			var l cf.Load
-			err := s.getJSON(ctx, "http://"+st.settings.Addr+"/v1/load", &l, pollTimeout)
+			err := s.getJSON(ctx, "http://"+st.settings.Addr+"/v1/load", &l, loadPollTimeout)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if err != nil {
-				st.failures++
+				st.failedPolls++
 				return
 			}
-			st.failures = 0
+			st.failedPolls = 0
 			l.Engine, l.Addr, l.Domain = id, st.settings.Addr, st.settings.Domain
 			st.load = l
 		}()
@@ -94,7 +94,7 @@
 	var out []cf.Load
 	for id, st := range s.engines {
 		role := st.settings.Role
-		if skip[id] || st.failures >= unreachableAfter ||
+		if skip[id] || st.failedPolls >= unreachableAfter ||
 			(live && role == cfconfig.RoleRollout) || (!live && role == cfconfig.RoleLive) {
 			continue
 		}
@@ -123,7 +123,7 @@
 	if job.Live {
 		kind = "live"
 	}
-	s.entry.decided(d, kind)
+	s.entry.logDecision(d, kind)
 	return d, nil
 }
 
@@ -133,7 +133,7 @@
 func (s *engineSet) Generate(ctx context.Context, job cf.Job, prompt string) (cf.Generation, error) {
 	job.PromptTokens = cf.Tokens(len(strings.Fields(prompt)))
 	skip := map[cf.EngineID]bool{}
-	var last error
+	var lastErr error
 	for range maxAttempts {
 		d, err := s.route(job, skip)
 		if err != nil {
@@ -154,15 +154,15 @@
 		}
 		err = s.postJSON(ctx, "http://"+s.addr(d.Choice)+"/v1/completions", body, &out, time.Minute)
 		if err == nil && len(out.Choices) == 1 && len(out.WeightVersions) > 0 {
-			span := cf.MillisOf(time.Since(start))
-			s.entry.router.Observe(d.Choice, job.PromptTokens, job.MaxTokens, 0, span)
+			elapsed := cf.MillisOf(time.Since(start))
+			s.entry.router.Observe(d.Choice, job.PromptTokens, job.MaxTokens, 0, elapsed)
 			return cf.Generation{Text: out.Choices[0].Text, Weights: out.WeightVersions, Engine: d.Choice}, nil
 		}
 		s.entry.router.Observe(d.Choice, 0, 0, 0, 0)
-		last = eris.Wrapf(cf.ErrUnavailable, "rollout on %s: %v", d.Choice, err)
+		lastErr = eris.Wrapf(cf.ErrUnavailable, "rollout on %s: %v", d.Choice, err)
 		skip[d.Choice] = true
 	}
-	return cf.Generation{}, last
+	return cf.Generation{}, lastErr
 }
 
 // Score implements currantford.Backend.
@@ -249,27 +249,27 @@
 // engine failure ends the stream with an error event that says the answer
 // is partial, so the caller never takes a cut answer for a whole one.
 func (e *Entry) handleCompletions(ctx iris.Context) {
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBodyBytes))
 	var req map[string]json.RawMessage // the caller's body, passed through whole
 	if err != nil || json.Unmarshal(body, &req) != nil {
 		e.metrics.requests.WithLabelValues("completions", "bad_request").Inc()
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", eris.New("body must be a JSON object"))
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", eris.New("body must be a JSON object"))
 		return
 	}
-	var size struct {
+	var params struct {
 		Prompt    json.RawMessage `json:"prompt"`
 		MaxTokens cf.Tokens       `json:"max_tokens"`
 	}
-	_ = json.Unmarshal(body, &size)
-	if size.MaxTokens <= 0 {
-		size.MaxTokens = 16
+	_ = json.Unmarshal(body, &params)
+	if params.MaxTokens <= 0 {
+		params.MaxTokens = 16
 	}
 	req["priority"] = json.RawMessage(fmt.Sprint(priorityLive))
 	body, _ = json.Marshal(req)
 	job := cf.Job{
-		ID:           cf.RequestID(fmt.Sprintf("%s-%d", e.self.ID, e.engines.seq.Add(1))),
-		PromptTokens: cf.Tokens(len(strings.Fields(string(size.Prompt)))),
-		MaxTokens:    size.MaxTokens,
+		ID:           cf.RequestID(fmt.Sprintf("%s-%d", e.self.ID, e.engines.requestSeq.Add(1))),
+		PromptTokens: cf.Tokens(len(strings.Fields(string(params.Prompt)))),
+		MaxTokens:    params.MaxTokens,
 		Live:         true,
 	}
 	skip := map[cf.EngineID]bool{}
@@ -277,7 +277,7 @@
 		d, err := e.engines.route(job, skip)
 		if err != nil {
 			e.metrics.requests.WithLabelValues("completions", "no_engine").Inc()
-			refuse(ctx, http.StatusServiceUnavailable, "no_engine", "no", err)
+			writeError(ctx, http.StatusServiceUnavailable, "no_engine", "no", err)
 			return
 		}
 		sent, err := e.proxyCompletion(ctx, d.Choice, job, body)
@@ -293,7 +293,7 @@
 		skip[d.Choice] = true
 	}
 	e.metrics.requests.WithLabelValues("completions", "engines_failed").Inc()
-	refuse(ctx, http.StatusServiceUnavailable, "engines_failed", "no", eris.New("every engine tried failed before answering"))
+	writeError(ctx, http.StatusServiceUnavailable, "engines_failed", "no", eris.New("every engine tried failed before answering"))
 }
 
 // proxyCompletion sends one attempt and copies the answer to the caller. It
@@ -324,14 +324,14 @@
 	}
 	w.Header().Set("X-Currantford-Engine", string(engine))
 	w.WriteHeader(resp.StatusCode)
-	var first time.Duration
+	var timeToFirst time.Duration
 	r := bufio.NewReader(resp.Body)
 	buf := make([]byte, 32<<10)
 	for {
 		n, rerr := r.Read(buf)
 		if n > 0 {
-			if first == 0 {
-				first = time.Since(start)
+			if timeToFirst == 0 {
+				timeToFirst = time.Since(start)
 			}
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return true, werr
@@ -343,15 +343,15 @@
 		}
 		if rerr != nil {
 			e.router.Observe(engine, 0, 0, 0, 0)
-			var cut errorBody
-			cut.Error.Message, cut.Error.Code, cut.Error.Ran = "engine failed mid-answer; the answer above is partial", "partial", "partly"
-			event, _ := json.Marshal(cut)
+			var partial errorBody
+			partial.Error.Message, partial.Error.Code, partial.Error.Ran = "engine failed mid-answer; the answer above is partial", "partial", "partly"
+			event, _ := json.Marshal(partial)
 			_, _ = fmt.Fprintf(w, "data: %s\n\n", event)
 			w.Flush()
 			return true, rerr
 		}
 	}
 	total := time.Since(start)
-	e.router.Observe(engine, job.PromptTokens, job.MaxTokens, cf.MillisOf(first), cf.MillisOf(total-first))
+	e.router.Observe(engine, job.PromptTokens, job.MaxTokens, cf.MillisOf(timeToFirst), cf.MillisOf(total-timeToFirst))
 	return true, nil
 }
--- a/older/cfentry/entry.go
+++ b/older/cfentry/entry.go
@@ -43,11 +43,11 @@
 
 // Instance roles and states in the instance list.
 const (
-	RoleEntry     = "entry"
-	RoleEngine    = "engine"
-	StateLive     = "live"
-	StateLeaving  = "leaving"
-	retryAfterSec = "1"
+	RoleEntry         = "entry"
+	RoleEngine        = "engine"
+	StateLive         = "live"
+	StateLeaving      = "leaving"
+	retryAfterSeconds = "1"
 )
 
 type (
@@ -122,7 +122,7 @@
 			Store: e.store, Backend: e.engines, Entry: id, Addr: self.Addr, Lease: site.Lease, Log: log,
 		})
 	}
-	e.registerPeerOps()
+	e.registerPeerHandlers()
 	return e, nil
 }
 
@@ -163,8 +163,8 @@
 // list watch, engine load polls and the pools' leases. It returns at once.
 func (e *Entry) Run(ctx context.Context) {
 	ctx, e.cancel = context.WithCancel(ctx)
-	e.goLoop(ctx, e.site.Lease.Renew, e.heartbeat)
-	e.goLoop(ctx, e.site.LoadPoll, e.engines.poll)
+	e.runEvery(ctx, e.site.Lease.Renew, e.heartbeat)
+	e.runEvery(ctx, e.site.LoadPoll, e.engines.pollLoads)
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -179,7 +179,7 @@
 	}
 }
 
-func (e *Entry) goLoop(ctx context.Context, every cf.Millis, f func(context.Context)) {
+func (e *Entry) runEvery(ctx context.Context, every cf.Millis, f func(context.Context)) {
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -292,9 +292,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []Instance
-	fresh := cf.Now() - 3*e.site.Lease.Renew - e.site.Platform.InstanceLag
+	minHeartbeat := cf.Now() - 3*e.site.Lease.Renew - e.site.Platform.InstanceLag
 	for _, in := range e.instances {
-		if in.Role == RoleEntry && in.State == StateLive && in.Heartbeat >= fresh && in.ID != string(e.self.ID) {
+		if in.Role == RoleEntry && in.State == StateLive && in.Heartbeat >= minHeartbeat && in.ID != string(e.self.ID) {
 			out = append(out, in)
 		}
 	}
@@ -321,8 +321,8 @@
 	}{rows, e.site.EntriesTTL})
 }
 
-// decided logs one routing decision as one JSON line and counts it.
-func (e *Entry) decided(d cf.Decision, kind string) {
+// logDecision logs one routing decision as one JSON line and counts it.
+func (e *Entry) logDecision(d cf.Decision, kind string) {
 	e.metrics.decisions.WithLabelValues(d.Policy, d.Reason).Inc()
 	e.log.Info("decision", zap.String("kind", kind), zap.String("request_id", string(d.Request)),
 		zap.Any("candidates", d.Candidates), zap.String("choice", string(d.Choice)), zap.String("reason", d.Reason),
@@ -340,10 +340,10 @@
 	} `json:"error"`
 }
 
-// refuse answers with an error body that says whether the request ran.
-func refuse(ctx iris.Context, status int, code, ran string, err error) {
+// writeError answers with an error body that says whether the request ran.
+func writeError(ctx iris.Context, status int, code, ran string, err error) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		ctx.Header("Retry-After", retryAfterSec)
+		ctx.Header("Retry-After", retryAfterSeconds)
 	}
 	ctx.Header("X-Currantford-Ran", ran)
 	ctx.StatusCode(status)
--- a/older/cfentry/entry_test.go
+++ b/older/cfentry/entry_test.go
@@ -13,9 +13,9 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestOpenAIClient drives the entry with the published client library, so
+// TestCompletionsWithOpenAIClient drives the entry with the published client library, so
 // the caller protocol is OpenAI's and not our reading of it.
-func TestOpenAIClient(t *testing.T) {
+func TestCompletionsWithOpenAIClient(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	client := openai.NewClient(option.WithBaseURL(ts.urls[0]+"/v1/"), option.WithAPIKey("test"), option.WithMaxRetries(0))
 	params := openai.CompletionNewParams{
@@ -28,12 +28,12 @@
 		_, err := client.Completions.New(ctx, params)
 		return err == nil
 	})
-	whole, err := client.Completions.New(ctx, params)
+	unstreamed, err := client.Completions.New(ctx, params)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := len(strings.Fields(whole.Choices[0].Text)); got != 6 {
-		t.Fatalf("whole answer has %d tokens, want 6: %q", got, whole.Choices[0].Text)
+	if got := len(strings.Fields(unstreamed.Choices[0].Text)); got != 6 {
+		t.Fatalf("whole answer has %d tokens, want 6: %q", got, unstreamed.Choices[0].Text)
 	}
 	stream := client.Completions.NewStreaming(ctx, params)
 	var text strings.Builder
@@ -45,8 +45,8 @@
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if text.String() != whole.Choices[0].Text {
-		t.Fatalf("streamed %q, whole %q: the same prompt must give the same answer", text.String(), whole.Choices[0].Text)
+	if text.String() != unstreamed.Choices[0].Text {
+		t.Fatalf("streamed %q, whole %q: the same prompt must give the same answer", text.String(), unstreamed.Choices[0].Text)
 	}
 }
 
@@ -94,12 +94,12 @@
 		status, _ := send(ts.urls[1], 2*time.Second)
 		return status == http.StatusOK
 	})
-	if n := ts.serviceCalls(t, "bid-1"); n != 1 {
+	if n := ts.bidCalls(t, "bid-1"); n != 1 {
 		t.Fatalf("bid-1 reached the service %d times, want 1", n)
 	}
 }
 
-// TestLeavingEngineGetsNoNewWork: once the instance list shows an engine
+// TestLeavingEngineGetsNoNewRequests: once the instance list shows an engine
 // leaving, no new live request goes to it.
 //
 // Symptom: requests keep landing on an engine being taken out, and are cut
@@ -107,7 +107,7 @@
 // Sequence: the engine is marked leaving; the list lags; callers keep
 // sending.
 // Cause: routing on load reports alone, which still show it idle.
-func TestLeavingEngineGetsNoNewWork(t *testing.T) {
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	ts.setInstance(t, "forecast-1", "leaving")
 	post := func() string {
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestBidRefusedNotRunDuringOutage: during a platform outage a bid is
+// TestBidDuringOutageIsRefusedAsNotRun: during a platform outage a bid is
 // refused, the refusal says "not run", and that is true.
 //
 // Symptom: a buyer told "not run" finds the bid was taken, or a bid sent
@@ -148,7 +148,7 @@
 // back and the caller repeats the same key.
 // Cause it guards against: sending before the marker exists, or saying
 // "not run" after the bytes may have left.
-func TestBidRefusedNotRunDuringOutage(t *testing.T) {
+func TestBidDuringOutageIsRefusedAsNotRun(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	send := func() (int, string) {
 		req, _ := http.NewRequest(http.MethodPost, ts.urls[0]+"/v1/services/bids/call", strings.NewReader(`{"pen":3,"price":200}`))
@@ -160,7 +160,7 @@
 		defer resp.Body.Close()
 		return resp.StatusCode, resp.Header.Get("X-Currantford-Ran")
 	}
-	calls := func() int { return ts.serviceCalls(t, "bid-outage") }
+	calls := func() int { return ts.bidCalls(t, "bid-outage") }
 	if err := ts.store.InjectFaults(context.Background(), 60000, 0, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/older/cfentry/services.go
+++ b/older/cfentry/services.go
@@ -23,19 +23,19 @@
 	// KindAtMostOnce is the kind of the at-most-once markers of non-idempotent
 	// calls, one per service and idempotency key.
 	KindAtMostOnce = "once"
-	// idempotentRetries bounds the tries of an idempotent call.
-	idempotentRetries = 3
+	// maxIdempotentAttempts bounds the tries of an idempotent call.
+	maxIdempotentAttempts = 3
 	// resultTTL is how long an answer is kept for repeats of its key.
 	resultTTL = 10 * time.Minute
 )
 
 // Marker states.
 const (
-	onceSending = "sending"
-	onceDone    = "done"
-	// onceNotSent marks a call that failed to connect: no byte left, so
+	markerSending = "sending"
+	markerDone    = "done"
+	// markerNotSent marks a call that failed to connect: no byte left, so
 	// a repeat may take the marker over and send.
-	onceNotSent = "not_sent"
+	markerNotSent = "not_sent"
 )
 
 type (
@@ -43,18 +43,18 @@
 		entry   *Entry
 		client  *http.Client
 		mu      sync.Mutex
-		results map[string]*result
+		results map[string]*callResult
 	}
 
-	// result is one call's answer, shared by concurrent repeats of its key.
-	result struct {
+	// callResult is one call's answer, shared by concurrent repeats of its key.
+	callResult struct {
 		done    chan struct{}
 		status  int
 		body    []byte
 		expires time.Time
 	}
 
-	onceValue struct {
+	markerValue struct {
 		State  string     `json:"state"`
 		Entry  cf.EntryID `json:"entry"`
 		Status int        `json:"status,omitempty"`
@@ -63,7 +63,7 @@
 )
 
 func newServiceSet(_ cfconfig.Site, e *Entry) *serviceSet {
-	return &serviceSet{entry: e, client: &http.Client{}, results: map[string]*result{}}
+	return &serviceSet{entry: e, client: &http.Client{}, results: map[string]*callResult{}}
 }
 
 // handleService sends a call to a plain service. Repeats of an idempotency
@@ -75,21 +75,21 @@
 	name := ctx.Params().Get("service")
 	sv, err := e.site.Service(name)
 	if err != nil {
-		refuse(ctx, http.StatusNotFound, "unknown_service", "no", err)
+		writeError(ctx, http.StatusNotFound, "unknown_service", "no", err)
 		return
 	}
 	key := ctx.GetHeader("Idempotency-Key")
 	if key == "" {
-		refuse(ctx, http.StatusBadRequest, "no_idempotency_key", "no", eris.New("Idempotency-Key header is required"))
+		writeError(ctx, http.StatusBadRequest, "no_idempotency_key", "no", eris.New("Idempotency-Key header is required"))
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBodyBytes))
 	if err != nil {
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", err)
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", err)
 		return
 	}
-	res, first := e.services.claim(name + "/" + key)
-	if first {
+	res, isFirst := e.services.lookupOrCreate(name + "/" + key)
+	if isFirst {
 		// The send outlives the caller: a caller that gives up must not
 		// cancel a bid that may already be at the service, or the outcome
 		// is never recorded and every repeat can only say "may have run".
@@ -104,7 +104,7 @@
 		}
 	}
 	if res.status == 0 {
-		e.answerFailure(ctx, name, err)
+		e.writeServiceError(ctx, name, err)
 		return
 	}
 	e.metrics.requests.WithLabelValues("service_"+name, "ok").Inc()
@@ -113,23 +113,23 @@
 	_, _ = ctx.Write(res.body)
 }
 
-func (e *Entry) answerFailure(ctx iris.Context, name string, err error) {
+func (e *Entry) writeServiceError(ctx iris.Context, name string, err error) {
 	switch {
 	case errors.Is(err, cf.ErrMaybeRan):
 		e.metrics.requests.WithLabelValues("service_"+name, "maybe_ran").Inc()
-		refuse(ctx, http.StatusConflict, "may_have_run", "unknown", err)
+		writeError(ctx, http.StatusConflict, "may_have_run", "unknown", err)
 	case err == nil:
 		// A concurrent repeat whose first call failed: that call's
 		// outcome is not ours to tell; ask again.
-		refuse(ctx, http.StatusServiceUnavailable, "retry", "unknown", eris.New("an earlier call with this key failed; try again"))
+		writeError(ctx, http.StatusServiceUnavailable, "retry", "unknown", eris.New("an earlier call with this key failed; try again"))
 	default:
 		e.metrics.requests.WithLabelValues("service_"+name, "not_run").Inc()
-		refuse(ctx, http.StatusServiceUnavailable, "not_run", "no", err)
+		writeError(ctx, http.StatusServiceUnavailable, "not_run", "no", err)
 	}
 }
 
-// claim returns the result slot of a key and whether the caller must fill it.
-func (s *serviceSet) claim(key string) (*result, bool) {
+// lookupOrCreate returns the result slot of a key and whether the caller must fill it.
+func (s *serviceSet) lookupOrCreate(key string) (*callResult, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -141,7 +141,7 @@
 	if r, ok := s.results[key]; ok {
 		return r, false
 	}
-	r := &result{done: make(chan struct{})}
+	r := &callResult{done: make(chan struct{})}
 	s.results[key] = r
 	return r, true
 }
@@ -149,7 +149,7 @@
 // finish publishes a result; a failed call's slot is removed so that a
 // later repeat tries again (for a non-idempotent call the platform marker
 // still stops a second send).
-func (s *serviceSet) finish(key string, r *result, err error) {
+func (s *serviceSet) finish(key string, r *callResult, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.expires = time.Now().Add(resultTTL)
@@ -165,34 +165,34 @@
 // no byte has left.
 func (s *serviceSet) send(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
 	if !sv.Idempotent {
-		return s.sendOnce(ctx, sv, key, path, body)
+		return s.sendAtMostOnce(ctx, sv, key, path, body)
 	}
-	var last error
-	for attempt := range idempotentRetries {
+	var lastErr error
+	for attempt := range maxIdempotentAttempts {
 		status, out, err := s.post(ctx, sv, key, path, body)
 		if err == nil {
 			return status, out, nil
 		}
-		last = err
+		lastErr = err
 		time.Sleep(time.Duration(attempt+1) * 50 * time.Millisecond)
 	}
-	return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s: %v", sv.Name, last)
+	return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s: %v", sv.Name, lastErr)
 }
 
-func (s *serviceSet) sendOnce(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
+func (s *serviceSet) sendAtMostOnce(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
 	store := s.entry.store
 	name := sv.Name + "/" + key
-	marker, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, cf.CreateOnly)
+	marker, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, markerValue{State: markerSending, Entry: s.entry.self.ID}, cf.CreateOnly)
 	switch {
 	case errors.Is(err, cf.ErrConflict):
-		return s.replay(ctx, name)
+		return s.answerFromMarker(ctx, name)
 	case errors.Is(err, cf.ErrUnavailable):
 		// The marker may exist even though we did not hear so. Read it:
 		// if it is ours, go on; if it cannot be read, the call has not
 		// been sent, and "not run" is true.
-		var cur onceValue
+		var cur markerValue
 		obj, gerr := cfplatform.GetJSON(ctx, store, KindAtMostOnce, name, &cur)
-		if gerr != nil || cur.Entry != s.entry.self.ID || cur.State != onceSending {
+		if gerr != nil || cur.Entry != s.entry.self.ID || cur.State != markerSending {
 			return 0, nil, eris.Wrapf(cf.ErrUnavailable, "at-most-once marker for %s: %v", name, err)
 		}
 		marker = obj
@@ -201,36 +201,36 @@
 	}
 	status, out, err := s.post(ctx, sv, key, path, body)
 	if err != nil {
-		var dial *net.OpError
-		if errors.As(err, &dial) && dial.Op == "dial" {
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
 			// Nothing left this process; still, the marker stays, so a
 			// repeat is answered "may have run" only if we cannot
 			// remove it.
-			if _, derr := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, onceValue{State: onceNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
+			if _, derr := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, markerValue{State: markerNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
 				return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s unreachable: %v", sv.Name, err)
 			}
 		}
 		return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "service %s: %v", sv.Name, err)
 	}
-	done := onceValue{State: onceDone, Entry: s.entry.self.ID, Status: status, Body: out}
+	done := markerValue{State: markerDone, Entry: s.entry.self.ID, Status: status, Body: out}
 	if _, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, done, marker.Version); err != nil {
 		s.entry.log.Warn("at-most-once answer not recorded", zap.String("key", name), zap.Error(err))
 	}
 	return status, out, nil
 }
 
-// replay answers a repeat of a non-idempotent key from its marker.
-func (s *serviceSet) replay(ctx context.Context, name string) (int, []byte, error) {
-	var cur onceValue
+// answerFromMarker answers a repeat of a non-idempotent key from its marker.
+func (s *serviceSet) answerFromMarker(ctx context.Context, name string) (int, []byte, error) {
+	var cur markerValue
 	obj, err := cfplatform.GetJSON(ctx, s.entry.store, KindAtMostOnce, name, &cur)
 	switch {
 	case err != nil:
 		return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: marker unreadable: %v", name, err)
-	case cur.State == onceDone:
+	case cur.State == markerDone:
 		return cur.Status, cur.Body, nil
-	case cur.State == onceNotSent:
+	case cur.State == markerNotSent:
 		// The earlier try never left its entry: take the marker over.
-		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindAtMostOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
+		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindAtMostOnce, name, markerValue{State: markerSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
 			return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: %v", name, err)
 		}
 		return 0, nil, eris.Wrapf(cf.ErrUnavailable, "%s: earlier try was not sent; try again", name)
@@ -253,7 +253,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	out, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/older/cfentry/shutdown_test.go
+++ b/older/cfentry/shutdown_test.go
@@ -11,14 +11,14 @@
 	cf "currantford"
 )
 
-// TestShutdownCutsOffNoRequest: a planned stop lets every answer finish.
+// TestShutdownCompletesRequestsInFlight: a planned stop lets every answer finish.
 //
 // Symptom: a caller's streamed answer stops halfway during a deploy.
 // Sequence: a long streamed completion is in flight; the entry is told to
 // stop (SIGTERM runs Shutdown).
 // Cause: closing the listener and connections at once instead of marking
 // the entry leaving, draining, and waiting for requests in flight.
-func TestShutdownCutsOffNoRequest(t *testing.T) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	body := `{"model":"forecast","prompt":"tuul west frost","max_tokens":150,"stream":true}`
 	ts.waitRoutable(t)
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestEngineDeathMidStreamIsToldPartial: a caller never takes a cut answer
+// TestEngineFailureMidStreamReportsPartialAnswer: a caller never takes a cut answer
 // for a whole one.
 //
 // Symptom: a forecast is published from half an answer.
@@ -62,7 +62,7 @@
 // connection closed).
 // Cause it guards against: an entry that just ends the stream, which looks
 // to the caller like an answer that ended early on its own.
-func TestEngineDeathMidStreamIsToldPartial(t *testing.T) {
+func TestEngineFailureMidStreamReportsPartialAnswer(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	ts.waitRoutable(t)
 	resp, err := http.Post(ts.urls[0]+"/v1/completions", "application/json",
--- a/older/cfentry/site_test.go
+++ b/older/cfentry/site_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// serviceCalls returns how many times key reached the bids service.
-func (ts *testSite) serviceCalls(t testing.TB, key string) int {
+// bidCalls returns how many times key reached the bids service.
+func (ts *testSite) bidCalls(t testing.TB, key string) int {
 	t.Helper()
 	resp, err := http.Get("http://" + ts.site.Services[0].Addr + "/calls")
 	if err != nil {
--- a/older/cfpool/claim.go
+++ b/older/cfpool/claim.go
@@ -14,9 +14,9 @@
 	"currantford/older/cfplatform"
 )
 
-// retryPause is the wait after a failed group before the next try, so that
+// groupRetryDelay is the wait after a failed group before the next try, so that
 // an engine outage does not turn into a busy loop of failing rollouts.
-const retryPause = 200 * time.Millisecond
+const groupRetryDelay = 200 * time.Millisecond
 
 // generate keeps one claim's buffer filled with whole, scored groups while
 // this entry leads the pool.
@@ -24,20 +24,20 @@
 	defer p.wg.Done()
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		log := p.claims[name]
-		if log == nil {
+		claim := p.claims[name]
+		if claim == nil {
 			p.mu.Unlock()
 			return
 		}
 		// Stale samples are dropped before the buffer is judged full: a
 		// buffer full of samples made by old weights would otherwise
 		// stop generation, and the trainer would wait for ever.
-		p.dropStaleLocked(log)
-		full := len(log.ready) >= log.settings.Buffer
+		p.dropStaleLocked(claim)
+		full := len(claim.buffered) >= claim.settings.Buffer
 		wait := p.changed
-		group := log.groups
+		groupNum := claim.groupsStarted
 		if !full {
-			log.groups++
+			claim.groupsStarted++
 		}
 		p.mu.Unlock()
 		if full {
@@ -47,25 +47,25 @@
 			}
 			continue
 		}
-		samples, err := p.group(ctx, name, group)
+		samples, err := p.generateGroup(ctx, name, groupNum)
 		if err != nil {
 			p.opts.Log.Warn("group failed", zap.String("claim", string(name)), zap.Error(err))
 			select {
-			case <-time.After(retryPause):
+			case <-time.After(groupRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
 		}
-		p.publish(name, samples)
+		p.appendGroup(name, samples)
 	}
 }
 
-// group runs one group of rollouts on one prompt and scores them. A group is
+// generateGroup runs one group of rollouts on one prompt and scores them. A group is
 // kept whole: one failed member fails the group, because a trainer's step
 // needs whole groups.
-func (p *Pool) group(ctx context.Context, name cf.ClaimName, n int64) ([]cf.Sample, error) {
-	prompt := p.settings.Prompts[int(n)%len(p.settings.Prompts)]
-	groupID := fmt.Sprintf("%s/%s/g%d-e%d", p.settings.Name, name, n, p.currentEpoch())
+func (p *Pool) generateGroup(ctx context.Context, name cf.ClaimName, groupNum int64) ([]cf.Sample, error) {
+	prompt := p.settings.Prompts[int(groupNum)%len(p.settings.Prompts)]
+	groupID := fmt.Sprintf("%s/%s/g%d-e%d", p.settings.Name, name, groupNum, p.currentEpoch())
 	out := make([]cf.Sample, p.settings.GroupSize)
 	errs := make([]error, p.settings.GroupSize)
 	var wg sync.WaitGroup
@@ -89,32 +89,32 @@
 	return out, errors.Join(errs...)
 }
 
-// publish numbers a finished group and appends it, unless leadership was
+// appendGroup numbers a finished group and appends it, unless leadership was
 // lost meanwhile or the group is already stale.
-func (p *Pool) publish(name cf.ClaimName, samples []cf.Sample) {
+func (p *Pool) appendGroup(name cf.ClaimName, samples []cf.Sample) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	log := p.claims[name]
-	if log == nil || !p.isLeaderLocked() {
+	claim := p.claims[name]
+	if claim == nil || !p.isLeaderLocked() {
 		return
 	}
 	for _, s := range samples {
-		if p.staleLocked(s) {
-			p.opts.Log.Info("group dropped stale", zap.String("group", s.Group), zap.Int64s("weight_versions", versions(s.Weights)), zap.Int64("pool_weight_version", int64(p.weights)))
+		if p.isStaleLocked(s) {
+			p.opts.Log.Info("group dropped stale", zap.String("group", s.Group), zap.Int64s("weight_versions", toInt64s(s.Weights)), zap.Int64("pool_weight_version", int64(p.weights)))
 			return
 		}
 	}
 	for i := range samples {
-		samples[i].Seq = log.next
-		samples[i].ID = cf.SampleID(fmt.Sprintf("%s/%d", p.claimName(name), log.next))
-		log.next++
+		samples[i].Seq = claim.nextSeq
+		samples[i].ID = cf.SampleID(fmt.Sprintf("%s/%d", p.claimName(name), claim.nextSeq))
+		claim.nextSeq++
 	}
-	log.ready = append(log.ready, samples...)
+	claim.buffered = append(claim.buffered, samples...)
 	p.broadcastLocked()
 }
 
-// staleLocked applies the pool's staleness bound in versions and in age.
-func (p *Pool) staleLocked(s cf.Sample) bool {
+// isStaleLocked applies the pool's staleness bound in versions and in age.
+func (p *Pool) isStaleLocked(s cf.Sample) bool {
 	if len(s.Weights) == 0 {
 		return true
 	}
@@ -135,15 +135,15 @@
 			p.mu.Unlock()
 			return cf.Batch{}, eris.Wrapf(cf.ErrNotLeader, "pool %s", p.settings.Name)
 		}
-		log := p.claims[name]
-		if log == nil {
+		claim := p.claims[name]
+		if claim == nil {
 			p.mu.Unlock()
 			return cf.Batch{}, eris.Wrapf(cf.ErrNotFound, "claim %s", p.claimName(name))
 		}
-		p.dropStaleLocked(log)
-		batch := cf.Batch{Cursor: log.committed, Weights: p.weights}
-		for i, s := range log.ready {
-			if i >= limit && s.Group != log.ready[i-1].Group {
+		p.dropStaleLocked(claim)
+		batch := cf.Batch{Cursor: claim.committedCursor, Weights: p.weights}
+		for i, s := range claim.buffered {
+			if i >= limit && s.Group != claim.buffered[i-1].Group {
 				break
 			}
 			batch.Samples = append(batch.Samples, s)
@@ -164,18 +164,18 @@
 	}
 }
 
-func (p *Pool) dropStaleLocked(log *claimLog) {
-	kept := log.ready[:0]
+func (p *Pool) dropStaleLocked(claim *claimState) {
+	kept := claim.buffered[:0]
 	dropped := ""
-	for _, s := range log.ready {
-		if s.Group == dropped || p.staleLocked(s) {
+	for _, s := range claim.buffered {
+		if s.Group == dropped || p.isStaleLocked(s) {
 			dropped = s.Group
 			continue
 		}
 		kept = append(kept, s)
 	}
-	if len(kept) < len(log.ready) {
-		log.ready = kept
+	if len(kept) < len(claim.buffered) {
+		claim.buffered = kept
 		p.broadcastLocked()
 	}
 }
@@ -191,20 +191,20 @@
 		p.mu.Unlock()
 		return eris.Wrapf(cf.ErrNotLeader, "pool %s", p.settings.Name)
 	}
-	log := p.claims[name]
-	if log == nil {
+	claim := p.claims[name]
+	if claim == nil {
 		p.mu.Unlock()
 		return eris.Wrapf(cf.ErrNotFound, "claim %s", p.claimName(name))
 	}
-	if cursor <= log.committed {
+	if cursor <= claim.committedCursor {
 		p.mu.Unlock()
 		return nil
 	}
-	if cursor >= log.next {
+	if cursor >= claim.nextSeq {
 		p.mu.Unlock()
-		return eris.Wrapf(cf.ErrInvalid, "cursor %d is past the last sample %d", cursor, log.next-1)
+		return eris.Wrapf(cf.ErrInvalid, "cursor %d is past the last sample %d", cursor, claim.nextSeq-1)
 	}
-	epoch, version := p.epoch, log.version
+	epoch, version := p.epoch, claim.objectVersion
 	p.mu.Unlock()
 
 	newVersion, err := commitCursor(ctx, p.opts.Store, p.claimName(name), epoch, version, cursor)
@@ -216,15 +216,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if log = p.claims[name]; log == nil || p.epoch != epoch {
+	if claim = p.claims[name]; claim == nil || p.epoch != epoch {
 		return eris.Wrapf(cf.ErrNotLeader, "pool %s", p.settings.Name)
 	}
-	log.committed, log.version = max(log.committed, cursor), newVersion
+	claim.committedCursor, claim.objectVersion = max(claim.committedCursor, cursor), newVersion
 	n := 0
-	for n < len(log.ready) && log.ready[n].Seq <= log.committed {
+	for n < len(claim.buffered) && claim.buffered[n].Seq <= claim.committedCursor {
 		n++
 	}
-	log.ready = log.ready[n:]
+	claim.buffered = claim.buffered[n:]
 	p.broadcastLocked()
 	return nil
 }
@@ -313,9 +313,9 @@
 	return p.epoch
 }
 
-func versions(ws []cf.WeightVersion) []int64 {
-	out := make([]int64, len(ws))
-	for i, w := range ws {
+func toInt64s(weights []cf.WeightVersion) []int64 {
+	out := make([]int64, len(weights))
+	for i, w := range weights {
 		out[i] = int64(w)
 	}
 	return out
--- a/older/cfpool/linearizability_test.go
+++ b/older/cfpool/linearizability_test.go
@@ -96,7 +96,7 @@
 			epoch := cf.Epoch(leader)
 			time.Sleep(time.Duration(rng.IntN(3000)) * time.Microsecond)
 			call := time.Now()
-			cur, version, err := stamp(ctx, store, "pool/claim", epoch)
+			cur, version, err := stampEpoch(ctx, store, "pool/claim", epoch)
 			record(leader, cursorOp{Stamp: true, Epoch: epoch}, call, err == nil)
 			if err != nil {
 				return
--- a/older/cfpool/pool.go
+++ b/older/cfpool/pool.go
@@ -66,14 +66,14 @@
 		opts     Options
 		holder   string // Holder plus a start nonce, unique per process
 
-		mu      sync.Mutex
-		epoch   cf.Epoch
-		valid   time.Time // the lease is ours until then, by our own clock
-		leader  leaseValue
-		weights cf.WeightVersion
-		claims  map[cf.ClaimName]*claimLog
-		changed chan struct{}
-		stopGen context.CancelFunc
+		mu             sync.Mutex
+		epoch          cf.Epoch
+		validUntil     time.Time // the lease is ours until then, by our own clock
+		leader         leaseValue
+		weights        cf.WeightVersion
+		claims         map[cf.ClaimName]*claimState
+		changed        chan struct{}
+		stopGenerating context.CancelFunc
 
 		wg   sync.WaitGroup
 		stop context.CancelFunc
@@ -96,13 +96,13 @@
 		Version cf.WeightVersion `json:"weight_version"`
 	}
 
-	claimLog struct {
-		settings  cfconfig.Claim
-		committed int64
-		version   int64 // the claim object's version we last wrote or read
-		next      int64
-		groups    int64
-		ready     []cf.Sample
+	claimState struct {
+		settings        cfconfig.Claim
+		committedCursor int64
+		objectVersion   int64 // the claim object's version we last wrote or read
+		nextSeq         int64
+		groupsStarted   int64
+		buffered        []cf.Sample
 	}
 )
 
@@ -115,7 +115,7 @@
 		settings: settings,
 		opts:     opts,
 		holder:   fmt.Sprintf("%s/%d", opts.Entry, time.Now().UnixNano()),
-		claims:   map[cf.ClaimName]*claimLog{},
+		claims:   map[cf.ClaimName]*claimState{},
 		changed:  make(chan struct{}),
 	}
 }
@@ -186,7 +186,7 @@
 		next.Epoch = cur.Epoch + 1
 		obj, err = cfplatform.PutJSON(ctx, p.opts.Store, KindLease, p.leaseName(), next, obj.Version)
 	default:
-		p.follow(cur)
+		p.followLeader(cur)
 		return
 	}
 	if err != nil {
@@ -198,25 +198,25 @@
 	}
 	_ = obj
 	p.mu.Lock()
-	won := p.epoch != next.Epoch
+	gained := p.epoch != next.Epoch
 	p.epoch = next.Epoch
 	p.leader = next
 	// A tenth of the TTL is kept back for clock drift and the time the
 	// answer took to arrive.
-	p.valid = start.Add(ttl.Duration() * 9 / 10)
+	p.validUntil = start.Add(ttl.Duration() * 9 / 10)
 	p.mu.Unlock()
-	if won {
-		p.takeOver(ctx, next.Epoch)
+	if gained {
+		p.startLeading(ctx, next.Epoch)
 	}
 }
 
-// follow records another entry as leader and stops any generation of ours.
-func (p *Pool) follow(cur leaseValue) {
+// followLeader records another entry as leader and stops any generation of ours.
+func (p *Pool) followLeader(cur leaseValue) {
 	p.mu.Lock()
-	was := p.epoch != 0
+	wasLeader := p.epoch != 0
 	p.leader = cur
 	p.mu.Unlock()
-	if was {
+	if wasLeader {
 		p.stepDown("lease held by " + string(cur.Entry))
 	}
 }
@@ -231,27 +231,27 @@
 	}
 	p.opts.Log.Info("pool leadership lost", zap.String("pool", string(p.settings.Name)), zap.Int64("epoch", int64(p.epoch)), zap.String("reason", reason))
 	p.epoch = 0
-	p.valid = time.Time{}
-	p.claims = map[cf.ClaimName]*claimLog{}
-	if p.stopGen != nil {
-		p.stopGen()
-		p.stopGen = nil
+	p.validUntil = time.Time{}
+	p.claims = map[cf.ClaimName]*claimState{}
+	if p.stopGenerating != nil {
+		p.stopGenerating()
+		p.stopGenerating = nil
 	}
 	p.broadcastLocked()
 }
 
-// takeOver stamps each claim object with the new epoch, reads the cursors
+// startLeading stamps each claim object with the new epoch, reads the cursors
 // and starts generating.
-func (p *Pool) takeOver(ctx context.Context, epoch cf.Epoch) {
-	claims := map[cf.ClaimName]*claimLog{}
+func (p *Pool) startLeading(ctx context.Context, epoch cf.Epoch) {
+	claims := map[cf.ClaimName]*claimState{}
 	for _, c := range p.settings.Claims {
-		log, err := p.stampClaim(ctx, c, epoch)
+		claim, err := p.stampClaim(ctx, c, epoch)
 		if err != nil {
 			p.opts.Log.Warn("claim stamp failed", zap.String("claim", string(c.Name)), zap.Error(err))
 			p.stepDown("claim stamp failed")
 			return
 		}
-		claims[c.Name] = log
+		claims[c.Name] = claim
 	}
 	var w weightsValue
 	_, err := cfplatform.GetJSON(ctx, p.opts.Store, KindWeights, string(p.settings.Name), &w)
@@ -263,7 +263,7 @@
 	p.mu.Lock()
 	p.claims = claims
 	p.weights = w.Version
-	p.stopGen = cancel
+	p.stopGenerating = cancel
 	p.mu.Unlock()
 	p.opts.Log.Info("pool leadership won", zap.String("pool", string(p.settings.Name)), zap.Int64("epoch", int64(epoch)), zap.Int64("weight_version", int64(w.Version)))
 	for name := range claims {
@@ -274,18 +274,18 @@
 
 func (p *Pool) claimName(c cf.ClaimName) string { return string(p.settings.Name) + "/" + string(c) }
 
-func (p *Pool) stampClaim(ctx context.Context, c cfconfig.Claim, epoch cf.Epoch) (*claimLog, error) {
-	cur, version, err := stamp(ctx, p.opts.Store, p.claimName(c.Name), epoch)
+func (p *Pool) stampClaim(ctx context.Context, c cfconfig.Claim, epoch cf.Epoch) (*claimState, error) {
+	cur, version, err := stampEpoch(ctx, p.opts.Store, p.claimName(c.Name), epoch)
 	if err != nil {
 		return nil, err
 	}
-	return &claimLog{settings: c, committed: cur.Cursor, version: version, next: cur.Cursor + 1}, nil
+	return &claimState{settings: c, committedCursor: cur.Cursor, objectVersion: version, nextSeq: cur.Cursor + 1}, nil
 }
 
-// stamp writes a new leader's epoch into a claim object, keeping its
+// stampEpoch writes a new leader's epoch into a claim object, keeping its
 // cursor, and returns the cursor and the new version. It refuses
 // (ErrFenced) when a newer epoch has stamped it already.
-func stamp(ctx context.Context, store cf.ObjectStore, name string, epoch cf.Epoch) (claimValue, int64, error) {
+func stampEpoch(ctx context.Context, store cf.ObjectStore, name string, epoch cf.Epoch) (claimValue, int64, error) {
 	var cur claimValue
 	obj, err := cfplatform.GetJSON(ctx, store, KindClaim, name, &cur)
 	ifVersion := obj.Version
@@ -307,7 +307,7 @@
 // isLeaderLocked is true while our lease is valid by our own clock. A holder
 // that was paused past its lease finds this false before it acts.
 func (p *Pool) isLeaderLocked() bool {
-	return p.epoch != 0 && time.Now().Before(p.valid)
+	return p.epoch != 0 && time.Now().Before(p.validUntil)
 }
 
 func (p *Pool) broadcastLocked() {
@@ -327,8 +327,8 @@
 func (p *Pool) Buffered(name cf.ClaimName) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if log := p.claims[name]; log != nil {
-		return len(log.ready)
+	if claim := p.claims[name]; claim != nil {
+		return len(claim.buffered)
 	}
 	return 0
 }
--- a/older/cfpool/session_test.go
+++ b/older/cfpool/session_test.go
@@ -19,26 +19,26 @@
 	"currantford/testbed/cfobjects"
 )
 
-// backend is an in-memory engine fleet: every rollout is produced by the
+// fakeBackend is an in-memory engine fleet: every rollout is produced by the
 // weights most recently loaded.
-type backend struct {
+type fakeBackend struct {
 	mu      sync.Mutex
 	version cf.WeightVersion
 	n       int
 }
 
-func (b *backend) Generate(_ context.Context, _ cf.Job, prompt string) (cf.Generation, error) {
+func (b *fakeBackend) Generate(_ context.Context, _ cf.Job, prompt string) (cf.Generation, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.n++
 	return cf.Generation{Text: strings.Fields(prompt)[0], Weights: []cf.WeightVersion{b.version}, Engine: "e1"}, nil
 }
 
-func (b *backend) Score(_ context.Context, _, text string) (float64, error) {
+func (b *fakeBackend) Score(_ context.Context, _, text string) (float64, error) {
 	return float64(len(text)) / 10, nil
 }
 
-func (b *backend) LoadWeights(ctx context.Context, v cf.WeightVersion, _ cf.Epoch, check func(context.Context) error) error {
+func (b *fakeBackend) LoadWeights(ctx context.Context, v cf.WeightVersion, _ cf.Epoch, check func(context.Context) error) error {
 	if err := check(ctx); err != nil {
 		return err
 	}
@@ -48,20 +48,20 @@
 	return nil
 }
 
-// TestSession replays whole sessions of two entries sharing one pool: lease
+// TestPoolSession replays whole sessions of two entries sharing one pool: lease
 // takeover, delivery by cursor, weight swaps and staleness, a lost answer
 // and a paused leader fenced by its successor.
-func TestSession(t *testing.T) {
+func TestPoolSession(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		srv := httptest.NewServer(cfobjects.NewServer(cfobjects.ServerSettings{}).Handler())
 		defer srv.Close()
 		store := cfplatform.NewClient(srv.URL)
 		settings := cfconfig.Pool{Name: "forecast", GroupSize: 2, MaxTokens: 4, MaxVersionLag: 1, MaxSampleAge: 60000,
 			Prompts: []string{"bayan hall", "tuul east"}, Claims: []cfconfig.Claim{{Name: "spoilage", Buffer: 4}}}
-		be := &backend{}
+		backend := &fakeBackend{}
 		pools := map[string]*cfpool.Pool{}
 		for _, id := range []string{"a", "b"} {
-			p := cfpool.New(settings, cfpool.Options{Store: store, Backend: be, Entry: cf.EntryID(id), Addr: id,
+			p := cfpool.New(settings, cfpool.Options{Store: store, Backend: backend, Entry: cf.EntryID(id), Addr: id,
 				Lease: cfconfig.Lease{TTL: 60000, Renew: 1000}})
 			defer func() { _ = p.Close() }()
 			pools[id] = p
@@ -90,7 +90,7 @@
 				d.ScanArgs(t, "max", &limit)
 				b, err := p.Fetch(ctx, "spoilage", limit, 2*time.Second)
 				if err != nil {
-					return "error: " + kind(err) + "\n"
+					return "error: " + sentinelText(err) + "\n"
 				}
 				var out strings.Builder
 				for _, s := range b.Samples {
@@ -102,14 +102,14 @@
 				var cursor int64
 				d.ScanArgs(t, "cursor", &cursor)
 				if err := p.Ack(ctx, "spoilage", cursor); err != nil {
-					return "error: " + kind(err) + "\n"
+					return "error: " + sentinelText(err) + "\n"
 				}
 				return "ok\n"
 			case "weights":
 				var v int64
 				d.ScanArgs(t, "version", &v)
 				if err := p.SetWeights(ctx, cf.WeightVersion(v)); err != nil {
-					return "error: " + kind(err) + "\n"
+					return "error: " + sentinelText(err) + "\n"
 				}
 				return "ok\n"
 			case "expire":
@@ -129,7 +129,7 @@
 			case "claim":
 				obj, err := store.Get(ctx, cfpool.KindClaim, "forecast/spoilage")
 				if err != nil {
-					return "error: " + kind(err) + "\n"
+					return "error: " + sentinelText(err) + "\n"
 				}
 				return string(obj.Value) + "\n"
 			}
@@ -139,7 +139,7 @@
 	})
 }
 
-func kind(err error) string {
+func sentinelText(err error) string {
 	for _, s := range []error{cf.ErrNotLeader, cf.ErrFenced, cf.ErrConflict, cf.ErrUnavailable, cf.ErrInvalid, cf.ErrNotFound} {
 		if errors.Is(err, s) {
 			return s.Error()
--- a/older/cfroute/bench_test.go
+++ b/older/cfroute/bench_test.go
@@ -46,33 +46,33 @@
 // at the SLO and p99 time to first token as ratios to round-robin.
 func BenchmarkPolicies(b *testing.B) {
 	for b.Loop() {
-		res := map[string]result{}
+		res := map[string]policyResult{}
 		for _, p := range []string{cfroute.RoundRobin, cfroute.LeastLoaded, cfroute.MarginalCost} {
 			res[p] = runPolicy(b, p)
 		}
-		rr := res[cfroute.RoundRobin]
-		b.ReportMetric(rr.goodput, "rr_goodput")
+		roundRobin := res[cfroute.RoundRobin]
+		b.ReportMetric(roundRobin.goodput, "rr_goodput")
 		for _, p := range []string{cfroute.LeastLoaded, cfroute.MarginalCost} {
-			b.ReportMetric(res[p].goodput/rr.goodput, p+"_goodput_x_rr")
-			b.ReportMetric(res[p].p99/rr.p99, p+"_p99_ttft_x_rr")
+			b.ReportMetric(res[p].goodput/roundRobin.goodput, p+"_goodput_x_rr")
+			b.ReportMetric(res[p].p99/roundRobin.p99, p+"_p99_ttft_x_rr")
 		}
 	}
 }
 
-type result struct {
+type policyResult struct {
 	goodput float64 // fraction of requests that met the SLO
 	p99     float64 // ms
 }
 
 const (
-	benchEngines  = 6
-	benchRequests = 240
-	benchGap      = 4 * time.Millisecond
-	sloTTFT       = 120 // ms
-	sloTPOT       = 12  // ms per output token after the first
+	benchEngines    = 6
+	benchRequests   = 240
+	requestInterval = 4 * time.Millisecond
+	sloTTFT         = 120 // ms
+	sloTPOT         = 12  // ms per output token after the first
 )
 
-func runPolicy(b *testing.B, policy string) result {
+func runPolicy(b *testing.B, policy string) policyResult {
 	b.Helper()
 	type engine struct {
 		id  cf.EngineID
@@ -118,7 +118,7 @@
 	time.Sleep(60 * time.Millisecond)
 	rng := rand.New(rand.NewPCG(7, 7))
 	ttfts := make([]float64, benchRequests)
-	met := make([]bool, benchRequests)
+	metSLO := make([]bool, benchRequests)
 	var wg sync.WaitGroup
 	for i := range benchRequests {
 		prompt, out := 8, cf.Tokens(8)
@@ -136,29 +136,29 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ttft, total := stream(url, prompt, out)
+			ttft, total := streamCompletion(url, prompt, out)
 			mu.Lock()
 			router.Observe(d.Choice, job.PromptTokens, out, cf.Millis(ttft), cf.Millis(total-ttft))
 			mu.Unlock()
 			ttfts[i] = ttft
-			met[i] = ttft <= sloTTFT && (total-ttft)/float64(out) <= sloTPOT
+			metSLO[i] = ttft <= sloTTFT && (total-ttft)/float64(out) <= sloTPOT
 		}()
-		time.Sleep(benchGap)
+		time.Sleep(requestInterval)
 	}
 	wg.Wait()
-	good := 0
-	for _, m := range met {
+	metCount := 0
+	for _, m := range metSLO {
 		if m {
-			good++
+			metCount++
 		}
 	}
 	sort.Float64s(ttfts)
-	return result{goodput: float64(good) / benchRequests, p99: ttfts[benchRequests*99/100]}
+	return policyResult{goodput: float64(metCount) / benchRequests, p99: ttfts[benchRequests*99/100]}
 }
 
-// stream sends one streamed completion and returns the time to first token
+// streamCompletion sends one streamed completion and returns the time to first token
 // and the whole time, in milliseconds.
-func stream(url string, prompt int, out cf.Tokens) (float64, float64) {
+func streamCompletion(url string, prompt int, out cf.Tokens) (float64, float64) {
 	body, _ := json.Marshal(struct {
 		Prompt    string    `json:"prompt"`
 		MaxTokens cf.Tokens `json:"max_tokens"`
--- a/older/cfroute/route.go
+++ b/older/cfroute/route.go
@@ -43,11 +43,11 @@
 
 // Reasons written in decision log lines.
 const (
-	reasonRoundRobin = "round_robin"
-	reasonLeast      = "least_loaded"
-	reasonCost       = "lowest_marginal_cost"
-	reasonScarcity   = "two_choices_under_scarcity"
-	reasonNarrow     = "least_loaded_narrow_pool"
+	reasonRoundRobin    = "round_robin"
+	reasonLeastLoaded   = "least_loaded"
+	reasonMarginalCost  = "lowest_marginal_cost"
+	reasonTwoChoices    = "two_choices_under_scarcity"
+	reasonFewCandidates = "least_loaded_narrow_pool"
 )
 
 // Settings choose and tune the policy. Zero values take DefaultSettings.
@@ -90,18 +90,18 @@
 
 type (
 	router struct {
-		settings Settings
-		mu       sync.Mutex
-		next     int
-		rng      *rand.Rand
-		ledger   map[cf.EngineID]*ledger
-		tauPre   float64 // ms per prompt token
-		tauDec   float64 // ms per output token
+		settings          Settings
+		mu                sync.Mutex
+		next              int
+		rng               *rand.Rand
+		engines           map[cf.EngineID]*engineLedger
+		prefillMsPerToken float64 // ms per prompt token
+		decodeMsPerToken  float64 // ms per output token
 	}
 
-	ledger struct {
-		inflight int
-		work     float64 // ms of priced work placed and not yet observed
+	engineLedger struct {
+		inflight   int
+		costMillis float64 // ms of priced work placed and not yet observed
 	}
 )
 
@@ -123,11 +123,11 @@
 		s.DecodeMillisPerToken = d.DecodeMillisPerToken
 	}
 	return &router{
-		settings: s,
-		rng:      rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
-		ledger:   map[cf.EngineID]*ledger{},
-		tauPre:   s.PrefillMicrosPerToken / 1000,
-		tauDec:   s.DecodeMillisPerToken,
+		settings:          s,
+		rng:               rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
+		engines:           map[cf.EngineID]*engineLedger{},
+		prefillMsPerToken: s.PrefillMicrosPerToken / 1000,
+		decodeMsPerToken:  s.DecodeMillisPerToken,
 	}, nil
 }
 
@@ -136,33 +136,33 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := cf.Decision{Request: job.ID, Policy: r.settings.Policy}
-	live := make([]cf.Load, 0, len(loads))
+	available := make([]cf.Load, 0, len(loads))
 	for _, l := range loads {
 		if !l.Leaving {
-			live = append(live, l)
+			available = append(available, l)
 		}
 	}
-	if len(live) == 0 {
+	if len(available) == 0 {
 		return d, eris.Wrapf(cf.ErrNoCandidate, "request %s: %d engines, none live", job.ID, len(loads))
 	}
-	sort.Slice(live, func(i, j int) bool { return live[i].Engine < live[j].Engine })
+	sort.Slice(available, func(i, j int) bool { return available[i].Engine < available[j].Engine })
 	var pick int
 	switch {
 	case r.settings.Policy == RoundRobin:
-		pick, d.Reason = r.next%len(live), reasonRoundRobin
+		pick, d.Reason = r.next%len(available), reasonRoundRobin
 		r.next++
-		d.Candidates = r.scores(job, live, r.queue)
+		d.Candidates = r.scoreAll(job, available, r.queueLength)
 	case r.settings.Policy == LeastLoaded:
-		d.Candidates = r.scores(job, live, r.queue)
-		pick, d.Reason = argmin(d.Candidates), reasonLeast
-	case len(live) < r.settings.MinCandidates:
-		d.Candidates = r.scores(job, live, r.queue)
-		pick, d.Reason = argmin(d.Candidates), reasonNarrow
+		d.Candidates = r.scoreAll(job, available, r.queueLength)
+		pick, d.Reason = argmin(d.Candidates), reasonLeastLoaded
+	case len(available) < r.settings.MinCandidates:
+		d.Candidates = r.scoreAll(job, available, r.queueLength)
+		pick, d.Reason = argmin(d.Candidates), reasonFewCandidates
 	default:
-		d.Candidates = r.scores(job, live, r.cost)
-		pick, d.Reason = argmin(d.Candidates), reasonCost
-		if r.scarce(live) {
-			a, b := r.rng.IntN(len(live)), r.rng.IntN(len(live)-1)
+		d.Candidates = r.scoreAll(job, available, r.marginalCost)
+		pick, d.Reason = argmin(d.Candidates), reasonMarginalCost
+		if r.allBacklogged(available) {
+			a, b := r.rng.IntN(len(available)), r.rng.IntN(len(available)-1)
 			if b >= a {
 				b++
 			}
@@ -170,13 +170,13 @@
 			if d.Candidates[b].Score < d.Candidates[a].Score {
 				pick = b
 			}
-			d.Reason = reasonScarcity
+			d.Reason = reasonTwoChoices
 		}
 	}
-	d.Choice = live[pick].Engine
-	l := r.entry(d.Choice)
+	d.Choice = available[pick].Engine
+	l := r.ledgerOf(d.Choice)
 	l.inflight++
-	l.work += r.own(job)
+	l.costMillis += r.requestCost(job)
 	return d, nil
 }
 
@@ -185,13 +185,13 @@
 func (r *router) Observe(engine cf.EngineID, prompt, output cf.Tokens, prefill, decode cf.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.entry(engine)
+	l := r.ledgerOf(engine)
 	// A failed request reports no tokens, so the ledger settles an
 	// average share of its work rather than the request's own: pricing by
 	// tokens would leave a failed request's work in the ledger for ever,
 	// and the engine would look busier after each failure.
 	if l.inflight > 0 {
-		l.work -= l.work / float64(l.inflight)
+		l.costMillis -= l.costMillis / float64(l.inflight)
 		l.inflight--
 	}
 	if !r.settings.Calibrate {
@@ -199,51 +199,51 @@
 	}
 	const weight = 0.1
 	if prompt > 0 && prefill > 0 {
-		r.tauPre += weight * (float64(prefill)/float64(prompt) - r.tauPre)
+		r.prefillMsPerToken += weight * (float64(prefill)/float64(prompt) - r.prefillMsPerToken)
 	}
 	if output > 0 && decode > 0 {
-		r.tauDec += weight * (float64(decode)/float64(output) - r.tauDec)
+		r.decodeMsPerToken += weight * (float64(decode)/float64(output) - r.decodeMsPerToken)
 	}
 }
 
-func (r *router) entry(e cf.EngineID) *ledger {
-	l := r.ledger[e]
+func (r *router) ledgerOf(e cf.EngineID) *engineLedger {
+	l := r.engines[e]
 	if l == nil {
-		l = &ledger{}
-		r.ledger[e] = l
+		l = &engineLedger{}
+		r.engines[e] = l
 	}
 	return l
 }
 
-func (r *router) scores(job cf.Job, live []cf.Load, price func(cf.Job, cf.Load) float64) []cf.Candidate {
-	out := make([]cf.Candidate, len(live))
-	for i, l := range live {
-		out[i] = cf.Candidate{Engine: l.Engine, Score: price(job, l)}
+func (r *router) scoreAll(job cf.Job, available []cf.Load, score func(cf.Job, cf.Load) float64) []cf.Candidate {
+	out := make([]cf.Candidate, len(available))
+	for i, l := range available {
+		out[i] = cf.Candidate{Engine: l.Engine, Score: score(job, l)}
 	}
 	return out
 }
 
-// queue is the least-loaded score: sequences running and waiting, from the
+// queueLength is the least-loaded score: sequences running and waiting, from the
 // report or from our own ledger, whichever is larger.
-func (r *router) queue(_ cf.Job, l cf.Load) float64 {
-	return float64(max(l.Active+l.Queued, r.entry(l.Engine).inflight))
+func (r *router) queueLength(_ cf.Job, l cf.Load) float64 {
+	return float64(max(l.Active+l.Queued, r.ledgerOf(l.Engine).inflight))
 }
 
-// own is the request's own priced work in milliseconds.
-func (r *router) own(job cf.Job) float64 {
-	return r.tauPre*float64(job.PromptTokens) + r.tauDec*float64(job.MaxTokens)
+// requestCost is the request's own priced work in milliseconds.
+func (r *router) requestCost(job cf.Job) float64 {
+	return r.prefillMsPerToken*float64(job.PromptTokens) + r.decodeMsPerToken*float64(job.MaxTokens)
 }
 
-// cost is the marginal-cost score in milliseconds.
-func (r *router) cost(job cf.Job, l cf.Load) float64 {
-	backlog := max(float64(l.Backlog), r.entry(l.Engine).work/float64(r.settings.DecodeBatch))
-	score := backlog + r.own(job)
+// marginalCost is the marginal-cost score in milliseconds.
+func (r *router) marginalCost(job cf.Job, l cf.Load) float64 {
+	backlog := max(float64(l.Backlog), r.ledgerOf(l.Engine).costMillis/float64(r.settings.DecodeBatch))
+	score := backlog + r.requestCost(job)
 	if l.KVBudget > 0 {
 		after := float64(l.KVUsed+job.PromptTokens+job.MaxTokens) / float64(l.KVBudget)
 		if after > 1 {
 			// Admission would wait for KV room: price the wait as a
 			// whole extra request's worth.
-			score += r.own(job) * after
+			score += r.requestCost(job) * after
 		}
 	}
 	if job.Live && r.settings.LiveSLO > 0 && backlog > float64(r.settings.LiveSLO) {
@@ -252,12 +252,12 @@
 	return score
 }
 
-func (r *router) scarce(live []cf.Load) bool {
+func (r *router) allBacklogged(available []cf.Load) bool {
 	if r.settings.ScarcityBacklog <= 0 {
 		return false
 	}
-	for _, l := range live {
-		if max(l.Backlog, cf.Millis(r.entry(l.Engine).work/float64(r.settings.DecodeBatch))) < r.settings.ScarcityBacklog {
+	for _, l := range available {
+		if max(l.Backlog, cf.Millis(r.ledgerOf(l.Engine).costMillis/float64(r.settings.DecodeBatch))) < r.settings.ScarcityBacklog {
 			return false
 		}
 	}
--- a/older/commands/commands.go
+++ b/older/commands/commands.go
@@ -82,13 +82,13 @@
 	}
 }
 
-// site loads the settings or returns an error that lists every fault.
-func (o SiteOption) site() (cfconfig.Site, error) {
+// loadSite loads the settings or returns an error that lists every fault.
+func (o SiteOption) loadSite() (cfconfig.Site, error) {
 	return cfconfig.Load(o.Config)
 }
 
-// signalled returns a context that ends on SIGTERM or SIGINT.
-func signalled() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends on SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -96,7 +96,7 @@
 // instance leaving (if leave is set), keeps serving for drain so that those
 // who read the lagging instance list stop sending, and shuts down waiting
 // for every request in flight.
-func serveUntilSignal(addr string, h http.Handler, drain cf.Millis, leave func(context.Context), log *zap.Logger) error {
+func serveUntilSignal(addr string, h http.Handler, drain cf.Millis, markLeaving func(context.Context), log *zap.Logger) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return eris.Wrapf(err, "listen %s", addr)
@@ -105,7 +105,7 @@
 	errc := make(chan error, 1)
 	go func() { errc <- srv.Serve(l) }()
 	log.Info("serving", zap.String("addr", addr))
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	select {
 	case err := <-errc:
@@ -113,13 +113,13 @@
 	case <-ctx.Done():
 	}
 	log.Info("stopping", zap.Int64("drain_ms", int64(drain)))
-	sctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if leave != nil {
-		leave(sctx)
+	if markLeaving != nil {
+		markLeaving(shutdownCtx)
 		time.Sleep(drain.Duration())
 	}
-	err = srv.Shutdown(sctx)
+	err = srv.Shutdown(shutdownCtx)
 	log.Info("stopped")
 	return err
 }
@@ -128,18 +128,18 @@
 // every second, until ctx ends; the returned function marks it leaving.
 func registerInstance(ctx context.Context, site cfconfig.Site, id, role, addr string, domain cf.FailureDomain) func(context.Context) {
 	store := cfplatform.NewClient(site.PlatformURL())
-	write := func(ctx context.Context, state string) {
+	writeRow := func(ctx context.Context, state string) {
 		row := cfentry.Instance{ID: id, Role: role, Addr: addr, Domain: domain, State: state, Heartbeat: cf.Now()}
 		_, _ = cfplatform.PutJSON(ctx, store, cfplatform.KindInstance, id, row, cf.AnyVersion)
 	}
-	hctx, cancel := context.WithCancel(ctx)
+	heartbeatCtx, cancel := context.WithCancel(ctx)
 	go func() {
 		t := time.NewTicker(time.Second)
 		defer t.Stop()
 		for {
-			write(hctx, cfentry.StateLive)
+			writeRow(heartbeatCtx, cfentry.StateLive)
 			select {
-			case <-hctx.Done():
+			case <-heartbeatCtx.Done():
 				return
 			case <-t.C:
 			}
@@ -147,6 +147,6 @@
 	}()
 	return func(ctx context.Context) {
 		cancel()
-		write(ctx, cfentry.StateLeaving)
+		writeRow(ctx, cfentry.StateLeaving)
 	}
 }
--- a/older/commands/subcommands.go
+++ b/older/commands/subcommands.go
@@ -72,7 +72,7 @@
 	if c.Config == "" {
 		return eris.New("--config is required")
 	}
-	_, err := c.site()
+	_, err := c.loadSite()
 	var faults cfconfig.Faults
 	if errors.As(err, &faults) {
 		for _, f := range faults {
@@ -88,7 +88,7 @@
 }
 
 func (c *entryCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	errc := make(chan error, 1)
 	go func() { errc <- e.Serve(l) }()
 	log.Info("serving", zap.String("addr", self.Addr), zap.String("failure_domain", string(self.Domain)))
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	select {
 	case err := <-errc:
@@ -115,15 +115,15 @@
 	case <-ctx.Done():
 	}
 	log.Info("stopping", zap.Int64("drain_ms", int64(site.Drain)))
-	sctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err = e.Shutdown(sctx)
+	err = e.Shutdown(shutdownCtx)
 	log.Info("stopped")
 	return err
 }
 
 func (c *engineCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -134,12 +134,12 @@
 	log := cflog.New("engine", c.ID)
 	e := cfengine.New(cfengine.Settings{ID: row.ID, Model: row.Model, LoadLag: row.LoadLag, SwapDelay: row.SwapDelay, CheckFencing: row.CheckFencing})
 	defer func() { _ = e.Close() }()
-	leave := registerInstance(context.Background(), site, c.ID, cfentry.RoleEngine, row.Addr, row.Domain)
-	return serveUntilSignal(row.Addr, e.Handler(), site.Drain, leave, log)
+	markLeaving := registerInstance(context.Background(), site, c.ID, cfentry.RoleEngine, row.Addr, row.Domain)
+	return serveUntilSignal(row.Addr, e.Handler(), site.Drain, markLeaving, log)
 }
 
 func (c *platformCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 }
 
 func (c *serviceCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 }
 
 func (c *scorerCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 }
 
 func (c *trainerCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 		c.Bootstrap = "http://" + site.Entries[0].Addr
 	}
 	log := cflog.New("trainer", c.Name)
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	report, err := cfstandin.RunTrainer(ctx, row, c.Bootstrap, log)
 	out, _ := json.Marshal(report)
@@ -196,7 +196,7 @@
 }
 
 func (c *loadCommand) Execute(_ []string) error {
-	site, err := c.site()
+	site, err := c.loadSite()
 	if err != nil {
 		return err
 	}
@@ -209,14 +209,14 @@
 		return eris.Wrap(err, "create journal")
 	}
 	defer f.Close()
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	sum, err := cfload.Run(ctx, plan, site, f)
 	if err != nil {
 		return err
 	}
 	if c.TrainerReport != "" {
-		sum.Trainer = waitReport(ctx, c.TrainerReport, time.Duration(c.Wait)*time.Second)
+		sum.Trainer = waitForReport(ctx, c.TrainerReport, time.Duration(c.Wait)*time.Second)
 	}
 	var paths []string
 	for _, g := range c.Logs {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func waitReport(ctx context.Context, path string, wait time.Duration) *cfstandin.TrainerReport {
+func waitForReport(ctx context.Context, path string, wait time.Duration) *cfstandin.TrainerReport {
 	deadline := time.Now().Add(wait)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		data, err := os.ReadFile(path)
