--- a/nodecommands/commands.go
+++ b/nodecommands/commands.go
@@ -50,13 +50,13 @@
 	p.Name = "currantford-node"
 	p.LongDescription = "The processes of a currantford deployment."
 	mustAdd(p.AddCommand("entry", "Run an entry instance",
-		"Run an entry instance: callers, targets, batches, and the coordinator's duty when it falls to it. Stops as planned on SIGTERM.", &entryCommand{}))
-	mustAdd(p.AddCommand("standby", "Hold an instance with a disk",
-		"Hold an instance that has a disk. Everything that must last lies in the platform's store, so it keeps nothing.", &standbyCommand{}))
+		"Run an entry instance: it serves callers, calls targets, runs batches, and has the coordinator's duty while it holds that lease. Shuts down gracefully on SIGTERM.", &entryCommand{}))
+	mustAdd(p.AddCommand("standby", "Run an idle process on an instance with a disk",
+		"Run an idle process on an instance that has a disk. All persistent state is in the platform's store, so the process stores nothing.", &standbyCommand{}))
 	mustAdd(p.AddCommand("check", "Check a settings file",
 		"Check a settings file and print each fault with its JSON path. Exits 1 on any fault.", &checkCommand{}))
-	mustAdd(p.AddCommand("free", "Free a request that is held",
-		"Free a request that is held because targets crashed under it, at all instances, by its digest. Exits 1 where nothing is known of it.", &freeCommand{}))
+	mustAdd(p.AddCommand("free", "Release a request that is held",
+		"Release a request that is held because targets crashed while they ran it, on all instances, by its digest. Exits 1 if the request is unknown.", &freeCommand{}))
 	if _, err := p.ParseArgs(args); err != nil {
 		var fe *flags.Error
 		if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
--- a/older/cfconfig/config_test.go
+++ b/older/cfconfig/config_test.go
@@ -20,7 +20,7 @@
 			return "ok\n"
 		}
 		if !errors.Is(err, cf.ErrInvalid) {
-			t.Fatalf("fault does not wrap ErrInvalid: %v", err)
+			t.Fatalf("error does not wrap ErrInvalid: %v", err)
 		}
 		return strings.TrimSpace(err.Error()) + "\n"
 	})
--- a/older/cfentry/delivery_test.go
+++ b/older/cfentry/delivery_test.go
@@ -55,6 +55,6 @@
 		t.Fatalf("trainer stopped after %d steps: %v", report.Steps, err)
 	}
 	if report.Duplicates != 0 || report.Unattributed != 0 || report.Samples < 40 {
-		t.Fatalf("report %+v: want 0 duplicates, 0 unattributed, at least 40 samples", report)
+		t.Fatalf("report %+v, want no duplicates, no unattributed samples and at least 40 samples", report)
 	}
 }
--- a/older/cfentry/engines.go
+++ b/older/cfentry/engines.go
@@ -41,7 +41,7 @@
 type (
 	engineSet struct {
 		entry      *Entry
-		scorer     string
+		scorerURL  string
 		client     *http.Client
 		mu         sync.Mutex
 		engines    map[cf.EngineID]*engineState
@@ -56,7 +56,7 @@
 )
 
 func newEngineSet(site cfconfig.Site, e *Entry) *engineSet {
-	s := &engineSet{entry: e, scorer: "http://" + site.Scorer.Addr, client: &http.Client{}, engines: map[cf.EngineID]*engineState{}}
+	s := &engineSet{entry: e, scorerURL: "http://" + site.Scorer.Addr, client: &http.Client{}, engines: map[cf.EngineID]*engineState{}}
 	for _, en := range site.Engines {
 		s.engines[en.ID] = &engineState{settings: en, load: cf.Load{Engine: en.ID, Addr: en.Addr, Domain: en.Domain}}
 	}
@@ -173,7 +173,7 @@
 	var out struct {
 		Score float64 `json:"score"`
 	}
-	err := s.postJSON(ctx, s.scorer+"/v1/score", body, &out, 10*time.Second)
+	err := s.postJSON(ctx, s.scorerURL+"/v1/score", body, &out, 10*time.Second)
 	return out.Score, err
 }
 
--- a/older/cfentry/entry_test.go
+++ b/older/cfentry/entry_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if got := len(strings.Fields(unstreamed.Choices[0].Text)); got != 6 {
-		t.Fatalf("whole answer has %d tokens, want 6: %q", got, unstreamed.Choices[0].Text)
+		t.Fatalf("unstreamed response has %d tokens, want 6: %q", got, unstreamed.Choices[0].Text)
 	}
 	stream := client.Completions.NewStreaming(ctx, params)
 	var text strings.Builder
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if text.String() != unstreamed.Choices[0].Text {
-		t.Fatalf("streamed %q, whole %q: the same prompt must give the same answer", text.String(), unstreamed.Choices[0].Text)
+		t.Fatalf("streamed response %q, unstreamed response %q, want the same for the same prompt", text.String(), unstreamed.Choices[0].Text)
 	}
 }
 
@@ -80,11 +80,11 @@
 		return resp.StatusCode, resp.Header.Get("X-Currantford-Ran")
 	}
 	if status, _ := send(ts.urls[0], 200*time.Millisecond); status != 0 {
-		t.Fatalf("first try answered %d; the test needs it to time out", status)
+		t.Fatalf("first attempt: status %d, want a timeout", status)
 	}
 	status, ran := send(ts.urls[1], 2*time.Second)
 	if status != http.StatusConflict || ran != "unknown" {
-		t.Fatalf("repeat on entry 2: status %d ran %q, want 409 and \"unknown\"", status, ran)
+		t.Fatalf("repeated call on entry 2: status %d, ran %q, want 409 and \"unknown\"", status, ran)
 	}
 	once.Do(func() { close(release) })
 	eventually(t, "the first send to finish", func() bool {
@@ -127,7 +127,7 @@
 	})
 	for range 50 {
 		if e := post(); e == "forecast-1" {
-			t.Fatalf("a new request went to the leaving engine")
+			t.Fatalf("a new request was routed to the leaving engine")
 		}
 	}
 }
@@ -153,10 +153,10 @@
 		t.Fatal(err)
 	}
 	if status, ran := send(); status != http.StatusServiceUnavailable || ran != "no" {
-		t.Fatalf("during the outage: status %d ran %q, want 503 and \"no\"", status, ran)
+		t.Fatalf("during the outage: status %d, ran %q, want 503 and \"no\"", status, ran)
 	}
 	if n := calls(); n != 0 {
-		t.Fatalf("refused as not run, yet the bid reached the service %d times", n)
+		t.Fatalf("the bid was refused as not run but reached the service %d times", n)
 	}
 	if err := ts.store.InjectFaults(context.Background(), 0, 0, 0); err != nil {
 		t.Fatal(err)
--- a/older/cfentry/shutdown_test.go
+++ b/older/cfentry/shutdown_test.go
@@ -38,13 +38,13 @@
 		case line == "data: [DONE]":
 			done = true
 		case strings.Contains(line, `"error"`):
-			t.Fatalf("stream carried an error: %s", line)
+			t.Fatalf("stream contains an error: %s", line)
 		case strings.HasPrefix(line, "data: ") && !strings.Contains(line, `"finish_reason":"length"`):
 			tokens++
 		}
 	}
 	if !done || tokens != 150 {
-		t.Fatalf("answer cut off: %d of 150 tokens, done=%v", tokens, done)
+		t.Fatalf("response cut off after %d of 150 tokens, done=%v", tokens, done)
 	}
 	if err := <-stopped; err != nil {
 		t.Fatalf("shutdown: %v", err)
@@ -65,7 +65,7 @@
 	defer resp.Body.Close()
 	engine := ts.engines[cf.EngineID(resp.Header.Get("X-Currantford-Engine"))]
 	if engine == nil {
-		t.Fatalf("no engine named in the answer")
+		t.Fatalf("the response names no engine")
 	}
 	sc := bufio.NewScanner(resp.Body)
 	lines, done, partial := 0, false, false
@@ -81,6 +81,6 @@
 		partial = partial || strings.Contains(line, `"ran":"partly"`)
 	}
 	if done || !partial {
-		t.Fatalf("after the engine died: done=%v partial-error=%v, want no [DONE] and a partial error event", done, partial)
+		t.Fatalf("after the engine failure: done=%v, partial error=%v, want no [DONE] and a partial error event", done, partial)
 	}
 }
--- a/older/commands/commands.go
+++ b/older/commands/commands.go
@@ -50,10 +50,10 @@
 		"Run an entry instance: caller API, routing, pools, peers. Stops gracefully on SIGTERM.", &entryCommand{}))
 	mustAdd(p.AddCommand("check", "Validate a settings document",
 		"Validate a settings document and print each fault with its JSON path. Exits 1 on any fault.", &checkCommand{}))
-	mustAdd(p.AddCommand("load", "Drive a load and experiment plan",
-		"Drive live completions and plain-service calls against running entries, apply faults, write a journal and print a report.", &loadCommand{}))
+	mustAdd(p.AddCommand("load", "Run a load and experiment plan",
+		"Send live completions and plain-service calls to running entries, inject faults, write a journal and print a report.", &loadCommand{}))
 	mustAdd(p.AddCommand("trial", "Compare groups of entry processes under one plan",
-		"Run the platform's stand-ins for one or two groups of entry processes, drive both with a plan's load and faults, and write a report.", &trialCommand{}))
+		"Run the platform's stand-ins for one or two groups of entry processes, apply a plan's load and faults to each group, and write a report.", &trialCommand{}))
 	standin, err := p.AddCommand("standin", "Run a stand-in of a system currantford serves",
 		"Run one stand-in process: engine, platform, service, scorer or trainer.", &struct{}{})
 	mustAdd(standin, err)
