--- a/testbed/cftrial/report.go
+++ b/testbed/cftrial/report.go
@@ -96,7 +96,7 @@
 <style>body{font:14px sans-serif;margin:2em;max-width:60em}td,th{padding:.2em .8em;text-align:right}th:first-child,td:first-child{text-align:left}</style>
 <h1>{{.Plan.Name}}</h1>
 <p>{{.Plan.Seconds}} s a seed, seeds {{.Plan.Seeds}}, {{.Plan.Site.Engines}} engines of {{.Plan.Site.Slots}} slots,
-steps of {{.Plan.Step.Groups}} x {{.Plan.Step.Size}} items, {{len .Plan.Faults}} faults.</p>
+steps of {{.Plan.Step.Groups}} x {{.Plan.Step.GroupSize}} items, {{len .Plan.Faults}} faults.</p>
 <table><tr><th></th>{{range .Rows}}<th>{{.Group}}</th>{{end}}</tr>
 {{range .Table}}<tr><td>{{.Name}}</td>{{range .Values}}<td>{{.}}</td>{{end}}</tr>
 {{end}}</table>
