--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// batchWait bounds a watch of batches; a connection that went silent is
+	// batchWatchTimeout bounds a watch of batches; a connection that went silent is
 	// noticed after it, and a step is due within seconds.
-	batchWait cf.Millis = 2000
-	// versionWait bounds a watch of weight versions.
-	versionWait cf.Millis = 2000
-	// retirementWait bounds a watch of retirements, which allow seconds.
-	retirementWait cf.Millis = 5000
-	// chunkRetry is the pause after a chunk could not be written.
-	chunkRetry = 250 * time.Millisecond
+	batchWatchTimeout cf.Millis = 2000
+	// versionWatchTimeout bounds a watch of weight versions.
+	versionWatchTimeout cf.Millis = 2000
+	// retirementWatchTimeout bounds a watch of retirements, which allow seconds.
+	retirementWatchTimeout cf.Millis = 5000
+	// chunkRetryDelay is the pause after a chunk could not be written.
+	chunkRetryDelay = 250 * time.Millisecond
 )
 
 func (c *Coordinator) batchWatcher() *cfwatch.Watcher {
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: cf.KindBatch, Wait: batchWait, Log: c.Log, OnChange: c.takeBatch,
+		Store: c.Store, Kind: cf.KindBatch, Wait: batchWatchTimeout, Log: c.Log, OnChange: c.applyBatch,
 		OnList: func(list cf.Records) error {
-			err := cfwatch.ForEach(c.takeBatch)(list)
+			err := cfwatch.ForEach(c.applyBatch)(list)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.takeover.listed = true
@@ -37,25 +37,25 @@
 		OnCaughtUp: func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.takeover.current = true
-			c.checkLoaded()
+			c.takeover.caughtUp = true
+			c.advanceTakeover()
 		},
 	}
 }
 
-// takeBatch takes a batch's object as the store shows it. A batch that is not
+// applyBatch takes a batch's object as the store shows it. A batch that is not
 // known yet is read beside the watch: a read takes up to seconds when the store
 // is slow, and the end of a batch must be seen at once.
-func (c *Coordinator) takeBatch(r cf.Record) error {
+func (c *Coordinator) applyBatch(r cf.Record) error {
 	id := cf.BatchID(r.Name)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.Wake()
 	ended := cfbatch.Ended(r)
 	if ended || r.Deleted {
-		c.history.noteOver(id)
+		c.history.markClosed(id)
 	}
-	if rd := c.readings[id]; rd != nil {
+	if rd := c.reads[id]; rd != nil {
 		rd.ended, rd.removed = rd.ended || ended, rd.removed || r.Deleted
 		return nil
 	}
@@ -69,41 +69,41 @@
 	case st != nil && ended:
 		c.endBatch(st)
 	case st == nil && !ended: // an ended batch stays in the store alone
-		if c.takeover.listed && c.openPrepared(id, acceptedIn(r)) {
+		if c.takeover.listed && c.openPrepared(id, acceptanceTime(r)) {
 			return nil
 		}
-		rd := &reading{inherited: !c.takeover.listed, shared: !c.takeover.listed || c.mayBeShared()}
-		c.readings[id] = rd
-		c.wg.Go(func() { c.load(r, rd) })
+		rd := &batchRead{inherited: !c.takeover.listed, predecessorMayWrite: !c.takeover.listed || c.predecessorMayRun()}
+		c.reads[id] = rd
+		c.wg.Go(func() { c.loadBatch(r, rd) })
 	}
 	return nil
 }
 
-// beforeGoesOn is how long a coordinator that was replaced may go on.
-const beforeGoesOn cf.Millis = 15_000
+// predecessorOverlap is how long a coordinator that was replaced may go on.
+const predecessorOverlap cf.Millis = 15_000
 
-// mayBeShared says whether the coordinator before may begin a batch that comes now as well: it
+// predecessorMayRun says whether the coordinator before may begin a batch that comes now as well: it
 // may have been told of the batch, and not yet of its successor.
-func (c *Coordinator) mayBeShared() bool {
-	return c.HasPredecessor && cf.Uptime()-c.started < beforeGoesOn
+func (c *Coordinator) predecessorMayRun() bool {
+	return c.HasPredecessor && cf.Uptime()-c.startedAt < predecessorOverlap
 }
 
-// load reads a batch and begins to keep it.
-func (c *Coordinator) load(r cf.Record, rd *reading) {
+// loadBatch reads a batch and begins to keep it.
+func (c *Coordinator) loadBatch(r cf.Record, rd *batchRead) {
 	select {
 	case c.readSlots <- struct{}{}:
 	case <-c.ctx.Done():
 		return
 	}
-	st, err := c.readBatch(r, rd.inherited, rd.shared)
+	st, err := c.readBatch(r, rd.inherited, rd.predecessorMayWrite)
 	<-c.readSlots
 	if c.ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.readings, cf.BatchID(r.Name))
-	defer c.checkLoaded()
+	delete(c.reads, cf.BatchID(r.Name))
+	defer c.advanceTakeover()
 	if err != nil {
 		c.Log.Error("change_not_taken", zap.String("kind", cf.KindBatch), zap.String("name", r.Name), cflog.Error(err))
 		return
@@ -117,50 +117,50 @@
 	}
 }
 
-// checkLoaded notes when nothing from before this duty is left to be read. c.mu
+// advanceTakeover notes when nothing from before this duty is left to be read. c.mu
 // is held.
-func (c *Coordinator) checkLoaded() {
+func (c *Coordinator) advanceTakeover() {
 	c.Wake()
 	if c.takeover.done {
 		return
 	}
 	reading := false
-	for _, rd := range c.readings {
+	for _, rd := range c.reads {
 		reading = reading || rd.inherited
 	}
 	open := c.openInherited()
 	switch c.takeover.next(reading, len(open) > 0) {
-	case takeoverReads:
-		c.wg.Go(func() { c.adoptStored(open) })
+	case takeoverReadStored:
+		c.wg.Go(func() { c.adoptStoredTexts(open) })
 	case takeoverDone:
-		c.noteBegun()
-	case takeoverWaits:
+		c.logStarted()
+	case takeoverWait:
 	}
 }
 
 // readBatch reads a batch, with its results where an earlier coordinator may have
 // worked on it; a batch that was created since has none.
-func (c *Coordinator) readBatch(r cf.Record, inherited, shared bool) (*state, error) {
+func (c *Coordinator) readBatch(r cf.Record, inherited, shared bool) (*batchState, error) {
 	for {
 		b, err := cfbatch.Fetch(c.ctx, c.Store, r, shared)
 		if err == nil {
-			return &state{
-				batch: b, changed: make(chan struct{}), inherited: inherited, shared: shared, loadedAt: cf.Uptime(), measured: b.ListedCount(),
+			return &batchState{
+				batch: b, changed: make(chan struct{}), inherited: inherited, predecessorMayWrite: shared, loadedAt: cf.Uptime(), measured: b.ListedCount(),
 			}, nil
 		}
 		if errors.Is(err, cf.ErrInvalid) {
 			return nil, err
 		}
 		c.Log.Warn("batch_not_read", cflog.Batch(cf.BatchID(r.Name)), cflog.Error(err))
-		if !c.pause(readRetry) {
+		if !c.sleep(readRetryDelay) {
 			return nil, err
 		}
 	}
 }
 
-// hintPause is how long an instance's word on a batch waits for the watch,
+// hintDelay is how long an instance's word on a batch waits for the watch,
 // which usually brings the batch within milliseconds.
-const hintPause = 60 * time.Millisecond
+const hintDelay = 60 * time.Millisecond
 
 // BatchChanged is an instance's word that a batch was accepted or ended. Without it
 // a watch whose connection has gone silent would hold a step up until it times
@@ -170,24 +170,24 @@
 		return
 	}
 	c.wg.Go(func() {
-		if !c.pause(hintPause) || c.knows(id, ended) {
+		if !c.sleep(hintDelay) || c.knowsBatch(id, ended) {
 			return
 		}
 		r, err := c.Store.Get(c.ctx, cf.KindBatch, string(id))
 		if err == nil {
-			err = c.takeBatch(r)
+			err = c.applyBatch(r)
 		}
 		c.Log.Info("batch_hint_taken", cflog.Batch(id), zap.Bool("ended", ended), cflog.Error(err))
 	})
 }
 
-func (c *Coordinator) knows(id cf.BatchID, ended bool) bool {
+func (c *Coordinator) knowsBatch(id cf.BatchID, ended bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.takeover.done {
 		return true // the first list will bring it
 	}
-	st, rd := c.batches[id], c.readings[id]
+	st, rd := c.batches[id], c.reads[id]
 	switch {
 	case !ended:
 		return st != nil || rd != nil
@@ -198,45 +198,45 @@
 	}
 }
 
-// mayBegin says whether a batch may begin now, or waits for the end of another that holds
+// mayStart says whether a batch may begin now, or waits for the end of another that holds
 // items of it. c.mu is held.
-func (c *Coordinator) mayBegin(st *state) bool {
+func (c *Coordinator) mayStart(st *batchState) bool {
 	var holders []cf.BatchID
 	for id, other := range c.batches {
-		if other != st && other.added && !other.batch.Ended && other.batch.Sub.Model == st.batch.Sub.Model && st.batch.SharesItems(other.batch) {
+		if other != st && other.planned && !other.batch.Ended && other.batch.Sub.Model == st.batch.Sub.Model && st.batch.SharesItems(other.batch) {
 			holders = append(holders, id)
 		}
 	}
-	begin, ask := st.succession.Check(holders, cf.Uptime())
+	begin, ask := st.startGate.Check(holders, cf.Uptime())
 	for _, id := range ask {
 		c.Log.Info("batch_waits_for_end", cflog.Batch(st.batch.Sub.ID), zap.String("of", string(id)))
-		c.wg.Go(func() { c.checkEnd(st, id) })
+		c.wg.Go(func() { c.checkEnded(st, id) })
 	}
 	return begin
 }
 
-// checkEnd asks the store whether a batch has ended that another one waits for.
-func (c *Coordinator) checkEnd(st *state, id cf.BatchID) {
+// checkEnded asks the store whether a batch has ended that another one waits for.
+func (c *Coordinator) checkEnded(st *batchState, id cf.BatchID) {
 	for {
 		r, err := c.Store.Get(c.ctx, cf.KindBatch, string(id))
 		if err == nil {
-			err = c.takeBatch(r)
+			err = c.applyBatch(r)
 		}
 		c.mu.Lock()
-		over := st.added || st.batch.Ended
+		over := st.planned || st.batch.Ended
 		if err == nil && !cfbatch.Ended(r) {
-			st.succession.MarkOpen(id)
+			st.startGate.MarkOpen(id)
 		}
 		c.mu.Unlock()
 		c.Wake()
-		if err == nil || over || !c.pause(readRetry) {
+		if err == nil || over || !c.sleep(readRetryDelay) {
 			return
 		}
 	}
 }
 
 // endBatch stops what an ended batch has under way. c.mu is held.
-func (c *Coordinator) endBatch(st *state) {
+func (c *Coordinator) endBatch(st *batchState) {
 	if st.batch.Ended {
 		return
 	}
@@ -251,6 +251,6 @@
 	c.Log.Info("batch_ended", cflog.Batch(st.batch.Sub.ID), zap.Int("stopped", len(stop)),
 		zap.Int("groups_whole", st.batch.CompleteGroups()), zap.Bool("complete", st.batch.Complete()),
 		zap.Int64("took_ms", int64(cf.Now()-st.batch.Sub.Accepted)))
-	c.history.noteEnd(st.batch)
+	c.history.recordEnd(st.batch)
 	c.history.trim(c.batches)
 }
--- a/io/cfcoord/checkpoint.go
+++ b/io/cfcoord/checkpoint.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// checkpointEvery is how often long texts are copied to the store. A text
+	// checkpointInterval is how often long texts are copied to the store. A text
 	// may take as long as its step has, so one that begins anew when all
 	// instances are lost is late for good; one write a second and batch costs
 	// less than the reads of one trainer.
-	checkpointEvery = time.Second
-	// checkpointLeast is the least number of events that is worth it: a shorter
+	checkpointInterval = time.Second
+	// minCheckpointEvents is the least number of events that is worth it: a shorter
 	// text is generated again while the longer ones go on.
-	checkpointLeast = 30
-	// checkpointBytes bounds what is written at a time, and keeps each part well
+	minCheckpointEvents = 30
+	// maxCheckpointBytes bounds what is written at a time, and keeps each part well
 	// under the store's value limit. The store sends back what it is sent, so this
 	// is a seventh of a link of 60 Mbit/s each way.
-	checkpointBytes = 512 << 10
-	// textsListed bounds the read of one batch's texts at a takeover, which
+	maxCheckpointBytes = 512 << 10
+	// storedTextsTimeout bounds the read of one batch's texts at a takeover, which
 	// holds the takeover up.
-	textsListed = 1500 * time.Millisecond
+	storedTextsTimeout = 1500 * time.Millisecond
 )
 
 // checkpoint is an object with what is new of a batch's long texts.
@@ -39,12 +39,12 @@
 	Texts map[cf.ItemID]cfrollout.Text `json:"texts"`
 }
 
-// keepTexts copies what is new of the long texts to the store. It is a cache as
+// checkpointTexts copies what is new of the long texts to the store. It is a cache as
 // the neighbour's copies are, for the loss of all instances at once.
-func (c *Coordinator) keepTexts() {
-	ticker := time.NewTicker(checkpointEvery)
+func (c *Coordinator) checkpointTexts() {
+	ticker := time.NewTicker(checkpointInterval)
 	defer ticker.Stop()
-	copied := newCopies(checkpointLeast)
+	copied := newCopyProgress(minCheckpointEvents)
 	for n := 0; ; n++ {
 		select {
 		case <-c.ctx.Done():
@@ -55,20 +55,20 @@
 			continue // another may hold the duty; it has its own copies
 		}
 		term, _ := c.Lease.MayOrder()
-		for id, part := range c.longTexts(copied) {
+		for id, part := range c.nextCheckpoints(copied) {
 			// The names of a later holder's parts come after those of this one.
 			name := fmt.Sprintf("%016d-%06d", term, n)
 			if _, err := c.Store.Create(c.ctx, cf.KindTexts(id), name, part); err != nil {
 				c.Log.Warn("texts_not_kept", cflog.Batch(id), zap.Int("items", len(part.Texts)), cflog.Error(err))
 				continue // it goes with the next part
 			}
-			copied.arrived(part.Texts, nil)
+			copied.acknowledge(part.Texts, nil)
 		}
 	}
 }
 
-// longTexts returns what is new of the long texts of open batches.
-func (c *Coordinator) longTexts(copied *copies) map[cf.BatchID]checkpoint {
+// nextCheckpoints returns what is new of the long texts of open batches.
+func (c *Coordinator) nextCheckpoints(copied *copyProgress) map[cf.BatchID]checkpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[cf.BatchID]checkpoint{}
@@ -76,8 +76,8 @@
 		st := c.batches[id]
 		return st != nil && !st.batch.Ended
 	}
-	parts, over := c.newTexts(copied, checkpointBytes, open)
-	copied.drop(over)
+	parts, over := c.uncopiedTexts(copied, maxCheckpointBytes, open)
+	copied.forget(over)
 	for _, p := range parts {
 		if _, known := out[p.batch]; !known {
 			out[p.batch] = checkpoint{Texts: map[cf.ItemID]cfrollout.Text{}}
@@ -98,29 +98,29 @@
 	return out
 }
 
-// adoptStored takes the texts of batches that lie in the store, and then lets the
+// adoptStoredTexts takes the texts of batches that lie in the store, and then lets the
 // duty begin.
-func (c *Coordinator) adoptStored(batches []cf.BatchID) {
+func (c *Coordinator) adoptStoredTexts(batches []cf.BatchID) {
 	started := cf.Uptime()
-	texts := c.readStored(batches)
+	texts := c.readStoredTexts(batches)
 	c.Log.Info("stored_texts_read", zap.Int("batches", len(batches)), zap.Int("items", len(texts)), zap.Int64("took_ms", int64(cf.Uptime()-started)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planner.AdoptTexts(texts)
-	c.takeover.takeStored()
-	c.checkLoaded()
+	c.takeover.storedTextsRead()
+	c.advanceTakeover()
 }
 
-// readStored reads the texts of batches, as many as come in time.
-func (c *Coordinator) readStored(batches []cf.BatchID) map[cf.ItemID]cfrollout.Text {
-	ctx, cancel := context.WithTimeout(c.ctx, textsListed)
+// readStoredTexts reads the texts of batches, as many as come in time.
+func (c *Coordinator) readStoredTexts(batches []cf.BatchID) map[cf.ItemID]cfrollout.Text {
+	ctx, cancel := context.WithTimeout(c.ctx, storedTextsTimeout)
 	defer cancel()
 	texts := map[cf.ItemID]cfrollout.Text{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, id := range batches {
 		wg.Go(func() {
-			found := c.storedTexts(ctx, id)
+			found := c.readBatchTexts(ctx, id)
 			mu.Lock()
 			defer mu.Unlock()
 			maps.Copy(texts, found)
@@ -130,8 +130,8 @@
 	return texts
 }
 
-// storedTexts reads the long texts of a batch from the store.
-func (c *Coordinator) storedTexts(ctx context.Context, id cf.BatchID) map[cf.ItemID]cfrollout.Text {
+// readBatchTexts reads the long texts of a batch from the store.
+func (c *Coordinator) readBatchTexts(ctx context.Context, id cf.BatchID) map[cf.ItemID]cfrollout.Text {
 	parts, err := c.Store.List(ctx, cf.KindTexts(id))
 	if err != nil {
 		c.Log.Warn("stored_texts_not_read", cflog.Batch(id), cflog.Error(err))
--- a/io/cfcoord/checkpoint_test.go
+++ b/io/cfcoord/checkpoint_test.go
@@ -17,7 +17,7 @@
 // Symptom: a sample's text has a gap, or is of two runs.
 // Sequence: two coordinators after each other keep texts in the store; a write of
 // the first is lost, another takes effect after the second has begun anew.
-func TestStoredTextsJoinOnlyWhatFollows(t *testing.T) {
+func TestJoinCheckpointsDropsTextsWithGaps(t *testing.T) {
 	record := func(name string, texts map[cf.ItemID]cfrollout.Text) cf.Record {
 		raw, err := json.Marshal(checkpoint{Texts: texts})
 		if err != nil {
@@ -49,39 +49,39 @@
 
 // Each text is written once, in parts that follow each other, and only while its
 // batch is open.
-func TestOnlyNewEventsOfLongTextsAreStored(t *testing.T) {
-	c := New(Options{Lease: held{}})
+func TestCheckpointsHoldOnlyNewEventsOfLongTexts(t *testing.T) {
+	c := New(Options{Lease: heldLease{}})
 	open := c.testBatch("b", 1)
-	w := &cfrollout.Work{Batch: open.batch, Item: cf.Item{ID: "a"}, Text: textOf(1, 0, checkpointLeast-1)}
+	w := &cfrollout.Work{Batch: open.batch, Item: cf.Item{ID: "a"}, Text: textOf(1, 0, minCheckpointEvents-1)}
 	c.runs[w] = func() {}
-	copied := newCopies(checkpointLeast)
-	if parts := c.longTexts(copied); len(parts) != 0 {
+	copied := newCopyProgress(minCheckpointEvents)
+	if parts := c.nextCheckpoints(copied); len(parts) != 0 {
 		t.Error("a short text is stored")
 	}
 	w.Text = textOf(1, 0, 40)
-	first := c.longTexts(copied)["b"].Texts
+	first := c.nextCheckpoints(copied)["b"].Texts
 	if part := first["a"]; part.Last != 40 || !part.FromStart() {
 		t.Errorf("first part: %d events up to %d", len(part.Data), part.Last)
 	}
-	copied.arrived(first, nil)
+	copied.acknowledge(first, nil)
 	w.Text = textOf(1, 0, 66)
-	if part := c.longTexts(copied)["b"].Texts["a"]; part.Last != 66 || len(part.Data) != 26 {
+	if part := c.nextCheckpoints(copied)["b"].Texts["a"]; part.Last != 66 || len(part.Data) != 26 {
 		t.Errorf("second part: %d events up to %d", len(part.Data), part.Last)
 	}
 	open.batch.Ended = true
 	w.Text = textOf(1, 0, 90)
-	if parts := c.longTexts(copied); len(parts) != 0 {
+	if parts := c.nextCheckpoints(copied); len(parts) != 0 {
 		t.Error("a text of an ended batch is stored")
 	}
 }
 
-// heldTexts is a store whose texts are read only when they are released.
-type heldTexts struct {
+// blockingTextStore is a store whose texts are read only when they are released.
+type blockingTextStore struct {
 	*cfstandin.MemStore
 	release chan struct{}
 }
 
-func (s heldTexts) List(ctx context.Context, kind string) (cf.Records, error) {
+func (s blockingTextStore) List(ctx context.Context, kind string) (cf.Records, error) {
 	if strings.Contains(kind, "texts") {
 		<-s.release
 	}
@@ -94,12 +94,12 @@
 // change of a batch.
 // Cause: with the change everything from before counted as read, and the step began
 // anew.
-func TestStoredTextsAreWaitedFor(t *testing.T) {
-	store := heldTexts{cfstandin.NewMemStore(), make(chan struct{})}
+func TestTakeoverWaitsForStoredTexts(t *testing.T) {
+	store := blockingTextStore{cfstandin.NewMemStore(), make(chan struct{})}
 	if _, err := store.Create(context.Background(), cf.KindTexts("b"), "1", checkpoint{Texts: map[cf.ItemID]cfrollout.Text{"a": textOf(1, 0, 40)}}); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Options{Lease: held{}, Store: store, Log: zap.NewNop()})
+	c := New(Options{Lease: heldLease{}, Store: store, Log: zap.NewNop()})
 	t.Cleanup(func() { _ = c.Close() })
 	c.testBatch("b", 1).inherited = true
 	loaded := func() bool {
@@ -108,11 +108,11 @@
 		return c.takeover.done
 	}
 	c.mu.Lock()
-	c.takeover.current = true
+	c.takeover.caughtUp = true
 	c.mu.Unlock()
-	c.adopt(nil)
+	c.adoptTexts(nil)
 	c.mu.Lock()
-	c.checkLoaded() // as after a change
+	c.advanceTakeover() // as after a change
 	c.mu.Unlock()
 	if loaded() {
 		t.Error("the batches begin before their texts are read")
--- a/io/cfcoord/chunks.go
+++ b/io/cfcoord/chunks.go
@@ -10,61 +10,61 @@
 	"currantford/io/cflog"
 )
 
-// startChunk writes the next chunk of a batch's results.
-func (c *Coordinator) startChunk(st *state) {
+// writeNextChunk writes the next chunk of a batch's results.
+func (c *Coordinator) writeNextChunk(st *batchState) {
 	results := st.pending.BeginWrite(cf.Uptime())
 	name := st.batch.NextChunk()
 	id := st.batch.Sub.ID
 	c.wg.Go(func() {
 		r, err := c.Store.Create(c.ctx, cf.KindResults(id), name, cfbatch.Chunk{Results: results})
 		if err == nil {
-			c.wroteChunk(st, name, results)
+			c.chunkWritten(st, name, results)
 			return
 		}
 		// The chunk may be there all the same, or another's: what the store
 		// holds decides.
-		c.rereadChunk(st, name, r, err)
+		c.resolveWrite(st, name, r, err)
 	})
 }
 
-func (c *Coordinator) wroteChunk(st *state, name string, results []cf.Result) {
+func (c *Coordinator) chunkWritten(st *batchState, name string, results []cf.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	st.batch.Apply(name, results)
 	c.Metrics.Chunks.WithLabelValues("written").Inc()
 	c.Log.Info("results_listed", cflog.Batch(st.batch.Sub.ID), zap.String("chunk", name),
 		zap.Int("items", len(results)), zap.Int("groups_whole", st.batch.CompleteGroups()))
-	c.listed(st)
+	c.resultsListed(st)
 }
 
-// listed wakes readers after a change of the listed results.
-func (c *Coordinator) listed(st *state) {
-	for id := range c.finished {
+// resultsListed wakes readers after a change of the listed results.
+func (c *Coordinator) resultsListed(st *batchState) {
+	for id := range c.unlisted {
 		if st.batch.Listed(id) {
-			delete(c.finished, id)
+			delete(c.unlisted, id)
 		}
 	}
 	st.pending.EndWrite(st.batch, cf.Uptime())
-	c.served(st)
-	st.wake()
+	c.measureListed(st)
+	st.notifyReaders()
 	if st.batch.Ended {
 		c.history.trim(c.batches)
 	}
 	c.Wake()
 }
 
-// rereadChunk reads the chunk of a write that was in doubt. The ones before it are
+// resolveWrite reads the chunk of a write that was in doubt. The ones before it are
 // known, and one after it would be met by the next write; all of them together took a
 // link of 60 Mbit/s up to two seconds, just when the store was reached through another
 // instance. r is what the store sent back, if anything.
-func (c *Coordinator) rereadChunk(st *state, name string, r cf.Record, cause error) {
+func (c *Coordinator) resolveWrite(st *batchState, name string, r cf.Record, cause error) {
 	c.Metrics.Chunks.WithLabelValues("reread").Inc()
 	c.Log.Warn("chunk_in_doubt", cflog.Batch(st.batch.Sub.ID), zap.String("chunk", name), cflog.Error(cause))
 	for err := cause; c.ctx.Err() == nil; r, err = c.Store.Get(c.ctx, cf.KindResults(st.batch.Sub.ID), name) {
 		there := r.Name == name && len(r.Spec) > 0
 		if !there && !errors.Is(err, cf.ErrNotFound) {
 			if err != cause {
-				c.pause(chunkRetry)
+				c.sleep(chunkRetryDelay)
 			}
 			continue
 		}
@@ -74,7 +74,7 @@
 				c.Log.Error("chunks_not_taken", cflog.Batch(st.batch.Sub.ID), cflog.Error(err))
 			}
 		}
-		c.listed(st)
+		c.resultsListed(st)
 		c.mu.Unlock()
 		return
 	}
--- a/io/cfcoord/chunks_test.go
+++ b/io/cfcoord/chunks_test.go
@@ -13,19 +13,19 @@
 )
 
 type (
-	// doubtfulStore loses the answers to the first writes of results, the first of
+	// unansweredStore loses the answers to the first writes of results, the first of
 	// them with the write, and counts the lists of results from then on.
-	doubtfulStore struct {
+	unansweredStore struct {
 		*cfstandin.MemStore
 		writes atomic.Int64
 		lists  atomic.Int64
 	}
 
-	// promptTargets make a text of one event at once.
-	promptTargets struct{ countingTargets }
+	// oneEventTargets make a text of one event at once.
+	oneEventTargets struct{ countingTargets }
 )
 
-func (s *doubtfulStore) Create(ctx context.Context, kind, name string, spec any) (cf.Record, error) {
+func (s *unansweredStore) Create(ctx context.Context, kind, name string, spec any) (cf.Record, error) {
 	if !strings.Contains(kind, "results") {
 		return s.MemStore.Create(ctx, kind, name, spec)
 	}
@@ -40,21 +40,21 @@
 	}
 }
 
-func (s *doubtfulStore) List(ctx context.Context, kind string) (cf.Records, error) {
+func (s *unansweredStore) List(ctx context.Context, kind string) (cf.Records, error) {
 	if strings.Contains(kind, "results") && s.writes.Load() > 0 {
 		s.lists.Add(1)
 	}
 	return s.MemStore.List(ctx, kind)
 }
 
-func (*promptTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (*oneEventTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	if err := sink.Event(cf.StreamEvent{ID: 1, Data: "x", Version: 1}); err != nil {
 		return cf.TargetAnswer{}, err
 	}
 	return cf.TargetAnswer{Status: 200}, nil
 }
 
-func (c *Coordinator) hasListed() bool {
+func (c *Coordinator) batchesListed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.takeover.listed
@@ -66,13 +66,13 @@
 // none either, and has.
 // Cause: after each such write all chunks of the batch were read again, a megabyte and
 // more over a link that was full already.
-func TestDoubtfulWritesReadTheirOwnChunkOnly(t *testing.T) {
+func TestUnansweredWriteRereadsOnlyItsChunk(t *testing.T) {
 	ctx := context.Background()
-	store := &doubtfulStore{MemStore: cfstandin.NewMemStore()}
-	c := startDuty(t, store, &promptTargets{})
+	store := &unansweredStore{MemStore: cfstandin.NewMemStore()}
+	c := startCoordinator(t, store, &oneEventTargets{})
 	// A batch that stands in the first list is another coordinator's before, whose
 	// chunks are read again for a reason of their own.
-	for deadline := time.Now().Add(20 * time.Second); !c.hasListed(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); !c.batchesListed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the batches from before are not listed")
 		}
--- a/io/cfcoord/completion.go
+++ b/io/cfcoord/completion.go
@@ -11,11 +11,11 @@
 // complete takes a complete text: its reward is asked for, or it is listed. Until
 // then its copies let a successor go on from here.
 func (c *Coordinator) complete(w *cfrollout.Work, now cf.Millis) {
-	st := c.unlisted(w)
+	st := c.batchIfUnlisted(w)
 	if st == nil {
 		return
 	}
-	c.finished[w.Item.ID] = finishedText{w.Batch.Sub.ID, w.Text}
+	c.unlisted[w.Item.ID] = unlistedText{w.Batch.Sub.ID, w.Text}
 	if w.Item.Reward == nil {
 		c.list(w, "", now)
 		return
@@ -26,9 +26,9 @@
 
 // list puts a text among those to be listed.
 func (c *Coordinator) list(w *cfrollout.Work, score string, now cf.Millis) {
-	if st := c.unlisted(w); st != nil {
+	if st := c.batchIfUnlisted(w); st != nil {
 		st.pending.Add(cf.Result{
-			ID: w.Item.ID, State: cf.ItemDone, Output: join(w.Text.Data), Versions: w.Text.Versions, Score: score,
+			ID: w.Item.ID, State: cf.ItemDone, Output: joinData(w.Text.Data), Versions: w.Text.Versions, Score: score,
 		}, now)
 		c.Wake()
 	}
@@ -36,8 +36,8 @@
 
 // giveUp puts an item that is not done among those to be listed.
 func (c *Coordinator) giveUp(w *cfrollout.Work, reason string, now cf.Millis) {
-	delete(c.finished, w.Item.ID)
-	if st := c.unlisted(w); st != nil {
+	delete(c.unlisted, w.Item.ID)
+	if st := c.batchIfUnlisted(w); st != nil {
 		c.Log.Info("item_given_up", cflog.Batch(w.Batch.Sub.ID), zap.String("request_id", string(w.Item.ID.Request())),
 			zap.String("reason", reason), zap.Int("failures", w.Failures))
 		st.pending.Add(cf.Result{ID: w.Item.ID, State: cf.ItemFailed}, now)
@@ -45,8 +45,8 @@
 	}
 }
 
-// unlisted returns the batch of an item that has no position yet, else nil.
-func (c *Coordinator) unlisted(w *cfrollout.Work) *state {
+// batchIfUnlisted returns the batch of an item that has no position yet, else nil.
+func (c *Coordinator) batchIfUnlisted(w *cfrollout.Work) *batchState {
 	st := c.batches[w.Batch.Sub.ID]
 	if st == nil || st.batch.Listed(w.Item.ID) {
 		return nil
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -36,18 +36,18 @@
 )
 
 const (
-	// tick is how often the planner looks again without an event: for
+	// planInterval is how often the planner looks again without an event: for
 	// engines whose penalty has passed and chunks that have come of age.
-	tick = 50 * time.Millisecond
-	// idleTick is the same while no work is open.
-	idleTick = 250 * time.Millisecond
-	// lookSpacing is how long a look waits for more events after the first.
-	lookSpacing = 2 * time.Millisecond
-	// readsAtOnce is how many batches are read from the store at once at a
+	planInterval = 50 * time.Millisecond
+	// idlePlanInterval is the same while no work is open.
+	idlePlanInterval = 250 * time.Millisecond
+	// wakeDelay is how long a look waits for more events after the first.
+	wakeDelay = 2 * time.Millisecond
+	// maxReads is how many batches are read from the store at once at a
 	// takeover: reads take 4 ms and more each, and half a megabyte of memory.
-	readsAtOnce = 4
-	// readRetry is the pause after the store refused a read of a batch.
-	readRetry = 200 * time.Millisecond
+	maxReads = 4
+	// readRetryDelay is the pause after the store refused a read of a batch.
+	readRetryDelay = 200 * time.Millisecond
 )
 
 type (
@@ -70,8 +70,8 @@
 		Route(t cf.Target) cf.StreamRoute
 	}
 
-	// ownStreams are streams that this instance holds itself.
-	ownStreams struct {
+	// localStreams are streams that this instance holds itself.
+	localStreams struct {
 		cf.Targets
 		self cf.EntryID
 	}
@@ -109,10 +109,10 @@
 	// for concurrent use. Close stops it and waits for all it started.
 	Coordinator struct {
 		Options
-		ctx    context.Context
-		cancel context.CancelFunc
-		wg     cflog.Group
-		kick   chan struct{}
+		ctx     context.Context
+		cancel  context.CancelFunc
+		wg      cflog.Group
+		wakeups chan struct{}
 		// readSlots bounds the batches that are read at once.
 		readSlots chan struct{}
 
@@ -120,70 +120,70 @@
 		// takeover is what is still to come from before this duty.
 		takeover takeover
 		planner  *cfrollout.Planner
-		batches  map[cf.BatchID]*state
-		// readings are the batches that are being read.
-		readings map[cf.BatchID]*reading
-		runs     map[*cfrollout.Work]context.CancelFunc
-		rewards  rewards
-		// finished are the texts that are complete and not listed yet, scored
+		batches  map[cf.BatchID]*batchState
+		// reads are the batches that are being read.
+		reads   map[cf.BatchID]*batchRead
+		runs    map[*cfrollout.Work]context.CancelFunc
+		rewards rewards
+		// unlisted are the texts that are complete and not listed yet, scored
 		// or not.
-		finished map[cf.ItemID]finishedText
-		orders   *orders
-		named    named
-		// seen is the count of the site's changes that the planner knows.
-		seen       int64
-		configSeen cfsite.ConfigVersion
-		prepared   prepared
-		history    history
+		unlisted     map[cf.ItemID]unlistedText
+		orders       *orderExecutor
+		versionTimes versionTimes
+		// seenChanges is the count of the site's changes that the planner knows.
+		seenChanges int64
+		seenConfig  cfsite.ConfigVersion
+		prepared    preparedBatches
+		history     history
 		// pace is how long an event takes at a usual engine, as bits of a float.
 		pace atomic.Uint64
-		// pauses are the pauses that were logged, by their ends; the map is bounded.
-		pauses map[cf.RequestID]cf.Millis
-		// checks is when instances asked last whether a step may be accepted, began when the
+		// loggedPauses are the pauses that were logged, by their ends; the map is bounded.
+		loggedPauses map[cf.RequestID]cf.Millis
+		// stepChecks is when instances asked last whether a step may be accepted, began when the
 		// duty began, or when that was forgotten.
-		checks map[cf.BatchID]cf.Millis
-		began  cf.Millis
-		// started is when the duty began, waitingAt when it was looked for items that wait.
-		started, waitingAt cf.Millis
-		// slowPeriods says that the planner goes by the slow periods that it observed.
-		slowPeriods bool
+		stepChecks  map[cf.BatchID]cf.Millis
+		checksSince cf.Millis
+		// startedAt is when the duty began, waitingAt when it was looked for items that wait.
+		startedAt, waitingCheckedAt cf.Millis
+		// slowPeriodsKnown says that the planner goes by the slow periods that it observed.
+		slowPeriodsKnown bool
 		// active says that items run or wait.
 		active atomic.Bool
 	}
 
-	// finishedText is a complete text of a batch.
-	finishedText struct {
+	// unlistedText is a complete text of a batch.
+	unlistedText struct {
 		batch cf.BatchID
 		text  cfrollout.Text
 	}
 
-	// reading is a batch that is being read from the store, with what has
+	// batchRead is a batch that is being read from the store, with what has
 	// become of it meanwhile.
-	reading struct {
-		ended, removed    bool
-		inherited, shared bool
+	batchRead struct {
+		ended, removed                 bool
+		inherited, predecessorMayWrite bool
 	}
 
-	// state is a batch with what waits to be listed.
-	state struct {
+	// batchState is a batch with what waits to be listed.
+	batchState struct {
 		batch   *cfbatch.Batch
 		pending cfbatch.PendingResults
 		changed chan struct{} // closed when a result was listed
-		added   bool          // the planner has it
-		// unrouted: it was logged that its route is not there.
-		unrouted bool
-		// succession is what it waits for before the planner has it.
-		succession cfbatch.StartGate
+		planned bool          // the planner has it
+		// noRouteLogged: it was logged that its route is not there.
+		noRouteLogged bool
+		// startGate is what it waits for before the planner has it.
+		startGate cfbatch.StartGate
 		// inherited: it was there before this duty. shared: a coordinator before may have a
 		// chunk of it under way.
-		inherited, shared bool
-		loadedAt          cf.Millis
-		rereadAt          cf.Millis // when its chunks were last read again
+		inherited, predecessorMayWrite bool
+		loadedAt                       cf.Millis
+		rereadAt                       cf.Millis // when its chunks were last read again
 		// measured counts the listed results whose staleness was measured,
 		// stalest is the most of them, served that the trainer has enough.
-		measured int
-		stalest  cf.WeightVersion
-		served   bool
+		measured     int
+		maxStaleness cf.WeightVersion
+		served       bool
 		// selection is what was logged last of its groups.
 		selection selectionLog
 	}
@@ -194,22 +194,22 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	limits := cfrollout.DefaultLimits
 	if o.StreamRouter == nil {
-		o.StreamRouter = ownStreams{o.Targets, o.Self}
+		o.StreamRouter = localStreams{o.Targets, o.Self}
 	}
 	limits.LearnedLoads = o.LoadLimit
 	limits.LongOnSlow, limits.SwapWhenIdle = o.Policy.LongOnSlow, o.Policy.SwapWhenIdle
 	limits.AllGroups, limits.LeastLeft, limits.LoadUnderRuns = o.Policy.AllGroups, o.Policy.LeastLeft, o.Policy.LoadUnderRuns
 	limits.NoSlowPeriods = o.Policy.NoSlowPeriods
 	c := &Coordinator{
-		Options: o, ctx: ctx, cancel: cancel, kick: make(chan struct{}, 1),
-		batches: map[cf.BatchID]*state{}, readings: map[cf.BatchID]*reading{}, readSlots: make(chan struct{}, readsAtOnce),
-		runs:     map[*cfrollout.Work]context.CancelFunc{},
-		finished: map[cf.ItemID]finishedText{},
-		rewards:  newRewards(o.Policy),
-		named:    named{}, history: newHistory(), prepared: newPrepared(),
-		pauses: map[cf.RequestID]cf.Millis{}, checks: map[cf.BatchID]cf.Millis{}, began: cf.Uptime(), started: cf.Uptime(),
-	}
-	c.orders = newOrders(o, c.reported)
+		Options: o, ctx: ctx, cancel: cancel, wakeups: make(chan struct{}, 1),
+		batches: map[cf.BatchID]*batchState{}, reads: map[cf.BatchID]*batchRead{}, readSlots: make(chan struct{}, maxReads),
+		runs:         map[*cfrollout.Work]context.CancelFunc{},
+		unlisted:     map[cf.ItemID]unlistedText{},
+		rewards:      newRewards(o.Policy),
+		versionTimes: versionTimes{}, history: newHistory(), prepared: newPreparedBatches(),
+		loggedPauses: map[cf.RequestID]cf.Millis{}, stepChecks: map[cf.BatchID]cf.Millis{}, checksSince: cf.Uptime(), startedAt: cf.Uptime(),
+	}
+	c.orders = newOrderExecutor(o, c.engineReported)
 	limits.Admit = c.admit
 	c.planner = cfrollout.New(limits)
 	c.planner.SetWeights(o.Policy.ShareWeights)
@@ -217,7 +217,7 @@
 }
 
 // Route implements Streams.
-func (s ownStreams) Route(cf.Target) cf.StreamRoute {
+func (s localStreams) Route(cf.Target) cf.StreamRoute {
 	return cf.StreamRoute{Via: s.self, Stream: s.Stream}
 }
 
@@ -225,14 +225,14 @@
 // returns the texts of the coordinator before; it runs beside the reading of the
 // batches, and nothing is run before both are done.
 func (c *Coordinator) Start(gather func(context.Context) map[cf.ItemID]cfrollout.Text) {
-	c.wg.Go(c.loop)
+	c.wg.Go(c.planLoop)
 	c.wg.Go(c.watchStalls)
-	c.wg.Go(func() { c.adopt(gather(c.ctx)) })
+	c.wg.Go(func() { c.adoptTexts(gather(c.ctx)) })
 	if !c.Policy.NoTextCopies {
-		c.wg.Go(c.mirror)
+		c.wg.Go(c.mirrorTexts)
 	}
 	if !c.Policy.NoTextStore {
-		c.wg.Go(c.keepTexts)
+		c.wg.Go(c.checkpointTexts)
 	}
 	c.wg.Go(func() { (&sweeper{c.Store, c.KeepResults, c.Log}).run(c.ctx) })
 	c.wg.Go(func() { c.batchWatcher().Run(c.ctx) })
@@ -253,23 +253,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.planner.Texts()
-	for id, t := range c.finished {
+	for id, t := range c.unlisted {
 		out[id] = t.text
 	}
 	return out
 }
 
-// adopt takes the texts of the coordinator before.
-func (c *Coordinator) adopt(texts map[cf.ItemID]cfrollout.Text) {
+// adoptTexts takes the texts of the coordinator before.
+func (c *Coordinator) adoptTexts(texts map[cf.ItemID]cfrollout.Text) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planner.AdoptTexts(texts)
-	c.takeover.take(len(texts))
-	c.checkLoaded()
+	c.takeover.textsGathered(len(texts))
+	c.advanceTakeover()
 }
 
-// wake lets readers see a change of the listed results. c.mu is held.
-func (st *state) wake() {
+// notifyReaders lets readers see a change of the listed results. c.mu is held.
+func (st *batchState) notifyReaders() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
@@ -277,47 +277,47 @@
 // Wake makes the planner look now.
 func (c *Coordinator) Wake() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeups <- struct{}{}:
 	default: // a look is due already
 	}
 }
 
-func (c *Coordinator) loop() {
+func (c *Coordinator) planLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	defer c.Metrics.StepGroups.Reset()
 	defer c.Metrics.WaitingItems.Reset()
-	defer c.forgetSlowPeriods()
+	defer c.resetSlowPeriodMetrics()
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
 		case <-timer.C:
-		case <-c.kick:
+		case <-c.wakeups:
 			// Runs end in bursts; one look does for all of them.
-			time.Sleep(lookSpacing)
+			time.Sleep(wakeDelay)
 		case <-c.Site.Changed():
 		}
-		timer.Reset(c.look())
+		timer.Reset(c.plan())
 	}
 }
 
-// look carries out what the planner decides now; it returns when to look
+// plan carries out what the planner decides now; it returns when to look
 // again if nothing happens before.
-func (c *Coordinator) look() time.Duration {
+func (c *Coordinator) plan() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	config := c.Site.Config()
 	if config == nil || !c.takeover.done || !c.Lease.Held() {
-		return tick
+		return planInterval
 	}
 	now := cf.Uptime()
-	c.refresh(config)
+	c.refreshPlanner(config)
 	for _, w := range c.planner.Place(now) {
 		c.startRun(w)
 	}
-	c.noteSelections(now)
-	c.noteWaiting(now)
+	c.reportSelections(now)
+	c.reportWaiting(now)
 	if term, ok := c.Lease.MayOrder(); ok {
 		for _, s := range c.planner.Swaps(now) {
 			c.startSwap(s, term)
@@ -329,26 +329,26 @@
 	}
 	if !c.Policy.KeepSlowRuns {
 		for _, w := range c.planner.Moves(now) {
-			c.move(w)
+			c.moveRun(w)
 		}
-		c.noteSlowPeriods(now)
+		c.reportSlowPeriods(now)
 	}
 	for _, t := range c.planner.EnginesToQuery(now) {
-		c.checkReport(t)
+		c.queryEngine(t)
 	}
 	c.pace.Store(math.Float64bits(c.planner.TypicalPace()))
-	c.placeRewards(config, now)
+	c.scheduleRewards(config, now)
 	c.expire(now)
 	for _, st := range c.batches {
 		if st.pending.Due(st.batch, now) {
-			c.startChunk(st)
+			c.writeNextChunk(st)
 		}
 	}
 	c.active.Store(c.planner.HasWork())
 	if c.active.Load() || c.rewards.planner.Len() > 0 {
-		return tick
+		return planInterval
 	}
-	return idleTick
+	return idlePlanInterval
 }
 
 // expire gives up what has waited for longer than its route allows.
@@ -378,31 +378,31 @@
 	return c.planner.HasWork() || c.rewards.planner.Len() > 0
 }
 
-// refresh brings the planner up to what the site shows.
-func (c *Coordinator) refresh(config *cfsite.Config) {
-	reroute := config.Version != c.configSeen
-	c.configSeen = config.Version
-	if changes := c.Site.Changes(); changes != c.seen || reroute {
+// refreshPlanner brings the planner up to what the site shows.
+func (c *Coordinator) refreshPlanner(config *cfsite.Config) {
+	reroute := config.Version != c.seenConfig
+	c.seenConfig = config.Version
+	if changes := c.Site.Changes(); changes != c.seenChanges || reroute {
 		c.refreshEngines(config, reroute)
 	}
 	for _, st := range c.batches {
 		switch {
-		case st.batch.Ended && !st.added:
-			st.added = true
+		case st.batch.Ended && !st.planned:
+			st.planned = true
 			c.planner.AddBatch(st.batch, cfrollout.Terms{}) // it shows what steps are like
 		case st.batch.Ended:
-		case !st.added:
-			c.open(config, st)
+		case !st.planned:
+			c.openBatch(config, st)
 		case reroute:
 			terms, ok := termsOf(config, &st.batch.Sub)
 			c.planner.SetTerms(st.batch.Sub.ID, terms, ok)
-			c.noteDeadline(st, terms)
+			c.setDeadline(st, terms)
 		}
 	}
 }
 
-// noteDeadline notes when a batch's trainer needs its results. c.mu is held.
-func (c *Coordinator) noteDeadline(st *state, terms cfrollout.Terms) {
+// setDeadline notes when a batch's trainer needs its results. c.mu is held.
+func (c *Coordinator) setDeadline(st *batchState, terms cfrollout.Terms) {
 	if !c.Policy.ListByAge && terms.Due > 0 {
 		st.pending.Deadline = terms.Due
 	}
@@ -417,7 +417,7 @@
 		return cfrollout.Terms{}, false
 	}
 	terms := cfrollout.Terms{
-		Service: route.PickService(drawOf(string(sub.ID))), MaxAttempts: route.MaxAttempts,
+		Service: route.PickService(hashFraction(string(sub.ID))), MaxAttempts: route.MaxAttempts,
 		SingleVersion: route.SingleVersion, MaxWait: route.MaxWait, Access: config.Directory.Access(sub.ID.Organisation(), route.Use()),
 	}
 	if route.ResultsSLO > 0 {
@@ -437,14 +437,14 @@
 		}
 		for _, m := range s.Models {
 			c.planner.SetVersion(m, c.Site.WeightVersion(m))
-			c.named.note(m, c.planner.LatestVersion(m), cf.Uptime())
+			c.versionTimes.record(m, c.planner.LatestVersion(m), cf.Uptime())
 		}
 	}
 	if all {
-		c.seen = 0
+		c.seenChanges = 0
 	}
-	delta := c.Site.TargetsSince(c.seen)
-	c.seen = delta.Count
+	delta := c.Site.TargetsSince(c.seenChanges)
+	c.seenChanges = delta.Count
 	if delta.Full {
 		c.planner.SetEngines(delta.Targets, models)
 		return
@@ -452,24 +452,24 @@
 	c.planner.ChangeEngines(delta.Targets, delta.Removed)
 }
 
-// open hands a batch to the planner.
-func (c *Coordinator) open(config *cfsite.Config, st *state) {
+// openBatch hands a batch to the planner.
+func (c *Coordinator) openBatch(config *cfsite.Config, st *batchState) {
 	sub := &st.batch.Sub
 	terms, ok := termsOf(config, sub)
 	if !ok { // its route is not there, now or yet
-		if !st.unrouted {
-			st.unrouted = true
+		if !st.noRouteLogged {
+			st.noRouteLogged = true
 			c.Log.Warn("batch_waits_for_route", cflog.Batch(sub.ID), zap.Int64("config_version", int64(config.Version)))
 		}
 		return
 	}
-	if !c.mayBegin(st) {
+	if !c.mayStart(st) {
 		return
 	}
-	st.added = true
-	c.noteDeadline(st, terms)
+	st.planned = true
+	c.setDeadline(st, terms)
 	for _, it := range sub.Items {
-		if c.history.carried(it.Group) && !c.Policy.AnyGroups {
+		if c.history.requestedBefore(it.Group) && !c.Policy.AnyGroups {
 			st.batch.CarryOver(it.Group)
 		}
 	}
--- a/io/cfcoord/history_test.go
+++ b/io/cfcoord/history_test.go
@@ -9,42 +9,42 @@
 	"currantford/core/cfbatch"
 )
 
-func TestHistoryForgetsTheOldest(t *testing.T) {
+func TestHistoryEvictsOldest(t *testing.T) {
 	h := newHistory()
-	batches := map[cf.BatchID]*state{}
+	batches := map[cf.BatchID]*batchState{}
 	end := func(i int, size int) {
 		id := cf.BatchID(fmt.Sprint("b", i))
 		b := cfbatch.New(cf.Submission{ID: id, Items: []cf.Item{{ID: "i", Group: cf.GroupID(fmt.Sprint("g", i))}}})
 		if size > 0 {
 			b.Apply(b.NextChunk(), []cf.Result{{ID: "i", State: cf.ItemDone, Output: strings.Repeat("x", size)}})
 		}
-		batches[id] = &state{batch: b}
-		h.noteEnd(b)
+		batches[id] = &batchState{batch: b}
+		h.recordEnd(b)
 	}
-	for i := range knownFor + 1 {
+	for i := range groupRetention + 1 {
 		end(i, 0)
 	}
-	if h.carried("g0") || !h.carried("g1") || h.carried("") {
-		t.Errorf("groups known after %d ends: g0 %v, g1 %v, none %v", knownFor+1, h.carried("g0"), h.carried("g1"), h.carried(""))
+	if h.requestedBefore("g0") || !h.requestedBefore("g1") || h.requestedBefore("") {
+		t.Errorf("groups known after %d ends: g0 %v, g1 %v, none %v", groupRetention+1, h.requestedBefore("g0"), h.requestedBefore("g1"), h.requestedBefore(""))
 	}
 	// Half of what is kept each: of three the oldest goes.
-	h, batches = newHistory(), map[cf.BatchID]*state{}
+	h, batches = newHistory(), map[cf.BatchID]*batchState{}
 	for i := range 3 {
-		end(i, keepEnded/2)
+		end(i, maxEndedBytes/2)
 	}
-	batches["late"] = &state{batch: cfbatch.New(cf.Submission{ID: "late", Items: []cf.Item{{ID: "i"}}}), inherited: true}
-	h.noteEnd(batches["late"].batch)
+	batches["late"] = &batchState{batch: cfbatch.New(cf.Submission{ID: "late", Items: []cf.Item{{ID: "i"}}}), inherited: true}
+	h.recordEnd(batches["late"].batch)
 	h.trim(batches)
 	if batches["b0"] != nil || batches["b1"] == nil || batches["b2"] == nil {
-		t.Errorf("kept %v, want the two newest", h.order)
+		t.Errorf("kept %v, want the two newest", h.endedInMemory)
 	}
 	if batches["late"] != nil {
 		t.Error("a batch is kept of which results may still arrive")
 	}
-	for i := range overMost + 1 {
-		h.noteOver(cf.BatchID(fmt.Sprint(i)))
+	for i := range maxClosed + 1 {
+		h.markClosed(cf.BatchID(fmt.Sprint(i)))
 	}
-	if len(h.over) > overMost {
-		t.Errorf("%d batches remembered as over", len(h.over))
+	if len(h.closed) > maxClosed {
+		t.Errorf("%d batches remembered as over", len(h.closed))
 	}
 }
--- a/io/cfcoord/linkbudget_test.go
+++ b/io/cfcoord/linkbudget_test.go
@@ -11,7 +11,7 @@
 // Sequence: two steps of 1.2 MB are listed within a second; each is read by its
 // trainer and by two others, in pages of 700 KB.
 // Cause guarded against: all pages pass the coordinator's link, 5 MB in a second.
-func TestPagesTakeAPartOfTheLinkOnly(t *testing.T) {
+func TestLinkBudgetLimitsPageTraffic(t *testing.T) {
 	const page, mbps = 700 << 10, 60
 	b := NewLinkBudget(mbps)
 	passed := 0
@@ -20,13 +20,13 @@
 			passed += page
 		}
 	}
-	if most := 11*mbps*bytesPerMbit*1000*pagesPart + page; float64(passed) > most {
+	if most := 11*mbps*bytesPerMsPerMbps*1000*pageShare + page; float64(passed) > most {
 		t.Errorf("%d bytes of pages passed in 10 s, want %.0f at most", passed, most)
 	}
 	if passed < 8*page {
 		t.Errorf("%d bytes of pages passed in 10 s: less than the link has room for", passed)
 	}
-	if !b.Spend(pagesLeast-1, 10000) {
+	if !b.Spend(minBudgetedPage-1, 10000) {
 		t.Error("a small page is turned away")
 	}
 	if lone := NewLinkBudget(mbps); !lone.Spend(page, 0) {
--- a/io/cfcoord/mirror.go
+++ b/io/cfcoord/mirror.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// mirrorEvery is how often the texts under way are copied to a
+	// mirrorInterval is how often the texts under way are copied to a
 	// neighbour: a coordinator that dies costs each run this much, and not
 	// the seconds that a long text has taken.
-	mirrorEvery = 400 * time.Millisecond
-	// mirrorLeast is the least number of events that is worth a copy.
-	mirrorLeast = 8
-	// mirrorBytes bounds one copy. A link of 60 Mbit/s carries it in 70 ms, so
+	mirrorInterval = 400 * time.Millisecond
+	// minMirrorEvents is the least number of events that is worth a copy.
+	minMirrorEvents = 8
+	// maxMirrorBytes bounds one copy. A link of 60 Mbit/s carries it in 70 ms, so
 	// that copies take at most a sixth of it however much has been generated; the
 	// longest texts go first, as they cost most to generate again.
-	mirrorBytes = 512 << 10
-	// mirrorTries is how many copies in a row fail before they go elsewhere, where
+	maxMirrorBytes = 512 << 10
+	// maxMirrorFailures is how many copies in a row fail before they go elsewhere, where
 	// all texts are copied anew: one alone may have met a full link.
-	mirrorTries = 2
+	maxMirrorFailures = 2
 )
 
 type (
@@ -35,14 +35,14 @@
 		Ended []cf.ItemID `cbor:"ended,omitempty"`
 	}
 
-	// copies is how much of which text is known to lie at one place, where texts
+	// copyProgress is how much of which text is known to lie at one place, where texts
 	// of fewer than least events are not worth it. What is sent and not
 	// acknowledged is sent again with the next part: to begin all texts anew after
 	// each part without an answer would send ten times as much over a link that
 	// is full already, and so keep it full.
-	copies struct {
-		least cf.EventID
-		texts map[cf.ItemID]copiedText
+	copyProgress struct {
+		minEvents cf.EventID
+		texts     map[cf.ItemID]copiedText
 	}
 
 	// copiedText is how much of one text was copied.
@@ -70,11 +70,11 @@
 	}
 )
 
-// mirror copies what has been generated since the last copy to a neighbour.
-func (c *Coordinator) mirror() {
-	ticker := time.NewTicker(mirrorEvery)
+// mirrorTexts copies what has been generated since the last copy to a neighbour.
+func (c *Coordinator) mirrorTexts() {
+	ticker := time.NewTicker(mirrorInterval)
 	defer ticker.Stop()
-	copied := newCopies(mirrorLeast)
+	copied := newCopyProgress(minMirrorEvents)
 	at, failures := "", 0
 	for {
 		select {
@@ -82,7 +82,7 @@
 			return
 		case <-ticker.C:
 		}
-		if at == "" || failures == mirrorTries {
+		if at == "" || failures == maxMirrorFailures {
 			before := at
 			if at, failures = c.MirrorPeers.Choose(before), 0; at != before {
 				copied.reset() // the new one holds nothing
@@ -91,7 +91,7 @@
 		if at == "" {
 			continue
 		}
-		part := c.changedTexts(copied)
+		part := c.nextMirrorPart(copied)
 		if len(part.Texts)+len(part.Ended) == 0 {
 			continue
 		}
@@ -101,19 +101,19 @@
 			continue
 		}
 		failures = 0
-		copied.arrived(part.Texts, part.Ended)
-		copied.drop(missing)
+		copied.acknowledge(part.Texts, part.Ended)
+		copied.forget(missing)
 	}
 }
 
-// changedTexts returns the texts under way that grew since the last copy that
+// nextMirrorPart returns the texts under way that grew since the last copy that
 // arrived, as far as they fit into one part.
-func (c *Coordinator) changedTexts(copied *copies) Mirror {
+func (c *Coordinator) nextMirrorPart(copied *copyProgress) Mirror {
 	term, _ := c.Lease.MayOrder()
 	part := Mirror{Term: term, Texts: map[cf.ItemID]cfrollout.Text{}}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	parts, ended := c.newTexts(copied, mirrorBytes, func(cf.BatchID) bool { return true })
+	parts, ended := c.uncopiedTexts(copied, maxMirrorBytes, func(cf.BatchID) bool { return true })
 	for _, p := range parts {
 		part.Texts[p.id] = p.text
 	}
@@ -121,17 +121,17 @@
 	return part
 }
 
-// newTexts returns what is to be copied of the texts that have grown in the batches
+// uncopiedTexts returns what is to be copied of the texts that have grown in the batches
 // wanted, the longest first, most bytes in all, and the copied texts that are over.
 // c.mu is held.
-func (c *Coordinator) newTexts(copied *copies, most int, wanted func(cf.BatchID) bool) (parts []textPart, ended []cf.ItemID) {
+func (c *Coordinator) uncopiedTexts(copied *copyProgress, most int, wanted func(cf.BatchID) bool) (parts []textPart, ended []cf.ItemID) {
 	held := map[cf.ItemID]bool{}
-	c.eachText(func(batch cf.BatchID, id cf.ItemID, t *cfrollout.Text) {
+	c.forEachText(func(batch cf.BatchID, id cf.ItemID, t *cfrollout.Text) {
 		held[id] = true
 		if !wanted(batch) {
 			return
 		}
-		if next, news := copied.next(id, t); news {
+		if next, news := copied.nextPart(id, t); news {
 			parts = append(parts, textPart{batch, id, next})
 		}
 	})
@@ -143,28 +143,28 @@
 			break
 		}
 	}
-	return parts, copied.over(held)
+	return parts, copied.endedTexts(held)
 }
 
-// eachText calls f for the texts of all items that run, or are complete and not
+// forEachText calls f for the texts of all items that run, or are complete and not
 // listed. c.mu is held.
-func (c *Coordinator) eachText(f func(cf.BatchID, cf.ItemID, *cfrollout.Text)) {
+func (c *Coordinator) forEachText(f func(cf.BatchID, cf.ItemID, *cfrollout.Text)) {
 	for w := range c.runs {
 		w.Mu.Lock()
 		f(w.Batch.Sub.ID, w.Item.ID, &w.Text)
 		w.Mu.Unlock()
 	}
-	for id, t := range c.finished {
+	for id, t := range c.unlisted {
 		f(t.batch, id, &t.text)
 	}
 }
 
-func newCopies(least cf.EventID) *copies {
-	return &copies{least: least, texts: map[cf.ItemID]copiedText{}}
+func newCopyProgress(least cf.EventID) *copyProgress {
+	return &copyProgress{minEvents: least, texts: map[cf.ItemID]copiedText{}}
 }
 
-// next returns what is to be copied of a text, false if there is no news of it.
-func (k *copies) next(id cf.ItemID, t *cfrollout.Text) (part cfrollout.Text, news bool) {
+// nextPart returns what is to be copied of a text, false if there is no news of it.
+func (k *copyProgress) nextPart(id cf.ItemID, t *cfrollout.Text) (part cfrollout.Text, news bool) {
 	from := k.texts[id]
 	if from.origin != t.Origin {
 		from = copiedText{} // the item has begun anew
@@ -172,31 +172,31 @@
 	// That a text is complete is news too: a successor that does not know would
 	// ask an engine for what follows its last event, and only then for its
 	// reward.
-	if t.Last < k.least || t.Last == from.last && t.Complete == from.complete {
+	if t.Last < k.minEvents || t.Last == from.last && t.Complete == from.complete {
 		return cfrollout.Text{}, false
 	}
 	return t.After(from.last), true
 }
 
-// arrived notes that the parts of texts have arrived, and word of those that are
+// acknowledge notes that the parts of texts have arrived, and word of those that are
 // over.
-func (k *copies) arrived(parts map[cf.ItemID]cfrollout.Text, over []cf.ItemID) {
+func (k *copyProgress) acknowledge(parts map[cf.ItemID]cfrollout.Text, over []cf.ItemID) {
 	for id, t := range parts {
 		k.texts[id] = copiedText{t.Origin, t.Last, t.Complete}
 	}
-	k.drop(over)
+	k.forget(over)
 }
 
-// drop forgets what is known of texts: those that are over, and those of which the
+// forget forgets what is known of texts: those that are over, and those of which the
 // place lacks the beginning, which are copied from there again.
-func (k *copies) drop(ids []cf.ItemID) {
+func (k *copyProgress) forget(ids []cf.ItemID) {
 	for _, id := range ids {
 		delete(k.texts, id)
 	}
 }
 
-// over returns the copied texts that are not held any more.
-func (k *copies) over(held map[cf.ItemID]bool) []cf.ItemID {
+// endedTexts returns the copied texts that are not held any more.
+func (k *copyProgress) endedTexts(held map[cf.ItemID]bool) []cf.ItemID {
 	var ended []cf.ItemID
 	for id := range k.texts {
 		if !held[id] {
@@ -207,7 +207,7 @@
 }
 
 // reset makes all texts be copied from their beginnings again.
-func (k *copies) reset() { clear(k.texts) }
+func (k *copyProgress) reset() { clear(k.texts) }
 
 // Snapshot returns the texts as they are now. They share no memory with the
 // mirror: parts that arrive later would otherwise be written over the events
--- a/io/cfcoord/moves.go
+++ b/io/cfcoord/moves.go
@@ -8,9 +8,9 @@
 	"currantford/io/cflog"
 )
 
-// move stops a run; the planner then starts it at another engine, after the
+// moveRun stops a run; the planner then starts it at another engine, after the
 // last event that it made.
-func (c *Coordinator) move(w *cfrollout.Work) {
+func (c *Coordinator) moveRun(w *cfrollout.Work) {
 	why := w.LastMove()
 	reason := "slower"
 	if why.FromSlowPeriod {
@@ -25,23 +25,23 @@
 	}
 }
 
-// noteSlowPeriods shows what was observed of slow periods, and logs when decisions begin and
+// reportSlowPeriods shows what was observed of slow periods, and logs when decisions begin and
 // cease to go by them. c.mu is held.
-func (c *Coordinator) noteSlowPeriods(now cf.Millis) {
+func (c *Coordinator) reportSlowPeriods(now cf.Millis) {
 	s := c.planner.SlowPeriods(now)
 	c.Metrics.SlowPeriod.Set(s.Mean / 1000)
 	c.Metrics.SlowShare.Set(s.Share)
-	if s.Known == c.slowPeriods {
+	if s.Known == c.slowPeriodsKnown {
 		return
 	}
-	c.slowPeriods = s.Known
+	c.slowPeriodsKnown = s.Known
 	c.Log.Info("slow_periods", zap.Bool("known", s.Known), zap.Float64("mean_ms", s.Mean), zap.Float64("share", s.Share),
 		zap.Float64("slowdown", s.Slowdown), zap.Float64("move_cost_ms", s.MoveCost))
 }
 
-// forgetSlowPeriods ends what is shown of slow periods: this instance observes no engines any
+// resetSlowPeriodMetrics ends what is shown of slow periods: this instance observes no engines any
 // more.
-func (c *Coordinator) forgetSlowPeriods() {
+func (c *Coordinator) resetSlowPeriodMetrics() {
 	c.Metrics.SlowPeriod.Set(0)
 	c.Metrics.SlowShare.Set(0)
 }
--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -15,10 +15,10 @@
 )
 
 // Guards against: lines of all pauses at each look while many items pause at once.
-func TestEachOfManyPausesIsLoggedOnce(t *testing.T) {
+func TestEachPauseIsLoggedOnce(t *testing.T) {
 	const items, looks = 2000, 3
 	core, logs := observer.New(zap.InfoLevel)
-	targets, site := &deadTargets{}, engineSite(t)
+	targets, site := &unreachableTargets{}, engineSite(t)
 	guard := cfguard.New(cfguard.Options{
 		Self: "i", Targets: targets, Site: site, Share: func([]cfquarantine.Strike) {},
 		Metrics: cfguard.NewMetrics(prometheus.NewRegistry()), Log: zap.New(core),
@@ -33,13 +33,13 @@
 	}
 	guard.Inform("store", strikes)
 	c := New(Options{
-		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: held{},
+		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: heldLease{},
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.New(core),
 	})
 	for range looks {
 		for n := range items {
 			c.mu.Lock()
-			v := c.admitOwed(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
+			v := c.admitDeferred(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
 			c.mu.Unlock()
 			if v.Pass || v.RetryAt == 0 {
 				t.Fatalf("an item does not pause after %d crashes: %+v", len(strikes), v)
--- a/io/cfcoord/prepared.go
+++ b/io/cfcoord/prepared.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// preparedMost bounds the batches that wait for their acceptance; each has
+	// maxPrepared bounds the batches that wait for their acceptance; each has
 	// half a megabyte, and the write of it takes a tenth of a second.
-	preparedMost = 16
-	// acceptedFresh is how old an instance's word of an acceptance may be to be
+	maxPrepared = 16
+	// maxAcceptanceAge is how old an instance's word of an acceptance may be to be
 	// enough by itself. An older one was held up on its way, and its batch may
 	// have been ended since.
-	acceptedFresh cf.Millis = 1500
+	maxAcceptanceAge cf.Millis = 1500
 )
 
-// prepared are batches that instances are about to accept, by their id, and the
+// preparedBatches are batches that instances are about to accept, by their id, and the
 // acceptances whose batches have not arrived yet. Each way may be the faster one. The
 // lock of who holds it guards it.
-type prepared struct {
+type preparedBatches struct {
 	batches  map[cf.BatchID]cf.Submission
 	accepted map[cf.BatchID]cf.Millis
 }
 
-func newPrepared() prepared {
-	return prepared{batches: map[cf.BatchID]cf.Submission{}, accepted: map[cf.BatchID]cf.Millis{}}
+func newPreparedBatches() preparedBatches {
+	return preparedBatches{batches: map[cf.BatchID]cf.Submission{}, accepted: map[cf.BatchID]cf.Millis{}}
 }
 
-// offer takes a batch that is about to be accepted; it returns when it was, if that is
+// add takes a batch that is about to be accepted; it returns when it was, if that is
 // known.
-func (p *prepared) offer(sub cf.Submission) (cf.Millis, bool) {
-	if len(p.batches) >= preparedMost {
+func (p *preparedBatches) add(sub cf.Submission) (cf.Millis, bool) {
+	if len(p.batches) >= maxPrepared {
 		clear(p.batches) // the store brings those that are accepted
 	}
 	p.batches[sub.ID] = sub
@@ -38,9 +38,9 @@
 	return at, known
 }
 
-// accept notes that a batch was accepted at a time.
-func (p *prepared) accept(id cf.BatchID, at cf.Millis) {
-	if len(p.accepted) >= preparedMost {
+// recordAcceptance notes that a batch was accepted at a time.
+func (p *preparedBatches) recordAcceptance(id cf.BatchID, at cf.Millis) {
+	if len(p.accepted) >= maxPrepared {
 		clear(p.accepted)
 	}
 	p.accepted[id] = at
@@ -48,7 +48,7 @@
 
 // take hands out a batch that was accepted at a time; false if it is not there, or is
 // another instance's, which was handed the batch too.
-func (p *prepared) take(id cf.BatchID, at cf.Millis) (cf.Submission, bool) {
+func (p *preparedBatches) take(id cf.BatchID, at cf.Millis) (cf.Submission, bool) {
 	sub, known := p.batches[id]
 	if !known || sub.Accepted != at {
 		return cf.Submission{}, false
@@ -65,29 +65,29 @@
 func (c *Coordinator) PrepareBatch(sub cf.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at, known := c.prepared.offer(sub); known {
+	if at, known := c.prepared.add(sub); known {
 		c.openAccepted(sub.ID, at)
 	}
 }
 
 // BatchAccepted takes an instance's word that it has accepted a batch.
 func (c *Coordinator) BatchAccepted(id cf.BatchID, at cf.Millis) {
-	if age := cf.Now() - at; age < -acceptedFresh || age > acceptedFresh {
+	if age := cf.Now() - at; age < -maxAcceptanceAge || age > maxAcceptanceAge {
 		c.BatchChanged(id, false)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.prepared.accept(id, at)
+	c.prepared.recordAcceptance(id, at)
 	c.openAccepted(id, at)
 }
 
 // openAccepted opens a batch by instances' words alone. c.mu is held.
 func (c *Coordinator) openAccepted(id cf.BatchID, at cf.Millis) {
-	if c.ctx.Err() != nil || !c.takeover.done || c.history.over[id] || c.batches[id] != nil || c.readings[id] != nil {
+	if c.ctx.Err() != nil || !c.takeover.done || c.history.closed[id] || c.batches[id] != nil || c.reads[id] != nil {
 		return
 	}
-	if cf.Now()-at <= acceptedFresh {
+	if cf.Now()-at <= maxAcceptanceAge {
 		c.openPrepared(id, at)
 	}
 }
@@ -99,14 +99,14 @@
 	if !ok {
 		return false
 	}
-	c.batches[id] = &state{batch: cfbatch.New(sub), changed: make(chan struct{}), loadedAt: cf.Uptime(), shared: c.mayBeShared()}
+	c.batches[id] = &batchState{batch: cfbatch.New(sub), changed: make(chan struct{}), loadedAt: cf.Uptime(), predecessorMayWrite: c.predecessorMayRun()}
 	c.Wake()
 	return true
 }
 
-// acceptedIn returns when the batch of an object was accepted, zero if the object
+// acceptanceTime returns when the batch of an object was accepted, zero if the object
 // can't be read; whoever reads the batch then says so.
-func acceptedIn(r cf.Record) cf.Millis {
+func acceptanceTime(r cf.Record) cf.Millis {
 	head, err := cfbatch.DecodeHead(r)
 	if err != nil {
 		return 0
--- a/io/cfcoord/prepared_test.go
+++ b/io/cfcoord/prepared_test.go
@@ -7,10 +7,10 @@
 	cf "currantford"
 )
 
-func TestPreparedArrivesEitherWay(t *testing.T) {
-	p := newPrepared()
+func TestPreparedBatchAndAcceptanceInEitherOrder(t *testing.T) {
+	p := newPreparedBatches()
 	sub := cf.Submission{ID: "b", Accepted: 7}
-	if _, known := p.offer(sub); known {
+	if _, known := p.add(sub); known {
 		t.Error("accepted before anybody said so")
 	}
 	if _, ok := p.take("b", 8); ok {
@@ -22,15 +22,15 @@
 	if _, ok := p.take("b", 7); ok {
 		t.Error("taken twice")
 	}
-	p.accept("b", 7)
-	if at, known := p.offer(sub); !known || at != 7 {
+	p.recordAcceptance("b", 7)
+	if at, known := p.add(sub); !known || at != 7 {
 		t.Errorf("the word that came first: %v %v", at, known)
 	}
-	for i := range 3 * preparedMost {
-		p.offer(cf.Submission{ID: cf.BatchID(fmt.Sprint(i))})
-		p.accept(cf.BatchID(fmt.Sprint(i)), 1)
+	for i := range 3 * maxPrepared {
+		p.add(cf.Submission{ID: cf.BatchID(fmt.Sprint(i))})
+		p.recordAcceptance(cf.BatchID(fmt.Sprint(i)), 1)
 	}
-	if len(p.batches) > preparedMost || len(p.accepted) > preparedMost {
+	if len(p.batches) > maxPrepared || len(p.accepted) > maxPrepared {
 		t.Errorf("%d batches and %d acceptances wait", len(p.batches), len(p.accepted))
 	}
 }
--- a/io/cfcoord/quarantine_test.go
+++ b/io/cfcoord/quarantine_test.go
@@ -19,14 +19,14 @@
 	"currantford/testbed/cfstandin"
 )
 
-// deadTargets refuse connections: before a request is sent, or after.
-type deadTargets struct {
+// unreachableTargets refuse connections: before a request is sent, or after.
+type unreachableTargets struct {
 	countingTargets
 	sent bool
 	runs atomic.Int64
 }
 
-func (d *deadTargets) Stream(context.Context, cf.Target, cf.TargetCall, cf.StreamSink) (cf.TargetAnswer, error) {
+func (d *unreachableTargets) Stream(context.Context, cf.Target, cf.TargetCall, cf.StreamSink) (cf.TargetAnswer, error) {
 	d.runs.Add(1)
 	if d.sent {
 		return cf.TargetAnswer{}, fmt.Errorf("EOF: %w", cf.ErrMaybeRan)
@@ -34,11 +34,11 @@
 	return cf.TargetAnswer{}, fmt.Errorf("connection refused: %w", cf.ErrNotRun)
 }
 
-func (*deadTargets) Reach(context.Context, cf.Target) error { return cf.ErrNoProcess }
+func (*unreachableTargets) Reach(context.Context, cf.Target) error { return cf.ErrNoProcess }
 
-// itemWithGuard starts a coordinator with eight engines, which hands an item to them as far as
+// startWithGuard starts a coordinator with eight engines, which hands an item to them as far as
 // the guard that it returns lets it.
-func itemWithGuard(t *testing.T, targets cf.Targets, log *zap.Logger) (*cfguard.Guard, cf.Submission) {
+func startWithGuard(t *testing.T, targets cf.Targets, log *zap.Logger) (*cfguard.Guard, cf.Submission) {
 	t.Helper()
 	store, site := cfstandin.NewMemStore(), engineSite(t)
 	var engines []cf.Target
@@ -54,7 +54,7 @@
 	})
 	t.Cleanup(func() { _ = guard.Close() })
 	c := New(Options{
-		Store: store, Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: held{}, Policy: Policy{NoTextCopies: true},
+		Store: store, Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: heldLease{}, Policy: Policy{NoTextCopies: true},
 		Guard: guard, KeepResults: 120_000, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log,
 	})
 	c.Start(noTexts)
@@ -67,9 +67,9 @@
 }
 
 // Guards against: a coordinator that has just started and runs items which are held.
-func TestNothingRunsBeforeItIsKnownWhatIsHeld(t *testing.T) {
-	targets := &deadTargets{}
-	guard, _ := itemWithGuard(t, targets, zap.NewNop())
+func TestNoItemRunsBeforeQuarantineIsSynced(t *testing.T) {
+	targets := &unreachableTargets{}
+	guard, _ := startWithGuard(t, targets, zap.NewNop())
 	time.Sleep(300 * time.Millisecond)
 	if n := targets.runs.Load(); n > 0 {
 		t.Errorf("%d runs before it is known what is held", n)
@@ -86,11 +86,11 @@
 // Sequence: a third of the engines are lost; their entries stand for three seconds more,
 // in which items are placed there again and again and refused the connection.
 // Cause: the end of such a try was taken for the loss of a run.
-func TestItemsThatReachedNoEngineAreNotHeld(t *testing.T) {
+func TestOnlyItemsSentToAnEngineAreQuarantined(t *testing.T) {
 	for _, sent := range []bool{false, true} {
 		t.Run(fmt.Sprint("sent ", sent), func(t *testing.T) {
-			targets := &deadTargets{sent: sent}
-			guard, sub := itemWithGuard(t, targets, zap.NewNop())
+			targets := &unreachableTargets{sent: sent}
+			guard, sub := startWithGuard(t, targets, zap.NewNop())
 			guard.Inform("store", nil)
 			for deadline := time.Now().Add(20 * time.Second); targets.runs.Load() < 3; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(deadline) {
@@ -106,13 +106,13 @@
 	}
 }
 
-// unluckyTargets end under their first three runs, and then serve.
-type unluckyTargets struct {
+// crashingTargets end under their first three runs, and then serve.
+type crashingTargets struct {
 	countingTargets
 	runs, done atomic.Int64
 }
 
-func (u *unluckyTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (u *crashingTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	if u.runs.Add(1) <= 3 {
 		return cf.TargetAnswer{Heard: true}, fmt.Errorf("EOF: %w", cf.ErrMaybeRan)
 	}
@@ -123,7 +123,7 @@
 	return cf.TargetAnswer{Status: http.StatusOK, Heard: true}, nil
 }
 
-func (u *unluckyTargets) Reach(context.Context, cf.Target) error {
+func (u *crashingTargets) Reach(context.Context, cf.Target) error {
 	if u.done.Load() > 0 {
 		return nil
 	}
@@ -132,10 +132,10 @@
 
 // Guards against: an item that is never placed again after three of its engines crashed, and one
 // that can't be followed in the log.
-func TestItemIsOwedAfterCrashes(t *testing.T) {
+func TestItemIsRetriedAfterCrashes(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	targets := &unluckyTargets{}
-	guard, sub := itemWithGuard(t, targets, zap.New(core))
+	targets := &crashingTargets{}
+	guard, sub := startWithGuard(t, targets, zap.New(core))
 	guard.Inform("store", nil)
 	for deadline := time.Now().Add(20 * time.Second); logs.FilterField(zap.String("outcome", "done")).Len() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/io/cfcoord/reads.go
+++ b/io/cfcoord/reads.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// inheritedFor is how long a coordinator before may still list results:
+	// predecessorWriteWindow is how long a coordinator before may still list results:
 	// a write of it may take effect seconds late, and it may have been frozen.
-	inheritedFor cf.Millis = 10000
-	// inheritedEvery is how often such a batch's chunks are read again while
+	predecessorWriteWindow cf.Millis = 10000
+	// rereadInterval is how often such a batch's chunks are read again while
 	// somebody waits at its end; what one reader saw must be there for
 	// another within a second.
-	inheritedEvery cf.Millis = 500
+	rereadInterval cf.Millis = 500
 )
 
-// mayLack says whether the store may hold results of the coordinator before
+// mayMissResults says whether the store may hold results of the coordinator before
 // that this one does not know, where a reader is about to be told that there
 // are none. c.mu is held.
-func (c *Coordinator) mayLack(st *state, after int, now cf.Millis) bool {
-	return st.shared && !st.batch.Complete() && len(st.batch.Page(after).Results) == 0 &&
-		now-st.loadedAt < inheritedFor && now-st.rereadAt >= inheritedEvery
+func (c *Coordinator) mayMissResults(st *batchState, after int, now cf.Millis) bool {
+	return st.predecessorMayWrite && !st.batch.Complete() && len(st.batch.Page(after).Results) == 0 &&
+		now-st.loadedAt < predecessorWriteWindow && now-st.rereadAt >= rereadInterval
 }
 
-// takeChunks reads a batch's chunks again.
-func (c *Coordinator) takeChunks(ctx context.Context, st *state) error {
+// rereadChunks reads a batch's chunks again.
+func (c *Coordinator) rereadChunks(ctx context.Context, st *batchState) error {
 	chunks, err := c.Store.List(ctx, cf.KindResults(st.batch.Sub.ID))
 	if err != nil {
 		return err
@@ -45,8 +45,8 @@
 	if st.batch.NextChunk() != before {
 		c.Log.Info("results_inherited", cflog.Batch(st.batch.Sub.ID), zap.Int("groups_whole", st.batch.CompleteGroups()))
 		st.pending.DropListed(st.batch, cf.Uptime())
-		c.served(st)
-		st.wake()
+		c.measureListed(st)
+		st.notifyReaders()
 	}
 	return nil
 }
@@ -63,10 +63,10 @@
 			c.mu.Unlock()
 			return cf.ResultPage{}, cf.ErrNotLeader
 		}
-		if c.mayLack(st, after, cf.Uptime()) {
+		if c.mayMissResults(st, after, cf.Uptime()) {
 			st.rereadAt = cf.Uptime()
 			c.mu.Unlock()
-			if err := c.takeChunks(ctx, st); err != nil {
+			if err := c.rereadChunks(ctx, st); err != nil {
 				return cf.ResultPage{}, cf.ErrNotLeader
 			}
 			continue
--- a/io/cfcoord/reads_test.go
+++ b/io/cfcoord/reads_test.go
@@ -13,8 +13,8 @@
 	"currantford/testbed/cfstandin"
 )
 
-// loadStored writes a batch to the store and lets the coordinator keep it.
-func (c *Coordinator) loadStored(t *testing.T, sub cf.Submission, inherited bool) *state {
+// storeAndLoad writes a batch to the store and lets the coordinator keep it.
+func (c *Coordinator) storeAndLoad(t *testing.T, sub cf.Submission, inherited bool) *batchState {
 	t.Helper()
 	ctx := context.Background()
 	if err := cfbatch.Create(ctx, c.Store, sub, 1<<20); err != nil {
@@ -37,14 +37,14 @@
 // successor takes the batch over, and the trainer ends it unfinished; the chunk
 // takes effect; a read of the store shows it, and a read of the successor's
 // memory afterwards does not.
-func TestEndedBatchOfAnotherIsReadFromTheStore(t *testing.T) {
+func TestEndedInheritedBatchIsReadFromStore(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
-	c := New(Options{Store: store, Lease: held{}, Log: zap.NewNop()})
+	c := New(Options{Store: store, Lease: heldLease{}, Log: zap.NewNop()})
 	two := []cf.Item{{ID: "1"}, {ID: "2"}}
-	inherited := c.loadStored(t, cf.Submission{ID: "of another", Items: two}, true)
-	own := c.loadStored(t, cf.Submission{ID: "its own", Items: two}, false)
-	for _, st := range []*state{inherited, own} {
+	inherited := c.storeAndLoad(t, cf.Submission{ID: "of another", Items: two}, true)
+	own := c.storeAndLoad(t, cf.Submission{ID: "its own", Items: two}, false)
+	for _, st := range []*batchState{inherited, own} {
 		c.endBatch(st)
 	}
 	if _, err := c.Results(ctx, "of another", 0, 0); !errors.Is(err, cf.ErrNotLeader) {
@@ -60,12 +60,12 @@
 // learns of its successor; a read of the store shows it; the successor has
 // finished the same item and waits for others before it lists it.
 // Cause: the successor knew only the chunks from before its time.
-func TestResultsOfTheCoordinatorBeforeAreSeen(t *testing.T) {
+func TestResultsOfPredecessorAreSeen(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
-	c := New(Options{Store: store, Lease: held{}, Log: zap.NewNop()})
+	c := New(Options{Store: store, Lease: heldLease{}, Log: zap.NewNop()})
 	sub := cf.Submission{ID: "b", Items: []cf.Item{{ID: "1"}, {ID: "2"}}}
-	st := c.loadStored(t, sub, true)
+	st := c.storeAndLoad(t, sub, true)
 	st.pending.Add(cf.Result{ID: "1", State: cf.ItemDone, Output: "x"}, cf.Uptime())
 	late := cfbatch.Chunk{Results: []cf.Result{{ID: "1", State: cf.ItemDone, Output: "x"}}}
 	if _, err := store.Create(ctx, cf.KindResults("b"), "000000", late); err != nil {
@@ -82,10 +82,10 @@
 
 // Guards against: a reader that is told of no result though another has read it at the store,
 // of a batch which the coordinator before was told of after this one's first list.
-func TestResultsOfABatchThatTwoCoordinatorsBeganAreSeen(t *testing.T) {
+func TestResultsOfBatchStartedByTwoCoordinatorsAreSeen(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
-	c := startDutyAfter(t, store, &countingTargets{}, true)
+	c := startSuccessor(t, store, &countingTargets{}, true)
 	eventually := func(what string, f func() bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -115,7 +115,7 @@
 		if _, err := store.Create(ctx, cf.KindResults(sub.ID), "000000", listed); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(inheritedEvery.Duration())
+		time.Sleep(rereadInterval.Duration())
 		page, err := c.Results(ctx, sub.ID, 0, 0)
 		if err == nil && len(page.Results) == 0 {
 			t.Errorf("told=%v: no result at position 0, where the store has one", told)
--- a/io/cfcoord/refusal.go
+++ b/io/cfcoord/refusal.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// refusalRest is how long after a check whether a step may be accepted another one
+	// checkGrace is how long after a check whether a step may be accepted another one
 	// of the same step is answered with yes, and how long a coordinator answers so after
 	// its start: an instance that had no answer in time writes the batch, within 1.5 s.
-	refusalRest cf.Millis = 2000
+	checkGrace cf.Millis = 2000
 	// maxChecks bounds the checks that are remembered.
 	maxChecks = 1000
-	// selectionRest is the least time between two log lines on a step's groups.
-	selectionRest cf.Millis = 1000
+	// selectionLogInterval is the least time between two log lines on a step's groups.
+	selectionLogInterval cf.Millis = 1000
 )
 
 // selectionLog is what was logged last of a step's groups.
 type selectionLog struct {
-	beyond bool
-	at     cf.Millis
+	deferring bool
+	at        cf.Millis
 }
 
 // Infeasible says whether a step that is about to be accepted should be refused, and when to
@@ -39,7 +39,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := cf.Uptime()
-	if c.checkedRecently(sub.ID, now) || !c.Lease.Valid() || !c.takeover.done || now-c.began < refusalRest || c.announced(sub.ID) {
+	if c.checkedRecently(sub.ID, now) || !c.Lease.Valid() || !c.takeover.done || now-c.checksSince < checkGrace || c.announced(sub.ID) {
 		return 0, false
 	}
 	est := c.planner.EstimateStep(sub, terms, now)
@@ -54,13 +54,13 @@
 // checkedRecently notes a check of a step, and says whether there was one shortly before.
 // c.mu is held.
 func (c *Coordinator) checkedRecently(id cf.BatchID, now cf.Millis) bool {
-	if len(c.checks) >= maxChecks {
-		clear(c.checks)
-		c.began = now // what was forgotten counts as checked
+	if len(c.stepChecks) >= maxChecks {
+		clear(c.stepChecks)
+		c.checksSince = now // what was forgotten counts as checked
 	}
-	at, known := c.checks[id]
-	c.checks[id] = now
-	return known && now-at < refusalRest
+	at, known := c.stepChecks[id]
+	c.stepChecks[id] = now
+	return known && now-at < checkGrace
 }
 
 // announced says whether an instance has said that it is about to accept a batch, or the
@@ -72,17 +72,17 @@
 	if _, known := c.prepared.accepted[id]; known {
 		return true
 	}
-	return c.batches[id] != nil || c.readings[id] != nil || c.history.over[id]
+	return c.batches[id] != nil || c.reads[id] != nil || c.history.closed[id]
 }
 
-// noteSelections logs what is decided of steps' groups when it changes, and counts them.
+// reportSelections logs what is decided of steps' groups when it changes, and counts them.
 // c.mu is held.
-func (c *Coordinator) noteSelections(now cf.Millis) {
+func (c *Coordinator) reportSelections(now cf.Millis) {
 	var sum cfrollout.Selection
 	for _, s := range c.planner.Selections(now) {
 		sum.InTime, sum.Late, sum.TooLate, sum.Optional = sum.InTime+s.InTime, sum.Late+s.Late, sum.TooLate+s.TooLate, sum.Optional+s.Optional
 		st := c.batches[s.Batch]
-		if st == nil || st.selection.beyond == s.Deferring || now-st.selection.at < selectionRest && st.selection.at > 0 {
+		if st == nil || st.selection.deferring == s.Deferring || now-st.selection.at < selectionLogInterval && st.selection.at > 0 {
 			continue
 		}
 		st.selection = selectionLog{s.Deferring, now}
--- a/io/cfcoord/refusal_test.go
+++ b/io/cfcoord/refusal_test.go
@@ -15,14 +15,14 @@
 
 // Guards against a refusal that is not true: of a step that an instance may be writing, or
 // by a coordinator that does not know what was announced to the one before.
-func TestRefusalNeedsTheCoordinatorsKnowledge(t *testing.T) {
+func TestStepIsRefusedOnlyWithFullKnowledge(t *testing.T) {
 	site := engineSite(t)
 	config := *site.Config()
 	config.Routes[0].ResultsSLO = 100
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 2, config)); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Options{Store: cfstandin.NewMemStore(), Targets: &countingTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: held{}, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
+	c := New(Options{Store: cfstandin.NewMemStore(), Targets: &countingTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: heldLease{}, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
 	c.refreshEngines(&config, true)
 	long := func(id cf.BatchID) cf.Submission {
 		return cf.Submission{ID: id, Host: "h", Path: "/", Model: "m", MinVersion: 1, TargetGroups: 1, Accepted: cf.Now(), Items: []cf.Item{{ID: cf.ItemID(id), LengthHint: 100}}}
@@ -49,14 +49,14 @@
 		}
 	}
 	nothing := func(cf.BatchID) {}
-	c.began = cf.Uptime() - refusalRest
+	c.checksSince = cf.Uptime() - checkGrace
 	check("before the takeover is done", false, nothing)
 	c.takeover.done = true
 	check("an infeasible step", true, nothing)
 	check("asked shortly before", false, func(id cf.BatchID) { c.Infeasible(long(id)) })
 	check("announced", false, func(id cf.BatchID) { c.PrepareBatch(long(id)) })
-	check("known", false, func(id cf.BatchID) { c.batches[id] = &state{} })
-	check("ended", false, func(id cf.BatchID) { c.history.noteOver(id) })
-	c.began = cf.Uptime()
+	check("known", false, func(id cf.BatchID) { c.batches[id] = &batchState{} })
+	check("ended", false, func(id cf.BatchID) { c.history.markClosed(id) })
+	c.checksSince = cf.Uptime()
 	check("just after the start", false, nothing)
 }
--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -72,13 +72,13 @@
 	if !ok {
 		return cfreward.Route{}, false
 	}
-	service := route.PickService(drawOf(string(call.ID)))
+	service := route.PickService(hashFraction(string(call.ID)))
 	return cfreward.Route{Service: service, Targets: s.c.Site.Usable(service), MaxAttempts: route.MaxAttempts}, true
 }
 
 // Admit implements cfreward.Site.
 func (s *rewardSite) Admit(call *cf.RewardCall, target cf.Target) bool {
-	return s.c.admitOwed(call.ID, cfquarantine.KeyOfReward(call), target, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()}).Pass
+	return s.c.admitDeferred(call.ID, cfquarantine.KeyOfReward(call), target, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()}).Pass
 }
 
 // Missing implements cfreward.Site.
@@ -94,16 +94,16 @@
 	return b.GroupRemaining(g)
 }
 
-// drawOf returns a number in [0, 1) that an id decides, so that a successor
+// hashFraction returns a number in [0, 1) that an id decides, so that a successor
 // decides the same.
-func drawOf(id string) float64 {
+func hashFraction(id string) float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // a hash takes everything
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// placeRewards sends the reward calls that are due. c.mu is held.
-func (c *Coordinator) placeRewards(config *cfsite.Config, now cf.Millis) {
+// scheduleRewards sends the reward calls that are due. c.mu is held.
+func (c *Coordinator) scheduleRewards(config *cfsite.Config, now cf.Millis) {
 	for _, call := range c.rewards.planner.DropListed() {
 		c.rewards.end(call)
 	}
@@ -129,12 +129,12 @@
 			ID: reward.ID, Method: http.MethodPost, Host: reward.Host, Path: reward.Path, Header: http.Header{}, Body: reward.Body,
 			Urgency: cfaccess.Urgency(cf.Access{}, cfaccess.LongItem), Ranked: true, Timeout: rewardTimeout,
 		})
-		c.rewarded(a, answer, err, stopped.Err() != nil)
+		c.rewardEnded(a, answer, err, stopped.Err() != nil)
 	})
 }
 
-// followReward tells the guard how an attempt at a reward call ended.
-func (c *Coordinator) followReward(a *cfreward.Attempt, outcome cfreward.Outcome, heard bool, err error) {
+// reportReward tells the guard how an attempt at a reward call ended.
+func (c *Coordinator) reportReward(a *cfreward.Attempt, outcome cfreward.Outcome, heard bool, err error) {
 	reward := a.Call.Item.Reward
 	key := cfquarantine.KeyOfReward(reward)
 	switch {
@@ -147,29 +147,29 @@
 	}
 }
 
-var rewardOutcomes = map[cfreward.Outcome]string{
+var rewardOutcomeNames = map[cfreward.Outcome]string{
 	cfreward.Scored: "scored", cfreward.Failed: "failed", cfreward.Rejected: "not_run", cfreward.NoAnswer: "lost", cfreward.Cancelled: "stopped",
 }
 
-// rewarded takes the end of an attempt at a reward call.
-func (c *Coordinator) rewarded(a *cfreward.Attempt, answer cf.TargetAnswer, err error, stopped bool) {
+// rewardEnded takes the end of an attempt at a reward call.
+func (c *Coordinator) rewardEnded(a *cfreward.Attempt, answer cf.TargetAnswer, err error, stopped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.rewards.cancels, a)
 	if c.ctx.Err() != nil {
-		c.followReward(a, cfreward.Cancelled, false, nil)
+		c.reportReward(a, cfreward.Cancelled, false, nil)
 		return // the duty is over; a successor asks again
 	}
 	now := cf.Uptime()
 	outcome := classifyReward(answer, err, stopped)
 	call := a.Call
-	c.followReward(a, outcome, answer.Heard, err)
+	c.reportReward(a, outcome, answer.Heard, err)
 	verdict := c.rewards.planner.Done(a, outcome, answer.Load, now)
-	c.Metrics.RewardCalls.WithLabelValues(rewardOutcomes[outcome]).Inc()
+	c.Metrics.RewardCalls.WithLabelValues(rewardOutcomeNames[outcome]).Inc()
 	c.Metrics.RewardDuration.Observe(float64(now-a.StartedAt) / 1000)
 	c.Log.Info("reward_ended", zap.String("request_id", string(call.Item.Reward.ID)), zap.String("item_id", string(call.Item.ID.Request())),
 		cflog.Batch(call.Batch.Sub.ID), zap.String("target", string(a.Target.ID)),
-		zap.String("outcome", rewardOutcomes[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
+		zap.String("outcome", rewardOutcomeNames[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
 		zap.Int64("took_ms", int64(now-a.StartedAt)), cflog.Error(err))
 	switch verdict {
 	case cfreward.Accept:
@@ -202,7 +202,7 @@
 func (c *Coordinator) dropRewards(id cf.BatchID) {
 	for _, call := range c.rewards.planner.DropBatch(id) {
 		w := c.rewards.end(call)
-		delete(c.finished, w.Item.ID)
+		delete(c.unlisted, w.Item.ID)
 		c.planner.KeepText(w)
 	}
 }
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// stall is how long an engine may send nothing before a run is resumed
+	// stallTimeout is how long an engine may send nothing before a run is resumed
 	// at another. Events come every 40 to 200 ms; a load of weights under
 	// a run takes about a second.
-	stall = 2500 * time.Millisecond
+	stallTimeout = 2500 * time.Millisecond
 	// runTimeout is the deadline of one run at an engine; the longest items
 	// take about 7 s on an engine at normal speed.
 	runTimeout cf.Millis = 30000
-	// textMost bounds a text: an object of the store, in which it is to be listed, has no
+	// maxTextBytes bounds a text: an object of the store, in which it is to be listed, has no
 	// more. eventOverhead is what an event takes beside its data.
-	textMost      = 1 << 20
+	maxTextBytes  = 1 << 20
 	eventOverhead = 16
-	// pausesMost bounds the pauses that are known to have been logged; of more that last at
+	// maxLoggedPauses bounds the pauses that are known to have been logged; of more that last at
 	// once there are no lines.
-	pausesMost = 10_000
+	maxLoggedPauses = 10_000
 )
 
 var outcomeNames = map[cfrollout.Outcome]string{
@@ -45,7 +45,7 @@
 	e, ok := c.planner.Engine(w.Engine)
 	if !ok {
 		c.planner.Finished(w, cfrollout.OutcomeNotRun, cf.Uptime())
-		c.follow(w, cf.Target{}, runEnd{outcome: cfrollout.OutcomeNotRun})
+		c.reportRun(w, cf.Target{}, runResult{outcome: cfrollout.OutcomeNotRun})
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -66,45 +66,45 @@
 	c.wg.Go(func() {
 		defer cancel()
 		started := time.Now()
-		end := c.run(ctx, route, e.Target, call, w)
+		end := c.runItem(ctx, route, e.Target, call, w)
 		c.Metrics.Runs.WithLabelValues(outcomeNames[end.outcome]).Inc()
 		c.Metrics.RunDuration.Observe(time.Since(started).Seconds())
-		c.ended(w, e.Target, end)
+		c.runEnded(w, e.Target, end)
 	})
 }
 
-// runEnd is how a run ended.
-type runEnd struct {
+// runResult is how a run ended.
+type runResult struct {
 	outcome cfrollout.Outcome
 	reason  string
 	// unsent: it did not reach the engine. heard: the engine was heard of after it was
 	// sent.
 	unsent, heard bool
-	// kept is how long the connection is kept for another run.
-	kept cf.Millis
+	// keepAlive is how long the connection is kept for another run.
+	keepAlive cf.Millis
 }
 
-// ended takes the end of a run back to the planner.
-func (c *Coordinator) ended(w *cfrollout.Work, t cf.Target, end runEnd) {
+// runEnded takes the end of a run back to the planner.
+func (c *Coordinator) runEnded(w *cfrollout.Work, t cf.Target, end runResult) {
 	outcome := end.outcome
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.runs, w)
 	now := cf.Uptime()
 	if c.ctx.Err() != nil {
-		c.follow(w, t, runEnd{outcome: cfrollout.OutcomeStopped})
+		c.reportRun(w, t, runResult{outcome: cfrollout.OutcomeStopped})
 		return // the duty is over; a successor runs the item again
 	}
-	c.follow(w, t, end)
+	c.reportRun(w, t, end)
 	c.Log.Info("item_run", zap.String("request_id", string(w.Item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("target", string(t.ID)), zap.String("outcome", outcomeNames[outcome]), zap.String("reason", end.reason),
 		zap.Int64("version", int64(w.Version)), zap.Int64("events", int64(w.Text.Last)),
 		zap.Int64("took_ms", int64(now-w.Started)))
 	if outcome == cfrollout.OutcomeNotRun && !c.planner.IsLoading(t.ID) {
-		c.checkReport(t)
+		c.queryEngine(t)
 	}
-	if end.kept > 0 {
-		c.planner.ConnectionKept(w, now+end.kept)
+	if end.keepAlive > 0 {
+		c.planner.ConnectionKept(w, now+end.keepAlive)
 	}
 	switch ended := c.planner.Finished(w, outcome, now); {
 	case ended && outcome == cfrollout.OutcomeDone:
@@ -118,29 +118,29 @@
 // admit asks the guard whether an item may be sent to an engine; its end is then due to
 // the guard.
 func (c *Coordinator) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := c.admitOwed(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()})
+	v := c.admitDeferred(w.Item.ID.Request(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()})
 	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
-// admitOwed asks the guard whether an item or a reward call may be sent. The planners ask again
+// admitDeferred asks the guard whether an item or a reward call may be sent. The planners ask again
 // at each look while it may not; each pause is logged once. c.mu is held.
-func (c *Coordinator) admitOwed(id cf.RequestID, key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
+func (c *Coordinator) admitDeferred(id cf.RequestID, key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
 	v := c.Guard.AdmitOwed(key, target, w)
-	if v.RetryAt > 0 && c.pauses[id] != v.RetryAt {
-		if len(c.pauses) >= pausesMost {
+	if v.RetryAt > 0 && c.loggedPauses[id] != v.RetryAt {
+		if len(c.loggedPauses) >= maxLoggedPauses {
 			now := cf.Uptime()
-			maps.DeleteFunc(c.pauses, func(_ cf.RequestID, until cf.Millis) bool { return until <= now })
+			maps.DeleteFunc(c.loggedPauses, func(_ cf.RequestID, until cf.Millis) bool { return until <= now })
 		}
-		if len(c.pauses) < pausesMost {
-			c.pauses[id] = v.RetryAt
+		if len(c.loggedPauses) < maxLoggedPauses {
+			c.loggedPauses[id] = v.RetryAt
 			c.Guard.Paused(id, key, v)
 		}
 	}
 	return v
 }
 
-// follow tells the guard how a run ended.
-func (c *Coordinator) follow(w *cfrollout.Work, t cf.Target, end runEnd) {
+// reportRun tells the guard how a run ended.
+func (c *Coordinator) reportRun(w *cfrollout.Work, t cf.Target, end runResult) {
 	key := cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item)
 	switch {
 	case end.outcome == cfrollout.OutcomeDone || end.outcome == cfrollout.OutcomeFailed || end.outcome == cfrollout.OutcomePermanentFailure:
@@ -152,24 +152,24 @@
 	}
 }
 
-// collector gathers an item's text and keeps its watchdog from firing.
-type collector struct {
+// textCollector gathers an item's text and keeps its watchdog from firing.
+type textCollector struct {
 	work     *cfrollout.Work
 	watchdog *time.Timer
 	size     int // of the text, with what each of its events takes
 }
 
-func newCollector(w *cfrollout.Work, watchdog *time.Timer) *collector {
-	return &collector{w, watchdog, w.Text.Size() + int(w.Text.Last)*eventOverhead}
+func newTextCollector(w *cfrollout.Work, watchdog *time.Timer) *textCollector {
+	return &textCollector{w, watchdog, w.Text.Size() + int(w.Text.Last)*eventOverhead}
 }
 
-func (k *collector) Start(cf.TargetAnswer) error { return nil }
+func (k *textCollector) Start(cf.TargetAnswer) error { return nil }
 
 // Seen implements cf.SeenSink.
-func (k *collector) Seen(at cf.Millis) { k.work.Progress.SeenUntil(at) }
+func (k *textCollector) Seen(at cf.Millis) { k.work.Progress.SeenUntil(at) }
 
-func (k *collector) Event(ev cf.StreamEvent) error {
-	k.watchdog.Reset(stall)
+func (k *textCollector) Event(ev cf.StreamEvent) error {
+	k.watchdog.Reset(stallTimeout)
 	at := ev.At
 	if at == 0 {
 		at = cf.Uptime()
@@ -177,25 +177,25 @@
 	k.work.Progress.Note(at)
 	k.work.Mu.Lock()
 	defer k.work.Mu.Unlock()
-	if k.size += len(ev.Data) + eventOverhead; k.size > textMost {
+	if k.size += len(ev.Data) + eventOverhead; k.size > maxTextBytes {
 		k.work.Text = cfrollout.Text{} // nobody can go on with it
-		return eris.Wrapf(cf.ErrBadAnswer, "a text of over %d bytes", textMost)
+		return eris.Wrapf(cf.ErrBadAnswer, "a text of over %d bytes", maxTextBytes)
 	}
 	return k.work.Text.Append(ev)
 }
 
-// run sends one item to one engine and collects its text after what w holds
+// runItem sends one item to one engine and collects its text after what w holds
 // already.
-func (c *Coordinator) run(outer context.Context, route cf.StreamRoute, t cf.Target, call cf.TargetCall, w *cfrollout.Work) runEnd {
+func (c *Coordinator) runItem(outer context.Context, route cf.StreamRoute, t cf.Target, call cf.TargetCall, w *cfrollout.Work) runResult {
 	ctx, cancel := context.WithCancel(outer)
 	defer cancel()
-	watchdog := time.AfterFunc(stall, cancel)
+	watchdog := time.AfterFunc(stallTimeout, cancel)
 	defer watchdog.Stop()
-	answer, err := route.Stream(ctx, t, call, newCollector(w, watchdog))
+	answer, err := route.Stream(ctx, t, call, newTextCollector(w, watchdog))
 	if err != nil && outer.Err() != nil {
-		return runEnd{outcome: cfrollout.OutcomeStopped, reason: "ended or moved"}
+		return runResult{outcome: cfrollout.OutcomeStopped, reason: "ended or moved"}
 	}
-	end := runEnd{unsent: errors.Is(err, cf.ErrNotRun), heard: answer.Heard, kept: answer.Kept}
+	end := runResult{unsent: errors.Is(err, cf.ErrNotRun), heard: answer.Heard, keepAlive: answer.Kept}
 	end.outcome, end.reason = classify(answer, err)
 	return end
 }
@@ -229,4 +229,4 @@
 	}
 }
 
-func join(data []string) string { return strings.Join(data, "\n") }
+func joinData(data []string) string { return strings.Join(data, "\n") }
--- a/io/cfcoord/startgate_test.go
+++ b/io/cfcoord/startgate_test.go
@@ -12,19 +12,19 @@
 )
 
 type (
-	// lateWatch is a store whose watches of batches say nothing while it is silent.
-	lateWatch struct {
+	// delayedWatch is a store whose watches of batches say nothing while it is silent.
+	delayedWatch struct {
 		*cfstandin.MemStore
 		silent *atomic.Bool
 	}
 
-	// unscoredTargets generate texts of one event and turn reward calls away.
-	unscoredTargets struct {
+	// noRewardTargets generate texts of one event and turn reward calls away.
+	noRewardTargets struct {
 		countingTargets
 	}
 )
 
-func (s lateWatch) Watch(ctx context.Context, kind string, since cf.Revision, wait cf.Millis) (cf.Records, error) {
+func (s delayedWatch) Watch(ctx context.Context, kind string, since cf.Revision, wait cf.Millis) (cf.Records, error) {
 	cf.Sleep(ctx, 5*time.Millisecond)
 	out, err := s.MemStore.Watch(ctx, kind, since, wait)
 	for kind == cf.KindBatch && s.silent.Load() {
@@ -35,22 +35,22 @@
 	return out, err
 }
 
-func (t *unscoredTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (t *noRewardTargets) Stream(_ context.Context, _ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	t.runs.Add(1)
 	return cf.TargetAnswer{Status: 200}, sink.Event(cf.StreamEvent{ID: 1, Data: "x", Version: 1})
 }
 
-func (t *unscoredTargets) Send(context.Context, cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
+func (t *noRewardTargets) Send(context.Context, cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 	return cf.TargetAnswer{Status: 503, NotRun: true}, nil
 }
 
 // Guards against: items generated twice because a step is opened before the end of the one
 // before it, which the store has taken, is known.
-func TestStepThatOvertakesTheEndBefore(t *testing.T) {
+func TestStepOpenedBeforePreviousEndIsKnown(t *testing.T) {
 	ctx := context.Background()
-	store := lateWatch{cfstandin.NewMemStore(), &atomic.Bool{}}
-	targets := &unscoredTargets{}
-	c := startDuty(t, store, targets)
+	store := delayedWatch{cfstandin.NewMemStore(), &atomic.Bool{}}
+	targets := &noRewardTargets{}
+	c := startCoordinator(t, store, targets)
 	await := func(what string, f func() bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -77,14 +77,14 @@
 	}
 	await("duty", func() bool { return c.takeover.done })
 	accept("a")
-	await("complete texts", func() bool { return len(c.finished) == 2 })
+	await("complete texts", func() bool { return len(c.unlisted) == 2 })
 	store.silent.Store(true)
 	if err := store.SetStatus(ctx, cf.KindBatch, "a", cf.BatchStatus{Ended: true}); err != nil {
 		t.Fatal(err)
 	}
 	accept("b")
-	await("next step", func() bool { return c.batches["b"] != nil && c.batches["b"].added })
-	await("texts of the next step", func() bool { return len(c.finished) == 2 && !c.planner.HasWork() })
+	await("next step", func() bool { return c.batches["b"] != nil && c.batches["b"].planned })
+	await("texts of the next step", func() bool { return len(c.unlisted) == 2 && !c.planner.HasWork() })
 	if n := targets.runs.Load(); n != 2 {
 		t.Errorf("%d runs of 2 items", n)
 	}
--- a/io/cfcoord/stepmetrics.go
+++ b/io/cfcoord/stepmetrics.go
@@ -7,15 +7,15 @@
 	"currantford/io/cflog"
 )
 
-// namedKept is how many versions of a model are remembered with the time at
+// maxVersionTimes is how many versions of a model are remembered with the time at
 // which they were named; samples are a version or two behind.
-const namedKept = 16
+const maxVersionTimes = 16
 
-// named remembers when versions of models were named, as this instance saw it.
-type named map[cf.ModelName]map[cf.WeightVersion]cf.Millis
+// versionTimes remembers when versions of models were named, as this instance saw it.
+type versionTimes map[cf.ModelName]map[cf.WeightVersion]cf.Millis
 
-// note takes a model's newest version.
-func (n named) note(m cf.ModelName, v cf.WeightVersion, now cf.Millis) {
+// record takes a model's newest version.
+func (n versionTimes) record(m cf.ModelName, v cf.WeightVersion, now cf.Millis) {
 	if n[m] == nil {
 		n[m] = map[cf.WeightVersion]cf.Millis{}
 	}
@@ -23,20 +23,20 @@
 		return
 	}
 	n[m][v] = now
-	delete(n[m], v-namedKept)
+	delete(n[m], v-maxVersionTimes)
 }
 
 // supersededFor returns how long ago the version after v was named, false where
 // it was before this instance looked.
-func (n named) supersededFor(m cf.ModelName, v cf.WeightVersion, now cf.Millis) (cf.Millis, bool) {
+func (n versionTimes) supersededFor(m cf.ModelName, v cf.WeightVersion, now cf.Millis) (cf.Millis, bool) {
 	at, ok := n[m][v+1]
 	return now - at, ok
 }
 
-// served measures what was listed of a batch since the last call: how stale
+// measureListed measures what was listed of a batch since the last call: how stale
 // each sample is when its trainer can first read it, and how long the trainer
 // waited for as much as it asked for, which is its idle time. c.mu is held.
-func (c *Coordinator) served(st *state) {
+func (c *Coordinator) measureListed(st *batchState) {
 	now := cf.Uptime()
 	sub := &st.batch.Sub
 	for _, r := range st.batch.ListedFrom(st.measured) {
@@ -49,12 +49,12 @@
 			oldest = min(oldest, v)
 		}
 		behind := c.planner.LatestVersion(sub.Model) - oldest
-		st.stalest = max(st.stalest, behind)
+		st.maxStaleness = max(st.maxStaleness, behind)
 		c.Metrics.StaleVersions.WithLabelValues(string(sub.Model)).Observe(float64(behind))
 		age := cf.Millis(0)
 		if behind > 0 {
 			var known bool
-			if age, known = c.named.supersededFor(sub.Model, oldest, now); !known {
+			if age, known = c.versionTimes.supersededFor(sub.Model, oldest, now); !known {
 				continue
 			}
 		}
@@ -69,5 +69,5 @@
 	c.Metrics.StepWait.WithLabelValues(string(sub.Model)).Observe(float64(waited) / 1000)
 	c.Log.Info("step_served", cflog.Batch(sub.ID), zap.String("model", string(sub.Model)),
 		zap.Int64("step", sub.Step), zap.Int64("waited_ms", int64(waited)), zap.Int("groups_whole", st.batch.CompleteGroups()),
-		zap.Int64("stalest_versions", int64(st.stalest)))
+		zap.Int64("stalest_versions", int64(st.maxStaleness)))
 }
--- a/io/cfcoord/stepmetrics_test.go
+++ b/io/cfcoord/stepmetrics_test.go
@@ -17,18 +17,18 @@
 func TestServedStepIsMeasuredOnce(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	reg := prometheus.NewRegistry()
-	c := New(Options{Lease: held{}, Metrics: NewMetrics(reg), Log: zap.New(core)})
+	c := New(Options{Lease: heldLease{}, Metrics: NewMetrics(reg), Log: zap.New(core)})
 	c.planner.SetVersion("m", 3)
-	c.named.note("m", 2, cf.Uptime()-9000)
-	c.named.note("m", 3, cf.Uptime()-4000)
+	c.versionTimes.record("m", 2, cf.Uptime()-9000)
+	c.versionTimes.record("m", 3, cf.Uptime()-4000)
 	sub := cf.Submission{ID: "b", Model: "m", Accepted: cf.Now() - 2000, TargetGroups: 1}
 	for _, id := range []cf.ItemID{"1", "2", "3"} {
 		sub.Items = append(sub.Items, cf.Item{ID: id, Group: cf.GroupID("g" + string(id))})
 	}
-	st := &state{batch: cfbatch.New(sub), changed: make(chan struct{})}
+	st := &batchState{batch: cfbatch.New(sub), changed: make(chan struct{})}
 	list := func(chunk string, id cf.ItemID, versions ...cf.WeightVersion) {
 		st.batch.Apply(chunk, []cf.Result{{ID: id, State: cf.ItemDone, Versions: versions}})
-		c.served(st)
+		c.measureListed(st)
 	}
 	list("000000", "1", 2, 3)
 	list("000001", "2", 3)
@@ -57,11 +57,11 @@
 	if st.measured != 2 {
 		t.Errorf("%d results were measured, want 2", st.measured)
 	}
-	age, known := c.named.supersededFor("m", 2, cf.Uptime())
+	age, known := c.versionTimes.supersededFor("m", 2, cf.Uptime())
 	if !known || age < 4000 || age > 8000 {
 		t.Errorf("version 2 superseded for %d ms, known %t", age, known)
 	}
-	if _, known := c.named.supersededFor("m", 3, cf.Uptime()); known {
+	if _, known := c.versionTimes.supersededFor("m", 3, cf.Uptime()); known {
 		t.Error("the newest version counts as superseded")
 	}
 }
--- a/io/cfcoord/swaps.go
+++ b/io/cfcoord/swaps.go
@@ -14,7 +14,7 @@
 // version.
 func (c *Coordinator) startSwap(s cfrollout.Swap, term cf.Revision) {
 	c.wg.Go(func() {
-		err := c.orders.carryOut(c.ctx, s, term)
+		err := c.orders.execute(c.ctx, s, term)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		outcome, limit := "done", 0
@@ -30,7 +30,7 @@
 			limit = c.planner.LoadEnded(s.Target.ID, cf.Uptime())
 			c.planner.SwapDone(s.Target.ID, s.Model, s.Version)
 		}
-		c.Metrics.Orders.WithLabelValues(orderLabel(err)).Inc()
+		c.Metrics.Orders.WithLabelValues(orderOutcome(err)).Inc()
 		c.Log.Info("weights_swapped", zap.String("target", string(s.Target.ID)), zap.String("model", string(s.Model)),
 			zap.Int64("version", int64(s.Version)), zap.Int64("term", int64(term)), zap.String("outcome", outcome),
 			zap.Int("loads_allowed", limit))
@@ -38,7 +38,7 @@
 	})
 }
 
-func orderLabel(err error) string {
+func orderOutcome(err error) string {
 	switch {
 	case err == nil:
 		return "done"
@@ -53,21 +53,21 @@
 	}
 }
 
-// reported takes an engine's account of itself.
-func (c *Coordinator) reported(id cf.InstanceID, r cf.TargetReport) {
+// engineReported takes an engine's account of itself.
+func (c *Coordinator) engineReported(id cf.InstanceID, r cf.TargetReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planner.Reported(id, r)
 }
 
-func (c *Coordinator) pause(d time.Duration) bool { return cf.Sleep(c.ctx, d) }
+func (c *Coordinator) sleep(d time.Duration) bool { return cf.Sleep(c.ctx, d) }
 
-// checkReport asks an engine for its account of itself: for its memory, or for its
+// queryEngine asks an engine for its account of itself: for its memory, or for its
 // weights after it refused an item, which an order of a coordinator before may have
 // changed.
-func (c *Coordinator) checkReport(t cf.Target) {
+func (c *Coordinator) queryEngine(t cf.Target) {
 	c.wg.Go(func() {
-		if _, err := c.orders.ask(c.ctx, t); err != nil {
+		if _, err := c.orders.fetchReport(c.ctx, t); err != nil {
 			return // it is asked again
 		}
 	})
--- a/io/cfcoord/sweeper.go
+++ b/io/cfcoord/sweeper.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// sweepEvery is how often batches that need not be kept any more are
+	// sweepInterval is how often batches that need not be kept any more are
 	// looked for.
-	sweepEvery = time.Minute
-	// sweepSlack is added to the time that an ended batch is kept, for the
+	sweepInterval = time.Minute
+	// clockSkewAllowance is added to the time that an ended batch is kept, for the
 	// differences between the instances' wall clocks.
-	sweepSlack cf.Millis = 60_000
+	clockSkewAllowance cf.Millis = 60_000
 	// abandonedAfter is when a batch that nobody ended is removed: its
 	// trainer has given it up hours before.
 	abandonedAfter cf.Millis = 6 * 3600 * 1000
@@ -29,13 +29,13 @@
 // coordinator reads, would grow for ever.
 type sweeper struct {
 	store cf.Store
-	// keep is how long after its acceptance an ended batch can still be read.
-	keep cf.Millis
-	log  *zap.Logger
+	// retention is how long after its acceptance an ended batch can still be read.
+	retention cf.Millis
+	log       *zap.Logger
 }
 
 func (s *sweeper) run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -43,13 +43,13 @@
 			return
 		case <-ticker.C:
 		}
-		if err := s.once(ctx, cf.Now()); err != nil {
+		if err := s.sweep(ctx, cf.Now()); err != nil {
 			s.log.Warn("sweep_failed", cflog.Error(err))
 		}
 	}
 }
 
-func (s *sweeper) once(ctx context.Context, now cf.Millis) error {
+func (s *sweeper) sweep(ctx context.Context, now cf.Millis) error {
 	list, err := s.store.List(ctx, cf.KindBatch)
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 			continue
 		}
 		age := now - head.Accepted
-		if age < abandonedAfter && (!cfbatch.Ended(r) || age < s.keep+sweepSlack) {
+		if age < abandonedAfter && (!cfbatch.Ended(r) || age < s.retention+clockSkewAllowance) {
 			continue
 		}
 		if err := s.remove(ctx, head.ID); err != nil {
@@ -80,15 +80,15 @@
 			return err
 		}
 		for _, r := range list.Items {
-			if err := gone(s.store.Delete(ctx, kind, r.Name)); err != nil {
+			if err := ignoreNotFound(s.store.Delete(ctx, kind, r.Name)); err != nil {
 				return err
 			}
 		}
 	}
-	return gone(s.store.Delete(ctx, cf.KindBatch, string(id)))
+	return ignoreNotFound(s.store.Delete(ctx, cf.KindBatch, string(id)))
 }
 
-func gone(err error) error {
+func ignoreNotFound(err error) error {
 	if errors.Is(err, cf.ErrNotFound) {
 		return nil
 	}
--- a/io/cfcoord/sweeper_test.go
+++ b/io/cfcoord/sweeper_test.go
@@ -14,7 +14,7 @@
 // Symptom: the store grows for ever, or a batch vanishes while it can still be
 // read.
 // Sequence: batches of different age, ended and not, are swept.
-func TestSweepRemovesOnlyWhatNeedNotBeKept(t *testing.T) {
+func TestSweepRemovesOnlyExpiredBatches(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
 	s := sweeper{store, 120_000, zap.NewNop()}
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	if err := s.once(ctx, now); err != nil {
+	if err := s.sweep(ctx, now); err != nil {
 		t.Fatal(err)
 	}
 	for id, b := range cases {
--- a/io/cfcoord/takeover.go
+++ b/io/cfcoord/takeover.go
@@ -2,10 +2,10 @@
 
 // A takeover's next step.
 const (
-	// takeoverWaits: something of the duty before is still to come.
-	takeoverWaits takeoverStep = iota
-	// takeoverReads: nobody had texts, and those in the store are to be read.
-	takeoverReads
+	// takeoverWait: something of the duty before is still to come.
+	takeoverWait takeoverStep = iota
+	// takeoverReadStored: nobody had texts, and those in the store are to be read.
+	takeoverReadStored
 	// takeoverDone: the duty may begin to run items.
 	takeoverDone
 )
@@ -19,23 +19,23 @@
 	takeover struct {
 		// listed: the batches from before have been listed; current: what has
 		// changed since, too; gathered: the texts from before have been taken.
-		listed, current, gathered bool
+		listed, caughtUp, gathered bool
 		// textsLost: nobody had texts, and those in the store have not been read;
 		// asked: they are being read.
-		textsLost, asked bool
-		done             bool
+		textsLost, readingStored bool
+		done                     bool
 	}
 )
 
-// take notes that the texts of the instances before have come, so many of them.
-func (t *takeover) take(texts int) {
+// textsGathered notes that the texts of the instances before have come, so many of them.
+func (t *takeover) textsGathered(texts int) {
 	t.gathered = true
 	// Without any the instances that held them are lost as well.
 	t.textsLost = texts == 0
 }
 
-// takeStored notes that the texts in the store have been read.
-func (t *takeover) takeStored() { t.textsLost = false }
+// storedTextsRead notes that the texts in the store have been read.
+func (t *takeover) storedTextsRead() { t.textsLost = false }
 
 // next returns what is to be done now. reading says that batches from before are still
 // being read, stored whether the store may have texts of any.
@@ -43,13 +43,13 @@
 	switch {
 	case t.done:
 		return takeoverDone
-	case !t.current || !t.gathered || reading:
-		return takeoverWaits
-	case t.textsLost && t.asked:
-		return takeoverWaits // their arrival asks again
+	case !t.caughtUp || !t.gathered || reading:
+		return takeoverWait
+	case t.textsLost && t.readingStored:
+		return takeoverWait // their arrival asks again
 	case t.textsLost && stored:
-		t.asked = true
-		return takeoverReads
+		t.readingStored = true
+		return takeoverReadStored
 	}
 	t.done = true
 	return takeoverDone
--- a/io/cfcoord/takeover_test.go
+++ b/io/cfcoord/takeover_test.go
@@ -59,18 +59,18 @@
 	return cf.TargetReport{}, cf.ErrUnavailable
 }
 
-// startDuty begins the duty of a coordinator on a store with one engine.
-func startDuty(t *testing.T, store cf.Store, targets cf.Targets) *Coordinator {
+// startCoordinator begins the duty of a coordinator on a store with one engine.
+func startCoordinator(t *testing.T, store cf.Store, targets cf.Targets) *Coordinator {
 	t.Helper()
-	return startDutyAfter(t, store, targets, false)
+	return startSuccessor(t, store, targets, false)
 }
 
-// startDutyAfter is the same; succeeds says that another coordinator was there before.
-func startDutyAfter(t *testing.T, store cf.Store, targets cf.Targets, succeeds bool) *Coordinator {
+// startSuccessor is the same; succeeds says that another coordinator was there before.
+func startSuccessor(t *testing.T, store cf.Store, targets cf.Targets, succeeds bool) *Coordinator {
 	t.Helper()
 	c := New(Options{
 		HasPredecessor: succeeds,
-		Store:          store, Targets: targets, Site: engineSite(t), Codec: cfstandin.Codec{}, Lease: held{}, Policy: Policy{NoTextCopies: true},
+		Store:          store, Targets: targets, Site: engineSite(t), Codec: cfstandin.Codec{}, Lease: heldLease{}, Policy: Policy{NoTextCopies: true},
 		KeepResults: 120_000, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 	c.Start(noTexts)
@@ -102,7 +102,7 @@
 // reads their results for seconds; meanwhile a trainer ends one of them.
 // Cause: the coordinator began to run what it had listed before it had seen what
 // had changed since.
-func TestBatchEndedDuringATakeoverIsNotRun(t *testing.T) {
+func TestBatchEndedDuringTakeoverIsNotRun(t *testing.T) {
 	ctx := context.Background()
 	store := slowStore{cfstandin.NewMemStore(), make(chan struct{}, 1), make(chan struct{})}
 	sub := cf.Submission{ID: "b", Host: "h", Path: "/", Model: "m", MinVersion: 1, Items: []cf.Item{{ID: "1"}, {ID: "2"}}}
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	targets := &countingTargets{}
-	startDuty(t, store, targets)
+	startCoordinator(t, store, targets)
 	<-store.reading
 	if err := store.SetStatus(ctx, cf.KindBatch, "b", cf.BatchStatus{Ended: true}); err != nil {
 		t.Fatal(err)
@@ -137,11 +137,11 @@
 // itself, which is run and ended; then both arrive once more, at once or seconds
 // later.
 // Cause guarded against: beginning a batch on an instance's word alone.
-func TestLateWordOfAnAcceptedBatchBeginsNothing(t *testing.T) {
+func TestLateAcceptanceDoesNotStartBatch(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
 	targets := &countingTargets{}
-	c := startDuty(t, store, targets)
+	c := startCoordinator(t, store, targets)
 	sub := cf.Submission{ID: "b", Host: "h", Path: "/", Model: "m", MinVersion: 1, Items: []cf.Item{{ID: "1"}}, Accepted: cf.Now()}
 	eventually := func(what string, f func() bool) {
 		t.Helper()
@@ -181,7 +181,7 @@
 	late := sub
 	late.Accepted -= 5000
 	c.mu.Lock()
-	clear(c.history.over)
+	clear(c.history.closed)
 	c.mu.Unlock()
 	c.PrepareBatch(late)
 	c.BatchAccepted(late.ID, late.Accepted)
@@ -225,20 +225,20 @@
 			seen[e] = true
 			switch e {
 			case current:
-				to.current = true
+				to.caughtUp = true
 			case texts:
 				n := 1
 				if lost {
 					n = 0
 				}
-				to.take(n)
+				to.textsGathered(n)
 			}
 			if seen[storedRead] && asked > 0 && !answered {
-				to.takeStored()
+				to.storedTextsRead()
 				answered = true
 			}
 			switch to.next(!seen[read], stored) {
-			case takeoverReads:
+			case takeoverReadStored:
 				asked++
 			case takeoverDone:
 				if !seen[current] || !seen[texts] || !seen[read] || lost && stored && !answered {
@@ -247,7 +247,7 @@
 			}
 		}
 		if asked > 0 && !answered {
-			to.takeStored()
+			to.storedTextsRead()
 		}
 		if to.next(false, stored) != takeoverDone {
 			t.Fatalf("order %v, lost %v, stored %v: never done", order, lost, stored)
--- a/io/cfcoord/textlimit_test.go
+++ b/io/cfcoord/textlimit_test.go
@@ -12,15 +12,15 @@
 	cf "currantford"
 )
 
-// textWithoutEnd sends events that follow each other until they are not taken any more.
-type textWithoutEnd struct {
-	deadTargets
+// endlessTargets sends events that follow each other until they are not taken any more.
+type endlessTargets struct {
+	unreachableTargets
 	data  string
 	taken atomic.Int64
 	ended atomic.Bool
 }
 
-func (x *textWithoutEnd) Stream(_ context.Context, _ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
+func (x *endlessTargets) Stream(_ context.Context, _ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 	answer := cf.TargetAnswer{Status: 200}
 	if err := sink.Start(answer); err != nil {
 		return answer, err
@@ -37,11 +37,11 @@
 }
 
 // Guards against: a target whose text has no end, which is kept until the run's time is over.
-func TestTextWithoutEndIsCutOff(t *testing.T) {
+func TestOversizedTextIsCutOff(t *testing.T) {
 	for name, data := range map[string]string{"empty events": "", "events": "0123456789", "large events": strings.Repeat("x", 100<<10)} {
 		t.Run(name, func(t *testing.T) {
-			targets := &textWithoutEnd{data: data}
-			guard, _ := itemWithGuard(t, targets, zap.NewNop())
+			targets := &endlessTargets{data: data}
+			guard, _ := startWithGuard(t, targets, zap.NewNop())
 			guard.Inform("store", nil)
 			for deadline := time.Now().Add(20 * time.Second); !targets.ended.Load(); time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(deadline) {
--- a/io/cfcoord/waiting.go
+++ b/io/cfcoord/waiting.go
@@ -7,16 +7,16 @@
 	"currantford/io/cflog"
 )
 
-// waitingEvery spaces the looks for items that wait although there is room.
-const waitingEvery cf.Millis = 1000
+// waitingCheckInterval spaces the looks for items that wait although there is room.
+const waitingCheckInterval cf.Millis = 1000
 
-// noteWaiting logs items that have been at no engine for long although there is room, with
+// reportWaiting logs items that have been at no engine for long although there is room, with
 // what keeps them, and counts them. c.mu is held.
-func (c *Coordinator) noteWaiting(now cf.Millis) {
-	if now-c.waitingAt < waitingEvery {
+func (c *Coordinator) reportWaiting(now cf.Millis) {
+	if now-c.waitingCheckedAt < waitingCheckInterval {
 		return
 	}
-	c.waitingAt = now
+	c.waitingCheckedAt = now
 	waiting := c.planner.WaitingItems(now)
 	c.Metrics.WaitingItems.Reset()
 	for reason, n := range waiting.Counts {
@@ -33,9 +33,9 @@
 	}
 }
 
-// noteBegun logs that the duty begins to run items, and what it took to learn of the one
+// logStarted logs that the duty begins to run items, and what it took to learn of the one
 // before. c.mu is held.
-func (c *Coordinator) noteBegun() {
+func (c *Coordinator) logStarted() {
 	c.Log.Info("duty_begun", zap.Int("batches", len(c.batches)), zap.Int("inherited", len(c.openInherited())),
-		zap.Int64("took_ms", int64(cf.Uptime()-c.started)))
+		zap.Int64("took_ms", int64(cf.Uptime()-c.startedAt)))
 }
--- a/io/cfcoord/waiting_test.go
+++ b/io/cfcoord/waiting_test.go
@@ -14,10 +14,10 @@
 
 // Guards against: a report of an item that waits, which reads the text that its run appends to.
 // It needs the race detector.
-func TestReportOfASilentRunDoesNotRaceItsEvents(t *testing.T) {
+func TestWaitingReportDoesNotRaceWithEvents(t *testing.T) {
 	site := engineSite(t)
 	c := New(Options{
-		Store: cfstandin.NewMemStore(), Targets: &deadTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: held{},
+		Store: cfstandin.NewMemStore(), Targets: &unreachableTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: heldLease{},
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 	c.mu.Lock()
@@ -36,6 +36,6 @@
 		defer w.Mu.Unlock()
 		_ = w.Text.Append(cf.StreamEvent{ID: 1, Version: 1})
 	}()
-	c.noteWaiting(60_000)
+	c.reportWaiting(60_000)
 	<-done
 }
--- a/io/cfcoord/watchers.go
+++ b/io/cfcoord/watchers.go
@@ -20,7 +20,7 @@
 		return err
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWait, Log: c.Log, OnChange: take,
+		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWatchTimeout, Log: c.Log, OnChange: take,
 		OnList: cfwatch.ForEach(take),
 	}
 }
@@ -37,20 +37,20 @@
 		// Nothing that must last lies on an instance, so one that is to go
 		// is empty at once.
 		c.Log.Info("retirement_done", zap.String("instance", r.Name))
-		return c.retire(r.Name)
+		return c.confirmRetirement(r.Name)
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWait, Log: c.Log, OnChange: take,
+		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWatchTimeout, Log: c.Log, OnChange: take,
 		OnList: cfwatch.ForEach(take),
 	}
 }
 
-func (c *Coordinator) retire(name string) error {
+func (c *Coordinator) confirmRetirement(name string) error {
 	for {
 		err := c.Store.SetStatus(c.ctx, c.Codec.Kinds().Retirements, name, c.Codec.RetirementDone())
 		if err == nil || errors.Is(err, cf.ErrNotFound) || c.ctx.Err() != nil {
 			return nil
 		}
-		c.pause(chunkRetry)
+		c.sleep(chunkRetryDelay)
 	}
 }
--- a/io/cfcoord/weightorders_test.go
+++ b/io/cfcoord/weightorders_test.go
@@ -11,18 +11,18 @@
 	"currantford/core/cfrollout"
 )
 
-// silentTargets leave orders unanswered and show a report.
-type silentTargets struct {
+// unansweringTargets leave orders unanswered and show a report.
+type unansweringTargets struct {
 	cf.Targets
 	report  cf.TargetReport
 	reports int
 }
 
-func (*silentTargets) Order(context.Context, cf.Target, cf.WeightOrder) error {
+func (*unansweringTargets) Order(context.Context, cf.Target, cf.WeightOrder) error {
 	return cf.ErrUnavailable
 }
 
-func (t *silentTargets) Report(context.Context, cf.Target) (cf.TargetReport, error) {
+func (t *unansweringTargets) Report(context.Context, cf.Target) (cf.TargetReport, error) {
 	t.reports++
 	return t.report, nil
 }
@@ -33,10 +33,10 @@
 // Cause: the coordinator waited for the load, and kept work off the engine, until
 // the order counted as lost. A repeat is safe: of an order and its late copy the
 // counter lets only one through.
-func TestOrderThatWasNotTakenIsNotWaitedFor(t *testing.T) {
-	targets := &silentTargets{report: cf.TargetReport{Models: []cf.ModelState{{Name: "m", Version: 1}}, Seq: 4}}
-	o := newOrders(Options{Targets: targets, Site: engineSite(t), Lease: held{}, Log: zap.NewNop()}, func(cf.InstanceID, cf.TargetReport) {})
-	err := o.carryOut(context.Background(), cfrollout.Swap{Target: cf.Target{ID: "e"}, Model: "m", Version: 2}, 1)
+func TestOrderNotTakenReturnsAtOnce(t *testing.T) {
+	targets := &unansweringTargets{report: cf.TargetReport{Models: []cf.ModelState{{Name: "m", Version: 1}}, Seq: 4}}
+	o := newOrderExecutor(Options{Targets: targets, Site: engineSite(t), Lease: heldLease{}, Log: zap.NewNop()}, func(cf.InstanceID, cf.TargetReport) {})
+	err := o.execute(context.Background(), cfrollout.Swap{Target: cf.Target{ID: "e"}, Model: "m", Version: 2}, 1)
 	if !errors.Is(err, errNotTaken) {
 		t.Errorf("error %v, want %v", err, errNotTaken)
 	}
@@ -65,18 +65,18 @@
 
 // A report of the start before must neither reach the planner nor count orders: the
 // engine's counter began anew.
-func TestReportsOfAnEarlierStartArePassedOver(t *testing.T) {
+func TestReportsOfEarlierStartAreIgnored(t *testing.T) {
 	targets := &reportingTargets{reports: []cf.TargetReport{
 		{Born: 20, Seq: 3}, // before the first order
 		{Born: 10, Seq: 9}, // after its conflict: late, of the start before
 		{Born: 20, Seq: 4},
 	}}
 	var taken []int64
-	o := newOrders(Options{Targets: targets, Site: engineSite(t), Lease: held{}, Log: zap.NewNop()},
+	o := newOrderExecutor(Options{Targets: targets, Site: engineSite(t), Lease: heldLease{}, Log: zap.NewNop()},
 		func(_ cf.InstanceID, r cf.TargetReport) { taken = append(taken, r.Seq) })
 	swap := cfrollout.Swap{Target: cf.Target{ID: "e", Born: 20}, Model: "m", Version: 2}
 	for range 2 {
-		if err := o.carryOut(context.Background(), swap, 1); err == nil {
+		if err := o.execute(context.Background(), swap, 1); err == nil {
 			t.Error("an order in conflict succeeded")
 		}
 	}
