--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -10,10 +10,10 @@
 	"currantford/testbed/cfreplay"
 )
 
-const replayed cf.Millis = 60_000
+const replayTime cf.Millis = 60_000
 
-// overloaded returns 15 engines of six slots and four trainers whose texts have so many
-// events on average, as the first deployment of docs/design/3-hard-load.md has them.
+// overloaded returns 15 engines of six slots and four trainers whose texts have the given mean
+// numbers of events, like the first deployment of docs/design/3-hard-load.md.
 func overloaded(seed uint64, events ...float64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
@@ -28,8 +28,8 @@
 	return o
 }
 
-// worth sums up what the trainers got.
-func worth(r *cfreplay.Replay) (sum float64, each []float64) {
+// totalWorth returns the worth of the trainers' results, in total and for each trainer.
+func totalWorth(r *cfreplay.Replay) (sum float64, each []float64) {
 	for _, o := range r.Outcomes() {
 		sum += o.Worth
 		each = append(each, o.Worth)
@@ -37,10 +37,9 @@
 	return sum, each
 }
 
-// partInTime returns the groups in time at a load, a multiple of the capacity, as a part of a
-// bound that knows the true lengths, fills all slots from the first moment on and loads no
-// weights.
-func partInTime(load float64) float64 {
+// shareInTime returns the groups in time at a load, given as a multiple of the capacity, as a part
+// of an upper bound that knows the true lengths, always fills all slots and loads no weights.
+func shareInTime(load float64) float64 {
 	inTime, best := 0, 0
 	for seed := range uint64(2) {
 		n := int(math.Round(38 * load))
@@ -48,21 +47,22 @@
 		o.Engines.Count = 4
 		o.Trainers = []cfreplay.Trainer{{Model: "a", Events: 14, Longest: 98, Least: n, Most: n, Size: 8, Want: 0.9, Every: 4000, Train: 750}}
 		r := cfreplay.New(o)
-		r.Run(20_000) // lengths are not known before
+		r.Run(20_000) // lengths are unknown before
 		before := r.Outcomes()[0]
-		r.Run(20_000 + replayed)
+		r.Run(20_000 + replayTime)
 		inTime += r.Outcomes()[0].InTime - before.InTime
 		best += r.Outcomes()[0].Best - before.Best
 	}
 	return float64(inTime) / float64(best)
 }
 
-// Guards against steps beyond capacity that end late in nearly all groups: at 1.5 times
-// and more, work on all groups at once has none in time. The stated part is asked by
-// TestGroupsInTimeReachTheStatedPart; this one keeps what is reached.
+// TestGroupsInTimeAgainstABound guards against steps beyond capacity in which nearly all groups are
+// late. From 1.5 times the capacity on, no group is in time if all groups are worked on at once.
+// TestGroupsInTimeReachTheStatedPart checks the required part; this test checks the part that is
+// reached.
 func TestGroupsInTimeAgainstABound(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.8, 0.95}, {1, 0.8}, {1.5, 0.8}, {2, 0.78}, {3, 0.78}} {
-		part := partInTime(c.load)
+		part := shareInTime(c.load)
 		t.Logf("at %.1f times the capacity %.3f of the bound is in time", c.load, part)
 		if part < c.least {
 			t.Errorf("at %.1f times the capacity %.3f of the bound is in time, want %.2f", c.load, part, c.least)
@@ -70,54 +70,54 @@
 	}
 }
 
-// Guards against a selection that leaves more than a tenth of what is possible undone, at
-// any load.
+// TestGroupsInTimeReachTheStatedPart guards against a selection that leaves more than a tenth of
+// the possible groups incomplete, at any load.
 func TestGroupsInTimeReachTheStatedPart(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.5, 2, 3} {
-		if part := partInTime(load); part < 0.9 {
+		if part := shareInTime(load); part < 0.9 {
 			t.Errorf("at %.1f times the capacity %.3f of the bound is in time, want 0.9", load, part)
 		}
 	}
 }
 
-// Guards against a closed loop of trainers in which each step ends at the trainers'
-// time-out, and against one trainer that pays for the others.
-func TestTrainersGoOnBeyondCapacity(t *testing.T) {
+// TestTrainersProgressBeyondCapacity guards against a closed loop in which each step ends at the
+// trainers' timeout, and against one trainer losing out to the others.
+func TestTrainersProgressBeyondCapacity(t *testing.T) {
 	for name, disturb := range map[string]func(*cfreplay.Replay){
-		"undisturbed": func(*cfreplay.Replay) {},
-		"slow spell":  func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
-		"lost domain": func(r *cfreplay.Replay) { r.Run(30_000); r.Lose("d1") },
+		"undisturbed":  func(*cfreplay.Replay) {},
+		"slow engines": func(r *cfreplay.Replay) { r.Run(8000); r.Slow(3, 4); r.Run(16_000); r.Slow(0, 1) },
+		"lost domain":  func(r *cfreplay.Replay) { r.Run(30_000); r.Lose("d1") },
 	} {
-		play := func(limits cfrollout.Limits) (float64, []float64) {
+		run := func(limits cfrollout.Limits) (float64, []float64) {
 			o := overloaded(3, 25, 27, 32, 35)
 			o.Limits = limits
 			r := cfreplay.New(o)
 			disturb(r)
-			r.Run(replayed)
-			return worth(r)
+			r.Run(replayTime)
+			return totalWorth(r)
 		}
-		got, each := play(cfrollout.DefaultLimits)
+		got, each := run(cfrollout.DefaultLimits)
 		all := cfrollout.DefaultLimits
 		all.AllGroups = true
-		before, _ := play(all)
+		before, _ := run(all)
 		if got < 1.3*before {
-			t.Errorf("%s: worth %.1f with selected groups, %.1f with all", name, got, before)
+			t.Errorf("%s: results worth %.1f with selected groups, %.1f with all groups", name, got, before)
 		}
 		for i, w := range each {
 			if w < got/float64(len(each))/2 {
-				t.Errorf("%s: trainer %d gets %.1f of %.1f", name, i, w, got)
+				t.Errorf("%s: trainer %d gets results worth %.1f of %.1f", name, i, w, got)
 			}
 		}
 	}
 }
 
-// Guards against engines that change hands with each step, and load weights for it, while
-// the trainers' needs stay what they are.
+// TestSharesDoNotFollowEachStep guards against engines that change their model with each step, and
+// load weights for it, while the trainers' needs stay the same.
 func TestSharesDoNotFollowEachStep(t *testing.T) {
 	r := cfreplay.New(overloaded(5, 12, 12, 12, 12))
 	r.Run(20_000)
 	changes, before := 0, r.Shares()
-	for now := cf.Millis(20_000); now < replayed; now += 500 {
+	for now := cf.Millis(20_000); now < replayTime; now += 500 {
 		r.Run(now)
 		after := r.Shares()
 		for m, n := range after {
@@ -126,24 +126,25 @@
 		before = after
 	}
 	if changes > 4 {
-		t.Errorf("engines changed hands %d times in 40 s", changes)
+		t.Errorf("engines changed their model %d times in 40 s", changes)
 	}
 }
 
-// Guards against weights that change nothing: the share of a trainer that counts twice.
-func TestWeightsOfShares(t *testing.T) {
+// TestShareWeights guards against share weights without effect: here one trainer counts twice.
+func TestShareWeights(t *testing.T) {
 	o := overloaded(5, 12, 12)
 	o.Trainers[1].Size = o.Trainers[0].Size
 	o.Weights = map[cf.ModelName]float64{"m0": 2}
 	r := cfreplay.New(o)
 	r.Run(20_000)
 	if s := r.Shares(); s["m0"] < 9 || s["m1"] < 4 {
-		t.Errorf("15 engines are divided %v, with twice the weight for m0", s)
+		t.Errorf("15 engines are divided into %v, with twice the weight for m0", s)
 	}
 }
 
-// Guards against groups that end late still when the load has gone.
-func TestStepsAreInTimeAgainWhenLoadHasGone(t *testing.T) {
+// TestStepsAreInTimeAgainAfterOverload guards against groups that are still late after the overload
+// has ended.
+func TestStepsAreInTimeAgainAfterOverload(t *testing.T) {
 	o := overloaded(7, 10, 35, 35, 35)
 	for i := range 3 {
 		o.Trainers[i+1].Until = 25_000
@@ -151,9 +152,9 @@
 	r := cfreplay.New(o)
 	r.Run(45_000)
 	before := r.Outcomes()[0]
-	r.Run(replayed + 30_000)
+	r.Run(replayTime + 30_000)
 	after := r.Outcomes()[0]
 	if inTime, owed := after.InTime-before.InTime, after.Owed-before.Owed; owed < 60 || float64(inTime) < 0.9*float64(owed) {
-		t.Errorf("%d of %d groups in time in 45 s alone", inTime, owed)
+		t.Errorf("%d of %d groups in time in the 45 s after the overload", inTime, owed)
 	}
 }
--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -207,12 +207,12 @@
 			holders = append(holders, id)
 		}
 	}
-	begin, ask := st.startGate.Check(holders, cf.Uptime())
-	for _, id := range ask {
+	start, toCheck := st.startGate.Check(holders, cf.Uptime())
+	for _, id := range toCheck {
 		c.Log.Info("batch_waits_for_end", cflog.Batch(st.batch.Sub.ID), zap.String("of", string(id)))
 		c.wg.Go(func() { c.checkEnded(st, id) })
 	}
-	return begin
+	return start
 }
 
 // checkEnded asks the store whether a batch has ended that another one waits for.
@@ -223,13 +223,13 @@
 			err = c.applyBatch(r)
 		}
 		c.mu.Lock()
-		over := st.planned || st.batch.Ended
+		done := st.planned || st.batch.Ended
 		if err == nil && !cfbatch.Ended(r) {
 			st.startGate.MarkOpen(id)
 		}
 		c.mu.Unlock()
 		c.Wake()
-		if err == nil || over || !c.sleep(readRetryDelay) {
+		if err == nil || done || !c.sleep(readRetryDelay) {
 			return
 		}
 	}
--- a/io/cfcoord/checkpoint.go
+++ b/io/cfcoord/checkpoint.go
@@ -76,8 +76,8 @@
 		st := c.batches[id]
 		return st != nil && !st.batch.Ended
 	}
-	parts, over := c.uncopiedTexts(copied, maxCheckpointBytes, open)
-	copied.forget(over)
+	parts, ended := c.uncopiedTexts(copied, maxCheckpointBytes, open)
+	copied.forget(ended)
 	for _, p := range parts {
 		if _, known := out[p.batch]; !known {
 			out[p.batch] = checkpoint{Texts: map[cf.ItemID]cfrollout.Text{}}
--- a/io/cfcoord/chunks.go
+++ b/io/cfcoord/chunks.go
@@ -61,15 +61,15 @@
 	c.Metrics.Chunks.WithLabelValues("reread").Inc()
 	c.Log.Warn("chunk_in_doubt", cflog.Batch(st.batch.Sub.ID), zap.String("chunk", name), cflog.Error(cause))
 	for err := cause; c.ctx.Err() == nil; r, err = c.Store.Get(c.ctx, cf.KindResults(st.batch.Sub.ID), name) {
-		there := r.Name == name && len(r.Spec) > 0
-		if !there && !errors.Is(err, cf.ErrNotFound) {
+		stored := r.Name == name && len(r.Spec) > 0
+		if !stored && !errors.Is(err, cf.ErrNotFound) {
 			if err != cause {
 				c.sleep(chunkRetryDelay)
 			}
 			continue
 		}
 		c.mu.Lock()
-		if there {
+		if stored {
 			if err := st.batch.ApplyAll([]cf.Record{r}); err != nil {
 				c.Log.Error("chunks_not_taken", cflog.Batch(st.batch.Sub.ID), cflog.Error(err))
 			}
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -93,9 +93,9 @@
 		Guard *cfguard.Guard
 		// MirrorPeers takes copies of the texts under way.
 		MirrorPeers MirrorPeers
-		// LoadLimit is how many engines may load weights at once, as the coordinator
+		// MaxLoads is how many engines may load weights at once, as the coordinator
 		// before has learned; zero if it has not.
-		LoadLimit int
+		MaxLoads int
 		// HasPredecessor says that another coordinator may have been there before.
 		HasPredecessor bool
 		// PageBudget is what the link may carry of pages of results; nil is no bound.
@@ -196,7 +196,7 @@
 	if o.StreamRouter == nil {
 		o.StreamRouter = localStreams{o.Targets, o.Self}
 	}
-	limits.LearnedLoads = o.LoadLimit
+	limits.LearnedLoads = o.MaxLoads
 	limits.LongOnSlow, limits.SwapWhenIdle = o.Policy.LongOnSlow, o.Policy.SwapWhenIdle
 	limits.AllGroups, limits.LeastLeft, limits.LoadUnderRuns = o.Policy.AllGroups, o.Policy.LeastLeft, o.Policy.LoadUnderRuns
 	limits.NoSlowPeriods = o.Policy.NoSlowPeriods
@@ -212,7 +212,7 @@
 	c.orders = newOrderExecutor(o, c.engineReported)
 	limits.Admit = c.admit
 	c.planner = cfrollout.New(limits)
-	c.planner.SetWeights(o.Policy.ShareWeights)
+	c.planner.SetShareWeights(o.Policy.ShareWeights)
 	return c
 }
 
@@ -224,10 +224,10 @@
 // Start begins the duty: it loads the batches and runs what is open. gather
 // returns the texts of the coordinator before; it runs beside the reading of the
 // batches, and nothing is run before both are done.
-func (c *Coordinator) Start(gather func(context.Context) map[cf.ItemID]cfrollout.Text) {
+func (c *Coordinator) Start(gatherTexts func(context.Context) map[cf.ItemID]cfrollout.Text) {
 	c.wg.Go(c.planLoop)
 	c.wg.Go(c.watchStalls)
-	c.wg.Go(func() { c.adoptTexts(gather(c.ctx)) })
+	c.wg.Go(func() { c.adoptTexts(gatherTexts(c.ctx)) })
 	if !c.Policy.NoTextCopies {
 		c.wg.Go(c.mirrorTexts)
 	}
@@ -429,7 +429,7 @@
 
 // refreshEngines tells the planner what has changed of the engines, or, where the
 // configuration has, of all.
-func (c *Coordinator) refreshEngines(config *cfsite.Config, all bool) {
+func (c *Coordinator) refreshEngines(config *cfsite.Config, reload bool) {
 	models := map[cf.ServiceName][]cf.ModelName{}
 	for _, s := range config.Services {
 		if len(s.Models) > 0 {
@@ -440,7 +440,7 @@
 			c.versionTimes.record(m, c.planner.LatestVersion(m), cf.Uptime())
 		}
 	}
-	if all {
+	if reload {
 		c.seenChanges = 0
 	}
 	delta := c.Site.TargetsSince(c.seenChanges)
--- a/io/cfcoord/history.go
+++ b/io/cfcoord/history.go
@@ -75,8 +75,8 @@
 			continue
 		}
 		size += st.batch.Size()
-		late := st.inherited && !st.batch.Complete()
-		if (late || size > maxEndedBytes) && st.pending.Len() == 0 {
+		mayGrow := st.inherited && !st.batch.Complete()
+		if (mayGrow || size > maxEndedBytes) && st.pending.Len() == 0 {
 			delete(batches, id)
 		}
 	}
--- a/io/cfcoord/linkbudget.go
+++ b/io/cfcoord/linkbudget.go
@@ -47,8 +47,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := b.rate * float64(pageBurst)
-	b.available = min(most, b.available+b.rate*float64(now-b.updatedAt))
+	limit := b.rate * float64(pageBurst)
+	b.available = min(limit, b.available+b.rate*float64(now-b.updatedAt))
 	b.updatedAt = now
 	if b.available <= 0 {
 		return false
--- a/io/cfcoord/linkbudget_test.go
+++ b/io/cfcoord/linkbudget_test.go
@@ -20,8 +20,8 @@
 			passed += page
 		}
 	}
-	if most := 11*mbps*bytesPerMsPerMbps*1000*pageShare + page; float64(passed) > most {
-		t.Errorf("%d bytes of pages passed in 10 s, want %.0f at most", passed, most)
+	if limit := 11*mbps*bytesPerMsPerMbps*1000*pageShare + page; float64(passed) > limit {
+		t.Errorf("%d bytes of pages passed in 10 s, want %.0f at most", passed, limit)
 	}
 	if passed < 8*page {
 		t.Errorf("%d bytes of pages passed in 10 s: less than the link has room for", passed)
@@ -29,12 +29,12 @@
 	if !b.Spend(minBudgetedPage-1, 10000) {
 		t.Error("a small page is turned away")
 	}
-	if lone := NewLinkBudget(mbps); !lone.Spend(page, 0) {
+	if unused := NewLinkBudget(mbps); !unused.Spend(page, 0) {
 		t.Error("a lone reader's page is turned away")
 	}
-	free := NewLinkBudget(0)
+	unbounded := NewLinkBudget(0)
 	for range 100 {
-		if !free.Spend(page, 0) {
+		if !unbounded.Spend(page, 0) {
 			t.Fatal("a link without a bound turns a page away")
 		}
 	}
--- a/io/cfcoord/mirror.go
+++ b/io/cfcoord/mirror.go
@@ -75,27 +75,27 @@
 	ticker := time.NewTicker(mirrorInterval)
 	defer ticker.Stop()
 	copied := newCopyProgress(minMirrorEvents)
-	at, failures := "", 0
+	peer, failures := "", 0
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if at == "" || failures == maxMirrorFailures {
-			before := at
-			if at, failures = c.MirrorPeers.Choose(before), 0; at != before {
+		if peer == "" || failures == maxMirrorFailures {
+			previous := peer
+			if peer, failures = c.MirrorPeers.Choose(previous), 0; peer != previous {
 				copied.reset() // the new one holds nothing
 			}
 		}
-		if at == "" {
+		if peer == "" {
 			continue
 		}
 		part := c.nextMirrorPart(copied)
 		if len(part.Texts)+len(part.Ended) == 0 {
 			continue
 		}
-		missing, err := c.MirrorPeers.Copy(at, part)
+		missing, err := c.MirrorPeers.Copy(peer, part)
 		if err != nil {
 			failures++
 			continue
@@ -124,26 +124,26 @@
 // uncopiedTexts returns what is to be copied of the texts that have grown in the batches
 // wanted, the longest first, most bytes in all, and the copied texts that are over.
 // c.mu is held.
-func (c *Coordinator) uncopiedTexts(copied *copyProgress, most int, wanted func(cf.BatchID) bool) (parts []textPart, ended []cf.ItemID) {
-	held := map[cf.ItemID]bool{}
+func (c *Coordinator) uncopiedTexts(copied *copyProgress, maxBytes int, wanted func(cf.BatchID) bool) (parts []textPart, ended []cf.ItemID) {
+	current := map[cf.ItemID]bool{}
 	c.forEachText(func(batch cf.BatchID, id cf.ItemID, t *cfrollout.Text) {
-		held[id] = true
+		current[id] = true
 		if !wanted(batch) {
 			return
 		}
-		if next, news := copied.nextPart(id, t); news {
+		if next, changed := copied.nextPart(id, t); changed {
 			parts = append(parts, textPart{batch, id, next})
 		}
 	})
 	slices.SortFunc(parts, func(a, b textPart) int { return cmp.Compare(b.text.Last, a.text.Last) })
 	size := 0
 	for i, p := range parts {
-		if size += p.text.Size(); i > 0 && size > most {
+		if size += p.text.Size(); i > 0 && size > maxBytes {
 			parts = parts[:i]
 			break
 		}
 	}
-	return parts, copied.endedTexts(held)
+	return parts, copied.endedTexts(current)
 }
 
 // forEachText calls f for the texts of all items that run, or are complete and not
@@ -164,7 +164,7 @@
 }
 
 // nextPart returns what is to be copied of a text, false if there is no news of it.
-func (k *copyProgress) nextPart(id cf.ItemID, t *cfrollout.Text) (part cfrollout.Text, news bool) {
+func (k *copyProgress) nextPart(id cf.ItemID, t *cfrollout.Text) (part cfrollout.Text, changed bool) {
 	from := k.texts[id]
 	if from.origin != t.Origin {
 		from = copiedText{} // the item has begun anew
@@ -180,11 +180,11 @@
 
 // acknowledge notes that the parts of texts have arrived, and word of those that are
 // over.
-func (k *copyProgress) acknowledge(parts map[cf.ItemID]cfrollout.Text, over []cf.ItemID) {
+func (k *copyProgress) acknowledge(parts map[cf.ItemID]cfrollout.Text, ended []cf.ItemID) {
 	for id, t := range parts {
 		k.texts[id] = copiedText{t.Origin, t.Last, t.Complete}
 	}
-	k.forget(over)
+	k.forget(ended)
 }
 
 // forget forgets what is known of texts: those that are over, and those of which the
@@ -196,10 +196,10 @@
 }
 
 // endedTexts returns the copied texts that are not held any more.
-func (k *copyProgress) endedTexts(held map[cf.ItemID]bool) []cf.ItemID {
+func (k *copyProgress) endedTexts(current map[cf.ItemID]bool) []cf.ItemID {
 	var ended []cf.ItemID
 	for id := range k.texts {
-		if !held[id] {
+		if !current[id] {
 			ended = append(ended, id)
 		}
 	}
--- a/io/cfcoord/mirror_test.go
+++ b/io/cfcoord/mirror_test.go
@@ -156,11 +156,11 @@
 
 // mirrorPeer takes copies whose acknowledgements are lost while lost is set.
 type mirrorPeer struct {
-	mu     sync.Mutex
-	held   Mirror
-	lost   bool
-	copies int
-	bytes  int
+	mu       sync.Mutex
+	mirror   Mirror
+	dropAcks bool
+	copies   int
+	bytes    int
 }
 
 func (n *mirrorPeer) Choose(string) string { return "neighbour" }
@@ -172,8 +172,8 @@
 	for _, t := range part.Texts {
 		n.bytes += t.Size()
 	}
-	missing := n.held.Apply(part)
-	if n.lost {
+	missing := n.mirror.Apply(part)
+	if n.dropAcks {
 		return nil, cf.ErrUnavailable
 	}
 	return missing, nil
@@ -186,7 +186,7 @@
 // Cause: after each copy without an answer all texts were copied from their
 // beginnings, 2 to 8 MB a second over a link of 7.5.
 func TestUnacknowledgedCopiesAreNotRestarted(t *testing.T) {
-	n := &mirrorPeer{lost: true}
+	n := &mirrorPeer{dropAcks: true}
 	c := New(Options{Lease: heldLease{}, MirrorPeers: n})
 	const texts, events, size = 200, 100, 240 // a step of four MB
 	for i := range texts {
@@ -208,7 +208,7 @@
 	if n.bytes > 5*maxMirrorBytes {
 		t.Errorf("5 copies without an answer sent %d bytes, want %d at most", n.bytes, 5*maxMirrorBytes)
 	}
-	n.lost = false
+	n.dropAcks = false
 	before := n.bytes
 	for range texts * events * size / (maxMirrorBytes / 2) {
 		part := c.nextMirrorPart(copied)
@@ -222,8 +222,8 @@
 	if sent := n.bytes - before; sent > texts*events*size {
 		t.Errorf("%d bytes were sent of %d", sent, texts*events*size)
 	}
-	if len(n.held.Texts) != texts {
-		t.Errorf("the neighbour holds %d of %d texts", len(n.held.Texts), texts)
+	if len(n.mirror.Texts) != texts {
+		t.Errorf("the neighbour holds %d of %d texts", len(n.mirror.Texts), texts)
 	}
 }
 
--- a/io/cfcoord/quarantine_test.go
+++ b/io/cfcoord/quarantine_test.go
@@ -74,7 +74,7 @@
 	if n := targets.runs.Load(); n > 0 {
 		t.Errorf("%d runs before it is known what is held", n)
 	}
-	guard.Inform("store", nil)
+	guard.Sync("store", nil)
 	for deadline := time.Now().Add(20 * time.Second); targets.runs.Load() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no run once it is known")
@@ -91,7 +91,7 @@
 		t.Run(fmt.Sprint("sent ", sent), func(t *testing.T) {
 			targets := &unreachableTargets{sent: sent}
 			guard, sub := startWithGuard(t, targets, zap.NewNop())
-			guard.Inform("store", nil)
+			guard.Sync("store", nil)
 			for deadline := time.Now().Add(20 * time.Second); targets.runs.Load() < 3; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Fatalf("%d tries", targets.runs.Load())
@@ -99,8 +99,8 @@
 			}
 			time.Sleep(50 * time.Millisecond) // the last end is taken
 			v := guard.Table.Evaluate(cfquarantine.KeyOfItem(&sub, sub.Items[0]), cf.Uptime())
-			if held := v.RetryAt > 0; held != sent {
-				t.Errorf("held %v after three targets were lost, want %v", held, sent)
+			if quarantined := v.RetryAt > 0; quarantined != sent {
+				t.Errorf("held %v after three targets were lost, want %v", quarantined, sent)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 	core, logs := observer.New(zap.InfoLevel)
 	targets := &crashingTargets{}
 	guard, sub := startWithGuard(t, targets, zap.New(core))
-	guard.Inform("store", nil)
+	guard.Sync("store", nil)
 	for deadline := time.Now().Add(20 * time.Second); logs.FilterField(zap.String("outcome", "done")).Len() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("%d runs, none of them to its end", targets.runs.Load())
--- a/io/cfcoord/reads.go
+++ b/io/cfcoord/reads.go
@@ -96,7 +96,7 @@
 // ReadForPeer reads a batch for another instance: the page, or where its results lie
 // in the store if this instance's link has no room for them. whole asks for the page
 // in any case, and counts like any other.
-func (c *Coordinator) ReadForPeer(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, whole bool) (cf.ResultPage, *cfbatch.PageRef, error) {
+func (c *Coordinator) ReadForPeer(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, forcePage bool) (cf.ResultPage, *cfbatch.PageRef, error) {
 	page, err := c.Results(ctx, id, after, wait)
 	if err != nil {
 		return page, nil, err
@@ -105,7 +105,7 @@
 	for _, r := range page.Results {
 		size += len(r.Output)
 	}
-	if c.PageBudget == nil || c.PageBudget.Spend(size, cf.Uptime()) || whole {
+	if c.PageBudget == nil || c.PageBudget.Spend(size, cf.Uptime()) || forcePage {
 		return page, nil, nil
 	}
 	c.mu.Lock()
@@ -114,8 +114,8 @@
 	if st == nil {
 		return page, nil, nil // dropped from memory meanwhile
 	}
-	places := st.batch.PageRef(after, page)
-	return cf.ResultPage{}, &places, nil
+	ref := st.batch.PageRef(after, page)
+	return cf.ResultPage{}, &ref, nil
 }
 
 // ItemBody returns the body of an item of an open batch.
--- a/io/cfcoord/reads_test.go
+++ b/io/cfcoord/reads_test.go
@@ -102,8 +102,8 @@
 	}
 	eventually("duty", func() bool { return c.takeover.done })
 	sub := cf.Submission{ID: "b", Host: "h", Path: "/", Model: "m", MinVersion: 1, Items: []cf.Item{{ID: "1"}, {ID: "2"}}, Accepted: cf.Now()}
-	for _, told := range []bool{false, true} {
-		if told {
+	for _, announced := range []bool{false, true} {
+		if announced {
 			sub.ID = "c"
 			c.PrepareBatch(sub)
 		}
@@ -118,7 +118,7 @@
 		time.Sleep(rereadInterval.Duration())
 		page, err := c.Results(ctx, sub.ID, 0, 0)
 		if err == nil && len(page.Results) == 0 {
-			t.Errorf("told=%v: no result at position 0, where the store has one", told)
+			t.Errorf("told=%v: no result at position 0, where the store has one", announced)
 		}
 	}
 }
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -125,7 +125,7 @@
 // admitDeferred asks the guard whether an item or a reward call may be sent. The planners ask again
 // at each look while it may not; each pause is logged once. c.mu is held.
 func (c *Coordinator) admitDeferred(id cf.RequestID, key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
-	v := c.Guard.AdmitOwed(key, target, w)
+	v := c.Guard.AdmitDeferred(key, target, w)
 	if v.RetryAt > 0 && c.loggedPauses[id] != v.RetryAt {
 		if len(c.loggedPauses) >= maxLoggedPauses {
 			now := cf.Uptime()
@@ -174,7 +174,7 @@
 	if at == 0 {
 		at = cf.Uptime()
 	}
-	k.work.Progress.Note(at)
+	k.work.Progress.RecordEvent(at)
 	k.work.Mu.Lock()
 	defer k.work.Mu.Unlock()
 	if k.size += len(ev.Data) + eventOverhead; k.size > maxTextBytes {
--- a/io/cfcoord/startgate_test.go
+++ b/io/cfcoord/startgate_test.go
@@ -51,7 +51,7 @@
 	store := delayedWatch{cfstandin.NewMemStore(), &atomic.Bool{}}
 	targets := &noRewardTargets{}
 	c := startCoordinator(t, store, targets)
-	await := func(what string, f func() bool) {
+	eventually := func(what string, f func() bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			c.mu.Lock()
@@ -75,16 +75,16 @@
 		}
 		c.BatchAccepted(sub.ID, sub.Accepted)
 	}
-	await("duty", func() bool { return c.takeover.done })
+	eventually("duty", func() bool { return c.takeover.done })
 	accept("a")
-	await("complete texts", func() bool { return len(c.unlisted) == 2 })
+	eventually("complete texts", func() bool { return len(c.unlisted) == 2 })
 	store.silent.Store(true)
 	if err := store.SetStatus(ctx, cf.KindBatch, "a", cf.BatchStatus{Ended: true}); err != nil {
 		t.Fatal(err)
 	}
 	accept("b")
-	await("next step", func() bool { return c.batches["b"] != nil && c.batches["b"].planned })
-	await("texts of the next step", func() bool { return len(c.unlisted) == 2 && !c.planner.HasWork() })
+	eventually("next step", func() bool { return c.batches["b"] != nil && c.batches["b"].planned })
+	eventually("texts of the next step", func() bool { return len(c.unlisted) == 2 && !c.planner.HasWork() })
 	if n := targets.runs.Load(); n != 2 {
 		t.Errorf("%d runs of 2 items", n)
 	}
--- a/io/cfcoord/takeover.go
+++ b/io/cfcoord/takeover.go
@@ -28,10 +28,10 @@
 )
 
 // textsGathered notes that the texts of the instances before have come, so many of them.
-func (t *takeover) textsGathered(texts int) {
+func (t *takeover) textsGathered(count int) {
 	t.gathered = true
 	// Without any the instances that held them are lost as well.
-	t.textsLost = texts == 0
+	t.textsLost = count == 0
 }
 
 // storedTextsRead notes that the texts in the store have been read.
@@ -39,11 +39,11 @@
 
 // next returns what is to be done now. reading says that batches from before are still
 // being read, stored whether the store may have texts of any.
-func (t *takeover) next(reading, stored bool) takeoverStep {
+func (t *takeover) next(loading, stored bool) takeoverStep {
 	switch {
 	case t.done:
 		return takeoverDone
-	case !t.caughtUp || !t.gathered || reading:
+	case !t.caughtUp || !t.gathered || loading:
 		return takeoverWait
 	case t.textsLost && t.readingStored:
 		return takeoverWait // their arrival asks again
--- a/io/cfcoord/takeover_test.go
+++ b/io/cfcoord/takeover_test.go
@@ -151,14 +151,14 @@
 			}
 		}
 	}
-	is := func(f func() bool) func() bool {
+	locked := func(f func() bool) func() bool {
 		return func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return f()
 		}
 	}
-	eventually("duty", is(func() bool { return c.takeover.done }))
+	eventually("duty", locked(func() bool { return c.takeover.done }))
 	c.BatchAccepted(sub.ID, sub.Accepted)
 	time.Sleep(50 * time.Millisecond)
 	if n := targets.runs.Load(); n != 0 {
@@ -172,7 +172,7 @@
 	if err := store.SetStatus(ctx, cf.KindBatch, "b", cf.BatchStatus{Ended: true}); err != nil {
 		t.Fatal(err)
 	}
-	eventually("end", is(func() bool { return c.batches["b"] == nil || c.batches["b"].batch.Ended }))
+	eventually("end", locked(func() bool { return c.batches["b"] == nil || c.batches["b"].batch.Ended }))
 	c.mu.Lock()
 	delete(c.batches, "b") // as once it need not be kept in memory
 	c.mu.Unlock()
@@ -202,9 +202,9 @@
 		storedRead
 		events
 	)
-	var play func(done []event, lost, stored bool)
-	plays := 0
-	play = func(order []event, lost, stored bool) {
+	var permute func(done []event, lost, stored bool)
+	permutations := 0
+	permute = func(order []event, lost, stored bool) {
 		if len(order) < int(events) {
 		next:
 			for e := range events {
@@ -213,11 +213,11 @@
 						continue next
 					}
 				}
-				play(append(order[:len(order):len(order)], e), lost, stored)
+				permute(append(order[:len(order):len(order)], e), lost, stored)
 			}
 			return
 		}
-		plays++
+		permutations++
 		var to takeover
 		seen := map[event]bool{}
 		asked, answered := 0, false
@@ -258,10 +258,10 @@
 	}
 	for _, lost := range []bool{false, true} {
 		for _, stored := range []bool{false, true} {
-			play(nil, lost, stored)
+			permute(nil, lost, stored)
 		}
 	}
-	if plays != 4*24 {
-		t.Errorf("%d orders played", plays)
+	if permutations != 4*24 {
+		t.Errorf("%d orders played", permutations)
 	}
 }
--- a/io/cfcoord/textlimit_test.go
+++ b/io/cfcoord/textlimit_test.go
@@ -15,9 +15,9 @@
 // endlessTargets sends events that follow each other until they are not taken any more.
 type endlessTargets struct {
 	unreachableTargets
-	data  string
-	taken atomic.Int64
-	ended atomic.Bool
+	data     string
+	accepted atomic.Int64
+	ended    atomic.Bool
 }
 
 func (x *endlessTargets) Stream(_ context.Context, _ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
@@ -25,12 +25,12 @@
 	if err := sink.Start(answer); err != nil {
 		return answer, err
 	}
-	for id := call.ResumeAfter + 1; x.taken.Load() < 64<<20; id++ {
+	for id := call.ResumeAfter + 1; x.accepted.Load() < 64<<20; id++ {
 		if err := sink.Event(cf.StreamEvent{ID: id, Data: x.data, Version: 1}); err != nil {
 			x.ended.Store(true)
 			return answer, err
 		}
-		x.taken.Add(int64(len("id: 1\ndata: \n\n") + len(x.data)))
+		x.accepted.Add(int64(len("id: 1\ndata: \n\n") + len(x.data)))
 	}
 	x.ended.Store(true)
 	return answer, cf.ErrBadAnswer
@@ -42,13 +42,13 @@
 		t.Run(name, func(t *testing.T) {
 			targets := &endlessTargets{data: data}
 			guard, _ := startWithGuard(t, targets, zap.NewNop())
-			guard.Inform("store", nil)
+			guard.Sync("store", nil)
 			for deadline := time.Now().Add(20 * time.Second); !targets.ended.Load(); time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Fatal("no run has ended")
 				}
 			}
-			if n := targets.taken.Load(); n > 8<<20 {
+			if n := targets.accepted.Load(); n > 8<<20 {
 				t.Errorf("%d bytes of one text were taken", n)
 			}
 		})
--- a/io/cfcoord/watchers.go
+++ b/io/cfcoord/watchers.go
@@ -11,7 +11,7 @@
 )
 
 func (c *Coordinator) versionWatcher() *cfwatch.Watcher {
-	take := func(r cf.Record) error {
+	apply := func(r cf.Record) error {
 		changed, err := c.Site.ApplyWeightVersion(r)
 		if changed {
 			c.Log.Info("version_named", zap.String("model", r.Name), zap.Int64("revision", int64(r.Rev)))
@@ -20,13 +20,13 @@
 		return err
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWatchTimeout, Log: c.Log, OnChange: take,
-		OnList: cfwatch.ForEach(take),
+		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWatchTimeout, Log: c.Log, OnChange: apply,
+		OnList: cfwatch.ForEach(apply),
 	}
 }
 
 func (c *Coordinator) retirementWatcher() *cfwatch.Watcher {
-	take := func(r cf.Record) error {
+	apply := func(r cf.Record) error {
 		if r.Deleted {
 			return nil
 		}
@@ -40,8 +40,8 @@
 		return c.confirmRetirement(r.Name)
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWatchTimeout, Log: c.Log, OnChange: take,
-		OnList: cfwatch.ForEach(take),
+		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWatchTimeout, Log: c.Log, OnChange: apply,
+		OnList: cfwatch.ForEach(apply),
 	}
 }
 
--- a/io/cfcoord/weightorders.go
+++ b/io/cfcoord/weightorders.go
@@ -153,7 +153,7 @@
 				return errNotTaken // it has started again, without the order
 			}
 		}
-		if _, up := o.site.Target(s.Target.ID); !up {
+		if _, listed := o.site.Target(s.Target.ID); !listed {
 			return cf.ErrNotFound
 		}
 		if time.Now().After(deadline) {
