--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -140,12 +140,12 @@
 
 // readBatch reads a batch, with its results where an earlier coordinator may have
 // worked on it; a batch that was created since has none.
-func (c *Coordinator) readBatch(r cf.Record, inherited, shared bool) (*batchState, error) {
+func (c *Coordinator) readBatch(r cf.Record, inherited, predecessorMayWrite bool) (*batchState, error) {
 	for {
-		b, err := cfbatch.Fetch(c.ctx, c.Store, r, shared)
+		b, err := cfbatch.Fetch(c.ctx, c.Store, r, predecessorMayWrite)
 		if err == nil {
 			return &batchState{
-				batch: b, changed: make(chan struct{}), inherited: inherited, predecessorMayWrite: shared, loadedAt: cf.Uptime(), measured: b.ListedCount(),
+				batch: b, changed: make(chan struct{}), inherited: inherited, predecessorMayWrite: predecessorMayWrite, loadedAt: cf.Uptime(), measured: b.ListedCount(),
 			}, nil
 		}
 		if errors.Is(err, cf.ErrInvalid) {
