--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -16,7 +16,7 @@
 
 // Guards against: lines of all pauses at each look while many items pause at once.
 func TestEachPauseIsLoggedOnce(t *testing.T) {
-	const items, looks = 2000, 3
+	const items, passes = 2000, 3
 	core, logs := observer.New(zap.InfoLevel)
 	targets, site := &unreachableTargets{}, engineSite(t)
 	guard := cfguard.New(cfguard.Options{
@@ -36,7 +36,7 @@
 		Store: cfstandin.NewMemStore(), Targets: targets, Site: site, Codec: cfstandin.Codec{}, Lease: heldLease{},
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.New(core),
 	})
-	for range looks {
+	for range passes {
 		for n := range items {
 			c.mu.Lock()
 			v := c.admitDeferred(cf.RequestID(fmt.Sprint("item-", n)), key, cf.Target{ID: "e", Born: 1}, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()})
@@ -47,6 +47,6 @@
 		}
 	}
 	if n := logs.FilterMessage("request_paused").Len(); n != items {
-		t.Errorf("%d lines of %d pauses in %d looks", n, items, looks)
+		t.Errorf("%d lines of %d pauses in %d looks", n, items, passes)
 	}
 }
--- a/io/cfcoord/takeover_test.go
+++ b/io/cfcoord/takeover_test.go
@@ -220,7 +220,7 @@
 		permutations++
 		var to takeover
 		seen := map[event]bool{}
-		asked, answered := 0, false
+		reads, answered := 0, false
 		for _, e := range order {
 			seen[e] = true
 			switch e {
@@ -233,27 +233,27 @@
 				}
 				to.textsGathered(n)
 			}
-			if seen[storedRead] && asked > 0 && !answered {
+			if seen[storedRead] && reads > 0 && !answered {
 				to.storedTextsRead()
 				answered = true
 			}
 			switch to.next(!seen[read], stored) {
 			case takeoverReadStored:
-				asked++
+				reads++
 			case takeoverDone:
 				if !seen[current] || !seen[texts] || !seen[read] || lost && stored && !answered {
 					t.Fatalf("order %v, lost %v, stored %v: done after %v", order, lost, stored, seen)
 				}
 			}
 		}
-		if asked > 0 && !answered {
+		if reads > 0 && !answered {
 			to.storedTextsRead()
 		}
 		if to.next(false, stored) != takeoverDone {
 			t.Fatalf("order %v, lost %v, stored %v: never done", order, lost, stored)
 		}
-		if want := lost && stored; (asked == 1) != want || asked > 1 {
-			t.Fatalf("order %v, lost %v, stored %v: the store's texts asked for %d times", order, lost, stored, asked)
+		if want := lost && stored; (reads == 1) != want || reads > 1 {
+			t.Fatalf("order %v, lost %v, stored %v: the store's texts asked for %d times", order, lost, stored, reads)
 		}
 	}
 	for _, lost := range []bool{false, true} {
