--- a/io/cfcoord/batches.go
+++ b/io/cfcoord/batches.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// batchWatchTimeout is the maximum duration of one watch of batches. It is also the time after
-	// which a stalled connection is noticed; a step is due within seconds.
+	// batchWatchTimeout is the maximum duration of one watch of batches. A stalled connection is
+	// noticed only after this time, and a step is due within seconds.
 	batchWatchTimeout cf.Millis = 2000
 	// versionWatchTimeout is the maximum duration of one watch of weight versions.
 	versionWatchTimeout cf.Millis = 2000
@@ -200,13 +200,13 @@
 // mayStart reports whether a batch may start now, or has to wait for the end of other batches that
 // contain some of its items. c.mu is held.
 func (c *Coordinator) mayStart(st *batchState) bool {
-	var holders []cf.BatchID
+	var predecessors []cf.BatchID
 	for id, other := range c.batches {
 		if other != st && other.planned && !other.batch.Ended && other.batch.Sub.Model == st.batch.Sub.Model && st.batch.SharesItems(other.batch) {
-			holders = append(holders, id)
+			predecessors = append(predecessors, id)
 		}
 	}
-	start, toCheck := st.startGate.Check(holders, cf.Uptime())
+	start, toCheck := st.startGate.Check(predecessors, cf.Uptime())
 	for _, id := range toCheck {
 		c.Log.Info("batch_waits_for_end", cflog.Batch(st.batch.Sub.ID), zap.String("of", string(id)))
 		c.wg.Go(func() { c.checkEnded(st, id) })
--- a/io/cfcoord/checkpoint_test.go
+++ b/io/cfcoord/checkpoint_test.go
@@ -87,9 +87,9 @@
 	return s.MemStore.List(ctx, kind)
 }
 
-// Guards against restarting stored texts after all instances have lost power, when a step took 11 s
-// although its texts of up to 7 s were in the store. While the coordinator reads these texts, the
-// watch delivers a change of a batch, which must not end the takeover.
+// Guards against restarting stored texts after all instances have lost power, which makes a step
+// take 11 s although its texts of up to 7 s are in the store. While the coordinator reads these
+// texts, the watch delivers a change of a batch, which must not end the takeover.
 func TestTakeoverWaitsForStoredTexts(t *testing.T) {
 	store := blockingTextStore{cfstandin.NewMemStore(), make(chan struct{})}
 	if _, err := store.Create(context.Background(), cf.KindTexts("b"), "1", checkpoint{Texts: map[cf.ItemID]cfrollout.Text{"a": textOf(1, 0, 40)}}); err != nil {
--- a/io/cfcoord/chunks.go
+++ b/io/cfcoord/chunks.go
@@ -56,8 +56,8 @@
 
 // resolveWrite determines the result of a chunk's write that failed or was not answered. r is the
 // record that the store returned, if any. Only this chunk is read: all earlier ones are known, and
-// a later one would be found by the next write. Reading all of them occupied a link of 60 Mbit/s
-// for up to two seconds, just while the store was reached through another instance.
+// a later one would be found by the next write. Reading all of them can occupy a link of 60 Mbit/s
+// for up to two seconds, just while the store is reached through another instance.
 func (c *Coordinator) resolveWrite(st *batchState, name string, r cf.Record, cause error) {
 	c.Metrics.Chunks.WithLabelValues("reread").Inc()
 	c.Log.Warn("chunk_in_doubt", cflog.Batch(st.batch.Sub.ID), zap.String("chunk", name), cflog.Error(cause))
--- a/io/cfcoord/mirror.go
+++ b/io/cfcoord/mirror.go
@@ -158,8 +158,8 @@
 	}
 }
 
-func newCopyProgress(least cf.EventID) *copyProgress {
-	return &copyProgress{minEvents: least, texts: map[cf.ItemID]copiedText{}}
+func newCopyProgress(minEvents cf.EventID) *copyProgress {
+	return &copyProgress{minEvents: minEvents, texts: map[cf.ItemID]copiedText{}}
 }
 
 // nextPart returns the part of a text that is to be copied, or false if nothing of it has changed.
--- a/io/cfcoord/mirror_test.go
+++ b/io/cfcoord/mirror_test.go
@@ -172,10 +172,10 @@
 }
 
 // Guards against copies that keep a link congested. On instances with a link of 60 Mbit/s, steps
-// took 10 s and more, and lease renewals and chunk writes timed out: a burst of texts delays one
-// copy, the link is busy with it, so the next copy is late too, and so on for the rest of the step.
-// If all texts were copied from their beginnings after each unacknowledged copy, that would be 2 to
-// 8 MB per second over a link of 7.5 MB per second.
+// then take 10 s and more, and lease renewals and chunk writes time out: a burst of texts delays
+// one copy, the link is busy with it, so the next copy is late too, and so on for the rest of the
+// step. If all texts were copied from their beginnings after each unacknowledged copy, that would
+// be 2 to 8 MB per second over a link of 7.5 MB per second.
 func TestUnacknowledgedCopiesAreNotRestarted(t *testing.T) {
 	n := &mirrorPeer{dropAcks: true}
 	c := New(Options{Lease: heldLease{}, MirrorPeers: n})
--- a/io/cfcoord/moves.go
+++ b/io/cfcoord/moves.go
@@ -17,7 +17,7 @@
 		reason = "slow_period"
 	}
 	c.Metrics.Moves.WithLabelValues(reason).Inc()
-	c.Log.Info("item_moved", zap.String("request_id", string(w.Item.ID.Request())), cflog.Batch(w.Batch.Sub.ID),
+	c.Log.Info("item_moved", zap.String("request_id", string(w.Item.ID.RequestID())), cflog.Batch(w.Batch.Sub.ID),
 		zap.String("target", string(w.Engine)), zap.Int64("ran_ms", int64(cf.Uptime()-w.Started)), zap.String("reason", reason), zap.String("to", string(last.To)),
 		zap.Float64("saves_ms", last.Saving), zap.Float64("cost_ms", last.Cost), zap.Float64("slow_left_ms", last.SlowTimeLeft))
 	if cancel := c.runs[w]; cancel != nil {
--- a/io/cfcoord/takeover_test.go
+++ b/io/cfcoord/takeover_test.go
@@ -97,10 +97,10 @@
 	return site
 }
 
-// Guards against running items of a batch after its end was acknowledged; one reached an engine 3.6
-// s after that. All machines lose power; the new coordinator lists the batches and reads their
-// results for seconds, and in the meantime a trainer ends one of them. No listed batch may run
-// before the changes since the list have been processed.
+// Guards against running items of a batch after its end was acknowledged, by up to 3.6 s. All
+// machines lose power; the new coordinator lists the batches and reads their results for seconds,
+// and in the meantime a trainer ends one of them. No listed batch may run before the changes since
+// the list have been processed.
 func TestBatchEndedDuringTakeoverIsNotRun(t *testing.T) {
 	ctx := context.Background()
 	store := slowStore{cfstandin.NewMemStore(), make(chan struct{}, 1), make(chan struct{})}
@@ -193,7 +193,7 @@
 func TestTakeoverWaitsForEverything(t *testing.T) {
 	type event int
 	const (
-		current event = iota
+		caughtUp event = iota
 		texts
 		read // of the last inherited batch
 		storedRead
@@ -215,38 +215,38 @@
 			return
 		}
 		permutations++
-		var to takeover
+		var state takeover
 		seen := map[event]bool{}
-		reads, answered := 0, false
+		reads, finished := 0, false
 		for _, e := range order {
 			seen[e] = true
 			switch e {
-			case current:
-				to.caughtUp = true
+			case caughtUp:
+				state.caughtUp = true
 			case texts:
 				n := 1
 				if lost {
 					n = 0
 				}
-				to.textsGathered(n)
+				state.textsGathered(n)
 			}
-			if seen[storedRead] && reads > 0 && !answered {
-				to.storedTextsRead()
-				answered = true
+			if seen[storedRead] && reads > 0 && !finished {
+				state.storedTextsRead()
+				finished = true
 			}
-			switch to.next(!seen[read], stored) {
+			switch state.next(!seen[read], stored) {
 			case takeoverReadStored:
 				reads++
 			case takeoverDone:
-				if !seen[current] || !seen[texts] || !seen[read] || lost && stored && !answered {
+				if !seen[caughtUp] || !seen[texts] || !seen[read] || lost && stored && !finished {
 					t.Fatalf("order %v, lost %v, stored %v: done after %v", order, lost, stored, seen)
 				}
 			}
 		}
-		if reads > 0 && !answered {
-			to.storedTextsRead()
+		if reads > 0 && !finished {
+			state.storedTextsRead()
 		}
-		if to.next(false, stored) != takeoverDone {
+		if state.next(false, stored) != takeoverDone {
 			t.Fatalf("order %v, lost %v, stored %v: never done", order, lost, stored)
 		}
 		if want := lost && stored; (reads == 1) != want || reads > 1 {
--- a/io/cfcoord/weightorders.go
+++ b/io/cfcoord/weightorders.go
@@ -120,7 +120,7 @@
 	o.mu.Lock()
 	count, known := o.counters[t.ID]
 	o.mu.Unlock()
-	if known && count.born >= t.Born {
+	if known && count.born >= t.Started {
 		return count.seq, nil
 	}
 	r, err := o.fetchReport(ctx, t)
@@ -172,15 +172,15 @@
 func (o *orderExecutor) applyReport(id cf.InstanceID, r cf.TargetReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r.Born < o.counters[id].born {
+	if r.Started < o.counters[id].born {
 		return // report of an earlier start
 	}
-	o.counters[id] = orderCounter{r.Born, r.Seq}
+	o.counters[id] = orderCounter{r.Started, r.Seq}
 	o.onReport(id, r)
 }
 
 // hasRestarted reports whether r is from a later start of the engine than t.
-func hasRestarted(r cf.TargetReport, t cf.Target) bool { return t.Born > 0 && r.Born > t.Born }
+func hasRestarted(r cf.TargetReport, t cf.Target) bool { return t.Started > 0 && r.Started > t.Started }
 
 func hasVersion(r cf.TargetReport, s cfrollout.Swap) bool {
 	for _, m := range r.Models {
