--- a/io/cfcoord/weightorders.go
+++ b/io/cfcoord/weightorders.go
@@ -52,9 +52,9 @@
 // according to its report.
 var errNotTaken = errors.New("order not taken")
 
-func newOrderExecutor(o Options, reported func(cf.InstanceID, cf.TargetReport)) *orderExecutor {
+func newOrderExecutor(o Options, onReport func(cf.InstanceID, cf.TargetReport)) *orderExecutor {
 	return &orderExecutor{
-		targets: o.Targets, lease: o.Lease, site: o.Site, self: o.Self, log: o.Log, onReport: reported,
+		targets: o.Targets, lease: o.Lease, site: o.Site, self: o.Self, log: o.Log, onReport: onReport,
 		counters: map[cf.InstanceID]orderCounter{},
 	}
 }
--- a/io/cfingress/fakes_test.go
+++ b/io/cfingress/fakes_test.go
@@ -19,10 +19,10 @@
 const host = "site.example"
 
 type (
-	// members is an instance alone.
-	members struct{}
+	// noMembers lists no instances.
+	noMembers struct{}
 
-	// targets answers as its functions say.
+	// targets answers by its functions.
 	targets struct {
 		cf.Targets
 		send   func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error)
@@ -30,7 +30,7 @@
 	}
 )
 
-func (members) Live() []cfmember.Entry { return nil }
+func (noMembers) Live() []cfmember.Entry { return nil }
 
 func (t targets) Send(_ context.Context, to cf.Target, call cf.TargetCall) (cf.TargetAnswer, error) {
 	return t.send(to, call)
@@ -40,7 +40,7 @@
 	return t.stream(to, call, sink)
 }
 
-// newIngress returns an instance with one route, at /x/, to the targets named.
+// newIngress returns an instance with one route at /x/ and the given targets.
 func newIngress(t *testing.T, to cf.Targets, route cfsite.Route, ids ...cf.InstanceID) *cfingress.Ingress {
 	t.Helper()
 	site := cfsite.New(cfstandin.Codec{})
@@ -54,14 +54,14 @@
 		}
 	}
 	return cfingress.New(cfingress.Options{
-		Members: members{}, Targets: to, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
+		Members: noMembers{}, Targets: to, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 }
 
-// ask sends one request; broken tells that its connection was broken off.
-func ask(in *cfingress.Ingress, req cf.Request) (w *httptest.ResponseRecorder, broken bool) {
+// ask sends one request; aborted is true if the instance aborted the connection.
+func ask(in *cfingress.Ingress, req cf.Request) (w *httptest.ResponseRecorder, aborted bool) {
 	w = httptest.NewRecorder()
-	defer func() { broken = recover() != nil }()
+	defer func() { aborted = recover() != nil }()
 	req.Method, req.Host, req.Route, req.Path = http.MethodPost, host, "/x/a", "/x/a"
 	req.Received = cf.Uptime()
 	in.Forward(context.Background(), &req, w)
--- a/io/cfmeter/cfmeter.go
+++ b/io/cfmeter/cfmeter.go
@@ -1,14 +1,14 @@
-// Package cfmeter is the duty of reporting use to the platform. One instance at a time
-// has it, with the coordinator's lease: it is given a term, acts under it alone, and ends
-// with it. What is reported of which window, and when, is cfusage's decision; this package
-// carries it out.
+// Package cfmeter reports usage to the platform. Only the instance that holds the coordinator's
+// lease does so: its Collector is created for a lease term, acts under this term only, and is
+// closed at its end. Package cfusage decides what to report for which window and when; this package
+// executes the decisions.
 //
 // Usage:
 //
-//	d := cfmeter.New(options)
-//	d.Start()
-//	defer d.Close()
-//	d.Take(report) // of an instance
+//	c := cfmeter.New(options)
+//	c.Start()
+//	defer c.Close()
+//	c.Add(report) // an instance's counts
 package cfmeter
 
 import (
@@ -28,61 +28,62 @@
 )
 
 const (
-	// reportsName is the object that holds the reports until they are sent.
-	reportsName = "reports"
-	// tick is how often the duty looks whether a window is due.
+	// outboxName is the name of the object that stores the reports until they are sent.
+	outboxName = "reports"
+	// tick is the interval between checks for due windows.
 	tick = 100 * time.Millisecond
-	// sendTimeout bounds a report. One without an answer is sent again, the same.
+	// sendTimeout limits the duration of a report call. A report without a response is sent again
+	// unchanged.
 	sendTimeout = 1500 * time.Millisecond
-	// loggedMost bounds the organisations of a log line; the store has them all until the
-	// report is sent.
-	loggedMost = 200
+	// maxLoggedCounts is the maximum number of organisations in a log line. The store has the
+	// counts of all organisations until the report is sent.
+	maxLoggedCounts = 200
 )
 
 type (
-	// Options are what the duty works with.
+	// Options configures a Collector.
 	Options struct {
 		Lease    cf.LeaseToken
 		Store    cf.Store
 		Metering cf.Metering
 		Timing   cfusage.WindowTiming
-		// MayAct says whether the term allows a call now.
+		// MayAct reports whether the term allows a call now.
 		MayAct func() bool
 		// Now returns the time of day.
 		Now func() cf.Millis
-		// LocalCounts returns the counts of this instance, Taken that they were taken.
+		// LocalCounts returns the new counts of this instance and marks them as reported.
 		LocalCounts func(term cf.Revision) cfusage.MeterReport
-		// OnSettled tells the last window of which a report lies in the store.
+		// OnSettled is called with the last window whose report is stored.
 		OnSettled func(cf.UsageWindow)
 		// Instances are the instances that may have counts.
 		Instances []cf.EntryID
-		// Inherited is what the holder before had heard, as Snapshot gave it.
+		// Inherited is the Snapshot of the previous lease holder.
 		Inherited json.RawMessage
 		Metrics   *Metrics
 		Log       *zap.Logger
 	}
 
-	// Collector reports use. It is safe for concurrent use. Close ends it and waits for the
-	// call under way.
+	// Collector adds up the counts of all instances and reports them. It is safe for concurrent
+	// use. Close stops it and waits for the call in progress.
 	Collector struct {
 		Options
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
 
-		mu      sync.Mutex
-		account *cfusage.Aggregator
-		keeper  *cfusage.Reporter
+		mu         sync.Mutex
+		aggregator *cfusage.Aggregator
+		reporter   *cfusage.Reporter
 	}
 
-	// Metrics are the duty's counters.
+	// Metrics holds the collector's metrics.
 	Metrics struct {
 		Reports *prometheus.CounterVec
 		Late    prometheus.Counter
 	}
 )
 
-// NewMetrics registers the duty's metrics.
+// NewMetrics registers the collector's metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Reports: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -94,173 +95,173 @@
 	return m
 }
 
-// New returns a duty that has not started.
+// New returns a Collector that is not started.
 func New(o Options) *Collector {
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &Collector{Options: o, ctx: ctx, cancel: cancel, account: cfusage.NewAggregator(o.Timing.Length), keeper: cfusage.NewReporter(o.Timing)}
+	c := &Collector{Options: o, ctx: ctx, cancel: cancel, aggregator: cfusage.NewAggregator(o.Timing.Length), reporter: cfusage.NewReporter(o.Timing)}
 	now := o.Now()
 	for _, e := range o.Instances {
-		d.account.Expect(e, now)
+		c.aggregator.Expect(e, now)
 	}
 	if len(o.Inherited) > 0 {
 		var base cfusage.Snapshot
 		if err := json.Unmarshal(o.Inherited, &base); err != nil {
 			o.Log.Error("usage_base_not_read", cflog.Error(err))
 		}
-		d.account.Restore(base)
+		c.aggregator.Restore(base)
 		o.Log.Info("usage_restored", zap.Int64("first_window", int64(base.First)), zap.Int("entries", len(base.Sources)), zap.Int("counts", len(base.Rows)))
 	}
-	return d
+	return c
 }
 
-// Snapshot returns what a successor needs if this instance is lost.
-func (d *Collector) Snapshot() json.RawMessage {
-	d.mu.Lock()
-	base := d.account.Snapshot()
-	d.mu.Unlock()
+// Snapshot returns the state that a successor needs if this instance is lost.
+func (c *Collector) Snapshot() json.RawMessage {
+	c.mu.Lock()
+	base := c.aggregator.Snapshot()
+	c.mu.Unlock()
 	if len(base.Rows) == 0 {
 		return nil
 	}
 	out, err := json.Marshal(base)
 	if err != nil {
-		d.Log.Error("usage_base_not_kept", cflog.Error(err))
+		c.Log.Error("usage_base_not_kept", cflog.Error(err))
 	}
 	return out
 }
 
-// Start begins the duty.
-func (d *Collector) Start() { d.wg.Go(d.loop) }
+// Start starts the collector.
+func (c *Collector) Start() { c.wg.Go(c.loop) }
 
-// Close ends the duty.
-func (d *Collector) Close() error {
-	d.cancel()
-	d.wg.Wait()
+// Close stops the collector and waits for it to end.
+func (c *Collector) Close() error {
+	c.cancel()
+	c.wg.Wait()
 	return nil
 }
 
-// Add takes what an instance has counted. It returns the last window of which there is a
-// report.
-func (d *Collector) Add(r cfusage.MeterReport) cf.UsageWindow {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, late := range d.account.Add(r) {
+// Add adds an instance's counts. It returns the last window whose report is stored.
+func (c *Collector) Add(r cfusage.MeterReport) cf.UsageWindow {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, late := range c.aggregator.Add(r) {
 		n := int64(0)
 		for _, count := range late.Counts {
 			n += count
 		}
 		if n > 0 {
-			d.Metrics.Late.Add(float64(n))
-			d.Log.Warn("usage_late", zap.String("entry", string(r.Source.Entry)), zap.Int64("window", int64(late.Window)), zap.Int64("requests", n))
+			c.Metrics.Late.Add(float64(n))
+			c.Log.Warn("usage_late", zap.String("entry", string(r.Source.Entry)), zap.Int64("window", int64(late.Window)), zap.Int64("requests", n))
 		}
 	}
-	return d.keeper.Settled()
+	return c.reporter.Settled()
 }
 
-func (d *Collector) loop() {
+func (c *Collector) loop() {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		for d.step() {
+		for c.runNext() {
 		}
 		select {
-		case <-d.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// step does what is due; it returns true if more may be.
-func (d *Collector) step() bool {
-	d.Add(d.LocalCounts(d.Lease.Fence))
-	if d.ctx.Err() != nil || !d.MayAct() {
+// runNext takes the next step. It returns true if another step may be due.
+func (c *Collector) runNext() bool {
+	c.Add(c.LocalCounts(c.Lease.Fence))
+	if c.ctx.Err() != nil || !c.MayAct() {
 		return false
 	}
-	d.mu.Lock()
-	step := d.keeper.Next(d.Now(), d.account)
-	d.mu.Unlock()
+	c.mu.Lock()
+	step := c.reporter.Next(c.Now(), c.aggregator)
+	c.mu.Unlock()
 	switch step.Kind {
 	case cfusage.Read:
-		return d.read()
+		return c.load()
 	case cfusage.Write:
-		return d.keep(step)
+		return c.save(step)
 	case cfusage.Send:
-		return d.send(step.Report)
+		return c.send(step.Report)
 	default:
 		return false
 	}
 }
 
-// read reads what lies in the store.
-func (d *Collector) read() bool {
-	r, err := d.Store.Get(d.ctx, cf.KindUsage, reportsName)
-	var kept cfusage.Outbox
+// load reads the outbox from the store.
+func (c *Collector) load() bool {
+	r, err := c.Store.Get(c.ctx, cf.KindUsage, outboxName)
+	var stored cfusage.Outbox
 	if err == nil {
-		if err = json.Unmarshal(r.Spec, &kept); err != nil {
-			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", reportsName, err)
+		if err = json.Unmarshal(r.Spec, &stored); err != nil {
+			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", outboxName, err)
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		d.keeper.InitOutbox(d.Now(), d.account)
+		c.reporter.InitOutbox(c.Now(), c.aggregator)
 	case err != nil:
-		d.Log.Warn("usage_not_read", cflog.Error(err))
+		c.Log.Warn("usage_not_read", cflog.Error(err))
 		return false
 	default:
-		d.keeper.SetOutbox(kept, r.Rev)
+		c.reporter.SetOutbox(stored, r.Rev)
 	}
-	d.settle()
+	c.markSettled()
 	return true
 }
 
-// keep writes the reports that are due.
-func (d *Collector) keep(step cfusage.Step) bool {
+// save writes the due reports to the outbox in the store.
+func (c *Collector) save(step cfusage.Step) bool {
 	var r cf.Record
 	var err error
 	if step.Rev == 0 {
-		r, err = d.Store.Create(d.ctx, cf.KindUsage, reportsName, step.Outbox)
+		r, err = c.Store.Create(c.ctx, cf.KindUsage, outboxName, step.Outbox)
 	} else {
-		r, err = d.Store.Replace(d.ctx, cf.KindUsage, reportsName, step.Rev, step.Outbox)
+		r, err = c.Store.Replace(c.ctx, cf.KindUsage, outboxName, step.Rev, step.Outbox)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil || r.Rev == 0 {
-		d.keeper.InvalidateOutbox()
-		d.Log.Warn("usage_in_doubt", zap.Int64("window", int64(step.Outbox.Settled)), cflog.Error(err))
+		c.reporter.InvalidateOutbox()
+		c.Log.Warn("usage_in_doubt", zap.Int64("window", int64(step.Outbox.Settled)), cflog.Error(err))
 		return false
 	}
-	d.keeper.SetOutbox(step.Outbox, r.Rev)
-	d.settle()
+	c.reporter.SetOutbox(step.Outbox, r.Rev)
+	c.markSettled()
 	for _, p := range step.Outbox.Pending {
-		d.logKept(p, r.Rev)
+		c.logSaved(p, r.Rev)
 	}
 	return true
 }
 
-// logKept logs a report as it lies in the store, as far as a line can hold it.
-func (d *Collector) logKept(p cf.UsageReport, rev cf.Revision) {
+// logSaved logs a stored report, without its counts if there are too many for a log line.
+func (c *Collector) logSaved(p cf.UsageReport, rev cf.Revision) {
 	counts := zap.Skip()
-	if len(p.Counts) <= loggedMost {
+	if len(p.Counts) <= maxLoggedCounts {
 		counts = zap.Any("counts", p.Counts)
 	}
-	d.Log.Info("usage_kept", zap.Int64("window", int64(p.Window)), zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(rev)),
+	c.Log.Info("usage_kept", zap.Int64("window", int64(p.Window)), zap.Int64("term", int64(c.Lease.Fence)), zap.Int64("revision", int64(rev)),
 		zap.Int("organisations", len(p.Counts)), counts)
 }
 
-// settle lets the instances forget what is kept. d.mu is held.
-func (d *Collector) settle() {
-	d.account.Settle(d.keeper.Settled())
-	d.OnSettled(d.keeper.Settled())
+// markSettled tells the aggregator and the instances which windows are stored, so that they may
+// discard the counts. c.mu must be held.
+func (c *Collector) markSettled() {
+	c.aggregator.Settle(c.reporter.Settled())
+	c.OnSettled(c.reporter.Settled())
 }
 
-// send sends a report.
-func (d *Collector) send(report cf.UsageReport) bool {
-	ctx, cancel := context.WithTimeout(d.ctx, sendTimeout)
+// send sends a report to the platform.
+func (c *Collector) send(report cf.UsageReport) bool {
+	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
-	began := time.Now()
-	err := d.Metering.ReportUsage(ctx, d.Lease, report)
+	started := time.Now()
+	err := c.Metering.ReportUsage(ctx, c.Lease, report)
 	outcome := "taken"
 	switch {
 	case errors.Is(err, cf.ErrFenced):
@@ -270,15 +271,15 @@
 	case err != nil:
 		outcome = "refused"
 	}
-	d.Metrics.Reports.WithLabelValues(outcome).Inc()
-	d.Log.Info("usage_sent", zap.Int64("window", int64(report.Window)), zap.Int64("term", int64(d.Lease.Fence)), zap.String("outcome", outcome),
-		zap.Int64("took_ms", time.Since(began).Milliseconds()), zap.Int64("after_its_end_ms", int64(d.Now()-report.Window.End(d.Timing.Length))), cflog.Error(err))
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.Metrics.Reports.WithLabelValues(outcome).Inc()
+	c.Log.Info("usage_sent", zap.Int64("window", int64(report.Window)), zap.Int64("term", int64(c.Lease.Fence)), zap.String("outcome", outcome),
+		zap.Int64("took_ms", time.Since(started).Milliseconds()), zap.Int64("after_its_end_ms", int64(c.Now()-report.Window.End(c.Timing.Length))), cflog.Error(err))
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		d.keeper.NotSent(report.Window, d.Now())
+		c.reporter.NotSent(report.Window, c.Now())
 		return false
 	}
-	d.keeper.Sent(report.Window)
+	c.reporter.Sent(report.Window)
 	return true
 }
--- a/io/cfnode/holder.go
+++ b/io/cfnode/holder.go
@@ -19,82 +19,83 @@
 const (
 	opHolder    = "holder"
 	opAskHolder = "ask_holder"
-	// announceTimeout bounds a call that tells another instance of the holder.
+	// announceTimeout bounds a call that sends the holder to another instance, or asks for it.
 	announceTimeout = 400 * time.Millisecond
 )
 
-// holderMessage tells who holds the coordinator's lease. Each instance to which that is
-// news passes it on, so that all find a new coordinator within a few round trips and none
+// holderMessage names the holder of the coordinator's lease. Each instance forwards the message if
+// it is new to it, so that all instances find a new coordinator within a few round trips and none
 // asks the store for it.
 type holderMessage struct {
 	Holder cflease.Holder `cbor:"holder"`
 	Rev    cf.Revision    `cbor:"rev"`
 }
 
-// holderAnswer is what an instance knows of the holder, and of the store: whether its view
-// of it is current, and whether it asks the store itself, in vain.
+// holderAnswer states which holder an instance knows and whether the store answers it. Fresh
+// reports that its view of the store is current, StoreUnresponsive that it queries the store itself
+// without an answer.
 type holderAnswer struct {
-	Holder cflease.Holder `cbor:"holder"`
-	Rev    cf.Revision    `cbor:"rev"`
-	Fresh  bool           `cbor:"fresh"`
-	InVain bool           `cbor:"in_vain,omitempty"`
+	Holder            cflease.Holder `cbor:"holder"`
+	Rev               cf.Revision    `cbor:"rev"`
+	Fresh             bool           `cbor:"fresh"`
+	StoreUnresponsive bool           `cbor:"in_vain,omitempty"`
 }
 
-// announce tells the others that this instance is the coordinator.
+// announce tells the other instances that this instance is the coordinator.
 func (n *Node) announce() {
 	holder, rev := n.candidate.holder()
 	if holder.Entry == n.settings.Entry {
-		n.tellHolder(holderMessage{holder, rev})
+		n.gossipHolder(holderMessage{holder, rev})
 	}
 }
 
-// serveHolder takes the word of another instance.
+// serveHolder handles another instance's message about the holder.
 func (n *Node) serveHolder(_ context.Context, m holderMessage) (any, error) {
 	if _, known := n.candidate.holder(); m.Rev <= known {
 		return true, nil
 	}
 	n.candidate.observe(m.Rev, m.Holder)
-	n.telling.Go(func() { n.tellHolder(m) })
+	n.gossip.Go(func() { n.gossipHolder(m) })
 	return true, nil
 }
 
-// tellHolder passes the word on.
-func (n *Node) tellHolder(m holderMessage) {
+// gossipHolder forwards a message about the holder to the gossip peers.
+func (n *Node) gossipHolder(m holderMessage) {
 	for _, e := range cfmember.GossipPeers(n.Live(), n.self()) {
 		if e.ID == m.Holder.Entry {
 			continue
 		}
-		n.telling.Go(func() {
+		n.gossip.Go(func() {
 			ctx, cancel := context.WithTimeout(n.ctx, announceTimeout)
 			defer cancel()
 			var ok bool
 			if err := n.peers.Call(ctx, e.PeerAddr, opHolder, m, &ok); err != nil {
 				n.log.Info("holder_not_told", zap.String("entry", string(e.ID)), cflog.Error(err))
-				n.noteRefused(e.PeerAddr, err)
+				n.removeRefused(e.PeerAddr, err)
 			}
 		})
 	}
 }
 
-// noteRefused takes an instance whose address refuses connections from the list that a new
-// coordinator has adopted.
-func (n *Node) noteRefused(peers string, err error) {
+// removeRefused removes an instance whose address refuses connections from the list that a new
+// coordinator has inherited.
+func (n *Node) removeRefused(peerAddr string, err error) {
 	if errors.Is(err, cf.ErrNoProcess) {
-		n.members.RemoveRefused(peers)
+		n.members.RemoveRefused(peerAddr)
 	}
 }
 
-// serveAskHolder tells another instance what this one knows.
+// serveAskHolder answers another instance's question about the holder and the store.
 func (n *Node) serveAskHolder(context.Context, struct{}) (any, error) {
 	holder, rev := n.candidate.holder()
 	now := cf.Uptime()
-	w := n.watching.Load()
-	// The word of a coordinator that has none any more is no news.
-	told := n.feed.fresh(now) && n.feed.heard.Load() > n.feed.unsure.Load()
-	return holderAnswer{holder, rev, told || n.viewFresh(now), w != nil && w.config.StoreUnresponsive(now)}, nil
+	w := n.watchers.Load()
+	// An update does not count as current if the coordinator has become uncertain since.
+	current := n.feed.current(now) && n.feed.asOf.Load() > n.feed.uncertainAt.Load()
+	return holderAnswer{holder, rev, current || n.ownViewCurrent(now), w != nil && w.config.StoreUnresponsive(now)}, nil
 }
 
-// askHolder asks another instance who the holder is, and how it stands with the store.
+// askHolder asks another instance who the holder is and whether the store answers it.
 func (n *Node) askHolder(ctx context.Context, addr string) (holderAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 	return a, nil
 }
 
-// findHolder asks another instance who the holder is.
+// findHolder asks a random instance who the holder is.
 func (n *Node) findHolder(ctx context.Context) error {
 	others := slices.DeleteFunc(slices.Clone(n.Live()), func(e cfmember.Entry) bool { return e.ID == n.settings.Entry })
 	if len(others) == 0 {
@@ -116,49 +117,49 @@
 	return err
 }
 
-// confirmOutage asks an instance that looks after the store by itself whether it is away,
-// when the coordinator has no news. A holder that is cut off from the store says so as well,
-// and may have been replaced: without another's word an instance would wait beside it for
-// seconds with a configuration that is not in force any more.
+// confirmOutage asks a fallback watcher whether the store is unavailable, when the coordinator has
+// no current view. A holder that is cut off from the store gives the same answer and may have been
+// replaced; without another instance's answer, the instances that poll it would wait for seconds
+// with a configuration that is no longer in force.
 func (n *Node) confirmOutage() {
 	now := cf.Uptime()
-	if now-cf.Millis(n.feed.askedAt.Load()) < outageAsk {
+	if now-cf.Millis(n.feed.outageAskedAt.Load()) < outageAskInterval {
 		return
 	}
-	n.feed.askedAt.Store(int64(now))
+	n.feed.outageAskedAt.Store(int64(now))
 	holder, _ := n.candidate.holder()
 	self := n.self()
-	scouts := slices.DeleteFunc(slices.Clone(n.members.FallbackWatchers(self)), func(e cfmember.Entry) bool { return e.ID == holder.Entry || e.ID == self.ID })
-	if len(scouts) == 0 {
+	fallbacks := slices.DeleteFunc(slices.Clone(n.members.FallbackWatchers(self)), func(e cfmember.Entry) bool { return e.ID == holder.Entry || e.ID == self.ID })
+	if len(fallbacks) == 0 {
 		return
 	}
-	e := scouts[rand.IntN(len(scouts))]
+	e := fallbacks[rand.IntN(len(fallbacks))]
 	n.wg.Go(func() {
 		a, err := n.askHolder(n.ctx, e.PeerAddr)
 		if err != nil {
 			n.log.Info("outage_not_confirmed", zap.String("entry", string(e.ID)), cflog.Error(err))
 			return
 		}
-		n.takeWitness(e.ID, a)
+		n.recordOutageAnswer(e.ID, a)
 	})
 }
 
-// takeWitness takes another instance's word of the store.
-func (n *Node) takeWitness(from cf.EntryID, a holderAnswer) {
+// recordOutageAnswer records another instance's answer about the store.
+func (n *Node) recordOutageAnswer(from cf.EntryID, a holderAnswer) {
 	now := cf.Uptime()
 	var at *atomic.Int64
 	msg := "outage_confirmed"
 	switch {
 	case a.Fresh:
-		n.feed.away.Store(0)
-		at, msg = &n.feed.denied, "outage_denied"
-	case a.InVain:
-		n.feed.denied.Store(0)
-		at = &n.feed.away
+		n.feed.outageConfirmedAt.Store(0)
+		at, msg = &n.feed.outageDeniedAt, "outage_denied"
+	case a.StoreUnresponsive:
+		n.feed.outageDeniedAt.Store(0)
+		at = &n.feed.outageConfirmedAt
 	default:
-		return // it has heard nothing either, and does not know
+		return // That instance has no updates either and does not know.
 	}
-	if before := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerIsRecent(before, now) {
+	if previous := cf.Millis(at.Swap(int64(now))); !cfmember.AnswerIsRecent(previous, now) {
 		n.log.Info(msg, zap.String("entry", string(from)))
 	}
 }
--- a/io/cfnode/relay_test.go
+++ b/io/cfnode/relay_test.go
@@ -7,49 +7,49 @@
 	cf "currantford"
 )
 
-// Guards against: an instance that the store turns away, and that asks the same two others
-// over and over which are turned away as well.
-func TestRelaysGoOnToInstancesThatReachTheStore(t *testing.T) {
+// TestRelayTriesReachEveryInstance guards against an instance that the store refuses and that
+// repeatedly asks the same two others, which the store refuses as well.
+func TestRelayTriesReachEveryInstance(t *testing.T) {
 	all := []string{"holder", "a", "b", "c", "d"}
-	for _, sound := range all {
-		var r relays
+	for _, working := range all {
+		var r relayTable
 		now, tries := cf.Millis(10_000), 0
 		for served := false; !served; tries++ {
 			if tries == len(all) {
-				t.Fatalf("%s is not asked in %d tries", sound, tries)
+				t.Fatalf("%s was not asked in %d tries", working, tries)
 			}
 			for _, addr := range r.choose(all, now) {
-				if served = addr == sound; served {
-					r.worked(addr, now)
+				if served = addr == working; served {
+					r.recordSuccess(addr, now)
 					break
 				}
-				r.notRelayed(addr, cf.ErrRefused, now)
+				r.recordFailure(addr, cf.ErrRefused, now)
 			}
 			if !served {
-				r.failed(now)
-				for r.resting(now) {
+				r.pause(now)
+				for r.paused(now) {
 					now += 50
 				}
 			}
 		}
-		if paths := r.choose(all, now); !slices.Contains(paths, sound) || paths[0] != sound {
-			t.Errorf("the next call asks %v, not %s", paths, sound)
+		if paths := r.choose(all, now); !slices.Contains(paths, working) || paths[0] != working {
+			t.Errorf("the next call asks %v, want %s first", paths, working)
 		}
-		if took := now - 10_000; took > relayAvoid {
-			t.Errorf("%s was asked after %d ms", sound, took)
+		if took := now - 10_000; took > relayAvoidTime {
+			t.Errorf("%s was only asked after %d ms", working, took)
 		}
 	}
 }
 
-// Guards against: an instance that relays calls and is not asked, since it relayed nothing a
-// moment before.
-func TestRelayThatWorksAgainIsAskedFirst(t *testing.T) {
+// TestRelayThatWorksAgainIsTriedFirst guards against an instance that relays calls and is not asked
+// because it failed to relay one a moment before.
+func TestRelayThatWorksAgainIsTriedFirst(t *testing.T) {
 	for _, err := range []error{cf.ErrRefused, cf.ErrUnavailable} {
-		var r relays
-		r.notRelayed("a", err, 1000)
-		r.worked("a", 1100) // a call that was under way
+		var r relayTable
+		r.recordFailure("a", err, 1000)
+		r.recordSuccess("a", 1100) // a call that was in progress
 		if paths := r.choose([]string{"b", "c", "d"}, 1200); paths[0] != "a" {
-			t.Errorf("after %v the next call asks %v, not a first", err, paths)
+			t.Errorf("after error %v the next call asks %v, want a first", err, paths)
 		}
 	}
 }
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -17,83 +17,81 @@
 )
 
 const (
-	// textsTimeout bounds the question for texts and the copying of them. Half
-	// a megabyte takes tens of milliseconds; an instance that was lost does not
-	// answer.
+	// textsTimeout bounds the query for texts and the copying of texts. Half a megabyte takes tens
+	// of milliseconds; an instance that was lost does not answer.
 	textsTimeout cf.Millis = 300
-	// textsPatience is the same where the holder before was alive a moment ago:
-	// it has to end its runs first, and what it holds is worth the wait.
-	textsPatience cf.Millis = 800
-	// textsInline is the size up to which texts come with the first answer.
-	textsInline = 64 << 10
-	// textsRate is how many bytes a millisecond are expected beyond that.
-	textsRate = 3000
-	// textsMost bounds what a takeover waits for them: a second of each text is
-	// worth it, and generating them anew takes up to seven.
-	textsMost cf.Millis = 1200
-	// textsTries is how many instances are asked for them.
-	textsTries = 2
-	// holderAlive is how long after its last answer a holder counts as alive.
-	holderAlive cf.Millis = 1000
+	// liveTextsTimeout is the same if the previous holder was alive a moment ago. It has to end its
+	// streams first, and its texts are worth the wait.
+	liveTextsTimeout cf.Millis = 800
+	// maxInlineTexts is the size in bytes up to which texts are part of the first answer.
+	maxInlineTexts = 64 << 10
+	// textsBytesPerMs is the expected transfer rate of larger texts, in bytes per millisecond.
+	textsBytesPerMs = 3000
+	// maxTextsWait bounds the additional wait of a takeover for large texts: a delay of a second is
+	// acceptable, as generating the texts again takes up to seven.
+	maxTextsWait cf.Millis = 1200
+	// maxTextsSources is how many instances are asked for large texts.
+	maxTextsSources = 2
+	// holderAliveTime is how long after its last answer a holder counts as alive.
+	holderAliveTime cf.Millis = 1000
 )
 
-// deposeWait is how long a successor's question waits for this instance to
-// stop its runs.
-const deposeWait = 200 * time.Millisecond
+// supersedeWait is how long a successor's query waits for this instance to stop its streams.
+const supersedeWait = 200 * time.Millisecond
 
 type (
 	// textsCall asks for texts on behalf of the holder of a term.
 	textsCall struct {
 		Term cf.Revision `cbor:"term"`
-		// Whole asks for them however large they are.
-		Whole bool `cbor:"whole,omitempty"`
+		// Full asks for the texts whatever their size.
+		Full bool `cbor:"whole,omitempty"`
 	}
 
-	// textsAnswer says what an instance holds, with the texts where they are few.
+	// textsAnswer describes the texts that an instance has, and contains them if they are small.
 	textsAnswer struct {
-		// Of is the term of the coordinator that generated them.
-		Of    cf.Revision                  `cbor:"of"`
+		// Term is the term of the coordinator that generated the texts.
+		Term  cf.Revision                  `cbor:"of"`
 		Items int                          `cbor:"items"`
 		Size  int                          `cbor:"size"`
 		Texts map[cf.ItemID]cfrollout.Text `cbor:"texts,omitempty"`
 	}
 
-	// textsOf is an instance's answer.
-	textsOf struct {
+	// textsSource is an answer with the address of its instance.
+	textsSource struct {
 		textsAnswer
 		addr string
 	}
 
-	// keptTexts are what this instance had generated when its duty ended.
-	keptTexts struct {
+	// savedTexts holds the texts that this instance had generated when its duty ended.
+	savedTexts struct {
 		term  cf.Revision
 		texts map[cf.ItemID]cfrollout.Text
 	}
 
-	// mirrors is what this instance holds for others, and where its own copies
-	// go.
-	mirrors struct {
-		mu   sync.Mutex
-		held cfcoord.Mirror
-		at   string
+	// textReplicas holds the copies that this instance keeps for another coordinator, and the
+	// address to which its own copies go.
+	textReplicas struct {
+		mu             sync.Mutex
+		received       cfcoord.Mirror
+		ownReplicaAddr string
 	}
 
-	// neighbour implements cfcoord.Neighbour.
-	neighbour struct{ n *Node }
+	// mirrorPeers implements cfcoord.MirrorPeers.
+	mirrorPeers struct{ n *Node }
 )
 
-// Choose implements cfcoord.Neighbour: an instance of the same failure domain where
-// there is one that can carry it, since traffic within it costs nothing.
-func (b neighbour) Choose(avoid string) string {
+// Choose implements cfcoord.MirrorPeers. It prefers an instance of the same failure domain that has
+// the capacity, since traffic within a failure domain is free.
+func (b mirrorPeers) Choose(avoid string) string {
 	addr := cfmember.TextReplica(b.n.Live(), b.n.self(), avoid).PeerAddr
-	b.n.mirrors.mu.Lock()
-	defer b.n.mirrors.mu.Unlock()
-	b.n.mirrors.at = addr
+	b.n.replicas.mu.Lock()
+	defer b.n.replicas.mu.Unlock()
+	b.n.replicas.ownReplicaAddr = addr
 	return addr
 }
 
-// Copy implements cfcoord.Neighbour.
-func (b neighbour) Copy(addr string, part cfcoord.Mirror) ([]cf.ItemID, error) {
+// Copy implements cfcoord.MirrorPeers.
+func (b mirrorPeers) Copy(addr string, part cfcoord.Mirror) ([]cf.ItemID, error) {
 	ctx, cancel := context.WithTimeout(b.n.ctx, textsTimeout.Duration())
 	defer cancel()
 	var missing []cf.ItemID
@@ -102,39 +100,39 @@
 }
 
 func (n *Node) serveMirror(_ context.Context, part cfcoord.Mirror) (any, error) {
-	n.mirrors.mu.Lock()
-	defer n.mirrors.mu.Unlock()
-	return n.mirrors.held.Apply(part), nil
+	n.replicas.mu.Lock()
+	defer n.replicas.mu.Unlock()
+	return n.replicas.received.Apply(part), nil
 }
 
-// serveTexts answers a coordinator that takes over with what this instance
-// generated when it had the duty, or holds as a neighbour's mirror. An instance
-// that did not know of its successor yet stops its runs first.
+// serveTexts answers a coordinator that takes over with the texts that this instance generated
+// while it had the duty, or that it keeps as a replica. If this instance still has the duty, it
+// stops its streams first.
 func (n *Node) serveTexts(_ context.Context, call textsCall) (any, error) {
-	n.candidate.depose(call.Term)
-	n.host.Fence(call.Term)
-	for waited := time.Duration(0); n.coord.Load() != nil; waited += watchTick / 4 {
-		if waited >= deposeWait {
+	n.candidate.supersede(call.Term)
+	n.runnerHost.Fence(call.Term)
+	for waited := time.Duration(0); n.coord.Load() != nil; waited += watchCheckInterval / 4 {
+		if waited >= supersedeWait {
 			return nil, cf.ErrConflict
 		}
-		time.Sleep(watchTick / 4)
+		time.Sleep(watchCheckInterval / 4)
 	}
-	a := n.heldTexts()
-	if a.Size > textsInline && !call.Whole {
+	a := n.localTexts()
+	if a.Size > maxInlineTexts && !call.Full {
 		a.Texts = nil
 	}
 	return a, nil
 }
 
-func (n *Node) heldTexts() textsAnswer {
+func (n *Node) localTexts() textsAnswer {
 	a := textsAnswer{Texts: map[cf.ItemID]cfrollout.Text{}}
-	n.mirrors.mu.Lock()
-	merge(a.Texts, n.mirrors.held.Snapshot())
-	a.Of = n.mirrors.held.Term
-	n.mirrors.mu.Unlock()
-	if own := n.texts.Load(); own != nil {
-		merge(a.Texts, own.texts)
-		a.Of = max(a.Of, own.term)
+	n.replicas.mu.Lock()
+	mergeTexts(a.Texts, n.replicas.received.Snapshot())
+	a.Term = n.replicas.received.Term
+	n.replicas.mu.Unlock()
+	if own := n.savedTexts.Load(); own != nil {
+		mergeTexts(a.Texts, own.texts)
+		a.Term = max(a.Term, own.term)
 	}
 	a.Items = len(a.Texts)
 	for _, t := range a.Texts {
@@ -143,8 +141,8 @@
 	return a
 }
 
-// merge adds texts, of each the longer one.
-func merge(out, texts map[cf.ItemID]cfrollout.Text) {
+// mergeTexts adds texts to out and keeps the longer one of each.
+func mergeTexts(out, texts map[cf.ItemID]cfrollout.Text) {
 	for id, t := range texts {
 		if t.Last >= out[id].Last {
 			out[id] = t
@@ -152,16 +150,16 @@
 	}
 }
 
-// gatherTexts asks the other instances for what the coordinator before had
-// generated and not listed. What is found need not be generated again: after a
-// planned stop all of it, after a crash all but the last moments.
-func (n *Node) gatherTexts(ctx context.Context, before cflease.Holder, members []cfmember.Entry) map[cf.ItemID]cfrollout.Text {
+// gatherTexts collects the unlisted texts of the previous coordinator from the other instances.
+// They need not be generated again: all of them after a planned stop, all but the last moments
+// after a crash.
+func (n *Node) gatherTexts(ctx context.Context, previous cflease.Holder, members []cfmember.Entry) map[cf.ItemID]cfrollout.Text {
 	addrs := map[string]bool{}
-	if before.Entry != "" && before.Entry != n.settings.Entry {
-		addrs[before.Addr] = true
+	if previous.Entry != "" && previous.Entry != n.settings.Entry {
+		addrs[previous.Addr] = true
 	}
-	if before.ReplicaAddr != "" && before.ReplicaAddr != n.settings.Listen.Peers {
-		addrs[before.ReplicaAddr] = true
+	if previous.ReplicaAddr != "" && previous.ReplicaAddr != n.settings.Listen.Peers {
+		addrs[previous.ReplicaAddr] = true
 	}
 	for _, e := range cfmember.PossibleTextReplicas(members, n.members.Hubs(n.self(), cf.Uptime())) {
 		if e.ID != n.settings.Entry {
@@ -170,45 +168,46 @@
 	}
 	term, _ := n.candidate.MayOrder()
 	timeout := textsTimeout
-	if cf.Uptime()-cf.Millis(n.candidate.answered.Load()) < holderAlive {
-		timeout = textsPatience
+	if cf.Uptime()-cf.Millis(n.candidate.holderAnsweredAt.Load()) < holderAliveTime {
+		timeout = liveTextsTimeout
 	}
-	own := n.heldTexts()
-	out := own.Texts
-	answers := n.askForTexts(ctx, addrs, before.Addr, textsCall{Term: term}, timeout)
-	var large []textsOf
+	local := n.localTexts()
+	out := local.Texts
+	answers := n.queryTexts(ctx, addrs, previous.Addr, textsCall{Term: term}, timeout)
+	var large []textsSource
 	for _, a := range answers {
-		merge(out, a.Texts)
-		if len(a.Texts) < a.Items && a.Of >= own.Of {
+		mergeTexts(out, a.Texts)
+		if len(a.Texts) < a.Items && a.Term >= local.Term {
 			large = append(large, a)
 		}
 	}
 	fetched := n.fetchTexts(ctx, large, term)
-	merge(out, fetched.Texts)
-	n.log.Info("texts_gathered", zap.String("holder_before", string(before.Entry)), zap.Int("asked", len(addrs)),
+	mergeTexts(out, fetched.Texts)
+	n.log.Info("texts_gathered", zap.String("holder_before", string(previous.Entry)), zap.Int("asked", len(addrs)),
 		zap.Int("answers", len(answers)), zap.Int("items", len(out)), zap.String("fetched_from", fetched.addr), zap.Int("bytes", fetched.Size))
 	return out
 }
 
-// askForTexts asks instances at once and returns the answers that come in time, or
-// until the one at enough has answered: it has what its neighbour has, and more.
-func (n *Node) askForTexts(ctx context.Context, addrs map[string]bool, enough string, call textsCall, timeout cf.Millis) []textsOf {
+// queryTexts asks instances concurrently and returns the answers that arrive in time. It stops
+// early once the instance at the sufficient address has answered, which has what its replica has,
+// and more.
+func (n *Node) queryTexts(ctx context.Context, addrs map[string]bool, sufficient string, call textsCall, timeout cf.Millis) []textsSource {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var out []textsOf
+	var out []textsSource
 	for addr := range addrs {
 		wg.Go(func() {
 			var a textsAnswer
 			if err := n.peers.Call(ctx, addr, opTexts, call, &a); err != nil {
-				n.noteRefused(addr, err)
-				return // a cache that is not reached is a cache miss
+				n.removeRefused(addr, err)
+				return // An instance that is not reached counts as a cache miss.
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			out = append(out, textsOf{a, addr})
-			if addr == enough {
+			out = append(out, textsSource{a, addr})
+			if addr == sufficient {
 				cancel()
 			}
 		})
@@ -217,17 +216,17 @@
 	return out
 }
 
-// fetchTexts reads the texts of the instance that holds the newest, and of these the
-// most. The time to wait goes by the size, as others may share the link.
-func (n *Node) fetchTexts(ctx context.Context, holders []textsOf, term cf.Revision) textsOf {
-	slices.SortFunc(holders, func(a, b textsOf) int {
-		return cmp.Or(cmp.Compare(b.Of, a.Of), cmp.Compare(b.Size, a.Size))
+// fetchTexts reads the texts from the source of the newest term, and of these the one with the
+// most. The timeout depends on the size, as other transfers may share the link.
+func (n *Node) fetchTexts(ctx context.Context, sources []textsSource, term cf.Revision) textsSource {
+	slices.SortFunc(sources, func(a, b textsSource) int {
+		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Size, a.Size))
 	})
-	for _, h := range holders[:min(len(holders), textsTries)] {
-		timeout := textsTimeout + min(cf.Millis(h.Size/textsRate), textsMost)
-		if got := n.askForTexts(ctx, map[string]bool{h.addr: true}, h.addr, textsCall{term, true}, timeout); len(got) > 0 {
+	for _, source := range sources[:min(len(sources), maxTextsSources)] {
+		timeout := textsTimeout + min(cf.Millis(source.Size/textsBytesPerMs), maxTextsWait)
+		if got := n.queryTexts(ctx, map[string]bool{source.addr: true}, source.addr, textsCall{term, true}, timeout); len(got) > 0 {
 			return got[0]
 		}
 	}
-	return textsOf{}
+	return textsSource{}
 }
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -19,98 +19,99 @@
 const (
 	opUsage = "usage"
 
-	// usageReserve is what is left of the time for a report when it is kept at the
-	// latest: a change of the holder, the time between two holders' calls, and a call.
-	usageReserve cf.Millis = 6000
-	// usageRetry is the pause after a report that was not taken.
-	usageRetry cf.Millis = 400
-	// tellTimes is how often a second instances together may tell the holder at once of
-	// what they have counted; what is not told at once comes with the next report of
-	// life.
-	tellTimes = 100
-	// tellMost is the longest time until an instance tells what it has counted: its hub
-	// passes no counts on.
-	tellMost cf.Millis = 1000
-	// flushRetry is the pause between the tries of an instance that stops; flushBudget
-	// bounds them all.
-	flushRetry  = 50 * time.Millisecond
-	flushBudget = 800 * time.Millisecond
-	// usageTimeout bounds such a message.
+	// usageHandoverReserve is the part of a report's time limit for which a window does not wait
+	// for late instances. It covers a change of the holder, the time between the calls of two
+	// holders, and one call.
+	usageHandoverReserve cf.Millis = 6000
+	// usageRetryDelay is the delay after a report that was not accepted.
+	usageRetryDelay cf.Millis = 400
+	// maxUsageMessages is how many immediate messages per second all instances together may send to
+	// the holder. Other counts are part of the next feed call.
+	maxUsageMessages = 100
+	// maxUsageDelay is the longest time until an instance sends its counts, as its hub does not
+	// relay them.
+	maxUsageDelay cf.Millis = 1000
+	// flushRetryDelay is the delay between the tries of an instance that stops; flushTimeout bounds
+	// all of them.
+	flushRetryDelay = 50 * time.Millisecond
+	flushTimeout    = 800 * time.Millisecond
+	// usageTimeout bounds one usage message.
 	usageTimeout cf.Millis = 400
 )
 
-// usage is an instance's part in counting use. A nil one counts nothing.
+// usage counts the requests that this instance runs and reports them to the holder. A nil usage
+// counts nothing.
 type usage struct {
 	node    *Node
 	meter   *cfusage.Meter
 	clock   cfusage.Clock
 	metrics *cfmeter.Metrics
-	// duty is set while this instance reports.
-	duty   atomic.Pointer[cfmeter.Collector]
-	toldAt atomic.Int64 // Uptime
+	// collector is set while this instance has the reporting duty.
+	collector atomic.Pointer[cfmeter.Collector]
+	sentAt    atomic.Int64 // Uptime
 }
 
 func newUsage(n *Node, metrics *cfmeter.Metrics) *usage {
 	source := cfusage.Source{Entry: n.settings.Entry, Start: rand.Uint32()}
-	return &usage{node: n, meter: cfusage.NewMeter(source, n.settings.Usage.length()), metrics: metrics}
+	return &usage{node: n, meter: cfusage.NewMeter(source, n.settings.Usage.window()), metrics: metrics}
 }
 
-// now returns the time of day.
+// now returns the current time of day.
 func (u *usage) now() cf.Millis { return u.clock.Now(cf.Now(), cf.Uptime()) }
 
-// count notes requests of an organisation that began to run at an Uptime.
-func (u *usage) count(o cf.Organisation, began cf.Millis, requests int64) {
+// count records requests of an organisation that started to run at the given uptime.
+func (u *usage) count(o cf.Organisation, startedAt cf.Millis, requests int64) {
 	if u == nil || o == "" {
 		return
 	}
-	at := u.now() - (cf.Uptime() - began)
-	if !u.meter.Count(o, at, requests) {
-		u.node.log.Warn("usage_late", zap.String("organisation", string(o)), zap.Int64("began_ms", int64(at)), zap.Int64("requests", requests))
+	startedWall := u.now() - (cf.Uptime() - startedAt)
+	if !u.meter.Count(o, startedWall, requests) {
+		u.node.log.Warn("usage_late", zap.String("organisation", string(o)), zap.Int64("began_ms", int64(startedWall)), zap.Int64("requests", requests))
 		return
 	}
-	u.tell()
+	u.send()
 }
 
-// tell tells the holder what was counted, if it is this instance's turn: with an instance
-// that is lost, what it has not told is lost.
-func (u *usage) tell() {
+// send sends the counts to the holder if the rate limit permits. Counts that have not been sent are
+// lost if the instance is lost.
+func (u *usage) send() {
 	n := u.node
-	now, last := cf.Uptime(), u.toldAt.Load()
-	if now-cf.Millis(last) < min(cf.Millis(1000*len(n.Live())/tellTimes), tellMost) || !u.toldAt.CompareAndSwap(last, int64(now)) {
+	now, last := cf.Uptime(), u.sentAt.Load()
+	if now-cf.Millis(last) < min(cf.Millis(1000*len(n.Live())/maxUsageMessages), maxUsageDelay) || !u.sentAt.CompareAndSwap(last, int64(now)) {
 		return
 	}
-	if u.duty.Load() != nil {
-		return // it takes its own
+	if u.collector.Load() != nil {
+		return // The collector reads this instance's own counts.
 	}
 	holder, _ := n.candidate.holder()
 	n.wg.Go(func() {
 		r := u.meter.Report(holder.Term, u.now())
 		var taken bool
-		// Without an answer it goes with the next report of life.
-		_ = n.ask(n.ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
-		u.took(holder.Term, r, taken)
+		// Without an answer the counts are part of the next feed call.
+		_ = n.callCoordinator(n.ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
+		u.acknowledge(holder.Term, r, taken)
 	})
 }
 
-// tellCounted tells the holder what it has not taken yet, if there is anything.
-func (u *usage) tellCounted() {
+// sendPending sends the counts that the holder has not accepted yet, if there are any.
+func (u *usage) sendPending() {
 	if u == nil {
 		return
 	}
 	holder, _ := u.node.candidate.holder()
 	if len(u.meter.Report(holder.Term, u.now()).Windows) > 0 {
-		u.tell()
+		u.send()
 	}
 }
 
-// usageMessage tells the holder of a term what an instance has counted.
+// usageMessage reports an instance's counts to the holder of a term.
 type usageMessage struct {
 	Term   cf.Revision         `cbor:"term"`
 	Report cfusage.MeterReport `cbor:"report"`
 }
 
 func (u *usage) serve(_ context.Context, m usageMessage) (any, error) {
-	d := u.duty.Load()
+	d := u.collector.Load()
 	if d == nil || d.Lease.Fence != m.Term {
 		return false, nil
 	}
@@ -118,7 +119,7 @@
 	return true, nil
 }
 
-// report returns what goes with a report of life to the holder of a term.
+// report returns the counts to include in a feed call to the holder of a term.
 func (u *usage) report(term cf.Revision) *cfusage.MeterReport {
 	if u == nil {
 		return nil
@@ -127,34 +128,34 @@
 	return &r
 }
 
-// hear takes what came with an instance's report of life.
-func (u *usage) hear(r *cfusage.MeterReport) (taken bool, settled cf.UsageWindow) {
+// receive handles the counts in an instance's feed call.
+func (u *usage) receive(r *cfusage.MeterReport) (taken bool, settled cf.UsageWindow) {
 	if u == nil || r == nil {
 		return false, 0
 	}
-	d := u.duty.Load()
+	d := u.collector.Load()
 	if d == nil {
 		return false, 0
 	}
 	return true, d.Add(*r)
 }
 
-// heard takes the answer to a report of life.
-func (u *usage) heard(a feedAnswer, call feedCall) {
+// applyAnswer handles the usage fields of an answer to a feed call.
+func (u *usage) applyAnswer(a feedAnswer, call feedCall) {
 	if u == nil {
 		return
 	}
-	if a.Wall > 0 {
-		u.clock.Adjust(a.Wall, cf.Now(), cf.Uptime())
+	if a.WallTime > 0 {
+		u.clock.Adjust(a.WallTime, cf.Now(), cf.Uptime())
 	}
 	u.meter.Settle(a.UsageSettled)
-	if call.Usage != nil && a.Holder.Term == call.Term { // another holder may lack what this one had
-		u.took(call.Term, *call.Usage, a.UsageTaken)
+	if call.Usage != nil && a.Holder.Term == call.Term { // Another holder may lack what this one had.
+		u.acknowledge(call.Term, *call.Usage, a.UsageTaken)
 	}
 }
 
-// timeOfDay returns the time of day by the clocks of all instances, zero where nobody
-// needs it: as the coordinator, or as that one has told.
+// timeOfDay returns the time of day by the clocks of all instances, as the coordinator or as the
+// coordinator has reported it. It returns zero if usage is not reported.
 func (n *Node) timeOfDay(holds bool) cf.Millis {
 	if n.usage == nil {
 		return 0
@@ -170,49 +171,49 @@
 	return now
 }
 
-// took notes that the holder of a term has taken a report.
-func (u *usage) took(term cf.Revision, r cfusage.MeterReport, taken bool) {
+// acknowledge records that the holder of a term has accepted a report.
+func (u *usage) acknowledge(term cf.Revision, r cfusage.MeterReport, taken bool) {
 	if taken {
 		u.meter.Acknowledge(term, r)
 	}
 }
 
-// begin begins the duty of reporting, under the coordinator's term. base is what the holder
-// before had heard.
-func (u *usage) begin(expect []cf.EntryID, base json.RawMessage) {
+// begin starts the reporting duty under the coordinator's term. inherited is the usage that had
+// been reported to the previous holder.
+func (u *usage) begin(expected []cf.EntryID, inherited json.RawMessage) {
 	if u == nil {
 		return
 	}
 	n := u.node
 	term, _ := n.candidate.MayOrder()
-	from := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverSlack
+	earliest := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverMargin
 	s := n.settings.Usage
 	d := cfmeter.New(cfmeter.Options{
 		Lease: cf.LeaseToken{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
-		Timing: cfusage.WindowTiming{Length: s.length(), MaxWait: max(s.late()-usageReserve, 0), RetryDelay: usageRetry},
-		// A holder before may have called until its lease ran out.
-		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= from },
-		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.own(term) }, OnSettled: u.meter.Settle, Instances: expect, Inherited: base,
+		Timing: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
+		// A previous holder may have called until its lease expired.
+		MayAct: func() bool { return n.candidate.Valid() && cf.Uptime() >= earliest },
+		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, OnSettled: u.meter.Settle, Instances: expected, Inherited: inherited,
 		Metrics: u.metrics, Log: n.log,
 	})
-	u.duty.Store(d)
+	u.collector.Store(d)
 	d.Start()
 }
 
-// base returns what a successor needs, nothing while this instance does not report.
-func (u *usage) base() json.RawMessage {
+// snapshot returns the reported usage for a successor, or nil while this instance has no reporting
+// duty.
+func (u *usage) snapshot() json.RawMessage {
 	if u == nil {
 		return nil
 	}
-	d := u.duty.Load()
+	d := u.collector.Load()
 	if d == nil {
 		return nil
 	}
 	return d.Snapshot()
 }
 
-// flush tells the holder the last counts of an instance that stops, until they are taken
-// or ctx ends.
+// flush sends the last counts of an instance that stops, until they are accepted or ctx ends.
 func (u *usage) flush(ctx context.Context) {
 	if u == nil {
 		return
@@ -224,31 +225,31 @@
 			return
 		}
 		var taken bool
-		err := u.node.ask(ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
-		u.took(holder.Term, r, taken)
+		err := u.node.callCoordinator(ctx, opUsage, usageTimeout, usageMessage{holder.Term, r}, &taken)
+		u.acknowledge(holder.Term, r, taken)
 		if !taken {
-			err = u.node.findHolder(ctx) // it may have been this instance until now
+			err = u.node.findHolder(ctx) // This instance may have been the holder until now.
 		}
-		if !taken && !cf.Sleep(ctx, flushRetry) {
+		if !taken && !cf.Sleep(ctx, flushRetryDelay) {
 			u.node.log.Warn("usage_not_told", zap.Int("windows", len(r.Windows)), cflog.Error(err))
 			return
 		}
 	}
 }
 
-// own hands this instance's counts to its own duty.
-func (u *usage) own(term cf.Revision) cfusage.MeterReport {
+// ownReport returns this instance's counts to its own collector.
+func (u *usage) ownReport(term cf.Revision) cfusage.MeterReport {
 	r := u.meter.Report(term, u.now())
 	u.meter.Acknowledge(term, r)
 	return r
 }
 
-// end ends the duty.
+// end stops the duty.
 func (u *usage) end() {
 	if u == nil {
 		return
 	}
-	if d := u.duty.Swap(nil); d != nil {
+	if d := u.collector.Swap(nil); d != nil {
 		_ = d.Close()
 	}
 }
--- a/io/cfroom/cfroom.go
+++ b/io/cfroom/cfroom.go
@@ -1,14 +1,14 @@
-// Package cfroom carries out cfhold's decisions: it accounts for what answers take of the
-// process's memory, makes those that find no room wait, and ends the connections of callers
-// that read too slowly.
+// Package cfroom limits the memory that answers take while callers read them, as decided by cfhold.
+// It counts the memory of each answer, makes answers wait while there is not enough memory, and
+// cuts the connections of callers that read too slowly.
 //
 // Usage:
 //
 //	rooms := cfroom.New(cfroom.Options{MemoryBytes: limit, Metrics: cfroom.NewMetrics(reg), Log: log})
-//	ctx = cfroom.WithConn(ctx, conn)              // for each connection of a caller
-//	room := rooms.Open(ctx, caller, cfhold.Answer) // for each answer
+//	ctx = cfroom.WithConn(ctx, conn)                          // for each connection of a caller
+//	room := rooms.Open(ctx, caller, cfhold.Answer, requestID) // for each answer
 //	defer room.Close()
-//	wait := rooms.Look(conns)                      // again after wait, or sooner by rooms.Pressed
+//	wait := rooms.Check(conns) // again after wait, or earlier if rooms.Pressure receives
 package cfroom
 
 import (
@@ -25,34 +25,35 @@
 	"currantford/core/cfhold"
 )
 
-// linesPerSecond bounds the log lines; each cut counts in the metrics.
-const linesPerSecond = 20
+// maxLogLinesPerSecond limits the log lines. Cuts beyond the limit are still counted in the
+// metrics.
+const maxLogLinesPerSecond = 20
 
 type (
-	// Delivery is a caller's connection as bytes go out on it.
+	// Delivery observes how the bytes written to a caller's connection are delivered.
 	Delivery interface {
-		// Writing returns the number of the write that is under way, false if none is.
+		// Writing returns the number of the write in progress, and false if there is none.
 		Writing() (write uint64, ok bool)
-		// Acknowledged returns how many bytes the caller's machine has acknowledged.
+		// Acknowledged returns the number of bytes that the caller's machine has acknowledged.
 		Acknowledged() int64
-		// AnswerNumber returns the number of the answer that is under way, or of the next one.
+		// AnswerNumber returns the number of the answer in progress, or of the next one.
 		AnswerNumber() uint64
-		// Cut makes the writes of an answer fail, and the connection end so that the caller
-		// sees it. It returns false where that answer has ended.
+		// Cut makes the writes of an answer fail and ends the connection in a way that the caller
+		// can detect. It returns false if the answer has already ended.
 		Cut(answer uint64) bool
 	}
 
 	// Conn is a caller's connection.
 	Conn struct {
 		Delivery
-		// room is that of the answer that is on its way, nil if none is.
-		room  atomic.Pointer[Room]
-		ended atomic.Bool
-		// request is that of the last room, until the next request begins.
-		request atomic.Pointer[string]
+		// room is the Room of the answer in progress, nil if there is none.
+		room   atomic.Pointer[Room]
+		closed atomic.Bool
+		// requestID is the request of the last Room, until the next request starts.
+		requestID atomic.Pointer[string]
 	}
 
-	// Options are what rooms work with.
+	// Options configure Rooms.
 	Options struct {
 		// MemoryBytes is the process's memory limit, zero if there is none.
 		MemoryBytes int64
@@ -61,50 +62,53 @@
 		Log         *zap.Logger
 	}
 
-	// Metrics are the counters of rooms.
+	// Metrics are the metrics of Rooms.
 	Metrics struct {
 		Held    prometheus.Gauge
 		Cut     *prometheus.CounterVec
 		Refused *prometheus.CounterVec
 	}
 
-	// Rooms is what a process holds of answers. It is safe for concurrent use; a nil one
-	// bounds nothing.
+	// Rooms manages the memory reserved for all answers of a process. It is safe for concurrent
+	// use; a nil Rooms has no limit.
 	Rooms struct {
 		options Options
 		log     *zap.Logger
 
 		mu     sync.Mutex
 		ledger *cfhold.Ledger
-		// blocked are those rooms whose callers were seen to be waited for.
+		// blocked contains the rooms with a write that waits for the caller.
 		blocked map[*cfhold.Reservation]*Room
-		// freed is closed when room may have come free, where waiters wait for it.
+		// freed is closed, and replaced, when memory may have become free while answers wait for
+		// it.
 		freed   chan struct{}
 		waiters int
-		// pressed tells whoever looks that one has begun to wait.
-		pressed chan struct{}
-		// lines are the log lines of the second that began at linesAt.
-		lines   int
-		linesAt cf.Millis
+		// pressure receives when an answer begins to wait.
+		pressure chan struct{}
+		// logLines is the number of log lines in the second that began at logWindowStart.
+		logLines       int
+		logWindowStart cf.Millis
 	}
 
-	// Room implements currantford.Room. A nil one has no bound.
+	// Room is the memory reservation of one answer. It implements currantford.Room; a nil Room has
+	// no limit.
 	Room struct {
 		rooms *Rooms
 		conn  *Conn
-		// answer is its number on the connection.
-		answer uint64
-		hold   *cfhold.Reservation // of rooms.mu
-		// seen: its caller was waited for at the last look. Only Look uses it.
-		seen bool
-		// closed: nothing is taken any more.
+		// answer is the number of the answer on its connection.
+		answer      uint64
+		reservation *cfhold.Reservation // guarded by rooms.mu
+		// blocked is true if a write was waiting for the caller at the last check. It is used by
+		// Check only.
+		blocked bool
+		// closed is true once nothing more can be taken.
 		closed bool
 		cut    atomic.Bool
-		// request is named in log lines.
-		request string
+		// requestID is used in log lines.
+		requestID string
 	}
 
-	// pendingCut is a connection that is to end, and what was held by then.
+	// pendingCut is a connection to be cut, with the bytes held in total when that was decided.
 	pendingCut struct {
 		cfhold.Cut
 		room   *Room
@@ -117,7 +121,7 @@
 
 var _ cf.Room = (*Room)(nil)
 
-// NewMetrics registers the metrics of rooms.
+// NewMetrics registers the metrics of Rooms.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Held: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -131,15 +135,15 @@
 	return m
 }
 
-// New returns rooms that hold nothing.
+// New returns Rooms without reservations.
 func New(o Options) *Rooms {
 	return &Rooms{
 		options: o, log: o.Log, ledger: cfhold.New(cfhold.BoundsFor(o.MemoryBytes), o.Policy),
-		blocked: map[*cfhold.Reservation]*Room{}, freed: make(chan struct{}), pressed: make(chan struct{}, 1),
+		blocked: map[*cfhold.Reservation]*Room{}, freed: make(chan struct{}), pressure: make(chan struct{}, 1),
 	}
 }
 
-// Enabled says whether anything is bounded.
+// Enabled reports whether memory is limited.
 func (r *Rooms) Enabled() bool { return r != nil && !r.options.Policy.Disabled }
 
 // WithConn adds a caller's connection to the context of its requests.
@@ -147,54 +151,55 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Open begins an answer to a caller, on the connection of the context if it has one.
-func (r *Rooms) Open(ctx context.Context, caller cfhold.Caller, kind cfhold.Kind, request string) *Room {
+// Open opens the reservation for an answer to a caller, on the context's connection if there is
+// one.
+func (r *Rooms) Open(ctx context.Context, caller cfhold.Caller, kind cfhold.Kind, requestID string) *Room {
 	if r == nil {
 		return nil
 	}
 	conn, _ := ctx.Value(connKey{}).(*Conn)
-	room := r.open(conn, caller, kind, request)
+	room := r.open(conn, caller, kind, requestID)
 	if conn != nil {
-		conn.request.Store(&request)
+		conn.requestID.Store(&requestID)
 		if before := conn.room.Swap(room); before != nil {
-			before.Close() // of a look between two answers
+			before.Close() // opened by a check between two answers
 		}
 	}
 	return room
 }
 
-func (r *Rooms) open(conn *Conn, caller cfhold.Caller, kind cfhold.Kind, request string) *Room {
-	room := &Room{rooms: r, conn: conn, request: request}
+func (r *Rooms) open(conn *Conn, caller cfhold.Caller, kind cfhold.Kind, requestID string) *Room {
+	room := &Room{rooms: r, conn: conn, requestID: requestID}
 	if conn != nil {
 		room.answer = conn.AnswerNumber()
 	}
 	r.mu.Lock()
-	room.hold = r.ledger.Open(caller, kind)
+	room.reservation = r.ledger.Open(caller, kind)
 	r.mu.Unlock()
 	return room
 }
 
-// RequestStarted notes that the next request begins.
-func (c *Conn) RequestStarted() { c.request.Store(nil) }
+// RequestStarted records that the next request starts.
+func (c *Conn) RequestStarted() { c.requestID.Store(nil) }
 
-// RequestID names the request that is answered on the connection, empty if it has opened no
-// room.
+// RequestID returns the request that is answered on the connection, empty if the request has not
+// opened a Room.
 func (c *Conn) RequestID() string {
-	if request := c.request.Load(); request != nil {
+	if request := c.requestID.Load(); request != nil {
 		return *request
 	}
 	return ""
 }
 
-// Closed notes that the connection has ended.
+// Closed records that the connection has ended.
 func (c *Conn) Closed() {
-	c.ended.Store(true)
+	c.closed.Store(true)
 	if room := c.room.Load(); room != nil {
 		room.Close()
 	}
 }
 
-// Refuses says whether a caller's next request is turned away.
+// Refuses reports whether the next request of a caller is to be refused.
 func (r *Rooms) Refuses(caller cfhold.Caller) bool {
 	if r == nil {
 		return false
@@ -208,30 +213,30 @@
 	return refused
 }
 
-// Pressure receives when an answer has begun to wait for room.
-func (r *Rooms) Pressure() <-chan struct{} { return r.pressed }
+// Pressure receives when an answer begins to wait for memory.
+func (r *Rooms) Pressure() <-chan struct{} { return r.pressure }
 
-// Check looks at callers' connections and ends those that cfhold chooses. It makes a system
-// call for each connection on which a write is under way. It returns when to look again.
+// Check checks callers' connections and cuts those chosen by cfhold. It makes a system call for
+// each connection with a write in progress. It returns the time until the next check.
 func (r *Rooms) Check(conns []*Conn) cf.Millis {
 	now := cf.Uptime()
 	for _, c := range conns {
-		r.look(c, now)
+		r.checkConn(c, now)
 	}
 	r.mu.Lock()
-	cuts := r.cuts(now)
-	r.wake() // two attempts of one request may wait, of which the ledger knows one
+	cuts := r.chooseCuts(now)
+	r.wake() // two attempts of one request may be waiting, while the ledger counts them as one
 	wait := cfhold.CheckInterval
 	if r.waiters > 0 {
 		wait = cfhold.PressureCheckInterval
 	}
 	r.mu.Unlock()
-	r.cut(cuts)
+	r.cutAll(cuts)
 	return wait
 }
 
-// cuts decides whose connections end. r.mu is held.
-func (r *Rooms) cuts(now cf.Millis) []pendingCut {
+// chooseCuts returns the connections to be cut. r.mu must be held.
+func (r *Rooms) chooseCuts(now cf.Millis) []pendingCut {
 	var out []pendingCut
 	for _, c := range r.ledger.Cuts(now) {
 		if room := r.blocked[c.Reservation]; room != nil {
@@ -241,11 +246,11 @@
 	return out
 }
 
-// cut ends connections.
-func (r *Rooms) cut(cuts []pendingCut) {
+// cutAll cuts connections.
+func (r *Rooms) cutAll(cuts []pendingCut) {
 	for _, c := range cuts {
 		if c.room.conn.room.Load() != c.room {
-			continue // its answer has ended meanwhile, and the next may be on its way
+			continue // the answer has ended meanwhile, and the next one may be in progress
 		}
 		c.room.cut.Store(true)
 		if !c.room.conn.Cut(c.room.answer) {
@@ -254,58 +259,58 @@
 		}
 		r.options.Metrics.Cut.WithLabelValues(string(c.Reason)).Inc()
 		if c.logged {
-			r.log.Warn("slow_caller_cut", zap.String("request_id", c.room.request), zap.String("reason", string(c.Reason)), zap.Int64("held_bytes", c.Bytes),
+			r.log.Warn("slow_caller_cut", zap.String("request_id", c.room.requestID), zap.String("reason", string(c.Reason)), zap.Int64("held_bytes", c.Bytes),
 				zap.Int64("bytes_per_s", c.Rate), zap.Int64("blocked_ms", int64(c.Blocked)), zap.Int64("held_in_all", c.held))
 		}
 	}
 }
 
-func (r *Rooms) look(c *Conn, now cf.Millis) {
+func (r *Rooms) checkConn(c *Conn, now cf.Millis) {
 	write, writing := c.Writing()
 	room := c.room.Load()
 	if !writing {
-		if room != nil && room.seen {
-			room.seen = false
+		if room != nil && room.blocked {
+			room.blocked = false
 			r.mu.Lock()
-			r.rest(room)
+			r.unblock(room)
 			r.mu.Unlock()
 		}
 		return
 	}
 	if room == nil {
-		// An answer that takes no room of its own, such as a refusal.
+		// The answer has no Room of its own, such as a refusal.
 		room = r.open(c, "", cfhold.Answer, "")
 		if !c.room.CompareAndSwap(nil, room) {
-			room.Close() // the next request has opened its own, which the next look finds
+			room.Close() // the next request has opened its own Room, which the next check will see
 			return
 		}
-		if c.ended.Load() {
+		if c.closed.Load() {
 			room.Close()
 		}
 	}
 	acked := c.Acknowledged()
-	room.seen = true
+	room.blocked = true
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !room.closed {
-		r.ledger.ObserveWrite(room.hold, write, acked, now)
-		r.blocked[room.hold] = room
+		r.ledger.ObserveWrite(room.reservation, write, acked, now)
+		r.blocked[room.reservation] = room
 	}
 }
 
-// rest notes that a room's caller is not waited for. r.mu is held.
-func (r *Rooms) rest(m *Room) {
-	r.ledger.WriteDone(m.hold)
-	delete(r.blocked, m.hold)
+// unblock records that no write of a room waits for the caller. r.mu must be held.
+func (r *Rooms) unblock(m *Room) {
+	r.ledger.WriteDone(m.reservation)
+	delete(r.blocked, m.reservation)
 }
 
-// allowLine says whether one more line may be logged now. r.mu is held.
+// allowLine reports whether another line may be logged now. r.mu must be held.
 func (r *Rooms) allowLine(now cf.Millis) bool {
-	if now-r.linesAt >= 1000 {
-		r.lines, r.linesAt = 0, now
+	if now-r.logWindowStart >= 1000 {
+		r.logLines, r.logWindowStart = 0, now
 	}
-	r.lines++
-	return r.lines <= linesPerSecond
+	r.logLines++
+	return r.logLines <= maxLogLinesPerSecond
 }
 
 // Take implements currantford.Room.
@@ -319,24 +324,24 @@
 	if m == nil {
 		return most, nil
 	}
-	n, verdict, freed := m.try(least, most, 0)
+	n, verdict, freed := m.tryTake(least, most, 0)
 	if verdict == cfhold.Granted {
 		return n, nil
 	}
-	late := time.NewTimer(cfhold.MaxWait.Duration())
-	defer late.Stop()
-	for ; verdict != cfhold.Granted; n, verdict, freed = m.try(least, most, -1) {
+	timeout := time.NewTimer(cfhold.MaxWait.Duration())
+	defer timeout.Stop()
+	for ; verdict != cfhold.Granted; n, verdict, freed = m.tryTake(least, most, -1) {
 		if verdict == cfhold.TooLarge {
-			return 0, m.noRoom("over_bound", least)
+			return 0, m.refuse("over_bound", least)
 		}
 		select {
 		case <-freed:
 			continue
 		case <-ctx.Done():
-		case <-late.C:
+		case <-timeout.C:
 		}
-		m.giveUp()
-		return 0, m.noRoom("waited", least)
+		m.stopWaiting()
+		return 0, m.refuse("waited", least)
 	}
 	return n, nil
 }
@@ -348,11 +353,11 @@
 	}
 	r := m.rooms
 	r.mu.Lock()
-	granted := !m.closed && r.ledger.TakeUnbounded(m.hold, n)
+	granted := !m.closed && r.ledger.TakeUnbounded(m.reservation, n)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.mu.Unlock()
 	if !granted {
-		return m.noRoom("no_end", n)
+		return m.refuse("no_end", n)
 	}
 	return nil
 }
@@ -368,13 +373,13 @@
 	if m.closed {
 		return
 	}
-	r.ledger.Release(m.hold, n)
+	r.ledger.Release(m.reservation, n)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.wake()
 }
 
-// try takes bytes if it may; waiters is how many fewer wait by then.
-func (m *Room) try(least, most int64, waiters int) (int64, cfhold.Verdict, <-chan struct{}) {
+// tryTake takes memory if available; waiters is added to the number of waiting answers.
+func (m *Room) tryTake(least, most int64, waiters int) (int64, cfhold.Verdict, <-chan struct{}) {
 	r := m.rooms
 	r.mu.Lock()
 	r.waiters += waiters
@@ -382,37 +387,38 @@
 		r.mu.Unlock()
 		return 0, cfhold.TooLarge, nil
 	}
-	n, v := r.ledger.TakeUpTo(m.hold, least, most)
+	n, v := r.ledger.TakeUpTo(m.reservation, least, most)
 	if v != cfhold.Wait {
-		r.options.Metrics.Held.Set(float64(r.ledger.Held())) // small takes are granted without being held
+		r.options.Metrics.Held.Set(float64(r.ledger.Held())) // small takes are granted without being counted
 		r.mu.Unlock()
 		return n, v, nil
 	}
 	r.waiters++
 	select {
-	case r.pressed <- struct{}{}:
+	case r.pressure <- struct{}{}:
 	default:
 	}
 	freed := r.freed
 	var cuts []pendingCut
 	if r.waiters == 1 {
-		// Those that are known to be slow, without the next look. Where more wait, it is
-		// left to the look: each would sort all holds again whenever room comes free.
-		cuts = r.cuts(cf.Uptime())
+		// Cut the callers that are known to be slow without waiting for the next check. If more
+		// answers wait, it is left to that check, since otherwise each of them would sort all
+		// reservations whenever memory becomes free.
+		cuts = r.chooseCuts(cf.Uptime())
 	}
 	r.mu.Unlock()
-	r.cut(cuts)
+	r.cutAll(cuts)
 	return 0, v, freed
 }
 
-func (m *Room) giveUp() {
+func (m *Room) stopWaiting() {
 	m.rooms.mu.Lock()
 	defer m.rooms.mu.Unlock()
 	m.rooms.waiters--
-	m.rooms.ledger.StopWaiting(m.hold)
+	m.rooms.ledger.StopWaiting(m.reservation)
 }
 
-// wake lets those that wait for room try again. r.mu is held.
+// wake lets the answers that wait for memory try again. r.mu must be held.
 func (r *Rooms) wake() {
 	if r.waiters > 0 {
 		close(r.freed)
@@ -420,7 +426,7 @@
 	}
 }
 
-func (m *Room) noRoom(reason string, n int64) error {
+func (m *Room) refuse(reason string, n int64) error {
 	r := m.rooms
 	r.mu.Lock()
 	if m.closed {
@@ -431,12 +437,12 @@
 	r.mu.Unlock()
 	r.options.Metrics.Refused.WithLabelValues(reason).Inc()
 	if logged {
-		r.log.Warn("answer_without_room", zap.String("request_id", m.request), zap.String("reason", reason), zap.Int64("bytes", n), zap.Int64("held_in_all", held))
+		r.log.Warn("answer_without_room", zap.String("request_id", m.requestID), zap.String("reason", reason), zap.Int64("bytes", n), zap.Int64("held_in_all", held))
 	}
 	return eris.Wrapf(cf.ErrNoRoom, "%d bytes, %s, %d held in all", n, reason, held)
 }
 
-// WasCut says whether the caller's connection was ended because it read too slowly.
+// WasCut reports whether the caller's connection was cut because it read too slowly.
 func (m *Room) WasCut() bool { return m != nil && m.cut.Load() }
 
 // Close implements currantford.Room.
@@ -454,8 +460,8 @@
 		return
 	}
 	m.closed = true
-	r.rest(m)
-	r.ledger.Close(m.hold)
+	r.unblock(m)
+	r.ledger.Close(m.reservation)
 	r.options.Metrics.Held.Set(float64(r.ledger.Held()))
 	r.wake()
 }
--- a/io/cfwatch/watch.go
+++ b/io/cfwatch/watch.go
@@ -1,10 +1,10 @@
-// Package cfwatch keeps a view of one kind of the store current: it lists
-// once, then follows the changes, and lists again when the store has dropped
-// its history.
+// Package cfwatch keeps a view of one kind of objects in the store current. A watcher lists the
+// objects once and then follows their changes; it lists them again if the store has dropped the
+// history of changes.
 //
 // Usage:
 //
-//	w := cfwatch.Watcher{Store: store, Kind: "config", Wait: 2000, List: ..., Change: ...}
+//	w := cfwatch.Watcher{Store: store, Kind: "config", Wait: 2000, OnList: ..., OnChange: ...}
 //	go w.Run(ctx)
 //	age := w.Age(currantford.Uptime())
 package cfwatch
@@ -23,123 +23,122 @@
 	"currantford/io/cflog"
 )
 
-// Retry pauses after a failed call to the store. Calls to a store that is
-// down are paid for too, and all instances notice an outage together: the
-// pause grows and is drawn at random.
+// These delays follow a failed call to the store. Calls to an unavailable store are billed too, and
+// all instances notice an outage at the same time, so the delay grows and is random.
 const (
-	retryFirst = 150 * time.Millisecond
-	retryMost  = 900 * time.Millisecond
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 900 * time.Millisecond
 )
 
 const (
-	// overdue is how long after it should have come an answer counts as missing: a slow
-	// store takes some hundred milliseconds.
-	overdue cf.Millis = 400
-	// vainFor is how long a failed call says that the store does not answer: the longest
-	// pause, and the next call.
-	vainFor cf.Millis = 2500
+	// answerGrace is how long after it was due an answer counts as missing; a slow store takes some
+	// hundred milliseconds.
+	answerGrace cf.Millis = 400
+	// failureLifetime is how long a failed call shows that the store does not answer: the longest
+	// retry delay and the next call.
+	failureLifetime cf.Millis = 2500
 )
 
-// Watcher follows one kind. Its fields are set before Run.
+// Watcher follows the objects of one kind. Its fields must be set before Run is called.
 type Watcher struct {
 	Store cf.Store
 	Kind  string
-	// Wait is the longest that a watch call stays open. A watch that went
-	// silent is noticed only after it.
+	// Wait is the longest time that a watch call stays open. A watch that has gone silent is only
+	// detected after it.
 	Wait cf.Millis
-	// CoalesceDelay lets changes gather before the next call, since each call is
-	// paid for.
+	// CoalesceDelay is the pause before the next call, in which changes accumulate; each call is
+	// billed.
 	CoalesceDelay cf.Millis
-	// OnList takes the whole kind, Change one change of it.
+	// OnList handles all objects of the kind, OnChange one changed object.
 	OnList   func(cf.Records) error
 	OnChange func(cf.Record) error
-	// OnCaughtUp is called once the changes since a list have been taken too:
-	// what a List does with a list may take seconds, and is then out of date.
+	// OnCaughtUp is called once the changes since a list have been handled too: OnList may take
+	// seconds, and the list is then out of date.
 	OnCaughtUp func()
-	// OnRevision is called after each answer, with the revision as of which
-	// the view is current.
+	// OnRevision is called after each answer, with the revision as of which the view is current.
 	OnRevision func(at cf.Revision)
-	// OnReconnect is called before the first answer after failed calls is
-	// taken.
+	// OnReconnect is called before the first answer after failed calls is handled.
 	OnReconnect func()
-	// MaxRetryDelay is the longest pause after failed calls, retryMost if it is zero.
+	// MaxRetryDelay is the longest delay after failed calls if it exceeds maxRetryDelay.
 	MaxRetryDelay time.Duration
 	Log           *zap.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 
-	contact atomic.Int64
-	// failed is when a call failed last, and due as of when the answer of the call under
-	// way is missing, zero if there is none.
-	failed, due atomic.Int64
-	// relisting: the store has dropped its history, and the list is being read again.
-	relisting atomic.Bool
-	at        cf.Revision
-	listed    bool
-	behind    bool // since the list no changes were asked for
-	failing   bool
+	currentAt atomic.Int64
+	// failedAt is when a call last failed. answerDue is when the answer of the call in progress
+	// counts as missing, zero if there is no call.
+	failedAt, answerDue atomic.Int64
+	// relisting is set while the objects are listed again because the store has dropped its
+	// history.
+	relisting  atomic.Bool
+	rev        cf.Revision
+	listed     bool
+	catchingUp bool // set from a list until the changes since it have been handled
+	failing    bool
 }
 
-// Metrics are the watchers' counters.
-type Metrics struct{ notTaken *prometheus.CounterVec }
+// Metrics counts the objects that the watchers could not apply.
+type Metrics struct{ rejected *prometheus.CounterVec }
 
-// NewMetrics registers the watchers' metrics.
+// NewMetrics registers the watchers' metrics and returns them.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "currantford_changes_not_taken_total", Help: "Objects of the store that could not be taken, by kind; what was there before goes on.",
 	}, []string{"kind"})}
-	reg.MustRegister(m.notTaken)
+	reg.MustRegister(m.rejected)
 	return m
 }
 
-func (w *Watcher) notTaken(msg, name string, err error) {
+func (w *Watcher) reject(msg, name string, err error) {
 	w.Log.Error(msg, zap.String("kind", w.Kind), zap.String("name", name), cflog.Error(err))
 	if w.Metrics != nil {
-		w.Metrics.notTaken.WithLabelValues(w.Kind).Inc()
+		w.Metrics.rejected.WithLabelValues(w.Kind).Inc()
 	}
 }
 
-// Age returns how long ago the view was known to be current.
+// Age returns how long ago the view was last known to be current.
 func (w *Watcher) Age(now cf.Millis) cf.Millis {
-	at := cf.Millis(w.contact.Load())
+	at := cf.Millis(w.currentAt.Load())
 	if at == 0 {
 		return 1 << 40
 	}
 	return now - at
 }
 
-// Lag returns by how much the answer is late that would show the next change: until then
-// nothing has been missed.
+// Lag returns by how much the answer that would show the next change is late. Up to the time when
+// it is due, nothing has been missed.
 func (w *Watcher) Lag(now cf.Millis) cf.Millis { return max(w.Age(now)-w.Wait, 0) }
 
-// StoreUnresponsive says whether the store is being asked, and does not answer.
+// StoreUnresponsive reports whether the store is being queried and does not answer.
 func (w *Watcher) StoreUnresponsive(now cf.Millis) bool {
-	contact, failed, due := w.contact.Load(), cf.Millis(w.failed.Load()), cf.Millis(w.due.Load())
-	return int64(failed) > contact && now-failed < vainFor || due > 0 && now >= due
+	currentAt, failedAt, due := w.currentAt.Load(), cf.Millis(w.failedAt.Load()), cf.Millis(w.answerDue.Load())
+	return int64(failedAt) > currentAt && now-failedAt < failureLifetime || due > 0 && now >= due
 }
 
-// InitialList says whether the first list is being read, in vain if a call for it has failed.
-func (w *Watcher) InitialList() (listing, vain bool) {
-	return w.contact.Load() == 0, w.failed.Load() > 0
+// InitialList reports whether the first list is still pending, and whether a call for it has
+// failed.
+func (w *Watcher) InitialList() (pending, failed bool) {
+	return w.currentAt.Load() == 0, w.failedAt.Load() > 0
 }
 
-// Current says whether the view was known to be current within fresh, or within listed while
-// it is listed again: what takes longer the more there is to list makes it no worse than it
-// was a moment before.
-func (w *Watcher) Current(now, fresh, listed cf.Millis) bool {
+// Current reports whether the view was known to be current within maxAge, or within maxRelistAge
+// while the objects are listed again. A list takes longer the more objects there are, which does
+// not make the view worse than it was a moment before.
+func (w *Watcher) Current(now, maxAge, maxRelistAge cf.Millis) bool {
 	if w.relisting.Load() {
-		fresh = listed
+		maxAge = maxRelistAge
 	}
-	return w.Age(now) < fresh
+	return w.Age(now) < maxAge
 }
 
-// Run follows the kind until ctx ends.
+// Run follows the objects until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	retry := retryFirst
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		err := w.step(ctx)
 		if err == nil {
-			retry = retryFirst
+			delay = minRetryDelay
 			cf.Sleep(ctx, w.CoalesceDelay.Duration())
 			continue
 		}
@@ -150,14 +149,14 @@
 			w.Log.Warn("store_lost", zap.String("kind", w.Kind), cflog.Error(err))
 		}
 		w.failing = true
-		w.failed.Store(int64(cf.Uptime()))
-		cf.Sleep(ctx, retry/2+rand.N(retry))
-		retry = min(2*retry, max(w.MaxRetryDelay, retryMost))
+		w.failedAt.Store(int64(cf.Uptime()))
+		cf.Sleep(ctx, delay/2+rand.N(delay))
+		delay = min(2*delay, max(w.MaxRetryDelay, maxRetryDelay))
 	}
 }
 
-// answered notes that the store answered.
-func (w *Watcher) answered() {
+// recordAnswer records that the store answered.
+func (w *Watcher) recordAnswer() {
 	if !w.failing {
 		return
 	}
@@ -169,31 +168,31 @@
 }
 
 func (w *Watcher) step(ctx context.Context) error {
-	// A list or an empty watch shows the view as of when it was asked for.
-	asked := cf.Uptime()
-	defer w.due.Store(0)
+	// A list or an empty watch shows the view at the time of the call.
+	askedAt := cf.Uptime()
+	defer w.answerDue.Store(0)
 	if !w.listed {
-		w.due.Store(int64(asked + overdue))
+		w.answerDue.Store(int64(askedAt + answerGrace))
 		list, err := w.Store.List(ctx, w.Kind)
 		if err != nil {
 			return err
 		}
-		w.answered()
+		w.recordAnswer()
 		if err := w.OnList(list); err != nil {
-			w.notTaken("list_not_taken", "", err)
+			w.reject("list_not_taken", "", err)
 		}
-		w.listed, w.behind = true, w.OnCaughtUp != nil
-		w.reached(list.Rev, asked)
+		w.listed, w.catchingUp = true, w.OnCaughtUp != nil
+		w.recordRevision(list.Rev, askedAt)
 		return nil
 	}
 	wait := w.Wait
-	if w.behind {
-		wait = 1 // what is there now
+	if w.catchingUp {
+		wait = 1 // Return the changes that already exist.
 	}
-	w.due.Store(int64(asked + wait + overdue))
-	changes, err := w.Store.Watch(ctx, w.Kind, w.at, wait)
+	w.answerDue.Store(int64(askedAt + wait + answerGrace))
+	changes, err := w.Store.Watch(ctx, w.Kind, w.rev, wait)
 	if errors.Is(err, cf.ErrHistoryGone) {
-		w.Log.Info("watch_history_gone", zap.String("kind", w.Kind), zap.Int64("since", int64(w.at)))
+		w.Log.Info("watch_history_gone", zap.String("kind", w.Kind), zap.Int64("since", int64(w.rev)))
 		w.listed = false
 		w.relisting.Store(true)
 		return nil
@@ -201,30 +200,30 @@
 	if err != nil {
 		return err
 	}
-	w.answered()
+	w.recordAnswer()
 	for _, r := range changes.Items {
 		if err := w.OnChange(r); err != nil {
-			w.notTaken("change_not_taken", r.Name, err)
+			w.reject("change_not_taken", r.Name, err)
 		}
 	}
-	w.reached(changes.Rev, cf.Uptime())
-	if w.behind {
-		w.behind = false
+	w.recordRevision(changes.Rev, cf.Uptime())
+	if w.catchingUp {
+		w.catchingUp = false
 		w.OnCaughtUp()
 	}
 	return nil
 }
 
-func (w *Watcher) reached(at cf.Revision, when cf.Millis) {
-	w.at = max(w.at, at)
-	w.contact.Store(int64(when))
+func (w *Watcher) recordRevision(rev cf.Revision, currentAt cf.Millis) {
+	w.rev = max(w.rev, rev)
+	w.currentAt.Store(int64(currentAt))
 	w.relisting.Store(false)
 	if w.OnRevision != nil {
-		w.OnRevision(w.at)
+		w.OnRevision(w.rev)
 	}
 }
 
-// ForEach returns a List that takes every record of a kind on its own.
+// ForEach returns an OnList function that passes each object to take.
 func ForEach(take func(cf.Record) error) func(cf.Records) error {
 	return func(list cf.Records) error {
 		var errs []error
