--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -134,14 +134,14 @@
 }
 
 // reportReward tells the guard how an attempt at a reward call ended.
-func (c *Coordinator) reportReward(a *cfreward.Attempt, outcome cfreward.Outcome, heard bool, err error) {
+func (c *Coordinator) reportReward(a *cfreward.Attempt, outcome cfreward.Outcome, alive bool, err error) {
 	reward := a.Call.Item.Reward
 	key := cfquarantine.KeyOfReward(reward)
 	switch {
 	case outcome == cfreward.Scored || outcome == cfreward.Failed:
 		c.Guard.Answered(key, a.Target, a.StartedAt)
 	case outcome == cfreward.NoAnswer && err != nil && !errors.Is(err, cf.ErrNotRun):
-		c.Guard.Lost(reward.ID, key, a.Target, heard)
+		c.Guard.Lost(reward.ID, key, a.Target, alive)
 	default:
 		c.Guard.Dropped(key, a.Target)
 	}
--- a/io/cfcoord/runs.go
+++ b/io/cfcoord/runs.go
@@ -76,9 +76,9 @@
 type runResult struct {
 	outcome cfrollout.Outcome
 	reason  string
-	// unsent is set if the request did not reach the engine. heard is set if the engine sent
+	// unsent is set if the request did not reach the engine. alive is set if the engine sent
 	// anything after receiving the request.
-	unsent, heard bool
+	unsent, alive bool
 	// keepAlive is how long the connection is kept open for another run.
 	keepAlive cf.Millis
 }
@@ -116,8 +116,8 @@
 
 // admit asks the guard whether an item may be sent to an engine. If so, the guard must be told of
 // the end of the run.
-func (c *Coordinator) admit(w *cfrollout.Work, engine cf.Target, apart bool) cfrollout.Admission {
-	v := c.admitDeferred(w.Item.ID.RequestID(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: apart, WaitingSince: w.WaitingSince()})
+func (c *Coordinator) admit(w *cfrollout.Work, engine cf.Target, isolated bool) cfrollout.Admission {
+	v := c.admitDeferred(w.Item.ID.RequestID(), cfquarantine.KeyOfItem(&w.Batch.Sub, w.Item), engine, cfquarantine.DeferredWork{Isolated: isolated, WaitingSince: w.WaitingSince()})
 	return cfrollout.Admission{Allowed: v.Pass, TryOthers: v.OtherTarget, RetryAt: v.RetryAt, MaxRuns: v.MaxRuns}
 }
 
@@ -146,7 +146,7 @@
 	case end.outcome == cfrollout.OutcomeDone || end.outcome == cfrollout.OutcomeFailed || end.outcome == cfrollout.OutcomePermanentFailure:
 		c.Guard.Answered(key, t, w.Started)
 	case end.outcome == cfrollout.OutcomeBroken && !end.unsent:
-		c.Guard.Lost(w.Item.ID.RequestID(), key, t, end.heard)
+		c.Guard.Lost(w.Item.ID.RequestID(), key, t, end.alive)
 	default:
 		c.Guard.Dropped(key, t)
 	}
@@ -165,7 +165,7 @@
 
 func (k *textCollector) Start(cf.TargetAnswer) error { return nil }
 
-// Seen implements cf.SeenSink.
+// Watermark implements cf.WatermarkSink.
 func (k *textCollector) Watermark(at cf.Millis) { k.work.Progress.SeenUntil(at) }
 
 func (k *textCollector) Event(ev cf.StreamEvent) error {
@@ -194,7 +194,7 @@
 	if err != nil && outer.Err() != nil {
 		return runResult{outcome: cfrollout.OutcomeStopped, reason: "batch ended or run moved"}
 	}
-	end := runResult{unsent: errors.Is(err, cf.ErrNotRun), heard: answer.Alive, keepAlive: answer.KeepAlive}
+	end := runResult{unsent: errors.Is(err, cf.ErrNotRun), alive: answer.Alive, keepAlive: answer.KeepAlive}
 	end.outcome, end.reason = classify(answer, err)
 	return end
 }
