--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -11,13 +11,13 @@
 )
 
 // A calm step: accepted at one entry, run on the engines, read at all.
-func TestStepIsServedWhole(t *testing.T) {
+func TestStepIsCompleted(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3})
-	b := step("b1", "m0", 4, 4, 10)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3})
+	b := newStep("b1", "m0", 4, 4, 10)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	body, err := s.other().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[0].ID, "", nil)
+	body, err := s.nonCoordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[0].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
 		t.Errorf("body of an item: %q, %v", body.body, err)
 	}
@@ -29,15 +29,15 @@
 // hands it in again elsewhere.
 // Cause guarded against: taking a lost answer for a refusal, and a late
 // duplicate of a chunk that lists items twice.
-func TestLostAndLateWrites(t *testing.T) {
+func TestLostAndDelayedWriteResponses(t *testing.T) {
 	for _, late := range []time.Duration{0, 700 * time.Millisecond} {
 		t.Run(fmt.Sprint("late_", late), func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 3, engines: 3})
+			s := startDeployment(t, options{entries: 3, engines: 3})
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: late})
-			batches := []batch{step("b1", "m0", 4, 4, 15), step("b2", "m0", 4, 4, 25)}
+			batches := []batch{newStep("b1", "m0", 4, 4, 15), newStep("b2", "m0", 4, 4, 25)}
 			for _, b := range batches {
-				s.accept(b)
+				s.submitUntilAccepted(b)
 			}
 			time.Sleep(time.Second)
 			s.store.SetFaults(standin.StoreFaults{})
@@ -52,12 +52,12 @@
 // accepted.
 func TestLargeStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 4, valueBytes: 80 << 10, event: time.Millisecond})
-	b := step("b1", "m0", 60, 4, 3)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 2, engines: 4, valueBytes: 80 << 10, eventInterval: time.Millisecond})
+	b := newStep("b1", "m0", 60, 4, 3)
+	s.submitUntilAccepted(b)
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id) // it reads the parts from the store
+	s.awaitCoordinator(old.id) // it reads the parts from the store
 	s.readAll(b)
 	body, err := s.coordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[200].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
@@ -69,10 +69,10 @@
 // Sequence: its submitter gets no answer and hands it in at another entry
 // while the first still works on it.
 // Cause guarded against: acceptance decided by each entry alone.
-func TestBatchHandedInTwice(t *testing.T) {
+func TestDuplicateSubmission(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2})
-	b := step("b1", "m0", 3, 4, 10)
+	s := startDeployment(t, options{entries: 3, engines: 2})
+	b := newStep("b1", "m0", 3, 4, 10)
 	statuses := make(chan int, 6)
 	for i := range 6 {
 		go func() { statuses <- s.entries[i%3].submit(b).status }()
@@ -94,19 +94,19 @@
 // Cause guarded against: a refusal while a write may still take effect.
 func TestRefusedBatchNeverRuns(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2})
+	s := startDeployment(t, options{entries: 2, engines: 2})
 	s.store.SetFaults(standin.StoreFaults{Busy: true})
-	b := step("b1", "m0", 2, 2, 5)
-	r := s.other().submit(b)
+	b := newStep("b1", "m0", 2, 2, 5)
+	r := s.nonCoordinator().submit(b)
 	if r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q; want 503 and a time", r.status, r.header.Get("Retry-After"))
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	time.Sleep(1500 * time.Millisecond)
-	if runs := s.runs(); len(runs) != 0 {
+	if runs := s.engineRuns(); len(runs) != 0 {
 		t.Errorf("%d items of a refused batch ran", len(runs))
 	}
-	if _, r, _ := s.other().read("b1", 0, 0); r.status != http.StatusNotFound {
+	if _, r, _ := s.nonCoordinator().readResults("b1", 0, 0); r.status != http.StatusNotFound {
 		t.Errorf("read of a refused batch: %d, want 404", r.status)
 	}
 }
@@ -114,11 +114,11 @@
 // Symptom: a batch whose write was not answered is refused as not run.
 // Sequence: the store takes connections and answers nothing.
 // Cause guarded against: mapping "no answer" to 503.
-func TestBatchInDoubtIsNotCalledRefused(t *testing.T) {
+func TestUnansweredWriteReturnsGatewayTimeout(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2})
+	s := startDeployment(t, options{entries: 2, engines: 2})
 	s.store.SetFaults(standin.StoreFaults{Down: true})
-	if r := s.other().submit(step("b1", "m0", 2, 2, 5)); r.status != http.StatusGatewayTimeout {
+	if r := s.nonCoordinator().submit(newStep("b1", "m0", 2, 2, 5)); r.status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, want 504: the write may still take effect", r.status)
 	}
 }
@@ -128,16 +128,16 @@
 // the item is resumed, at any engine, until it is whole.
 // Cause guarded against: counting an event that was not whole, or joining two
 // runs without Last-Event-Id.
-func TestBrokenStreamsAreResumed(t *testing.T) {
+func TestInterruptedStreamsAreResumed(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3})
+	s := startDeployment(t, options{entries: 2, engines: 3})
 	for _, e := range s.engines {
 		e.SetFaults(standin.EngineFaults{AbortAfterEvents: 4})
 	}
-	b := step("b1", "m0", 1, 3, 11)
-	s.accept(b)
+	b := newStep("b1", "m0", 1, 3, 11)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	for id, runs := range s.runs() {
+	for id, runs := range s.engineRuns() {
 		last := 0
 		for _, r := range runs {
 			if r.ResumeAfter != 0 && r.ResumeAfter <= last {
@@ -155,22 +155,22 @@
 // one failure.
 // Sequence: every engine answers 500 (an attempt that failed), or 422 (it can
 // never be done).
-func TestFailingItemsAreGivenUp(t *testing.T) {
+func TestFailingItemsStopAfterMaxAttempts(t *testing.T) {
 	for status, most := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 2, engines: 4})
+			s := startDeployment(t, options{entries: 2, engines: 4})
 			for _, e := range s.engines {
 				e.SetFaults(standin.EngineFaults{Status: status})
 			}
-			b := step("b1", "m0", 1, 2, 5)
-			s.accept(b)
+			b := newStep("b1", "m0", 1, 2, 5)
+			s.submitUntilAccepted(b)
 			for _, r := range s.readAll(b) {
 				if r.State != "down" {
 					t.Errorf("item %s is %s", r.ID, r.State)
 				}
 			}
-			for id, runs := range s.runs() {
+			for id, runs := range s.engineRuns() {
 				if len(runs) != most {
 					t.Errorf("item %s reached engines %d times, want %d", id, len(runs), most)
 				}
@@ -183,25 +183,25 @@
 // Sequence: a batch with more items than slots is ended while most wait; then
 // the coordinator is killed, and its successor reads the batch from the store.
 // Cause guarded against: an end known to one process alone.
-func TestEndedBatchStartsNothing(t *testing.T) {
+func TestDeletedBatchStartsNoItems(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1, event: 50 * time.Millisecond})
-	b := step("b1", "m0", 5, 4, 40)
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) > 0 })
+	s := startDeployment(t, options{entries: 3, engines: 1, eventInterval: 50 * time.Millisecond})
+	b := newStep("b1", "m0", 5, 4, 40)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
 	eventually(t, "the end's answer", func() bool {
-		r, err := s.other().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
+		r, err := s.nonCoordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
 		return err == nil && r.status == http.StatusOK
 	})
 	time.Sleep(300 * time.Millisecond)
-	before := len(s.runs())
+	before := len(s.engineRuns())
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id)
-	next := step("b2", "m0", 1, 2, 3)
-	s.accept(next)
+	s.awaitCoordinator(old.id)
+	next := newStep("b2", "m0", 1, 2, 3)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
-	if after := len(s.runs()); after != before+2 {
+	if after := len(s.engineRuns()); after != before+2 {
 		t.Errorf("%d items ran after the end, beside the 2 of the next batch", after-before-2)
 	}
 }
@@ -210,20 +210,20 @@
 // step allows; or an engine never gets the new weights.
 // Sequence: a trainer names version after version and hands in a step that
 // asks for the one before at least.
-func TestStepsFollowNamedVersions(t *testing.T) {
+func TestStepsUseAnnouncedVersions(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 4, models: []string{"m0", "m1"}})
+	s := startDeployment(t, options{entries: 2, engines: 4, models: []string{"m0", "m1"}})
 	for v := 1; v <= 4; v++ {
 		for _, m := range []string{"m0", "m1"} {
 			if v > 1 {
-				s.name(m, v)
+				s.announceVersion(m, v)
 			}
-			b := step(fmt.Sprintf("%s-s%d", m, v), m, 2, 4, 6)
+			b := newStep(fmt.Sprintf("%s-s%d", m, v), m, 2, 4, 6)
 			b.Step, b.MinVersion = v, max(v-1, 1)
-			s.accept(b)
+			s.submitUntilAccepted(b)
 			results := s.readAll(b)
 			made := map[string]map[int64]bool{}
-			for id, runs := range s.runs() {
+			for id, runs := range s.engineRuns() {
 				made[id] = map[int64]bool{}
 				for _, r := range runs {
 					made[id][r.Version] = true
@@ -248,10 +248,10 @@
 	}
 }
 
-// checkOrders checks the orders at each engine: numbers never fall, one number
+// checkWeightOrders checks the orders at each engine: numbers never fall, one number
 // has one owner, and two owners' orders arrive 3 s apart. An order that its
 // engine carries out late was given when it arrived.
-func checkOrders(t *testing.T, s *site) {
+func checkWeightOrders(t *testing.T, s *deployment) {
 	t.Helper()
 	for _, e := range s.engines {
 		orders := e.Orders()
@@ -271,14 +271,14 @@
 // Sequence: the engine leaves an order unanswered and carries it out 1.5 s
 // later, when a newer version has been ordered.
 // Cause guarded against: an order without the engine's order count.
-func TestLateOrderDoesNotBringOldWeightsBack(t *testing.T) {
+func TestDelayedOrderDoesNotRestoreOldWeights(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1, load: 50 * time.Millisecond})
+	s := startDeployment(t, options{entries: 2, engines: 1, weightLoadTime: 50 * time.Millisecond})
 	s.engines[0].SetFaults(standin.EngineFaults{OrderDelay: 1500 * time.Millisecond})
-	s.name("m0", 2)
+	s.announceVersion("m0", 2)
 	time.Sleep(500 * time.Millisecond)
 	s.engines[0].SetFaults(standin.EngineFaults{})
-	s.name("m0", 3)
+	s.announceVersion("m0", 3)
 	eventually(t, "version 3", func() bool { return s.engines[0].Version("m0") == 3 })
 	time.Sleep(2 * time.Second)
 	if v := s.engines[0].Version("m0"); v != 3 {
@@ -294,9 +294,9 @@
 }
 
 // Symptom: an instance that is to be emptied waits for ever.
-func TestRetirementIsDoneAtOnce(t *testing.T) {
+func TestRetirementOfUnknownInstanceCompletes(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1})
+	s := startDeployment(t, options{entries: 2, engines: 1})
 	s.store.Put("retirements", "disk-1", map[string]any{"over-s": 10})
 	eventually(t, "the retirement's end", func() bool {
 		var st struct {
@@ -311,49 +311,49 @@
 // Sequence: engines start again under the ids that they had, with older weights
 // and order counts from zero, one of them while it loads; steps go on.
 // Cause: versions and counts of a start were taken for those of the next.
-func TestEnginesThatStartAgainUnderTheirIDs(t *testing.T) {
+func TestEnginesRestartWithSameIDs(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, load: 300 * time.Millisecond})
+	s := startDeployment(t, options{entries: 2, engines: 2, weightLoadTime: 300 * time.Millisecond})
 	for v := 2; v <= 3; v++ {
-		s.name("m0", v)
+		s.announceVersion("m0", v)
 		eventually(t, "version", func() bool { return s.engines[0].Version("m0") == int64(v) && s.engines[1].Version("m0") == int64(v) })
 	}
 	s.engines[0].Restart(1)
 	s.engines[1].Restart(2)
-	b := step("b1", "m0", 3, 4, 5)
+	b := newStep("b1", "m0", 3, 4, 5)
 	b.MinVersion = 3
-	s.accept(b)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	s.name("m0", 4)
+	s.announceVersion("m0", 4)
 	eventually(t, "an order", func() bool {
 		o := s.engines[0].Orders()
 		return o[len(o)-1].Version == 4
 	})
 	s.engines[0].Restart(3)
 	eventually(t, "version 4 at all engines", func() bool { return s.engines[0].Version("m0") == 4 && s.engines[1].Version("m0") == 4 })
-	next := step("b2", "m0", 3, 4, 5)
+	next := newStep("b2", "m0", 3, 4, 5)
 	next.MinVersion = 4
-	s.accept(next)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
 }
 
 // Symptom: calls go to an address that no target has, or a whole service is lost.
 // Sequence: another writer puts entries into the instance list that lack fields,
 // have them of another type, name what is not known, or replace a target's own.
-func TestEntriesOfOtherWritersNameNoTarget(t *testing.T) {
+func TestMalformedInstanceListEntriesAreIgnored(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, plains: 2})
+	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 2})
 	for name, spec := range map[string]any{
 		"x-text":    "not an entry",
 		"x-null":    nil,
 		"x-list":    []int{1, 2},
-		"x-missing": map[string]any{"service": service},
+		"x-missing": map[string]any{"service": engineService},
 		"x-types":   map[string]any{"service": 7, "addr": true, "slots": "many", "state": "ready", "models": "none"},
-		"x-state":   map[string]any{"service": service, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "resting", "models": []any{}},
-		"x-addr":    map[string]any{"service": service, "addr": "nowhere", "zone": "domain-a", "slots": 4, "state": "ready"},
+		"x-state":   map[string]any{"service": engineService, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "resting", "models": []any{}},
+		"x-addr":    map[string]any{"service": engineService, "addr": "nowhere", "zone": "domain-a", "slots": 4, "state": "ready"},
 		"x-service": map[string]any{"service": "unknown", "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "ready"},
-		"x-born":    map[string]any{"service": plain, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "ready", "born": "today"},
-		"i-plain-1": map[string]any{"service": plain, "state": "ready"},
+		"x-born":    map[string]any{"service": plainService, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "ready", "born": "today"},
+		"i-plain-1": map[string]any{"service": plainService, "state": "ready"},
 	} {
 		s.store.Put("servers", name, spec)
 	}
@@ -364,13 +364,13 @@
 			t.Errorf("%s: status %d", id, r.status)
 		}
 	}
-	b := step("b1", "m0", 3, 4, 5)
-	s.accept(b)
+	b := newStep("b1", "m0", 3, 4, 5)
+	s.submitUntilAccepted(b)
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id) // it reads the whole list
+	s.awaitCoordinator(old.id) // it reads the whole list
 	s.readAll(b)
-	if n := len(s.plains[1].Runs()); n != 0 {
+	if n := len(s.plainTargets[1].Runs()); n != 0 {
 		t.Errorf("%d requests went to a target whose entry can't be read", n)
 	}
 }
--- a/systemtest/checks_test.go
+++ b/systemtest/checks_test.go
@@ -13,21 +13,21 @@
 // readAll reads a batch to its end at the entries in turn, and checks what
 // holds for every batch: positions never change, no item stands twice, and
 // each text is whole.
-func (s *site) readAll(b batch) []result {
+func (s *deployment) readAll(b batch) []result {
 	s.t.Helper()
 	var out []result
 	n := 0
 	eventually(s.t, "all results of "+b.id, func() bool {
 		n++
-		p, _, err := s.entries[n%len(s.entries)].read(b.id, len(out), 300*time.Millisecond, withKey(b.key)...)
+		p, _, err := s.entries[n%len(s.entries)].readResults(b.id, len(out), 300*time.Millisecond, keyHeader(b.key)...)
 		if err == nil {
 			out = append(out, p.Results...)
 		}
 		return len(out) >= len(b.Items)
 	})
-	s.check(b, out)
+	s.checkResults(b, out)
 	for _, e := range s.entries {
-		p, _, err := e.read(b.id, 0, 0, withKey(b.key)...)
+		p, _, err := e.readResults(b.id, 0, 0, keyHeader(b.key)...)
 		if err != nil || p.Total == 0 {
 			continue // stopped, or can't be sure
 		}
@@ -40,7 +40,7 @@
 	return out
 }
 
-func (s *site) check(b batch, results []result) {
+func (s *deployment) checkResults(b batch, results []result) {
 	s.t.Helper()
 	if len(results) != len(b.Items) {
 		s.t.Errorf("%s has %d results for %d items", b.id, len(results), len(b.Items))
@@ -58,7 +58,7 @@
 		if r.State != "done" {
 			continue
 		}
-		if want := wholeText(items[r.ID]); r.Output != want {
+		if want := expectedText(items[r.ID]); r.Output != want {
 			s.t.Errorf("item %s: text %.80q, want %.80q", r.ID, r.Output, want)
 		}
 		s.checkScore(items[r.ID], r)
@@ -72,7 +72,7 @@
 
 // checkScore checks that a result's score marks a good answer to the item's reward
 // call, which went out when the text was complete.
-func (s *site) checkScore(it item, r result) {
+func (s *deployment) checkScore(it item, r result) {
 	s.t.Helper()
 	if it.Reward == nil {
 		if r.Score != "" {
@@ -80,11 +80,11 @@
 		}
 		return
 	}
-	for _, call := range s.rewards()[it.Reward.ID] {
+	for _, call := range s.rewardRuns()[it.Reward.ID] {
 		if call.Stamp != r.Score || call.Status != http.StatusOK {
 			continue
 		}
-		for _, run := range s.runs()[it.ID] {
+		for _, run := range s.engineRuns()[it.ID] {
 			if run.LastEvent == standin.EventCount(it.Headers["Currantford-Tokens-Used"]) && !run.LastEventAt.After(call.StartedAt) {
 				return
 			}
@@ -95,10 +95,10 @@
 	s.t.Errorf("item %s: score %q is of no good answer to its reward call", r.ID, r.Score)
 }
 
-// rewards returns the runs at the plain targets by reward call.
-func (s *site) rewards() map[string][]standin.Run {
+// rewardRuns returns the runs at the plain targets by reward call.
+func (s *deployment) rewardRuns() map[string][]standin.Run {
 	out := map[string][]standin.Run{}
-	for _, e := range s.plains {
+	for _, e := range s.plainTargets {
 		for _, r := range e.Runs() {
 			if strings.HasPrefix(r.ID, "reward-") {
 				out[r.ID] = append(out[r.ID], r)
@@ -108,15 +108,15 @@
 	return out
 }
 
-// scored gives each item of a batch a reward call.
-func scored(b batch) batch {
+// withRewards gives each item of a batch a reward call.
+func withRewards(b batch) batch {
 	for i := range b.Items {
 		b.Items[i].Reward = standin.NewRewardCall(b.Items[i].ID)
 	}
 	return b
 }
 
-func wholeText(it item) string {
+func expectedText(it item) string {
 	var lines []string
 	for n := 1; n <= standin.EventCount(it.Headers["Currantford-Tokens-Used"]); n++ {
 		lines = append(lines, standin.EventData(it.ID, n))
@@ -124,13 +124,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// name makes a version of a model known, as its trainer does.
-func (s *site) name(model string, version int) {
+// announceVersion makes a version of a model known, as its trainer does.
+func (s *deployment) announceVersion(model string, version int) {
 	s.store.Put("versions", model, map[string]any{"model": model, "version": version})
 }
 
-// runs returns the runs at all engines by item, in their order.
-func (s *site) runs() map[string][]standin.Run {
+// engineRuns returns the runs at all engines by item, in their order.
+func (s *deployment) engineRuns() map[string][]standin.Run {
 	out := map[string][]standin.Run{}
 	for _, e := range s.engines {
 		for _, r := range e.Runs() {
@@ -144,15 +144,15 @@
 }
 
 // awaitRuns waits until all items of a batch have reached engines.
-func (s *site) awaitRuns(b batch) {
+func (s *deployment) awaitRuns(b batch) {
 	s.t.Helper()
-	eventually(s.t, "runs", func() bool { return len(s.runs()) == len(b.Items) })
+	eventually(s.t, "runs", func() bool { return len(s.engineRuns()) == len(b.Items) })
 }
 
-// checkRunOnce checks that no item was generated twice.
-func (s *site) checkRunOnce() {
+// checkRanOnce checks that no item was generated twice.
+func (s *deployment) checkRanOnce() {
 	s.t.Helper()
-	for id, runs := range s.runs() {
+	for id, runs := range s.engineRuns() {
 		if len(runs) != 1 {
 			s.t.Errorf("item %s reached engines %d times, want once", id, len(runs))
 		}
@@ -161,9 +161,9 @@
 
 // checkResumed checks that each item's last run went on after at least so many
 // events.
-func (s *site) checkResumed(least int) {
+func (s *deployment) checkResumed(least int) {
 	s.t.Helper()
-	for id, runs := range s.runs() {
+	for id, runs := range s.engineRuns() {
 		if last := runs[len(runs)-1]; last.ResumeAfter < least {
 			s.t.Errorf("item %s began again after event %d", id, last.ResumeAfter)
 		}
--- a/systemtest/crash_test.go
+++ b/systemtest/crash_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// crashDown is how long a target is gone after a crash.
-	crashDown = 800 * time.Millisecond
-	// contact is the time in which all instances hear of what one has learned.
-	contact = 3 * time.Second
-	// crashRetries is how many more sends a request may make that has crashed
+	// crashDowntime is how long a target is gone after a crash.
+	crashDowntime = 800 * time.Millisecond
+	// propagationTime is the time in which all instances hear of what one has learned.
+	propagationTime = 3 * time.Second
+	// maxLateSends is how many more sends a request may make that has crashed
 	// three targets, once all instances can know of it.
-	crashRetries = 3
+	maxLateSends = 3
 )
 
 // crashesOf returns the crashes under requests with a body, in their order.
-func (s *site) crashesOf(body string) []standin.Crash {
+func (s *deployment) crashesOf(body string) []standin.Crash {
 	var out []standin.Crash
-	for _, e := range append(append([]*standin.Engine{}, s.plains...), s.engines...) {
+	for _, e := range append(append([]*standin.Engine{}, s.plainTargets...), s.engines...) {
 		for _, c := range e.Crashes() {
 			if c.Body == body {
 				out = append(out, c)
@@ -35,10 +35,10 @@
 	return out
 }
 
-// runsOf returns when requests with a body began to run, in their order.
-func (s *site) runsOf(body string) []time.Time {
+// runStartTimes returns when requests with a body began to run, in their order.
+func (s *deployment) runStartTimes(body string) []time.Time {
 	var out []time.Time
-	for _, e := range append(append([]*standin.Engine{}, s.plains...), s.engines...) {
+	for _, e := range append(append([]*standin.Engine{}, s.plainTargets...), s.engines...) {
 		for _, r := range e.Runs() {
 			if r.Body == body {
 				out = append(out, r.StartedAt)
@@ -50,7 +50,7 @@
 }
 
 // awaitTargets waits until all targets serve and are listed.
-func (s *site) awaitTargets(targets []*standin.Engine) {
+func (s *deployment) awaitTargets(targets []*standin.Engine) {
 	s.t.Helper()
 	eventually(s.t, "targets after their crashes", func() bool {
 		for _, e := range targets {
@@ -63,9 +63,9 @@
 	time.Sleep(400 * time.Millisecond) // instances hear of them within a feed's answer
 }
 
-// checkHeld checks that a request that has crashed three targets is not sent on, once
+// checkQuarantined checks that a request that has crashed three targets is not sent on, once
 // all instances can know.
-func (s *site) checkHeld(body string) {
+func (s *deployment) checkQuarantined(body string) {
 	s.t.Helper()
 	crashes := s.crashesOf(body)
 	if len(crashes) < 3 {
@@ -73,13 +73,13 @@
 		return
 	}
 	late := 0
-	for _, at := range s.runsOf(body) {
-		if at.Sub(crashes[2].At) > contact {
+	for _, at := range s.runStartTimes(body) {
+		if at.Sub(crashes[2].At) > propagationTime {
 			late++
 		}
 	}
-	if late > crashRetries {
-		s.t.Errorf("%q reached targets %d times later than %s after it had crashed three; %d crashed in all", body, late, contact, len(crashes))
+	if late > maxLateSends {
+		s.t.Errorf("%q reached targets %d times later than %s after it had crashed three; %d crashed in all", body, late, propagationTime, len(crashes))
 	}
 }
 
@@ -96,9 +96,9 @@
 //
 // Attempts were judged one by one, and nothing outlived a request's own id, so neither the
 // same instance nor any other knew that the request had crashed three targets before.
-func TestCrashingRequestIsHeld(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 1, plains: 3, crashes: crashDown})
+	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 3, crashDowntime: crashDowntime})
 	body := standin.CrashingBody + " bid 1"
 	n := 0
 	send := func(e *entry) {
@@ -106,15 +106,15 @@
 		e.post(plainPrefix+"bids", fmt.Sprintf("crash-%d", n), body)
 	}
 	began := time.Now()
-	for round := 0; time.Since(began) < 3*contact; round++ {
-		s.awaitTargets(s.plains)
+	for round := 0; time.Since(began) < 3*propagationTime; round++ {
+		s.awaitTargets(s.plainTargets)
 		send(s.entries[round%len(s.entries)])
 		send(s.entries[(round+1)%len(s.entries)]) // its caller's retry
 	}
-	s.checkHeld(body)
+	s.checkQuarantined(body)
 
 	// Other requests of the same caller and path are served.
-	s.awaitTargets(s.plains)
+	s.awaitTargets(s.plainTargets)
 	for i, e := range s.entries {
 		if r := e.post(plainPrefix+"bids", fmt.Sprintf("sound-%d", i), "sound bid"); r.status != http.StatusOK {
 			t.Errorf("a sound bid at %s: %d %s", e.id, r.status, r.body)
@@ -124,18 +124,18 @@
 
 // Several callers' tries arrive at all instances at the same moment: what crashes then was
 // sent before anyone could know, and what follows must stop all the same.
-func TestCrashingRequestAtAllInstancesAtOnce(t *testing.T) {
+func TestCrashingRequestSentToAllInstancesAtOnce(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 1, plains: 4, crashes: crashDown, keepIDs: true})
+	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 4, crashDowntime: crashDowntime, keepIDs: true})
 	body := standin.CrashingBody + " bid 2"
 	began := time.Now()
-	for round := 0; time.Since(began) < 3*contact; round++ {
-		s.awaitTargets(s.plains)
+	for round := 0; time.Since(began) < 3*propagationTime; round++ {
+		s.awaitTargets(s.plainTargets)
 		var wg sync.WaitGroup
 		for i, e := range s.entries {
 			wg.Go(func() { e.post(plainPrefix+"bids", fmt.Sprintf("crash-%d-%d", round, i), body) })
 		}
 		wg.Wait()
 	}
-	s.checkHeld(body)
+	s.checkQuarantined(body)
 }
--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -28,14 +28,14 @@
 )
 
 const (
-	host        = standin.DeploymentHost
-	batchPrefix = standin.BatchPrefix
-	plainPrefix = standin.PlainPrefix
-	service     = "engines"
-	plain       = "logs"
-	slots       = 4
-	// patience bounds every wait of a test; nothing asserts on speed.
-	patience = 40 * time.Second
+	host          = standin.DeploymentHost
+	batchPrefix   = standin.BatchPrefix
+	plainPrefix   = standin.PlainPrefix
+	engineService = "engines"
+	plainService  = "logs"
+	slots         = 4
+	// waitTimeout bounds every wait of a test; nothing asserts on speed.
+	waitTimeout = 40 * time.Second
 )
 
 var (
@@ -66,20 +66,20 @@
 type (
 	// options shape a site.
 	options struct {
-		entries, engines, plains int
-		models                   []string
-		config                   func(map[string]any)
-		valueBytes               int
+		entries, engines, plainTargets int
+		models                         []string
+		config                         func(map[string]any)
+		valueBytes                     int
 		// links puts a proxy before each target and, for each entry, before
 		// the store.
 		links bool
-		// gates puts a gate before the store for each entry.
-		gates bool
-		// crashes lets targets crash, each behind a proxy that then refuses
+		// storeProxies puts a gate before the store for each entry.
+		storeProxies bool
+		// crashDowntime lets targets crash, each behind a proxy that then refuses
 		// connections; they are down for so long. keepIDs lets them start again
 		// under their ids.
-		crashes time.Duration
-		keepIDs bool
+		crashDowntime time.Duration
+		keepIDs       bool
 		// cores are the entries' shares of a core, as many as differ from 1.
 		cores []float64
 		// linkMbps is the rate that the entries are told of their links.
@@ -88,60 +88,60 @@
 		policy map[string]any
 		// bounds are added to the entries' bounds.
 		bounds map[string]any
-		// usage lets the entries report use, in windows of so many seconds.
-		usage float64
+		// usageWindowS lets the entries report use, in windows of so many seconds.
+		usageWindowS float64
 		// autoscale lets the entries order engines; each order starts them.
 		autoscale bool
 		// hubsFrom is from how many entries on some pass the coordinator's news on.
 		hubsFrom int
 		// memoryMB is the entries' memory limit, 200 if it is not given.
-		memoryMB int
-		load     time.Duration
-		event    time.Duration
-	}
-
-	// site is a small deployment.
-	site struct {
-		t       *testing.T
-		store   *standin.Store
-		engines []*standin.Engine
-		plains  []*standin.Engine
-		entries []*entry
-		config  map[string]any
-		addr    string
+		memoryMB       int
+		weightLoadTime time.Duration
+		eventInterval  time.Duration
+	}
+
+	// deployment is a small deployment.
+	deployment struct {
+		t            *testing.T
+		store        *standin.Store
+		engines      []*standin.Engine
+		plainTargets []*standin.Engine
+		entries      []*entry
+		config       map[string]any
+		storeAddr    string
 		// engineLinks and plainLinks lead to the targets, where asked for.
-		engineLinks, plainLinks []*proxy
-
-		valueBytes int
-		links      bool
-		gates      bool
-		policy     map[string]any
-		bounds     map[string]any
-		usage      float64
-		autoscale  bool
-		control    *standin.ControlPlane
-		cloud      string // its address
-		cores      []float64
-		linkMbps   float64
-		hubsFrom   int
-		memoryMB   int
+		engineLinks, plainLinks []*tcpProxy
+
+		valueBytes   int
+		links        bool
+		storeProxies bool
+		policy       map[string]any
+		bounds       map[string]any
+		usageWindowS float64
+		autoscale    bool
+		control      *standin.ControlPlane
+		controlAddr  string // its address
+		cores        []float64
+		linkMbps     float64
+		hubsFrom     int
+		memoryMB     int
 	}
 
 	// entry is one process.
 	entry struct {
-		t        *testing.T
-		id       string
-		callers  string
-		ready    string
-		names    string // the directory's address
-		settings string
-		logPath  string
+		t             *testing.T
+		id            string
+		callerAddr    string
+		readyAddr     string
+		directoryAddr string // the directory's address
+		settingsPath  string
+		logPath       string
 		// storeLink leads to the store, where asked for.
-		storeLink *proxy
-		// storeGate turns it away from the store, where asked for.
-		storeGate *standin.StoreProxy
-		cmd       *exec.Cmd
-		done      chan struct{}
+		storeLink *tcpProxy
+		// storeProxy turns it away from the store, where asked for.
+		storeProxy *standin.StoreProxy
+		cmd        *exec.Cmd
+		done       chan struct{}
 	}
 
 	item = standin.Item
@@ -165,7 +165,7 @@
 	}
 )
 
-func listen(t *testing.T, h http.Handler) string {
+func serve(t *testing.T, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -192,21 +192,21 @@
 		host := fmt.Sprintf("127.0.1.%d", n)
 		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, firstPort))
 		if err == nil {
-			claim = l
+			ownHostListener = l
 			return host
 		}
 	}
 	return "127.0.0.1"
 })
 
-// claim keeps ownHost: a listener that nothing refers to is closed by the garbage collector.
-var claim net.Listener
+// ownHostListener keeps ownHost: a listener that nothing refers to is closed by the garbage collector.
+var ownHostListener net.Listener
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for range 1000 {
 		addr := fmt.Sprintf("%s:%d", ownHost(), firstPort+nextPort.Add(1))
-		if listens(addr) {
+		if canListen(addr) {
 			return addr
 		}
 	}
@@ -214,9 +214,9 @@
 	return ""
 }
 
-// listens says whether an address can be listened on. A process that another test forks
+// canListen says whether an address can be listened on. A process that another test forks
 // meanwhile would hold the port until its exec.
-func listens(addr string) bool {
+func canListen(addr string) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	l, err := net.Listen("tcp", addr)
@@ -227,35 +227,35 @@
 	return true
 }
 
-// startSite starts stand-ins and entries and waits until all are ready.
-func startSite(t *testing.T, o options) *site {
+// startDeployment starts stand-ins and entries and waits until all are ready.
+func startDeployment(t *testing.T, o options) *deployment {
 	t.Helper()
 	if len(o.models) == 0 {
 		o.models = []string{"m0"}
 	}
-	if o.load == 0 {
-		o.load = 100 * time.Millisecond
+	if o.weightLoadTime == 0 {
+		o.weightLoadTime = 100 * time.Millisecond
 	}
-	if o.event == 0 {
-		o.event = 10 * time.Millisecond
+	if o.eventInterval == 0 {
+		o.eventInterval = 10 * time.Millisecond
 	}
 	if o.valueBytes == 0 {
 		o.valueBytes = 1 << 20
 	}
-	s := &site{t: t, store: standin.NewStore(), valueBytes: o.valueBytes, links: o.links, gates: o.gates, policy: o.policy, bounds: o.bounds, usage: o.usage, autoscale: o.autoscale, cores: o.cores, linkMbps: o.linkMbps, hubsFrom: o.hubsFrom, memoryMB: cmp.Or(o.memoryMB, 200)}
-	s.addr = listen(t, s.store)
-	if o.usage > 0 || o.autoscale {
+	s := &deployment{t: t, store: standin.NewStore(), valueBytes: o.valueBytes, links: o.links, storeProxies: o.storeProxies, policy: o.policy, bounds: o.bounds, usageWindowS: o.usageWindowS, autoscale: o.autoscale, cores: o.cores, linkMbps: o.linkMbps, hubsFrom: o.hubsFrom, memoryMB: cmp.Or(o.memoryMB, 200)}
+	s.storeAddr = serve(t, s.store)
+	if o.usageWindowS > 0 || o.autoscale {
 		s.control = standin.NewControlPlane(3 * time.Second)
-		s.cloud = listen(t, s.control)
+		s.controlAddr = serve(t, s.control)
 	}
 	for i := range o.engines {
-		s.engines = append(s.engines, s.target(fmt.Sprintf("i-engine-%d", i), service, o.models, o))
+		s.engines = append(s.engines, s.newTarget(fmt.Sprintf("i-engine-%d", i), engineService, o.models, o))
 	}
-	for i := range o.plains {
-		s.plains = append(s.plains, s.target(fmt.Sprintf("i-plain-%d", i), plain, nil, o))
+	for i := range o.plainTargets {
+		s.plainTargets = append(s.plainTargets, s.newTarget(fmt.Sprintf("i-plain-%d", i), plainService, nil, o))
 	}
 	if o.autoscale {
-		s.control.OnOrder(s.startOrdered(o))
+		s.control.OnOrder(s.orderHandler(o))
 	}
 	s.config = standin.DeploymentConfig(o.models, slots)
 	if o.config != nil {
@@ -269,48 +269,48 @@
 		e.start()
 	}
 	for _, e := range s.entries {
-		e.waitReady()
+		e.awaitReady()
 	}
-	s.waitCoordinator("")
+	s.awaitCoordinator("")
 	return s
 }
 
-func (s *site) target(id, svc string, models []string, o options) *standin.Engine {
+func (s *deployment) newTarget(id, svc string, models []string, o options) *standin.Engine {
 	var e *standin.Engine
-	addr := listen(s.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
+	addr := serve(s.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
 	var power func(bool)
-	if o.links || o.crashes > 0 {
-		link := newProxy(s.t, addr)
+	if o.links || o.crashDowntime > 0 {
+		link := newTCPProxy(s.t, addr)
 		addr = link.addr()
-		if o.crashes > 0 {
-			power = link.power
+		if o.crashDowntime > 0 {
+			power = link.setListening
 		}
-		if svc == plain {
+		if svc == plainService {
 			s.plainLinks = append(s.plainLinks, link)
 		} else {
 			s.engineLinks = append(s.engineLinks, link)
 		}
 	}
 	e = standin.NewEngine(standin.EngineSettings{
-		ID: id, Service: svc, Domain: "domain-a", Addr: addr, Slots: slots, Models: models, EventInterval: o.event, WeightLoadTime: o.load,
-		SetListening: power, RestartDelay: o.crashes, KeepID: o.keepIDs,
+		ID: id, Service: svc, Domain: "domain-a", Addr: addr, Slots: slots, Models: models, EventInterval: o.eventInterval, WeightLoadTime: o.weightLoadTime,
+		SetListening: power, RestartDelay: o.crashDowntime, KeepID: o.keepIDs,
 	}, s.store)
 	return e
 }
 
-func (s *site) newEntry(i int) *entry {
-	e := &entry{t: s.t, id: fmt.Sprintf("entry-%d", i), callers: freeAddr(s.t), ready: freeAddr(s.t), names: freeAddr(s.t)}
-	store := s.addr
+func (s *deployment) newEntry(i int) *entry {
+	e := &entry{t: s.t, id: fmt.Sprintf("entry-%d", i), callerAddr: freeAddr(s.t), readyAddr: freeAddr(s.t), directoryAddr: freeAddr(s.t)}
+	store := s.storeAddr
 	if s.links {
-		e.storeLink = newProxy(s.t, s.addr)
+		e.storeLink = newTCPProxy(s.t, s.storeAddr)
 		store = e.storeLink.addr()
 	}
-	if s.gates {
-		e.storeGate = standin.NewStoreProxy(s.store)
-		store = listen(s.t, e.storeGate)
+	if s.storeProxies {
+		e.storeProxy = standin.NewStoreProxy(s.store)
+		store = serve(s.t, e.storeProxy)
 	}
 	dir := s.t.TempDir()
-	e.settings, e.logPath = filepath.Join(dir, "settings.json"), filepath.Join(dir, "log")
+	e.settingsPath, e.logPath = filepath.Join(dir, "settings.json"), filepath.Join(dir, "log")
 	machine := map[string]any{}
 	if i < len(s.cores) {
 		machine["cpu_share"] = s.cores[i]
@@ -322,7 +322,7 @@
 	maps.Copy(bounds, s.bounds)
 	settings := map[string]any{
 		"machine": machine, "entry": e.id, "failure_domain": fmt.Sprintf("domain-%c", 'a'+i%2),
-		"listen": map[string]any{"callers": e.callers, "ready": e.ready, "directory": e.names, "peers": freeAddr(s.t)},
+		"listen": map[string]any{"callers": e.callerAddr, "ready": e.readyAddr, "directory": e.directoryAddr, "peers": freeAddr(s.t)},
 		"store":  map[string]any{"addr": store, "value_bytes": s.valueBytes},
 		"bounds": bounds,
 		"memory": map[string]any{"limit_mb": s.memoryMB},
@@ -332,17 +332,17 @@
 		settings["members"] = map[string]any{"hubs_from": s.hubsFrom}
 	}
 	if s.autoscale {
-		settings["control"] = map[string]any{"addr": s.cloud, "duties": []string{"autoscale"}}
+		settings["control"] = map[string]any{"addr": s.controlAddr, "duties": []string{"autoscale"}}
 	}
-	if s.usage > 0 {
-		settings["control"] = map[string]any{"addr": s.cloud}
-		settings["usage"] = map[string]any{"window_s": s.usage, "late_s": 10}
+	if s.usageWindowS > 0 {
+		settings["control"] = map[string]any{"addr": s.controlAddr}
+		settings["usage"] = map[string]any{"window_s": s.usageWindowS, "late_s": 10}
 	}
 	raw, err := json.Marshal(settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if err := os.WriteFile(e.settings, raw, 0o600); err != nil {
+	if err := os.WriteFile(e.settingsPath, raw, 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 	return e
@@ -357,7 +357,7 @@
 		e.t.Fatal(err)
 	}
 	defer log.Close()
-	e.cmd = exec.Command(binary, "entry", "--settings", e.settings)
+	e.cmd = exec.Command(binary, "entry", "--settings", e.settingsPath)
 	e.cmd.Stdout, e.cmd.Stderr = log, log
 	if err := e.cmd.Start(); err != nil {
 		e.t.Fatal(err)
@@ -384,14 +384,14 @@
 // run runs another command on the entry's settings.
 func (e *entry) run(command string, args ...string) {
 	e.t.Helper()
-	cmd := exec.Command(binary, append([]string{command, "--settings", e.settings}, args...)...)
+	cmd := exec.Command(binary, append([]string{command, "--settings", e.settingsPath}, args...)...)
 	if out, err := cmd.CombinedOutput(); err != nil {
 		e.t.Errorf("%s: %v\n%s", command, err, out)
 	}
 }
 
-// logged returns a field of the entry's first log line with a message.
-func (e *entry) logged(msg, field string) string {
+// logField returns a field of the entry's first log line with a message.
+func (e *entry) logField(msg, field string) string {
 	e.t.Helper()
 	raw, err := os.ReadFile(e.logPath)
 	if err != nil {
@@ -420,10 +420,10 @@
 	<-e.done
 }
 
-func (e *entry) waitReady() {
+func (e *entry) awaitReady() {
 	e.t.Helper()
 	eventually(e.t, e.id+" ready", func() bool {
-		resp, err := http.Get("http://" + e.ready + "/currantford/ready")
+		resp, err := http.Get("http://" + e.readyAddr + "/currantford/ready")
 		if err != nil {
 			return false
 		}
@@ -433,7 +433,7 @@
 }
 
 // coordinator returns the entry that holds the lease in the store.
-func (s *site) coordinator() *entry {
+func (s *deployment) coordinator() *entry {
 	var h struct {
 		Entry string `json:"entry"`
 	}
@@ -448,8 +448,8 @@
 	return nil
 }
 
-// waitCoordinator waits for a holder other than not.
-func (s *site) waitCoordinator(not string) *entry {
+// awaitCoordinator waits for a holder other than not.
+func (s *deployment) awaitCoordinator(not string) *entry {
 	s.t.Helper()
 	var c *entry
 	eventually(s.t, "a coordinator", func() bool {
@@ -459,8 +459,8 @@
 	return c
 }
 
-// other returns an entry that is not the coordinator.
-func (s *site) other() *entry {
+// nonCoordinator returns an entry that is not the coordinator.
+func (s *deployment) nonCoordinator() *entry {
 	c := s.coordinator()
 	for _, e := range s.entries {
 		if e != c {
@@ -472,17 +472,17 @@
 
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !f() {
 		if time.Now().After(deadline) {
-			t.Fatalf("no %s in %s", what, patience)
+			t.Fatalf("no %s in %s", what, waitTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// step returns a batch of groups of size items with so many events each.
-func step(id, model string, groups, size, events int) batch {
+// newStep returns a batch of groups of size items with so many events each.
+func newStep(id, model string, groups, size, events int) batch {
 	b := batch{id: id, Step: 1, Model: model, MinVersion: 1, TargetGroups: groups}
 	for g := range groups {
 		for i := range size {
@@ -505,7 +505,7 @@
 func (e *entry) do(method, path, id string, body []byte, header ...string) (reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.callers+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.callerAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return reply{}, err
 	}
@@ -532,7 +532,7 @@
 	if err != nil {
 		e.t.Fatal(err)
 	}
-	r, err := e.do(http.MethodPost, batchPrefix+b.id, b.id, raw, withKey(b.key)...)
+	r, err := e.do(http.MethodPost, batchPrefix+b.id, b.id, raw, keyHeader(b.key)...)
 	if err != nil {
 		e.t.Logf("submit: %v", err)
 		return reply{}
@@ -540,8 +540,8 @@
 	return r
 }
 
-// accept hands a batch in until it is accepted, as its submitter would.
-func (s *site) accept(b batch) {
+// submitUntilAccepted hands a batch in until it is accepted, as its submitter would.
+func (s *deployment) submitUntilAccepted(b batch) {
 	s.t.Helper()
 	n := 0
 	eventually(s.t, "acceptance", func() bool {
@@ -550,15 +550,15 @@
 	})
 }
 
-// withKey returns the header of a caller's key, if it has one.
-func withKey(key string) []string {
+// keyHeader returns the header of a caller's key, if it has one.
+func keyHeader(key string) []string {
 	if key == "" {
 		return nil
 	}
 	return []string{"X-Api-Key", key}
 }
 
-func (e *entry) read(id string, after int, wait time.Duration, header ...string) (page, reply, error) {
+func (e *entry) readResults(id string, after int, wait time.Duration, header ...string) (page, reply, error) {
 	r, err := e.do(http.MethodGet, "/currantford/lots/"+id+"?after="+strconv.Itoa(after), "", nil,
 		append(header, "Currantford-Wait-Ms", strconv.FormatInt(wait.Milliseconds(), 10))...)
 	var p page
--- a/systemtest/keepalive_test.go
+++ b/systemtest/keepalive_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// lossSlack is how soon after a request's last byte its connection may still end without an
+// closeRaceWindow is how soon after a request's last byte its connection may still end without an
 // answer, if the request was not passed on.
-const lossSlack = 200 * time.Millisecond
+const closeRaceWindow = 200 * time.Millisecond
 
 type (
 	// unanswered is a request whose connection ended without its whole answer.
@@ -28,19 +28,19 @@
 		err   error
 	}
 
-	// keptCallers send requests on kept connections, and collect those without an answer.
-	keptCallers struct {
-		mu       sync.Mutex
-		answered map[int]int // by status
-		without  []unanswered
+	// keepAliveCallers send requests on kept connections, and collect those without an answer.
+	keepAliveCallers struct {
+		mu         sync.Mutex
+		answered   map[int]int // by status
+		unanswered []unanswered
 	}
 )
 
 // run sends requests, of which call is the first line and what it needs of a head, to an
 // instance until stop is closed, or the instance takes no connection.
-func (k *keptCallers) run(e *entry, name, call string, pause func() time.Duration, stop <-chan struct{}) {
+func (k *keepAliveCallers) run(e *entry, name, call string, pause func() time.Duration, stop <-chan struct{}) {
 	for n := 0; ; {
-		conn, err := net.DialTimeout("tcp", e.callers, time.Second)
+		conn, err := net.DialTimeout("tcp", e.callerAddr, time.Second)
 		if err != nil {
 			return
 		}
@@ -52,14 +52,14 @@
 				return
 			case <-time.After(pause()):
 			}
-			open = k.ask(conn, r, fmt.Sprintf("%s-%d", name, n), call)
+			open = k.send(conn, r, fmt.Sprintf("%s-%d", name, n), call)
 		}
 		_ = conn.Close()
 	}
 }
 
-// ask sends one request; it returns whether the connection may be used for another.
-func (k *keptCallers) ask(conn net.Conn, r *bufio.Reader, id, call string) bool {
+// send sends one request; it returns whether the connection may be used for another.
+func (k *keepAliveCallers) send(conn net.Conn, r *bufio.Reader, id, call string) bool {
 	_, err := fmt.Fprintf(conn, "%s\r\nHost: %s\r\nCurrantford-Request-Id: %s\r\nCurrantford-Deadline-Ms: 1500\r\nContent-Length: 2\r\n\r\nab", call, host, id)
 	sent := time.Now()
 	if err != nil {
@@ -73,7 +73,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
-		k.without = append(k.without, unanswered{id, time.Since(sent), err})
+		k.unanswered = append(k.unanswered, unanswered{id, time.Since(sent), err})
 		return false
 	}
 	k.answered[resp.StatusCode]++
@@ -81,21 +81,21 @@
 }
 
 // check fails the test for each request that was lost.
-func (k *keptCallers) check(s *site) {
+func (k *keepAliveCallers) check(s *deployment) {
 	s.t.Helper()
-	s.t.Logf("answers by status: %v; connections that ended under a request: %d", k.answered, len(k.without))
-	for _, u := range k.without {
+	s.t.Logf("answers by status: %v; connections that ended under a request: %d", k.answered, len(k.unanswered))
+	for _, u := range k.unanswered {
 		switch {
-		case ran(s.plains, u.id) > 0:
+		case countRuns(s.plainTargets, u.id) > 0:
 			s.t.Errorf("%s was passed on and got no answer, after %s: %v", u.id, u.after, u.err)
-		case u.after > lossSlack:
+		case u.after > closeRaceWindow:
 			s.t.Errorf("%s got no answer, after %s: %v", u.id, u.after, u.err)
 		}
 	}
 }
 
-// storm puts configurations, each with other limits, timeouts and routes, until stop is closed.
-func (s *site) storm(every time.Duration, stop <-chan struct{}) {
+// churnConfig puts configurations, each with other limits, timeouts and routes, until stop is closed.
+func (s *deployment) churnConfig(every time.Duration, stop <-chan struct{}) {
 	for version := 2; ; version++ {
 		select {
 		case <-stop:
@@ -111,7 +111,7 @@
 		limits["header-timeout-ms"] = []int{3000, 500}[version/2%2]
 		limits["max-body-bytes"] = []int{1 << 20, 64 << 10}[version/3%2]
 		for _, r := range routes {
-			if r := r.(map[string]any); r["service"] == plain {
+			if r := r.(map[string]any); r["service"] == plainService {
 				r["timeout-ms"] = []int{2000, 700}[version/2%2]
 			}
 		}
@@ -125,15 +125,15 @@
 
 // Guards against kept connections that end under a request around configurations in quick
 // succession, reloads, and stops one after the other and at the same time.
-func TestPlannedWorkEndsNoConnectionUnderARequest(t *testing.T) {
+func TestPlannedChangesCloseNoConnectionInUse(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 1, plains: 4, event: 10 * time.Millisecond})
-	callers := &keptCallers{answered: map[int]int{}}
+	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 4, eventInterval: 10 * time.Millisecond})
+	callers := &keepAliveCallers{answered: map[int]int{}}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	wg.Go(func() { s.storm(150*time.Millisecond, stop) })
-	b := step("b1", "m0", 2, 4, 400)
-	s.accept(b)
+	wg.Go(func() { s.churnConfig(150*time.Millisecond, stop) })
+	b := newStep("b1", "m0", 2, 4, 400)
+	s.submitUntilAccepted(b)
 	calls := []string{
 		"POST " + plainPrefix + "a HTTP/1.1", "POST /bids/a HTTP/1.1",
 		"GET /currantford/lots/b1?after=8 HTTP/1.1\r\nCurrantford-Wait-Ms: 700", // nothing is there: it waits
@@ -168,33 +168,33 @@
 }
 
 // Guards against a reload that ends a process which has just started.
-func TestReloadDuringAStart(t *testing.T) {
+func TestReloadDuringStartup(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1})
+	s := startDeployment(t, options{entries: 2, engines: 1})
 	e := s.entries[1]
 	e.kill()
-	settings, err := os.ReadFile(e.settings)
+	settings, err := os.ReadFile(e.settingsPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The start waits for its settings until they are written.
-	if err := errors.Join(os.Remove(e.settings), syscall.Mkfifo(e.settings, 0o600)); err != nil {
+	if err := errors.Join(os.Remove(e.settingsPath), syscall.Mkfifo(e.settingsPath, 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	e.start()
-	pipe, err := os.OpenFile(e.settings, os.O_WRONLY, 0)
+	pipe, err := os.OpenFile(e.settingsPath, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond)
-	if err := errors.Join(os.Remove(e.settings), os.WriteFile(e.settings, settings, 0o600)); err != nil {
+	if err := errors.Join(os.Remove(e.settingsPath), os.WriteFile(e.settingsPath, settings, 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	_, err = pipe.Write(settings)
 	if err = errors.Join(err, pipe.Close()); err != nil {
 		t.Fatal(err)
 	}
-	e.waitReady()
-	eventually(t, "reload", func() bool { return e.logged("reloaded", "msg") != "" })
+	e.awaitReady()
+	eventually(t, "reload", func() bool { return e.logField("reloaded", "msg") != "" })
 }
--- a/systemtest/link_test.go
+++ b/systemtest/link_test.go
@@ -15,7 +15,7 @@
 // it held.
 // Cause guarded against: a bid sent again at another target, or a promise that
 // it has not run, after its bytes have left the instance.
-func TestBidsOverACutLinkRunAtMostOnce(t *testing.T) {
+func TestBidsOverFaultyLinkRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	faults := map[string]linkFaults{
 		"answers held":  {HoldDown: true},
@@ -26,10 +26,10 @@
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 2, engines: 1, plains: 3, links: true})
-			statuses := s.bidsWhile(t, func() {
+			s := startDeployment(t, options{entries: 2, engines: 1, plainTargets: 3, links: true})
+			statuses := s.sendBidsDuring(t, func() {
 				for _, p := range s.plainLinks {
-					p.set(f)
+					p.setFaults(f)
 				}
 				time.Sleep(700 * time.Millisecond)
 				for _, p := range s.plainLinks {
@@ -37,7 +37,7 @@
 				}
 				time.Sleep(700 * time.Millisecond)
 				for _, p := range s.plainLinks {
-					p.set(linkFaults{})
+					p.setFaults(linkFaults{})
 				}
 			})
 			t.Logf("statuses %v", statuses)
@@ -45,9 +45,9 @@
 	}
 }
 
-// bidsWhile sends bids at all instances while do runs and until what was held
+// sendBidsDuring sends bids at all instances while do runs and until what was held
 // has arrived, checks each, and returns how many had which status.
-func (s *site) bidsWhile(t *testing.T, do func()) map[int]int {
+func (s *deployment) sendBidsDuring(t *testing.T, do func()) map[int]int {
 	t.Helper()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -77,7 +77,7 @@
 	wg.Wait()
 	time.Sleep(500 * time.Millisecond) // what the links held has arrived
 	for id, status := range byID {
-		n := ran(s.plains, id)
+		n := countRuns(s.plainTargets, id)
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
@@ -93,10 +93,10 @@
 
 // Symptom: log readings fail while a service has sound targets.
 // Sequence: the link to one of two targets falls silent; nothing is reset.
-func TestReadingsGoAroundASilentLink(t *testing.T) {
+func TestReadingsAvoidUnresponsiveLink(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1, plains: 2, links: true})
-	s.plainLinks[0].set(linkFaults{HoldUp: true, HoldDown: true})
+	s := startDeployment(t, options{entries: 2, engines: 1, plainTargets: 2, links: true})
+	s.plainLinks[0].setFaults(linkFaults{HoldUp: true, HoldDown: true})
 	for i := range 20 {
 		id := fmt.Sprintf("r%d", i)
 		if r := s.entries[i%2].post(plainPrefix+"a", id, "x"); r.status != http.StatusOK {
@@ -110,24 +110,24 @@
 // Sequence: the link between the coordinator and the store is cut one way, each
 // way in turn, in the middle of a step, and reaches it through no other instance;
 // another instance takes over; the link heals and delivers late what it held.
-func TestCoordinatorCutFromTheStore(t *testing.T) {
+func TestCoordinatorPartitionedFromStore(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]linkFaults{"answers held": {HoldDown: true}, "requests held": {HoldUp: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 3, engines: 3, links: true, event: 20 * time.Millisecond, policy: map[string]any{"no_store_relay": true}})
+			s := startDeployment(t, options{entries: 3, engines: 3, links: true, eventInterval: 20 * time.Millisecond, policy: map[string]any{"no_store_relay": true}})
 			before := s.coordinator()
-			b := step("b1", "m0", 3, 4, 40)
-			s.accept(b)
+			b := newStep("b1", "m0", 3, 4, 40)
+			s.submitUntilAccepted(b)
 			time.Sleep(200 * time.Millisecond)
-			before.storeLink.set(f)
-			after := s.waitCoordinator(before.id)
+			before.storeLink.setFaults(f)
+			after := s.awaitCoordinator(before.id)
 			s.readAll(b)
-			before.storeLink.set(linkFaults{})
-			c := step("b2", "m0", 2, 4, 10)
-			s.accept(c)
+			before.storeLink.setFaults(linkFaults{})
+			c := newStep("b2", "m0", 2, 4, 10)
+			s.submitUntilAccepted(c)
 			s.readAll(c)
-			checkOrders(t, s)
+			checkWeightOrders(t, s)
 			t.Logf("from %s to %s", before.id, after.id)
 		})
 	}
@@ -139,23 +139,23 @@
 // than its lease is valid; all other instances reach the store.
 // Cause: the coordinator could not renew its lease and list results through
 // others, so another instance took over, without what had been generated.
-func TestCoordinatorCutFromTheStoreGoesOn(t *testing.T) {
+func TestPartitionedCoordinatorKeepsLease(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, plains: 2, event: 30 * time.Millisecond, links: true})
-	b := scored(step("b1", "m0", 4, 4, 30))
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) > 0 })
+	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 30 * time.Millisecond, links: true})
+	b := withRewards(newStep("b1", "m0", 4, 4, 30))
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
 	c := s.coordinator()
-	c.storeLink.set(linkFaults{HoldUp: true, HoldDown: true})
-	s.name("m0", 2)
+	c.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
+	s.announceVersion("m0", 2)
 	s.readAll(b)
-	next := step("b2", "m0", 2, 4, 20)
+	next := newStep("b2", "m0", 2, 4, 20)
 	next.MinVersion = 2
-	s.accept(next)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
 	if s.coordinator() != c {
 		t.Error("the duty moved")
 	}
-	s.checkRunOnce()
-	c.storeLink.set(linkFaults{})
+	s.checkRanOnce()
+	c.storeLink.setFaults(linkFaults{})
 }
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -24,30 +24,30 @@
 	return map[string]any{"name": name, "api-keys": keys, "priority": priority}
 }
 
-// twoOrganisations adds them to a configuration, with a public route and one for streams.
-func twoOrganisations(c map[string]any) {
+// addOrganisations adds them to a configuration, with a public route and one for streams.
+func addOrganisations(c map[string]any) {
 	c["tenants"] = []map[string]any{organisation(orgA, 1, keyA, keyA2), organisation(orgB, 2, keyB)}
 	c["routes"] = append(c["routes"].([]map[string]any),
 		map[string]any{"name": "r-open", "host": host, "path-prefix": "/open/", "kind": "safe", "timeout-ms": 2000, "slo-ms": 150,
-			"priority": 2, "service": plain, "max-attempts": 2, "public": true},
+			"priority": 2, "service": plainService, "max-attempts": 2, "public": true},
 		map[string]any{"name": "r-open-batch", "host": host, "path-prefix": batchPrefix + "open/", "kind": "rollout", "timeout-ms": 10000, "slo-ms": 400,
-			"priority": 1, "service": service, "max-attempts": 3, "max-wait-s": 40.0, "batch-slo-ms": 7500, "can-resume": true, "public": true},
+			"priority": 1, "service": engineService, "max-attempts": 3, "max-wait-s": 40.0, "batch-slo-ms": 7500, "can-resume": true, "public": true},
 		map[string]any{"name": "r-chat", "host": host, "path-prefix": "/chat/", "kind": "stream", "timeout-ms": 4000, "slo-ms": 400,
-			"priority": 2, "service": service, "max-attempts": 3, "can-resume": true},
+			"priority": 2, "service": engineService, "max-attempts": 3, "can-resume": true},
 	)
 }
 
-func organisationSite(t *testing.T, o options) *site {
+func startWithOrganisations(t *testing.T, o options) *deployment {
 	t.Helper()
-	o.config = twoOrganisations
-	s := startSite(t, o)
-	t.Cleanup(s.checkKeys)
+	o.config = addOrganisations
+	s := startDeployment(t, o)
+	t.Cleanup(s.checkKeysNotLeaked)
 	return s
 }
 
-// checkKeys checks that the callers' keys stand nowhere but in the operator's
+// checkKeysNotLeaked checks that the callers' keys stand nowhere but in the operator's
 // configuration, and that no request came to a target with one.
-func (s *site) checkKeys() {
+func (s *deployment) checkKeysNotLeaked() {
 	for _, key := range []string{keyA, keyA2, keyB} {
 		for _, e := range s.entries {
 			raw, err := os.ReadFile(e.logPath)
@@ -62,7 +62,7 @@
 			s.t.Errorf("a key stands in %v", in)
 		}
 	}
-	for _, e := range slices.Concat(s.plains, s.engines) {
+	for _, e := range slices.Concat(s.plainTargets, s.engines) {
 		for _, r := range e.Runs() {
 			if r.HasAPIKey {
 				s.t.Errorf("request %s came to %s with a key", r.ID, e.ID)
@@ -72,7 +72,7 @@
 }
 
 // reconfigure puts the next version of the configuration in force at all entries.
-func (s *site) reconfigure(change func(c map[string]any)) {
+func (s *deployment) reconfigure(change func(c map[string]any)) {
 	s.t.Helper()
 	change(s.config)
 	s.config["version"] = s.config["version"].(int) + 1
@@ -85,8 +85,8 @@
 	}
 }
 
-// whose returns the organisations that the runs of a request were said to be of.
-func whose(es []*standin.Engine, id string) []string {
+// organisationsOf returns the organisations that the runs of a request were said to be of.
+func organisationsOf(es []*standin.Engine, id string) []string {
 	out := []string{}
 	for _, e := range es {
 		for _, r := range e.Runs() {
@@ -102,9 +102,9 @@
 // brings the key to a target.
 // Sequence: each kind of caller comes to each instance, on routes that ask for a key and
 // on public ones; some say of themselves who they are.
-func TestRequestsBelongToTheirOrganisation(t *testing.T) {
+func TestRequestsCarryTheirOrganisation(t *testing.T) {
 	t.Parallel()
-	s := organisationSite(t, options{entries: 2, engines: 1, plains: 2})
+	s := startWithOrganisations(t, options{entries: 2, engines: 1, plainTargets: 2})
 	n := 0
 	for _, c := range []struct {
 		name   string
@@ -141,7 +141,7 @@
 			if c.status == http.StatusOK {
 				want = []string{c.org}
 			}
-			if got := whose(s.plains, id); !slices.Equal(got, want) {
+			if got := organisationsOf(s.plainTargets, id); !slices.Equal(got, want) {
 				t.Errorf("%s at %s: ran for %q, want %q", c.name, e.id, got, want)
 			}
 		}
@@ -151,11 +151,11 @@
 // Every way by which a request can reach a target bears the organisation that was found,
 // and no key: first sends, tries elsewhere, hedges, streams and resumed ones, items,
 // resumed and carried ones, items at other instances, reward calls.
-func TestAllWaysBearTheOrganisation(t *testing.T) {
+func TestAllPathsCarryTheOrganisation(t *testing.T) {
 	t.Parallel()
 	key := []string{"X-Api-Key", keyA, "Currantford-Tenant", orgB}
 	stream := append([]string{"Currantford-Deadline-Ms", "3500", "Currantford-Model", "m0", "Currantford-Tokens-Used", "100,580"}, key...)
-	b := step("b1", "m0", 4, 4, 20)
+	b := newStep("b1", "m0", 4, 4, 20)
 	b.key = keyA
 	for i := range b.Items { // what the submitter says of itself in an item is no word of ours
 		b.Items[i].Headers["currantford-tenant"], b.Items[i].Headers["X-API-KEY"] = orgB, keyA2
@@ -163,63 +163,63 @@
 	for _, c := range []struct {
 		name  string
 		site  options
-		cause func(t *testing.T, s *site)
+		cause func(t *testing.T, s *deployment)
 		want  string // of each run
 		least int    // runs
 	}{
-		{"first send", options{entries: 1, engines: 1, plains: 1}, func(_ *testing.T, s *site) {
+		{"first send", options{entries: 1, engines: 1, plainTargets: 1}, func(_ *testing.T, s *deployment) {
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
 		}, orgA, 1},
-		{"tries elsewhere", options{entries: 1, engines: 1, plains: 3}, func(_ *testing.T, s *site) {
-			s.plainFaults(standin.EngineFaults{WrongRequestID: true})
+		{"tries elsewhere", options{entries: 1, engines: 1, plainTargets: 3}, func(_ *testing.T, s *deployment) {
+			s.setPlainFaults(standin.EngineFaults{WrongRequestID: true})
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
 		}, orgA, 2},
-		{"hedges", options{entries: 1, engines: 1, plains: 3}, func(_ *testing.T, s *site) {
-			s.plainFaults(standin.EngineFaults{Unresponsive: true})
+		{"hedges", options{entries: 1, engines: 1, plainTargets: 3}, func(_ *testing.T, s *deployment) {
+			s.setPlainFaults(standin.EngineFaults{Unresponsive: true})
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), append([]string{"Currantford-Deadline-Ms", "1500"}, key...)...)
 		}, orgA, 2},
-		{"resumed streams", options{entries: 1, engines: 3, plains: 1}, func(_ *testing.T, s *site) {
+		{"resumed streams", options{entries: 1, engines: 3, plainTargets: 1}, func(_ *testing.T, s *deployment) {
 			for _, e := range s.engines {
 				e.SetFaults(standin.EngineFaults{AbortAfterEvents: 4})
 			}
 			_, _ = s.entries[0].do(http.MethodPost, "/chat/x", "r", []byte("x"), stream...)
 		}, orgA, 3},
-		{"resumed items", options{entries: 2, engines: 3, plains: 1}, func(_ *testing.T, s *site) {
+		{"resumed items", options{entries: 2, engines: 3, plainTargets: 1}, func(_ *testing.T, s *deployment) {
 			for _, e := range s.engines {
 				e.SetFaults(standin.EngineFaults{AbortAfterEvents: 12})
 			}
-			s.accept(b)
+			s.submitUntilAccepted(b)
 			s.readAll(b)
 		}, orgA, 17},
-		{"items at other instances", options{entries: 4, engines: 4, plains: 1, cores: weak, event: 20 * time.Millisecond}, func(t *testing.T, s *site) {
-			s.waitMembers()
-			s.accept(b)
+		{"items at other instances", options{entries: 4, engines: 4, plainTargets: 1, cores: weakCores, eventInterval: 20 * time.Millisecond}, func(t *testing.T, s *deployment) {
+			s.awaitCoordinatorMembership()
+			s.submitUntilAccepted(b)
 			s.readAll(b)
-			if len(s.holders()) == 0 {
+			if len(s.streamHosts()) == 0 {
 				t.Error("no other instance held a stream")
 			}
 		}, orgA, 16},
-		{"items after a change of the coordinator", options{entries: 3, engines: 2, plains: 1, event: 30 * time.Millisecond}, func(_ *testing.T, s *site) {
-			s.accept(b)
+		{"items after a change of the coordinator", options{entries: 3, engines: 2, plainTargets: 1, eventInterval: 30 * time.Millisecond}, func(_ *testing.T, s *deployment) {
+			s.submitUntilAccepted(b)
 			s.awaitRuns(b)
-			c := s.waitCoordinator("")
+			c := s.awaitCoordinator("")
 			c.kill()
 			s.entries = slices.DeleteFunc(s.entries, func(e *entry) bool { return e == c })
 			s.readAll(b)
 		}, orgA, 17},
-		{"reward calls", options{entries: 1, engines: 2, plains: 2}, func(_ *testing.T, s *site) {
-			b := scored(step("b2", "m0", 2, 4, 3))
+		{"reward calls", options{entries: 1, engines: 2, plainTargets: 2}, func(_ *testing.T, s *deployment) {
+			b := withRewards(newStep("b2", "m0", 2, 4, 3))
 			b.key = keyA
-			s.accept(b)
+			s.submitUntilAccepted(b)
 			s.readAll(b)
 		}, "", 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := organisationSite(t, c.site)
+			s := startWithOrganisations(t, c.site)
 			c.cause(t, s)
 			runs := 0
-			for _, e := range slices.Concat(s.engines, s.plains) {
+			for _, e := range slices.Concat(s.engines, s.plainTargets) {
 				for _, r := range e.Runs() {
 					want := orgA
 					if strings.HasPrefix(r.ID, "reward-") {
@@ -242,19 +242,19 @@
 // another's item.
 // Sequence: two choose the same ids; each asks for what the other has, and one without a
 // key for both.
-func TestBatchesBelongToTheirOrganisation(t *testing.T) {
+func TestBatchesAreIsolatedByOrganisation(t *testing.T) {
 	t.Parallel()
-	s := organisationSite(t, options{entries: 2, engines: 2, event: 15 * time.Millisecond})
-	ours, theirs := step("same", "m0", 2, 4, 40), step("same", "m0", 2, 4, 6)
+	s := startWithOrganisations(t, options{entries: 2, engines: 2, eventInterval: 15 * time.Millisecond})
+	ours, theirs := newStep("same", "m0", 2, 4, 40), newStep("same", "m0", 2, 4, 6)
 	ours.key, theirs.key = keyA, keyB
-	s.accept(ours)
+	s.submitUntilAccepted(ours)
 	for _, e := range s.entries {
 		for _, c := range []struct {
 			key    string
 			status int
 		}{{keyA, http.StatusOK}, {keyA2, http.StatusOK}, {keyB, http.StatusNotFound}, {"", http.StatusUnauthorized}, {"unknown", http.StatusUnauthorized}} {
 			for _, path := range []string{"/currantford/lots/same?after=0", "/currantford/items/same?id=" + ours.Items[0].ID} {
-				r, err := e.do(http.MethodGet, path, "", nil, withKey(c.key)...)
+				r, err := e.do(http.MethodGet, path, "", nil, keyHeader(c.key)...)
 				listed := c.status == http.StatusOK && r.status == http.StatusNotFound && strings.Contains(path, "items")
 				if err != nil || r.status != c.status && !listed {
 					t.Errorf("%s with key %q at %s: %d, want %d", path, c.key, e.id, r.status, c.status)
@@ -263,26 +263,26 @@
 			if c.status == http.StatusOK {
 				continue
 			}
-			if r, err := e.do(http.MethodDelete, "/currantford/lots/same", "", nil, withKey(c.key)...); err != nil || r.status != c.status {
+			if r, err := e.do(http.MethodDelete, "/currantford/lots/same", "", nil, keyHeader(c.key)...); err != nil || r.status != c.status {
 				t.Errorf("its end with key %q at %s: %d, want %d", c.key, e.id, r.status, c.status)
 			}
-			if r, err := e.do(http.MethodGet, "/currantford/lots/none", "", nil, withKey(c.key)...); err != nil || r.status != c.status {
+			if r, err := e.do(http.MethodGet, "/currantford/lots/none", "", nil, keyHeader(c.key)...); err != nil || r.status != c.status {
 				t.Errorf("a batch that does not exist, with key %q at %s: %d, want %d as for another's", c.key, e.id, r.status, c.status)
 			}
 		}
 	}
-	s.accept(theirs)
+	s.submitUntilAccepted(theirs)
 	s.readAll(theirs) // checks that their texts have their own lengths
 	s.readAll(ours)
 	for _, it := range ours.Items {
-		if got := whose(s.engines, it.ID); !slices.Contains(got, orgA) || !slices.Contains(got, orgB) {
+		if got := organisationsOf(s.engines, it.ID); !slices.Contains(got, orgA) || !slices.Contains(got, orgB) {
 			t.Errorf("item %s ran for %q, want for both", it.ID, got)
 		}
 	}
-	if r, err := s.entries[0].do(http.MethodDelete, "/currantford/lots/same", "", nil, withKey(keyB)...); err != nil || r.status != http.StatusOK {
+	if r, err := s.entries[0].do(http.MethodDelete, "/currantford/lots/same", "", nil, keyHeader(keyB)...); err != nil || r.status != http.StatusOK {
 		t.Errorf("the end of one's own batch: %d", r.status)
 	}
-	if _, r, err := s.entries[1].read("same", 0, 0, withKey(keyA)...); err != nil || r.status != http.StatusOK {
+	if _, r, err := s.entries[1].readResults("same", 0, 0, keyHeader(keyA)...); err != nil || r.status != http.StatusOK {
 		t.Errorf("the other's batch after it: %d", r.status)
 	}
 }
@@ -290,17 +290,17 @@
 // A batch on a public route is read without a key, and by its id alone.
 func TestPublicBatches(t *testing.T) {
 	t.Parallel()
-	s := organisationSite(t, options{entries: 1, engines: 1})
-	b := step("open-1", "m0", 1, 2, 3)
+	s := startWithOrganisations(t, options{entries: 1, engines: 1})
+	b := newStep("open-1", "m0", 1, 2, 3)
 	raw := fmt.Sprintf(`{"step":1,"model":"m0","min-version":1,"target-groups":1,"items":[{"id":"i1","path":%q,"headers":{"Currantford-Model":"m0","Currantford-Tokens-Used":"100,58"},"body":"eA==","tokens":158,"group":"g"}]}`, batchPrefix+"open/x")
 	if r, err := s.entries[0].do(http.MethodPost, batchPrefix+"open/x", b.id, []byte(raw)); err != nil || r.status != http.StatusAccepted {
 		t.Fatalf("a public batch: %d", r.status)
 	}
 	eventually(t, "its result", func() bool {
-		p, _, err := s.entries[0].read(b.id, 0, 300*time.Millisecond)
+		p, _, err := s.entries[0].readResults(b.id, 0, 300*time.Millisecond)
 		return err == nil && len(p.Results) == 1 && p.Results[0].ID == "i1"
 	})
-	if got := whose(s.engines, "i1"); !slices.Equal(got, []string{""}) {
+	if got := organisationsOf(s.engines, "i1"); !slices.Equal(got, []string{""}) {
 		t.Errorf("it ran for %q", got)
 	}
 }
@@ -310,18 +310,18 @@
 // Sequence: on one connection, configurations take the key away, give it to another
 // organisation, give it back; an organisation loses all its keys and comes back; one
 // configuration is refused.
-func TestKeysFollowTheConfiguration(t *testing.T) {
+func TestKeyChangesTakeEffect(t *testing.T) {
 	t.Parallel()
-	s := organisationSite(t, options{entries: 2, engines: 2, plains: 1, event: 20 * time.Millisecond})
-	b := step("b1", "m0", 4, 4, 60)
+	s := startWithOrganisations(t, options{entries: 2, engines: 2, plainTargets: 1, eventInterval: 20 * time.Millisecond})
+	b := newStep("b1", "m0", 4, 4, 60)
 	b.key = keyA
-	s.accept(b)
+	s.submitUntilAccepted(b)
 	set := func(organisations ...map[string]any) {
 		s.reconfigure(func(c map[string]any) { c["tenants"] = organisations })
 	}
-	var conns []*kept
+	var conns []*keepAliveConn
 	for _, e := range s.entries {
-		conns = append(conns, keep(t, e))
+		conns = append(conns, dialKeepAlive(t, e))
 	}
 	n := 0
 	expect := func(what, key string, status int, org string) {
@@ -332,7 +332,7 @@
 			if got := c.post(plainPrefix+"x", id, key); got != status {
 				t.Errorf("%s at %s: %d, want %d", what, s.entries[i].id, got, status)
 			}
-			if got := whose(s.plains, id); status == http.StatusOK && !slices.Equal(got, []string{org}) || status != http.StatusOK && len(got) > 0 {
+			if got := organisationsOf(s.plainTargets, id); status == http.StatusOK && !slices.Equal(got, []string{org}) || status != http.StatusOK && len(got) > 0 {
 				t.Errorf("%s at %s: ran for %q, want %q", what, s.entries[i].id, got, org)
 			}
 		}
@@ -354,30 +354,30 @@
 	// A key that was taken away ends no batch.
 	s.readAll(b)
 	for _, it := range b.Items {
-		if got := slices.Compact(whose(s.engines, it.ID)); !slices.Equal(got, []string{orgA}) {
+		if got := slices.Compact(organisationsOf(s.engines, it.ID)); !slices.Equal(got, []string{orgA}) {
 			t.Errorf("item %s ran for %q, want %q", it.ID, got, orgA)
 		}
 	}
 }
 
-// kept is a connection that is kept for many requests.
-type kept struct {
+// keepAliveConn is a connection that is kept for many requests.
+type keepAliveConn struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func keep(t *testing.T, e *entry) *kept {
+func dialKeepAlive(t *testing.T, e *entry) *keepAliveConn {
 	t.Helper()
-	conn, err := net.Dial("tcp", e.callers)
+	conn, err := net.Dial("tcp", e.callerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &kept{t, conn, bufio.NewReader(conn)}
+	return &keepAliveConn{t, conn, bufio.NewReader(conn)}
 }
 
-func (k *kept) post(path, id, key string) int {
+func (k *keepAliveConn) post(path, id, key string) int {
 	k.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+host+path, strings.NewReader("reading"))
 	if err != nil {
@@ -405,13 +405,13 @@
 // that was added meanwhile; or it serves a key for ever that was taken away.
 // Sequence: one instance loses its links to the store and to the others, and the
 // configuration changes.
-func TestAnInstanceThatIsCutOffRefusesNoKeyForGood(t *testing.T) {
+func TestPartitionedInstanceDoesNotRejectKeys(t *testing.T) {
 	t.Parallel()
-	s := organisationSite(t, options{entries: 1, engines: 1, plains: 1, links: true, bounds: map[string]any{"key_trust_ms": 4000}})
+	s := startWithOrganisations(t, options{entries: 1, engines: 1, plainTargets: 1, links: true, bounds: map[string]any{"key_trust_ms": 4000}})
 	e := s.entries[0]
-	e.storeLink.set(linkFaults{HoldUp: true, HoldDown: true})
+	e.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
 	status := func(key string) int {
-		r, err := e.do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), withKey(key)...)
+		r, err := e.do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), keyHeader(key)...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -425,7 +425,7 @@
 	if got := status("new"); got != http.StatusServiceUnavailable {
 		t.Errorf("a key that it does not know: %d, want 503", got)
 	}
-	e.storeLink.set(linkFaults{})
+	e.storeLink.setFaults(linkFaults{})
 	eventually(t, "its return", func() bool { return status(keyA) == http.StatusOK })
 	if got := status("new"); got != http.StatusUnauthorized {
 		t.Errorf("a key that is not in force, after it: %d", got)
--- a/systemtest/proxy_test.go
+++ b/systemtest/proxy_test.go
@@ -18,42 +18,42 @@
 		Delay time.Duration
 	}
 
-	// proxy is a loopback link to one server.
-	proxy struct {
-		address string
-		server  string
-		carries sync.WaitGroup
-
-		mu     sync.Mutex
-		ln     net.Listener // nil while nothing listens
-		faults linkFaults
-		healed chan struct{} // closed at each change of the faults
-		conns  map[*net.TCPConn]bool
-		closed bool
+	// tcpProxy is a loopback link to one server.
+	tcpProxy struct {
+		address    string
+		server     string
+		goroutines sync.WaitGroup
+
+		mu            sync.Mutex
+		ln            net.Listener // nil while nothing listens
+		faults        linkFaults
+		faultsChanged chan struct{} // closed at each change of the faults
+		conns         map[*net.TCPConn]bool
+		closed        bool
 	}
 )
 
-// newProxy starts a link to a server; a test's end closes it.
-func newProxy(t *testing.T, server string) *proxy {
+// newTCPProxy starts a link to a server; a test's end closes it.
+func newTCPProxy(t *testing.T, server string) *tcpProxy {
 	t.Helper()
-	p := &proxy{address: freeAddr(t), server: server, healed: make(chan struct{}), conns: map[*net.TCPConn]bool{}}
+	p := &tcpProxy{address: freeAddr(t), server: server, faultsChanged: make(chan struct{}), conns: map[*net.TCPConn]bool{}}
 	if err := p.listen(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.power(false)
+		p.setListening(false)
 		p.mu.Lock()
 		p.closed = true
 		p.mu.Unlock()
-		p.set(linkFaults{})
+		p.setFaults(linkFaults{})
 		p.reset()
-		p.carries.Wait()
+		p.goroutines.Wait()
 	})
 	return p
 }
 
 // listen takes connections until the listener is closed.
-func (p *proxy) listen() error {
+func (p *tcpProxy) listen() error {
 	ln, err := net.Listen("tcp", p.address)
 	if err != nil {
 		return err
@@ -61,23 +61,23 @@
 	p.mu.Lock()
 	p.ln = ln
 	p.mu.Unlock()
-	p.carries.Go(func() {
+	p.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return // closed
 			}
-			p.carries.Go(func() { p.carry(c.(*net.TCPConn)) })
+			p.goroutines.Go(func() { p.forward(c.(*net.TCPConn)) })
 		}
 	})
 	return nil
 }
 
-func (p *proxy) addr() string { return p.address }
+func (p *tcpProxy) addr() string { return p.address }
 
-// power ends or takes up the serving of the address, as with the server's process:
+// setListening ends or takes up the serving of the address, as with the server's process:
 // while it is off, connections are refused.
-func (p *proxy) power(on bool) {
+func (p *tcpProxy) setListening(on bool) {
 	p.mu.Lock()
 	ln, closed := p.ln, p.closed
 	p.mu.Unlock()
@@ -86,7 +86,7 @@
 		_ = p.listen() // the port is the proxy's own
 	case !on && ln != nil:
 		_ = ln.Close()
-		p.awaitRefusal()
+		p.awaitRefused()
 		p.mu.Lock()
 		p.ln = nil
 		for c := range p.conns {
@@ -96,11 +96,11 @@
 	}
 }
 
-// awaitRefusal waits until the address takes no connections. A process that another test
+// awaitRefused waits until the address takes no connections. A process that another test
 // starts holds the listener that was closed until it has replaced its program, and a target
 // would seem to outlive its connections meanwhile.
-func (p *proxy) awaitRefusal() {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+func (p *tcpProxy) awaitRefused() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.address)
 		if err != nil {
 			return
@@ -109,17 +109,17 @@
 	}
 }
 
-// set replaces the faults.
-func (p *proxy) set(f linkFaults) {
+// setFaults replaces the faults.
+func (p *tcpProxy) setFaults(f linkFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	close(p.healed)
-	p.healed = make(chan struct{})
+	close(p.faultsChanged)
+	p.faultsChanged = make(chan struct{})
 }
 
 // reset breaks the open connections, with what is held in them.
-func (p *proxy) reset() {
+func (p *tcpProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -128,8 +128,8 @@
 	}
 }
 
-// add notes a connection, false once the proxy has closed.
-func (p *proxy) add(cs ...*net.TCPConn) bool {
+// track notes a connection, false once the proxy has closed.
+func (p *tcpProxy) track(cs ...*net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range cs {
@@ -142,7 +142,7 @@
 	return !p.closed
 }
 
-func (p *proxy) drop(cs ...*net.TCPConn) {
+func (p *tcpProxy) closeConns(cs ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range cs {
@@ -151,29 +151,29 @@
 	}
 }
 
-func (p *proxy) carry(client *net.TCPConn) {
+func (p *tcpProxy) forward(client *net.TCPConn) {
 	out, err := net.Dial("tcp", p.server)
 	if err != nil {
 		_ = client.Close()
 		return
 	}
 	server := out.(*net.TCPConn)
-	if !p.add(client, server) {
+	if !p.track(client, server) {
 		return
 	}
-	defer p.drop(client, server)
+	defer p.closeConns(client, server)
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pump(client, server, func(f linkFaults) bool { return f.HoldUp }) })
-	wg.Go(func() { p.pump(server, client, func(f linkFaults) bool { return f.HoldDown }) })
+	wg.Go(func() { p.copyDirection(client, server, func(f linkFaults) bool { return f.HoldUp }) })
+	wg.Go(func() { p.copyDirection(server, client, func(f linkFaults) bool { return f.HoldDown }) })
 	wg.Wait()
 }
 
-// pump carries one direction until its source ends, which it passes on.
-func (p *proxy) pump(from, to *net.TCPConn, held func(linkFaults) bool) {
+// copyDirection carries one direction until its source ends, which it passes on.
+func (p *tcpProxy) copyDirection(from, to *net.TCPConn, held func(linkFaults) bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		p.wait(held)
+		p.awaitFlow(held)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				_ = from.Close()
@@ -187,11 +187,11 @@
 	}
 }
 
-// wait returns when the link lets bytes through.
-func (p *proxy) wait(held func(linkFaults) bool) {
+// awaitFlow returns when the link lets bytes through.
+func (p *tcpProxy) awaitFlow(held func(linkFaults) bool) {
 	for {
 		p.mu.Lock()
-		f, healed := p.faults, p.healed
+		f, healed := p.faults, p.faultsChanged
 		p.mu.Unlock()
 		if !held(f) {
 			time.Sleep(f.Delay)
--- a/systemtest/quarantine_test.go
+++ b/systemtest/quarantine_test.go
@@ -14,18 +14,18 @@
 	"currantford/platform/standin"
 )
 
-// crashSite starts a site whose targets crash.
-func crashSite(t *testing.T, entries, engines, plains int) *site {
+// startWithCrashes starts a site whose targets crash.
+func startWithCrashes(t *testing.T, entries, engines, plains int) *deployment {
 	t.Helper()
-	return startSite(t, options{entries: entries, engines: engines, plains: plains, crashes: crashDown})
+	return startDeployment(t, options{entries: entries, engines: engines, plainTargets: plains, crashDowntime: crashDowntime})
 }
 
-// awaitMembers waits until each entry knows of all.
-func (s *site) awaitMembers() {
+// awaitMembership waits until each entry knows of all.
+func (s *deployment) awaitMembership() {
 	s.t.Helper()
 	eventually(s.t, "entries that know of each other", func() bool {
 		for _, e := range s.entries {
-			resp, err := http.Get("http://" + e.names + "/currantford/resolve?name=" + host + "&zone=domain-a")
+			resp, err := http.Get("http://" + e.directoryAddr + "/currantford/resolve?name=" + host + "&zone=domain-a")
 			if err != nil {
 				return false
 			}
@@ -42,8 +42,8 @@
 	})
 }
 
-// hold sends a request until it has crashed three targets.
-func (s *site) hold(body string) {
+// quarantine sends a request until it has crashed three targets.
+func (s *deployment) quarantine(body string) {
 	s.t.Helper()
 	eventually(s.t, "three crashes", func() bool {
 		n := len(s.crashesOf(body))
@@ -52,23 +52,23 @@
 		}
 		return n >= 3
 	})
-	s.awaitTargets(s.plains)
+	s.awaitTargets(s.plainTargets)
 }
 
-// checkHeldAt checks that an instance refuses a request truthfully, at once and with the
+// checkRefusedAt checks that an instance refuses a request truthfully, at once and with the
 // time to come back, and sends it nowhere.
-func (s *site) checkHeldAt(e *entry, body string) {
+func (s *deployment) checkRefusedAt(e *entry, body string) {
 	s.t.Helper()
-	s.checkHeldPath(e, plainPrefix+"bids", body)
+	s.checkRefusedPath(e, plainPrefix+"bids", body)
 }
 
-// checkHeldPath is checkHeldAt for any path.
-func (s *site) checkHeldPath(e *entry, path, body string) {
+// checkRefusedPath is checkHeldAt for any path.
+func (s *deployment) checkRefusedPath(e *entry, path, body string) {
 	s.t.Helper()
-	before := len(s.runsOf(body))
+	before := len(s.runStartTimes(body))
 	began := time.Now()
 	r := e.post(path, "held-"+e.id+"-"+strconv.Itoa(int(began.UnixNano())), body)
-	if n := len(s.runsOf(body)); n != before {
+	if n := len(s.runStartTimes(body)); n != before {
 		s.t.Errorf("%s sent a held request on: %d runs more", e.id, n-before)
 	}
 	after, _ := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
@@ -81,20 +81,20 @@
 // Sequence: the instances that saw its crashes are stopped and started in turn, then all
 // are killed at once; it comes again at each that has just started.
 // Cause guarded against: what is held lived in the memory of those that learned it.
-func TestHeldRequestOutlivesTheInstances(t *testing.T) {
+func TestQuarantineSurvivesRestarts(t *testing.T) {
 	t.Parallel()
-	s := crashSite(t, 3, 1, 3)
+	s := startWithCrashes(t, 3, 1, 3)
 	const body = standin.CrashingBody + " outlives"
-	s.hold(body)
-	before := len(s.runsOf(body))
+	s.quarantine(body)
+	before := len(s.runStartTimes(body))
 	for _, e := range s.entries {
 		e.signal(syscall.SIGTERM)
 		<-e.done
 		e.start()
-		e.waitReady()
-		s.checkHeldAt(e, body)
+		e.awaitReady()
+		s.checkRefusedAt(e, body)
 	}
-	s.waitCoordinator("")
+	s.awaitCoordinator("")
 	eventually(t, "what is held in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
 	for _, e := range s.entries {
 		e.kill()
@@ -103,10 +103,10 @@
 		e.start()
 	}
 	for _, e := range s.entries {
-		e.waitReady()
-		s.checkHeldAt(e, body)
+		e.awaitReady()
+		s.checkRefusedAt(e, body)
 	}
-	if n := len(s.runsOf(body)); n != before {
+	if n := len(s.runStartTimes(body)); n != before {
 		t.Errorf("%d runs, %d before the restarts", n, before)
 	}
 }
@@ -116,11 +116,11 @@
 // frozen meanwhile, and then the coordinator is killed.
 // Cause guarded against: what one instance learns reaches the others by the store, or by
 // the coordinator alone.
-func TestHeldRequestWhileTheStoreIsAway(t *testing.T) {
+func TestQuarantineDuringStoreOutage(t *testing.T) {
 	t.Parallel()
-	s := crashSite(t, 4, 1, 6)
+	s := startWithCrashes(t, 4, 1, 6)
 	const body = standin.CrashingBody + " outage"
-	s.awaitMembers()
+	s.awaitMembership()
 	c := s.coordinator()
 	var frozen, first *entry
 	for _, e := range s.entries {
@@ -137,28 +137,28 @@
 	for n := 0; len(s.crashesOf(body)) < 3; n++ {
 		first.post(plainPrefix+"bids", fmt.Sprintf("outage-%d", n), body)
 	}
-	time.Sleep(contact)
+	time.Sleep(propagationTime)
 	for _, e := range s.entries {
 		if e != frozen {
-			s.checkHeldAt(e, body)
+			s.checkRefusedAt(e, body)
 		}
 	}
 	c.kill()
 	frozen.signal(syscall.SIGCONT)
-	time.Sleep(contact)
+	time.Sleep(propagationTime)
 	for _, e := range s.entries {
 		if e != c {
-			s.checkHeldAt(e, body)
+			s.checkRefusedAt(e, body)
 		}
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
-// checkPauses checks that work which crashes each target was tried as often as its pauses allow:
+// checkRetryDelays checks that work which crashes each target was tried as often as its pauses allow:
 // three times at once, and then after 1, 2, 4, 4, ... s for as long as it is owed.
-func (s *site) checkPauses(body string, least, most int) {
+func (s *deployment) checkRetryDelays(body string, least, most int) {
 	s.t.Helper()
-	runs, crashes := s.runsOf(body), s.crashesOf(body)
+	runs, crashes := s.runStartTimes(body), s.crashesOf(body)
 	if n := len(crashes); n < least || n > most || len(runs) != n {
 		s.t.Errorf("%d targets crashed under %d runs of %q, want %d to %d", n, len(runs), body, least, most)
 	}
@@ -173,16 +173,16 @@
 // Guards against: an item, or its reward call, that crashes target after target, and one that is
 // not tried again for as long as its batch waits for it. Callers' requests of the same body are
 // held all the same.
-func TestCrashingItemsAreTriedApart(t *testing.T) {
+func TestCrashingItemsAreRetriedWithBackoff(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 4, plains: 4, crashes: crashDown, config: func(c map[string]any) {
+	s := startDeployment(t, options{entries: 2, engines: 4, plainTargets: 4, crashDowntime: crashDowntime, config: func(c map[string]any) {
 		c["routes"].([]map[string]any)[0]["max-wait-s"] = 9.0 // and 5 s more, for the instances' clocks
 	}})
-	b := scored(step("b-crash", "m0", 4, 3, 12))
+	b := withRewards(newStep("b-crash", "m0", 4, 3, 12))
 	item, call := standin.CrashingBody+" item", standin.CrashingBody+" reward"
 	b.Items[1].Body = []byte(item)
 	b.Items[7].Reward.Body = []byte(call)
-	s.accept(b)
+	s.submitUntilAccepted(b)
 	results := s.readAll(b)
 	for _, r := range results {
 		bad := r.ID == b.Items[1].ID || r.ID == b.Items[7].ID
@@ -190,36 +190,36 @@
 			t.Errorf("item %s is %s", r.ID, r.State)
 		}
 	}
-	s.checkPauses(item, 6, 7)
-	s.checkPauses(call, 6, 7)
+	s.checkRetryDelays(item, 6, 7)
+	s.checkRetryDelays(call, 6, 7)
 
 	// One crash under a caller's request shows that it is not that of one caller alone.
 	before := len(s.crashesOf(call))
-	s.awaitTargets(s.plains)
+	s.awaitTargets(s.plainTargets)
 	s.entries[0].post(b.Items[7].Reward.Path, "call-of-a-caller", call)
 	if n := len(s.crashesOf(call)) - before; n > 1 {
 		t.Errorf("%d targets crashed under a caller's request, want one at most", n)
 	}
-	s.awaitTargets(s.plains)
-	s.awaitMembers()
+	s.awaitTargets(s.plainTargets)
+	s.awaitMembership()
 	for _, e := range s.entries {
-		s.checkHeldPath(e, b.Items[7].Reward.Path, call)
+		s.checkRefusedPath(e, b.Items[7].Reward.Path, call)
 	}
 }
 
 // Symptom: callers of a popular request are refused.
 // Sequence: most targets are lost at once, each with many equal requests; three times.
 // Cause guarded against: their crashes taken for the request's doing.
-func TestEqualRequestsAreNotHeld(t *testing.T) {
+func TestIdenticalRequestsAreNotQuarantined(t *testing.T) {
 	t.Parallel()
-	s := crashSite(t, 3, 1, 6)
-	answers := s.popular(func() {
+	s := startWithCrashes(t, 3, 1, 6)
+	answers := s.sendIdentical(func() {
 		for range 3 {
 			time.Sleep(300 * time.Millisecond)
-			for _, p := range s.plains[:5] {
+			for _, p := range s.plainTargets[:5] {
 				p.ForceCrash()
 			}
-			s.awaitTargets(s.plains)
+			s.awaitTargets(s.plainTargets)
 		}
 	})
 	if answers.held > 0 || answers.statuses[http.StatusOK] == 0 {
@@ -228,26 +228,26 @@
 }
 
 // Guards against: the same at an instance that has started since it was served last.
-func TestEqualRequestsAreNotHeldAfterAStart(t *testing.T) {
+func TestIdenticalRequestsAreNotQuarantinedAfterRestart(t *testing.T) {
 	t.Parallel()
-	s := crashSite(t, 3, 1, 3)
-	answers := s.popular(func() {
+	s := startWithCrashes(t, 3, 1, 3)
+	answers := s.sendIdentical(func() {
 		for n := range 6 {
 			time.Sleep(300 * time.Millisecond)
 			e := s.entries[n%len(s.entries)]
 			e.kill()
-			for _, p := range s.plains {
+			for _, p := range s.plainTargets {
 				p.SetFaults(standin.EngineFaults{SlowFactor: 100}) // it has runs under way and none that has ended
 			}
 			e.start()
-			e.waitReady()
+			e.awaitReady()
 			time.Sleep(200 * time.Millisecond)
-			for _, p := range s.plains {
+			for _, p := range s.plainTargets {
 				p.ForceCrash()
 				p.SetFaults(standin.EngineFaults{})
 				time.Sleep(30 * time.Millisecond)
 			}
-			s.awaitTargets(s.plains)
+			s.awaitTargets(s.plainTargets)
 		}
 	})
 	if answers.held > 0 || answers.statuses[http.StatusOK] == 0 {
@@ -255,17 +255,17 @@
 	}
 }
 
-// popularAnswers count the answers to equal requests, and those that say that they are held.
-type popularAnswers struct {
+// identicalAnswers count the answers to equal requests, and those that say that they are held.
+type identicalAnswers struct {
 	mu       sync.Mutex
 	statuses map[int]int
 	held     int
 }
 
-// popular sends equal requests to all instances while play runs.
-func (s *site) popular(play func()) *popularAnswers {
+// sendIdentical sends equal requests to all instances while play runs.
+func (s *deployment) sendIdentical(play func()) *identicalAnswers {
 	stop := make(chan struct{})
-	a := &popularAnswers{statuses: map[int]int{}}
+	a := &identicalAnswers{statuses: map[int]int{}}
 	var wg sync.WaitGroup
 	for i := range 12 {
 		e := s.entries[i%len(s.entries)]
@@ -278,7 +278,7 @@
 				}
 				r, err := e.do(http.MethodPost, plainPrefix+"popular", fmt.Sprintf("popular-%d-%d", i, n), []byte("the same"), "Currantford-Deadline-Ms", "1500")
 				if err != nil {
-					time.Sleep(pressEvery) // it is down
+					time.Sleep(probeInterval) // it is down
 				}
 				a.mu.Lock()
 				if err == nil {
@@ -298,36 +298,36 @@
 }
 
 // An operator frees a request by its digest, at any instance.
-func TestFreeingARequestByHand(t *testing.T) {
+func TestOperatorReleasesQuarantinedRequest(t *testing.T) {
 	t.Parallel()
-	s := crashSite(t, 2, 1, 3)
+	s := startWithCrashes(t, 2, 1, 3)
 	const body = standin.CrashingBody + " freed"
-	s.awaitMembers()
-	s.hold(body)
-	time.Sleep(contact)
-	digest := s.entries[0].logged("request_lost", "request_digest")
+	s.awaitMembership()
+	s.quarantine(body)
+	time.Sleep(propagationTime)
+	digest := s.entries[0].logField("request_lost", "request_digest")
 	if digest == "" {
-		digest = s.entries[1].logged("request_lost", "request_digest")
+		digest = s.entries[1].logField("request_lost", "request_digest")
 	}
 	s.entries[1].run("free", "--digest", digest)
-	time.Sleep(contact)
-	before := len(s.runsOf(body))
+	time.Sleep(propagationTime)
+	before := len(s.runStartTimes(body))
 	s.entries[0].post(plainPrefix+"bids", "freed", body)
-	if n := len(s.runsOf(body)); n == before {
+	if n := len(s.runStartTimes(body)); n == before {
 		t.Error("a request that was freed is not sent")
 	}
 }
 
 // A stream that crashes each engine is held as other requests are; a sound one is whole.
-func TestCrashingStreamIsHeld(t *testing.T) {
+func TestCrashingStreamIsQuarantined(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 4, plains: 1, crashes: crashDown, config: func(c map[string]any) {
+	s := startDeployment(t, options{entries: 2, engines: 4, plainTargets: 1, crashDowntime: crashDowntime, config: func(c map[string]any) {
 		c["routes"] = append(c["routes"].([]map[string]any), map[string]any{
 			"name": "r-chat", "host": host, "path-prefix": "/chat/", "kind": "stream", "timeout-ms": 4000, "slo-ms": 400,
-			"priority": 2, "service": service, "max-attempts": 2, "can-resume": true, "sticky": true,
+			"priority": 2, "service": engineService, "max-attempts": 2, "can-resume": true, "sticky": true,
 		})
 	}})
-	s.awaitMembers()
+	s.awaitMembership()
 	n := 0
 	send := func(e *entry, body string) reply {
 		n++
@@ -339,7 +339,7 @@
 		return r
 	}
 	const body = standin.CrashingBody + " stream"
-	for began := time.Now(); time.Since(began) < 2*contact; {
+	for began := time.Now(); time.Since(began) < 2*propagationTime; {
 		s.awaitTargets(s.engines)
 		send(s.entries[n%2], body)
 	}
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -13,7 +13,7 @@
 )
 
 // restartAll kills every process and starts them again.
-func (s *site) restartAll() {
+func (s *deployment) restartAll() {
 	s.t.Helper()
 	for _, e := range s.entries {
 		e.kill()
@@ -22,7 +22,7 @@
 		e.start()
 	}
 	for _, e := range s.entries {
-		e.waitReady()
+		e.awaitReady()
 	}
 }
 
@@ -32,13 +32,13 @@
 // SIGKILL; another entry takes the lease and runs what is not listed.
 // Cause guarded against: results kept in memory alone, or a successor that
 // lists items without having read the chunks before.
-func TestCoordinatorKilledInMidStep(t *testing.T) {
+func TestCoordinatorKilledDuringStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3, event: 30 * time.Millisecond})
-	b := step("b1", "m0", 14, 4, 20)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3, eventInterval: 30 * time.Millisecond})
+	b := newStep("b1", "m0", 14, 4, 20)
+	s.submitUntilAccepted(b)
 	// Results are listed together, so what has run tells that the step is halfway.
-	begun := func() int { return len(s.runs()) }
+	begun := func() int { return len(s.engineRuns()) }
 	eventually(t, "half of the step", func() bool { return begun() >= len(b.Items)/2 })
 	killed := s.coordinator()
 	killed.kill()
@@ -55,12 +55,12 @@
 // step is late by all the time it had taken.
 // Sequence: items of many events run; the coordinator is killed in mid-text;
 // its successor finds what a neighbour has copied and resumes there.
-func TestLongTextsSurviveTheCoordinator(t *testing.T) {
+func TestLongTextsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, event: 20 * time.Millisecond})
-	b := step("b1", "m0", 1, 2, 150)
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) == 2 })
+	s := startDeployment(t, options{entries: 3, engines: 2, eventInterval: 20 * time.Millisecond})
+	b := newStep("b1", "m0", 1, 2, 150)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) == 2 })
 	time.Sleep(1500 * time.Millisecond)
 	s.coordinator().kill()
 	s.readAll(b)
@@ -73,29 +73,29 @@
 // another entry takes over and orders; the frozen one wakes up.
 // Cause guarded against: a holder that trusts its own clock after a pause, and
 // a successor that orders at once.
-func TestFrozenCoordinatorGivesNoLateOrders(t *testing.T) {
+func TestFrozenCoordinatorSendsNoStaleOrders(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, load: 50 * time.Millisecond})
-	s.name("m0", 2)
+	s := startDeployment(t, options{entries: 3, engines: 2, weightLoadTime: 50 * time.Millisecond})
+	s.announceVersion("m0", 2)
 	eventually(t, "version 2", func() bool { return s.engines[0].Version("m0") == 2 && s.engines[1].Version("m0") == 2 })
 	old := s.coordinator()
 	old.signal(syscall.SIGSTOP)
-	s.name("m0", 3)
-	s.waitCoordinator(old.id)
+	s.announceVersion("m0", 3)
+	s.awaitCoordinator(old.id)
 	eventually(t, "version 3", func() bool { return s.engines[0].Version("m0") == 3 && s.engines[1].Version("m0") == 3 })
 	old.signal(syscall.SIGCONT)
-	s.name("m0", 4)
+	s.announceVersion("m0", 4)
 	eventually(t, "version 4", func() bool { return s.engines[0].Version("m0") == 4 && s.engines[1].Version("m0") == 4 })
-	checkOrders(t, s)
+	checkWeightOrders(t, s)
 }
 
 // Symptom: batches are lost when every process dies at once.
 // Sequence: all entries are killed right after an acceptance, and start again.
-func TestAllKilledRightAfterAcceptance(t *testing.T) {
+func TestAllInstancesKilledAfterAcceptance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2})
-	b := step("b1", "m0", 3, 4, 10)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 2})
+	b := newStep("b1", "m0", 3, 4, 10)
+	s.submitUntilAccepted(b)
 	s.restartAll()
 	s.readAll(b)
 }
@@ -105,31 +105,31 @@
 // valid, and then back; what the engines finish meanwhile is listed afterwards.
 // Cause: a coordinator that could not renew its lease dropped its runs and what
 // they had finished, though nobody else could take the lease either.
-func TestStoreOutageInMidStep(t *testing.T) {
+func TestStoreOutageDuringStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, event: 30 * time.Millisecond})
-	b := step("b1", "m0", 4, 4, 15)
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) > 0 })
+	s := startDeployment(t, options{entries: 3, engines: 2, eventInterval: 30 * time.Millisecond})
+	b := newStep("b1", "m0", 4, 4, 15)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(4 * time.Second)
-	if n := len(s.runs()); n != len(b.Items) {
+	if n := len(s.engineRuns()); n != len(b.Items) {
 		t.Errorf("%d of %d items ran during the outage", n, len(b.Items))
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	s.readAll(b)
-	s.checkRunOnce()
+	s.checkRanOnce()
 }
 
 // Symptom: after the loss of all instances at once a step is late by all the time
 // that its long texts had taken.
 // Sequence: items of many events run; every process is killed in mid-text, the
 // neighbour's copies with them; they start again.
-func TestLongTextsSurviveTheLossOfAll(t *testing.T) {
+func TestLongTextsSurviveLossOfAllInstances(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, plains: 2, event: 20 * time.Millisecond})
-	b := scored(step("b1", "m0", 1, 2, 200))
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
+	b := withRewards(newStep("b1", "m0", 1, 2, 200))
+	s.submitUntilAccepted(b)
 	eventually(t, "copies in the store", func() bool { return len(s.store.Names("currantford-texts-b1")) >= 2 })
 	s.restartAll()
 	s.readAll(b)
@@ -141,22 +141,22 @@
 // Sequence: a weak instance takes the duty first, or after the loss of the strong
 // one; the strong one is there, or comes back.
 // Cause: whoever wrote first kept the coordinator's duty, whatever it can carry.
-func TestDutyGoesToTheStrongInstance(t *testing.T) {
+func TestLeaseMovesToMostCapableInstance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, cores: []float64{0.1, 0.1, 0.8}})
+	s := startDeployment(t, options{entries: 3, engines: 2, cores: []float64{0.1, 0.1, 0.8}})
 	strong := s.entries[2]
 	eventually(t, "duty at the strong instance", func() bool { return s.coordinator() == strong })
 	strong.kill()
-	s.waitCoordinator(strong.id)
-	b := step("b1", "m0", 2, 4, 10)
-	s.accept(b)
+	s.awaitCoordinator(strong.id)
+	b := newStep("b1", "m0", 2, 4, 10)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
 	strong.start()
 	eventually(t, "duty back at the strong instance", func() bool { return s.coordinator() == strong })
-	next := step("b2", "m0", 2, 4, 10)
-	s.accept(next)
+	next := newStep("b2", "m0", 2, 4, 10)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
-	checkOrders(t, s)
+	checkWeightOrders(t, s)
 	handed := 0
 	for _, e := range s.entries {
 		raw, err := os.ReadFile(e.logPath)
@@ -170,9 +170,9 @@
 	}
 }
 
-// named returns the addresses that an instance names to callers.
-func named(e *entry) string {
-	resp, err := http.Get("http://" + e.names + "/currantford/resolve?zone=domain-a")
+// resolvedAddrs returns the addresses that an instance names to callers.
+func resolvedAddrs(e *entry) string {
+	resp, err := http.Get("http://" + e.directoryAddr + "/currantford/resolve?zone=domain-a")
 	if err != nil {
 		return ""
 	}
@@ -186,9 +186,9 @@
 // back.
 // Cause: an instance that took the duty again began with the list that the first
 // coordinator had told it, and counted everyone in it as just heard of.
-func TestDirectoryForgetsTheDeadWhenTheDutyReturns(t *testing.T) {
+func TestDirectoryDropsDeadInstanceWhenLeaseReturns(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1})
+	s := startDeployment(t, options{entries: 3, engines: 1})
 	var others []*entry
 	first := s.coordinator()
 	for _, e := range s.entries {
@@ -197,22 +197,22 @@
 		}
 	}
 	next, dead := others[0], others[1]
-	eventually(t, "all named", func() bool { return strings.Contains(named(next), dead.callers) })
+	eventually(t, "all named", func() bool { return strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	first.signal(syscall.SIGSTOP)
-	holder := s.waitCoordinator(first.id)
+	holder := s.awaitCoordinator(first.id)
 	first.signal(syscall.SIGCONT)
 	if holder == dead {
 		next, dead = dead, next
 	}
 	dead.kill()
-	eventually(t, "the dead dropped", func() bool { return !strings.Contains(named(next), dead.callers) })
+	eventually(t, "the dead dropped", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	next.signal(syscall.SIGSTOP)
-	s.waitCoordinator(next.id)
+	s.awaitCoordinator(next.id)
 	next.signal(syscall.SIGCONT)
 	first.signal(syscall.SIGSTOP)
-	s.waitCoordinator(first.id)
+	s.awaitCoordinator(first.id)
 	for range 20 {
-		if strings.Contains(named(next), dead.callers) {
+		if strings.Contains(resolvedAddrs(next), dead.callerAddr) {
 			t.Fatal("the dead instance is named again")
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -222,9 +222,9 @@
 
 // Guards against: an instance that has ended named again by a coordinator that was frozen when
 // it was dropped, and by the next one, which adopts that one's list.
-func TestFrozenSuccessorForgetsTheDead(t *testing.T) {
+func TestFrozenInstanceDropsDeadInstance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1})
+	s := startDeployment(t, options{entries: 3, engines: 1})
 	next := s.coordinator()
 	var others []*entry
 	for _, e := range s.entries {
@@ -233,17 +233,17 @@
 		}
 	}
 	frozen, dead := others[0], others[1]
-	eventually(t, "all named", func() bool { return strings.Contains(named(frozen), dead.callers) })
+	eventually(t, "all named", func() bool { return strings.Contains(resolvedAddrs(frozen), dead.callerAddr) })
 	frozen.signal(syscall.SIGSTOP)
 	dead.kill()
-	eventually(t, "the dead dropped", func() bool { return !strings.Contains(named(next), dead.callers) })
+	eventually(t, "the dead dropped", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	next.signal(syscall.SIGSTOP)
 	frozen.signal(syscall.SIGCONT)
-	s.waitCoordinator(next.id)
+	s.awaitCoordinator(next.id)
 	next.signal(syscall.SIGCONT)
 	time.Sleep(700 * time.Millisecond) // the list is told
 	for _, e := range []*entry{frozen, next} {
-		if strings.Contains(named(e), dead.callers) {
+		if strings.Contains(resolvedAddrs(e), dead.callerAddr) {
 			t.Errorf("%s names the dead instance again", e.id)
 		}
 	}
@@ -251,12 +251,12 @@
 
 // An engine whose entry lapses and comes back while its runs are under way ends the
 // coordinator's process.
-func TestEnginesThatLapseWithRunsUnderWay(t *testing.T) {
+func TestEngineEntriesExpireDuringRuns(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3, event: 20 * time.Millisecond})
+	s := startDeployment(t, options{entries: 2, engines: 3, eventInterval: 20 * time.Millisecond})
 	held := s.coordinator()
-	b := step("b1", "m0", 14, 4, 20)
-	s.accept(b)
+	b := newStep("b1", "m0", 14, 4, 20)
+	s.submitUntilAccepted(b)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -14,9 +14,9 @@
 	"currantford/platform/standin"
 )
 
-func requestSite(t *testing.T, plains int) *site {
+func startForRequests(t *testing.T, plains int) *deployment {
 	t.Helper()
-	return startSite(t, options{entries: 2, engines: 1, plains: plains})
+	return startDeployment(t, options{entries: 2, engines: 1, plainTargets: plains})
 }
 
 func (e *entry) post(path, id, body string) reply {
@@ -28,7 +28,7 @@
 	return r
 }
 
-func ran(es []*standin.Engine, id string) int {
+func countRuns(es []*standin.Engine, id string) int {
 	n := 0
 	for _, e := range es {
 		for _, r := range e.Runs() {
@@ -40,8 +40,8 @@
 	return n
 }
 
-// stampOf returns the mark of a target's answer to a request that ran once.
-func stampOf(es []*standin.Engine, id string) string {
+// responseStamp returns the mark of a target's answer to a request that ran once.
+func responseStamp(es []*standin.Engine, id string) string {
 	for _, e := range es {
 		for _, r := range e.Runs() {
 			if r.ID == id {
@@ -52,11 +52,11 @@
 	return ""
 }
 
-func TestRequestIsForwardedAsItIs(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 2)
+	s := startForRequests(t, 2)
 	r := s.entries[0].post(plainPrefix+"a%2Fb?x=1%20", "r1", "reading")
-	if r.status != http.StatusOK || string(r.body) != "echo reading" || r.header.Get("Currantford-Response-Stamp") != stampOf(s.plains, "r1") {
+	if r.status != http.StatusOK || string(r.body) != "echo reading" || r.header.Get("Currantford-Response-Stamp") != responseStamp(s.plainTargets, "r1") {
 		t.Errorf("answer %d %q, stamp %q", r.status, r.body, r.header.Get("Currantford-Response-Stamp"))
 	}
 	if r := s.entries[0].post("/nowhere/", "r2", "x"); r.status != http.StatusNotFound {
@@ -65,7 +65,7 @@
 	if r := s.entries[0].post(plainPrefix+"a", "r3", strings.Repeat("x", 1<<20+1)); r.status != http.StatusRequestEntityTooLarge {
 		t.Errorf("body over the limit: %d", r.status)
 	}
-	for _, run := range s.plains[0].Runs() {
+	for _, run := range s.plainTargets[0].Runs() {
 		if run.DeadlineMs == "" {
 			t.Error("a request without a deadline reached a target")
 		}
@@ -75,9 +75,9 @@
 // Symptom: callers get 404 for what the configuration allows, at an instance
 // that has just started.
 // Sequence: an instance starts while the store is down.
-func TestNoConfigurationIsNotNoRoute(t *testing.T) {
+func TestMissingConfigurationReturnsUnavailable(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 1)
+	s := startForRequests(t, 1)
 	s.store.SetFaults(standin.StoreFaults{Busy: true})
 	for _, e := range s.entries {
 		e.kill()
@@ -91,7 +91,7 @@
 		}
 		return err == nil
 	})
-	if r, err := http.Get("http://" + e.ready + "/currantford/ready"); err != nil || r.StatusCode != http.StatusServiceUnavailable {
+	if r, err := http.Get("http://" + e.readyAddr + "/currantford/ready"); err != nil || r.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("ready without a configuration: %v %v", r, err)
 	} else {
 		r.Body.Close()
@@ -104,22 +104,22 @@
 // Cause guarded against: a retry of what may have run, a 503 for it.
 func TestBidRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 3)
-	for _, e := range s.plains {
+	s := startForRequests(t, 3)
+	for _, e := range s.plainTargets {
 		e.SetFaults(standin.EngineFaults{WrongRequestID: true})
 	}
 	r := s.entries[0].post("/bids/a", "bid1", "100")
-	if n := ran(s.plains, "bid1"); n != 1 {
+	if n := countRuns(s.plainTargets, "bid1"); n != 1 {
 		t.Errorf("the bid ran %d times", n)
 	}
 	if r.status != http.StatusBadGateway {
 		t.Errorf("status %d for a bid that may have run, want 502", r.status)
 	}
-	for _, e := range s.plains {
+	for _, e := range s.plainTargets {
 		e.SetFaults(standin.EngineFaults{AtCapacity: true})
 	}
 	r = s.entries[0].post("/bids/a", "bid2", "100")
-	if n := ran(s.plains, "bid2"); n != 0 || r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
+	if n := countRuns(s.plainTargets, "bid2"); n != 0 || r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
 		t.Errorf("full targets: status %d, Retry-After %q, ran %d times", r.status, r.header.Get("Retry-After"), n)
 	}
 }
@@ -127,10 +127,10 @@
 // Symptom: a caller gets another caller's answer.
 // Sequence: one of two targets sends answers of other requests; log readings
 // may be repeated, so each gets its own from the other target.
-func TestAnswersOfOthersAreNotPassedOn(t *testing.T) {
+func TestMismatchedAnswersAreNotForwarded(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 2)
-	s.plains[0].SetFaults(standin.EngineFaults{WrongRequestID: true})
+	s := startForRequests(t, 2)
+	s.plainTargets[0].SetFaults(standin.EngineFaults{WrongRequestID: true})
 	for i := range 20 {
 		id, body := fmt.Sprintf("r%d", i), fmt.Sprintf("reading %d", i)
 		r := s.entries[i%2].post(plainPrefix+"a", id, body)
@@ -143,14 +143,14 @@
 // Symptom: a target that is leaving gets new work.
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 2)
-	s.plains[0].Drain()
+	s := startForRequests(t, 2)
+	s.plainTargets[0].Drain()
 	time.Sleep(1500 * time.Millisecond)
-	before := len(s.plains[0].Runs())
+	before := len(s.plainTargets[0].Runs())
 	for i := range 20 {
 		s.entries[i%2].post(plainPrefix+"a", fmt.Sprintf("r%d", i), "x")
 	}
-	if after := len(s.plains[0].Runs()); after != before {
+	if after := len(s.plainTargets[0].Runs()); after != before {
 		t.Errorf("%d requests reached a draining target", after-before)
 	}
 }
@@ -159,11 +159,11 @@
 // address.
 // Sequence: a target is gone and its address belongs to another instance,
 // while the instance list still shows the old one.
-func TestAddressReuseRunsNothing(t *testing.T) {
+func TestReusedAddressRunsNoRequest(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 1)
+	s := startForRequests(t, 1)
 	s.store.Put("servers", "i-ghost", map[string]any{
-		"service": plain, "addr": s.engines[0].Addr, "zone": "domain-a", "slots": 4, "state": "ready",
+		"service": plainService, "addr": s.engines[0].Addr, "zone": "domain-a", "slots": 4, "state": "ready",
 	})
 	time.Sleep(time.Second)
 	for i := range 10 {
@@ -177,12 +177,12 @@
 }
 
 // Symptom: a target works on for a caller that has gone.
-func TestCallerGoneStopsTheTarget(t *testing.T) {
+func TestCallerDisconnectCancelsTarget(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 1)
-	s.plains[0].SetFaults(standin.EngineFaults{Unresponsive: true})
+	s := startForRequests(t, 1)
+	s.plainTargets[0].SetFaults(standin.EngineFaults{Unresponsive: true})
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.entries[0].callers+"/bids/a", strings.NewReader("x"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.entries[0].callerAddr+"/bids/a", strings.NewReader("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,17 +194,17 @@
 			resp.Body.Close()
 		}
 	}()
-	eventually(t, "the run", func() bool { return ran(s.plains, "r1") == 1 })
+	eventually(t, "the run", func() bool { return countRuns(s.plainTargets, "r1") == 1 })
 	cancel()
-	eventually(t, "the target to be free", func() bool { return s.plains[0].Running() == 0 })
+	eventually(t, "the target to be free", func() bool { return s.plainTargets[0].Running() == 0 })
 }
 
 // Symptom: a configuration is not in force, or an older one comes back.
 // Sequence: the route moves to another service; the store drops its history,
 // then the coordinator is frozen, so that the others must watch by themselves.
-func TestConfigurationComesInForceEverywhere(t *testing.T) {
+func TestConfigurationReachesAllInstances(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1, plains: 1})
+	s := startDeployment(t, options{entries: 3, engines: 1, plainTargets: 1})
 	drop := func(version int, keep bool) {
 		c := map[string]any{}
 		raw, _ := json.Marshal(s.config)
@@ -248,11 +248,11 @@
 // Symptom: a planned stop cuts off requests, or loses the coordinator's work.
 // Sequence: the coordinator gets SIGTERM while requests keep coming on kept
 // connections and a step runs.
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+func TestGracefulShutdownInterruptsNothing(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, plains: 2, event: 20 * time.Millisecond})
-	b := step("b1", "m0", 2, 4, 60)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
+	b := newStep("b1", "m0", 2, 4, 60)
+	s.submitUntilAccepted(b)
 	e := s.coordinator()
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -267,7 +267,7 @@
 				id := fmt.Sprintf("r%d-%d", i, n)
 				r, err := e.do(http.MethodPost, "/bids/a", id, []byte("x"))
 				if err != nil {
-					if ran(s.plains, id) > 0 {
+					if countRuns(s.plainTargets, id) > 0 {
 						t.Errorf("%s was cut off: %v", id, err)
 					}
 					return // it does not listen any more
@@ -282,7 +282,7 @@
 	time.Sleep(500 * time.Millisecond)
 	e.signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() bool {
-		r, err := http.Get("http://" + e.ready + "/currantford/ready")
+		r, err := http.Get("http://" + e.readyAddr + "/currantford/ready")
 		if err != nil {
 			return true
 		}
@@ -293,7 +293,7 @@
 	<-e.done
 	close(stop)
 	wg.Wait()
-	for id, runs := range s.runs() {
+	for id, runs := range s.engineRuns() {
 		if last := runs[len(runs)-1]; len(runs) > 1 && last.ResumeAfter == 0 {
 			t.Errorf("item %s began again after the planned stop", id)
 		}
@@ -301,10 +301,10 @@
 }
 
 // The store sees few calls while nothing happens, however many entries run.
-func TestIdleSiteAsksTheStoreLittle(t *testing.T) {
+func TestIdleDeploymentMakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	calls := func(entries int) int {
-		s := startSite(t, options{entries: entries, engines: 1})
+		s := startDeployment(t, options{entries: entries, engines: 1})
 		time.Sleep(2 * time.Second)
 		count := func() int {
 			n := 0
--- a/systemtest/resultpages_test.go
+++ b/systemtest/resultpages_test.go
@@ -16,15 +16,15 @@
 // Cause: every page passed the coordinator. Beyond a part of its link it says where
 // the results lie in the store, and whoever was asked reads them there; while the
 // store is away it gives them itself.
-func TestPagesAreReadBesideTheCoordinatorsLink(t *testing.T) {
+func TestResultPagesBypassCoordinatorLink(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3, linkMbps: 0.01})
-	b := step("b1", "m0", 8, 6, 150)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3, linkMbps: 0.01})
+	b := newStep("b1", "m0", 8, 6, 150)
+	s.submitUntilAccepted(b)
 	want := s.readAll(b)
-	e := s.other()
+	e := s.nonCoordinator()
 	for range 3 {
-		p, r, err := e.read(b.id, 0, 0)
+		p, r, err := e.readResults(b.id, 0, 0)
 		if err != nil || len(p.Results) == 0 || !reflect.DeepEqual(p.Results, want[:len(p.Results)]) {
 			t.Fatalf("a page of %d results, status %d: %v", len(p.Results), r.status, err)
 		}
@@ -34,7 +34,7 @@
 		t.Errorf("no page was read from the store: %v", err)
 	}
 	s.store.SetFaults(standin.StoreFaults{Down: true})
-	p, r, err := e.read(b.id, 0, 0)
+	p, r, err := e.readResults(b.id, 0, 0)
 	if err != nil || len(p.Results) == 0 || !reflect.DeepEqual(p.Results, want[:len(p.Results)]) {
 		t.Errorf("while the store is away: a page of %d results, status %d: %v", len(p.Results), r.status, err)
 	}
--- a/systemtest/reward_test.go
+++ b/systemtest/reward_test.go
@@ -10,13 +10,13 @@
 )
 
 // A calm step with rewards: every result has the score of its own text.
-func TestScoredStepIsServedWhole(t *testing.T) {
+func TestScoredStepIsCompleted(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3, plains: 3})
-	b := scored(step("b1", "m0", 6, 4, 10))
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 3})
+	b := withRewards(newStep("b1", "m0", 6, 4, 10))
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	for id, calls := range s.rewards() {
+	for id, calls := range s.rewardRuns() {
 		if len(calls) != 1 {
 			t.Errorf("reward call %s ran %d times on a calm step", id, len(calls))
 		}
@@ -28,15 +28,15 @@
 // Sequence: the service for rewards turns everything away, so complete texts wait
 // for their scores; the coordinator is killed; the service comes back.
 // Cause guarded against: a text that is kept as complete only once it is listed.
-func TestCompleteTextsSurviveTheCoordinator(t *testing.T) {
+func TestCompleteTextsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3, plains: 2})
-	s.plainFaults(standin.EngineFaults{AtCapacity: true})
-	b := scored(step("b1", "m0", 3, 4, 10))
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 2})
+	s.setPlainFaults(standin.EngineFaults{AtCapacity: true})
+	b := withRewards(newStep("b1", "m0", 3, 4, 10))
+	s.submitUntilAccepted(b)
 	eventually(t, "complete texts", func() bool {
 		made := 0
-		for _, runs := range s.runs() {
+		for _, runs := range s.engineRuns() {
 			if runs[len(runs)-1].LastEvent == 10 {
 				made++
 			}
@@ -46,29 +46,29 @@
 	time.Sleep(time.Second) // a neighbour is told within it
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id)
-	s.plainFaults(standin.EngineFaults{})
+	s.awaitCoordinator(old.id)
+	s.setPlainFaults(standin.EngineFaults{})
 	s.readAll(b)
-	s.checkRunOnce()
+	s.checkRanOnce()
 }
 
 // Symptom: a step stands still because one of its reward calls always fails, or
 // an item is given up after a single failure.
 // Sequence: the reward call of one item fails at every target; those of the others
 // are answered.
-func TestFailingRewardIsGivenUp(t *testing.T) {
+func TestFailingRewardStopsAfterMaxAttempts(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, plains: 3})
-	b := scored(step("b1", "m0", 2, 4, 5))
+	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 3})
+	b := withRewards(newStep("b1", "m0", 2, 4, 5))
 	bad := b.Items[3]
 	bad.Reward.Body = []byte(standin.FailingBody)
-	s.accept(b)
+	s.submitUntilAccepted(b)
 	for _, r := range s.readAll(b) {
 		if want := map[bool]string{true: "down", false: "done"}[r.ID == bad.ID]; r.State != want {
 			t.Errorf("item %s is %s, want %s", r.ID, r.State, want)
 		}
 	}
-	if n := len(s.rewards()[bad.Reward.ID]); n != 4 {
+	if n := len(s.rewardRuns()[bad.Reward.ID]); n != 4 {
 		t.Errorf("the failing reward call ran %d times, its route allows 4", n)
 	}
 }
@@ -78,19 +78,19 @@
 // turn away, one kind of trouble after the other; the batch's rewards are asked
 // for all the while.
 // Cause guarded against: taking an answer by its connection alone.
-func TestScoreIsOfItsOwnCall(t *testing.T) {
+func TestScoreMatchesItsRewardCall(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3, plains: 3})
+	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 3})
 	troubles := []standin.EngineFaults{{WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusBadGateway}, {AtCapacity: true}}
 	for i, f := range troubles {
-		s.plainFaults(f)
-		b := scored(step(fmt.Sprint("b", i), "m0", 3, 4, 5))
-		s.accept(b)
+		s.setPlainFaults(f)
+		b := withRewards(newStep(fmt.Sprint("b", i), "m0", 3, 4, 5))
+		s.submitUntilAccepted(b)
 		time.Sleep(700 * time.Millisecond)
-		if p, _, err := s.other().read(b.id, 0, 0); err == nil && len(p.Results) > 0 {
+		if p, _, err := s.nonCoordinator().readResults(b.id, 0, 0); err == nil && len(p.Results) > 0 {
 			t.Errorf("%d results without a good answer to their reward calls", len(p.Results))
 		}
-		s.plainFaults(standin.EngineFaults{})
+		s.setPlainFaults(standin.EngineFaults{})
 		s.readAll(b)
 	}
 }
@@ -98,26 +98,26 @@
 // Symptom: reward calls of a batch run after its end was acknowledged.
 // Sequence: complete texts wait for a service that turns everything away; the
 // trainer ends the batch; the service comes back, and the coordinator is killed.
-func TestEndedBatchAsksForNoRewards(t *testing.T) {
+func TestDeletedBatchSendsNoRewardCalls(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3, plains: 2})
-	s.plainFaults(standin.EngineFaults{AtCapacity: true})
-	b := scored(step("b1", "m0", 3, 4, 5))
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 2})
+	s.setPlainFaults(standin.EngineFaults{AtCapacity: true})
+	b := withRewards(newStep("b1", "m0", 3, 4, 5))
+	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
 	eventually(t, "the end's answer", func() bool {
-		r, err := s.other().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
+		r, err := s.nonCoordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
 		return err == nil && r.status == http.StatusOK
 	})
 	time.Sleep(500 * time.Millisecond)
-	s.plainFaults(standin.EngineFaults{})
+	s.setPlainFaults(standin.EngineFaults{})
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id)
-	next := scored(step("b2", "m0", 1, 2, 3))
-	s.accept(next)
+	s.awaitCoordinator(old.id)
+	next := withRewards(newStep("b2", "m0", 1, 2, 3))
+	s.submitUntilAccepted(next)
 	s.readAll(next)
-	if n := len(s.rewards()); n != 2 {
+	if n := len(s.rewardRuns()); n != 2 {
 		t.Errorf("%d reward calls ran, want the 2 of the second batch", n)
 	}
 }
@@ -125,30 +125,30 @@
 // Symptom: a group that comes back in a later step is generated and scored anew.
 // Sequence: a batch is ended while complete texts wait for their rewards; its
 // items are asked for again by the next batch.
-func TestCompleteTextsAreCarriedToTheNextStep(t *testing.T) {
+func TestCompleteTextsAreReusedInNextStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3, plains: 2})
-	s.plainFaults(standin.EngineFaults{AtCapacity: true})
-	b := scored(step("b1", "m0", 2, 4, 5))
-	s.accept(b)
+	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 2})
+	s.setPlainFaults(standin.EngineFaults{AtCapacity: true})
+	b := withRewards(newStep("b1", "m0", 2, 4, 5))
+	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
 	time.Sleep(300 * time.Millisecond)
 	if r, err := s.coordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil); err != nil || r.status != http.StatusOK {
 		t.Fatalf("end: %v %v", r.status, err)
 	}
-	s.plainFaults(standin.EngineFaults{})
+	s.setPlainFaults(standin.EngineFaults{})
 	b.id = "b2"
-	s.accept(b)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	s.checkRunOnce()
+	s.checkRanOnce()
 }
 
 // Symptom: reward calls go to a service that the route has left, or stop.
 // Sequence: the route of reward calls is removed while texts wait for their
 // rewards, and comes back to another service.
-func TestRewardsFollowTheirRoute(t *testing.T) {
+func TestRewardCallsFollowRouteChanges(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3, plains: 2})
+	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 2})
 	routes := s.config["routes"].([]map[string]any)
 	var others []map[string]any
 	var rewards map[string]any
@@ -162,11 +162,11 @@
 	s.config["routes"], s.config["version"] = others, 2
 	s.store.Put("config", "main", s.config)
 	time.Sleep(2 * time.Second)
-	b := scored(step("b1", "m0", 2, 4, 5))
-	s.accept(b)
+	b := withRewards(newStep("b1", "m0", 2, 4, 5))
+	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
 	time.Sleep(500 * time.Millisecond)
-	if n := len(s.rewards()); n != 0 {
+	if n := len(s.rewardRuns()); n != 0 {
 		t.Errorf("%d reward calls ran without a route", n)
 	}
 	rewards["path-prefix"] = "/"
@@ -176,11 +176,11 @@
 }
 
 // A reward call that nobody could send is no part of a batch.
-func TestMalformedRewardIsNotAccepted(t *testing.T) {
+func TestMalformedRewardIsRejected(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 1, engines: 1, plains: 1})
+	s := startDeployment(t, options{entries: 1, engines: 1, plainTargets: 1})
 	for _, bad := range []standin.RewardCall{{}, {ID: "r", Host: host}, {ID: "r", Path: "/rewards/x"}, {ID: "r", Host: host, Path: "x"}} {
-		b := step("b1", "m0", 1, 2, 3)
+		b := newStep("b1", "m0", 1, 2, 3)
 		b.Items[1].Reward = &bad
 		if r := s.entries[0].submit(b); r.status != http.StatusBadRequest {
 			t.Errorf("%+v: status %d, want 400", bad, r.status)
@@ -188,8 +188,8 @@
 	}
 }
 
-func (s *site) plainFaults(f standin.EngineFaults) {
-	for _, e := range s.plains {
+func (s *deployment) setPlainFaults(f standin.EngineFaults) {
+	for _, e := range s.plainTargets {
 		e.SetFaults(f)
 	}
 }
--- a/systemtest/runner_test.go
+++ b/systemtest/runner_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// weak are shares of a core with which no instance holds all streams itself.
-var weak = []float64{0.005, 0.005, 0.005, 0.005}
+// weakCores are shares of a core with which no instance holds all streams itself.
+var weakCores = []float64{0.005, 0.005, 0.005, 0.005}
 
-// holders returns the other entries that have held streams, as the coordinator's log
+// streamHosts returns the other entries that have held streams, as the coordinator's log
 // shows it.
-func (s *site) holders() []*entry {
+func (s *deployment) streamHosts() []*entry {
 	c := s.coordinator()
 	raw, err := os.ReadFile(c.logPath)
 	if err != nil {
@@ -30,11 +30,11 @@
 	return out
 }
 
-// waitMembers waits until the coordinator knows every entry.
-func (s *site) waitMembers() {
+// awaitCoordinatorMembership waits until the coordinator knows every entry.
+func (s *deployment) awaitCoordinatorMembership() {
 	s.t.Helper()
 	eventually(s.t, "all entries in the coordinator's list", func() bool {
-		resp, err := http.Get("http://" + s.coordinator().names + "/currantford/resolve?name=" + host)
+		resp, err := http.Get("http://" + s.coordinator().directoryAddr + "/currantford/resolve?name=" + host)
 		if err != nil {
 			return false
 		}
@@ -51,15 +51,15 @@
 // Sequence: an instance that holds streams is killed in mid-step, another frozen for
 // longer than its coordinator waits.
 // Cause guarded against: runs that end with their holder, or go on at two engines.
-func TestStreamsSurviveTheInstancesThatHoldThem(t *testing.T) {
+func TestStreamsSurviveLossOfStreamHosts(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 4, event: 30 * time.Millisecond, cores: weak})
-	s.waitMembers()
-	b := step("b1", "m0", 8, 4, 60)
-	s.accept(b)
-	eventually(t, "runs elsewhere", func() bool { return len(s.runs()) >= 16 && len(s.holders()) > 0 })
+	s := startDeployment(t, options{entries: 4, engines: 4, eventInterval: 30 * time.Millisecond, cores: weakCores})
+	s.awaitCoordinatorMembership()
+	b := newStep("b1", "m0", 8, 4, 60)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs elsewhere", func() bool { return len(s.engineRuns()) >= 16 && len(s.streamHosts()) > 0 })
 	time.Sleep(500 * time.Millisecond)
-	hosts := s.holders()
+	hosts := s.streamHosts()
 	hosts[0].kill()
 	if len(hosts) > 1 {
 		hosts[1].signal(syscall.SIGSTOP)
@@ -71,13 +71,13 @@
 // Symptom: after a crash of the coordinator the texts whose streams others held begin
 // anew, or run twice.
 // Sequence: weak instances hold the streams; the coordinator is killed in mid-text.
-func TestDividedStreamsSurviveTheCoordinator(t *testing.T) {
+func TestHostedStreamsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 4, event: 20 * time.Millisecond, cores: weak})
-	s.waitMembers()
-	b := step("b1", "m0", 1, 4, 150)
-	s.accept(b)
-	eventually(t, "runs elsewhere", func() bool { return len(s.runs()) == 4 && len(s.holders()) > 0 })
+	s := startDeployment(t, options{entries: 4, engines: 4, eventInterval: 20 * time.Millisecond, cores: weakCores})
+	s.awaitCoordinatorMembership()
+	b := newStep("b1", "m0", 1, 4, 150)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs elsewhere", func() bool { return len(s.engineRuns()) == 4 && len(s.streamHosts()) > 0 })
 	time.Sleep(1500 * time.Millisecond)
 	s.coordinator().kill()
 	s.readAll(b)
--- a/systemtest/soak_config_test.go
+++ b/systemtest/soak_config_test.go
@@ -11,29 +11,29 @@
 	"currantford/platform/standin"
 )
 
-// configSeeds is the first seed in which the operator changes the configuration, which grows
+// firstConfigSeed is the first seed in which the operator changes the configuration, which grows
 // by hundreds of routes at a time, and targets lapse from the instance list.
-const configSeeds = 6000
+const firstConfigSeed = 6000
 
-// configsMost bounds the routes that the soak adds.
-const configsMost = 3000
+// maxRoutes bounds the routes that the soak adds.
+const maxRoutes = 3000
 
 // changeConfig changes one route, or adds hundreds.
 func (s *soak) changeConfig() {
 	s.configMu.Lock()
 	defer s.configMu.Unlock()
 	routes := s.config["routes"].([]map[string]any)
-	if added := s.span(100, 700); s.draw(2) == 0 && len(routes) < configsMost {
+	if added := s.duration(100, 700); s.intN(2) == 0 && len(routes) < maxRoutes {
 		for range int(added.Milliseconds()) {
-			name := fmt.Sprintf("%08x", s.draw(1<<31))
+			name := fmt.Sprintf("%08x", s.intN(1<<31))
 			routes = append(routes, map[string]any{
 				"name": "r-" + name, "host": name + ".example", "path-prefix": "/" + name + "/", "kind": "safe", "timeout-ms": 800, "slo-ms": 150,
-				"priority": 2, "service": plain, "max-attempts": 2,
+				"priority": 2, "service": plainService, "max-attempts": 2,
 			})
 		}
 	}
 	last := routes[len(routes)-1]
-	last["timeout-ms"] = 2000 + s.draw(1000)
+	last["timeout-ms"] = 2000 + s.intN(1000)
 	s.config["routes"], s.config["version"] = routes, s.config["version"].(int)+1
 	s.store.Put("config", "main", s.config)
 }
@@ -44,12 +44,12 @@
 	t.Helper()
 	newest := s.config["version"].(int)
 	for _, e := range s.entries {
-		eventually(t, fmt.Sprintf("version %d at %s", newest, e.id), func() bool { return s.configOf(t, e) == newest })
+		eventually(t, fmt.Sprintf("version %d at %s", newest, e.id), func() bool { return s.configVersion(t, e) == newest })
 	}
 }
 
-// configOf returns the version in force at an entry, by its log.
-func (s *soak) configOf(t *testing.T, e *entry) (version int) {
+// configVersion returns the version in force at an entry, by its log.
+func (s *soak) configVersion(t *testing.T, e *entry) (version int) {
 	t.Helper()
 	raw, err := os.ReadFile(e.logPath)
 	if err != nil {
@@ -78,10 +78,10 @@
 	return version
 }
 
-// lapseTargets takes targets out of the instance list and back, within the length of a run.
-func (s *soak) lapseTargets() {
-	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
+// expireTargets takes targets out of the instance list and back, within the length of a run.
+func (s *soak) expireTargets() {
+	targets := append(append([]*standin.Engine{}, s.engines...), s.plainTargets...)
 	for range 3 {
-		targets[s.draw(len(targets))].ExpireEntry(s.span(20, 400))
+		targets[s.intN(len(targets))].ExpireEntry(s.duration(20, 400))
 	}
 }
--- a/systemtest/soak_crash_test.go
+++ b/systemtest/soak_crash_test.go
@@ -11,9 +11,9 @@
 	"currantford/platform/standin"
 )
 
-// crashSeeds is the first seed in which targets end: by themselves, and under requests
+// firstCrashSeed is the first seed in which targets end: by themselves, and under requests
 // that come again and again at any entry.
-const crashSeeds = 4000
+const firstCrashSeed = 4000
 
 // crashingBodies are the requests that do so.
 var crashingBodies = []string{
@@ -23,22 +23,22 @@
 // sendCrashing sends requests that crash targets, each with its caller's retry.
 func (s *soak) sendCrashing(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		body := crashingBodies[s.draw(len(crashingBodies))]
+		body := crashingBodies[s.intN(len(crashingBodies))]
 		for try := range 2 {
-			e := s.entries[s.draw(len(s.entries))]
-			status, _ := standin.Call(context.WithoutCancel(ctx), e.callers, http.MethodPost, host, plainPrefix+"x", fmt.Sprintf("crash-%d-%d", n, try), []byte(body))
+			e := s.entries[s.intN(len(s.entries))]
+			status, _ := standin.Call(context.WithoutCancel(ctx), e.callerAddr, http.MethodPost, host, plainPrefix+"x", fmt.Sprintf("crash-%d-%d", n, try), []byte(body))
 			if status/100 == 2 {
 				break
 			}
 		}
-		time.Sleep(s.span(100, 900))
+		time.Sleep(s.duration(100, 900))
 	}
 }
 
-// endTarget ends a target by itself, with all that it runs.
-func (s *soak) endTarget() {
-	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
-	targets[s.draw(len(targets))].ForceCrash()
+// crashTarget ends a target by itself, with all that it runs.
+func (s *soak) crashTarget() {
+	targets := append(append([]*standin.Engine{}, s.engines...), s.plainTargets...)
+	targets[s.intN(len(targets))].ForceCrash()
 }
 
 // checkCrashes checks that no request was sent on and on, and that no bid, all of which
@@ -48,7 +48,7 @@
 	for _, body := range crashingBodies {
 		crashes := s.crashesOf(body)
 		if len(crashes) >= 3 {
-			s.checkHeld(body)
+			s.checkQuarantined(body)
 		}
 		t.Logf("%d targets crashed under %q", len(crashes), body)
 	}
@@ -57,4 +57,4 @@
 	}
 }
 
-func saysHeld(body []byte) bool { return strings.Contains(string(body), "the request is held") }
+func isHeld(body []byte) bool { return strings.Contains(string(body), "the request is held") }
--- a/systemtest/soak_endless_test.go
+++ b/systemtest/soak_endless_test.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// endlessSeeds is the first seed in which targets answer without end.
-	endlessSeeds = 7000
-	// memoryMost is what the smallest instances have.
-	memoryMost = 134 << 20
+	// firstEndlessSeed is the first seed in which targets answer without end.
+	firstEndlessSeed = 7000
+	// maxMemory is what the smallest instances have.
+	maxMemory = 134 << 20
 )
 
-// answerWithoutEnd lets all targets of a kind answer so for a while. Answers that are whole
+// answerEndlessly lets all targets of a kind answer so for a while. Answers that are whole
 // before the bytes without end are left out: they are no fault that a caller could see.
-func (s *soak) answerWithoutEnd() {
+func (s *soak) answerEndlessly() {
 	shapes := []standin.EndlessShape{
 		standin.EndlessStatus, standin.EndlessHeader, standin.EndlessHeaders, standin.EndlessInformational, standin.EndlessBody,
 		standin.EndlessChunks, standin.EndlessLine, standin.EndlessEvent, standin.EndlessComments, standin.EndlessUnnumbered,
 	}
-	targets := s.plains
-	if s.draw(2) == 0 {
+	targets := s.plainTargets
+	if s.intN(2) == 0 {
 		targets = s.engines
 	}
-	shape := shapes[s.draw(len(shapes))]
+	shape := shapes[s.intN(len(shapes))]
 	for _, e := range targets {
 		e.SetFaults(standin.EngineFaults{Endless: shape})
 	}
-	time.Sleep(s.span(500, 2000))
+	time.Sleep(s.duration(500, 2000))
 	for _, e := range targets {
 		e.SetFaults(standin.EngineFaults{})
 	}
-	s.noteMemory()
+	s.recordMemory()
 }
 
-// noteMemory looks at what the processes have taken at most.
-func (s *soak) noteMemory() {
+// recordMemory looks at what the processes have taken at most.
+func (s *soak) recordMemory() {
 	for _, e := range s.entries {
 		s.mu.Lock()
 		down := s.down[e]
@@ -58,7 +58,7 @@
 			continue // it is ending
 		}
 		s.mu.Lock()
-		s.mostMemory = max(s.mostMemory, kb<<10)
+		s.peakMemory = max(s.peakMemory, kb<<10)
 		s.mu.Unlock()
 	}
 }
@@ -66,11 +66,11 @@
 // checkMemory checks that no process took more than the smallest instances have.
 func (s *soak) checkMemory(t *testing.T) {
 	t.Helper()
-	if s.mostMemory == 0 {
+	if s.peakMemory == 0 {
 		return // no seed of endlessSeeds
 	}
-	t.Logf("%d MB were taken by a process at most", s.mostMemory>>20)
-	if s.mostMemory > memoryMost {
-		t.Errorf("a process took %d bytes, over %d", s.mostMemory, memoryMost)
+	t.Logf("%d MB were taken by a process at most", s.peakMemory>>20)
+	if s.peakMemory > maxMemory {
+		t.Errorf("a process took %d bytes, over %d", s.peakMemory, maxMemory)
 	}
 }
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -22,23 +22,23 @@
 	soakSeconds = flag.Int("soak.seconds", 10, "length of each seed")
 )
 
-// linkSeeds is the first seed that also cuts, slows and resets links; those
+// firstLinkSeed is the first seed that also cuts, slows and resets links; those
 // before play what they always did.
-const linkSeeds = 1000
+const firstLinkSeed = 1000
 
-// rewardSeeds is the first seed in which samples are scored.
-const rewardSeeds = 2000
+// firstRewardSeed is the first seed in which samples are scored.
+const firstRewardSeed = 2000
 
-// weakSeeds is the first seed on weak instances, which divide the streams of runs and
+// firstWeakSeed is the first seed on weak instances, which divide the streams of runs and
 // read pages of results apart.
-const weakSeeds = 3000
+const firstWeakSeed = 3000
 
-// hubSeeds is the first seed of more entries, of which some pass the coordinator's news on.
-const hubSeeds = 5000
+// firstHubSeed is the first seed of more entries, of which some pass the coordinator's news on.
+const firstHubSeed = 5000
 
 // soak plays random faults on a small site while trainers and callers use it.
 type soak struct {
-	*site
+	*deployment
 	random *rand.Rand
 	mu     sync.Mutex
 	bids   map[string][]int // statuses of each bid's tries
@@ -46,8 +46,8 @@
 	heldBids map[string]string
 	down     map[*entry]bool // killed, stopped or frozen by the soak
 	configMu sync.Mutex      // one change of the configuration at a time
-	// mostMemory is the most that a process was seen to take, in bytes.
-	mostMemory int64
+	// peakMemory is the most that a process was seen to take, in bytes.
+	peakMemory int64
 }
 
 // TestSoak runs the programs through random faults, injected from outside, and
@@ -91,22 +91,22 @@
 
 func runSoak(t *testing.T, seed uint64) {
 	models := []string{"m0", "m1"}
-	o := options{entries: 4, engines: 5, plains: 3, models: models, load: 150 * time.Millisecond, event: 8 * time.Millisecond, links: true}
-	if seed >= weakSeeds {
-		o.cores, o.linkMbps = weak, 1
+	o := options{entries: 4, engines: 5, plainTargets: 3, models: models, weightLoadTime: 150 * time.Millisecond, eventInterval: 8 * time.Millisecond, links: true}
+	if seed >= firstWeakSeed {
+		o.cores, o.linkMbps = weakCores, 1
 	}
-	if seed >= crashSeeds {
-		o.crashes = crashDown
+	if seed >= firstCrashSeed {
+		o.crashDowntime = crashDowntime
 	}
-	if seed >= hubSeeds {
+	if seed >= firstHubSeed {
 		o.entries, o.hubsFrom = 7, 4
 	}
-	if seed >= endlessSeeds {
-		o.memoryMB = memoryMost >> 20
+	if seed >= firstEndlessSeed {
+		o.memoryMB = maxMemory >> 20
 	}
 	s := &soak{
-		site:   startSite(t, o),
-		random: rand.New(rand.NewPCG(seed, 9)), bids: map[string][]int{}, heldBids: map[string]string{}, down: map[*entry]bool{},
+		deployment: startDeployment(t, o),
+		random:     rand.New(rand.NewPCG(seed, 9)), bids: map[string][]int{}, heldBids: map[string]string{}, down: map[*entry]bool{},
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(*soakSeconds)*time.Second)
 	defer cancel()
@@ -114,12 +114,12 @@
 	var trainers []*standin.Trainer
 	var addrs []string
 	for _, e := range s.entries {
-		addrs = append(addrs, e.callers)
+		addrs = append(addrs, e.callerAddr)
 	}
 	shape := standin.StepShape{
 		Groups: 6, GroupSize: 4, RequiredFraction: 0.9, MedianEvents: 15, LogStdDev: 0.8, MaxEvents: 80, Interval: 1500, TrainTime: 200, Timeout: 12000,
 	}
-	if seed >= rewardSeeds {
+	if seed >= firstRewardSeed {
 		shape.RewardFraction = 0.8
 	}
 	for i, m := range models {
@@ -129,57 +129,57 @@
 		trainers = append(trainers, tr)
 		wg.Go(func() { tr.Run(ctx, time.Now()) })
 	}
-	wg.Go(func() { s.bid(ctx, seed) })
-	if seed >= crashSeeds {
+	wg.Go(func() { s.sendBids(ctx, seed) })
+	if seed >= firstCrashSeed {
 		wg.Go(func() { s.sendCrashing(ctx) })
 	}
-	s.play(ctx, seed)
+	s.injectFaults(ctx, seed)
 	wg.Wait()
-	s.heal()
-	s.finish(t, trainers)
+	s.clearFaults()
+	s.checkRun(t, trainers)
 }
 
-// play injects one fault after the other; some overlap.
-func (s *soak) play(ctx context.Context, seed uint64) {
+// injectFaults injects one fault after the other; some overlap.
+func (s *soak) injectFaults(ctx context.Context, seed uint64) {
 	faults := []func(){
-		s.killOne, s.freezeOne, s.stopOne, s.storeDown, s.storeBusy, s.storeLost, s.storeSlow, s.store.DropHistory, s.engineTrouble, s.lateOrders,
+		s.killOne, s.freezeOne, s.stopOne, s.storeDown, s.storeBusy, s.storeLost, s.storeSlow, s.store.DropHistory, s.targetFault, s.delayOrders,
 	}
-	if seed >= linkSeeds {
+	if seed >= firstLinkSeed {
 		faults = append(faults, s.targetLink, s.storeLink)
 	}
-	if seed >= crashSeeds {
-		faults = append(faults, s.endTarget)
+	if seed >= firstCrashSeed {
+		faults = append(faults, s.crashTarget)
 	}
-	if seed >= configSeeds {
-		faults = append(faults, s.changeConfig, s.changeConfig, s.lapseTargets)
+	if seed >= firstConfigSeed {
+		faults = append(faults, s.changeConfig, s.changeConfig, s.expireTargets)
 	}
-	if seed >= endlessSeeds {
-		faults = append(faults, s.answerWithoutEnd, s.answerWithoutEnd)
+	if seed >= firstEndlessSeed {
+		faults = append(faults, s.answerEndlessly, s.answerEndlessly)
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for ctx.Err() == nil {
-		wg.Go(faults[s.draw(len(faults))])
+		wg.Go(faults[s.intN(len(faults))])
 		select {
 		case <-ctx.Done():
-		case <-time.After(s.span(300, 1800)):
+		case <-time.After(s.duration(300, 1800)):
 		}
 	}
 }
 
-func (s *soak) draw(n int) int {
+func (s *soak) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-func (s *soak) span(low, high int) time.Duration {
-	return time.Duration(low+s.draw(high-low)) * time.Millisecond
+func (s *soak) duration(low, high int) time.Duration {
+	return time.Duration(low+s.intN(high-low)) * time.Millisecond
 }
 
-// take picks an entry to disturb, the coordinator half of the time; two at
+// claimEntry picks an entry to disturb, the coordinator half of the time; two at
 // least stay up.
-func (s *soak) take() *entry {
+func (s *soak) claimEntry() *entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.down) >= 2 {
@@ -196,42 +196,42 @@
 	return e
 }
 
-func (s *soak) back(e *entry) {
+func (s *soak) releaseEntry(e *entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.down, e)
 }
 
 func (s *soak) killOne() {
-	if e := s.take(); e != nil {
+	if e := s.claimEntry(); e != nil {
 		e.kill()
-		time.Sleep(s.span(100, 3000))
+		time.Sleep(s.duration(100, 3000))
 		e.start()
-		s.back(e)
+		s.releaseEntry(e)
 	}
 }
 
 func (s *soak) freezeOne() {
-	if e := s.take(); e != nil {
+	if e := s.claimEntry(); e != nil {
 		e.signal(syscall.SIGSTOP)
-		time.Sleep(s.span(500, 4000))
+		time.Sleep(s.duration(500, 4000))
 		e.signal(syscall.SIGCONT)
-		s.back(e)
+		s.releaseEntry(e)
 	}
 }
 
 func (s *soak) stopOne() {
-	if e := s.take(); e != nil {
+	if e := s.claimEntry(); e != nil {
 		e.signal(syscall.SIGTERM)
 		<-e.done
 		e.start()
-		s.back(e)
+		s.releaseEntry(e)
 	}
 }
 
 func (s *soak) storeFault(f standin.StoreFaults, low, high int) {
 	s.store.SetFaults(f)
-	time.Sleep(s.span(low, high))
+	time.Sleep(s.duration(low, high))
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
@@ -241,77 +241,77 @@
 	s.storeFault(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, 500, 3000)
 }
 func (s *soak) storeLost() {
-	s.storeFault(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: s.span(0, 1500)}, 500, 3000)
+	s.storeFault(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: s.duration(0, 1500)}, 500, 3000)
 }
 
-func (s *soak) engineTrouble() {
-	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
-	e := targets[s.draw(len(targets))]
+func (s *soak) targetFault() {
+	targets := append(append([]*standin.Engine{}, s.engines...), s.plainTargets...)
+	e := targets[s.intN(len(targets))]
 	troubles := []standin.EngineFaults{
 		{AbortAfterEvents: 5}, {AtCapacity: true}, {Unresponsive: true}, {WrongRequestID: true}, {SlowFactor: 4}, {Status: http.StatusInternalServerError},
 	}
-	f := troubles[s.draw(len(troubles))]
+	f := troubles[s.intN(len(troubles))]
 	e.SetFaults(f)
-	time.Sleep(s.span(500, 3000))
+	time.Sleep(s.duration(500, 3000))
 	e.SetFaults(standin.EngineFaults{})
 }
 
-func (s *soak) lateOrders() {
-	late := s.span(500, 3000)
+func (s *soak) delayOrders() {
+	late := s.duration(500, 3000)
 	for _, e := range s.engines[:2] {
 		e.SetFaults(standin.EngineFaults{OrderDelay: late})
 	}
-	time.Sleep(s.span(500, 3000))
+	time.Sleep(s.duration(500, 3000))
 	for _, e := range s.engines[:2] {
 		e.SetFaults(standin.EngineFaults{})
 	}
 }
 
 // disturb makes a link slow, holds it one way or both, or resets it.
-func (s *soak) disturb(p *proxy) {
+func (s *soak) disturb(p *tcpProxy) {
 	faults := []linkFaults{
-		{HoldUp: true}, {HoldDown: true}, {HoldUp: true, HoldDown: true}, {Delay: s.span(20, 300)}, {},
+		{HoldUp: true}, {HoldDown: true}, {HoldUp: true, HoldDown: true}, {Delay: s.duration(20, 300)}, {},
 	}
-	p.set(faults[s.draw(len(faults))])
-	time.Sleep(s.span(300, 3500))
-	if s.draw(2) == 0 {
+	p.setFaults(faults[s.intN(len(faults))])
+	time.Sleep(s.duration(300, 3500))
+	if s.intN(2) == 0 {
 		p.reset()
 	}
-	p.set(linkFaults{})
+	p.setFaults(linkFaults{})
 }
 
 func (s *soak) targetLink() {
-	links := append(append([]*proxy{}, s.engineLinks...), s.plainLinks...)
-	s.disturb(links[s.draw(len(links))])
+	links := append(append([]*tcpProxy{}, s.engineLinks...), s.plainLinks...)
+	s.disturb(links[s.intN(len(links))])
 }
 
-func (s *soak) storeLink() { s.disturb(s.entries[s.draw(len(s.entries))].storeLink) }
+func (s *soak) storeLink() { s.disturb(s.entries[s.intN(len(s.entries))].storeLink) }
 
-func (s *soak) heal() {
-	for _, p := range append(append([]*proxy{}, s.engineLinks...), s.plainLinks...) {
-		p.set(linkFaults{})
+func (s *soak) clearFaults() {
+	for _, p := range append(append([]*tcpProxy{}, s.engineLinks...), s.plainLinks...) {
+		p.setFaults(linkFaults{})
 	}
 	for _, e := range s.entries {
-		e.storeLink.set(linkFaults{})
+		e.storeLink.setFaults(linkFaults{})
 	}
 	s.store.SetFaults(standin.StoreFaults{})
-	for _, e := range append(append([]*standin.Engine{}, s.engines...), s.plains...) {
+	for _, e := range append(append([]*standin.Engine{}, s.engines...), s.plainTargets...) {
 		e.SetFaults(standin.EngineFaults{})
 	}
 }
 
-// bid sends bids, each try with an id of its own.
-func (s *soak) bid(ctx context.Context, seed uint64) {
+// sendBids sends bids, each try with an id of its own.
+func (s *soak) sendBids(ctx context.Context, seed uint64) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := 0; ctx.Err() == nil; n++ {
 		e := s.entries[n%len(s.entries)]
 		id := fmt.Sprintf("bid-%d-%d", seed, n)
 		wg.Go(func() {
-			status, answer := standin.Call(context.WithoutCancel(ctx), e.callers, http.MethodPost, host, "/bids/x", id, []byte("100"))
+			status, answer := standin.Call(context.WithoutCancel(ctx), e.callerAddr, http.MethodPost, host, "/bids/x", id, []byte("100"))
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if saysHeld(answer) {
+			if isHeld(answer) {
 				s.heldBids[id] = string(answer)
 			}
 			s.bids[id] = append(s.bids[id], status)
@@ -320,8 +320,8 @@
 	}
 }
 
-// finish checks what holds over the whole run.
-func (s *soak) finish(t *testing.T, trainers []*standin.Trainer) {
+// checkRun checks what holds over the whole run.
+func (s *soak) checkRun(t *testing.T, trainers []*standin.Trainer) {
 	t.Helper()
 	steps, whole := 0, 0
 	for _, tr := range trainers {
@@ -337,7 +337,7 @@
 	}
 	t.Logf("%d steps, %d whole, %d bids", steps, whole, len(s.bids))
 	for id, statuses := range s.bids {
-		n := ran(s.plains, id)
+		n := countRuns(s.plainTargets, id)
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
@@ -345,7 +345,7 @@
 			t.Errorf("%s was refused as not run, and ran", id)
 		}
 	}
-	checkOrders(t, s.site)
+	checkWeightOrders(t, s.deployment)
 	s.checkCrashes(t)
 	s.checkConfigs(t)
 	s.checkAccepted(t)
@@ -376,7 +376,7 @@
 		}
 		eventually(t, "a read of "+id, func() bool {
 			for _, e := range s.entries {
-				p, r, err := e.read(id, 0, 0)
+				p, r, err := e.readResults(id, 0, 0)
 				if err != nil || r.status != http.StatusOK {
 					continue
 				}
--- a/systemtest/startup_test.go
+++ b/systemtest/startup_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// pressFor is how long a started instance is sent requests from its start on, each
+	// probeDuration is how long a started instance is sent requests from its start on, each
 	// pressEvery: longer than it may take to become ready.
-	pressFor   = 4 * time.Second
-	pressEvery = 15 * time.Millisecond
+	probeDuration = 4 * time.Second
+	probeInterval = 15 * time.Millisecond
 )
 
-// press sends requests with the bodies to an instance in turn, as a client does that keeps an
+// probe sends requests with the bodies to an instance in turn, as a client does that keeps an
 // address and asks nobody whether the instance is ready. It returns the statuses by body, and
 // how long it took until a sound request was served.
-func (e *entry) press(bodies []string) (statuses map[int]int, served time.Duration) {
+func (e *entry) probe(bodies []string) (statuses map[int]int, served time.Duration) {
 	statuses = map[int]int{}
 	began := time.Now()
-	for n := 0; time.Since(began) < pressFor; n++ {
+	for n := 0; time.Since(began) < probeDuration; n++ {
 		id := fmt.Sprintf("press-%s-%d-%d", e.id, began.UnixNano(), n)
 		if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte(bodies[n%len(bodies)])); err == nil {
 			statuses[r.status]++
@@ -35,42 +35,42 @@
 				served = time.Since(began)
 			}
 		}
-		time.Sleep(pressEvery)
+		time.Sleep(probeInterval)
 	}
 	return statuses, served
 }
 
-// starts are ways in which instances start beside others.
-var starts = map[string]startCase{
-	"one":                     {down: one},
-	"one and the coordinator": {down: func(s *site) []*entry { return append(one(s), s.coordinator()) }},
-	"all":                     {down: all},
-	"most, behind hubs":       {hubsFrom: 4, down: func(s *site) []*entry { return s.others(4) }},
-	"all, behind hubs":        {hubsFrom: 4, down: all},
-	"one, the store slow": {down: one, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, pressFor)
+// startCases are ways in which instances start beside others.
+var startCases = map[string]startCase{
+	"one":                     {down: oneInstance},
+	"one and the coordinator": {down: func(s *deployment) []*entry { return append(oneInstance(s), s.coordinator()) }},
+	"all":                     {down: allInstances},
+	"most, behind hubs":       {hubsFrom: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
+	"all, behind hubs":        {hubsFrom: 4, down: allInstances},
+	"one, the store slow": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+		s.withStoreFaults(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, probeDuration)
 	}},
-	"all, the store away": {down: all, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{Down: true}, pressFor/3)
+	"all, the store away": {down: allInstances, then: func(s *deployment, _ []*entry) {
+		s.withStoreFaults(standin.StoreFaults{Down: true}, probeDuration/3)
 	}},
-	"one, the store busy": {down: one, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{Busy: true}, pressFor/3)
+	"one, the store busy": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+		s.withStoreFaults(standin.StoreFaults{Busy: true}, probeDuration/3)
 	}},
 	"one, the others frozen": {
-		down: one,
-		before: func(s *site, down []*entry) {
-			s.signalBut(down, syscall.SIGSTOP)
+		down: oneInstance,
+		before: func(s *deployment, down []*entry) {
+			s.signalExcept(down, syscall.SIGSTOP)
 		},
-		then: func(s *site, down []*entry) {
-			time.Sleep(pressFor / 2)
-			s.signalBut(down, syscall.SIGCONT)
+		then: func(s *deployment, down []*entry) {
+			time.Sleep(probeDuration / 2)
+			s.signalExcept(down, syscall.SIGCONT)
 		},
 	},
-	"one, cut off from the store": {down: one, then: func(_ *site, down []*entry) {
+	"one, cut off from the store": {down: oneInstance, then: func(_ *deployment, down []*entry) {
 		for _, e := range down {
-			e.storeLink.set(linkFaults{HoldUp: true, HoldDown: true})
-			time.Sleep(pressFor / 2)
-			e.storeLink.set(linkFaults{})
+			e.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
+			time.Sleep(probeDuration / 2)
+			e.storeLink.setFaults(linkFaults{})
 		}
 	}},
 }
@@ -80,20 +80,20 @@
 	hubsFrom int
 	// down returns the instances that are killed and start again; before and then are what
 	// happens while they are down, and from their start on.
-	down         func(*site) []*entry
-	before, then func(s *site, down []*entry)
+	down         func(*deployment) []*entry
+	before, then func(s *deployment, down []*entry)
 }
 
-func one(s *site) []*entry { return s.others(1) }
-func all(s *site) []*entry { return s.entries }
+func oneInstance(s *deployment) []*entry  { return s.nonCoordinators(1) }
+func allInstances(s *deployment) []*entry { return s.entries }
 
-// others returns so many instances that are not the coordinator.
-func (s *site) others(n int) []*entry {
+// nonCoordinators returns so many instances that are not the coordinator.
+func (s *deployment) nonCoordinators(n int) []*entry {
 	c := s.coordinator()
 	return slices.DeleteFunc(slices.Clone(s.entries), func(e *entry) bool { return e == c })[:n]
 }
 
-func (s *site) signalBut(not []*entry, sig syscall.Signal) {
+func (s *deployment) signalExcept(not []*entry, sig syscall.Signal) {
 	for _, e := range s.entries {
 		if !slices.Contains(not, e) {
 			e.signal(sig)
@@ -103,7 +103,7 @@
 
 // options returns those of a site for the case.
 func (c startCase) options() options {
-	o := options{entries: 5, engines: 1, plains: 4, crashes: crashDown, links: true}
+	o := options{entries: 5, engines: 1, plainTargets: 4, crashDowntime: crashDowntime, links: true}
 	if c.hubsFrom > 0 {
 		o.entries, o.hubsFrom = 7, c.hubsFrom
 	}
@@ -112,7 +112,7 @@
 
 // play kills instances and starts them again, and plays use beside each from its start on.
 // Changed is called while they are down.
-func (c startCase) play(s *site, changed func(), use func(e *entry)) {
+func (c startCase) play(s *deployment, changed func(), use func(e *entry)) {
 	down := slices.Clone(c.down(s))
 	for _, e := range down {
 		e.kill()
@@ -135,42 +135,42 @@
 }
 
 // Guards against: an instance that forwards before it knows which requests are held.
-func TestStartingInstanceSendsNothingThatIsHeld(t *testing.T) {
+func TestStartingInstanceSendsNoQuarantinedRequest(t *testing.T) {
 	const many = 18 // more than are told at once
-	for name, c := range starts {
+	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			pressHeld(t, c, 1)
+			checkQuarantineAfterStart(t, c, 1)
 		})
 	}
 	for _, name := range []string{"one", "all"} {
 		t.Run(name+", of many held", func(t *testing.T) {
 			t.Parallel()
-			pressHeld(t, starts[name], many)
+			checkQuarantineAfterStart(t, startCases[name], many)
 		})
 	}
 }
 
-func pressHeld(t *testing.T, c startCase, held int) {
-	s := startSite(t, c.options())
-	s.awaitMembers()
-	bodies := s.holdMany(held)
+func checkQuarantineAfterStart(t *testing.T, c startCase, held int) {
+	s := startDeployment(t, c.options())
+	s.awaitMembership()
+	bodies := s.quarantineMany(held)
 	runs := map[string]int{}
 	for _, b := range bodies {
-		runs[b] = len(s.runsOf(b))
+		runs[b] = len(s.runStartTimes(b))
 	}
 	c.play(s, nil, func(e *entry) {
-		statuses, served := e.press(bodies)
+		statuses, served := e.probe(bodies)
 		t.Logf("%s: a sound request served after %s; answers to held ones: %v", e.id, served, statuses)
 		if served == 0 {
-			t.Errorf("%s served no request in %s", e.id, pressFor)
+			t.Errorf("%s served no request in %s", e.id, probeDuration)
 		}
 		if statuses[http.StatusBadGateway] > 0 || statuses[http.StatusOK] > 0 {
 			t.Errorf("%s answered held requests with %v", e.id, statuses)
 		}
 	})
 	for _, b := range bodies {
-		if n := len(s.runsOf(b)); n > runs[b] {
+		if n := len(s.runStartTimes(b)); n > runs[b] {
 			t.Errorf("%q ran %d times more after the start", b, n-runs[b])
 		}
 	}
@@ -178,29 +178,29 @@
 
 // Guards against: a key that was taken away and is taken again, or one in force that is
 // denied, by an instance that has just started.
-func TestStartingInstanceKnowsWhichKeysAreInForce(t *testing.T) {
-	for name, c := range starts {
+func TestStartingInstanceKnowsValidKeys(t *testing.T) {
+	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := c.options()
-			o.config = twoOrganisations
-			s := startSite(t, o)
-			s.awaitMembers()
+			o.config = addOrganisations
+			s := startDeployment(t, o)
+			s.awaitMembership()
 			c.play(s, func() {
 				s.config["tenants"] = []map[string]any{organisation(orgA, 1, keyA), organisation(orgB, 2, keyB)}
 				s.config["version"] = s.config["version"].(int) + 1
 				s.store.Put("config", "main", s.config)
 			}, func(e *entry) {
 				gone, kept := map[int]int{}, map[int]int{}
-				for n, began := 0, time.Now(); time.Since(began) < pressFor; n++ {
+				for n, began := 0, time.Now(); time.Since(began) < probeDuration; n++ {
 					id := fmt.Sprintf("key-%s-%d", e.id, n)
-					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte("x"), withKey(keyA2)...); err == nil {
+					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte("x"), keyHeader(keyA2)...); err == nil {
 						gone[r.status]++
 					}
-					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id+"-kept", []byte("x"), withKey(keyA)...); err == nil {
+					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id+"-kept", []byte("x"), keyHeader(keyA)...); err == nil {
 						kept[r.status]++
 					}
-					time.Sleep(pressEvery)
+					time.Sleep(probeInterval)
 				}
 				t.Logf("%s: key taken away %v, key in force %v", e.id, gone, kept)
 				if gone[http.StatusOK] > 0 || gone[http.StatusUnauthorized] == 0 {
@@ -214,21 +214,21 @@
 	}
 }
 
-func (s *site) storeFor(f standin.StoreFaults, span time.Duration) {
+func (s *deployment) withStoreFaults(f standin.StoreFaults, span time.Duration) {
 	s.store.SetFaults(f)
 	time.Sleep(span)
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
-// holdMany has so many requests held, and waits until all instances and the store know.
-func (s *site) holdMany(n int) (bodies []string) {
+// quarantineMany has so many requests held, and waits until all instances and the store know.
+func (s *deployment) quarantineMany(n int) (bodies []string) {
 	s.t.Helper()
 	for i := range n {
 		body := fmt.Sprintf("%s at start %d", standin.CrashingBody, i)
 		bodies = append(bodies, body)
-		s.hold(body)
+		s.quarantine(body)
 	}
 	eventually(s.t, "what is held in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
-	time.Sleep(contact)
+	time.Sleep(propagationTime)
 	return bodies
 }
--- a/systemtest/storerejection_test.go
+++ b/systemtest/storerejection_test.go
@@ -13,33 +13,33 @@
 	"currantford/platform/standin"
 )
 
-// settle is how long after an acceptance, or a read, all instances must know of it.
-const settle = time.Second
+// visibilityDelay is how long after an acceptance, or a read, all instances must know of it.
+const visibilityDelay = time.Second
 
-// readers read batches at all instances, over and over, and check that nothing which was
+// batchReaders read batches at all instances, over and over, and check that nothing which was
 // accepted or read is denied by any.
-type readers struct {
-	*site
+type batchReaders struct {
+	*deployment
 	mu      sync.Mutex
-	batches []*readBatch
+	batches []*observedBatch
 }
 
-// readBatch is a batch with what was read of it.
-type readBatch struct {
+// observedBatch is a batch with what was read of it.
+type observedBatch struct {
 	batch
 	accepted time.Time
 	results  []result
 	readAt   []time.Time
 }
 
-func (r *readers) add(b batch) {
+func (r *batchReaders) add(b batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.batches = append(r.batches, &readBatch{batch: b, accepted: time.Now()})
+	r.batches = append(r.batches, &observedBatch{batch: b, accepted: time.Now()})
 }
 
 // run reads at one instance until ctx ends.
-func (r *readers) run(ctx context.Context, e *entry, seed uint64) {
+func (r *batchReaders) run(ctx context.Context, e *entry, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for ctx.Err() == nil {
 		time.Sleep(30 * time.Millisecond)
@@ -52,16 +52,16 @@
 		at := random.IntN(len(b.results) + 1)
 		r.mu.Unlock()
 		if random.IntN(3) == 0 {
-			r.body(e, b, b.Items[random.IntN(len(b.Items))])
+			r.checkBody(e, b, b.Items[random.IntN(len(b.Items))])
 		} else {
-			r.page(e, b, at, time.Duration(random.IntN(2))*300*time.Millisecond)
+			r.checkPage(e, b, at, time.Duration(random.IntN(2))*300*time.Millisecond)
 		}
 	}
 }
 
-func (r *readers) page(e *entry, b *readBatch, at int, wait time.Duration) {
+func (r *batchReaders) checkPage(e *entry, b *observedBatch, at int, wait time.Duration) {
 	sent := time.Now()
-	p, answer, err := e.read(b.id, at, wait)
+	p, answer, err := e.readResults(b.id, at, wait)
 	if err != nil || answer.status == http.StatusServiceUnavailable || answer.status == http.StatusGatewayTimeout {
 		return // it can't be sure
 	}
@@ -69,13 +69,13 @@
 	defer r.mu.Unlock()
 	switch {
 	case answer.status != http.StatusOK:
-		if sent.Sub(b.accepted) > settle {
+		if sent.Sub(b.accepted) > visibilityDelay {
 			r.t.Errorf("%s answers %d for %s, accepted %s before", e.id, answer.status, b.id, sent.Sub(b.accepted))
 		}
 		return
 	case p.Total != len(b.Items) || p.Next != at+len(p.Results):
 		r.t.Errorf("%s: total %d of %d, next %d after %d and %d results", e.id, p.Total, len(b.Items), p.Next, at, len(p.Results))
-	case len(p.Results) == 0 && at < len(b.results) && sent.Sub(b.readAt[at]) > settle:
+	case len(p.Results) == 0 && at < len(b.results) && sent.Sub(b.readAt[at]) > visibilityDelay:
 		r.t.Errorf("%s has nothing at position %d of %s, which was read %s before", e.id, at, b.id, sent.Sub(b.readAt[at]))
 	}
 	for i, x := range p.Results {
@@ -88,11 +88,11 @@
 	}
 }
 
-func (r *readers) body(e *entry, b *readBatch, it item) {
+func (r *batchReaders) checkBody(e *entry, b *observedBatch, it item) {
 	sent := time.Now()
 	answer, err := e.do(http.MethodGet, "/currantford/items/"+b.id+"?id="+it.ID, "", nil)
 	switch {
-	case err != nil || sent.Sub(b.accepted) < settle:
+	case err != nil || sent.Sub(b.accepted) < visibilityDelay:
 	case answer.status == http.StatusNotFound || answer.status == http.StatusGone:
 		r.t.Errorf("%s answers %d for the body of %s", e.id, answer.status, it.ID)
 	case answer.status == http.StatusOK && !bytes.Equal(answer.body, it.Body):
@@ -103,31 +103,31 @@
 // Guards against: an accepted batch, a result that was read, or an item's body that is denied
 // by an instance which the store turns away, or an item that is left when the coordinator is
 // turned away, or lost besides (replaced). The configuration changes meanwhile and an engine leaves.
-func TestBatchesWhileTheStoreTurnsInstancesAway(t *testing.T) {
+func TestBatchesWhileStoreRejectsInstances(t *testing.T) {
 	for name, how := range map[string]standin.Rejection{
 		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectNoResponse,
 	} {
 		for _, replaced := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/replaced=%v", name, replaced), func(t *testing.T) {
 				t.Parallel()
-				o := options{entries: 6, engines: 6, models: []string{"m0", "m1"}, gates: true, event: 15 * time.Millisecond}
+				o := options{entries: 6, engines: 6, models: []string{"m0", "m1"}, storeProxies: true, eventInterval: 15 * time.Millisecond}
 				if replaced {
-					o.cores = weak // they hold streams for each other
+					o.cores = weakCores // they hold streams for each other
 				} else {
 					o.policy = map[string]any{"no_store_relay": true} // nobody can pass calls on
 				}
-				s := startSite(t, o)
-				rejectedDay(t, s, how, replaced)
+				s := startDeployment(t, o)
+				playRejections(t, s, how, replaced)
 			})
 		}
 	}
 }
 
-// rejectedDay hands in a step every 300 ms, turns half of the instances away and then the
+// playRejections hands in a step every 300 ms, turns half of the instances away and then the
 // coordinator alone, which is killed if replaced, and reads all the while.
-func rejectedDay(t *testing.T, s *site, how standin.Rejection, replaced bool) {
-	s.awaitMembers()
-	r := &readers{site: s}
+func playRejections(t *testing.T, s *deployment, how standin.Rejection, replaced bool) {
+	s.awaitMembership()
+	r := &batchReaders{deployment: s}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i, e := range s.entries {
@@ -135,7 +135,7 @@
 	}
 	n := 0
 	submit := func() {
-		b := step(fmt.Sprintf("b%d", n), fmt.Sprintf("m%d", n%2), 3, 4, 10+n%20)
+		b := newStep(fmt.Sprintf("b%d", n), fmt.Sprintf("m%d", n%2), 3, 4, 10+n%20)
 		for i := range b.Items {
 			b.Items[i].Body = bytes.Repeat([]byte{byte(i)}, 3000) // they lie in parts
 		}
@@ -151,7 +151,7 @@
 	submit()
 	for i, e := range s.entries {
 		if i%2 == 0 {
-			e.storeGate.SetRejection(how)
+			e.storeProxy.SetRejection(how)
 		}
 	}
 	for i := range 8 {
@@ -165,10 +165,10 @@
 		submit()
 	}
 	for _, e := range s.entries {
-		e.storeGate.SetRejection(standin.RejectNone)
+		e.storeProxy.SetRejection(standin.RejectNone)
 	}
 	c := s.coordinator()
-	c.storeGate.SetRejection(how)
+	c.storeProxy.SetRejection(how)
 	submit()
 	if replaced {
 		c.kill()
@@ -176,7 +176,7 @@
 	for range 5 {
 		submit()
 	}
-	c.storeGate.SetRejection(standin.RejectNone)
+	c.storeProxy.SetRejection(standin.RejectNone)
 	eventually(t, "all results", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -193,28 +193,28 @@
 		t.Errorf("%d of %d steps accepted", len(r.batches), n)
 	}
 	for _, b := range r.batches {
-		s.check(b.batch, b.results)
+		s.checkResults(b.batch, b.results)
 	}
 }
 
 // Guards against: a step whose runs begin again, as the duty moves while the store turns the
 // coordinator and most others away.
-func TestCoordinatorFindsTheInstanceThatReachesTheStore(t *testing.T) {
+func TestCoordinatorRelaysThroughConnectedInstance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 6, engines: 3, gates: true, event: 60 * time.Millisecond})
-	s.awaitMembers()
-	b := step("b1", "m0", 3, 4, 60)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 6, engines: 3, storeProxies: true, eventInterval: 60 * time.Millisecond})
+	s.awaitMembership()
+	b := newStep("b1", "m0", 3, 4, 60)
+	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
-	c, open := s.coordinator(), s.other()
+	c, open := s.coordinator(), s.nonCoordinator()
 	for _, e := range s.entries {
 		if e != open {
-			e.storeGate.SetRejection(standin.RejectLimited)
+			e.storeProxy.SetRejection(standin.RejectLimited)
 		}
 	}
 	s.readAll(b)
 	if after := s.coordinator(); after != c {
 		t.Errorf("the duty moved from %s to %s", c.id, after.id)
 	}
-	s.checkRunOnce()
+	s.checkRanOnce()
 }
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -15,13 +15,13 @@
 
 const (
 	usageWindow = time.Second
-	// usageEvery is the pause between the requests that come to each instance.
-	usageEvery = 20 * time.Millisecond
+	// requestInterval is the pause between the requests that come to each instance.
+	requestInterval = 20 * time.Millisecond
 )
 
-// load sends requests of the organisations to all entries until stop is called, and
+// sendLoad sends requests of the organisations to all entries until stop is called, and
 // returns how many were sent.
-func (s *site) load(every time.Duration) (stop func()) {
+func (s *deployment) sendLoad(every time.Duration) (stop func()) {
 	var wg sync.WaitGroup
 	var n atomic.Int64
 	done := make(chan struct{})
@@ -35,7 +35,7 @@
 				}
 				i := n.Add(1)
 				key := []string{keyA, keyA2, keyB, keyA}[i%4]
-				_, _ = e.do(http.MethodPost, plainPrefix+"x", fmt.Sprint("u", i), []byte("reading"), append(withKey(key), "Currantford-Deadline-Ms", "1500")...)
+				_, _ = e.do(http.MethodPost, plainPrefix+"x", fmt.Sprint("u", i), []byte("reading"), append(keyHeader(key), "Currantford-Deadline-Ms", "1500")...)
 			}
 		})
 	}
@@ -45,11 +45,11 @@
 	}
 }
 
-// began returns how many requests of each organisation targets began to run in each
+// requestsByWindow returns how many requests of each organisation targets began to run in each
 // window: each once, where it first ran.
-func (s *site) began() map[int64]map[string]int64 {
+func (s *deployment) requestsByWindow() map[int64]map[string]int64 {
 	first := map[string]standin.Run{}
-	for _, e := range s.plains {
+	for _, e := range s.plainTargets {
 		for _, r := range e.Runs() {
 			if f, ran := first[r.ID]; !ran || r.StartedAt.Before(f.StartedAt) {
 				first[r.ID] = r
@@ -67,16 +67,16 @@
 	return out
 }
 
-// holderMisses is how many requests may go uncounted where the holder is lost: those since its
+// maxMissed is how many requests may go uncounted where the holder is lost: those since its
 // last renewal.
-const holderMisses = int64(800 * time.Millisecond / usageEvery)
+const maxMissed = int64(800 * time.Millisecond / requestInterval)
 
-// loseHolder kills the coordinator, and starts it again once there is another.
-func loseHolder(s *site) {
+// killCoordinator kills the coordinator, and starts it again once there is another.
+func killCoordinator(s *deployment) {
 	time.Sleep(2500 * time.Millisecond)
 	c := s.coordinator()
 	c.kill()
-	s.waitCoordinator(c.id)
+	s.awaitCoordinator(c.id)
 	c.start()
 	time.Sleep(5 * time.Second)
 }
@@ -84,10 +84,10 @@
 // checkUsage checks that the reports of all windows that are over say what ran, but for
 // what came within a moment of a window's end; at most so many requests are missing or
 // too many in all. It waits for the reports.
-func (s *site) checkUsage(most int64) {
+func (s *deployment) checkUsage(most int64) {
 	s.t.Helper()
 	over := time.Now().UnixMilli() / usageWindow.Milliseconds()
-	truth := s.began()
+	truth := s.requestsByWindow()
 	eventually(s.t, "the reports", func() bool {
 		taken := s.control.Usage()
 		for w := range truth {
@@ -133,20 +133,20 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
-		cause func(s *site)
+		cause func(s *deployment)
 		// missing is how many requests may be missing: those whose instance was lost
 		// before it could tell.
 		missing int64
 	}{
-		{"calm", func(*site) { time.Sleep(4 * time.Second) }, 0},
-		{"targets", func(s *site) {
+		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
+		{"targets", func(s *deployment) {
 			for _, f := range []standin.EngineFaults{{AtCapacity: true}, {WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusInternalServerError}} {
-				s.plains[0].SetFaults(f)
+				s.plainTargets[0].SetFaults(f)
 				time.Sleep(1200 * time.Millisecond)
 			}
-			s.plains[0].SetFaults(standin.EngineFaults{})
+			s.plainTargets[0].SetFaults(standin.EngineFaults{})
 		}, 0},
-		{"answers of the API", func(s *site) {
+		{"answers of the API", func(s *deployment) {
 			s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2})
 			time.Sleep(4 * time.Second)
 			s.control.SetFaults(standin.ControlPlaneFaults{Busy: true})
@@ -154,7 +154,7 @@
 			s.control.SetFaults(standin.ControlPlaneFaults{ResponseDelay: 400 * time.Millisecond})
 			time.Sleep(2 * time.Second)
 		}, 0},
-		{"answers of the store", func(s *site) {
+		{"answers of the store", func(s *deployment) {
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3})
 			time.Sleep(3 * time.Second)
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3, DroppedWriteDelay: 1500 * time.Millisecond})
@@ -162,9 +162,9 @@
 			s.store.SetFaults(standin.StoreFaults{})
 		}, 0},
 		// Of the holder itself, what came since its last renewal.
-		{"the holder", loseHolder, holderMisses},
+		{"the holder", killCoordinator, maxMissed},
 		// Of all instances, what came since the holder's last renewal.
-		{"all instances", func(s *site) {
+		{"all instances", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			for _, e := range s.entries {
 				e.kill()
@@ -173,24 +173,24 @@
 				e.start()
 			}
 			time.Sleep(6 * time.Second)
-		}, 3 * int64(800*time.Millisecond/usageEvery)},
-		{"another instance", func(s *site) {
+		}, 3 * int64(800*time.Millisecond/requestInterval)},
+		{"another instance", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
-			e := s.other()
+			e := s.nonCoordinator()
 			e.kill()
 			e.start()
 			time.Sleep(3 * time.Second)
 		}, 2},
-		{"a holder that is frozen", func(s *site) {
+		{"a holder that is frozen", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			c := s.coordinator()
 			c.signal(syscall.SIGSTOP)
-			s.waitCoordinator(c.id)
+			s.awaitCoordinator(c.id)
 			time.Sleep(3 * time.Second)
 			c.signal(syscall.SIGCONT)
 			time.Sleep(4 * time.Second)
 		}, 4},
-		{"a planned stop", func(s *site) {
+		{"a planned stop", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			c := s.coordinator()
 			c.signal(syscall.SIGTERM)
@@ -201,46 +201,46 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			playUsage(t, options{entries: 3, engines: 1, plains: 3}, c.cause, c.missing)
+			checkUsageDuring(t, options{entries: 3, engines: 1, plainTargets: 3}, c.cause, c.missing)
 		})
 	}
 }
 
-// playUsage lets requests come while cause does something; so many may be missing.
-func playUsage(t *testing.T, o options, cause func(*site), missing int64) {
-	o.usage = usageWindow.Seconds()
-	s := organisationSite(t, o)
-	stop := s.load(usageEvery)
+// checkUsageDuring lets requests come while cause does something; so many may be missing.
+func checkUsageDuring(t *testing.T, o options, cause func(*deployment), missing int64) {
+	o.usageWindowS = usageWindow.Seconds()
+	s := startWithOrganisations(t, o)
+	stop := s.sendLoad(requestInterval)
 	cause(s)
 	stop()
 	time.Sleep(2 * usageWindow)
 	s.checkUsage(missing)
-	if at := slowest(s.control.Usage()); at > 10*time.Second {
+	if at := maxReportDelay(s.control.Usage()); at > 10*time.Second {
 		t.Errorf("a report came %s after its window", at)
 	}
 }
 
 // Symptom: the use of most instances of a large deployment is not reported.
 // Sequence: they ask a hub for news, which passes no counts on; a holder is lost.
-func TestUsageIsToldPastHubs(t *testing.T) {
+func TestUsageIsReportedBehindHubs(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
-		cause   func(*site)
+		cause   func(*deployment)
 		missing int64
 	}{
-		{"calm", func(*site) { time.Sleep(4 * time.Second) }, 0},
-		{"the holder", loseHolder, holderMisses},
+		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
+		{"the holder", killCoordinator, maxMissed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			playUsage(t, options{entries: 7, engines: 1, plains: 3, hubsFrom: 4}, c.cause, c.missing)
+			checkUsageDuring(t, options{entries: 7, engines: 1, plainTargets: 3, hubsFrom: 4}, c.cause, c.missing)
 		})
 	}
 }
 
-// slowest returns how long after its window's end the latest report came.
-func slowest(taken map[int64]standin.Usage) time.Duration {
+// maxReportDelay returns how long after its window's end the latest report came.
+func maxReportDelay(taken map[int64]standin.Usage) time.Duration {
 	most := time.Duration(0)
 	for u := range maps.Values(taken) {
 		most = max(most, u.At.Sub(time.UnixMilli((u.Window+1)*usageWindow.Milliseconds())))
