--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -50,12 +50,12 @@
 
 // storedOrders returns what the store holds of wanted engines.
 func (s *deployment) storedOrders() map[bool]int {
-	var kept cfscale.StoredState
+	var stored cfscale.StoredState
 	out := map[bool]int{}
 	if raw := s.store.Spec("currantford-scaling", "engines"); raw != nil {
-		_ = json.Unmarshal(raw, &kept)
+		_ = json.Unmarshal(raw, &stored)
 	}
-	for _, o := range kept.Orders {
+	for _, o := range stored.Orders {
 		out[o.Spot] = o.Count
 	}
 	return out
@@ -68,8 +68,8 @@
 func TestAutoscalerOrdersEngines(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		cause func(s *deployment)
+		name   string
+		inject func(s *deployment)
 	}{
 		{"calm", func(*deployment) {}},
 		{"none reclaimable", func(s *deployment) { s.control.SetFaults(standin.ControlPlaneFaults{NoSpotCapacity: true}) }},
@@ -99,15 +99,15 @@
 			s := startDeployment(t, options{entries: 3, engines: 2, autoscale: true, config: enableScaling, models: []string{"m0"}, eventInterval: 30 * time.Millisecond, weightLoadTime: 100 * time.Millisecond})
 			b := newStep("b1", "m0", 16, 8, 40)
 			s.submitUntilAccepted(b)
-			c.cause(s)
+			c.inject(s)
 			s.readAll(b)
 			eventually(t, "what is kept to be ordered", func() bool {
 				last := map[bool]int{}
 				for _, o := range s.control.Orders() {
 					last[o.Spot] = o.Count
 				}
-				kept := s.storedOrders()
-				return len(kept) > 0 && (last[true] == kept[true] || c.name == "none reclaimable") && last[false] == kept[false]
+				stored := s.storedOrders()
+				return len(stored) > 0 && (last[true] == stored[true] || c.name == "none reclaimable") && last[false] == stored[false]
 			})
 			for _, fault := range s.control.Violations() {
 				t.Error(fault)
--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -30,11 +30,11 @@
 // Cause guarded against: taking a lost answer for a refusal, and a late
 // duplicate of a chunk that lists items twice.
 func TestLostAndDelayedWriteResponses(t *testing.T) {
-	for _, late := range []time.Duration{0, 700 * time.Millisecond} {
-		t.Run(fmt.Sprint("late_", late), func(t *testing.T) {
+	for _, delay := range []time.Duration{0, 700 * time.Millisecond} {
+		t.Run(fmt.Sprint("late_", delay), func(t *testing.T) {
 			t.Parallel()
 			s := startDeployment(t, options{entries: 3, engines: 3})
-			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: late})
+			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: delay})
 			batches := []batch{newStep("b1", "m0", 4, 4, 15), newStep("b2", "m0", 4, 4, 25)}
 			for _, b := range batches {
 				s.submitUntilAccepted(b)
@@ -156,7 +156,7 @@
 // Sequence: every engine answers 500 (an attempt that failed), or 422 (it can
 // never be done).
 func TestFailingItemsStopAfterMaxAttempts(t *testing.T) {
-	for status, most := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
+	for status, want := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			t.Parallel()
 			s := startDeployment(t, options{entries: 2, engines: 4})
@@ -171,8 +171,8 @@
 				}
 			}
 			for id, runs := range s.engineRuns() {
-				if len(runs) != most {
-					t.Errorf("item %s reached engines %d times, want %d", id, len(runs), most)
+				if len(runs) != want {
+					t.Errorf("item %s reached engines %d times, want %d", id, len(runs), want)
 				}
 			}
 		})
@@ -222,16 +222,16 @@
 			b.Step, b.MinVersion = v, max(v-1, 1)
 			s.submitUntilAccepted(b)
 			results := s.readAll(b)
-			made := map[string]map[int64]bool{}
+			ranWith := map[string]map[int64]bool{}
 			for id, runs := range s.engineRuns() {
-				made[id] = map[int64]bool{}
+				ranWith[id] = map[int64]bool{}
 				for _, r := range runs {
-					made[id][r.Version] = true
+					ranWith[id][r.Version] = true
 				}
 			}
 			for _, r := range results {
-				if len(r.Versions) == 0 || !made[r.ID][int64(r.Versions[0])] {
-					t.Errorf("item %s names versions %v, engines ran it with %v", r.ID, r.Versions, made[r.ID])
+				if len(r.Versions) == 0 || !ranWith[r.ID][int64(r.Versions[0])] {
+					t.Errorf("item %s names versions %v, engines ran it with %v", r.ID, r.Versions, ranWith[r.ID])
 				}
 			}
 			if r, err := s.entries[0].do(http.MethodDelete, "/currantford/lots/"+b.id, "", nil); err != nil || r.status != http.StatusOK {
@@ -294,7 +294,7 @@
 }
 
 // Symptom: an instance that is to be emptied waits for ever.
-func TestRetirementOfUnknownInstanceCompletes(t *testing.T) {
+func TestRetirementCompletesAtOnce(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1})
 	s.store.Put("retirements", "disk-1", map[string]any{"over-s": 10})
--- a/systemtest/checks_test.go
+++ b/systemtest/checks_test.go
@@ -161,10 +161,10 @@
 
 // checkResumed checks that each item's last run went on after at least so many
 // events.
-func (s *deployment) checkResumed(least int) {
+func (s *deployment) checkResumed(minEvents int) {
 	s.t.Helper()
 	for id, runs := range s.engineRuns() {
-		if last := runs[len(runs)-1]; last.ResumeAfter < least {
+		if last := runs[len(runs)-1]; last.ResumeAfter < minEvents {
 			s.t.Errorf("item %s began again after event %d", id, last.ResumeAfter)
 		}
 	}
--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -449,12 +449,12 @@
 }
 
 // awaitCoordinator waits for a holder other than not.
-func (s *deployment) awaitCoordinator(not string) *entry {
+func (s *deployment) awaitCoordinator(exclude string) *entry {
 	s.t.Helper()
 	var c *entry
 	eventually(s.t, "a coordinator", func() bool {
 		c = s.coordinator()
-		return c != nil && c.id != not
+		return c != nil && c.id != exclude
 	})
 	return c
 }
--- a/systemtest/keepalive_test.go
+++ b/systemtest/keepalive_test.go
@@ -23,9 +23,9 @@
 type (
 	// unanswered is a request whose connection ended without its whole answer.
 	unanswered struct {
-		id    string
-		after time.Duration // since its last byte was sent
-		err   error
+		id        string
+		sinceSent time.Duration // since its last byte was sent
+		err       error
 	}
 
 	// keepAliveCallers send requests on kept connections, and collect those without an answer.
@@ -38,7 +38,7 @@
 
 // run sends requests, of which call is the first line and what it needs of a head, to an
 // instance until stop is closed, or the instance takes no connection.
-func (k *keepAliveCallers) run(e *entry, name, call string, pause func() time.Duration, stop <-chan struct{}) {
+func (k *keepAliveCallers) run(e *entry, name, head string, pause func() time.Duration, stop <-chan struct{}) {
 	for n := 0; ; {
 		conn, err := net.DialTimeout("tcp", e.callerAddr, time.Second)
 		if err != nil {
@@ -52,15 +52,15 @@
 				return
 			case <-time.After(pause()):
 			}
-			open = k.send(conn, r, fmt.Sprintf("%s-%d", name, n), call)
+			open = k.send(conn, r, fmt.Sprintf("%s-%d", name, n), head)
 		}
 		_ = conn.Close()
 	}
 }
 
 // send sends one request; it returns whether the connection may be used for another.
-func (k *keepAliveCallers) send(conn net.Conn, r *bufio.Reader, id, call string) bool {
-	_, err := fmt.Fprintf(conn, "%s\r\nHost: %s\r\nCurrantford-Request-Id: %s\r\nCurrantford-Deadline-Ms: 1500\r\nContent-Length: 2\r\n\r\nab", call, host, id)
+func (k *keepAliveCallers) send(conn net.Conn, r *bufio.Reader, id, head string) bool {
+	_, err := fmt.Fprintf(conn, "%s\r\nHost: %s\r\nCurrantford-Request-Id: %s\r\nCurrantford-Deadline-Ms: 1500\r\nContent-Length: 2\r\n\r\nab", head, host, id)
 	sent := time.Now()
 	if err != nil {
 		return false // it was not sent whole
@@ -80,27 +80,27 @@
 	return !resp.Close
 }
 
-// check fails the test for each request that was lost.
-func (k *keepAliveCallers) check(s *deployment) {
+// checkNoneLost fails the test for each request that was lost.
+func (k *keepAliveCallers) checkNoneLost(s *deployment) {
 	s.t.Helper()
 	s.t.Logf("answers by status: %v; connections that ended under a request: %d", k.answered, len(k.unanswered))
 	for _, u := range k.unanswered {
 		switch {
 		case countRuns(s.plainTargets, u.id) > 0:
-			s.t.Errorf("%s was passed on and got no answer, after %s: %v", u.id, u.after, u.err)
-		case u.after > closeRaceWindow:
-			s.t.Errorf("%s got no answer, after %s: %v", u.id, u.after, u.err)
+			s.t.Errorf("%s was passed on and got no answer, after %s: %v", u.id, u.sinceSent, u.err)
+		case u.sinceSent > closeRaceWindow:
+			s.t.Errorf("%s got no answer, after %s: %v", u.id, u.sinceSent, u.err)
 		}
 	}
 }
 
 // churnConfig puts configurations, each with other limits, timeouts and routes, until stop is closed.
-func (s *deployment) churnConfig(every time.Duration, stop <-chan struct{}) {
+func (s *deployment) churnConfig(interval time.Duration, stop <-chan struct{}) {
 	for version := 2; ; version++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 		c := map[string]any{}
 		raw, _ := json.Marshal(s.config)
@@ -134,7 +134,7 @@
 	wg.Go(func() { s.churnConfig(150*time.Millisecond, stop) })
 	b := newStep("b1", "m0", 2, 4, 400)
 	s.submitUntilAccepted(b)
-	calls := []string{
+	heads := []string{
 		"POST " + plainPrefix + "a HTTP/1.1", "POST /bids/a HTTP/1.1",
 		"GET /currantford/lots/b1?after=8 HTTP/1.1\r\nCurrantford-Wait-Ms: 700", // nothing is there: it waits
 	}
@@ -145,7 +145,7 @@
 	}
 	for i := range 96 {
 		wg.Go(func() {
-			callers.run(s.entries[i%4], fmt.Sprintf("r%d", i), calls[i/4%3], pauses[i/12%3], stop)
+			callers.run(s.entries[i%4], fmt.Sprintf("r%d", i), heads[i/4%3], pauses[i/12%3], stop)
 		})
 	}
 	for i := range 60 {
@@ -164,7 +164,7 @@
 	}
 	close(stop)
 	wg.Wait()
-	callers.check(s)
+	callers.checkNoneLost(s)
 }
 
 // Guards against a reload that ends a process which has just started.
--- a/systemtest/link_test.go
+++ b/systemtest/link_test.go
@@ -47,7 +47,7 @@
 
 // sendBidsDuring sends bids at all instances while do runs and until what was held
 // has arrived, checks each, and returns how many had which status.
-func (s *deployment) sendBidsDuring(t *testing.T, do func()) map[int]int {
+func (s *deployment) sendBidsDuring(t *testing.T, fault func()) map[int]int {
 	t.Helper()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -72,7 +72,7 @@
 			}
 		})
 	}
-	do()
+	fault()
 	close(stop)
 	wg.Wait()
 	time.Sleep(500 * time.Millisecond) // what the links held has arrived
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -161,11 +161,11 @@
 		b.Items[i].Headers["currantford-tenant"], b.Items[i].Headers["X-API-KEY"] = orgB, keyA2
 	}
 	for _, c := range []struct {
-		name  string
-		site  options
-		cause func(t *testing.T, s *deployment)
-		want  string // of each run
-		least int    // runs
+		name    string
+		site    options
+		inject  func(t *testing.T, s *deployment)
+		want    string // of each run
+		minRuns int    // runs
 	}{
 		{"first send", options{entries: 1, engines: 1, plainTargets: 1}, func(_ *testing.T, s *deployment) {
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
@@ -217,7 +217,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := startWithOrganisations(t, c.site)
-			c.cause(t, s)
+			c.inject(t, s)
 			runs := 0
 			for _, e := range slices.Concat(s.engines, s.plainTargets) {
 				for _, r := range e.Runs() {
@@ -231,8 +231,8 @@
 					}
 				}
 			}
-			if runs < c.least {
-				t.Errorf("%d runs, want %d or more", runs, c.least)
+			if runs < c.minRuns {
+				t.Errorf("%d runs, want %d or more", runs, c.minRuns)
 			}
 		})
 	}
@@ -245,18 +245,18 @@
 func TestBatchesAreIsolatedByOrganisation(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 2, engines: 2, eventInterval: 15 * time.Millisecond})
-	ours, theirs := newStep("same", "m0", 2, 4, 40), newStep("same", "m0", 2, 4, 6)
-	ours.key, theirs.key = keyA, keyB
-	s.submitUntilAccepted(ours)
+	batchA, batchB := newStep("same", "m0", 2, 4, 40), newStep("same", "m0", 2, 4, 6)
+	batchA.key, batchB.key = keyA, keyB
+	s.submitUntilAccepted(batchA)
 	for _, e := range s.entries {
 		for _, c := range []struct {
 			key    string
 			status int
 		}{{keyA, http.StatusOK}, {keyA2, http.StatusOK}, {keyB, http.StatusNotFound}, {"", http.StatusUnauthorized}, {"unknown", http.StatusUnauthorized}} {
-			for _, path := range []string{"/currantford/lots/same?after=0", "/currantford/items/same?id=" + ours.Items[0].ID} {
+			for _, path := range []string{"/currantford/lots/same?after=0", "/currantford/items/same?id=" + batchA.Items[0].ID} {
 				r, err := e.do(http.MethodGet, path, "", nil, keyHeader(c.key)...)
-				listed := c.status == http.StatusOK && r.status == http.StatusNotFound && strings.Contains(path, "items")
-				if err != nil || r.status != c.status && !listed {
+				noBody := c.status == http.StatusOK && r.status == http.StatusNotFound && strings.Contains(path, "items")
+				if err != nil || r.status != c.status && !noBody {
 					t.Errorf("%s with key %q at %s: %d, want %d", path, c.key, e.id, r.status, c.status)
 				}
 			}
@@ -271,10 +271,10 @@
 			}
 		}
 	}
-	s.submitUntilAccepted(theirs)
-	s.readAll(theirs) // checks that their texts have their own lengths
-	s.readAll(ours)
-	for _, it := range ours.Items {
+	s.submitUntilAccepted(batchB)
+	s.readAll(batchB) // checks that their texts have their own lengths
+	s.readAll(batchA)
+	for _, it := range batchA.Items {
 		if got := organisationsOf(s.engines, it.ID); !slices.Contains(got, orgA) || !slices.Contains(got, orgB) {
 			t.Errorf("item %s ran for %q, want for both", it.ID, got)
 		}
--- a/systemtest/quarantine_test.go
+++ b/systemtest/quarantine_test.go
@@ -156,11 +156,11 @@
 
 // checkRetryDelays checks that work which crashes each target was tried as often as its pauses allow:
 // three times at once, and then after 1, 2, 4, 4, ... s for as long as it is owed.
-func (s *deployment) checkRetryDelays(body string, least, most int) {
+func (s *deployment) checkRetryDelays(body string, minRuns, maxRuns int) {
 	s.t.Helper()
 	runs, crashes := s.runStartTimes(body), s.crashesOf(body)
-	if n := len(crashes); n < least || n > most || len(runs) != n {
-		s.t.Errorf("%d targets crashed under %d runs of %q, want %d to %d", n, len(runs), body, least, most)
+	if n := len(crashes); n < minRuns || n > maxRuns || len(runs) != n {
+		s.t.Errorf("%d targets crashed under %d runs of %q, want %d to %d", n, len(runs), body, minRuns, maxRuns)
 	}
 	for i := 3; i < min(len(runs), len(crashes)); i++ {
 		pause := []time.Duration{time.Second, 2 * time.Second, 4 * time.Second}[min(i-3, 2)]
@@ -185,8 +185,8 @@
 	s.submitUntilAccepted(b)
 	results := s.readAll(b)
 	for _, r := range results {
-		bad := r.ID == b.Items[1].ID || r.ID == b.Items[7].ID
-		if done := r.State == "done"; done == bad {
+		crashes := r.ID == b.Items[1].ID || r.ID == b.Items[7].ID
+		if done := r.State == "done"; done == crashes {
 			t.Errorf("item %s is %s", r.ID, r.State)
 		}
 	}
@@ -263,7 +263,7 @@
 }
 
 // sendIdentical sends equal requests to all instances while play runs.
-func (s *deployment) sendIdentical(play func()) *identicalAnswers {
+func (s *deployment) sendIdentical(during func()) *identicalAnswers {
 	stop := make(chan struct{})
 	a := &identicalAnswers{statuses: map[int]int{}}
 	var wg sync.WaitGroup
@@ -291,7 +291,7 @@
 			}
 		})
 	}
-	play()
+	during()
 	close(stop)
 	wg.Wait()
 	return a
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -157,16 +157,16 @@
 	s.submitUntilAccepted(next)
 	s.readAll(next)
 	checkWeightOrders(t, s)
-	handed := 0
+	handovers := 0
 	for _, e := range s.entries {
 		raw, err := os.ReadFile(e.logPath)
 		if err != nil {
 			t.Fatal(err)
 		}
-		handed += strings.Count(string(raw), `"duty_handed_over"`)
+		handovers += strings.Count(string(raw), `"duty_handed_over"`)
 	}
-	if handed > 2 {
-		t.Errorf("the duty was handed over %d times: once at the start and once after the kill are enough", handed)
+	if handovers > 2 {
+		t.Errorf("the duty was handed over %d times: once at the start and once after the kill are enough", handovers)
 	}
 }
 
@@ -254,7 +254,7 @@
 func TestEngineEntriesExpireDuringRuns(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, eventInterval: 20 * time.Millisecond})
-	held := s.coordinator()
+	initial := s.coordinator()
 	b := newStep("b1", "m0", 14, 4, 20)
 	s.submitUntilAccepted(b)
 	done := make(chan struct{})
@@ -265,7 +265,7 @@
 	for n := 0; ; n++ {
 		select {
 		case <-done:
-			if c := s.coordinator(); c != held {
+			if c := s.coordinator(); c != initial {
 				t.Error("the coordinator has lost its duty")
 			}
 			return
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -205,12 +205,12 @@
 func TestConfigurationReachesAllInstances(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 1, plainTargets: 1})
-	drop := func(version int, keep bool) {
+	putConfig := func(version int, keepRoutes bool) {
 		c := map[string]any{}
 		raw, _ := json.Marshal(s.config)
 		_ = json.Unmarshal(raw, &c)
 		c["version"] = version
-		if !keep {
+		if !keepRoutes {
 			c["routes"] = c["routes"].([]any)[:1]
 		}
 		s.store.Put("config", "main", c)
@@ -220,14 +220,14 @@
 		return err == nil && r.status == want
 	}
 	s.store.DropHistory()
-	drop(5, false)
+	putConfig(5, false)
 	s.store.DropHistory()
 	for _, e := range s.entries {
 		eventually(t, "the dropped route at "+e.id, func() bool { return inForce(e, http.StatusNotFound) })
 	}
 	frozen := s.coordinator()
 	frozen.signal(syscall.SIGSTOP)
-	drop(9, true)
+	putConfig(9, true)
 	for _, e := range s.entries {
 		if e == frozen {
 			continue
--- a/systemtest/reward_test.go
+++ b/systemtest/reward_test.go
@@ -35,13 +35,13 @@
 	b := withRewards(newStep("b1", "m0", 3, 4, 10))
 	s.submitUntilAccepted(b)
 	eventually(t, "complete texts", func() bool {
-		made := 0
+		complete := 0
 		for _, runs := range s.engineRuns() {
 			if runs[len(runs)-1].LastEvent == 10 {
-				made++
+				complete++
 			}
 		}
-		return made == len(b.Items)
+		return complete == len(b.Items)
 	})
 	time.Sleep(time.Second) // a neighbour is told within it
 	old := s.coordinator()
@@ -81,8 +81,8 @@
 func TestScoreMatchesItsRewardCall(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 3})
-	troubles := []standin.EngineFaults{{WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusBadGateway}, {AtCapacity: true}}
-	for i, f := range troubles {
+	faults := []standin.EngineFaults{{WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusBadGateway}, {AtCapacity: true}}
+	for i, f := range faults {
 		s.setPlainFaults(f)
 		b := withRewards(newStep(fmt.Sprint("b", i), "m0", 3, 4, 5))
 		s.submitUntilAccepted(b)
--- a/systemtest/runner_test.go
+++ b/systemtest/runner_test.go
@@ -39,10 +39,10 @@
 			return false
 		}
 		defer resp.Body.Close()
-		var a struct {
+		var resolved struct {
 			Addrs []string `json:"addrs"`
 		}
-		return json.NewDecoder(resp.Body).Decode(&a) == nil && len(a.Addrs) == len(s.entries)
+		return json.NewDecoder(resp.Body).Decode(&resolved) == nil && len(resolved.Addrs) == len(s.entries)
 	})
 }
 
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -247,19 +247,19 @@
 func (s *soak) targetFault() {
 	targets := append(append([]*standin.Engine{}, s.engines...), s.plainTargets...)
 	e := targets[s.intN(len(targets))]
-	troubles := []standin.EngineFaults{
+	faults := []standin.EngineFaults{
 		{AbortAfterEvents: 5}, {AtCapacity: true}, {Unresponsive: true}, {WrongRequestID: true}, {SlowFactor: 4}, {Status: http.StatusInternalServerError},
 	}
-	f := troubles[s.intN(len(troubles))]
+	f := faults[s.intN(len(faults))]
 	e.SetFaults(f)
 	time.Sleep(s.duration(500, 3000))
 	e.SetFaults(standin.EngineFaults{})
 }
 
 func (s *soak) delayOrders() {
-	late := s.duration(500, 3000)
+	delay := s.duration(500, 3000)
 	for _, e := range s.engines[:2] {
-		e.SetFaults(standin.EngineFaults{OrderDelay: late})
+		e.SetFaults(standin.EngineFaults{OrderDelay: delay})
 	}
 	time.Sleep(s.duration(500, 3000))
 	for _, e := range s.engines[:2] {
@@ -323,19 +323,19 @@
 // checkRun checks what holds over the whole run.
 func (s *soak) checkRun(t *testing.T, trainers []*standin.Trainer) {
 	t.Helper()
-	steps, whole := 0, 0
+	steps, completed := 0, 0
 	for _, tr := range trainers {
 		for _, st := range tr.Steps() {
 			steps++
 			if st.Completed {
-				whole++
+				completed++
 			}
 			for _, f := range st.Faults {
 				t.Errorf("%s step %d: %s", st.Model, st.Step, f)
 			}
 		}
 	}
-	t.Logf("%d steps, %d whole, %d bids", steps, whole, len(s.bids))
+	t.Logf("%d steps, %d whole, %d bids", steps, completed, len(s.bids))
 	for id, statuses := range s.bids {
 		n := countRuns(s.plainTargets, id)
 		if n > 1 {
--- a/systemtest/startup_test.go
+++ b/systemtest/startup_test.go
@@ -93,9 +93,9 @@
 	return slices.DeleteFunc(slices.Clone(s.entries), func(e *entry) bool { return e == c })[:n]
 }
 
-func (s *deployment) signalExcept(not []*entry, sig syscall.Signal) {
+func (s *deployment) signalExcept(except []*entry, sig syscall.Signal) {
 	for _, e := range s.entries {
-		if !slices.Contains(not, e) {
+		if !slices.Contains(except, e) {
 			e.signal(sig)
 		}
 	}
@@ -112,7 +112,7 @@
 
 // play kills instances and starts them again, and plays use beside each from its start on.
 // Changed is called while they are down.
-func (c startCase) play(s *deployment, changed func(), use func(e *entry)) {
+func (c startCase) play(s *deployment, whileDown func(), afterStart func(e *entry)) {
 	down := slices.Clone(c.down(s))
 	for _, e := range down {
 		e.kill()
@@ -120,13 +120,13 @@
 	if c.before != nil {
 		c.before(s, down)
 	}
-	if changed != nil {
-		changed()
+	if whileDown != nil {
+		whileDown()
 	}
 	var wg sync.WaitGroup
 	for _, e := range down {
 		e.start()
-		wg.Go(func() { use(e) })
+		wg.Go(func() { afterStart(e) })
 	}
 	if c.then != nil {
 		c.then(s, down)
@@ -136,7 +136,7 @@
 
 // Guards against: an instance that forwards before it knows which requests are held.
 func TestStartingInstanceSendsNoQuarantinedRequest(t *testing.T) {
-	const many = 18 // more than are told at once
+	const manyHeld = 18 // more than are told at once
 	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -146,7 +146,7 @@
 	for _, name := range []string{"one", "all"} {
 		t.Run(name+", of many held", func(t *testing.T) {
 			t.Parallel()
-			checkQuarantineAfterStart(t, startCases[name], many)
+			checkQuarantineAfterStart(t, startCases[name], manyHeld)
 		})
 	}
 }
@@ -191,32 +191,32 @@
 				s.config["version"] = s.config["version"].(int) + 1
 				s.store.Put("config", "main", s.config)
 			}, func(e *entry) {
-				gone, kept := map[int]int{}, map[int]int{}
+				revoked, valid := map[int]int{}, map[int]int{}
 				for n, began := 0, time.Now(); time.Since(began) < probeDuration; n++ {
 					id := fmt.Sprintf("key-%s-%d", e.id, n)
 					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte("x"), keyHeader(keyA2)...); err == nil {
-						gone[r.status]++
+						revoked[r.status]++
 					}
 					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id+"-kept", []byte("x"), keyHeader(keyA)...); err == nil {
-						kept[r.status]++
+						valid[r.status]++
 					}
 					time.Sleep(probeInterval)
 				}
-				t.Logf("%s: key taken away %v, key in force %v", e.id, gone, kept)
-				if gone[http.StatusOK] > 0 || gone[http.StatusUnauthorized] == 0 {
-					t.Errorf("%s answered a key that was taken away with %v", e.id, gone)
+				t.Logf("%s: key taken away %v, key in force %v", e.id, revoked, valid)
+				if revoked[http.StatusOK] > 0 || revoked[http.StatusUnauthorized] == 0 {
+					t.Errorf("%s answered a key that was taken away with %v", e.id, revoked)
 				}
-				if kept[http.StatusOK] == 0 || kept[http.StatusUnauthorized] > 0 {
-					t.Errorf("%s answered a key in force with %v", e.id, kept)
+				if valid[http.StatusOK] == 0 || valid[http.StatusUnauthorized] > 0 {
+					t.Errorf("%s answered a key in force with %v", e.id, valid)
 				}
 			})
 		})
 	}
 }
 
-func (s *deployment) withStoreFaults(f standin.StoreFaults, span time.Duration) {
+func (s *deployment) withStoreFaults(f standin.StoreFaults, duration time.Duration) {
 	s.store.SetFaults(f)
-	time.Sleep(span)
+	time.Sleep(duration)
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
--- a/systemtest/storerejection_test.go
+++ b/systemtest/storerejection_test.go
@@ -104,7 +104,7 @@
 // by an instance which the store turns away, or an item that is left when the coordinator is
 // turned away, or lost besides (replaced). The configuration changes meanwhile and an engine leaves.
 func TestBatchesWhileStoreRejectsInstances(t *testing.T) {
-	for name, how := range map[string]standin.Rejection{
+	for name, rejection := range map[string]standin.Rejection{
 		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectNoResponse,
 	} {
 		for _, replaced := range []bool{false, true} {
@@ -117,7 +117,7 @@
 					o.policy = map[string]any{"no_store_relay": true} // nobody can pass calls on
 				}
 				s := startDeployment(t, o)
-				playRejections(t, s, how, replaced)
+				playRejections(t, s, rejection, replaced)
 			})
 		}
 	}
@@ -125,7 +125,7 @@
 
 // playRejections hands in a step every 300 ms, turns half of the instances away and then the
 // coordinator alone, which is killed if replaced, and reads all the while.
-func playRejections(t *testing.T, s *deployment, how standin.Rejection, replaced bool) {
+func playRejections(t *testing.T, s *deployment, rejection standin.Rejection, replaced bool) {
 	s.awaitMembership()
 	r := &batchReaders{deployment: s}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,7 +151,7 @@
 	submit()
 	for i, e := range s.entries {
 		if i%2 == 0 {
-			e.storeProxy.SetRejection(how)
+			e.storeProxy.SetRejection(rejection)
 		}
 	}
 	for i := range 8 {
@@ -168,7 +168,7 @@
 		e.storeProxy.SetRejection(standin.RejectNone)
 	}
 	c := s.coordinator()
-	c.storeProxy.SetRejection(how)
+	c.storeProxy.SetRejection(rejection)
 	submit()
 	if replaced {
 		c.kill()
@@ -206,9 +206,9 @@
 	b := newStep("b1", "m0", 3, 4, 60)
 	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
-	c, open := s.coordinator(), s.nonCoordinator()
+	c, connected := s.coordinator(), s.nonCoordinator()
 	for _, e := range s.entries {
-		if e != open {
+		if e != connected {
 			e.storeProxy.SetRejection(standin.RejectLimited)
 		}
 	}
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -21,7 +21,7 @@
 
 // sendLoad sends requests of the organisations to all entries until stop is called, and
 // returns how many were sent.
-func (s *deployment) sendLoad(every time.Duration) (stop func()) {
+func (s *deployment) sendLoad(interval time.Duration) (stop func()) {
 	var wg sync.WaitGroup
 	var n atomic.Int64
 	done := make(chan struct{})
@@ -31,7 +31,7 @@
 				select {
 				case <-done:
 					return
-				case <-time.After(every):
+				case <-time.After(interval):
 				}
 				i := n.Add(1)
 				key := []string{keyA, keyA2, keyB, keyA}[i%4]
@@ -84,39 +84,39 @@
 // checkUsage checks that the reports of all windows that are over say what ran, but for
 // what came within a moment of a window's end; at most so many requests are missing or
 // too many in all. It waits for the reports.
-func (s *deployment) checkUsage(most int64) {
+func (s *deployment) checkUsage(tolerance int64) {
 	s.t.Helper()
-	over := time.Now().UnixMilli() / usageWindow.Milliseconds()
-	truth := s.requestsByWindow()
+	current := time.Now().UnixMilli() / usageWindow.Milliseconds()
+	actual := s.requestsByWindow()
 	eventually(s.t, "the reports", func() bool {
-		taken := s.control.Usage()
-		for w := range truth {
-			if _, ok := taken[w]; !ok && w < over {
+		reports := s.control.Usage()
+		for w := range actual {
+			if _, ok := reports[w]; !ok && w < current {
 				return false
 			}
 		}
 		return true
 	})
-	taken := s.control.Usage()
-	off, total := int64(0), int64(0)
+	reports := s.control.Usage()
+	deviation, total := int64(0), int64(0)
 	reported, ran := map[string]int64{}, map[string]int64{}
-	for w := range truth {
-		if w >= over {
+	for w := range actual {
+		if w >= current {
 			continue
 		}
 		for _, o := range []string{orgA, orgB} {
-			reported[o] += taken[w].Counts[o]
-			ran[o] += truth[w][o]
-			total += truth[w][o]
-			off += max(taken[w].Counts[o]-truth[w][o], truth[w][o]-taken[w].Counts[o])
+			reported[o] += reports[w].Counts[o]
+			ran[o] += actual[w][o]
+			total += actual[w][o]
+			deviation += max(reports[w].Counts[o]-actual[w][o], actual[w][o]-reports[w].Counts[o])
 		}
 	}
 	missing := int64(0)
 	for o := range ran {
 		missing += max(reported[o]-ran[o], ran[o]-reported[o])
 	}
-	s.t.Logf("%d windows, %d requests, %d counted in another window, %d missing or too many", len(truth), total, (off-missing)/2, missing)
-	if missing > most {
+	s.t.Logf("%d windows, %d requests, %d counted in another window, %d missing or too many", len(actual), total, (deviation-missing)/2, missing)
+	if missing > tolerance {
 		s.t.Errorf("reported %v, ran %v", reported, ran)
 	}
 	for _, fault := range s.control.Violations() {
@@ -132,11 +132,11 @@
 func TestUsageIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		cause func(s *deployment)
-		// missing is how many requests may be missing: those whose instance was lost
+		name   string
+		inject func(s *deployment)
+		// tolerance is how many requests may be missing: those whose instance was lost
 		// before it could tell.
-		missing int64
+		tolerance int64
 	}{
 		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
 		{"targets", func(s *deployment) {
@@ -201,20 +201,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			checkUsageDuring(t, options{entries: 3, engines: 1, plainTargets: 3}, c.cause, c.missing)
+			checkUsageDuring(t, options{entries: 3, engines: 1, plainTargets: 3}, c.inject, c.tolerance)
 		})
 	}
 }
 
 // checkUsageDuring lets requests come while cause does something; so many may be missing.
-func checkUsageDuring(t *testing.T, o options, cause func(*deployment), missing int64) {
+func checkUsageDuring(t *testing.T, o options, inject func(*deployment), tolerance int64) {
 	o.usageWindowS = usageWindow.Seconds()
 	s := startWithOrganisations(t, o)
 	stop := s.sendLoad(requestInterval)
-	cause(s)
+	inject(s)
 	stop()
 	time.Sleep(2 * usageWindow)
-	s.checkUsage(missing)
+	s.checkUsage(tolerance)
 	if at := maxReportDelay(s.control.Usage()); at > 10*time.Second {
 		t.Errorf("a report came %s after its window", at)
 	}
@@ -225,25 +225,25 @@
 func TestUsageIsReportedBehindHubs(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name    string
-		cause   func(*deployment)
-		missing int64
+		name      string
+		inject    func(*deployment)
+		tolerance int64
 	}{
 		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
 		{"the holder", killCoordinator, maxMissed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			checkUsageDuring(t, options{entries: 7, engines: 1, plainTargets: 3, hubsFrom: 4}, c.cause, c.missing)
+			checkUsageDuring(t, options{entries: 7, engines: 1, plainTargets: 3, hubsFrom: 4}, c.inject, c.tolerance)
 		})
 	}
 }
 
 // maxReportDelay returns how long after its window's end the latest report came.
-func maxReportDelay(taken map[int64]standin.Usage) time.Duration {
-	most := time.Duration(0)
-	for u := range maps.Values(taken) {
-		most = max(most, u.At.Sub(time.UnixMilli((u.Window+1)*usageWindow.Milliseconds())))
+func maxReportDelay(reports map[int64]standin.Usage) time.Duration {
+	latest := time.Duration(0)
+	for u := range maps.Values(reports) {
+		latest = max(latest, u.At.Sub(time.UnixMilli((u.Window+1)*usageWindow.Milliseconds())))
 	}
-	return most
+	return latest
 }
