--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -13,11 +13,11 @@
 	"currantford/platform/standin"
 )
 
-// bootTime is how long after its order an engine is in service.
+// bootTime is the delay between an order and the start of the ordered engines.
 const bootTime = 500 * time.Millisecond
 
-// orderHandler returns what starts the engines that an order asks for beyond those that are
-// there; an order for fewer ends none.
+// orderHandler returns the handler of the control plane's engine orders. It starts the engines that
+// are missing to reach the ordered count, and stops none when the ordered count is lower.
 func (s *deployment) orderHandler(o options) func(standin.EngineOrder) {
 	var mu sync.Mutex
 	started := map[bool]int{}
@@ -39,7 +39,7 @@
 	}
 }
 
-// enableScaling lets engines of the stand-in deployment be ordered.
+// enableScaling adds the scaling settings of the engine service to a configuration.
 func enableScaling(config map[string]any) {
 	for _, svc := range config["services"].([]map[string]any) {
 		if svc["name"] == engineService {
@@ -48,7 +48,8 @@
 	}
 }
 
-// storedOrders returns what the store holds of wanted engines.
+// storedOrders returns the engine counts that the coordinator has stored as its orders, by whether
+// the engines are spot engines.
 func (s *deployment) storedOrders() map[bool]int {
 	var stored cfscale.StoredState
 	out := map[bool]int{}
@@ -61,10 +62,13 @@
 	return out
 }
 
-// Symptom: a step waits for engines that nobody orders, or that a lost holder wanted; two
-// holders order in turn.
-// Sequence: a step several times the engines' slots; the API takes orders, or gives no answer
-// until the holder that has kept its order is killed.
+// Guards against a step that waits for engines which are never ordered, or whose order was lost
+// with the previous coordinator, and against two coordinators that send orders alternately.
+//
+// The step needs several times the engines' slots. The control plane's API accepts the orders, has
+// no spot capacity, loses its answers, or gives no answer until the coordinator that has stored its
+// order is killed; in the last case the coordinator is frozen and continues after its successor's
+// first order.
 func TestAutoscalerOrdersEngines(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -10,7 +10,8 @@
 	"currantford/platform/standin"
 )
 
-// A calm step: accepted at one entry, run on the engines, read at all.
+// Without faults, a step that is accepted at one entry instance runs on the engines and can be read
+// at every entry instance.
 func TestStepIsCompleted(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3})
@@ -23,12 +24,12 @@
 	}
 }
 
-// Symptom: a batch is accepted and never runs.
-// Sequence: the store executes writes and loses their answers, or executes
-// them seconds late; the entry that took the batch retries, and the caller
-// hands it in again elsewhere.
-// Cause guarded against: taking a lost answer for a refusal, and a late
-// duplicate of a chunk that lists items twice.
+// Guards against a batch that is accepted and never runs.
+//
+// The store executes writes and loses their answers, or executes them 700 ms late. The entry
+// instance that received the batch retries, and the caller submits the batch again at another one.
+// The batch must survive if a lost answer is mistaken for a refusal, or if a late duplicate write
+// of a chunk of results would list items twice.
 func TestLostAndDelayedWriteResponses(t *testing.T) {
 	for _, delay := range []time.Duration{0, 700 * time.Millisecond} {
 		t.Run(fmt.Sprint("late_", delay), func(t *testing.T) {
@@ -48,8 +49,7 @@
 	}
 }
 
-// Symptom: a step that is larger than one object of the store is never
-// accepted.
+// Guards against a step that is never accepted because it is larger than one object of the store.
 func TestLargeStep(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, valueBytes: 80 << 10, eventInterval: time.Millisecond})
@@ -57,7 +57,7 @@
 	s.submitUntilAccepted(b)
 	old := s.coordinator()
 	old.kill()
-	s.awaitCoordinator(old.id) // it reads the parts from the store
+	s.awaitCoordinator(old.id) // the new coordinator reads the parts from the store
 	s.readAll(b)
 	body, err := s.coordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[200].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
@@ -65,10 +65,10 @@
 	}
 }
 
-// Symptom: a step is accepted twice and its items are listed twice.
-// Sequence: its submitter gets no answer and hands it in at another entry
-// while the first still works on it.
-// Cause guarded against: acceptance decided by each entry alone.
+// Guards against a step that is accepted twice and whose items are listed twice.
+//
+// The submitter gets no answer and submits the step at another entry instance while the first one
+// is still processing it. The fault occurs if each entry instance decides on acceptance alone.
 func TestDuplicateSubmission(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2})
@@ -88,10 +88,10 @@
 	}
 }
 
-// Symptom: a batch refused with 503 runs later.
-// Sequence: the store answers 503 to every call; the batch is handed in and
-// refused; the store comes back.
-// Cause guarded against: a refusal while a write may still take effect.
+// Guards against a batch that is refused with 503 and runs later.
+//
+// The store answers 503 to every call, a batch is submitted and refused, and the store recovers.
+// The fault occurs if a batch is refused while a write may still take effect.
 func TestRefusedBatchNeverRuns(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 2})
@@ -111,9 +111,10 @@
 	}
 }
 
-// Symptom: a batch whose write was not answered is refused as not run.
-// Sequence: the store takes connections and answers nothing.
-// Cause guarded against: mapping "no answer" to 503.
+// Guards against a batch that is reported as not run (503) although its write was not answered and
+// may take effect.
+//
+// The store accepts connections and answers no call.
 func TestUnansweredWriteReturnsGatewayTimeout(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 2})
@@ -123,11 +124,11 @@
 	}
 }
 
-// Symptom: an item's text misses an event, or has one twice.
-// Sequence: each run of an item is broken off in mid-event after 4 events;
-// the item is resumed, at any engine, until it is whole.
-// Cause guarded against: counting an event that was not whole, or joining two
-// runs without Last-Event-Id.
+// Guards against an item's text that lacks an event or has one twice.
+//
+// Each run of an item is interrupted in the middle of an event after 4 complete events, and the
+// item is resumed at any engine until its text is complete. The fault occurs if an incomplete event
+// is counted, or if two runs are joined without Last-Event-Id.
 func TestInterruptedStreamsAreResumed(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3})
@@ -151,10 +152,10 @@
 	}
 }
 
-// Symptom: an item that can't be done is tried for ever, or given up after
-// one failure.
-// Sequence: every engine answers 500 (an attempt that failed), or 422 (it can
-// never be done).
+// Guards against an item that cannot succeed and is retried forever, or that is abandoned after one
+// failure.
+//
+// Every engine answers 500 (the attempt failed) or 422 (the item can never succeed).
 func TestFailingItemsStopAfterMaxAttempts(t *testing.T) {
 	for status, want := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
@@ -179,10 +180,11 @@
 	}
 }
 
-// Symptom: an item runs after its batch was ended.
-// Sequence: a batch with more items than slots is ended while most wait; then
-// the coordinator is killed, and its successor reads the batch from the store.
-// Cause guarded against: an end known to one process alone.
+// Guards against an item that runs after its batch was deleted.
+//
+// A batch with more items than slots is deleted while most items are waiting. Then the coordinator
+// is killed, and its successor reads the batch from the store. The fault occurs if only one process
+// knows of the deletion.
 func TestDeletedBatchStartsNoItems(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 1, eventInterval: 50 * time.Millisecond})
@@ -206,10 +208,11 @@
 	}
 }
 
-// Symptom: a sample names weights that did not make it, or is older than its
-// step allows; or an engine never gets the new weights.
-// Sequence: a trainer names version after version and hands in a step that
-// asks for the one before at least.
+// Guards against a sample that names weights other than those that generated it, or weights older
+// than its step allows, and against an engine that never gets the new weights.
+//
+// A trainer announces one version after another and submits steps that require at least the
+// previous version.
 func TestStepsUseAnnouncedVersions(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, models: []string{"m0", "m1"}})
@@ -248,9 +251,9 @@
 	}
 }
 
-// checkWeightOrders checks the orders at each engine: numbers never fall, one number
-// has one owner, and two owners' orders arrive 3 s apart. An order that its
-// engine carries out late was given when it arrived.
+// checkWeightOrders checks the weight orders that each engine received: fencing numbers never
+// decrease, each number has one owner, and the orders of two owners arrive at least 3 s apart. The
+// arrival time counts, because an engine may execute an order late.
 func checkWeightOrders(t *testing.T, s *deployment) {
 	t.Helper()
 	for _, e := range s.engines {
@@ -267,10 +270,10 @@
 	}
 }
 
-// Symptom: an order that its engine carries out late brings old weights back.
-// Sequence: the engine leaves an order unanswered and carries it out 1.5 s
-// later, when a newer version has been ordered.
-// Cause guarded against: an order without the engine's order count.
+// Guards against an order that its engine executes late and that restores old weights.
+//
+// The engine leaves an order unanswered and executes it 1.5 s later, when a newer version has been
+// ordered. The fault occurs if an order does not carry the engine's order count.
 func TestDelayedOrderDoesNotRestoreOldWeights(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1, weightLoadTime: 50 * time.Millisecond})
@@ -293,7 +296,8 @@
 	}
 }
 
-// Symptom: an instance that is to be emptied waits for ever.
+// Guards against a retirement that never completes. Instances hold nothing that has to outlive
+// them, so a retirement completes at once.
 func TestRetirementCompletesAtOnce(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1})
@@ -307,10 +311,11 @@
 	})
 }
 
-// Symptom: an engine that was restarted gets no work and no weights any more.
-// Sequence: engines start again under the ids that they had, with older weights
-// and order counts from zero, one of them while it loads; steps go on.
-// Cause: versions and counts of a start were taken for those of the next.
+// Guards against an engine that gets no work and no weights after a restart.
+//
+// Engines restart under the same ids, with older weights and with order counts that start from
+// zero, one of them while it loads weights; steps continue meanwhile. The fault occurs if the
+// versions and order counts of the previous process are taken for those of the new one.
 func TestEnginesRestartWithSameIDs(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 2, weightLoadTime: 300 * time.Millisecond})
@@ -337,9 +342,10 @@
 	s.readAll(next)
 }
 
-// Symptom: calls go to an address that no target has, or a whole service is lost.
-// Sequence: another writer puts entries into the instance list that lack fields,
-// have them of another type, name what is not known, or replace a target's own.
+// Guards against calls to an address that no target has, and against the loss of a whole service.
+//
+// Another writer puts entries into the instance list that lack fields, have fields of the wrong
+// type or unknown values, or replace a target's own entry.
 func TestMalformedInstanceListEntriesAreIgnored(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 2})
@@ -368,7 +374,7 @@
 	s.submitUntilAccepted(b)
 	old := s.coordinator()
 	old.kill()
-	s.awaitCoordinator(old.id) // it reads the whole list
+	s.awaitCoordinator(old.id) // the new coordinator reads the whole instance list
 	s.readAll(b)
 	if n := len(s.plainTargets[1].Runs()); n != 0 {
 		t.Errorf("%d requests went to a target whose entry can't be read", n)
--- a/systemtest/checks_test.go
+++ b/systemtest/checks_test.go
@@ -10,9 +10,9 @@
 	"currantford/platform/standin"
 )
 
-// readAll reads a batch to its end at the entries in turn, and checks what
-// holds for every batch: positions never change, no item stands twice, and
-// each text is whole.
+// readAll reads all results of a batch, from each entry instance in turn, and checks what holds for
+// every batch: the result at a position never changes, no item occurs twice, and each text is
+// complete.
 func (s *deployment) readAll(b batch) []result {
 	s.t.Helper()
 	var out []result
@@ -29,7 +29,7 @@
 	for _, e := range s.entries {
 		p, _, err := e.readResults(b.id, 0, 0, keyHeader(b.key)...)
 		if err != nil || p.Total == 0 {
-			continue // stopped, or can't be sure
+			continue // the entry instance is stopped or cannot answer reliably
 		}
 		for i, r := range p.Results {
 			if fmt.Sprint(r) != fmt.Sprint(out[i]) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// checkScore checks that a result's score marks a good answer to the item's reward
-// call, which went out when the text was complete.
+// checkScore checks that a result's score comes from a successful answer to the item's reward call,
+// and that the call was sent after the text was complete.
 func (s *deployment) checkScore(it item, r result) {
 	s.t.Helper()
 	if it.Reward == nil {
@@ -95,7 +95,7 @@
 	s.t.Errorf("item %s: score %q is of no good answer to its reward call", r.ID, r.Score)
 }
 
-// rewardRuns returns the runs at the plain targets by reward call.
+// rewardRuns returns the runs at the plain targets by the id of their reward call.
 func (s *deployment) rewardRuns() map[string][]standin.Run {
 	out := map[string][]standin.Run{}
 	for _, e := range s.plainTargets {
@@ -108,7 +108,7 @@
 	return out
 }
 
-// withRewards gives each item of a batch a reward call.
+// withRewards adds a reward call to each item of a batch.
 func withRewards(b batch) batch {
 	for i := range b.Items {
 		b.Items[i].Reward = standin.NewRewardCall(b.Items[i].ID)
@@ -124,12 +124,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// announceVersion makes a version of a model known, as its trainer does.
+// announceVersion puts a weight version of a model into the store, as the model's trainer does.
 func (s *deployment) announceVersion(model string, version int) {
 	s.store.Put("versions", model, map[string]any{"model": model, "version": version})
 }
 
-// engineRuns returns the runs at all engines by item, in their order.
+// engineRuns returns the runs at all engines by item id, each item's in the order of their start.
 func (s *deployment) engineRuns() map[string][]standin.Run {
 	out := map[string][]standin.Run{}
 	for _, e := range s.engines {
@@ -143,13 +143,13 @@
 	return out
 }
 
-// awaitRuns waits until all items of a batch have reached engines.
+// awaitRuns waits until every item of a batch has started on an engine.
 func (s *deployment) awaitRuns(b batch) {
 	s.t.Helper()
 	eventually(s.t, "runs", func() bool { return len(s.engineRuns()) == len(b.Items) })
 }
 
-// checkRanOnce checks that no item was generated twice.
+// checkRanOnce checks that each item ran on exactly one engine, exactly once.
 func (s *deployment) checkRanOnce() {
 	s.t.Helper()
 	for id, runs := range s.engineRuns() {
@@ -159,8 +159,7 @@
 	}
 }
 
-// checkResumed checks that each item's last run went on after at least so many
-// events.
+// checkResumed checks that the last run of each item resumed after at least minEvents events.
 func (s *deployment) checkResumed(minEvents int) {
 	s.t.Helper()
 	for id, runs := range s.engineRuns() {
--- a/systemtest/crash_test.go
+++ b/systemtest/crash_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// crashDowntime is how long a target is gone after a crash.
+	// crashDowntime is how long a target stays down after a crash.
 	crashDowntime = 800 * time.Millisecond
-	// propagationTime is the time in which all instances hear of what one has learned.
+	// propagationTime is the time within which all instances learn what one instance has observed.
 	propagationTime = 3 * time.Second
-	// maxLateSends is how many more sends a request may make that has crashed
-	// three targets, once all instances can know of it.
+	// maxLateSends is how many more times a request that has crashed three targets may be sent
+	// after all instances can know of the crashes.
 	maxLateSends = 3
 )
 
-// crashesOf returns the crashes under requests with a body, in their order.
+// crashesOf returns the target crashes caused by requests with the given body, in order of time.
 func (s *deployment) crashesOf(body string) []standin.Crash {
 	var out []standin.Crash
 	for _, e := range append(append([]*standin.Engine{}, s.plainTargets...), s.engines...) {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// runStartTimes returns when requests with a body began to run, in their order.
+// runStartTimes returns the start times of all runs of requests with the given body, in order.
 func (s *deployment) runStartTimes(body string) []time.Time {
 	var out []time.Time
 	for _, e := range append(append([]*standin.Engine{}, s.plainTargets...), s.engines...) {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// awaitTargets waits until all targets serve and are listed.
+// awaitTargets waits until all given targets are running and are in the instance list.
 func (s *deployment) awaitTargets(targets []*standin.Engine) {
 	s.t.Helper()
 	eventually(s.t, "targets after their crashes", func() bool {
@@ -60,11 +60,11 @@
 		}
 		return true
 	})
-	time.Sleep(400 * time.Millisecond) // instances hear of them within a feed's answer
+	time.Sleep(400 * time.Millisecond) // the instances receive the change within one answer of the feed
 }
 
-// checkQuarantined checks that a request that has crashed three targets is not sent on, once
-// all instances can know.
+// checkQuarantined checks that a request that has crashed three targets is no longer sent once all
+// instances can know of the crashes.
 func (s *deployment) checkQuarantined(body string) {
 	s.t.Helper()
 	crashes := s.crashesOf(body)
@@ -83,19 +83,21 @@
 	}
 }
 
-// A caller sent the same bid again and again, each time under a new id and at whichever
-// instance it chose. Every target that began to run it crashed some 80 ms later and was
-// back after three seconds; then the bid came again, and all bids of all callers failed
-// meanwhile. Twelve targets crashed under one bid in 15 s. The log of each instance showed
-// it as a new request every time:
+// Guards against a request that crashes one target after another.
+//
+// The same bid comes again and again, each time under a new id and at any entry instance. Every
+// target that starts it crashes about 80 ms later and is down for three seconds, then the bid comes
+// again, and meanwhile the bids of all callers fail. Twelve targets crashed under one bid in 15 s,
+// and the log of each instance showed it as a new request every time:
 //
 //	request_sent   target=i-e663 tried=1
 //	attempt_failed target=i-e663 error="no answer: EOF: request may have run"
 //	request_sent   target=i-6ba0 tried=2
 //	request_failed status=502 reason="no target answered" tried=2
 //
-// Attempts were judged one by one, and nothing outlived a request's own id, so neither the
-// same instance nor any other knew that the request had crashed three targets before.
+// The fault occurs if each attempt is judged alone and no record outlives the request's id: then
+// neither this instance nor any other knows that the same request has already crashed three
+// targets. Here targets restart after crashDowntime.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 3, crashDowntime: crashDowntime})
@@ -109,7 +111,7 @@
 	for round := 0; time.Since(began) < 3*propagationTime; round++ {
 		s.awaitTargets(s.plainTargets)
 		send(s.entries[round%len(s.entries)])
-		send(s.entries[(round+1)%len(s.entries)]) // its caller's retry
+		send(s.entries[(round+1)%len(s.entries)]) // the caller's retry
 	}
 	s.checkQuarantined(body)
 
@@ -122,8 +124,9 @@
 	}
 }
 
-// Several callers' tries arrive at all instances at the same moment: what crashes then was
-// sent before anyone could know, and what follows must stop all the same.
+// Guards against crashes that continue if several callers send a crashing request to all instances
+// at the same moment. The first sends are unavoidable, since no instance can know of a crash yet;
+// later ones must stop.
 func TestCrashingRequestSentToAllInstancesAtOnce(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 4, crashDowntime: crashDowntime, keepIDs: true})
--- a/systemtest/keepalive_test.go
+++ b/systemtest/keepalive_test.go
@@ -16,19 +16,20 @@
 	"time"
 )
 
-// closeRaceWindow is how soon after a request's last byte its connection may still end without an
-// answer, if the request was not passed on.
+// closeRaceWindow is the time after a request's last byte within which its connection may still
+// close without an answer, provided that the request was not forwarded.
 const closeRaceWindow = 200 * time.Millisecond
 
 type (
-	// unanswered is a request whose connection ended without its whole answer.
+	// unanswered is a request whose connection closed before the complete answer.
 	unanswered struct {
 		id        string
-		sinceSent time.Duration // since its last byte was sent
+		sinceSent time.Duration // time since its last byte was sent
 		err       error
 	}
 
-	// keepAliveCallers send requests on kept connections, and collect those without an answer.
+	// keepAliveCallers sends requests on persistent connections and collects those without an
+	// answer.
 	keepAliveCallers struct {
 		mu         sync.Mutex
 		answered   map[int]int // by status
@@ -36,8 +37,8 @@
 	}
 )
 
-// run sends requests, of which call is the first line and what it needs of a head, to an
-// instance until stop is closed, or the instance takes no connection.
+// run sends requests to an instance until stop is closed or the instance accepts no connection. The
+// parameter head holds each request's first line and the header lines that it needs.
 func (k *keepAliveCallers) run(e *entry, name, head string, pause func() time.Duration, stop <-chan struct{}) {
 	for n := 0; ; {
 		conn, err := net.DialTimeout("tcp", e.callerAddr, time.Second)
@@ -58,12 +59,12 @@
 	}
 }
 
-// send sends one request; it returns whether the connection may be used for another.
+// send sends one request and returns whether the connection may be used for another one.
 func (k *keepAliveCallers) send(conn net.Conn, r *bufio.Reader, id, head string) bool {
 	_, err := fmt.Fprintf(conn, "%s\r\nHost: %s\r\nCurrantford-Request-Id: %s\r\nCurrantford-Deadline-Ms: 1500\r\nContent-Length: 2\r\n\r\nab", head, host, id)
 	sent := time.Now()
 	if err != nil {
-		return false // it was not sent whole
+		return false // the request was not sent completely
 	}
 	resp, err := http.ReadResponse(r, nil)
 	if err == nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// churnConfig puts configurations, each with other limits, timeouts and routes, until stop is closed.
+// churnConfig puts configurations with changing limits, timeouts and routes until stop is closed.
 func (s *deployment) churnConfig(interval time.Duration, stop <-chan struct{}) {
 	for version := 2; ; version++ {
 		select {
@@ -116,15 +117,16 @@
 			}
 		}
 		if version%5 == 0 {
-			c["routes"] = routes[:len(routes)-1] // without the bids
+			c["routes"] = routes[:len(routes)-1] // the last route, for bids, is left out
 		}
 		c["version"] = version
 		s.store.Put("config", "main", c)
 	}
 }
 
-// Guards against kept connections that end under a request around configurations in quick
-// succession, reloads, and stops one after the other and at the same time.
+// Guards against persistent connections that close while a request is in progress, during rapid
+// configuration changes, reloads, and graceful stops of instances one after another and at the same
+// time.
 func TestPlannedChangesCloseNoConnectionInUse(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 4, eventInterval: 10 * time.Millisecond})
@@ -136,12 +138,12 @@
 	s.submitUntilAccepted(b)
 	heads := []string{
 		"POST " + plainPrefix + "a HTTP/1.1", "POST /bids/a HTTP/1.1",
-		"GET /currantford/lots/b1?after=8 HTTP/1.1\r\nCurrantford-Wait-Ms: 700", // nothing is there: it waits
+		"GET /currantford/lots/b1?after=8 HTTP/1.1\r\nCurrantford-Wait-Ms: 700", // no result is there yet, so the call waits
 	}
 	pauses := []func() time.Duration{
 		func() time.Duration { return time.Duration(rand.IntN(10)) * time.Millisecond },
-		func() time.Duration { return 240 * time.Millisecond },                                 // most of the short limit
-		func() time.Duration { return time.Duration(2000+rand.IntN(1500)) * time.Millisecond }, // about when idle connections are closed
+		func() time.Duration { return 240 * time.Millisecond },                                 // most of the short idle timeout
+		func() time.Duration { return time.Duration(2000+rand.IntN(1500)) * time.Millisecond }, // close to the time at which idle connections are closed
 	}
 	for i := range 96 {
 		wg.Go(func() {
@@ -151,7 +153,7 @@
 	for i := range 60 {
 		time.Sleep(150 * time.Millisecond)
 		switch i {
-		case 14, 20: // the second stop begins beside the first
+		case 14, 20: // the second stop begins while the first is in progress
 			s.entries[i/20].signal(syscall.SIGTERM)
 		case 50:
 			s.entries[2].signal(syscall.SIGTERM)
@@ -167,7 +169,7 @@
 	callers.checkNoneLost(s)
 }
 
-// Guards against a reload that ends a process which has just started.
+// Guards against a reload signal that ends a process which is still starting.
 func TestReloadDuringStartup(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1})
@@ -177,7 +179,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The start waits for its settings until they are written.
+	// The starting process blocks on its settings until they are written to the FIFO.
 	if err := errors.Join(os.Remove(e.settingsPath), syscall.Mkfifo(e.settingsPath, 0o600)); err != nil {
 		t.Fatal(err)
 	}
--- a/systemtest/link_test.go
+++ b/systemtest/link_test.go
@@ -8,13 +8,12 @@
 	"time"
 )
 
-// Symptom: a bid is recorded twice, or refused although it was recorded or
-// still may be.
-// Sequence: the link between the instance and a service loses answers, loses
-// requests, or resets, while bids are under way; then it heals and delivers what
-// it held.
-// Cause guarded against: a bid sent again at another target, or a promise that
-// it has not run, after its bytes have left the instance.
+// Guards against a bid that is recorded twice, or refused although it was recorded or may still be.
+//
+// While bids are in progress, the link between the instance and a service loses answers, loses
+// requests, or is reset; then it recovers and delivers the bytes that it held. The fault occurs if,
+// after the bid's bytes have left the instance, the bid is sent to another target or reported as
+// not run.
 func TestBidsOverFaultyLinkRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	faults := map[string]linkFaults{
@@ -45,8 +44,8 @@
 	}
 }
 
-// sendBidsDuring sends bids at all instances while do runs and until what was held
-// has arrived, checks each, and returns how many had which status.
+// sendBidsDuring sends bids to all instances while fault runs and until the held bytes have
+// arrived. It checks each bid and returns the number of answers by status.
 func (s *deployment) sendBidsDuring(t *testing.T, fault func()) map[int]int {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -75,7 +74,7 @@
 	fault()
 	close(stop)
 	wg.Wait()
-	time.Sleep(500 * time.Millisecond) // what the links held has arrived
+	time.Sleep(500 * time.Millisecond) // the bytes that the links held have arrived by then
 	for id, status := range byID {
 		n := countRuns(s.plainTargets, id)
 		if n > 1 {
@@ -91,8 +90,9 @@
 	return counts
 }
 
-// Symptom: log readings fail while a service has sound targets.
-// Sequence: the link to one of two targets falls silent; nothing is reset.
+// Guards against log readings that fail although the service has healthy targets.
+//
+// The link to one of two targets becomes unresponsive, and no connection is reset.
 func TestReadingsAvoidUnresponsiveLink(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1, plainTargets: 2, links: true})
@@ -105,11 +105,12 @@
 	}
 }
 
-// Symptom: orders of two coordinators cross, or a step is lost, when the
-// coordinator alone is cut off from the store.
-// Sequence: the link between the coordinator and the store is cut one way, each
-// way in turn, in the middle of a step, and reaches it through no other instance;
-// another instance takes over; the link heals and delivers late what it held.
+// Guards against conflicting orders of two coordinators, and against a lost step, if only the
+// coordinator is cut off from the store.
+//
+// During a step the link between the coordinator and the store is cut in one direction, each
+// direction in turn, and the coordinator cannot reach the store through another instance. Another
+// instance takes over; then the link recovers and delivers late the bytes that it held.
 func TestCoordinatorPartitionedFromStore(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]linkFaults{"answers held": {HoldDown: true}, "requests held": {HoldUp: true}} {
@@ -133,12 +134,13 @@
 	}
 }
 
-// Symptom: a step that was almost done begins anew, though no process and no
-// target failed.
-// Sequence: the coordinator's link to the store is cut in mid-step, for longer
-// than its lease is valid; all other instances reach the store.
-// Cause: the coordinator could not renew its lease and list results through
-// others, so another instance took over, without what had been generated.
+// Guards against a step that starts again when it is almost done, although no process and no target
+// has failed.
+//
+// During a step the coordinator's link to the store is cut for longer than its lease is valid,
+// while all other instances reach the store. The fault occurs if the coordinator cannot renew its
+// lease and list results through other instances: another instance then takes over without the text
+// generated so far.
 func TestPartitionedCoordinatorKeepsLease(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 30 * time.Millisecond, links: true})
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -19,12 +19,13 @@
 	orgA, orgB        = "coop-a", "coop-b"
 )
 
-// organisation is an entry of the configuration.
+// organisation returns an organisation as it is written in a configuration.
 func organisation(name string, priority int, keys ...string) map[string]any {
 	return map[string]any{"name": name, "api-keys": keys, "priority": priority}
 }
 
-// addOrganisations adds them to a configuration, with a public route and one for streams.
+// addOrganisations adds two organisations to a configuration, with public routes for single
+// requests and for batches, and a route for streams.
 func addOrganisations(c map[string]any) {
 	c["tenants"] = []map[string]any{organisation(orgA, 1, keyA, keyA2), organisation(orgB, 2, keyB)}
 	c["routes"] = append(c["routes"].([]map[string]any),
@@ -45,8 +46,8 @@
 	return s
 }
 
-// checkKeysNotLeaked checks that the callers' keys stand nowhere but in the operator's
-// configuration, and that no request came to a target with one.
+// checkKeysNotLeaked checks that the callers' keys are stored only in the operator's configuration
+// and do not occur in logs, and that no request reached a target with a key.
 func (s *deployment) checkKeysNotLeaked() {
 	for _, key := range []string{keyA, keyA2, keyB} {
 		for _, e := range s.entries {
@@ -71,7 +72,8 @@
 	}
 }
 
-// reconfigure puts the next version of the configuration in force at all entries.
+// reconfigure changes the configuration and waits until the new version is in force at all entry
+// instances.
 func (s *deployment) reconfigure(change func(c map[string]any)) {
 	s.t.Helper()
 	change(s.config)
@@ -85,7 +87,7 @@
 	}
 }
 
-// organisationsOf returns the organisations that the runs of a request were said to be of.
+// organisationsOf returns the organisations named in the runs of a request.
 func organisationsOf(es []*standin.Engine, id string) []string {
 	out := []string{}
 	for _, e := range es {
@@ -98,10 +100,11 @@
 	return out
 }
 
-// Symptom: a request runs for another organisation than its caller's, without a key, or
-// brings the key to a target.
-// Sequence: each kind of caller comes to each instance, on routes that ask for a key and
-// on public ones; some say of themselves who they are.
+// Guards against a request that runs for an organisation other than its caller's, that runs without
+// a key, or that carries the key to a target.
+//
+// Each kind of caller sends to each instance, on routes that require a key and on public ones; some
+// callers name an organisation themselves.
 func TestRequestsCarryTheirOrganisation(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 2, engines: 1, plainTargets: 2})
@@ -148,24 +151,25 @@
 	}
 }
 
-// Every way by which a request can reach a target bears the organisation that was found,
-// and no key: first sends, tries elsewhere, hedges, streams and resumed ones, items,
-// resumed and carried ones, items at other instances, reward calls.
+// Every path by which a request reaches a target carries the organisation found from its key, and
+// no key: first attempts, retries at other targets, hedged requests, streams and resumed streams,
+// items, resumed items and items taken over by another coordinator, items whose streams other
+// instances hold, and reward calls.
 func TestAllPathsCarryTheOrganisation(t *testing.T) {
 	t.Parallel()
 	key := []string{"X-Api-Key", keyA, "Currantford-Tenant", orgB}
 	stream := append([]string{"Currantford-Deadline-Ms", "3500", "Currantford-Model", "m0", "Currantford-Tokens-Used", "100,580"}, key...)
 	b := newStep("b1", "m0", 4, 4, 20)
 	b.key = keyA
-	for i := range b.Items { // what the submitter says of itself in an item is no word of ours
+	for i := range b.Items { // an organisation or key in an item's own headers must be ignored
 		b.Items[i].Headers["currantford-tenant"], b.Items[i].Headers["X-API-KEY"] = orgB, keyA2
 	}
 	for _, c := range []struct {
 		name    string
 		site    options
 		inject  func(t *testing.T, s *deployment)
-		want    string // of each run
-		minRuns int    // runs
+		want    string // the expected organisation of each run
+		minRuns int    // the minimum number of runs
 	}{
 		{"first send", options{entries: 1, engines: 1, plainTargets: 1}, func(_ *testing.T, s *deployment) {
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
@@ -223,7 +227,7 @@
 				for _, r := range e.Runs() {
 					want := orgA
 					if strings.HasPrefix(r.ID, "reward-") {
-						want = "" // it is this system's own call, and needs none
+						want = "" // reward calls are made by the deployment itself and have no organisation
 					}
 					runs++
 					if r.Organisation != want {
@@ -238,10 +242,11 @@
 	}
 }
 
-// Symptom: an organisation reads, ends or learns of another's batch, or gets the text of
-// another's item.
-// Sequence: two choose the same ids; each asks for what the other has, and one without a
-// key for both.
+// Guards against an organisation that reads, deletes or learns of another organisation's batch, or
+// gets the text of another organisation's item.
+//
+// Two organisations choose the same ids. Each asks for the other's batch and items, and a caller
+// without a key asks for those of both.
 func TestBatchesAreIsolatedByOrganisation(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 2, engines: 2, eventInterval: 15 * time.Millisecond})
@@ -272,7 +277,7 @@
 		}
 	}
 	s.submitUntilAccepted(batchB)
-	s.readAll(batchB) // checks that their texts have their own lengths
+	s.readAll(batchB) // readAll also checks the length of each text, which differs between the two batches
 	s.readAll(batchA)
 	for _, it := range batchA.Items {
 		if got := organisationsOf(s.engines, it.ID); !slices.Contains(got, orgA) || !slices.Contains(got, orgB) {
@@ -287,7 +292,7 @@
 	}
 }
 
-// A batch on a public route is read without a key, and by its id alone.
+// A batch on a public route is read without a key, by its id alone.
 func TestPublicBatches(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 1, engines: 1})
@@ -305,11 +310,10 @@
 	}
 }
 
-// Symptom: a caller goes on with a key that was taken away, or is refused with one that
-// has just been added.
-// Sequence: on one connection, configurations take the key away, give it to another
-// organisation, give it back; an organisation loses all its keys and comes back; one
-// configuration is refused.
+// Guards against a caller that can still use a revoked key, or that is refused with a new one.
+//
+// On a persistent connection, configurations revoke the key, assign it to another organisation, and
+// restore it; an organisation loses all its keys and gets them back; one configuration is rejected.
 func TestKeyChangesTakeEffect(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 2, engines: 2, plainTargets: 1, eventInterval: 20 * time.Millisecond})
@@ -346,12 +350,12 @@
 	set(organisation(orgA, 1), organisation(orgB, 2, keyB))
 	expect("all its keys are gone", keyA2, http.StatusUnauthorized, "")
 	s.store.Put("config", "main", map[string]any{"version": 50, "tenants": []map[string]any{organisation(orgA, 1, keyA), organisation(orgB, 1, keyA)}})
-	time.Sleep(time.Second) // it is refused as a whole
+	time.Sleep(time.Second) // the configuration is rejected as a whole
 	expect("a configuration that was refused", keyB, http.StatusOK, orgB)
 	s.config["version"] = 60
 	set(organisation(orgA, 1, keyA, keyA2), organisation(orgB, 2, keyB))
 	expect("back", keyA, http.StatusOK, orgA)
-	// A key that was taken away ends no batch.
+	// A batch continues after its key was revoked.
 	s.readAll(b)
 	for _, it := range b.Items {
 		if got := slices.Compact(organisationsOf(s.engines, it.ID)); !slices.Equal(got, []string{orgA}) {
@@ -360,7 +364,7 @@
 	}
 }
 
-// keepAliveConn is a connection that is kept for many requests.
+// keepAliveConn is a persistent connection for many requests.
 type keepAliveConn struct {
 	t    *testing.T
 	conn net.Conn
@@ -401,10 +405,12 @@
 	return resp.StatusCode
 }
 
-// Symptom: callers are turned away for good by an instance that is cut off, with a key
-// that was added meanwhile; or it serves a key for ever that was taken away.
-// Sequence: one instance loses its links to the store and to the others, and the
-// configuration changes.
+// Guards against an instance without a connection to the store that permanently refuses callers
+// with a key that was added meanwhile, or that accepts a revoked key forever.
+//
+// The only instance loses its link to the store. It must answer 503 for a key that it does not
+// know, accept a known key only for the time set by key_trust_ms, and answer 401 again once the
+// link has recovered.
 func TestPartitionedInstanceDoesNotRejectKeys(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 1, engines: 1, plainTargets: 1, links: true, bounds: map[string]any{"key_trust_ms": 4000}})
--- a/systemtest/resultpages_test.go
+++ b/systemtest/resultpages_test.go
@@ -9,13 +9,13 @@
 	"currantford/platform/standin"
 )
 
-// Symptom: on machines with weak links a step's chunks and the lease's renewals are
-// late while other callers read results.
-// Sequence: a step is listed and read by many, from its beginning each time; the
-// coordinator's link has no room for all these pages.
-// Cause: every page passed the coordinator. Beyond a part of its link it says where
-// the results lie in the store, and whoever was asked reads them there; while the
-// store is away it gives them itself.
+// Guards against late result chunks and lease renewals on machines with slow links while other
+// callers read results.
+//
+// A step is listed and read by many callers, each from the first result on, and the coordinator's
+// link cannot carry all these pages. Above a share of its link, the coordinator therefore answers
+// with the location of the results in the store, and the instance that was asked reads them there.
+// While the store is down, the coordinator sends the results itself.
 func TestResultPagesBypassCoordinatorLink(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3, linkMbps: 0.01})
