--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -28,8 +28,8 @@
 //
 // The store executes writes and loses their answers, or executes them 700 ms late. The entry
 // instance that received the batch retries, and the caller submits the batch again at another one.
-// The batch must survive if a lost answer is mistaken for a refusal, or if a late duplicate write
-// of a chunk of results would list items twice.
+// The fault occurs if a lost answer is taken for a refusal, or if a late duplicate write of a chunk
+// of results lists items twice.
 func TestLostAndDelayedWriteResponses(t *testing.T) {
 	for _, delay := range []time.Duration{0, 700 * time.Millisecond} {
 		t.Run(fmt.Sprint("late_", delay), func(t *testing.T) {
--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -92,8 +92,8 @@
 		usageWindowS float64
 		// autoscale lets the entries order engines; each order starts them.
 		autoscale bool
-		// hubsFrom is from how many entries on some pass the coordinator's news on.
-		hubsFrom int
+		// hubThreshold is from how many entries on some pass the coordinator's news on.
+		hubThreshold int
 		// memoryMB is the entries' memory limit, 200 if it is not given.
 		memoryMB       int
 		weightLoadTime time.Duration
@@ -123,7 +123,7 @@
 		controlAddr  string // its address
 		cores        []float64
 		linkMbps     float64
-		hubsFrom     int
+		hubThreshold int
 		memoryMB     int
 	}
 
@@ -242,7 +242,7 @@
 	if o.valueBytes == 0 {
 		o.valueBytes = 1 << 20
 	}
-	s := &deployment{t: t, store: standin.NewStore(), valueBytes: o.valueBytes, links: o.links, storeProxies: o.storeProxies, policy: o.policy, bounds: o.bounds, usageWindowS: o.usageWindowS, autoscale: o.autoscale, cores: o.cores, linkMbps: o.linkMbps, hubsFrom: o.hubsFrom, memoryMB: cmp.Or(o.memoryMB, 200)}
+	s := &deployment{t: t, store: standin.NewStore(), valueBytes: o.valueBytes, links: o.links, storeProxies: o.storeProxies, policy: o.policy, bounds: o.bounds, usageWindowS: o.usageWindowS, autoscale: o.autoscale, cores: o.cores, linkMbps: o.linkMbps, hubThreshold: o.hubThreshold, memoryMB: cmp.Or(o.memoryMB, 200)}
 	s.storeAddr = serve(t, s.store)
 	if o.usageWindowS > 0 || o.autoscale {
 		s.control = standin.NewControlPlane(3 * time.Second)
@@ -328,8 +328,8 @@
 		"memory": map[string]any{"limit_mb": s.memoryMB},
 		"policy": s.policy,
 	}
-	if s.hubsFrom > 0 {
-		settings["members"] = map[string]any{"hubs_from": s.hubsFrom}
+	if s.hubThreshold > 0 {
+		settings["members"] = map[string]any{"hubs_from": s.hubThreshold}
 	}
 	if s.autoscale {
 		settings["control"] = map[string]any{"addr": s.controlAddr, "duties": []string{"autoscale"}}
--- a/systemtest/proxy_test.go
+++ b/systemtest/proxy_test.go
@@ -8,13 +8,12 @@
 )
 
 type (
-	// linkFaults are what a link does to its bytes. Held bytes are not lost:
-	// they arrive, late, when the link heals, as through a cut network.
+	// linkFaults are the faults that a link injects. Held bytes are not lost: as in a network
+	// partition, they arrive when the link recovers.
 	linkFaults struct {
-		// HoldUp and HoldDown keep back what flows to the server and to the
-		// client.
+		// HoldUp and HoldDown hold the bytes that flow to the server and to the client.
 		HoldUp, HoldDown bool
-		// Delay is added to each way.
+		// Delay is added in each direction.
 		Delay time.Duration
 	}
 
@@ -25,15 +24,15 @@
 		goroutines sync.WaitGroup
 
 		mu            sync.Mutex
-		ln            net.Listener // nil while nothing listens
+		ln            net.Listener // nil while the proxy does not listen
 		faults        linkFaults
-		faultsChanged chan struct{} // closed at each change of the faults
+		faultsChanged chan struct{} // closed at each change of faults
 		conns         map[*net.TCPConn]bool
 		closed        bool
 	}
 )
 
-// newTCPProxy starts a link to a server; a test's end closes it.
+// newTCPProxy starts a link to a server. It is closed at the end of the test.
 func newTCPProxy(t *testing.T, server string) *tcpProxy {
 	t.Helper()
 	p := &tcpProxy{address: freeAddr(t), server: server, faultsChanged: make(chan struct{}), conns: map[*net.TCPConn]bool{}}
@@ -52,7 +51,7 @@
 	return p
 }
 
-// listen takes connections until the listener is closed.
+// listen accepts connections until the listener is closed.
 func (p *tcpProxy) listen() error {
 	ln, err := net.Listen("tcp", p.address)
 	if err != nil {
@@ -65,7 +64,7 @@
 		for {
 			c, err := ln.Accept()
 			if err != nil {
-				return // closed
+				return // the listener was closed
 			}
 			p.goroutines.Go(func() { p.forward(c.(*net.TCPConn)) })
 		}
@@ -75,15 +74,15 @@
 
 func (p *tcpProxy) addr() string { return p.address }
 
-// setListening ends or takes up the serving of the address, as with the server's process:
-// while it is off, connections are refused.
+// setListening starts or stops listening on the address, as a start or an end of the server's
+// process would. While the proxy does not listen, connections are refused.
 func (p *tcpProxy) setListening(on bool) {
 	p.mu.Lock()
 	ln, closed := p.ln, p.closed
 	p.mu.Unlock()
 	switch {
 	case on && ln == nil && !closed:
-		_ = p.listen() // the port is the proxy's own
+		_ = p.listen() // the port is reserved for this proxy
 	case !on && ln != nil:
 		_ = ln.Close()
 		p.awaitRefused()
@@ -96,9 +95,9 @@
 	}
 }
 
-// awaitRefused waits until the address takes no connections. A process that another test
-// starts holds the listener that was closed until it has replaced its program, and a target
-// would seem to outlive its connections meanwhile.
+// awaitRefused waits until the address refuses connections. Without it a target would seem to
+// outlive its connections: a process that another test has forked keeps the closed listener open
+// until its exec.
 func (p *tcpProxy) awaitRefused() {
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.address)
@@ -118,17 +117,17 @@
 	p.faultsChanged = make(chan struct{})
 }
 
-// reset breaks the open connections, with what is held in them.
+// reset resets the open connections and discards the bytes held in them.
 func (p *tcpProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		_ = c.SetLinger(0) // a reset instead of an orderly end
+		_ = c.SetLinger(0) // sends a RST instead of a FIN
 		_ = c.Close()
 	}
 }
 
-// track notes a connection, false once the proxy has closed.
+// track records connections for reset. It returns false once the proxy is closed.
 func (p *tcpProxy) track(cs ...*net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +167,8 @@
 	wg.Wait()
 }
 
-// copyDirection carries one direction until its source ends, which it passes on.
+// copyDirection copies one direction until its source ends, and then closes that direction of the
+// destination.
 func (p *tcpProxy) copyDirection(from, to *net.TCPConn, held func(linkFaults) bool) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -187,7 +187,7 @@
 	}
 }
 
-// awaitFlow returns when the link lets bytes through.
+// awaitFlow waits until the link passes bytes in a direction.
 func (p *tcpProxy) awaitFlow(held func(linkFaults) bool) {
 	for {
 		p.mu.Lock()
--- a/systemtest/quarantine_test.go
+++ b/systemtest/quarantine_test.go
@@ -14,13 +14,13 @@
 	"currantford/platform/standin"
 )
 
-// startWithCrashes starts a site whose targets crash.
+// startWithCrashes starts a deployment whose targets can crash.
 func startWithCrashes(t *testing.T, entries, engines, plains int) *deployment {
 	t.Helper()
 	return startDeployment(t, options{entries: entries, engines: engines, plainTargets: plains, crashDowntime: crashDowntime})
 }
 
-// awaitMembership waits until each entry knows of all.
+// awaitMembership waits until each entry instance lists all entry instances.
 func (s *deployment) awaitMembership() {
 	s.t.Helper()
 	eventually(s.t, "entries that know of each other", func() bool {
@@ -42,7 +42,8 @@
 	})
 }
 
-// quarantine sends a request until it has crashed three targets.
+// quarantine sends a request until it has crashed three targets, so that it is quarantined ("held"
+// in answers and logs).
 func (s *deployment) quarantine(body string) {
 	s.t.Helper()
 	eventually(s.t, "three crashes", func() bool {
@@ -55,14 +56,14 @@
 	s.awaitTargets(s.plainTargets)
 }
 
-// checkRefusedAt checks that an instance refuses a request truthfully, at once and with the
-// time to come back, and sends it nowhere.
+// checkRefusedAt checks that an instance refuses a quarantined request immediately, with the true
+// reason and a Retry-After, and does not send it to a target.
 func (s *deployment) checkRefusedAt(e *entry, body string) {
 	s.t.Helper()
 	s.checkRefusedPath(e, plainPrefix+"bids", body)
 }
 
-// checkRefusedPath is checkHeldAt for any path.
+// checkRefusedPath does the checks of checkRefusedAt for any path.
 func (s *deployment) checkRefusedPath(e *entry, path, body string) {
 	s.t.Helper()
 	before := len(s.runStartTimes(body))
@@ -77,10 +78,11 @@
 	}
 }
 
-// Symptom: a request that is held crashes targets again.
-// Sequence: the instances that saw its crashes are stopped and started in turn, then all
-// are killed at once; it comes again at each that has just started.
-// Cause guarded against: what is held lived in the memory of those that learned it.
+// Guards against a quarantined request that crashes targets again after a restart.
+//
+// The instances that observed its crashes are stopped and started one after another, then all are
+// killed at once; the request is sent to each instance that has just started. The fault occurs if
+// the quarantine exists only in the memory of the instances that observed the crashes.
 func TestQuarantineSurvivesRestarts(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 3, 1, 3)
@@ -111,11 +113,11 @@
 	}
 }
 
-// Symptom: as above.
-// Sequence: the store is away while the request crashes its targets; one instance is
-// frozen meanwhile, and then the coordinator is killed.
-// Cause guarded against: what one instance learns reaches the others by the store, or by
-// the coordinator alone.
+// Guards against a quarantined request that crashes targets again during a store outage.
+//
+// The store is down while the request crashes its targets, one instance is frozen meanwhile, and
+// then the coordinator is killed. The fault occurs if an observation reaches other instances only
+// through the store or only through the coordinator.
 func TestQuarantineDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 4, 1, 6)
@@ -154,8 +156,8 @@
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
-// checkRetryDelays checks that work which crashes each target was tried as often as its pauses allow:
-// three times at once, and then after 1, 2, 4, 4, ... s for as long as it is owed.
+// checkRetryDelays checks that work which crashes every target was retried as often as its backoff
+// allows: three attempts without delay, then after 1, 2, 4, 4, ... s until its deadline.
 func (s *deployment) checkRetryDelays(body string, minRuns, maxRuns int) {
 	s.t.Helper()
 	runs, crashes := s.runStartTimes(body), s.crashesOf(body)
@@ -170,13 +172,13 @@
 	}
 }
 
-// Guards against: an item, or its reward call, that crashes target after target, and one that is
-// not tried again for as long as its batch waits for it. Callers' requests of the same body are
-// held all the same.
+// Guards against an item, or its reward call, that crashes target after target without a delay, and
+// against one that is not retried for as long as its batch waits for it. A caller's request with
+// the same body must still be quarantined.
 func TestCrashingItemsAreRetriedWithBackoff(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, plainTargets: 4, crashDowntime: crashDowntime, config: func(c map[string]any) {
-		c["routes"].([]map[string]any)[0]["max-wait-s"] = 9.0 // and 5 s more, for the instances' clocks
+		c["routes"].([]map[string]any)[0]["max-wait-s"] = 9.0 // the allowance for clock differences between instances adds 5 s
 	}})
 	b := withRewards(newStep("b-crash", "m0", 4, 3, 12))
 	item, call := standin.CrashingBody+" item", standin.CrashingBody+" reward"
@@ -193,7 +195,8 @@
 	s.checkRetryDelays(item, 6, 7)
 	s.checkRetryDelays(call, 6, 7)
 
-	// One crash under a caller's request shows that it is not that of one caller alone.
+	// One crash under a caller's own request shows that the content crashes targets regardless of
+	// who sends it; from then on it is quarantined for every caller.
 	before := len(s.crashesOf(call))
 	s.awaitTargets(s.plainTargets)
 	s.entries[0].post(b.Items[7].Reward.Path, "call-of-a-caller", call)
@@ -207,9 +210,10 @@
 	}
 }
 
-// Symptom: callers of a popular request are refused.
-// Sequence: most targets are lost at once, each with many equal requests; three times.
-// Cause guarded against: their crashes taken for the request's doing.
+// Guards against the refusal of a request that many callers send.
+//
+// Most targets crash at once, each while it runs many identical requests, and this happens three
+// times. The fault occurs if the crashes are attributed to the request.
 func TestIdenticalRequestsAreNotQuarantined(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 3, 1, 6)
@@ -227,7 +231,8 @@
 	}
 }
 
-// Guards against: the same at an instance that has started since it was served last.
+// Guards against the same refusal by an instance that has restarted since the request last
+// succeeded.
 func TestIdenticalRequestsAreNotQuarantinedAfterRestart(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 3, 1, 3)
@@ -237,7 +242,7 @@
 			e := s.entries[n%len(s.entries)]
 			e.kill()
 			for _, p := range s.plainTargets {
-				p.SetFaults(standin.EngineFaults{SlowFactor: 100}) // it has runs under way and none that has ended
+				p.SetFaults(standin.EngineFaults{SlowFactor: 100}) // the target then has unfinished runs and no completed one
 			}
 			e.start()
 			e.awaitReady()
@@ -255,14 +260,15 @@
 	}
 }
 
-// identicalAnswers count the answers to equal requests, and those that say that they are held.
+// identicalAnswers counts the answers to identical requests by status, and those that report a
+// quarantined request.
 type identicalAnswers struct {
 	mu       sync.Mutex
 	statuses map[int]int
 	held     int
 }
 
-// sendIdentical sends equal requests to all instances while play runs.
+// sendIdentical sends identical requests to all instances while during runs.
 func (s *deployment) sendIdentical(during func()) *identicalAnswers {
 	stop := make(chan struct{})
 	a := &identicalAnswers{statuses: map[int]int{}}
@@ -278,7 +284,7 @@
 				}
 				r, err := e.do(http.MethodPost, plainPrefix+"popular", fmt.Sprintf("popular-%d-%d", i, n), []byte("the same"), "Currantford-Deadline-Ms", "1500")
 				if err != nil {
-					time.Sleep(probeInterval) // it is down
+					time.Sleep(probeInterval) // the instance is down
 				}
 				a.mu.Lock()
 				if err == nil {
@@ -297,7 +303,7 @@
 	return a
 }
 
-// An operator frees a request by its digest, at any instance.
+// An operator can release a quarantined request by its digest at any instance.
 func TestOperatorReleasesQuarantinedRequest(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 2, 1, 3)
@@ -318,7 +324,7 @@
 	}
 }
 
-// A stream that crashes each engine is held as other requests are; a sound one is whole.
+// A stream that crashes each engine is quarantined like other requests; other streams are complete.
 func TestCrashingStreamIsQuarantined(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, plainTargets: 1, crashDowntime: crashDowntime, config: func(c map[string]any) {
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -12,7 +12,7 @@
 	"currantford/platform/standin"
 )
 
-// restartAll kills every process and starts them again.
+// restartAll kills all processes and starts them again.
 func (s *deployment) restartAll() {
 	s.t.Helper()
 	for _, e := range s.entries {
@@ -26,18 +26,19 @@
 	}
 }
 
-// Symptom: a step is lost, or an item is listed twice, when the coordinator
-// dies in mid-step.
-// Sequence: a batch is accepted and half run; the coordinator is killed with
-// SIGKILL; another entry takes the lease and runs what is not listed.
-// Cause guarded against: results kept in memory alone, or a successor that
-// lists items without having read the chunks before.
+// Guards against a step that is lost, or an item that is listed twice, if the coordinator dies
+// during the step.
+//
+// A batch is accepted and half of it has started when the coordinator is killed with SIGKILL;
+// another entry instance acquires the lease and runs the items that are not listed yet. The fault
+// occurs if results exist only in memory, or if the successor lists items before it has read the
+// existing chunks.
 func TestCoordinatorKilledDuringStep(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3, eventInterval: 30 * time.Millisecond})
 	b := newStep("b1", "m0", 14, 4, 20)
 	s.submitUntilAccepted(b)
-	// Results are listed together, so what has run tells that the step is halfway.
+	// Results are listed in chunks, so the started runs show the progress of the step.
 	begun := func() int { return len(s.engineRuns()) }
 	eventually(t, "half of the step", func() bool { return begun() >= len(b.Items)/2 })
 	killed := s.coordinator()
@@ -51,10 +52,11 @@
 	}
 }
 
-// Symptom: after a crash of the coordinator a long text begins anew, and its
-// step is late by all the time it had taken.
-// Sequence: items of many events run; the coordinator is killed in mid-text;
-// its successor finds what a neighbour has copied and resumes there.
+// Guards against long texts that start again after a crash of the coordinator, which delays their
+// step by all the time spent on them.
+//
+// Items with many events are running when the coordinator is killed. Its successor gets the copies
+// that another instance keeps and resumes from them.
 func TestLongTextsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, eventInterval: 20 * time.Millisecond})
@@ -67,12 +69,12 @@
 	s.checkResumed(20)
 }
 
-// Symptom: two holders' orders reach one engine within the time that must lie
-// between them, or with falling numbers.
-// Sequence: the coordinator is frozen by SIGSTOP while versions are named;
-// another entry takes over and orders; the frozen one wakes up.
-// Cause guarded against: a holder that trusts its own clock after a pause, and
-// a successor that orders at once.
+// Guards against orders of two coordinators that reach one engine without the required time between
+// them, or with decreasing fencing numbers.
+//
+// The coordinator is frozen by SIGSTOP while versions are announced; another entry instance takes
+// over and sends orders; the frozen one continues. The fault occurs if a coordinator trusts its own
+// clock after a pause, or if its successor sends orders immediately.
 func TestFrozenCoordinatorSendsNoStaleOrders(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, weightLoadTime: 50 * time.Millisecond})
@@ -89,8 +91,8 @@
 	checkWeightOrders(t, s)
 }
 
-// Symptom: batches are lost when every process dies at once.
-// Sequence: all entries are killed right after an acceptance, and start again.
+// Guards against the loss of batches if all processes die at once: all entry instances are killed
+// right after an acceptance and start again.
 func TestAllInstancesKilledAfterAcceptance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2})
@@ -100,11 +102,12 @@
 	s.readAll(b)
 }
 
-// Symptom: a step waits for the whole of a store's outage and then begins anew.
-// Sequence: the store is down for 4 s in mid-step, longer than the lease is
-// valid, and then back; what the engines finish meanwhile is listed afterwards.
-// Cause: a coordinator that could not renew its lease dropped its runs and what
-// they had finished, though nobody else could take the lease either.
+// Guards against a step that makes no progress during a store outage and starts again after it.
+//
+// The store is down for 4 s during a step, longer than the lease is valid, and then recovers; the
+// results that engines complete meanwhile are listed afterwards. The fault occurs if a coordinator
+// that cannot renew its lease drops its runs and their results, although no other instance can
+// acquire the lease either.
 func TestStoreOutageDuringStep(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, eventInterval: 30 * time.Millisecond})
@@ -121,10 +124,11 @@
 	s.checkRanOnce()
 }
 
-// Symptom: after the loss of all instances at once a step is late by all the time
-// that its long texts had taken.
-// Sequence: items of many events run; every process is killed in mid-text, the
-// neighbour's copies with them; they start again.
+// Guards against long texts that start again after the loss of all instances, which delays their
+// step by all the time spent on them.
+//
+// Items with many events are running when all processes are killed, including the instance that
+// keeps the copies; then they start again.
 func TestLongTextsSurviveLossOfAllInstances(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
@@ -136,11 +140,12 @@
 	s.checkResumed(30)
 }
 
-// Symptom: on a site of unlike machines nine steps of ten are lost, though none of
-// its machines fails.
-// Sequence: a weak instance takes the duty first, or after the loss of the strong
-// one; the strong one is there, or comes back.
-// Cause: whoever wrote first kept the coordinator's duty, whatever it can carry.
+// Guards against the loss of nine in ten steps in a deployment of machines with different capacity,
+// although no machine fails.
+//
+// An instance of low capacity acquires the lease first, or after the loss of the most capable one,
+// while that one is running or comes back. The fault occurs if the first instance that writes the
+// lease keeps it regardless of its capacity.
 func TestLeaseMovesToMostCapableInstance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, cores: []float64{0.1, 0.1, 0.8}})
@@ -170,7 +175,7 @@
 	}
 }
 
-// resolvedAddrs returns the addresses that an instance names to callers.
+// resolvedAddrs returns the answer of an instance's directory with the addresses for callers.
 func resolvedAddrs(e *entry) string {
 	resp, err := http.Get("http://" + e.directoryAddr + "/currantford/resolve?zone=domain-a")
 	if err != nil {
@@ -181,11 +186,11 @@
 	return string(raw)
 }
 
-// Symptom: callers are sent to a machine that has been off for seconds.
-// Sequence: an instance is lost; the coordinator's duty moves to another one and
-// back.
-// Cause: an instance that took the duty again began with the list that the first
-// coordinator had told it, and counted everyone in it as just heard of.
+// Guards against callers that are sent to a machine which has been down for seconds.
+//
+// An instance is lost, and the coordinator's lease moves to another instance and back. The fault
+// occurs if an instance that becomes coordinator again starts from the list of its previous term
+// and treats every instance in it as recently seen.
 func TestDirectoryDropsDeadInstanceWhenLeaseReturns(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 1})
@@ -220,8 +225,8 @@
 	first.signal(syscall.SIGCONT)
 }
 
-// Guards against: an instance that has ended named again by a coordinator that was frozen when
-// it was dropped, and by the next one, which adopts that one's list.
+// Guards against a dead instance that is listed again by a coordinator which was frozen when the
+// instance was dropped, and by the next coordinator, which adopts that list.
 func TestFrozenInstanceDropsDeadInstance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 1})
@@ -241,7 +246,7 @@
 	frozen.signal(syscall.SIGCONT)
 	s.awaitCoordinator(next.id)
 	next.signal(syscall.SIGCONT)
-	time.Sleep(700 * time.Millisecond) // the list is told
+	time.Sleep(700 * time.Millisecond) // the list reaches the other instances within this time
 	for _, e := range []*entry{frozen, next} {
 		if strings.Contains(resolvedAddrs(e), dead.callerAddr) {
 			t.Errorf("%s names the dead instance again", e.id)
@@ -249,8 +254,8 @@
 	}
 }
 
-// An engine whose entry lapses and comes back while its runs are under way ends the
-// coordinator's process.
+// Guards against a crash of the coordinator's process when an engine's entry in the instance list
+// expires and returns while the engine has runs.
 func TestEngineEntriesExpireDuringRuns(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, eventInterval: 20 * time.Millisecond})
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -40,7 +40,7 @@
 	return n
 }
 
-// responseStamp returns the mark of a target's answer to a request that ran once.
+// responseStamp returns the stamp of a target's answer to a request that ran once.
 func responseStamp(es []*standin.Engine, id string) string {
 	for _, e := range es {
 		for _, r := range e.Runs() {
@@ -72,9 +72,8 @@
 	}
 }
 
-// Symptom: callers get 404 for what the configuration allows, at an instance
-// that has just started.
-// Sequence: an instance starts while the store is down.
+// Guards against 404 answers for routes that exist, from an instance that has just started and has
+// no configuration yet because the store is down.
 func TestMissingConfigurationReturnsUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 1)
@@ -98,10 +97,10 @@
 	}
 }
 
-// Symptom: a bid is recorded twice, or refused although it was recorded.
-// Sequence: targets take the bid and break the connection, or answer as if to
-// another request.
-// Cause guarded against: a retry of what may have run, a 503 for it.
+// Guards against a bid that is recorded twice, or refused although it was recorded.
+//
+// Targets accept the bid and answer with the id of another request, or are at capacity. The fault
+// occurs if a bid that may have run is retried, or is answered with 503.
 func TestBidRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 3)
@@ -124,9 +123,10 @@
 	}
 }
 
-// Symptom: a caller gets another caller's answer.
-// Sequence: one of two targets sends answers of other requests; log readings
-// may be repeated, so each gets its own from the other target.
+// Guards against a caller that gets another caller's answer.
+//
+// One of two targets answers with the ids of other requests. Log readings may be repeated, so each
+// caller gets its own answer from the other target.
 func TestMismatchedAnswersAreNotForwarded(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 2)
@@ -140,7 +140,7 @@
 	}
 }
 
-// Symptom: a target that is leaving gets new work.
+// Guards against new work for a target that is draining.
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 2)
@@ -155,10 +155,10 @@
 	}
 }
 
-// Symptom: a request is run by another service whose target has taken over an
-// address.
-// Sequence: a target is gone and its address belongs to another instance,
-// while the instance list still shows the old one.
+// Guards against a request that runs at another service whose target has taken over an address.
+//
+// A target is gone and its address belongs to a target of another service, while the instance list
+// still shows the old target.
 func TestReusedAddressRunsNoRequest(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 1)
@@ -176,7 +176,7 @@
 	}
 }
 
-// Symptom: a target works on for a caller that has gone.
+// Guards against a target that keeps working for a caller that has disconnected.
 func TestCallerDisconnectCancelsTarget(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 1)
@@ -199,9 +199,10 @@
 	eventually(t, "the target to be free", func() bool { return s.plainTargets[0].Running() == 0 })
 }
 
-// Symptom: a configuration is not in force, or an older one comes back.
-// Sequence: the route moves to another service; the store drops its history,
-// then the coordinator is frozen, so that the others must watch by themselves.
+// Guards against a configuration that does not come into force, or an older one that returns.
+//
+// The route is removed, and the store drops its history; then the coordinator is frozen, so that
+// the other instances have to watch the store themselves, and the route is added again.
 func TestConfigurationReachesAllInstances(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 1, plainTargets: 1})
@@ -245,9 +246,10 @@
 	}
 }
 
-// Symptom: a planned stop cuts off requests, or loses the coordinator's work.
-// Sequence: the coordinator gets SIGTERM while requests keep coming on kept
-// connections and a step runs.
+// Guards against a graceful shutdown that interrupts requests or loses the coordinator's work.
+//
+// The coordinator gets SIGTERM while requests keep arriving on persistent connections and a step is
+// running.
 func TestGracefulShutdownInterruptsNothing(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
@@ -270,7 +272,7 @@
 					if countRuns(s.plainTargets, id) > 0 {
 						t.Errorf("%s was cut off: %v", id, err)
 					}
-					return // it does not listen any more
+					return // the instance does not listen any more
 				}
 				if r.status != http.StatusOK {
 					t.Errorf("%s: %d", id, r.status)
@@ -300,7 +302,8 @@
 	}
 }
 
-// The store sees few calls while nothing happens, however many entries run.
+// An idle deployment makes few store calls, and their number does not grow with the number of entry
+// instances.
 func TestIdleDeploymentMakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	calls := func(entries int) int {
--- a/systemtest/reward_test.go
+++ b/systemtest/reward_test.go
@@ -9,7 +9,7 @@
 	"currantford/platform/standin"
 )
 
-// A calm step with rewards: every result has the score of its own text.
+// Without faults, each result of a step with rewards has the score of its own text.
 func TestScoredStepIsCompleted(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 3})
@@ -23,11 +23,11 @@
 	}
 }
 
-// Symptom: after the loss of a coordinator texts that were complete are generated
-// again.
-// Sequence: the service for rewards turns everything away, so complete texts wait
-// for their scores; the coordinator is killed; the service comes back.
-// Cause guarded against: a text that is kept as complete only once it is listed.
+// Guards against complete texts that are generated again after the loss of a coordinator.
+//
+// The reward service is at capacity, so complete texts wait for their scores; the coordinator is
+// killed; the service recovers. The fault occurs if a text counts as complete only once it is
+// listed.
 func TestCompleteTextsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 2})
@@ -43,7 +43,7 @@
 		}
 		return complete == len(b.Items)
 	})
-	time.Sleep(time.Second) // a neighbour is told within it
+	time.Sleep(time.Second) // the instance that keeps the copies receives them within this time
 	old := s.coordinator()
 	old.kill()
 	s.awaitCoordinator(old.id)
@@ -52,10 +52,10 @@
 	s.checkRanOnce()
 }
 
-// Symptom: a step stands still because one of its reward calls always fails, or
-// an item is given up after a single failure.
-// Sequence: the reward call of one item fails at every target; those of the others
-// are answered.
+// Guards against a step that makes no progress because one of its reward calls always fails, and
+// against an item that is abandoned after a single failure.
+//
+// The reward call of one item fails at every target; those of the other items succeed.
 func TestFailingRewardStopsAfterMaxAttempts(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 3})
@@ -73,11 +73,12 @@
 	}
 }
 
-// Symptom: a sample bears the score of another sample, or of no answer at all.
-// Sequence: the targets answer as if to another request, say nothing, break, or
-// turn away, one kind of trouble after the other; the batch's rewards are asked
-// for all the while.
-// Cause guarded against: taking an answer by its connection alone.
+// Guards against a sample with the score of another sample, or with a score that no answer
+// contains.
+//
+// While a batch waits for its rewards, the targets answer with the ids of other requests, do not
+// answer, answer with 502, or are at capacity, one fault after the other. The fault occurs if an
+// answer is attributed by its connection alone.
 func TestScoreMatchesItsRewardCall(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 3})
@@ -95,9 +96,10 @@
 	}
 }
 
-// Symptom: reward calls of a batch run after its end was acknowledged.
-// Sequence: complete texts wait for a service that turns everything away; the
-// trainer ends the batch; the service comes back, and the coordinator is killed.
+// Guards against reward calls of a batch that run after its deletion was acknowledged.
+//
+// Complete texts wait for a service that is at capacity; the trainer deletes the batch; the service
+// recovers, and the coordinator is killed.
 func TestDeletedBatchSendsNoRewardCalls(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 2})
@@ -122,9 +124,10 @@
 	}
 }
 
-// Symptom: a group that comes back in a later step is generated and scored anew.
-// Sequence: a batch is ended while complete texts wait for their rewards; its
-// items are asked for again by the next batch.
+// Guards against a group that is generated and scored again when a later step contains it again.
+//
+// A batch is deleted while complete texts wait for their rewards, and the next batch contains the
+// same items.
 func TestCompleteTextsAreReusedInNextStep(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 2})
@@ -143,9 +146,10 @@
 	s.checkRanOnce()
 }
 
-// Symptom: reward calls go to a service that the route has left, or stop.
-// Sequence: the route of reward calls is removed while texts wait for their
-// rewards, and comes back to another service.
+// Guards against reward calls that go to a service which their route no longer names, or that stop.
+//
+// The route of reward calls is removed while texts wait for their rewards, and is added again with
+// another path.
 func TestRewardCallsFollowRouteChanges(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, plainTargets: 2})
@@ -175,7 +179,7 @@
 	s.readAll(b)
 }
 
-// A reward call that nobody could send is no part of a batch.
+// A batch with a reward call that could not be sent is refused.
 func TestMalformedRewardIsRejected(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 1, engines: 1, plainTargets: 1})
--- a/systemtest/runner_test.go
+++ b/systemtest/runner_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// weakCores are shares of a core with which no instance holds all streams itself.
+// weakCores are CPU shares so low that no instance can hold all streams of a step itself.
 var weakCores = []float64{0.005, 0.005, 0.005, 0.005}
 
-// streamHosts returns the other entries that have held streams, as the coordinator's log
-// shows it.
+// streamHosts returns the entry instances, other than the coordinator, that have held streams
+// according to the coordinator's log.
 func (s *deployment) streamHosts() []*entry {
 	c := s.coordinator()
 	raw, err := os.ReadFile(c.logPath)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// awaitCoordinatorMembership waits until the coordinator knows every entry.
+// awaitCoordinatorMembership waits until the coordinator lists all entry instances.
 func (s *deployment) awaitCoordinatorMembership() {
 	s.t.Helper()
 	eventually(s.t, "all entries in the coordinator's list", func() bool {
@@ -46,11 +46,12 @@
 	})
 }
 
-// Symptom: a step is never whole, or a text has a gap, where weak instances divide
-// the streams of its runs.
-// Sequence: an instance that holds streams is killed in mid-step, another frozen for
-// longer than its coordinator waits.
-// Cause guarded against: runs that end with their holder, or go on at two engines.
+// Guards against a step that never completes, or a text with a gap, where instances of low capacity
+// share the streams of its runs.
+//
+// During a step one instance that holds streams is killed, and another is frozen for longer than
+// the coordinator waits. The fault occurs if runs end with the instance that holds their streams,
+// or continue at two engines.
 func TestStreamsSurviveLossOfStreamHosts(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 4, eventInterval: 30 * time.Millisecond, cores: weakCores})
@@ -68,9 +69,11 @@
 	s.readAll(b)
 }
 
-// Symptom: after a crash of the coordinator the texts whose streams others held begin
-// anew, or run twice.
-// Sequence: weak instances hold the streams; the coordinator is killed in mid-text.
+// Guards against texts whose streams are held by other instances and that start again, or run
+// twice, after a crash of the coordinator.
+//
+// Instances of low capacity hold the streams; the coordinator is killed while the texts are
+// generated.
 func TestHostedStreamsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 4, eventInterval: 20 * time.Millisecond, cores: weakCores})
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -99,7 +99,7 @@
 		o.crashDowntime = crashDowntime
 	}
 	if seed >= firstHubSeed {
-		o.entries, o.hubsFrom = 7, 4
+		o.entries, o.hubThreshold = 7, 4
 	}
 	if seed >= firstEndlessSeed {
 		o.memoryMB = maxMemory >> 20
--- a/systemtest/startup_test.go
+++ b/systemtest/startup_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// probeDuration is how long a started instance is sent requests from its start on, each
-	// pressEvery: longer than it may take to become ready.
+	// probeDuration is how long requests are sent to a starting instance, one each probeInterval.
+	// It is longer than an instance may take to become ready.
 	probeDuration = 4 * time.Second
 	probeInterval = 15 * time.Millisecond
 )
 
-// probe sends requests with the bodies to an instance in turn, as a client does that keeps an
-// address and asks nobody whether the instance is ready. It returns the statuses by body, and
-// how long it took until a sound request was served.
+// probe sends requests with the given bodies in turn, as a client does that has an instance's
+// address and does not check its readiness. It returns the number of answers by status, and the
+// time until another request with a harmless body first succeeded.
 func (e *entry) probe(bodies []string) (statuses map[int]int, served time.Duration) {
 	statuses = map[int]int{}
 	began := time.Now()
@@ -40,13 +40,13 @@
 	return statuses, served
 }
 
-// startCases are ways in which instances start beside others.
+// startCases are the conditions under which instances start while others run.
 var startCases = map[string]startCase{
 	"one":                     {down: oneInstance},
 	"one and the coordinator": {down: func(s *deployment) []*entry { return append(oneInstance(s), s.coordinator()) }},
 	"all":                     {down: allInstances},
-	"most, behind hubs":       {hubsFrom: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
-	"all, behind hubs":        {hubsFrom: 4, down: allInstances},
+	"most, behind hubs":       {hubThreshold: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
+	"all, behind hubs":        {hubThreshold: 4, down: allInstances},
 	"one, the store slow": {down: oneInstance, then: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, probeDuration)
 	}},
@@ -75,11 +75,11 @@
 	}},
 }
 
-// startCase is one of them.
+// startCase is one such condition.
 type startCase struct {
-	hubsFrom int
-	// down returns the instances that are killed and start again; before and then are what
-	// happens while they are down, and from their start on.
+	hubThreshold int
+	// down returns the instances that are killed and started again. before runs while they are
+	// down, and then runs as soon as they have been started.
 	down         func(*deployment) []*entry
 	before, then func(s *deployment, down []*entry)
 }
@@ -87,7 +87,7 @@
 func oneInstance(s *deployment) []*entry  { return s.nonCoordinators(1) }
 func allInstances(s *deployment) []*entry { return s.entries }
 
-// nonCoordinators returns so many instances that are not the coordinator.
+// nonCoordinators returns n instances that are not the coordinator.
 func (s *deployment) nonCoordinators(n int) []*entry {
 	c := s.coordinator()
 	return slices.DeleteFunc(slices.Clone(s.entries), func(e *entry) bool { return e == c })[:n]
@@ -101,17 +101,17 @@
 	}
 }
 
-// options returns those of a site for the case.
+// options returns the options of a deployment for the case.
 func (c startCase) options() options {
 	o := options{entries: 5, engines: 1, plainTargets: 4, crashDowntime: crashDowntime, links: true}
-	if c.hubsFrom > 0 {
-		o.entries, o.hubsFrom = 7, c.hubsFrom
+	if c.hubThreshold > 0 {
+		o.entries, o.hubThreshold = 7, c.hubThreshold
 	}
 	return o
 }
 
-// play kills instances and starts them again, and plays use beside each from its start on.
-// Changed is called while they are down.
+// play kills instances and starts them again, and runs afterStart for each, concurrently, as soon
+// as it has been started. If whileDown is not nil, it is called while they are down.
 func (c startCase) play(s *deployment, whileDown func(), afterStart func(e *entry)) {
 	down := slices.Clone(c.down(s))
 	for _, e := range down {
@@ -134,9 +134,9 @@
 	wg.Wait()
 }
 
-// Guards against: an instance that forwards before it knows which requests are held.
+// Guards against an instance that forwards requests before it knows which are quarantined.
 func TestStartingInstanceSendsNoQuarantinedRequest(t *testing.T) {
-	const manyHeld = 18 // more than are told at once
+	const manyHeld = 18 // more than one update contains
 	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -176,8 +176,8 @@
 	}
 }
 
-// Guards against: a key that was taken away and is taken again, or one in force that is
-// denied, by an instance that has just started.
+// Guards against an instance that has just started and accepts a key which was revoked while it was
+// down, or denies a valid key.
 func TestStartingInstanceKnowsValidKeys(t *testing.T) {
 	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +220,7 @@
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
-// quarantineMany has so many requests held, and waits until all instances and the store know.
+// quarantineMany quarantines n requests, and waits until all instances and the store know of it.
 func (s *deployment) quarantineMany(n int) (bodies []string) {
 	s.t.Helper()
 	for i := range n {
--- a/systemtest/storerejection_test.go
+++ b/systemtest/storerejection_test.go
@@ -13,18 +13,19 @@
 	"currantford/platform/standin"
 )
 
-// visibilityDelay is how long after an acceptance, or a read, all instances must know of it.
+// visibilityDelay is the time after an acceptance, or after a read of a result, by which all
+// instances must know of it.
 const visibilityDelay = time.Second
 
-// batchReaders read batches at all instances, over and over, and check that nothing which was
-// accepted or read is denied by any.
+// batchReaders reads batches at all instances repeatedly and checks that no instance denies what
+// was accepted or read before.
 type batchReaders struct {
 	*deployment
 	mu      sync.Mutex
 	batches []*observedBatch
 }
 
-// observedBatch is a batch with what was read of it.
+// observedBatch is a batch with the results that were read so far.
 type observedBatch struct {
 	batch
 	accepted time.Time
@@ -63,7 +64,7 @@
 	sent := time.Now()
 	p, answer, err := e.readResults(b.id, at, wait)
 	if err != nil || answer.status == http.StatusServiceUnavailable || answer.status == http.StatusGatewayTimeout {
-		return // it can't be sure
+		return // the instance cannot answer reliably
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,9 +101,10 @@
 	}
 }
 
-// Guards against: an accepted batch, a result that was read, or an item's body that is denied
-// by an instance which the store turns away, or an item that is left when the coordinator is
-// turned away, or lost besides (replaced). The configuration changes meanwhile and an engine leaves.
+// Guards against an accepted batch, a result that was read, or an item's body that is denied by an
+// instance whose store calls are rejected, and against an item that is not completed after the
+// coordinator's store calls are rejected, or after it is killed as well (replaced). Meanwhile the
+// configuration changes and an engine is drained.
 func TestBatchesWhileStoreRejectsInstances(t *testing.T) {
 	for name, rejection := range map[string]standin.Rejection{
 		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectNoResponse,
@@ -112,9 +114,9 @@
 				t.Parallel()
 				o := options{entries: 6, engines: 6, models: []string{"m0", "m1"}, storeProxies: true, eventInterval: 15 * time.Millisecond}
 				if replaced {
-					o.cores = weakCores // they hold streams for each other
+					o.cores = weakCores // instances hold streams for each other
 				} else {
-					o.policy = map[string]any{"no_store_relay": true} // nobody can pass calls on
+					o.policy = map[string]any{"no_store_relay": true} // no instance can relay store calls for another
 				}
 				s := startDeployment(t, o)
 				playRejections(t, s, rejection, replaced)
@@ -123,8 +125,9 @@
 	}
 }
 
-// playRejections hands in a step every 300 ms, turns half of the instances away and then the
-// coordinator alone, which is killed if replaced, and reads all the while.
+// playRejections submits a step every 300 ms while batches are read at all instances. It rejects
+// the store calls of half of the instances, and then those of the coordinator alone, which is
+// killed if replaced is set.
 func playRejections(t *testing.T, s *deployment, rejection standin.Rejection, replaced bool) {
 	s.awaitMembership()
 	r := &batchReaders{deployment: s}
@@ -137,7 +140,7 @@
 	submit := func() {
 		b := newStep(fmt.Sprintf("b%d", n), fmt.Sprintf("m%d", n%2), 3, 4, 10+n%20)
 		for i := range b.Items {
-			b.Items[i].Body = bytes.Repeat([]byte{byte(i)}, 3000) // they lie in parts
+			b.Items[i].Body = bytes.Repeat([]byte{byte(i)}, 3000) // the bodies are stored in parts
 		}
 		for try := range 40 {
 			if s.entries[(n+try)%len(s.entries)].submit(b).status == http.StatusAccepted {
@@ -197,8 +200,8 @@
 	}
 }
 
-// Guards against: a step whose runs begin again, as the duty moves while the store turns the
-// coordinator and most others away.
+// Guards against a step whose runs start again because the lease moves while the store rejects the
+// calls of all instances but one, the coordinator's among them.
 func TestCoordinatorRelaysThroughConnectedInstance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 6, engines: 3, storeProxies: true, eventInterval: 60 * time.Millisecond})
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -234,7 +234,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			checkUsageDuring(t, options{entries: 7, engines: 1, plainTargets: 3, hubsFrom: 4}, c.inject, c.tolerance)
+			checkUsageDuring(t, options{entries: 7, engines: 1, plainTargets: 3, hubThreshold: 4}, c.inject, c.tolerance)
 		})
 	}
 }
