--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -76,22 +76,22 @@
 		inject func(s *deployment)
 	}{
 		{"calm", func(*deployment) {}},
-		{"none reclaimable", func(s *deployment) { s.control.SetFaults(standin.ControlPlaneFaults{NoSpotCapacity: true}) }},
+		{"no spot capacity", func(s *deployment) { s.control.SetFaults(standin.ControlPlaneFaults{NoSpotCapacity: true}) }},
 		{"answers lost", func(s *deployment) { s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2}) }},
-		{"holder lost before the answer", func(s *deployment) {
+		{"coordinator lost before the answer", func(s *deployment) {
 			s.control.SetFaults(standin.ControlPlaneFaults{Down: true})
-			eventually(s.t, "a kept order", func() bool { return len(s.storedOrders()) > 0 })
+			eventually(s.t, "stored order", func() bool { return len(s.storedOrders()) > 0 })
 			c := s.coordinator()
 			c.kill()
 			s.awaitCoordinator(c.id)
 			s.control.SetFaults(standin.ControlPlaneFaults{})
 		}},
-		{"holder frozen", func(s *deployment) {
-			eventually(s.t, "an order", func() bool { return len(s.control.Orders()) > 0 })
+		{"coordinator frozen", func(s *deployment) {
+			eventually(s.t, "order", func() bool { return len(s.control.Orders()) > 0 })
 			c := s.coordinator()
 			c.signal(syscall.SIGSTOP)
 			s.awaitCoordinator(c.id)
-			eventually(s.t, "an order of the successor", func() bool {
+			eventually(s.t, "order of the successor", func() bool {
 				orders := s.control.Orders()
 				return orders[len(orders)-1].Holder != c.id
 			})
@@ -105,13 +105,13 @@
 			s.submitUntilAccepted(b)
 			c.inject(s)
 			s.readAll(b)
-			eventually(t, "what is kept to be ordered", func() bool {
+			eventually(t, "agreement of received and stored orders", func() bool {
 				last := map[bool]int{}
 				for _, o := range s.control.Orders() {
 					last[o.Spot] = o.Count
 				}
 				stored := s.storedOrders()
-				return len(stored) > 0 && (last[true] == stored[true] || c.name == "none reclaimable") && last[false] == stored[false]
+				return len(stored) > 0 && (last[true] == stored[true] || c.name == "no spot capacity") && last[false] == stored[false]
 			})
 			for _, fault := range s.control.Violations() {
 				t.Error(fault)
--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -20,7 +20,7 @@
 	s.readAll(b)
 	body, err := s.nonCoordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[0].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
-		t.Errorf("body of an item: %q, %v", body.body, err)
+		t.Errorf("body of an item: %q, want \"prompt\"; error %v", body.body, err)
 	}
 }
 
@@ -32,7 +32,7 @@
 // of results lists items twice.
 func TestLostAndDelayedWriteResponses(t *testing.T) {
 	for _, delay := range []time.Duration{0, 700 * time.Millisecond} {
-		t.Run(fmt.Sprint("late_", delay), func(t *testing.T) {
+		t.Run(fmt.Sprint("delay_", delay), func(t *testing.T) {
 			t.Parallel()
 			s := startDeployment(t, options{entries: 3, engines: 3})
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: delay})
@@ -61,7 +61,7 @@
 	s.readAll(b)
 	body, err := s.coordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[200].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
-		t.Errorf("body of an item: %q, %v", body.body, err)
+		t.Errorf("body of an item: %q, want \"prompt\"; error %v", body.body, err)
 	}
 }
 
@@ -79,12 +79,12 @@
 	}
 	for range 6 {
 		if st := <-statuses; st != http.StatusAccepted {
-			t.Errorf("status %d, want 202", st)
+			t.Errorf("submit: status %d, want 202", st)
 		}
 	}
 	s.readAll(b)
 	if n := len(s.store.Names("currantford-batches")); n != 1 {
-		t.Errorf("%d batches in the store", n)
+		t.Errorf("%d batches in the store, want 1", n)
 	}
 }
 
@@ -99,15 +99,15 @@
 	b := newStep("b1", "m0", 2, 2, 5)
 	r := s.nonCoordinator().submit(b)
 	if r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-		t.Errorf("status %d, Retry-After %q; want 503 and a time", r.status, r.header.Get("Retry-After"))
+		t.Errorf("submit during the outage: status %d, Retry-After %q; want 503 and a Retry-After", r.status, r.header.Get("Retry-After"))
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	time.Sleep(1500 * time.Millisecond)
 	if runs := s.engineRuns(); len(runs) != 0 {
-		t.Errorf("%d items of a refused batch ran", len(runs))
+		t.Errorf("%d items of a refused batch ran, want 0", len(runs))
 	}
 	if _, r, _ := s.nonCoordinator().readResults("b1", 0, 0); r.status != http.StatusNotFound {
-		t.Errorf("read of a refused batch: %d, want 404", r.status)
+		t.Errorf("read of a refused batch: status %d, want 404", r.status)
 	}
 }
 
@@ -120,7 +120,7 @@
 	s := startDeployment(t, options{entries: 2, engines: 2})
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	if r := s.nonCoordinator().submit(newStep("b1", "m0", 2, 2, 5)); r.status != http.StatusGatewayTimeout {
-		t.Errorf("status %d, want 504: the write may still take effect", r.status)
+		t.Errorf("submit: status %d, want 504, since the write may still take effect", r.status)
 	}
 }
 
@@ -142,12 +142,12 @@
 		last := 0
 		for _, r := range runs {
 			if r.ResumeAfter != 0 && r.ResumeAfter <= last {
-				t.Errorf("item %s resumed after %d, before after %d", id, r.ResumeAfter, last)
+				t.Errorf("item %s resumed after event %d, its previous run after event %d", id, r.ResumeAfter, last)
 			}
 			last = r.ResumeAfter
 		}
 		if len(runs) < 3 {
-			t.Errorf("item %s of 11 events ran %d times with 4 a run", id, len(runs))
+			t.Errorf("item %s of 11 events ran %d times with 4 events per run, want 3 or more", id, len(runs))
 		}
 	}
 }
@@ -168,7 +168,7 @@
 			s.submitUntilAccepted(b)
 			for _, r := range s.readAll(b) {
 				if r.State != "down" {
-					t.Errorf("item %s is %s", r.ID, r.State)
+					t.Errorf("item %s has state %s, want down", r.ID, r.State)
 				}
 			}
 			for id, runs := range s.engineRuns() {
@@ -191,7 +191,7 @@
 	b := newStep("b1", "m0", 5, 4, 40)
 	s.submitUntilAccepted(b)
 	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
-	eventually(t, "the end's answer", func() bool {
+	eventually(t, "acknowledgement of the deletion", func() bool {
 		r, err := s.nonCoordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
 		return err == nil && r.status == http.StatusOK
 	})
@@ -204,7 +204,7 @@
 	s.submitUntilAccepted(next)
 	s.readAll(next)
 	if after := len(s.engineRuns()); after != before+2 {
-		t.Errorf("%d items ran after the end, beside the 2 of the next batch", after-before-2)
+		t.Errorf("%d items of the batch ran after its deletion", after-before-2)
 	}
 }
 
@@ -234,11 +234,11 @@
 			}
 			for _, r := range results {
 				if len(r.Versions) == 0 || !ranWith[r.ID][int64(r.Versions[0])] {
-					t.Errorf("item %s names versions %v, engines ran it with %v", r.ID, r.Versions, ranWith[r.ID])
+					t.Errorf("item %s reports versions %v, but engines ran it with %v", r.ID, r.Versions, ranWith[r.ID])
 				}
 			}
 			if r, err := s.entries[0].do(http.MethodDelete, "/currantford/lots/"+b.id, "", nil); err != nil || r.status != http.StatusOK {
-				t.Errorf("end: %d %v", r.status, err)
+				t.Errorf("delete: status %d, error %v", r.status, err)
 			}
 		}
 	}
@@ -261,10 +261,10 @@
 		for i := 1; i < len(orders); i++ {
 			a, b := orders[i-1], orders[i]
 			if b.Fence < a.Fence {
-				t.Errorf("%s: number %d after %d", e.ID, b.Fence, a.Fence)
+				t.Errorf("%s: fencing number %d after %d", e.ID, b.Fence, a.Fence)
 			}
 			if a.Owner != b.Owner && (a.Fence == b.Fence || b.ReceivedAt.Sub(a.ReceivedAt) < 3*time.Second) {
-				t.Errorf("%s: %+v and %+v are %s apart, their arrivals %s", e.ID, a, b, b.ExecutedAt.Sub(a.ExecutedAt), b.ReceivedAt.Sub(a.ReceivedAt))
+				t.Errorf("%s: orders %+v and %+v: %s between executions, %s between arrivals", e.ID, a, b, b.ExecutedAt.Sub(a.ExecutedAt), b.ReceivedAt.Sub(a.ReceivedAt))
 			}
 		}
 	}
@@ -285,7 +285,7 @@
 	eventually(t, "version 3", func() bool { return s.engines[0].Version("m0") == 3 })
 	time.Sleep(2 * time.Second)
 	if v := s.engines[0].Version("m0"); v != 3 {
-		t.Errorf("version %d after a late order, want 3", v)
+		t.Errorf("version %d after a delayed order, want 3", v)
 	}
 	last := int64(0)
 	for _, o := range s.engines[0].Orders() {
@@ -302,7 +302,7 @@
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1})
 	s.store.Put("retirements", "disk-1", map[string]any{"over-s": 10})
-	eventually(t, "the retirement's end", func() bool {
+	eventually(t, "completion of the retirement", func() bool {
 		var st struct {
 			State string `json:"state"`
 		}
@@ -330,7 +330,7 @@
 	s.submitUntilAccepted(b)
 	s.readAll(b)
 	s.announceVersion("m0", 4)
-	eventually(t, "an order", func() bool {
+	eventually(t, "order of version 4", func() bool {
 		o := s.engines[0].Orders()
 		return o[len(o)-1].Version == 4
 	})
@@ -367,7 +367,7 @@
 	for i := range 12 {
 		id := fmt.Sprint("r", i)
 		if r := s.entries[i%2].post(plainPrefix+"a", id, "x"); r.status != http.StatusOK {
-			t.Errorf("%s: status %d", id, r.status)
+			t.Errorf("request %s: status %d, want 200", id, r.status)
 		}
 	}
 	b := newStep("b1", "m0", 3, 4, 5)
@@ -377,6 +377,6 @@
 	s.awaitCoordinator(old.id) // the new coordinator reads the whole instance list
 	s.readAll(b)
 	if n := len(s.plainTargets[1].Runs()); n != 0 {
-		t.Errorf("%d requests went to a target whose entry can't be read", n)
+		t.Errorf("%d requests went to a target whose entry is malformed", n)
 	}
 }
--- a/systemtest/crash_test.go
+++ b/systemtest/crash_test.go
@@ -52,7 +52,7 @@
 // awaitTargets waits until all given targets are running and are in the instance list.
 func (s *deployment) awaitTargets(targets []*standin.Engine) {
 	s.t.Helper()
-	eventually(s.t, "targets after their crashes", func() bool {
+	eventually(s.t, "restart of the crashed targets", func() bool {
 		for _, e := range targets {
 			if !e.Up() {
 				return false
@@ -69,7 +69,7 @@
 	s.t.Helper()
 	crashes := s.crashesOf(body)
 	if len(crashes) < 3 {
-		s.t.Errorf("%d targets crashed under %q, want 3 at least for the test to show anything", len(crashes), body)
+		s.t.Errorf("%d targets crashed under %q, want 3 or more as the precondition of the check", len(crashes), body)
 		return
 	}
 	late := 0
@@ -79,7 +79,7 @@
 		}
 	}
 	if late > maxLateSends {
-		s.t.Errorf("%q reached targets %d times later than %s after it had crashed three; %d crashed in all", body, late, propagationTime, len(crashes))
+		s.t.Errorf("%q was sent to targets %d times later than %s after the third crash; %d targets crashed in total", body, late, propagationTime, len(crashes))
 	}
 }
 
@@ -118,8 +118,8 @@
 	// Other requests of the same caller and path are served.
 	s.awaitTargets(s.plainTargets)
 	for i, e := range s.entries {
-		if r := e.post(plainPrefix+"bids", fmt.Sprintf("sound-%d", i), "sound bid"); r.status != http.StatusOK {
-			t.Errorf("a sound bid at %s: %d %s", e.id, r.status, r.body)
+		if r := e.post(plainPrefix+"bids", fmt.Sprintf("sound-%d", i), "harmless bid"); r.status != http.StatusOK {
+			t.Errorf("harmless bid at %s: status %d %s, want 200", e.id, r.status, r.body)
 		}
 	}
 }
--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -40,7 +40,7 @@
 
 var (
 	binary string
-	race   = flag.Bool("programs.race", false, "build the programs with the race detector; a race that it finds fails the test")
+	race   = flag.Bool("programs.race", false, "build the programs with the race detector; a data race in a program fails the test")
 )
 
 func TestMain(m *testing.M) {
@@ -374,7 +374,7 @@
 		<-done
 		raw, _ := os.ReadFile(e.logPath)
 		if i := bytes.Index(raw, []byte("WARNING: DATA RACE")); i >= 0 {
-			e.t.Errorf("race in %s:\n%s", e.id, raw[i:min(i+4000, len(raw))])
+			e.t.Errorf("data race in %s:\n%s", e.id, raw[i:min(i+4000, len(raw))])
 		}
 		if e.t.Failed() {
 			e.t.Logf("log of %s:\n%s", e.id, tail(raw, 400000))
@@ -453,7 +453,7 @@
 func (s *deployment) awaitCoordinator(exclude string) *entry {
 	s.t.Helper()
 	var c *entry
-	eventually(s.t, "a coordinator", func() bool {
+	eventually(s.t, "new coordinator", func() bool {
 		c = s.coordinator()
 		return c != nil && c.id != exclude
 	})
--- a/systemtest/keepalive_test.go
+++ b/systemtest/keepalive_test.go
@@ -84,11 +84,11 @@
 // checkNoneLost fails the test for each request that was lost.
 func (k *keepAliveCallers) checkNoneLost(s *deployment) {
 	s.t.Helper()
-	s.t.Logf("answers by status: %v; connections that ended under a request: %d", k.answered, len(k.unanswered))
+	s.t.Logf("answers by status: %v; connections closed during a request: %d", k.answered, len(k.unanswered))
 	for _, u := range k.unanswered {
 		switch {
 		case countRuns(s.plainTargets, u.id) > 0:
-			s.t.Errorf("%s was passed on and got no answer, after %s: %v", u.id, u.sinceSent, u.err)
+			s.t.Errorf("%s was forwarded and got no answer, after %s: %v", u.id, u.sinceSent, u.err)
 		case u.sinceSent > closeRaceWindow:
 			s.t.Errorf("%s got no answer, after %s: %v", u.id, u.sinceSent, u.err)
 		}
--- a/systemtest/link_test.go
+++ b/systemtest/link_test.go
@@ -39,7 +39,7 @@
 					p.setFaults(linkFaults{})
 				}
 			})
-			t.Logf("statuses %v", statuses)
+			t.Logf("answers by status: %v", statuses)
 		})
 	}
 }
@@ -81,10 +81,10 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 		if n > 0 && status == http.StatusServiceUnavailable {
-			t.Errorf("%s was refused as not run, and ran", id)
+			t.Errorf("%s was refused as not run, but ran", id)
 		}
 		if n == 0 && status == http.StatusOK {
-			t.Errorf("%s was answered and has not run", id)
+			t.Errorf("%s was answered with 200, but has not run", id)
 		}
 	}
 	return counts
@@ -100,7 +100,7 @@
 	for i := range 20 {
 		id := fmt.Sprintf("r%d", i)
 		if r := s.entries[i%2].post(plainPrefix+"a", id, "x"); r.status != http.StatusOK {
-			t.Errorf("%s: status %d", id, r.status)
+			t.Errorf("request %s: status %d, want 200", id, r.status)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 			s.submitUntilAccepted(c)
 			s.readAll(c)
 			checkWeightOrders(t, s)
-			t.Logf("from %s to %s", before.id, after.id)
+			t.Logf("the lease moved from %s to %s", before.id, after.id)
 		})
 	}
 }
@@ -156,7 +156,7 @@
 	s.submitUntilAccepted(next)
 	s.readAll(next)
 	if s.coordinator() != c {
-		t.Error("the duty moved")
+		t.Error("the lease moved to another entry")
 	}
 	s.checkRanOnce()
 	c.storeLink.setFaults(linkFaults{})
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -56,17 +56,17 @@
 				s.t.Error(err)
 			}
 			if i := strings.Index(string(raw), key); i >= 0 {
-				s.t.Errorf("a key in the log of %s: %.200s", e.id, raw[max(i-100, 0):])
+				s.t.Errorf("API key in the log of %s: %.200s", e.id, raw[max(i-100, 0):])
 			}
 		}
 		if in := s.store.ObjectsContaining(key); !slices.Equal(in, []string{"config/main"}) {
-			s.t.Errorf("a key stands in %v", in)
+			s.t.Errorf("API key stored in %v, want only config/main", in)
 		}
 	}
 	for _, e := range slices.Concat(s.plainTargets, s.engines) {
 		for _, r := range e.Runs() {
 			if r.HasAPIKey {
-				s.t.Errorf("request %s came to %s with a key", r.ID, e.ID)
+				s.t.Errorf("request %s reached %s with an API key", r.ID, e.ID)
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	s.config["version"] = s.config["version"].(int) + 1
 	s.store.Put("config", "main", s.config)
 	for _, e := range s.entries {
-		eventually(s.t, "the configuration at "+e.id, func() bool {
+		eventually(s.t, "new configuration at "+e.id, func() bool {
 			raw, _ := os.ReadFile(e.logPath)
 			return strings.Contains(string(raw), fmt.Sprintf(`"config_in_force","component":"entry","id":%q,"config_version":%d`, e.id, s.config["version"]))
 		})
@@ -118,17 +118,17 @@
 	}{
 		{"a key", plainPrefix, []string{"X-Api-Key", keyA}, http.StatusOK, orgA},
 		{"another of its keys", plainPrefix, []string{"x-api-key", keyA2}, http.StatusOK, orgA},
-		{"a key, and says that it is another", plainPrefix, []string{"X-Api-Key", keyB, "Currantford-Tenant", orgA}, http.StatusOK, orgB},
+		{"a key, and the name of another organisation", plainPrefix, []string{"X-Api-Key", keyB, "Currantford-Tenant", orgA}, http.StatusOK, orgB},
 		{"no key", plainPrefix, nil, http.StatusUnauthorized, ""},
-		{"no key, and says who it is", plainPrefix, []string{"Currantford-Tenant", orgA}, http.StatusUnauthorized, ""},
+		{"no key, but an organisation's name", plainPrefix, []string{"Currantford-Tenant", orgA}, http.StatusUnauthorized, ""},
 		{"an unknown key", plainPrefix, []string{"X-Api-Key", "secret-key-a"}, http.StatusUnauthorized, ""},
 		{"an empty key", plainPrefix, []string{"X-Api-Key", ""}, http.StatusUnauthorized, ""},
 		{"two keys", plainPrefix, []string{"X-Api-Key", keyA, "X-Api-Key", keyB}, http.StatusUnauthorized, ""},
-		{"two keys in one", plainPrefix, []string{"X-Api-Key", keyA + "," + keyB}, http.StatusUnauthorized, ""},
-		{"once only, a key", "/bids/", []string{"X-Api-Key", keyB}, http.StatusOK, orgB},
-		{"once only, no key", "/bids/", nil, http.StatusUnauthorized, ""},
+		{"two keys in one header", plainPrefix, []string{"X-Api-Key", keyA + "," + keyB}, http.StatusUnauthorized, ""},
+		{"at most once, a key", "/bids/", []string{"X-Api-Key", keyB}, http.StatusOK, orgB},
+		{"at most once, no key", "/bids/", nil, http.StatusUnauthorized, ""},
 		{"public, no key", "/open/", nil, http.StatusOK, ""},
-		{"public, and says who it is", "/open/", []string{"Currantford-Tenant", orgA}, http.StatusOK, ""},
+		{"public, an organisation's name", "/open/", []string{"Currantford-Tenant", orgA}, http.StatusOK, ""},
 		{"public, a key", "/open/", []string{"X-Api-Key", keyA}, http.StatusOK, orgA},
 		{"public, an unknown key", "/open/", []string{"X-Api-Key", "x"}, http.StatusOK, ""},
 		{"no route, a key", "/nowhere/", []string{"X-Api-Key", keyA}, http.StatusNotFound, ""},
@@ -138,7 +138,7 @@
 			id := fmt.Sprint("r", n)
 			r, err := e.do(http.MethodPost, c.path+"x", id, []byte("reading"), c.header...)
 			if err != nil || r.status != c.status {
-				t.Errorf("%s at %s: %d, want %d (%v)", c.name, e.id, r.status, c.status, err)
+				t.Errorf("%s at %s: status %d, want %d (%v)", c.name, e.id, r.status, c.status, err)
 			}
 			want := []string{}
 			if c.status == http.StatusOK {
@@ -171,10 +171,10 @@
 		want    string // the expected organisation of each run
 		minRuns int    // the minimum number of runs
 	}{
-		{"first send", options{entries: 1, engines: 1, plainTargets: 1}, func(_ *testing.T, s *deployment) {
+		{"first attempt", options{entries: 1, engines: 1, plainTargets: 1}, func(_ *testing.T, s *deployment) {
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
 		}, orgA, 1},
-		{"tries elsewhere", options{entries: 1, engines: 1, plainTargets: 3}, func(_ *testing.T, s *deployment) {
+		{"retries at other targets", options{entries: 1, engines: 1, plainTargets: 3}, func(_ *testing.T, s *deployment) {
 			s.setPlainFaults(standin.EngineFaults{WrongRequestID: true})
 			_, _ = s.entries[0].do(http.MethodPost, plainPrefix+"x", "r", []byte("x"), key...)
 		}, orgA, 2},
@@ -262,17 +262,17 @@
 				r, err := e.do(http.MethodGet, path, "", nil, keyHeader(c.key)...)
 				noBody := c.status == http.StatusOK && r.status == http.StatusNotFound && strings.Contains(path, "items")
 				if err != nil || r.status != c.status && !noBody {
-					t.Errorf("%s with key %q at %s: %d, want %d", path, c.key, e.id, r.status, c.status)
+					t.Errorf("%s with key %q at %s: status %d, want %d", path, c.key, e.id, r.status, c.status)
 				}
 			}
 			if c.status == http.StatusOK {
 				continue
 			}
 			if r, err := e.do(http.MethodDelete, "/currantford/lots/same", "", nil, keyHeader(c.key)...); err != nil || r.status != c.status {
-				t.Errorf("its end with key %q at %s: %d, want %d", c.key, e.id, r.status, c.status)
+				t.Errorf("delete with key %q at %s: status %d, want %d", c.key, e.id, r.status, c.status)
 			}
 			if r, err := e.do(http.MethodGet, "/currantford/lots/none", "", nil, keyHeader(c.key)...); err != nil || r.status != c.status {
-				t.Errorf("a batch that does not exist, with key %q at %s: %d, want %d as for another's", c.key, e.id, r.status, c.status)
+				t.Errorf("unknown batch with key %q at %s: status %d, want %d as for another organisation's batch", c.key, e.id, r.status, c.status)
 			}
 		}
 	}
@@ -285,10 +285,10 @@
 		}
 	}
 	if r, err := s.entries[0].do(http.MethodDelete, "/currantford/lots/same", "", nil, keyHeader(keyB)...); err != nil || r.status != http.StatusOK {
-		t.Errorf("the end of one's own batch: %d", r.status)
+		t.Errorf("delete of an own batch: status %d, want 200", r.status)
 	}
 	if _, r, err := s.entries[1].readResults("same", 0, 0, keyHeader(keyA)...); err != nil || r.status != http.StatusOK {
-		t.Errorf("the other's batch after it: %d", r.status)
+		t.Errorf("read of the other organisation's batch after it: status %d, want 200", r.status)
 	}
 }
 
@@ -299,14 +299,14 @@
 	b := newStep("open-1", "m0", 1, 2, 3)
 	raw := fmt.Sprintf(`{"step":1,"model":"m0","min-version":1,"target-groups":1,"items":[{"id":"i1","path":%q,"headers":{"Currantford-Model":"m0","Currantford-Tokens-Used":"100,58"},"body":"eA==","tokens":158,"group":"g"}]}`, batchPrefix+"open/x")
 	if r, err := s.entries[0].do(http.MethodPost, batchPrefix+"open/x", b.id, []byte(raw)); err != nil || r.status != http.StatusAccepted {
-		t.Fatalf("a public batch: %d", r.status)
+		t.Fatalf("public batch: status %d, want 202", r.status)
 	}
-	eventually(t, "its result", func() bool {
+	eventually(t, "result of the public batch", func() bool {
 		p, _, err := s.entries[0].readResults(b.id, 0, 300*time.Millisecond)
 		return err == nil && len(p.Results) == 1 && p.Results[0].ID == "i1"
 	})
 	if got := organisationsOf(s.engines, "i1"); !slices.Equal(got, []string{""}) {
-		t.Errorf("it ran for %q", got)
+		t.Errorf("the item ran for %q, want no organisation", got)
 	}
 }
 
@@ -334,24 +334,24 @@
 			n++
 			id := fmt.Sprintf("k%d", n)
 			if got := c.post(plainPrefix+"x", id, key); got != status {
-				t.Errorf("%s at %s: %d, want %d", what, s.entries[i].id, got, status)
+				t.Errorf("%s at %s: status %d, want %d", what, s.entries[i].id, got, status)
 			}
 			if got := organisationsOf(s.plainTargets, id); status == http.StatusOK && !slices.Equal(got, []string{org}) || status != http.StatusOK && len(got) > 0 {
 				t.Errorf("%s at %s: ran for %q, want %q", what, s.entries[i].id, got, org)
 			}
 		}
 	}
-	expect("at first", keyA, http.StatusOK, orgA)
+	expect("initial configuration", keyA, http.StatusOK, orgA)
 	set(organisation(orgA, 1, keyA2), organisation(orgB, 2, keyB))
-	expect("taken away", keyA, http.StatusUnauthorized, "")
-	expect("the other one of its keys", keyA2, http.StatusOK, orgA)
+	expect("revoked key", keyA, http.StatusUnauthorized, "")
+	expect("other key of the organisation", keyA2, http.StatusOK, orgA)
 	set(organisation(orgA, 1, keyA2), organisation(orgB, 2, keyB, keyA))
-	expect("given to another", keyA, http.StatusOK, orgB)
+	expect("key of another organisation now", keyA, http.StatusOK, orgB)
 	set(organisation(orgA, 1), organisation(orgB, 2, keyB))
-	expect("all its keys are gone", keyA2, http.StatusUnauthorized, "")
+	expect("organisation without keys", keyA2, http.StatusUnauthorized, "")
 	s.store.Put("config", "main", map[string]any{"version": 50, "tenants": []map[string]any{organisation(orgA, 1, keyA), organisation(orgB, 1, keyA)}})
 	time.Sleep(time.Second) // the configuration is rejected as a whole
-	expect("a configuration that was refused", keyB, http.StatusOK, orgB)
+	expect("rejected configuration", keyB, http.StatusOK, orgB)
 	s.config["version"] = 60
 	set(organisation(orgA, 1, keyA, keyA2), organisation(orgB, 2, keyB))
 	expect("back", keyA, http.StatusOK, orgA)
@@ -425,15 +425,15 @@
 	}
 	eventually(t, "doubt", func() bool { return status("new") == http.StatusServiceUnavailable })
 	if got := status(keyA); got != http.StatusOK {
-		t.Errorf("a key that it knows, just after: %d", got)
+		t.Errorf("known key, right after that: status %d, want 200", got)
 	}
-	eventually(t, "an end of its trust", func() bool { return status(keyA) == http.StatusServiceUnavailable })
+	eventually(t, "503 for a known key", func() bool { return status(keyA) == http.StatusServiceUnavailable })
 	if got := status("new"); got != http.StatusServiceUnavailable {
-		t.Errorf("a key that it does not know: %d, want 503", got)
+		t.Errorf("unknown key: status %d, want 503", got)
 	}
 	e.storeLink.setFaults(linkFaults{})
-	eventually(t, "its return", func() bool { return status(keyA) == http.StatusOK })
+	eventually(t, "200 after the recovery of the link", func() bool { return status(keyA) == http.StatusOK })
 	if got := status("new"); got != http.StatusUnauthorized {
-		t.Errorf("a key that is not in force, after it: %d", got)
+		t.Errorf("unknown key after the recovery of the link: status %d, want 401", got)
 	}
 }
--- a/systemtest/quarantine_test.go
+++ b/systemtest/quarantine_test.go
@@ -23,7 +23,7 @@
 // awaitMembership waits until each entry instance lists all entry instances.
 func (s *deployment) awaitMembership() {
 	s.t.Helper()
-	eventually(s.t, "entries that know of each other", func() bool {
+	eventually(s.t, "complete membership at each entry", func() bool {
 		for _, e := range s.entries {
 			resp, err := http.Get("http://" + e.directoryAddr + "/currantford/resolve?name=" + host + "&zone=domain-a")
 			if err != nil {
@@ -46,7 +46,7 @@
 // in answers and logs).
 func (s *deployment) quarantine(body string) {
 	s.t.Helper()
-	eventually(s.t, "three crashes", func() bool {
+	eventually(s.t, "third crash", func() bool {
 		n := len(s.crashesOf(body))
 		if n < 3 {
 			s.entries[n%len(s.entries)].post(plainPrefix+"bids", fmt.Sprintf("hold-%s-%d", body, n), body)
@@ -70,11 +70,11 @@
 	began := time.Now()
 	r := e.post(path, "held-"+e.id+"-"+strconv.Itoa(int(began.UnixNano())), body)
 	if n := len(s.runStartTimes(body)); n != before {
-		s.t.Errorf("%s sent a held request on: %d runs more", e.id, n-before)
+		s.t.Errorf("%s sent a quarantined request to targets: %d more runs", e.id, n-before)
 	}
 	after, _ := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	if r.status != http.StatusServiceUnavailable || after < 60 || !strings.Contains(string(r.body), "held") {
-		s.t.Errorf("%s answers a held request with %d, Retry-After %q: %s", e.id, r.status, r.header.Get("Retry-After"), r.body)
+		s.t.Errorf("%s answered a quarantined request with status %d, Retry-After %q: %s", e.id, r.status, r.header.Get("Retry-After"), r.body)
 	}
 }
 
@@ -97,7 +97,7 @@
 		s.checkRefusedAt(e, body)
 	}
 	s.awaitCoordinator("")
-	eventually(t, "what is held in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
+	eventually(t, "quarantine in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
 	for _, e := range s.entries {
 		e.kill()
 	}
@@ -109,7 +109,7 @@
 		s.checkRefusedAt(e, body)
 	}
 	if n := len(s.runStartTimes(body)); n != before {
-		t.Errorf("%d runs, %d before the restarts", n, before)
+		t.Errorf("%d runs after the restarts, %d before", n, before)
 	}
 }
 
@@ -162,12 +162,12 @@
 	s.t.Helper()
 	runs, crashes := s.runStartTimes(body), s.crashesOf(body)
 	if n := len(crashes); n < minRuns || n > maxRuns || len(runs) != n {
-		s.t.Errorf("%d targets crashed under %d runs of %q, want %d to %d", n, len(runs), body, minRuns, maxRuns)
+		s.t.Errorf("%d targets crashed in %d runs of %q, want %d to %d, one crash per run", n, len(runs), body, minRuns, maxRuns)
 	}
 	for i := 3; i < min(len(runs), len(crashes)); i++ {
 		pause := []time.Duration{time.Second, 2 * time.Second, 4 * time.Second}[min(i-3, 2)]
 		if waited := runs[i].Sub(crashes[i-1].At); waited < pause {
-			s.t.Errorf("run %d of %q comes %s after the crash before, want %s at least", i+1, body, waited, pause)
+			s.t.Errorf("run %d of %q started %s after the previous crash, want %s or more", i+1, body, waited, pause)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 	for _, r := range results {
 		crashes := r.ID == b.Items[1].ID || r.ID == b.Items[7].ID
 		if done := r.State == "done"; done == crashes {
-			t.Errorf("item %s is %s", r.ID, r.State)
+			t.Errorf("item %s has state %s, want done unless it crashes targets", r.ID, r.State)
 		}
 	}
 	s.checkRetryDelays(item, 6, 7)
@@ -201,7 +201,7 @@
 	s.awaitTargets(s.plainTargets)
 	s.entries[0].post(b.Items[7].Reward.Path, "call-of-a-caller", call)
 	if n := len(s.crashesOf(call)) - before; n > 1 {
-		t.Errorf("%d targets crashed under a caller's request, want one at most", n)
+		t.Errorf("%d targets crashed under a caller's request, want at most one", n)
 	}
 	s.awaitTargets(s.plainTargets)
 	s.awaitMembership()
@@ -227,7 +227,7 @@
 		}
 	})
 	if answers.held > 0 || answers.statuses[http.StatusOK] == 0 {
-		t.Errorf("%d of the answers %v say that the request is held", answers.held, answers.statuses)
+		t.Errorf("%d of the answers %v report a quarantined request, want none, and some with 200", answers.held, answers.statuses)
 	}
 }
 
@@ -256,7 +256,7 @@
 		}
 	})
 	if answers.held > 0 || answers.statuses[http.StatusOK] == 0 {
-		t.Errorf("%d of the answers %v say that the request is held", answers.held, answers.statuses)
+		t.Errorf("%d of the answers %v report a quarantined request, want none, and some with 200", answers.held, answers.statuses)
 	}
 }
 
@@ -320,7 +320,7 @@
 	before := len(s.runStartTimes(body))
 	s.entries[0].post(plainPrefix+"bids", "freed", body)
 	if n := len(s.runStartTimes(body)); n == before {
-		t.Error("a request that was freed is not sent")
+		t.Error("a released request was not sent")
 	}
 }
 
@@ -354,6 +354,6 @@
 	}
 	s.awaitTargets(s.engines)
 	if r := send(s.entries[0], "sound"); r.status != http.StatusOK || strings.Count(string(r.body), "data: ") != 10 {
-		t.Errorf("a sound stream: %d, %d events", r.status, strings.Count(string(r.body), "data: "))
+		t.Errorf("harmless stream: status %d with %d events, want 200 with 10", r.status, strings.Count(string(r.body), "data: "))
 	}
 }
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -40,15 +40,15 @@
 	s.submitUntilAccepted(b)
 	// Results are listed in chunks, so the started runs show the progress of the step.
 	begun := func() int { return len(s.engineRuns()) }
-	eventually(t, "half of the step", func() bool { return begun() >= len(b.Items)/2 })
+	eventually(t, "start of half of the items", func() bool { return begun() >= len(b.Items)/2 })
 	killed := s.coordinator()
 	killed.kill()
 	if n := begun(); n >= len(b.Items) {
-		t.Fatalf("all %d items had begun when the coordinator was killed", n)
+		t.Fatalf("all %d items had started when the coordinator was killed", n)
 	}
 	s.readAll(b)
 	if c := s.coordinator(); c == killed {
-		t.Errorf("the killed entry still has the lease")
+		t.Errorf("the killed entry still holds the lease")
 	}
 }
 
@@ -134,7 +134,7 @@
 	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
 	b := withRewards(newStep("b1", "m0", 1, 2, 200))
 	s.submitUntilAccepted(b)
-	eventually(t, "copies in the store", func() bool { return len(s.store.Names("currantford-texts-b1")) >= 2 })
+	eventually(t, "copies of both texts in the store", func() bool { return len(s.store.Names("currantford-texts-b1")) >= 2 })
 	s.restartAll()
 	s.readAll(b)
 	s.checkResumed(30)
@@ -150,14 +150,14 @@
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2, cores: []float64{0.1, 0.1, 0.8}})
 	strong := s.entries[2]
-	eventually(t, "duty at the strong instance", func() bool { return s.coordinator() == strong })
+	eventually(t, "lease at the most capable instance", func() bool { return s.coordinator() == strong })
 	strong.kill()
 	s.awaitCoordinator(strong.id)
 	b := newStep("b1", "m0", 2, 4, 10)
 	s.submitUntilAccepted(b)
 	s.readAll(b)
 	strong.start()
-	eventually(t, "duty back at the strong instance", func() bool { return s.coordinator() == strong })
+	eventually(t, "lease back at the most capable instance", func() bool { return s.coordinator() == strong })
 	next := newStep("b2", "m0", 2, 4, 10)
 	s.submitUntilAccepted(next)
 	s.readAll(next)
@@ -171,7 +171,7 @@
 		handovers += strings.Count(string(raw), `"duty_handed_over"`)
 	}
 	if handovers > 2 {
-		t.Errorf("the duty was handed over %d times: once at the start and once after the kill are enough", handovers)
+		t.Errorf("the lease was handed over %d times, want at most 2: once at the start and once after the kill", handovers)
 	}
 }
 
@@ -202,7 +202,7 @@
 		}
 	}
 	next, dead := others[0], others[1]
-	eventually(t, "all named", func() bool { return strings.Contains(resolvedAddrs(next), dead.callerAddr) })
+	eventually(t, "complete list of instances", func() bool { return strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	first.signal(syscall.SIGSTOP)
 	holder := s.awaitCoordinator(first.id)
 	first.signal(syscall.SIGCONT)
@@ -210,7 +210,7 @@
 		next, dead = dead, next
 	}
 	dead.kill()
-	eventually(t, "the dead dropped", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
+	eventually(t, "list without the dead instance", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	next.signal(syscall.SIGSTOP)
 	s.awaitCoordinator(next.id)
 	next.signal(syscall.SIGCONT)
@@ -218,7 +218,7 @@
 	s.awaitCoordinator(first.id)
 	for range 20 {
 		if strings.Contains(resolvedAddrs(next), dead.callerAddr) {
-			t.Fatal("the dead instance is named again")
+			t.Fatal("the dead instance is listed again")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -238,10 +238,10 @@
 		}
 	}
 	frozen, dead := others[0], others[1]
-	eventually(t, "all named", func() bool { return strings.Contains(resolvedAddrs(frozen), dead.callerAddr) })
+	eventually(t, "complete list of instances", func() bool { return strings.Contains(resolvedAddrs(frozen), dead.callerAddr) })
 	frozen.signal(syscall.SIGSTOP)
 	dead.kill()
-	eventually(t, "the dead dropped", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
+	eventually(t, "list without the dead instance", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	next.signal(syscall.SIGSTOP)
 	frozen.signal(syscall.SIGCONT)
 	s.awaitCoordinator(next.id)
@@ -249,7 +249,7 @@
 	time.Sleep(700 * time.Millisecond) // the list reaches the other instances within this time
 	for _, e := range []*entry{frozen, next} {
 		if strings.Contains(resolvedAddrs(e), dead.callerAddr) {
-			t.Errorf("%s names the dead instance again", e.id)
+			t.Errorf("%s lists the dead instance again", e.id)
 		}
 	}
 }
@@ -271,7 +271,7 @@
 		select {
 		case <-done:
 			if c := s.coordinator(); c != initial {
-				t.Error("the coordinator has lost its duty")
+				t.Error("the coordinator lost its lease")
 			}
 			return
 		default:
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -57,13 +57,13 @@
 	s := startForRequests(t, 2)
 	r := s.entries[0].post(plainPrefix+"a%2Fb?x=1%20", "r1", "reading")
 	if r.status != http.StatusOK || string(r.body) != "echo reading" || r.header.Get("Currantford-Response-Stamp") != responseStamp(s.plainTargets, "r1") {
-		t.Errorf("answer %d %q, stamp %q", r.status, r.body, r.header.Get("Currantford-Response-Stamp"))
+		t.Errorf("answer with status %d %q, stamp %q", r.status, r.body, r.header.Get("Currantford-Response-Stamp"))
 	}
 	if r := s.entries[0].post("/nowhere/", "r2", "x"); r.status != http.StatusNotFound {
-		t.Errorf("no route: %d", r.status)
+		t.Errorf("no route: status %d, want 404", r.status)
 	}
 	if r := s.entries[0].post(plainPrefix+"a", "r3", strings.Repeat("x", 1<<20+1)); r.status != http.StatusRequestEntityTooLarge {
-		t.Errorf("body over the limit: %d", r.status)
+		t.Errorf("body over the limit: status %d, want 413", r.status)
 	}
 	for _, run := range s.plainTargets[0].Runs() {
 		if run.DeadlineMs == "" {
@@ -83,7 +83,7 @@
 	}
 	e := s.entries[0]
 	e.start()
-	eventually(t, "an answer", func() bool {
+	eventually(t, "answer", func() bool {
 		r, err := e.do(http.MethodPost, plainPrefix+"a", "r1", []byte("x"))
 		if err == nil && r.status != http.StatusServiceUnavailable {
 			t.Fatalf("status %d before any configuration is known, want 503", r.status)
@@ -91,7 +91,7 @@
 		return err == nil
 	})
 	if r, err := http.Get("http://" + e.readyAddr + "/currantford/ready"); err != nil || r.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("ready without a configuration: %v %v", r, err)
+		t.Errorf("readiness without a configuration: %v %v, want 503", r, err)
 	} else {
 		r.Body.Close()
 	}
@@ -109,7 +109,7 @@
 	}
 	r := s.entries[0].post("/bids/a", "bid1", "100")
 	if n := countRuns(s.plainTargets, "bid1"); n != 1 {
-		t.Errorf("the bid ran %d times", n)
+		t.Errorf("the bid ran %d times, want once", n)
 	}
 	if r.status != http.StatusBadGateway {
 		t.Errorf("status %d for a bid that may have run, want 502", r.status)
@@ -119,7 +119,7 @@
 	}
 	r = s.entries[0].post("/bids/a", "bid2", "100")
 	if n := countRuns(s.plainTargets, "bid2"); n != 0 || r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-		t.Errorf("full targets: status %d, Retry-After %q, ran %d times", r.status, r.header.Get("Retry-After"), n)
+		t.Errorf("targets at capacity: status %d, Retry-After %q, ran %d times; want 503, a Retry-After and no run", r.status, r.header.Get("Retry-After"), n)
 	}
 }
 
@@ -135,7 +135,7 @@
 		id, body := fmt.Sprintf("r%d", i), fmt.Sprintf("reading %d", i)
 		r := s.entries[i%2].post(plainPrefix+"a", id, body)
 		if r.status != http.StatusOK || string(r.body) != "echo "+body {
-			t.Errorf("%s: %d %q", id, r.status, r.body)
+			t.Errorf("%s: status %d %q", id, r.status, r.body)
 		}
 	}
 }
@@ -168,11 +168,11 @@
 	time.Sleep(time.Second)
 	for i := range 10 {
 		if r := s.entries[i%2].post(plainPrefix+"a", fmt.Sprintf("r%d", i), "x"); r.status != http.StatusOK {
-			t.Errorf("status %d", r.status)
+			t.Errorf("status %d, want 200", r.status)
 		}
 	}
 	if n := len(s.engines[0].Runs()); n != 0 {
-		t.Errorf("%d requests ran at another service", n)
+		t.Errorf("%d requests ran at another service, want 0", n)
 	}
 }
 
@@ -194,9 +194,9 @@
 			resp.Body.Close()
 		}
 	}()
-	eventually(t, "the run", func() bool { return countRuns(s.plainTargets, "r1") == 1 })
+	eventually(t, "run at the target", func() bool { return countRuns(s.plainTargets, "r1") == 1 })
 	cancel()
-	eventually(t, "the target to be free", func() bool { return s.plainTargets[0].Running() == 0 })
+	eventually(t, "idle target", func() bool { return s.plainTargets[0].Running() == 0 })
 }
 
 // Guards against a configuration that does not come into force, or an older one that returns.
@@ -224,7 +224,7 @@
 	putConfig(5, false)
 	s.store.DropHistory()
 	for _, e := range s.entries {
-		eventually(t, "the dropped route at "+e.id, func() bool { return inForce(e, http.StatusNotFound) })
+		eventually(t, "removal of the route at "+e.id, func() bool { return inForce(e, http.StatusNotFound) })
 	}
 	frozen := s.coordinator()
 	frozen.signal(syscall.SIGSTOP)
@@ -233,14 +233,14 @@
 		if e == frozen {
 			continue
 		}
-		eventually(t, "the added route at "+e.id, func() bool { return inForce(e, http.StatusOK) })
+		eventually(t, "added route at "+e.id, func() bool { return inForce(e, http.StatusOK) })
 	}
 	frozen.signal(syscall.SIGCONT)
-	eventually(t, "the added route at the frozen entry", func() bool { return inForce(frozen, http.StatusOK) })
+	eventually(t, "added route at the frozen entry", func() bool { return inForce(frozen, http.StatusOK) })
 	for range 20 {
 		for _, e := range s.entries {
 			if !inForce(e, http.StatusOK) {
-				t.Errorf("%s went back to an older configuration", e.id)
+				t.Errorf("%s returned to an older configuration", e.id)
 			}
 		}
 	}
@@ -270,12 +270,12 @@
 				r, err := e.do(http.MethodPost, "/bids/a", id, []byte("x"))
 				if err != nil {
 					if countRuns(s.plainTargets, id) > 0 {
-						t.Errorf("%s was cut off: %v", id, err)
+						t.Errorf("%s was interrupted: %v", id, err)
 					}
 					return // the instance does not listen any more
 				}
 				if r.status != http.StatusOK {
-					t.Errorf("%s: %d", id, r.status)
+					t.Errorf("%s: status %d, want 200", id, r.status)
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -283,7 +283,7 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	e.signal(syscall.SIGTERM)
-	eventually(t, "not ready", func() bool {
+	eventually(t, "unready state", func() bool {
 		r, err := http.Get("http://" + e.readyAddr + "/currantford/ready")
 		if err != nil {
 			return true
@@ -297,7 +297,7 @@
 	wg.Wait()
 	for id, runs := range s.engineRuns() {
 		if last := runs[len(runs)-1]; len(runs) > 1 && last.ResumeAfter == 0 {
-			t.Errorf("item %s began again after the planned stop", id)
+			t.Errorf("item %s started again after the graceful shutdown", id)
 		}
 	}
 }
@@ -323,6 +323,6 @@
 	two, six := calls(2), calls(6)
 	t.Logf("calls to the store in 3 s: 2 entries %d, 6 entries %d", two, six)
 	if six > 2*two {
-		t.Errorf("calls grow with the entries: %d for 2, %d for 6", two, six)
+		t.Errorf("calls grow with the number of entries: %d for 2, %d for 6", two, six)
 	}
 }
--- a/systemtest/resultpages_test.go
+++ b/systemtest/resultpages_test.go
@@ -26,7 +26,7 @@
 	for range 3 {
 		p, r, err := e.readResults(b.id, 0, 0)
 		if err != nil || len(p.Results) == 0 || !reflect.DeepEqual(p.Results, want[:len(p.Results)]) {
-			t.Fatalf("a page of %d results, status %d: %v", len(p.Results), r.status, err)
+			t.Fatalf("page of %d results, status %d: %v", len(p.Results), r.status, err)
 		}
 	}
 	raw, err := os.ReadFile(e.logPath)
@@ -36,6 +36,6 @@
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	p, r, err := e.readResults(b.id, 0, 0)
 	if err != nil || len(p.Results) == 0 || !reflect.DeepEqual(p.Results, want[:len(p.Results)]) {
-		t.Errorf("while the store is away: a page of %d results, status %d: %v", len(p.Results), r.status, err)
+		t.Errorf("while the store is down: page of %d results, status %d: %v", len(p.Results), r.status, err)
 	}
 }
--- a/systemtest/reward_test.go
+++ b/systemtest/reward_test.go
@@ -18,7 +18,7 @@
 	s.readAll(b)
 	for id, calls := range s.rewardRuns() {
 		if len(calls) != 1 {
-			t.Errorf("reward call %s ran %d times on a calm step", id, len(calls))
+			t.Errorf("reward call %s ran %d times without faults, want once", id, len(calls))
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	s.setPlainFaults(standin.EngineFaults{AtCapacity: true})
 	b := withRewards(newStep("b1", "m0", 3, 4, 10))
 	s.submitUntilAccepted(b)
-	eventually(t, "complete texts", func() bool {
+	eventually(t, "complete texts of all items", func() bool {
 		complete := 0
 		for _, runs := range s.engineRuns() {
 			if runs[len(runs)-1].LastEvent == 10 {
@@ -65,11 +65,11 @@
 	s.submitUntilAccepted(b)
 	for _, r := range s.readAll(b) {
 		if want := map[bool]string{true: "down", false: "done"}[r.ID == bad.ID]; r.State != want {
-			t.Errorf("item %s is %s, want %s", r.ID, r.State, want)
+			t.Errorf("item %s has state %s, want %s", r.ID, r.State, want)
 		}
 	}
 	if n := len(s.rewardRuns()[bad.Reward.ID]); n != 4 {
-		t.Errorf("the failing reward call ran %d times, its route allows 4", n)
+		t.Errorf("the failing reward call ran %d times, want the 4 attempts of its route", n)
 	}
 }
 
@@ -89,7 +89,7 @@
 		s.submitUntilAccepted(b)
 		time.Sleep(700 * time.Millisecond)
 		if p, _, err := s.nonCoordinator().readResults(b.id, 0, 0); err == nil && len(p.Results) > 0 {
-			t.Errorf("%d results without a good answer to their reward calls", len(p.Results))
+			t.Errorf("%d results without a successful answer to their reward calls", len(p.Results))
 		}
 		s.setPlainFaults(standin.EngineFaults{})
 		s.readAll(b)
@@ -107,7 +107,7 @@
 	b := withRewards(newStep("b1", "m0", 3, 4, 5))
 	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
-	eventually(t, "the end's answer", func() bool {
+	eventually(t, "acknowledgement of the deletion", func() bool {
 		r, err := s.nonCoordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
 		return err == nil && r.status == http.StatusOK
 	})
@@ -137,7 +137,7 @@
 	s.awaitRuns(b)
 	time.Sleep(300 * time.Millisecond)
 	if r, err := s.coordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil); err != nil || r.status != http.StatusOK {
-		t.Fatalf("end: %v %v", r.status, err)
+		t.Fatalf("delete: status %v, error %v", r.status, err)
 	}
 	s.setPlainFaults(standin.EngineFaults{})
 	b.id = "b2"
@@ -187,7 +187,7 @@
 		b := newStep("b1", "m0", 1, 2, 3)
 		b.Items[1].Reward = &bad
 		if r := s.entries[0].submit(b); r.status != http.StatusBadRequest {
-			t.Errorf("%+v: status %d, want 400", bad, r.status)
+			t.Errorf("reward call %+v: status %d, want 400", bad, r.status)
 		}
 	}
 }
--- a/systemtest/runner_test.go
+++ b/systemtest/runner_test.go
@@ -33,7 +33,7 @@
 // awaitCoordinatorMembership waits until the coordinator lists all entry instances.
 func (s *deployment) awaitCoordinatorMembership() {
 	s.t.Helper()
-	eventually(s.t, "all entries in the coordinator's list", func() bool {
+	eventually(s.t, "complete membership at the coordinator", func() bool {
 		resp, err := http.Get("http://" + s.coordinator().directoryAddr + "/currantford/resolve?name=" + host)
 		if err != nil {
 			return false
@@ -58,7 +58,7 @@
 	s.awaitCoordinatorMembership()
 	b := newStep("b1", "m0", 8, 4, 60)
 	s.submitUntilAccepted(b)
-	eventually(t, "runs elsewhere", func() bool { return len(s.engineRuns()) >= 16 && len(s.streamHosts()) > 0 })
+	eventually(t, "runs with streams at other entries", func() bool { return len(s.engineRuns()) >= 16 && len(s.streamHosts()) > 0 })
 	time.Sleep(500 * time.Millisecond)
 	hosts := s.streamHosts()
 	hosts[0].kill()
@@ -80,7 +80,7 @@
 	s.awaitCoordinatorMembership()
 	b := newStep("b1", "m0", 1, 4, 150)
 	s.submitUntilAccepted(b)
-	eventually(t, "runs elsewhere", func() bool { return len(s.engineRuns()) == 4 && len(s.streamHosts()) > 0 })
+	eventually(t, "runs with streams at other entries", func() bool { return len(s.engineRuns()) == 4 && len(s.streamHosts()) > 0 })
 	time.Sleep(1500 * time.Millisecond)
 	s.coordinator().kill()
 	s.readAll(b)
--- a/systemtest/soak_config_test.go
+++ b/systemtest/soak_config_test.go
@@ -70,7 +70,7 @@
 			version = 0
 		case "config_in_force":
 			if line.Version <= version {
-				t.Errorf("%s: version %d after %d", e.id, line.Version, version)
+				t.Errorf("%s: configuration version %d after %d", e.id, line.Version, version)
 			}
 			version = line.Version
 		}
--- a/systemtest/soak_crash_test.go
+++ b/systemtest/soak_crash_test.go
@@ -53,7 +53,7 @@
 		t.Logf("%d targets crashed under %q", len(crashes), body)
 	}
 	for id, answer := range s.heldBids {
-		t.Errorf("%s was held: %s", id, answer)
+		t.Errorf("bid %s was refused as quarantined: %s", id, answer)
 	}
 }
 
--- a/systemtest/soak_endless_test.go
+++ b/systemtest/soak_endless_test.go
@@ -69,8 +69,8 @@
 	if s.peakMemory == 0 {
 		return // no seed from firstEndlessSeed on
 	}
-	t.Logf("%d MB were taken by a process at most", s.peakMemory>>20)
+	t.Logf("peak memory of a process: %d MB", s.peakMemory>>20)
 	if s.peakMemory > maxMemory {
-		t.Errorf("a process took %d bytes, over %d", s.peakMemory, maxMemory)
+		t.Errorf("peak memory of a process is %d bytes, over the limit of %d", s.peakMemory, maxMemory)
 	}
 }
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -83,7 +83,7 @@
 		a, err1 := strconv.ParseUint(from, 10, 64)
 		b, err2 := strconv.ParseUint(to, 10, 64)
 		if err1 != nil || err2 != nil {
-			t.Fatalf("bad seeds %q", s)
+			t.Fatalf("malformed seeds %q, want a list such as 1,2,10-20", s)
 		}
 		for ; a <= b; a++ {
 			out = append(out, a)
@@ -338,14 +338,14 @@
 			}
 		}
 	}
-	t.Logf("%d steps, %d whole, %d bids", steps, completed, len(s.bids))
+	t.Logf("%d steps, %d completed, %d bids", steps, completed, len(s.bids))
 	for id, statuses := range s.bids {
 		n := countRuns(s.plainTargets, id)
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 		if n > 0 && statuses[0] == http.StatusServiceUnavailable {
-			t.Errorf("%s was refused as not run, and ran", id)
+			t.Errorf("%s was refused as not run, but ran", id)
 		}
 	}
 	checkWeightOrders(t, s.deployment)
@@ -377,7 +377,7 @@
 				items[it.ID] = item{ID: it.ID, Headers: it.Headers, Reward: standin.NewRewardCall(it.ID)}
 			}
 		}
-		eventually(t, "a read of "+id, func() bool {
+		eventually(t, "complete read of "+id, func() bool {
 			for _, e := range s.entries {
 				p, r, err := e.readResults(id, 0, 0)
 				if err != nil || r.status != http.StatusOK {
@@ -386,7 +386,7 @@
 				seen := map[string]bool{}
 				for _, res := range p.Results {
 					if seen[res.ID] {
-						t.Errorf("%s: item %s stands twice", id, res.ID)
+						t.Errorf("%s: item %s is listed twice", id, res.ID)
 					}
 					seen[res.ID] = true
 					if res.State == "done" {
--- a/systemtest/startup_test.go
+++ b/systemtest/startup_test.go
@@ -45,18 +45,18 @@
 	"one":                     {down: oneInstance},
 	"one and the coordinator": {down: func(s *deployment) []*entry { return append(oneInstance(s), s.coordinator()) }},
 	"all":                     {down: allInstances},
-	"most, behind hubs":       {hubThreshold: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
-	"all, behind hubs":        {hubThreshold: 4, down: allInstances},
-	"one, the store slow": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+	"most, with hubs":         {hubThreshold: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
+	"all, with hubs":          {hubThreshold: 4, down: allInstances},
+	"one, store slow": {down: oneInstance, then: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, probeDuration)
 	}},
-	"all, the store away": {down: allInstances, then: func(s *deployment, _ []*entry) {
+	"all, store down": {down: allInstances, then: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{Down: true}, probeDuration/3)
 	}},
-	"one, the store busy": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+	"one, store busy": {down: oneInstance, then: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{Busy: true}, probeDuration/3)
 	}},
-	"one, the others frozen": {
+	"one, others frozen": {
 		down: oneInstance,
 		before: func(s *deployment, down []*entry) {
 			s.signalExcept(down, syscall.SIGSTOP)
@@ -66,7 +66,7 @@
 			s.signalExcept(down, syscall.SIGCONT)
 		},
 	},
-	"one, cut off from the store": {down: oneInstance, then: func(_ *deployment, down []*entry) {
+	"one, partitioned from the store": {down: oneInstance, then: func(_ *deployment, down []*entry) {
 		for _, e := range down {
 			e.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
 			time.Sleep(probeDuration / 2)
@@ -144,7 +144,7 @@
 		})
 	}
 	for _, name := range []string{"one", "all"} {
-		t.Run(name+", of many held", func(t *testing.T) {
+		t.Run(name+", many quarantined", func(t *testing.T) {
 			t.Parallel()
 			checkQuarantineAfterStart(t, startCases[name], manyHeld)
 		})
@@ -161,17 +161,17 @@
 	}
 	c.play(s, nil, func(e *entry) {
 		statuses, served := e.probe(bodies)
-		t.Logf("%s: a sound request served after %s; answers to held ones: %v", e.id, served, statuses)
+		t.Logf("%s: first harmless request served after %s; answers to quarantined ones by status: %v", e.id, served, statuses)
 		if served == 0 {
-			t.Errorf("%s served no request in %s", e.id, probeDuration)
+			t.Errorf("%s served no harmless request in %s", e.id, probeDuration)
 		}
 		if statuses[http.StatusBadGateway] > 0 || statuses[http.StatusOK] > 0 {
-			t.Errorf("%s answered held requests with %v", e.id, statuses)
+			t.Errorf("%s answered quarantined requests by status: %v, want no 200 and no 502", e.id, statuses)
 		}
 	})
 	for _, b := range bodies {
 		if n := len(s.runStartTimes(b)); n > runs[b] {
-			t.Errorf("%q ran %d times more after the start", b, n-runs[b])
+			t.Errorf("%q ran %d more times after the start", b, n-runs[b])
 		}
 	}
 }
@@ -202,12 +202,12 @@
 					}
 					time.Sleep(probeInterval)
 				}
-				t.Logf("%s: key taken away %v, key in force %v", e.id, revoked, valid)
+				t.Logf("%s: answers by status: revoked key %v, valid key %v", e.id, revoked, valid)
 				if revoked[http.StatusOK] > 0 || revoked[http.StatusUnauthorized] == 0 {
-					t.Errorf("%s answered a key that was taken away with %v", e.id, revoked)
+					t.Errorf("%s: answers to a revoked key by status: %v, want some 401 and no 200", e.id, revoked)
 				}
 				if valid[http.StatusOK] == 0 || valid[http.StatusUnauthorized] > 0 {
-					t.Errorf("%s answered a key in force with %v", e.id, valid)
+					t.Errorf("%s: answers to a valid key by status: %v, want some 200 and no 401", e.id, valid)
 				}
 			})
 		})
@@ -228,7 +228,7 @@
 		bodies = append(bodies, body)
 		s.quarantine(body)
 	}
-	eventually(s.t, "what is held in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
+	eventually(s.t, "quarantine in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
 	time.Sleep(propagationTime)
 	return bodies
 }
--- a/systemtest/storerejection_test.go
+++ b/systemtest/storerejection_test.go
@@ -71,20 +71,20 @@
 	switch {
 	case answer.status != http.StatusOK:
 		if sent.Sub(b.accepted) > visibilityDelay {
-			r.t.Errorf("%s answers %d for %s, accepted %s before", e.id, answer.status, b.id, sent.Sub(b.accepted))
+			r.t.Errorf("%s answers with status %d for %s, which was accepted %s before", e.id, answer.status, b.id, sent.Sub(b.accepted))
 		}
 		return
 	case p.Total != len(b.Items) || p.Next != at+len(p.Results):
-		r.t.Errorf("%s: total %d of %d, next %d after %d and %d results", e.id, p.Total, len(b.Items), p.Next, at, len(p.Results))
+		r.t.Errorf("%s: total %d, want %d; next position %d after position %d with %d results", e.id, p.Total, len(b.Items), p.Next, at, len(p.Results))
 	case len(p.Results) == 0 && at < len(b.results) && sent.Sub(b.readAt[at]) > visibilityDelay:
-		r.t.Errorf("%s has nothing at position %d of %s, which was read %s before", e.id, at, b.id, sent.Sub(b.readAt[at]))
+		r.t.Errorf("%s has no result at position %d of %s, which was read %s before", e.id, at, b.id, sent.Sub(b.readAt[at]))
 	}
 	for i, x := range p.Results {
 		switch n := at + i; {
 		case n == len(b.results):
 			b.results, b.readAt = append(b.results, x), append(b.readAt, time.Now())
 		case n < len(b.results) && fmt.Sprint(b.results[n]) != fmt.Sprint(x):
-			r.t.Errorf("%s: position %d of %s is %v, was %v", e.id, n, b.id, x, b.results[n])
+			r.t.Errorf("%s: result at position %d of %s is %v, was %v", e.id, n, b.id, x, b.results[n])
 		}
 	}
 }
@@ -95,9 +95,9 @@
 	switch {
 	case err != nil || sent.Sub(b.accepted) < visibilityDelay:
 	case answer.status == http.StatusNotFound || answer.status == http.StatusGone:
-		r.t.Errorf("%s answers %d for the body of %s", e.id, answer.status, it.ID)
+		r.t.Errorf("%s answers with status %d for the body of %s", e.id, answer.status, it.ID)
 	case answer.status == http.StatusOK && !bytes.Equal(answer.body, it.Body):
-		r.t.Errorf("%s: another body of %s", e.id, it.ID)
+		r.t.Errorf("%s returned a wrong body of %s", e.id, it.ID)
 	}
 }
 
@@ -193,7 +193,7 @@
 	cancel()
 	wg.Wait()
 	if len(r.batches) != n {
-		t.Errorf("%d of %d steps accepted", len(r.batches), n)
+		t.Errorf("%d of %d steps were accepted", len(r.batches), n)
 	}
 	for _, b := range r.batches {
 		s.checkResults(b.batch, b.results)
@@ -217,7 +217,7 @@
 	}
 	s.readAll(b)
 	if after := s.coordinator(); after != c {
-		t.Errorf("the duty moved from %s to %s", c.id, after.id)
+		t.Errorf("the lease moved from %s to %s", c.id, after.id)
 	}
 	s.checkRanOnce()
 }
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -87,7 +87,7 @@
 	s.t.Helper()
 	current := time.Now().UnixMilli() / usageWindow.Milliseconds()
 	actual := s.requestsByWindow()
-	eventually(s.t, "the reports", func() bool {
+	eventually(s.t, "complete usage reports", func() bool {
 		reports := s.control.Usage()
 		for w := range actual {
 			if _, ok := reports[w]; !ok && w < current {
@@ -114,9 +114,9 @@
 	for o := range ran {
 		missing += max(reported[o]-ran[o], ran[o]-reported[o])
 	}
-	s.t.Logf("%d windows, %d requests, %d counted in another window, %d missing or too many", len(actual), total, (deviation-missing)/2, missing)
+	s.t.Logf("%d windows, %d requests, %d counted in another window, %d missing or in excess", len(actual), total, (deviation-missing)/2, missing)
 	if missing > tolerance {
-		s.t.Errorf("reported %v, ran %v", reported, ran)
+		s.t.Errorf("reported requests %v, actual requests %v", reported, ran)
 	}
 	for _, fault := range s.control.Violations() {
 		s.t.Error(fault)
@@ -146,7 +146,7 @@
 			}
 			s.plainTargets[0].SetFaults(standin.EngineFaults{})
 		}, 0},
-		{"answers of the API", func(s *deployment) {
+		{"faults of the API", func(s *deployment) {
 			s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2})
 			time.Sleep(4 * time.Second)
 			s.control.SetFaults(standin.ControlPlaneFaults{Busy: true})
@@ -154,7 +154,7 @@
 			s.control.SetFaults(standin.ControlPlaneFaults{ResponseDelay: 400 * time.Millisecond})
 			time.Sleep(2 * time.Second)
 		}, 0},
-		{"answers of the store", func(s *deployment) {
+		{"faults of the store", func(s *deployment) {
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3})
 			time.Sleep(3 * time.Second)
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3, DroppedWriteDelay: 1500 * time.Millisecond})
@@ -162,9 +162,9 @@
 			s.store.SetFaults(standin.StoreFaults{})
 		}, 0},
 		// The loss covers the coordinator's own requests since its last renewal.
-		{"the holder", killCoordinator, maxMissed},
+		{"loss of the coordinator", killCoordinator, maxMissed},
 		// The loss covers the requests of all instances since the coordinator's last renewal.
-		{"all instances", func(s *deployment) {
+		{"loss of all instances", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			for _, e := range s.entries {
 				e.kill()
@@ -174,14 +174,14 @@
 			}
 			time.Sleep(6 * time.Second)
 		}, 3 * int64(800*time.Millisecond/requestInterval)},
-		{"another instance", func(s *deployment) {
+		{"loss of another instance", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			e := s.nonCoordinator()
 			e.kill()
 			e.start()
 			time.Sleep(3 * time.Second)
 		}, 2},
-		{"a holder that is frozen", func(s *deployment) {
+		{"frozen coordinator", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			c := s.coordinator()
 			c.signal(syscall.SIGSTOP)
@@ -190,7 +190,7 @@
 			c.signal(syscall.SIGCONT)
 			time.Sleep(4 * time.Second)
 		}, 4},
-		{"a planned stop", func(s *deployment) {
+		{"graceful shutdown", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			c := s.coordinator()
 			c.signal(syscall.SIGTERM)
@@ -217,7 +217,7 @@
 	time.Sleep(2 * usageWindow)
 	s.checkUsage(tolerance)
 	if at := maxReportDelay(s.control.Usage()); at > 10*time.Second {
-		t.Errorf("a report came %s after its window", at)
+		t.Errorf("a report came %s after the end of its window, want at most 10 s", at)
 	}
 }
 
@@ -232,7 +232,7 @@
 		tolerance int64
 	}{
 		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
-		{"the holder", killCoordinator, maxMissed},
+		{"loss of the coordinator", killCoordinator, maxMissed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
