--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -32,7 +32,7 @@
 // of results lists items twice.
 func TestLostAndDelayedWriteResponses(t *testing.T) {
 	for _, delay := range []time.Duration{0, 700 * time.Millisecond} {
-		t.Run(fmt.Sprint("delay_", delay), func(t *testing.T) {
+		t.Run(fmt.Sprint("late_", delay), func(t *testing.T) {
 			t.Parallel()
 			s := startDeployment(t, options{entries: 3, engines: 3})
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: delay})
