--- a/io/cfautoscale/cfautoscale.go
+++ b/io/cfautoscale/cfautoscale.go
@@ -1,13 +1,13 @@
-// Package cfautoscale is the duty of ordering engines from the platform. One instance at a
-// time has it, with the coordinator's lease: it is given a term, acts under it alone, and
-// ends with it. How many engines are wanted, and when that is written and ordered, is
-// cfscale's decision; this package carries it out.
+// Package cfautoscale orders engines from the platform. Only the instance that holds the
+// coordinator's lease does so: its Controller is created for a lease term, acts under this term
+// only, and is closed at its end. Package cfscale decides how many engines are wanted and when to
+// store and order them; this package executes the decisions.
 //
 // Usage:
 //
-//	d := cfautoscale.New(options)
-//	d.Start()
-//	defer d.Close()
+//	c := cfautoscale.New(options)
+//	c.Start()
+//	defer c.Close()
 package cfautoscale
 
 import (
@@ -26,63 +26,62 @@
 )
 
 const (
-	// wantedName is the object that holds what is wanted.
-	wantedName = "engines"
-	// tick is how often the duty looks: two looks and an order take less than the time in
-	// which an engine is in service.
+	// stateName is the name of the object that stores the wanted engines.
+	stateName = "engines"
+	// tick is the interval between reconciliations. Two of them and an order take less time than an
+	// engine needs to come into service.
 	tick = 500 * time.Millisecond
-	// orderTimeout bounds an order. It is less than the time between two holders' orders;
-	// one without an answer is given again, the same.
+	// orderTimeout limits the duration of an order call. It is less than the time between the
+	// orders of two lease holders. An order without a response is sent again unchanged.
 	orderTimeout = 1500 * time.Millisecond
-	// warnEvery is the least time between two equal warnings: the duty looks twice a second
-	// while the store is unavailable.
+	// warnEvery is the minimum time between two equal warnings, since the controller reconciles
+	// twice a second while the store is unavailable.
 	warnEvery cf.Millis = 10_000
 )
 
-// Warnings.
+// Log messages of warnings.
 const (
-	warnNotRead     = "engines_wanted_not_read"
-	warnUnconfirmed = "engines_wanted_unconfirmed"
+	warnLoadFailed      = "engines_wanted_not_read"
+	warnSaveUnconfirmed = "engines_wanted_unconfirmed"
 )
 
 type (
-	// Options are what the duty works with.
+	// Options configures a Controller.
 	Options struct {
 		Lease cf.LeaseToken
-		// HasPredecessor says that another had the duty before.
+		// HasPredecessor reports whether there was a Controller of an earlier term.
 		HasPredecessor bool
 		Store          cf.Store
 		Scaling        cf.Scaling
-		// MayAct says whether the term allows an order now; Ordered notes that one is
-		// given now, or has just ended.
+		// MayAct reports whether the term allows an order now. NoteOrder is called when an order
+		// begins and when it ends.
 		MayAct    func() bool
 		NoteOrder func()
-		// Demand returns what a service's open steps ask for, false while that is not
-		// known.
+		// Demand returns the demand of a service's open steps, and false while it is unknown.
 		Demand func(cf.ServiceName) (cfscale.Demand, bool)
-		// Policies are those of the services whose engines may be ordered.
+		// Policies returns the policies of the services whose engines may be ordered.
 		Policies func() map[cf.ServiceName]cfscale.Policy
 		Metrics  *Metrics
 		Log      *zap.Logger
 	}
 
-	// Controller orders engines. Close ends it and waits for the call under way.
+	// Controller orders engines. Close stops it and waits for the call in progress.
 	Controller struct {
 		Options
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
 
-		// What follows is the loop's alone.
-		keeper   *cfscale.Reconciler
-		deciders map[cf.ServiceName]*cfscale.Decider
-		// why is what last changed the orders of a service.
-		why map[cf.ServiceName]cfscale.Rationale
-		// warned is when each warning was last logged, without those whose cause has ended.
-		warned map[string]cf.Millis
+		// The fields below are used only by the goroutine of loop.
+		reconciler *cfscale.Reconciler
+		deciders   map[cf.ServiceName]*cfscale.Decider
+		// rationales holds the reason for the latest change of each service's orders.
+		rationales map[cf.ServiceName]cfscale.Rationale
+		// warnedAt is when each warning was last logged, without warnings whose cause has ended.
+		warnedAt map[string]cf.Millis
 	}
 
-	// Metrics are the duty's counters.
+	// Metrics holds the controller's metrics.
 	Metrics struct {
 		Orders  *prometheus.CounterVec
 		Wanted  prometheus.Gauge
@@ -91,7 +90,7 @@
 	}
 )
 
-// NewMetrics registers the duty's metrics.
+// NewMetrics registers the controller's metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Name: name, Help: help})
@@ -107,112 +106,112 @@
 	return m
 }
 
-// clear sets the gauges to zero: only the holder reports them.
-func (m *Metrics) clear() {
+// reset sets the gauges to zero, since only the lease holder reports them.
+func (m *Metrics) reset() {
 	m.Wanted.Set(0)
 	m.Serving.Set(0)
 	m.Needed.Set(0)
 }
 
-// New returns a duty that has not started.
+// New returns a Controller that is not started.
 func New(o Options) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Controller{
-		Options: o, ctx: ctx, cancel: cancel, keeper: cfscale.NewReconciler(o.Lease.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
-		why: map[cf.ServiceName]cfscale.Rationale{}, warned: map[string]cf.Millis{},
+		Options: o, ctx: ctx, cancel: cancel, reconciler: cfscale.NewReconciler(o.Lease.Fence, cf.Uptime()), deciders: map[cf.ServiceName]*cfscale.Decider{},
+		rationales: map[cf.ServiceName]cfscale.Rationale{}, warnedAt: map[string]cf.Millis{},
 	}
 }
 
-// Start begins the duty.
-func (d *Controller) Start() { d.wg.Go(d.loop) }
+// Start starts the controller.
+func (c *Controller) Start() { c.wg.Go(c.loop) }
 
-// Close ends the duty.
-func (d *Controller) Close() error {
-	d.cancel()
-	d.wg.Wait()
+// Close stops the controller and waits for it to end.
+func (c *Controller) Close() error {
+	c.cancel()
+	c.wg.Wait()
 	return nil
 }
 
-func (d *Controller) loop() {
-	defer d.Metrics.clear()
+func (c *Controller) loop() {
+	defer c.Metrics.reset()
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		d.look()
+		c.reconcile()
 		select {
-		case <-d.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// look decides, and does what is due.
-func (d *Controller) look() {
-	terms := d.Policies()
-	if len(terms) == 0 {
-		return // nothing may be ordered, and nothing is read
+// reconcile decides what is wanted and takes the due actions.
+func (c *Controller) reconcile() {
+	policies := c.Policies()
+	if len(policies) == 0 {
+		return // nothing may be ordered, so no state is needed
 	}
-	if kept, known := d.keeper.Stored(); known {
-		d.act(d.decide(terms, kept), terms)
+	if stored, known := c.reconciler.Stored(); known {
+		c.apply(c.decide(policies, stored), policies)
 		return
 	}
-	if d.read() {
-		kept, _ := d.keeper.Stored()
-		d.act(d.decide(terms, kept), terms)
+	if c.load() {
+		stored, _ := c.reconciler.Stored()
+		c.apply(c.decide(policies, stored), policies)
 	}
 }
 
-// decide returns what is wanted.
-func (d *Controller) decide(terms map[cf.ServiceName]cfscale.Policy, kept cfscale.StoredState) cfscale.StoredState {
+// decide returns the wanted state.
+func (c *Controller) decide(policies map[cf.ServiceName]cfscale.Policy, stored cfscale.StoredState) cfscale.StoredState {
 	now := cf.Uptime()
 	var wanted cfscale.StoredState
 	var target, serving, need float64
-	for service, t := range terms {
-		decider := d.deciders[service]
+	for service, policy := range policies {
+		decider := c.deciders[service]
 		if decider == nil {
-			decider = cfscale.NewDecider(t, now, d.HasPredecessor)
-			d.deciders[service] = decider
+			decider = cfscale.NewDecider(policy, now, c.HasPredecessor)
+			c.deciders[service] = decider
 		}
-		decider.SetPolicy(t)
-		demand, known := d.Demand(service)
+		decider.SetPolicy(policy)
+		demand, known := c.Demand(service)
 		if !known {
 			continue
 		}
-		orders, why := decider.Decide(now, demand, kept)
-		if why.Cause != "" || d.why[service].Cause == "" {
-			d.why[service] = why
+		orders, rationale := decider.Decide(now, demand, stored)
+		if rationale.Cause != "" || c.rationales[service].Cause == "" {
+			c.rationales[service] = rationale
 		}
-		for _, pool := range decider.PoolsToReorder(now, demand, kept) {
-			d.Log.Info("engines_missing", zap.String("service", string(pool.Service)), zap.String("failure_domain", string(pool.Domain)),
+		for _, pool := range decider.PoolsToReorder(now, demand, stored) {
+			c.Log.Info("engines_missing", zap.String("service", string(pool.Service)), zap.String("failure_domain", string(pool.Domain)),
 				zap.Bool("spot", pool.Spot), zap.Int("in_service", demand.Engines[pool]))
-			d.keeper.RepeatOrder(pool)
+			c.reconciler.RepeatOrder(pool)
 		}
 		wanted.Orders = append(wanted.Orders, orders...)
 		wanted.Preexisting = append(wanted.Preexisting, decider.Preexisting()...)
-		target, serving, need = target+float64(why.Desired), serving+float64(why.Serving), need+why.Need
+		target, serving, need = target+float64(rationale.Desired), serving+float64(rationale.Serving), need+rationale.Need
 	}
-	d.Metrics.Wanted.Set(target)
-	d.Metrics.Serving.Set(serving)
-	d.Metrics.Needed.Set(need)
+	c.Metrics.Wanted.Set(target)
+	c.Metrics.Serving.Set(serving)
+	c.Metrics.Needed.Set(need)
 	return wanted
 }
 
-// act does what is due until nothing is.
-func (d *Controller) act(wanted cfscale.StoredState, terms map[cf.ServiceName]cfscale.Policy) {
-	may := func(s cf.ServiceName) bool { _, ok := terms[s]; return ok }
-	for d.ctx.Err() == nil && d.MayAct() {
-		step := d.keeper.Next(cf.Uptime(), wanted, may)
-		switch step.Kind {
+// apply takes actions until none is due.
+func (c *Controller) apply(wanted cfscale.StoredState, policies map[cf.ServiceName]cfscale.Policy) {
+	allowed := func(s cf.ServiceName) bool { _, ok := policies[s]; return ok }
+	for c.ctx.Err() == nil && c.MayAct() {
+		action := c.reconciler.Next(cf.Uptime(), wanted, allowed)
+		switch action.Kind {
 		case cfscale.ActionWrite:
-			if !d.keep(step) {
+			if !c.save(action) {
 				return
 			}
 		case cfscale.ActionOrder:
-			if !d.give(step.Order) {
+			if !c.sendOrder(action.Order) {
 				return
 			}
-		case cfscale.ActionRead: // at the next look: what is wanted follows from it
+		case cfscale.ActionRead: // the next reconciliation reads it, since the wanted state depends on it
 			return
 		default:
 			return
@@ -220,67 +219,68 @@
 	}
 }
 
-// read reads what lies in the store.
-func (d *Controller) read() bool {
-	r, err := d.Store.Get(d.ctx, cf.KindScaling, wantedName)
-	var kept cfscale.StoredState
+// load reads the stored state.
+func (c *Controller) load() bool {
+	r, err := c.Store.Get(c.ctx, cf.KindScaling, stateName)
+	var stored cfscale.StoredState
 	if err == nil {
-		if err = json.Unmarshal(r.Spec, &kept); err != nil {
-			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", wantedName, err)
+		if err = json.Unmarshal(r.Spec, &stored); err != nil {
+			err = eris.Wrapf(cf.ErrInvalid, "%s: %v", stateName, err)
 		}
 	}
 	switch {
 	case errors.Is(err, cf.ErrNotFound):
-		d.keeper.LoadedEmpty()
+		c.reconciler.LoadedEmpty()
 	case err != nil:
-		d.warn(warnNotRead, err)
+		c.warn(warnLoadFailed, err)
 		return false
 	default:
-		d.keeper.Loaded(kept, r.Rev)
-		d.Log.Info("engines_wanted_read", zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", kept.Orders))
+		c.reconciler.Loaded(stored, r.Rev)
+		c.Log.Info("engines_wanted_read", zap.Int64("term", int64(c.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", stored.Orders))
 	}
-	delete(d.warned, warnNotRead)
+	delete(c.warnedAt, warnLoadFailed)
 	return true
 }
 
-// warn logs a warning when its cause begins, and each warnEvery while it lasts.
-func (d *Controller) warn(event string, err error) {
+// warn logs a warning when its cause begins, and every warnEvery while the cause persists.
+func (c *Controller) warn(event string, err error) {
 	now := cf.Uptime()
-	if last, warned := d.warned[event]; warned && now-last < warnEvery {
+	if last, warned := c.warnedAt[event]; warned && now-last < warnEvery {
 		return
 	}
-	d.warned[event] = now
-	d.Log.Warn(event, cflog.Error(err))
+	c.warnedAt[event] = now
+	c.Log.Warn(event, cflog.Error(err))
 }
 
-// keep writes what is wanted.
-func (d *Controller) keep(step cfscale.Action) bool {
+// save writes the wanted state to the store.
+func (c *Controller) save(action cfscale.Action) bool {
 	var r cf.Record
 	var err error
-	if step.Rev == 0 {
-		r, err = d.Store.Create(d.ctx, cf.KindScaling, wantedName, step.State)
+	if action.Rev == 0 {
+		r, err = c.Store.Create(c.ctx, cf.KindScaling, stateName, action.State)
 	} else {
-		r, err = d.Store.Replace(d.ctx, cf.KindScaling, wantedName, step.Rev, step.State)
+		r, err = c.Store.Replace(c.ctx, cf.KindScaling, stateName, action.Rev, action.State)
 	}
 	if err != nil || r.Rev == 0 {
-		d.keeper.WriteInDoubt()
-		d.warn(warnUnconfirmed, err)
+		c.reconciler.WriteInDoubt()
+		c.warn(warnSaveUnconfirmed, err)
 		return false
 	}
-	delete(d.warned, warnUnconfirmed)
-	d.keeper.Written(step.State, r.Rev)
-	d.Log.Info("engines_wanted_kept", zap.Int64("term", int64(d.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", step.State.Orders))
+	delete(c.warnedAt, warnSaveUnconfirmed)
+	c.reconciler.Written(action.State, r.Rev)
+	c.Log.Info("engines_wanted_kept", zap.Int64("term", int64(c.Lease.Fence)), zap.Int64("revision", int64(r.Rev)), zap.Any("orders", action.State.Orders))
 	return true
 }
 
-// give gives an order.
-func (d *Controller) give(o cf.EngineOrder) bool {
-	ctx, cancel := context.WithTimeout(d.ctx, orderTimeout)
+// sendOrder sends an order to the platform. It returns false if no further order should be sent
+// now.
+func (c *Controller) sendOrder(o cf.EngineOrder) bool {
+	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
-	d.NoteOrder()
-	began := time.Now()
-	err := d.Scaling.OrderEngines(ctx, d.Lease, o)
-	d.NoteOrder()
+	c.NoteOrder()
+	started := time.Now()
+	err := c.Scaling.OrderEngines(ctx, c.Lease, o)
+	c.NoteOrder()
 	outcome := "taken"
 	switch {
 	case errors.Is(err, cf.ErrFenced):
@@ -292,18 +292,18 @@
 	case err != nil:
 		outcome = "refused"
 	}
-	why := d.why[o.Service]
-	cause := why.Cause
+	rationale := c.rationales[o.Service]
+	cause := rationale.Cause
 	if cause == "" {
 		cause = cfscale.CauseInherited
 	}
-	d.Metrics.Orders.WithLabelValues(string(cause), outcome).Inc()
-	d.Log.Info("engines_ordered", zap.String("service", string(o.Service)), zap.String("failure_domain", string(o.Domain)), zap.Bool("spot", o.Spot),
-		zap.Int("count", o.Count), zap.Int64("term", int64(d.Lease.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
-		zap.Float64("need", why.Need), zap.Float64("need_recent", why.RecentNeed), zap.Float64("need_shown", why.ObservedNeed), zap.Float64("worst_step", why.WorstStep), zap.Int("target", why.Desired), zap.Int("in_service", why.Serving),
-		zap.Int("booting", why.Booting), zap.Float64("earns", why.MarginalValue), zap.Float64("costs", why.MarginalCost),
-		zap.Int64("took_ms", time.Since(began).Milliseconds()), cflog.Error(err))
-	now, decider := cf.Uptime(), d.deciders[o.Service]
+	c.Metrics.Orders.WithLabelValues(string(cause), outcome).Inc()
+	c.Log.Info("engines_ordered", zap.String("service", string(o.Service)), zap.String("failure_domain", string(o.Domain)), zap.Bool("spot", o.Spot),
+		zap.Int("count", o.Count), zap.Int64("term", int64(c.Lease.Fence)), zap.String("outcome", outcome), zap.String("cause", string(cause)),
+		zap.Float64("need", rationale.Need), zap.Float64("need_recent", rationale.RecentNeed), zap.Float64("need_shown", rationale.ObservedNeed), zap.Float64("worst_step", rationale.WorstStep), zap.Int("target", rationale.Desired), zap.Int("in_service", rationale.Serving),
+		zap.Int("booting", rationale.Booting), zap.Float64("earns", rationale.MarginalValue), zap.Float64("costs", rationale.MarginalCost),
+		zap.Int64("took_ms", time.Since(started).Milliseconds()), cflog.Error(err))
+	now, decider := cf.Uptime(), c.deciders[o.Service]
 	if decider != nil && errors.Is(err, cf.ErrConflict) {
 		decider.Refused(o.EnginePool, now)
 	} else if decider != nil {
@@ -311,14 +311,14 @@
 	}
 	switch {
 	case err == nil:
-		d.keeper.OrderAccepted(o, now)
+		c.reconciler.OrderAccepted(o, now)
 		return true
 	case errors.Is(err, cf.ErrUnavailable):
-		d.keeper.OrderInDoubt(o, now)
+		c.reconciler.OrderInDoubt(o, now)
 	default:
-		d.keeper.OrderRejected(o, now)
+		c.reconciler.OrderRejected(o, now)
 	}
-	// Others may be taken where one was refused; without an answer they would wait for
-	// theirs in vain.
+	// After a refused order, orders for other pools may still succeed. After an order without a
+	// response, further orders would wait for their responses in vain.
 	return !errors.Is(err, cf.ErrUnavailable) && !errors.Is(err, cf.ErrFenced)
 }
--- a/io/cfnode/duty_test.go
+++ b/io/cfnode/duty_test.go
@@ -15,7 +15,7 @@
 	"currantford/testbed/cfstandin"
 )
 
-// noRelay reaches no other instance.
+// noRelay is a relay that reaches no other instance.
 type noRelay struct{}
 
 func (noRelay) SetRelay(func(context.Context, cf.Millis, bool, any, any) error) {}
@@ -29,20 +29,19 @@
 	return n
 }
 
-// Symptom: the duty stays at an instance that has given it to a stronger one, and
-// each of its tries stops all runs.
-// Sequence: the holder releases its lease to a named successor; before that one
-// has looked at the store, the holder looks itself.
-// Cause: it took the lease for its own from before a restart.
-func TestReleasedDutyIsLeftToItsSuccessor(t *testing.T) {
+// TestReleasedLeaseIsLeftToTheSuccessor guards against an instance that keeps the duty after it has
+// released the lease to a stronger one, so that each further handover stops all streams. The
+// releasing instance reads the lease before the named successor does, and must not mistake it for
+// its own lease from before a restart.
+func TestReleasedLeaseIsLeftToTheSuccessor(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
 	n := newTestNode(t, store)
 	n.candidate.write(ctx)
 	if !n.candidate.held || !n.candidate.release(ctx, "b") {
-		t.Fatal("the lease was not taken and released")
+		t.Fatal("the instance did not acquire and release the lease")
 	}
-	n.candidate.doubt()
+	n.candidate.recordDenial()
 	n.candidate.step(ctx)
 	r, err := store.Get(ctx, cf.KindLease, leaseName)
 	if err != nil {
@@ -53,20 +52,18 @@
 		t.Fatal(err)
 	}
 	if !h.Released || h.Successor != "b" || n.candidate.held {
-		t.Errorf("the lease is %+v", h)
+		t.Errorf("after the release the lease is %+v, want one released to b and not held here", h)
 	}
 }
 
-// Symptom: callers are sent to a machine that has been off for fifteen seconds.
-// Sequence: an instance takes the duty over, with the list of instances that the
-// holder before had told it; one of them is dead and drops out; the instance loses
-// the duty and takes it again.
-// Cause: it began with the same list once more, as if all in it had just been
-// heard of.
-func TestDeadInstancesStayForgottenWhenTheDutyReturns(t *testing.T) {
+// TestDeadInstancesStayRemovedWhenTheDutyReturns guards against callers being sent to a machine
+// that has been off for fifteen seconds. An instance takes the duty over with the previous holder's
+// list; a dead instance in it is removed; the instance loses the duty and takes it again. It must
+// not start with the same list once more, as if all instances in it had just reported.
+func TestDeadInstancesStayRemovedWhenTheDutyReturns(t *testing.T) {
 	n := newTestNode(t, cfstandin.NewMemStore())
 	n.members.Apply(cfmember.RosterUpdate{Full: true, Entries: []cfmember.Entry{{ID: "dead", Addr: "10.0.0.9:1", Ready: true}}})
-	names := func() bool {
+	listed := func() bool {
 		for _, e := range n.Live() {
 			if e.ID == "dead" {
 				return true
@@ -75,42 +72,41 @@
 		return false
 	}
 	n.beginDuty(cflease.Holder{}, nil)
-	if !names() {
-		t.Fatal("the list of the holder before is not taken")
+	if !listed() {
+		t.Fatal("the instance does not use the previous holder's list")
 	}
-	for deadline := time.Now().Add(20 * time.Second); names(); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); listed(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the dead instance never drops out")
+			t.Fatal("the dead instance is never removed from the list")
 		}
 	}
 	n.endDuty()
 	n.beginDuty(cflease.Holder{}, nil)
-	if names() {
-		t.Error("the dead instance is named again")
+	if listed() {
+		t.Error("the dead instance is listed again")
 	}
 	n.endDuty()
 }
 
-// Symptom: after an outage of the store a coordinator renews its lease 2.5 s late,
-// and all instances list and watch for themselves meanwhile.
-// Load: the store is away for all; each call is passed on to others in vain, for as
-// long as a call may take.
-// Cause: the pause after such a call was short, whatever the calls before it came to.
-func TestCallsThatNobodyCanRelayArePassedOnLessAndLess(t *testing.T) {
-	var r relays
+// TestFailedRelayCallsBackOff guards against a coordinator that renews its lease 2.5 s late after
+// an outage of the store, while all instances list and watch for themselves. During the outage each
+// call is relayed to no avail, for as long as a call may take; the pause after such calls must grow
+// with their number.
+func TestFailedRelayCallsBackOff(t *testing.T) {
+	var r relayTable
 	tries := 0
 	for now := cf.Millis(0); now < 10000; now += 100 {
-		if !r.resting(now) {
+		if !r.paused(now) {
 			tries++
-			r.failed(now)
+			r.pause(now)
 		}
 	}
 	if tries > 9 {
-		t.Errorf("%d calls were passed on in vain within 10 s", tries)
+		t.Errorf("%d failed calls were relayed within 10 s, want at most 9", tries)
 	}
-	r.worked("a", 20000)
-	r.failed(20000)
-	if !r.resting(20100) || r.resting(20300) {
-		t.Error("one failure after a success costs more than the first pause")
+	r.recordSuccess("a", 20000)
+	r.pause(20000)
+	if !r.paused(20100) || r.paused(20300) {
+		t.Error("a failure after a success does not pause for the first interval")
 	}
 }
--- a/io/cfnode/keepalive_test.go
+++ b/io/cfnode/keepalive_test.go
@@ -20,9 +20,9 @@
 	"currantford/core/cfhold"
 )
 
-// Guards against a kept connection that is closed under a request which has been read, where
-// idle limits change and requests come in all shapes.
-func TestIdleLimitsCloseNoConnectionUnderARequest(t *testing.T) {
+// TestIdleTimeoutClosesNoConnectionWithARequest guards against a kept connection that is closed as
+// idle after a request has been read, with changing idle timeouts and requests of all forms.
+func TestIdleTimeoutClosesNoConnectionWithARequest(t *testing.T) {
 	var handled, answered atomic.Int64
 	large := strings.Repeat("x", 64<<10)
 	srv, err := Serve("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,14 +42,14 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			srv.closeWhere(func(since cf.Millis) bool { return since > 0 && rand.IntN(8) == 0 })
+			srv.closeIdleWhere(func(since cf.Millis) bool { return since > 0 && rand.IntN(8) == 0 })
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
 	for range 32 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				answered.Add(askOften(ctx, srv.ln.Addr().String()))
+				answered.Add(sendRequests(ctx, srv.ln.Addr().String()))
 			}
 		})
 	}
@@ -59,14 +59,14 @@
 	if err := srv.Shutdown(stop); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d requests", handled.Load())
+	t.Logf("%d requests handled", handled.Load())
 	if lost := handled.Load() - answered.Load(); lost != 0 {
-		t.Errorf("%d of %d requests reached the handler and got no whole answer", lost, handled.Load())
+		t.Errorf("%d of %d requests reached the handler and got no complete answer", lost, handled.Load())
 	}
 }
 
-// shapes are requests as callers send them, each part by itself.
-var shapes = [][]string{
+// requestParts lists requests as callers send them, split into the parts that are sent separately.
+var requestParts = [][]string{
 	{"GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 	{"GET /large HTTP/1.1\r\nHost: x\r\n\r\n"},
 	{"G", "ET / HTTP/1.1\r\nHost: x\r\n\r\n"},
@@ -74,9 +74,9 @@
 	{"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n", "5\r\nhello\r\n", "0\r\n\r\n"},
 }
 
-// askOften sends requests on one connection until it ends; it returns how many got their
-// whole answer.
-func askOften(ctx context.Context, addr string) int64 {
+// sendRequests sends requests on one connection until it ends. It returns how many got a complete
+// answer.
+func sendRequests(ctx context.Context, addr string) int64 {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0
@@ -87,7 +87,7 @@
 		if ctx.Err() != nil {
 			return n
 		}
-		for _, part := range shapes[rand.IntN(len(shapes))] {
+		for _, part := range requestParts[rand.IntN(len(requestParts))] {
 			if _, err := fmt.Fprint(conn, part); err != nil {
 				return n
 			}
@@ -107,39 +107,41 @@
 	}
 }
 
-// Guards against requests that end without an answer and without a line that names them.
+// TestAnswerThatCannotBeWrittenIsLogged guards against requests that end without an answer and
+// without a log line with their identifier.
 func TestAnswerThatCannotBeWrittenIsLogged(t *testing.T) {
-	s := newSlowSite(t, cfhold.Policy{}, sized)
+	s := newTestSite(t, cfhold.Policy{}, writeSized)
 	conn := s.send(t, "/x/8000000")
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.Close() // with bytes unread: a reset
-	body, err := net.Dial("tcp", s.addr)
+	_ = conn.Close() // A close with unread bytes resets the connection.
+	partial, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = fmt.Fprint(body, "POST /x/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\nCurrantford-Request-Id: r\r\n\r\nhalf")
-	_ = body.Close()
+	_, _ = fmt.Fprint(partial, "POST /x/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\nCurrantford-Request-Id: r\r\n\r\nhalf")
+	_ = partial.Close()
 	for _, line := range []string{"answer_not_written", "request_answered", "body_not_read"} {
 		deadline := time.Now().Add(10 * time.Second)
 		for s.logs.FilterMessage(line).FilterField(zap.String("request_id", "r")).Len() == 0 && time.Now().Before(deadline) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if found := s.logs.FilterMessage(line).FilterField(zap.String("request_id", "r")).Len(); found != 1 {
-			t.Errorf("%d lines %s, want one", found, line)
+			t.Errorf("%d log lines %s, want one", found, line)
 		}
 	}
 	if s.logs.FilterField(zap.String("outcome", "caller_gone")).Len() != 1 {
-		t.Error("the request's own line says that it was answered")
+		t.Error("the log line of the request does not have the outcome caller_gone")
 	}
 }
 
-// Guards against requests that a stop passes on to their targets and then cuts off: what is
-// still under way at its end is answered, too.
-func TestEndOfAStopAnswersWhatIsUnderWay(t *testing.T) {
+// TestShutdownAnswersRequestsInProgress guards against requests that a stopping instance forwards
+// to their targets and then cuts off. Requests that are still in progress at its end must be
+// answered too.
+func TestShutdownAnswersRequestsInProgress(t *testing.T) {
 	reached := make(chan struct{}, 2)
-	s := newSlowSite(t, cfhold.Policy{}, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestSite(t, cfhold.Policy{}, func(_ http.ResponseWriter, r *http.Request) {
 		reached <- struct{}{}
 		<-r.Context().Done()
 	})
@@ -151,7 +153,7 @@
 	defer cancel()
 	s.stopped = true
 	if err := s.srv.Shutdown(ctx); err == nil {
-		t.Error("the stop does not tell that requests were under way")
+		t.Error("Shutdown returned no error although requests were in progress")
 	}
 	for _, conn := range conns {
 		status := 0
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -1,17 +1,17 @@
-// Package cfnode is one process of the deployment: it serves callers, shares
-// what it knows with the other entry instances, and competes for the
-// coordinator's duty.
+// Package cfnode implements one entry instance of the deployment: it serves callers, shares what it
+// knows with the other entry instances, and competes for the coordinator's lease.
 //
-// Only the coordinator watches the store all the time. The others ask it for
-// news (the feed); an instance that hears nothing from it watches the store
-// itself, and takes the duty over when the lease has not been renewed. So the
-// store's calls grow with the number of duties, not of instances, and no
-// instance depends on another to learn a configuration in time.
+// Only the coordinator watches the store permanently. The other instances poll it for updates (the
+// feed). An instance that receives no updates watches the store itself, and takes over the
+// coordinator's duty once the lease has expired. The number of store calls therefore grows with the
+// number of duties and not with the number of instances, and no instance depends on another one to
+// receive a configuration in time.
 //
 // Usage:
 //
 //	node := cfnode.New(settings, adapter, registry, log)
-//	err := node.Run(ctx) // returns after a planned stop
+//	node.Start()
+//	defer node.Close()
 package cfnode
 
 import (
@@ -45,29 +45,28 @@
 )
 
 const (
-	// watchTick is how often an instance checks whether it must watch the store
-	// itself.
-	watchTick = 100 * time.Millisecond
-	// watchLeft is the longest pause between the tries of an instance that is no scout,
-	// drawn from half of it to half more: what a store that is back shows is to be in
-	// force within two seconds.
-	watchLeft = 1300 * time.Millisecond
+	// watchCheckInterval is how often an instance checks whether it must watch the store itself.
+	watchCheckInterval = 100 * time.Millisecond
+	// maxWatchRetryDelay is the longest delay between the tries of an instance that is not a
+	// fallback watcher; each delay is drawn between half of it and one and a half times it. What
+	// the store holds once it is reachable again must be in force within two seconds.
+	maxWatchRetryDelay = 1300 * time.Millisecond
 )
 
 type (
-	// Adapter is what the process uses of its platform.
+	// Adapter holds the parts of the platform that the process uses.
 	Adapter struct {
 		Store   cf.Store
 		Targets cf.Targets
 		Codec   cfsite.Codec
 		Relay   cf.Relay
-		// Metering takes reports of use; nil where none are sent.
+		// Metering receives usage reports; it is nil if none are sent.
 		Metering cf.Metering
-		// Scaling takes orders of engines; nil where none are given.
+		// Scaling receives orders for engines; it is nil if none are given.
 		Scaling cf.Scaling
 	}
 
-	// Node is one entry instance. Close waits for all it started.
+	// Node is one entry instance.
 	Node struct {
 		settings Settings
 		adapter  Adapter
@@ -78,72 +77,74 @@
 
 		candidate *candidate
 		coord     atomic.Pointer[cfcoord.Coordinator]
-		watching  atomic.Pointer[watching]
-		// watchMetrics are those of all watchers of the site.
+		watchers  atomic.Pointer[watchers]
+		// watchMetrics counts for the watchers of the configuration and the targets.
 		watchMetrics *cfwatch.Metrics
 		feed         feed
 		feedMetrics  feedMetrics
-		// known is when the configuration was last seen to be the newest.
-		known   atomic.Int64
-		peers   *cfpeer.Client
-		peerSrv *cfpeer.Server
-		leaving atomic.Bool
-		started cf.Millis
-		// texts are what this instance had generated when its duty ended.
-		texts   atomic.Pointer[keptTexts]
-		mirrors mirrors
-		relays  relays
-		pages   *cfcoord.LinkBudget
-		// host holds streams for the coordinator, pool this instance's own runs
-		// while it is the coordinator.
-		host *cfrunner.Host
-		// guard decides which requests may go to targets; quarantine shares what it
-		// learns.
+		// lastCurrentAt is when the configuration was last known to be the newest.
+		lastCurrentAt atomic.Int64
+		peers         *cfpeer.Client
+		peerSrv       *cfpeer.Server
+		leaving       atomic.Bool
+		startedAt     cf.Millis
+		// savedTexts holds the texts that this instance had generated when its duty ended.
+		savedTexts atomic.Pointer[savedTexts]
+		replicas   textReplicas
+		relays     relayTable
+		linkBudget *cfcoord.LinkBudget
+		// runnerHost runs streams for the coordinator. runnerPool distributes this instance's own
+		// streams while it is the coordinator.
+		runnerHost *cfrunner.Host
+		// guard decides which requests may go to targets; quarantine shares what guard learns with
+		// the other instances.
 		guard      *cfguard.Guard
 		quarantine *quarantine
-		// usage counts what callers use, nil where that is not asked for; clocks are
-		// those of the instances, as the holder hears them.
+		// usage counts the requests of each organisation; it is nil if usage is not reported.
+		// clocks holds the wall clocks of the instances as reported to the coordinator.
 		usage *usage
-		// autoscale orders engines, nil where that is not asked for.
-		autoscale *autoscale
-		clockMu   sync.Mutex
-		clocks    cfusage.MedianClock
-		pool      atomic.Pointer[cfrunner.Pool]
-
-		// origin identifies the counts of this process's answers to feed calls.
+		// autoscale orders engines; it is nil if none are to be ordered.
+		autoscale  *autoscale
+		clockMu    sync.Mutex
+		clocks     cfusage.MedianClock
+		runnerPool atomic.Pointer[cfrunner.Pool]
+
+		// origin identifies this process in its answers to feed calls; the update counts in them
+		// are valid for this process only.
 		origin  uint64
 		members *cfmember.Membership
 
 		ctx    context.Context
 		cancel context.CancelFunc
 		wg     cflog.Group
-		// telling are calls that handlers of other instances' calls have started.
-		telling cflog.Group
-		// candidacy ends before the rest at a planned stop.
+		// gossip tracks the calls that handlers of other instances' calls have started.
+		gossip cflog.Group
+		// candidacy is cancelled before ctx at a planned stop.
 		candidacy     context.Context
 		endCandidacy  context.CancelFunc
 		candidateDone chan struct{}
 	}
 
-	// watching is a running pair of watchers.
-	watching struct {
+	// watchers is a running pair of watchers.
+	watchers struct {
 		config, targets *cfwatch.Watcher
 		cancel          context.CancelFunc
 		wg              cflog.Group
-		// led: this instance had the duty meanwhile. What it knows of engines then decides
-		// how losses of its runs are judged, and is kept.
-		led bool
+		// coordinated is set if this instance has had the duty since the watchers were started.
+		// What the instance knows of engines then decides how losses of its streams are judged, and
+		// is kept.
+		coordinated bool
 	}
 )
 
-// New returns a node that has not started.
+// New returns a node that has not been started.
 func New(s Settings, a Adapter, reg prometheus.Registerer, log *zap.Logger) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		settings: s, adapter: a, log: log, site: cfsite.New(a.Codec), metrics: cfcoord.NewMetrics(reg),
 		peers: cfpeer.NewClient(), peerSrv: cfpeer.NewServer(), ctx: ctx, cancel: cancel,
-		started: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubThreshold), candidateDone: make(chan struct{}), pages: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
-		host: cfrunner.NewHost(a.Targets, log), watchMetrics: cfwatch.NewMetrics(reg),
+		startedAt: cf.Uptime(), origin: rand.Uint64(), members: cfmember.NewMembership(s.Members.HubThreshold), candidateDone: make(chan struct{}), linkBudget: cfcoord.NewLinkBudget(s.Machine.LinkMbps),
+		runnerHost: cfrunner.NewHost(a.Targets, log), watchMetrics: cfwatch.NewMetrics(reg),
 	}
 	n.feedMetrics = newFeedMetrics(reg, n)
 	n.quarantine = newQuarantine(n)
@@ -153,22 +154,22 @@
 	}
 	n.autoscale = newAutoscale(n, reg)
 	n.guard = cfguard.New(cfguard.Options{
-		Self: s.Entry, Targets: a.Targets, Site: n.site, Share: n.quarantine.share, ReachableElsewhere: n.quarantine.witness, Disabled: s.Policy.NoQuarantine,
+		Self: s.Entry, Targets: a.Targets, Site: n.site, Share: n.quarantine.share, ReachableElsewhere: n.quarantine.reachableElsewhere, Disabled: s.Policy.NoQuarantine,
 		Metrics: cfguard.NewMetrics(reg), Log: log,
 	})
 	n.quarantine.guard = n.guard
 	n.candidacy, n.endCandidacy = context.WithCancel(ctx)
-	n.feed.upstream = cfmember.NewUpstream(cfmember.Entry{ID: s.Entry, Domain: s.Domain}, rand.Float64, n.hubChosen)
+	n.feed.upstream = cfmember.NewUpstream(cfmember.Entry{ID: s.Entry, Domain: s.Domain}, rand.Float64, n.onHubChange)
 	bounds := cflease.DefaultTiming
-	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverSlack
+	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverMargin
 	n.candidate = &candidate{
 		self: s.Entry, addr: s.Listen.Peers, store: a.Store, log: log, lease: cflease.New(s.Entry, bounds),
-		word: func() cf.Millis { return cf.Millis(n.feed.heard.Load()) }, acquired: n.beginDuty, lost: n.endDuty,
-		patience: n.leaves, outranked: n.outranked, better: n.betterHolder, state: n.dutyState,
+		lastUpdate: func() cf.Millis { return cf.Millis(n.feed.asOf.Load()) }, onAcquire: n.beginDuty, onLose: n.endDuty,
+		watchDelay: n.watchDelay, strongerExists: n.strongerExists, handOverToStronger: n.handOverToStronger, dutyState: n.dutyState,
 	}
 	n.ingress = cfingress.New(cfingress.Options{
-		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: reader{n}, Members: n, Guard: n.guard, Feasibility: n.refusals(),
-		ConfigStatus: n.belief, CountRequests: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
+		Store: a.Store, Targets: a.Targets, Site: n.site, Coordinator: coordinatorClient{n}, Members: n, Guard: n.guard, Feasibility: n.feasibility(),
+		ConfigStatus: n.configStatus, CountRequests: n.usage.count, Rooms: newRooms(s, reg, log), NoAdmission: s.Policy.NoAdmission,
 		ValueBytes: s.Store.ValueBytes, MemoryBytes: s.Memory.LimitMB << 20,
 		IgnorePace: s.Policy.IgnorePace, Metrics: cfingress.NewMetrics(reg), Log: log,
 	})
@@ -187,25 +188,25 @@
 	n.peerSrv.Handle(opAskHolder, decoded(n.serveAskHolder))
 	n.peerSrv.Handle(opAlive, func(context.Context, cbor.RawMessage) (any, error) { return true, nil })
 	n.peerSrv.Handle(opMirror, decoded(n.serveMirror))
-	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.host.ApplyOrders(ctx, o) }))
-	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.CollectRequest) (any, error) { return n.host.Collect(ctx, c) }))
+	n.peerSrv.Handle(cfrunner.OpOrders, decoded(func(ctx context.Context, o cfrunner.Orders) (any, error) { return n.runnerHost.ApplyOrders(ctx, o) }))
+	n.peerSrv.Handle(cfrunner.OpCollect, decoded(func(ctx context.Context, c cfrunner.CollectRequest) (any, error) { return n.runnerHost.Collect(ctx, c) }))
 	n.peerSrv.Handle(opStore, func(ctx context.Context, body cbor.RawMessage) (any, error) { return a.Relay.HandleRelayed(ctx, body) })
 	n.peerSrv.Handle(opStrikes, decoded(n.quarantine.serve))
 	n.peerSrv.Handle(opHeld, decoded(n.quarantine.serveHeld))
 	n.peerSrv.Handle(opReach, decoded(n.quarantine.serveReach))
-	n.peerSrv.Handle(opFree, decoded(n.quarantine.serveFree))
+	n.peerSrv.Handle(opFree, decoded(n.quarantine.serveRelease))
 	a.Relay.SetRelay(n.relay)
 	return n
 }
 
-// handoverSlack is added to the span between two holders' orders, for what an
-// order may be under way.
-const handoverSlack cf.Millis = 200
+// handoverMargin is added to the minimum time between the orders of two holders, for an order that
+// may still be in transit.
+const handoverMargin cf.Millis = 200
 
-// Ingress returns what the node offers to callers.
+// Ingress returns the caller-facing interface of the node.
 func (n *Node) Ingress() cf.Ingress { return n.ingress }
 
-// Role names the duty that the node has.
+// Role returns the name of the node's current role.
 func (n *Node) Role() string {
 	if n.coord.Load() != nil {
 		return "coordinator"
@@ -213,10 +214,10 @@
 	return "entry"
 }
 
-// PeerHandler returns the handler for the other instances.
+// PeerHandler returns the handler for calls of other instances.
 func (n *Node) PeerHandler() *cfpeer.Server { return n.peerSrv }
 
-// Start begins to work.
+// Start starts the node's background work.
 func (n *Node) Start() {
 	n.wg.Go(func() {
 		defer close(n.candidateDone)
@@ -227,66 +228,65 @@
 	n.wg.Go(func() { n.quarantine.run(n.ctx) })
 }
 
-// Leave takes the instance out of the callers' address lists, and out of those
-// that take the coordinator's duty; requests are still served.
+// Leave removes the instance from the address lists of callers and from the instances that may take
+// over the coordinator's duty. Requests are still served.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	n.candidate.leaving.Store(true)
 	n.ingress.Stop()
-	n.hear(feedCall{Entry: n.self(), Leaving: true}, true)
+	n.recordReport(feedCall{Entry: n.self(), Leaving: true}, true)
 }
 
-// HandOver gives up the coordinator's duty, if the instance has it, and does not
-// take it any more.
+// HandOver gives up the coordinator's duty if the instance has it, and stops competing for it.
 func (n *Node) HandOver(ctx context.Context) {
 	n.endCandidacy()
-	<-n.candidateDone // its calls to the store end with their context
-	n.handTo(ctx, n.reachedSuccessor(ctx))
+	<-n.candidateDone // The store calls of the candidate end with their context.
+	n.handOverTo(ctx, n.reachableSuccessor(ctx))
 }
 
 const (
-	// successorTries is how many instances are asked whether they are there.
-	successorTries = 3
-	// successorTime bounds each question; the longest round trip takes 16 ms.
-	successorTime = 120 * time.Millisecond
+	// maxSuccessorProbes is how many instances are probed.
+	maxSuccessorProbes = 3
+	// successorTimeout bounds each probe; the longest round trip takes 16 ms.
+	successorTimeout = 120 * time.Millisecond
 )
 
-// reachedSuccessor returns the instance that should take the duty over, of those that
-// answer: one that was cut off a moment ago still counts as alive, and the duty, named for
-// it, would be nobody's for a while.
-func (n *Node) reachedSuccessor(ctx context.Context) cfmember.Entry {
-	var silent []cf.EntryID
-	for range successorTries {
-		e := n.successor(silent...)
+// reachableSuccessor returns the best successor that answers a probe. An instance that has just
+// been cut off still counts as alive, and a lease released to it would stay without a holder for a
+// while.
+func (n *Node) reachableSuccessor(ctx context.Context) cfmember.Entry {
+	var unreachable []cf.EntryID
+	for range maxSuccessorProbes {
+		e := n.successor(unreachable...)
 		if e.ID == "" {
 			break
 		}
 		var ok bool
-		call, cancel := context.WithTimeout(ctx, successorTime)
+		call, cancel := context.WithTimeout(ctx, successorTimeout)
 		err := n.peers.Call(call, e.PeerAddr, opAlive, struct{}{}, &ok)
 		cancel()
 		if err == nil {
 			return e
 		}
 		n.log.Info("successor_silent", zap.String("entry", string(e.ID)), cflog.Error(err))
-		silent = append(silent, e.ID)
+		unreachable = append(unreachable, e.ID)
 	}
 	return cfmember.Entry{}
 }
 
-// handTo releases the coordinator's duty to another instance and tells it.
-func (n *Node) handTo(ctx context.Context, successor cfmember.Entry) {
+// handOverTo releases the coordinator's lease to another instance and notifies it.
+func (n *Node) handOverTo(ctx context.Context, successor cfmember.Entry) {
 	if !n.candidate.release(ctx, successor.ID) || successor.ID == "" {
 		return
 	}
 	var ok bool
 	if err := n.peers.Call(ctx, successor.PeerAddr, opOffered, struct{}{}, &ok); err != nil {
-		n.log.Info("successor_not_told", cflog.Error(err)) // it looks at the store by itself
+		n.log.Info("successor_not_told", cflog.Error(err)) // The successor also finds the lease in the store.
 	}
 }
 
-// outranked says whether instances with more capacity are there to take a duty.
-func (n *Node) outranked() bool {
+// strongerExists reports whether instances with more capacity are available to take a duty.
+func (n *Node) strongerExists() bool {
 	if n.settings.Policy.DutyAnywhere {
 		return false
 	}
@@ -294,22 +294,21 @@
 }
 
 const (
-	// keepIdle and keepBusy are how long a holder keeps a duty for which
-	// another has more capacity: with nothing open a change costs nothing,
-	// else some tenths of a second of each step, and the weights wait 3 s.
-	// Before the first of them has passed, instances count as alive by the
-	// word of the holder before alone.
-	keepIdle           = cfmember.ReportTimeout + 500
-	keepBusy cf.Millis = 10000
-	// handoverTimeout bounds the release to a better holder.
-	handoverTimeout = 2 * time.Second
+	// minIdleHold and minBusyHold are how long a holder keeps the duty although another instance
+	// has more capacity. With no open work a handover costs nothing; with open work it costs some
+	// tenths of a second of each step, and weight orders wait for 3 s. Until minIdleHold has
+	// passed, instances may count as alive merely because the previous holder listed them.
+	minIdleHold           = cfmember.ReportTimeout + 500
+	minBusyHold cf.Millis = 10000
+	// strongerHandoverTimeout bounds the release to an instance with more capacity.
+	strongerHandoverTimeout = 2 * time.Second
 )
 
-// betterHolder hands the duty to an instance with more capacity, if it has had it
-// for a while.
-func (n *Node) betterHolder(held cf.Millis) {
+// handOverToStronger hands the duty over to an instance with more capacity, if this instance has
+// held it long enough.
+func (n *Node) handOverToStronger(heldFor cf.Millis) {
 	c := n.coord.Load()
-	if c == nil || n.settings.Policy.DutyAnywhere || n.leaving.Load() || held < keepIdle || held < keepBusy && c.Busy() {
+	if c == nil || n.settings.Policy.DutyAnywhere || n.leaving.Load() || heldFor < minIdleHold || heldFor < minBusyHold && c.Busy() {
 		return
 	}
 	successor := n.successor()
@@ -317,44 +316,44 @@
 		return
 	}
 	n.log.Info("duty_handed_over", zap.String("to", string(successor.ID)), zap.Float64("capacity", n.settings.Machine.Capacity()),
-		zap.Float64("capacity_there", successor.Capacity), zap.Int64("held_ms", int64(held)))
-	ctx, cancel := context.WithTimeout(n.ctx, handoverTimeout)
+		zap.Float64("capacity_there", successor.Capacity), zap.Int64("held_ms", int64(heldFor)))
+	ctx, cancel := context.WithTimeout(n.ctx, strongerHandoverTimeout)
 	defer cancel()
-	n.handTo(ctx, successor)
+	n.handOverTo(ctx, successor)
 }
 
-// Close stops and waits for all that was started.
+// Close stops the node and waits for everything that it has started.
 func (n *Node) Close() error {
 	n.cancel()
 	n.wg.Wait()
 	n.endDuty()
-	if w := n.watching.Load(); w != nil {
+	if w := n.watchers.Load(); w != nil {
 		w.close()
 	}
-	_ = n.host.Close()
+	_ = n.runnerHost.Close()
 	_ = n.guard.Close()
 	_ = n.peers.Close()
 	err := n.peerSrv.Close()
-	n.telling.Wait()
+	n.gossip.Wait()
 	return err
 }
 
-// self describes this instance to the coordinator.
+// self returns this instance's entry as reported to the coordinator.
 func (n *Node) self() cfmember.Entry {
 	return cfmember.Entry{
 		ID: n.settings.Entry, Addr: n.settings.Listen.Callers, PeerAddr: n.settings.Listen.Peers, Domain: n.settings.Domain, Ready: n.ingress.Ready(),
-		Age: cf.Uptime() - n.started, Capacity: n.settings.Machine.Capacity(),
+		Age: cf.Uptime() - n.startedAt, Capacity: n.settings.Machine.Capacity(),
 	}
 }
 
-// Live implements cfingress.Members: as coordinator from the instances' own
-// reports, else as the coordinator last told.
+// Live implements cfingress.Members. The coordinator uses the instances' own reports, any other
+// instance the list that the coordinator last sent.
 func (n *Node) Live() []cfmember.Entry {
 	self, ready := n.self(), n.ingress.Ready()
 	live := n.members.Live(self, cf.Uptime())
-	at, known := slices.BinarySearchFunc(live, self.ID, func(e cfmember.Entry, id cf.EntryID) int { return strings.Compare(string(e.ID), string(id)) })
+	at, listed := slices.BinarySearchFunc(live, self.ID, func(e cfmember.Entry, id cf.EntryID) int { return strings.Compare(string(e.ID), string(id)) })
 	switch {
-	case known == ready:
+	case listed == ready:
 		return live
 	case ready:
 		return slices.Insert(slices.Clone(live), at, self)
@@ -363,40 +362,39 @@
 	}
 }
 
-// successor returns the instance that should take the duty over, other than those
-// left out.
-func (n *Node) successor(without ...cf.EntryID) cfmember.Entry {
-	fresh := slices.DeleteFunc(n.members.LiveWithAges(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(without, e.ID) })
-	e, _ := cfmember.Successor(fresh, n.settings.Entry)
+// successor returns the instance that should take over the duty, except for the excluded ones.
+func (n *Node) successor(excluded ...cf.EntryID) cfmember.Entry {
+	candidates := slices.DeleteFunc(n.members.LiveWithAges(cf.Uptime()), func(e cfmember.Entry) bool { return slices.Contains(excluded, e.ID) })
+	e, _ := cfmember.Successor(candidates, n.settings.Entry)
 	return e
 }
 
-func (n *Node) beginDuty(before cflease.Holder, left json.RawMessage) {
+func (n *Node) beginDuty(previous cflease.Holder, inherited json.RawMessage) {
 	members := n.members.StartCoordinating(cf.Uptime())
 	pool := n.newPool()
-	n.pool.Store(pool)
+	n.runnerPool.Store(pool)
 	c := cfcoord.New(cfcoord.Options{
 		Self: n.settings.Entry, Store: n.adapter.Store, Targets: n.adapter.Targets, StreamRouter: pool, Site: n.site, Codec: n.adapter.Codec, Guard: n.guard,
-		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: neighbour{n}, Metrics: n.metrics, Log: n.log,
-		PageBudget: n.pages, MaxLoads: before.MaxLoads, HasPredecessor: before.Entry != "", Policy: n.settings.Policy.Policy,
+		Lease: n.candidate, KeepResults: cf.Millis(n.settings.Bounds.KeepResultsS * 1000), MirrorPeers: mirrorPeers{n}, Metrics: n.metrics, Log: n.log,
+		PageBudget: n.linkBudget, MaxLoads: previous.MaxLoads, HasPredecessor: previous.Entry != "", Policy: n.settings.Policy.Policy,
 	})
 	n.coord.Store(c)
 	n.announce()
-	n.usage.begin(entryIDs(members), left)
-	n.autoscale.begin(c, before.Entry != "")
-	c.Start(func(ctx context.Context) map[cf.ItemID]cfrollout.Text { return n.gatherTexts(ctx, before, members) })
+	n.usage.begin(entryIDs(members), inherited)
+	n.autoscale.begin(c, previous.Entry != "")
+	c.Start(func(ctx context.Context) map[cf.ItemID]cfrollout.Text { return n.gatherTexts(ctx, previous, members) })
 }
 
-// dutyState returns how many engines may load weights at once, as the coordinator here
-// has learned, the address of the instance that has copies of its texts, and what it has
-// heard of use.
-func (n *Node) dutyState() (loads int, copies string, left json.RawMessage) {
+// dutyState returns what a successor inherits from the coordinator here: the learned limit of
+// concurrent weight loads, the address of the instance that holds copies of its texts, and the
+// usage that was reported to it.
+func (n *Node) dutyState() (maxLoads int, replicaAddr string, successorState json.RawMessage) {
 	if c := n.coord.Load(); c != nil {
-		loads = c.LearnedLoads()
+		maxLoads = c.LearnedLoads()
 	}
-	n.mirrors.mu.Lock()
-	defer n.mirrors.mu.Unlock()
-	return loads, n.mirrors.at, n.usage.base()
+	n.replicas.mu.Lock()
+	defer n.replicas.mu.Unlock()
+	return maxLoads, n.replicas.ownReplicaAddr, n.usage.snapshot()
 }
 
 // newPool returns the pool for a duty that begins.
@@ -421,47 +419,47 @@
 	n.usage.end()
 	n.autoscale.end()
 	if c := n.coord.Swap(nil); c != nil {
-		pool := n.pool.Swap(nil)
+		pool := n.runnerPool.Swap(nil)
 		pool.LimitStopWait()
 		defer func() { _ = pool.Close() }()
 		n.members.StopCoordinating(n.self(), cf.Uptime())
 		_ = c.Close()
-		n.texts.Store(&keptTexts{pool.Term, c.UnlistedTexts()})
+		n.savedTexts.Store(&savedTexts{pool.Term, c.UnlistedTexts()})
 	}
 }
 
-// runWatch watches the store while this instance has the duty or hears
-// nothing from the coordinator.
+// runWatch watches the store while this instance has the duty or receives no updates from the
+// coordinator.
 func (n *Node) runWatch() {
-	ticker := time.NewTicker(watchTick)
+	ticker := time.NewTicker(watchCheckInterval)
 	defer ticker.Stop()
 	for {
 		now := cf.Uptime()
-		w := n.watching.Load()
-		// The instance that has the duty serves the others by its watches.
-		need := n.alone(now)
+		w := n.watchers.Load()
+		// The coordinator serves the other instances from its watches.
+		needed := n.watchDue(now)
 		switch {
-		case need && w == nil:
+		case needed && w == nil:
 			n.logWatch("store_watched", now)
-			n.watching.Store(n.watch())
-		case !need && w != nil:
+			n.watchers.Store(n.startWatchers())
+		case !needed && w != nil:
 			n.logWatch("store_left", now)
-			n.watching.Store(nil)
+			n.watchers.Store(nil)
 			w.close()
-			if !w.led {
+			if !w.coordinated {
 				n.site.DropUnrelayed()
 			}
 		case w != nil && n.coord.Load() != nil:
-			w.led = true
+			w.coordinated = true
 		}
-		n.watchBelief(now)
+		n.updateConfigStatus(now)
 		n.quarantine.tick(now)
 		for _, t := range n.site.DropLapsed(now) {
 			n.log.Info("target_changed", zap.String("target", string(t.ID)), zap.Bool("gone", true), zap.String("reason", "lapsed"))
 		}
 		var changed <-chan struct{}
 		if !n.guard.Synced() {
-			changed = n.site.Changed() // by its first configuration it must know what is held
+			changed = n.site.Changed() // The held requests must be known by the time the first configuration is in force.
 		}
 		select {
 		case <-n.ctx.Done():
@@ -472,15 +470,15 @@
 	}
 }
 
-// logWatch tells why this instance begins or ends to watch the store itself.
+// logWatch logs why this instance starts or stops watching the store itself.
 func (n *Node) logWatch(msg string, now cf.Millis) {
-	w := n.lastWord(now)
-	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", w.FallbackWatcher), zap.Bool("behind_hub", w.BehindHub), zap.Bool("holder_named", w.HolderNamed),
-		ageField("word_age_ms", w.UpdatedAt, now), ageField("unsure_age_ms", w.UncertainAt, now), ageField("away_age_ms", w.OutageConfirmedAt, now),
-		zap.Int64("config_age_ms", int64(n.belief().Age)))
+	state := n.status(now)
+	n.log.Info(msg, zap.Bool("coordinator", n.coord.Load() != nil), zap.Bool("scout", state.FallbackWatcher), zap.Bool("behind_hub", state.BehindHub), zap.Bool("holder_named", state.HolderNamed),
+		ageField("word_age_ms", state.UpdatedAt, now), ageField("unsure_age_ms", state.UncertainAt, now), ageField("away_age_ms", state.OutageConfirmedAt, now),
+		zap.Int64("config_age_ms", int64(n.configStatus().Age)))
 }
 
-// ageField is how long ago something was, left out if it never was.
+// ageField returns the time since at as a log field, or no field if at is zero.
 func ageField(name string, at, now cf.Millis) zap.Field {
 	if at == 0 {
 		return zap.Skip()
@@ -488,19 +486,19 @@
 	return zap.Int64(name, int64(now-at))
 }
 
-func (n *Node) watch() *watching {
+func (n *Node) startWatchers() *watchers {
 	ctx, cancel := context.WithCancel(n.ctx)
-	w := &watching{cancel: cancel}
+	w := &watchers{cancel: cancel}
 	w.config, w.targets = cfwatch.NewSiteWatchers(n.adapter.Store, n.site, n.adapter.Codec, n.watchMetrics, n.log)
-	if n.coord.Load() == nil && !n.scout() {
-		w.config.MaxRetryDelay, w.targets.MaxRetryDelay = watchLeft, watchLeft
+	if n.coord.Load() == nil && !n.isFallbackWatcher() {
+		w.config.MaxRetryDelay, w.targets.MaxRetryDelay = maxWatchRetryDelay, maxWatchRetryDelay
 	}
 	w.wg.Go(func() { w.config.Run(ctx) })
 	w.wg.Go(func() { w.targets.Run(ctx) })
 	return w
 }
 
-func (w *watching) close() {
+func (w *watchers) close() {
 	w.cancel()
 	w.wg.Wait()
 }
--- a/io/cfnode/outage_test.go
+++ b/io/cfnode/outage_test.go
@@ -18,13 +18,13 @@
 	"currantford/testbed/cfstandin"
 )
 
-// sharedLink is a listener whose connections send over one link.
+// sharedLink is a listener whose connections share the rate of one link.
 type sharedLink struct {
 	net.Listener
-	rate int // bytes a second
+	rate int // bytes per second
 
-	mu   sync.Mutex
-	free time.Time // when what was sent so far has left
+	mu     sync.Mutex
+	freeAt time.Time // when all bytes written so far have been sent
 }
 
 func (l *sharedLink) Accept() (net.Conn, error) {
@@ -40,18 +40,18 @@
 	link *sharedLink
 }
 
-// packet is what the link sends at once, in bytes: its connections take turns.
+// packet is how many bytes the link sends at once; its connections take turns.
 const packet = 16 << 10
 
 func (c *linkConn) Write(p []byte) (sent int, err error) {
 	for part := range slices.Chunk(p, packet) {
 		c.link.mu.Lock()
 		now := time.Now()
-		if c.link.free.Before(now) {
-			c.link.free = now
+		if c.link.freeAt.Before(now) {
+			c.link.freeAt = now
 		}
-		c.link.free = c.link.free.Add(time.Duration(len(part)) * time.Second / time.Duration(c.link.rate))
-		wait := c.link.free.Sub(now)
+		c.link.freeAt = c.link.freeAt.Add(time.Duration(len(part)) * time.Second / time.Duration(c.link.rate))
+		wait := c.link.freeAt.Sub(now)
 		c.link.mu.Unlock()
 		time.Sleep(wait)
 		n, err := c.Conn.Write(part)
@@ -63,7 +63,7 @@
 	return sent, nil
 }
 
-// manyRoutes returns routes as an operator adds them: alike, with names of their own.
+// manyRoutes returns n similar routes with different names, as an operator adds them.
 func manyRoutes(n int) []cfsite.Route {
 	out := make([]cfsite.Route, n)
 	for i := range out {
@@ -76,8 +76,8 @@
 	return out
 }
 
-// configure replaces the configuration and waits until it is in force everywhere but where
-// the store is shut; meanwhile is called while it waits.
+// configure replaces the configuration and waits until it is in force at all instances whose store
+// is available. It calls meanwhile while it waits.
 func (f *testFleet) configure(c cfsite.Config, meanwhile func()) {
 	f.t.Helper()
 	kind := cfstandin.Codec{}.Kinds().Config
@@ -91,7 +91,7 @@
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		behind := 0
 		for id, n := range f.nodes {
-			if now := n.site.Config(); !f.gates[id].shut.Load() && (now == nil || now.Version < c.Version) {
+			if now := n.site.Config(); !f.stores[id].unavailable.Load() && (now == nil || now.Version < c.Version) {
 				behind++
 			}
 		}
@@ -100,161 +100,164 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%d instances are behind version %d", behind, c.Version)
+			f.t.Fatalf("%d instances do not have configuration version %d", behind, c.Version)
 		}
 	}
 }
 
-// told returns how many bytes of configurations the instances have told each other.
-func (f *testFleet) told() (bytes float64) {
+// sent returns how many bytes of configurations the instances have sent to each other.
+func (f *testFleet) sent() (bytes float64) {
 	for _, n := range f.nodes {
 		for _, part := range []string{"whole", "change"} {
-			bytes += testutil.ToFloat64(n.feedMetrics.told.WithLabelValues(part))
+			bytes += testutil.ToFloat64(n.feedMetrics.configBytes.WithLabelValues(part))
 		}
 	}
 	return bytes
 }
 
-// awaitStrongHolder waits until the coordinator's duty lies where it stays, and all follow it.
+// awaitStrongHolder waits until an instance of high capacity has the coordinator's duty and all
+// others follow it.
 func (f *testFleet) awaitStrongHolder() {
 	f.t.Helper()
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		for _, n := range f.nodes {
 			if n.coord.Load() != nil && cfmember.HighCapacity(n.self().Capacity, n.Live()) {
-				f.settled("a strong coordinator", fleetLogs)
+				f.awaitSettled("a strong coordinator", fleetLogs)
 				return
 			}
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatal("no strong instance has the duty")
+			f.t.Fatal("no instance of high capacity has the coordinator's duty")
 		}
 	}
 }
 
-// toldMost is what an instance may be told of a changed route, in bytes: control may use as
-// much in a second, and there are changes nearly each second.
-const toldMost = 3 << 10
+// maxConfigBytes is how many bytes an instance may receive for a changed route. Control traffic may
+// use as much per second, and there are changes nearly every second.
+const maxConfigBytes = 3 << 10
 
-// Load: a configuration of many routes before many instances on weak links. A change of one
-// route that goes whole to each fills the coordinator's link, its calls run out of time and
-// begin again, and all turn to the store at once.
+// TestChangeOfALargeConfigurationReachesAllInTime changes one route of a configuration of many
+// routes, with many instances on slow links. If each instance received the whole configuration, the
+// coordinator's link would be saturated, its calls would time out and be repeated, and all
+// instances would query the store at once.
 func TestChangeOfALargeConfigurationReachesAllInTime(t *testing.T) {
 	const size = 72
 	f := newTestFleet(t, size, 750_000)
-	f.settled("start", fleetLogs)
+	f.awaitSettled("start", fleetLogs)
 	routes := manyRoutes(140)
 	f.configure(fleetConfig(2, routes...), func() {})
-	f.settled("a large configuration", fleetLogs)
-	f.awaitStrongHolder() // a new coordinator reads the configuration, and a weak one is replaced
-	lists, told := f.store.configs.Load(), f.told()
+	f.awaitSettled("a large configuration", fleetLogs)
+	f.awaitStrongHolder() // A new coordinator reads the configuration, and a weak one is replaced.
+	lists, sent := f.store.configLists.Load(), f.sent()
 	for i := range 3 {
 		routes = slices.Clone(routes)
 		routes[70+i].Timeout = 900
 		f.configure(fleetConfig(cfsite.ConfigVersion(3+i), routes...), func() {})
 	}
-	if told := f.told() - told; told > 3*size*toldMost {
-		t.Errorf("%.0f bytes told to %d instances of three changes of a route", told, size)
+	if sent := f.sent() - sent; sent > 3*size*maxConfigBytes {
+		t.Errorf("%.0f bytes were sent to %d instances for three changes of a route", sent, size)
 	}
-	if lists := f.store.configs.Load() - lists; lists > 0 {
+	if lists := f.store.configLists.Load() - lists; lists > 0 {
 		t.Errorf("the configuration was read from the store %d times", lists)
 	}
 }
 
-// An instance beside a coordinator that is cut off from the store waits for seconds with a
-// configuration that is not in force any more, as its neighbours, which follow the same
-// coordinator, have no news either.
-func TestHearsayConfirmsNoOutage(t *testing.T) {
-	there := newTestNode(t, cfstandin.NewMemStore())
-	there.started -= 60_000
-	there.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: "127.0.0.1:1"})
-	addr := serve(t, there)
+// TestInstanceThatDidNotAskTheStoreConfirmsNoOutage guards against an instance that waits for
+// seconds with a configuration that is no longer in force. Its coordinator is cut off from the
+// store, and the neighbours that follow the same coordinator have no updates either.
+func TestInstanceThatDidNotAskTheStoreConfirmsNoOutage(t *testing.T) {
+	peer := newTestNode(t, cfstandin.NewMemStore())
+	peer.startedAt -= 60_000
+	peer.candidate.observe(5, cflease.Holder{Entry: "x", Term: 5, Addr: "127.0.0.1:1"})
+	addr := servePeers(t, peer)
 	n := newFollower(t, addr, 40)
 	for range 20 {
-		n.hearsNothingNew()
+		n.receiveUncertainAnswer()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if n.feed.away.Load() > 0 {
-		t.Error("an instance that has not asked the store has confirmed that it is away")
+	if n.feed.outageConfirmedAt.Load() > 0 {
+		t.Error("an instance that did not query the store confirmed its outage")
 	}
 }
 
-// waiting returns how many instances leave the store alone because it is away.
-func (f *testFleet) waiting() (n int) {
+// awaitingStore returns how many instances consider the store unavailable and do not query it.
+func (f *testFleet) awaitingStore() (n int) {
 	for _, node := range f.nodes {
-		if cfmember.AnswerIsRecent(cf.Millis(node.feed.away.Load()), cf.Uptime()) {
+		if cfmember.AnswerIsRecent(cf.Millis(node.feed.outageConfirmedAt.Load()), cf.Uptime()) {
 			n++
 		}
 	}
 	return n
 }
 
-// watched returns how many instances watch the store themselves.
-func (f *testFleet) watched() (n int) {
+// watchingStore returns how many instances watch the store themselves.
+func (f *testFleet) watchingStore() (n int) {
 	for _, node := range f.nodes {
-		if node.watching.Load() != nil {
+		if node.watchers.Load() != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// A coordinator that keeps its lease and hears no changes says that it knows nothing new, and
-// is not replaced. The others must not take the store for away, as it answers them.
-func TestInstancesBesideACoordinatorWithoutNews(t *testing.T) {
+// TestUncertainCoordinatorIsNotTakenForAStoreOutage checks a coordinator that keeps its lease and
+// receives no changes. It answers that it has no current view and is not replaced. The other
+// instances must not consider the store unavailable, as it answers them.
+func TestUncertainCoordinatorIsNotTakenForAStoreOutage(t *testing.T) {
 	f := newTestFleet(t, 40, 0)
-	f.settled("start", fleetLogs)
-	f.gates[f.holder().settings.Entry].shut.Store(true)
+	f.awaitSettled("start", fleetLogs)
+	f.stores[f.holder().settings.Entry].unavailable.Store(true)
 	f.configure(fleetConfig(2), func() {
-		if n := f.waiting(); n > 0 {
-			t.Fatalf("%d instances take the store for away", n)
+		if n := f.awaitingStore(); n > 0 {
+			t.Fatalf("%d instances consider the store unavailable", n)
 		}
 	})
 }
 
-// Load: the store is away for all. Those that look after it do, and the others leave it to
-// them by their word.
-func TestStoreThatIsAwayIsLeftToScouts(t *testing.T) {
+// TestFleetLeavesAnOutageToFallbackWatchers checks that in an outage of the store for all instances
+// only the fallback watchers query the store, and the others rely on their answers.
+func TestFleetLeavesAnOutageToFallbackWatchers(t *testing.T) {
 	const size = 40
 	f := newTestFleet(t, size, 0)
-	f.settled("start", fleetLogs)
-	scouts := len(f.holder().members.FallbackWatchers(f.holder().self()))
+	f.awaitSettled("start", fleetLogs)
+	fallbacks := len(f.holder().members.FallbackWatchers(f.holder().self()))
 	for _, n := range f.nodes {
-		for !n.lastWord(cf.Uptime()).StartupOver(cf.Uptime()) {
+		for !n.status(cf.Uptime()).StartupOver(cf.Uptime()) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	f.outages(func() bool { return f.waiting() >= size-scouts-1 && f.watched() <= scouts+1 })
+	f.playOutages(func() bool { return f.awaitingStore() >= size-fallbacks-1 && f.watchingStore() <= fallbacks+1 })
 }
 
-// outages plays outages, of a length in which nobody gives up waiting, until one shows what is
-// asked for.
-func (f *testFleet) outages(shows func() bool) {
+// playOutages plays outages that are too short for any instance to give up waiting, until one
+// reaches the given state.
+func (f *testFleet) playOutages(reached func() bool) {
 	f.t.Helper()
 	for range 8 {
-		for _, g := range f.gates {
-			g.shut.Store(true)
+		for _, g := range f.stores {
+			g.unavailable.Store(true)
 		}
 		for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			if shows() {
+			if reached() {
 				return
 			}
 		}
-		for _, g := range f.gates {
-			g.shut.Store(false)
+		for _, g := range f.stores {
+			g.unavailable.Store(false)
 		}
-		f.settled("after an outage", fleetLogs)
+		f.awaitSettled("after an outage", fleetLogs)
 	}
-	f.t.Errorf("%d instances wait and %d watch the store", f.waiting(), f.watched())
+	f.t.Errorf("no outage reached the expected state: at last %d instances waited and %d watched the store", f.awaitingStore(), f.watchingStore())
 }
 
-// A coordinator whose watch is late tells its view as of when the answer was due, and not as
-// of now: a change may have been missed since.
-func TestWordOfALateWatchIsOld(t *testing.T) {
+// TestViewOfALateWatchReportsItsAge checks that a coordinator whose watch is late reports its view
+// as of when the answer was due, and not as of now: a change may have been missed since.
+func TestViewOfALateWatchReportsItsAge(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
-	f.settled("start", fleetLogs)
+	f.awaitSettled("start", fleetLogs)
 	h := f.holder()
-	f.outages(func() bool {
-		fresh, age := h.word(cf.Uptime())
+	f.playOutages(func() bool {
+		fresh, age := h.servedView(cf.Uptime())
 		return fresh && age > 0
 	})
 }
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -23,122 +23,123 @@
 	opFree    = "free"
 	opReach   = "reach"
 
-	// asked bounds the requests of one exchange, of 120 bytes for each of their crashes.
-	asked = 16
-	// strikesRate and strikesBurst bound the strikes that an instance hands on, in
-	// strikes a second: of 120 bytes each to three neighbours, 2 KB/s. A crash of a
-	// whole failure domain brings a few hundred at once.
+	// exchangeSize bounds the requests of one exchange; each of their strikes takes 120 bytes.
+	exchangeSize = 16
+	// strikesRate, in strikes per second, and strikesBurst limit the strikes that an instance
+	// sends. At 120 bytes each to three neighbours that is 2 KB/s. The crash of a whole failure
+	// domain produces a few hundred strikes at once.
 	strikesRate  = 6
 	strikesBurst = 400
-	// strikesCall bounds one message.
-	strikesCall = 64
+	// maxStrikesPerCall bounds the strikes of one message.
+	maxStrikesPerCall = 64
 	// strikesTimeout bounds a call to another instance.
 	strikesTimeout = 400 * time.Millisecond
-	// freeTimeout bounds the command that frees a request.
-	freeTimeout = 5 * time.Second
-	// witnessTimeout bounds a question whether a target is reached, with the time of
-	// the try there; witnessMost is how many instances are asked.
-	witnessTimeout = 450 * time.Millisecond
-	witnessMost    = 2
-	// exchangeEvery spaces the exchanges of an instance that holds other requests,
-	// exchangeRest those of one that has heard of other crashes: 1 KB/s at the most
-	// while a caller crashes targets by ever other requests.
-	exchangeEvery cf.Millis = 1000
-	exchangeRest  cf.Millis = 2000
+	// releaseTimeout bounds the command that releases a held request.
+	releaseTimeout = 5 * time.Second
+	// reachTimeout bounds the question whether another instance reaches a target, including its
+	// connection attempt. maxReachPeers is how many instances are asked.
+	reachTimeout  = 450 * time.Millisecond
+	maxReachPeers = 2
+	// heldExchangeInterval is the minimum time between the exchanges of an instance that holds
+	// other requests than its peer, strikeExchangeInterval that of an instance that merely knows
+	// other strikes: at most 1 KB/s while a caller crashes targets with a different request each
+	// time.
+	heldExchangeInterval   cf.Millis = 1000
+	strikeExchangeInterval cf.Millis = 2000
 )
 
 type (
-	// strikesMessage hands strikes to another instance, and may ask for its own, but for
-	// those of the foremost After requests.
+	// strikesMessage sends strikes to another instance. It may ask for the strikes of that
+	// instance, except for those of its first Offset requests.
 	strikesMessage struct {
 		From    cf.EntryID            `cbor:"from"`
 		Strikes []cfquarantine.Strike `cbor:"strikes,omitempty"`
 		Ask     bool                  `cbor:"ask,omitempty"`
-		After   int                   `cbor:"after,omitempty"`
+		Offset  int                   `cbor:"after,omitempty"`
 	}
 
-	// freeMessage asks an instance to free a request by hand.
-	freeMessage struct {
+	// releaseMessage asks an instance to release a held request.
+	releaseMessage struct {
 		Digest cfquarantine.Digest `cbor:"digest"`
 	}
 
-	// quarantine shares what the instances learn of requests that crash targets: news
-	// go from neighbour to neighbour at once, an instance that has missed some sees it
-	// by the sum in the feed, and what is held lies in the store for the loss of all.
+	// quarantine shares what the instances learn about requests that crash targets. New strikes are
+	// gossiped at once, an instance that has missed some detects it by the checksums in the feed,
+	// and the held requests are stored in case all instances are lost.
 	quarantine struct {
-		node  *Node
-		guard *cfguard.Guard
-		news  chan []cfquarantine.Strike
+		node     *Node
+		guard    *cfguard.Guard
+		outgoing chan []cfquarantine.Strike
 
-		mu        sync.Mutex
-		tokens    float64
-		filled    cf.Millis
-		exchanged cf.Millis
-		after     int    // the next exchange is about what follows so many requests
-		stored    uint64 // the sum of what lies in the store
-		storedRev cf.Revision
-		storeAt   cf.Millis // the next try
-		// triedAlone is the last try of a starting instance to learn what is held,
-		// triedConfigured says that it had a configuration then.
-		triedAlone      cf.Millis
-		triedConfigured bool
-		busy            bool // a read or write of the store is under way
-		term            cf.Revision
+		mu             sync.Mutex
+		tokens         float64
+		refilledAt     cf.Millis
+		exchangedAt    cf.Millis
+		exchangeOffset int    // number of requests that the next exchange skips
+		storedSum      uint64 // checksum of the stored held requests
+		storedRev      cf.Revision
+		persistAt      cf.Millis // next attempt
+		// selfSyncAt is the last try of a starting instance to learn the held requests by itself;
+		// selfSyncConfigured is set if it had a configuration then.
+		selfSyncAt         cf.Millis
+		selfSyncConfigured bool
+		persisting         bool // a read or write of the store is in progress
+		loadedTerm         cf.Revision
 	}
 )
 
 func newQuarantine(n *Node) *quarantine {
-	return &quarantine{node: n, news: make(chan []cfquarantine.Strike, 256), tokens: strikesBurst}
+	return &quarantine{node: n, outgoing: make(chan []cfquarantine.Strike, 256), tokens: strikesBurst}
 }
 
-// share queues strikes for the neighbours. What does not fit is dropped: those of held
+// share queues strikes for the neighbours. Strikes that exceed the queue are dropped; those of held
 // requests are exchanged later.
-func (q *quarantine) share(news []cfquarantine.Strike) {
+func (q *quarantine) share(strikes []cfquarantine.Strike) {
 	select {
-	case q.news <- news:
+	case q.outgoing <- strikes:
 	default:
-		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(news)))
+		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(strikes)))
 	}
 }
 
-// run hands strikes on until ctx ends.
+// run sends queued strikes until ctx ends.
 func (q *quarantine) run(ctx context.Context) {
 	for {
-		var news []cfquarantine.Strike
+		var strikes []cfquarantine.Strike
 		select {
 		case <-ctx.Done():
 			return
-		case news = <-q.news:
+		case strikes = <-q.outgoing:
 		}
-		for len(q.news) > 0 && len(news) < strikesCall {
-			news = append(news, <-q.news...)
+		for len(q.outgoing) > 0 && len(strikes) < maxStrikesPerCall {
+			strikes = append(strikes, <-q.outgoing...)
 		}
-		q.tell(ctx, q.within(news, cf.Uptime()))
+		q.send(ctx, q.limitRate(strikes, cf.Uptime()))
 	}
 }
 
-// within returns the strikes that may be handed on now, those of held requests first.
-func (q *quarantine) within(news []cfquarantine.Strike, now cf.Millis) []cfquarantine.Strike {
+// limitRate returns the strikes that the rate limit admits now, those of held requests first.
+func (q *quarantine) limitRate(strikes []cfquarantine.Strike, now cf.Millis) []cfquarantine.Strike {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tokens = min(strikesBurst, q.tokens+float64(now-q.filled)/1000*strikesRate)
-	q.filled = now
-	n := min(len(news), int(q.tokens))
-	if n < len(news) {
-		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(news)-n))
-		news = q.guard.Table.SortHeldFirst(news)
+	q.tokens = min(strikesBurst, q.tokens+float64(now-q.refilledAt)/1000*strikesRate)
+	q.refilledAt = now
+	n := min(len(strikes), int(q.tokens))
+	if n < len(strikes) {
+		q.node.log.Warn("strikes_not_shared", zap.Int("strikes", len(strikes)-n))
+		strikes = q.guard.Table.SortHeldFirst(strikes)
 	}
 	q.tokens -= float64(n)
-	return news[:n]
+	return strikes[:n]
 }
 
-func (q *quarantine) tell(ctx context.Context, news []cfquarantine.Strike) {
-	if len(news) == 0 {
+func (q *quarantine) send(ctx context.Context, strikes []cfquarantine.Strike) {
+	if len(strikes) == 0 {
 		return
 	}
-	for _, addr := range q.neighbours() {
-		for part := range slices.Chunk(news, strikesCall) {
-			// A neighbour that does not answer must hold up nobody else's news.
+	for _, addr := range q.gossipAddrs() {
+		for part := range slices.Chunk(strikes, maxStrikesPerCall) {
+			// A neighbour that does not answer must not delay the strikes for the others.
 			q.node.wg.Go(func() {
 				if _, err := q.call(ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: part}); err != nil {
 					q.node.log.Info("strikes_not_taken", zap.String("addr", addr), cflog.Error(err))
@@ -156,9 +157,9 @@
 	return answer, err
 }
 
-// neighbours returns the addresses of the instances to which this one hands strikes: the
-// coordinator, with which all others compare, and those next to it.
-func (q *quarantine) neighbours() []string {
+// gossipAddrs returns the addresses of the instances to which this one sends strikes: the
+// coordinator, with which all others compare checksums, and its gossip peers.
+func (q *quarantine) gossipAddrs() []string {
 	var out []string
 	if holder, _ := q.node.candidate.holder(); holder.Entry != "" && holder.Entry != q.node.settings.Entry {
 		out = append(out, holder.Addr)
@@ -171,32 +172,33 @@
 	return out
 }
 
-// serve takes another instance's strikes.
+// serve merges another instance's strikes and answers with its own if asked.
 func (q *quarantine) serve(_ context.Context, m strikesMessage) (any, error) {
 	q.guard.Merge(m.From, m.Strikes)
 	if !m.Ask {
 		return []cfquarantine.Strike{}, nil
 	}
-	return q.guard.Table.ExchangeReply(m.Strikes, m.After, asked, cf.Uptime()), nil
+	return q.guard.Table.ExchangeReply(m.Strikes, m.Offset, exchangeSize, cf.Uptime()), nil
 }
 
-// witness asks others, of other failure domains if it can, whether they reach a target.
-func (q *quarantine) witness(ctx context.Context, target cf.Target) bool {
-	near := func(e cfmember.Entry) bool { return e.Domain == q.node.settings.Domain }
+// reachableElsewhere asks other instances whether they reach a target, those of other failure
+// domains first.
+func (q *quarantine) reachableElsewhere(ctx context.Context, target cf.Target) bool {
+	sameDomain := func(e cfmember.Entry) bool { return e.Domain == q.node.settings.Domain }
 	others := slices.DeleteFunc(slices.Clone(q.node.Live()), func(e cfmember.Entry) bool { return e.ID == q.node.settings.Entry })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	slices.SortStableFunc(others, func(a, b cfmember.Entry) int {
 		switch {
-		case near(a) == near(b):
+		case sameDomain(a) == sameDomain(b):
 			return 0
-		case near(b):
+		case sameDomain(b):
 			return -1
 		default:
 			return 1
 		}
 	})
-	others = others[:min(len(others), witnessMost)]
-	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
+	others = others[:min(len(others), maxReachPeers)]
+	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
 	answers := make(chan bool, len(others))
 	for _, e := range others {
@@ -214,42 +216,42 @@
 	return false
 }
 
-// serveReach says whether this instance reaches a target.
+// serveReach reports to another instance whether this one reaches a target.
 func (q *quarantine) serveReach(ctx context.Context, target cf.Target) (any, error) {
 	return q.guard.Probe(ctx, target) == nil, nil
 }
 
-// serveFree frees a request by hand.
-func (q *quarantine) serveFree(_ context.Context, m freeMessage) (any, error) {
+// serveRelease releases a held request at an operator's command.
+func (q *quarantine) serveRelease(_ context.Context, m releaseMessage) (any, error) {
 	return q.guard.Release(m.Digest), nil
 }
 
-// compare takes what identifies another instance's table. Where it differs the two exchange
-// what they have.
+// compare compares another instance's checksums with those of this one. If they differ, the two
+// exchange their strikes.
 func (q *quarantine) compare(addr string, theirs cfquarantine.Checksums) {
 	ours := q.guard.Table.Checksums()
 	switch {
 	case ours == theirs:
-		q.exchangedAll()
+		q.resetExchange()
 	case ours.Held == theirs.Held:
-		q.exchange([]string{addr}, exchangeRest)
+		q.exchange([]string{addr}, strikeExchangeInterval)
 	default:
-		q.exchange([]string{addr}, exchangeEvery)
+		q.exchange([]string{addr}, heldExchangeInterval)
 	}
 }
 
-// exchange asks the first of some instances that answers for what it has, unless one was
-// asked a moment ago.
-func (q *quarantine) exchange(addrs []string, spacing cf.Millis) {
+// exchange asks the first of some instances that answers for its strikes, unless an exchange took
+// place within interval.
+func (q *quarantine) exchange(addrs []string, interval cf.Millis) {
 	if len(addrs) == 0 {
-		return // the first instance that is known is asked at once
+		return // The first known instance is then asked at once.
 	}
 	now := cf.Uptime()
 	q.mu.Lock()
-	due := q.exchanged == 0 || now-q.exchanged >= spacing
-	after := q.after
+	due := q.exchangedAt == 0 || now-q.exchangedAt >= interval
+	offset := q.exchangeOffset
 	if due {
-		q.exchanged, q.after = now, after+asked
+		q.exchangedAt, q.exchangeOffset = now, offset+exchangeSize
 	}
 	q.mu.Unlock()
 	if !due {
@@ -257,12 +259,12 @@
 	}
 	q.node.wg.Go(func() {
 		for _, addr := range addrs {
-			ours := q.guard.Table.StrikesByPriority(after, asked, cf.Uptime())
-			answer, err := q.call(q.node.ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: ours, Ask: true, After: after})
+			ours := q.guard.Table.StrikesByPriority(offset, exchangeSize, cf.Uptime())
+			answer, err := q.call(q.node.ctx, addr, strikesMessage{From: q.node.settings.Entry, Strikes: ours, Ask: true, Offset: offset})
 			if err == nil {
 				q.guard.Merge("", answer)
-				if cfquarantine.CountContents(ours) < asked && cfquarantine.CountContents(answer) < asked {
-					q.exchangedAll()
+				if cfquarantine.CountContents(ours) < exchangeSize && cfquarantine.CountContents(answer) < exchangeSize {
+					q.resetExchange()
 				}
 				return
 			}
@@ -271,42 +273,42 @@
 	})
 }
 
-// exchangedAll lets the next exchange begin with what is foremost.
-func (q *quarantine) exchangedAll() {
+// resetExchange makes the next exchange start with the first requests.
+func (q *quarantine) resetExchange() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.after = 0
+	q.exchangeOffset = 0
 }
 
-// tick looks after what is due. It is called several times a second.
+// tick starts what is due. It is called several times a second.
 func (q *quarantine) tick(now cf.Millis) {
 	n := q.node
-	fresh := n.feed.fresh(now)
-	q.guard.Sweep(n.coord.Load() != nil && n.viewFresh(now) || fresh, now)
+	current := n.feed.current(now)
+	q.guard.Sweep(n.coord.Load() != nil && n.ownViewCurrent(now) || current, now)
 	switch {
 	case n.coord.Load() != nil:
-		q.keep(now)
-	case fresh:
+		q.persist(now)
+	case current:
 	default:
-		if !q.guard.Synced() && n.alone(now) {
-			q.informAlone(now, n.site.Config() != nil)
+		if !q.guard.Synced() && n.watchDue(now) {
+			q.startSelfSync(now, n.site.Config() != nil)
 		}
-		// No coordinator is there to compare with; any other instance will do.
-		others := q.neighbours()
+		// There is no coordinator to compare with; any other instance will do.
+		others := q.gossipAddrs()
 		rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-		q.exchange(others, exchangeEvery)
+		q.exchange(others, heldExchangeInterval)
 	}
 }
 
-// ReleaseRequest frees a held request at the running instance of the settings, which tells
-// the others. It returns ErrNotFound where the instance knows nothing of it.
+// ReleaseRequest releases a held request. It calls the running instance of the settings, which
+// informs the others, and returns ErrNotFound if that instance does not know the request.
 func ReleaseRequest(s Settings, digest cfquarantine.Digest) error {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	peers := cfpeer.NewClient()
 	defer func() { _ = peers.Close() }()
 	var freed int
-	if err := peers.Call(ctx, s.Listen.Peers, opFree, freeMessage{digest}, &freed); err != nil {
+	if err := peers.Call(ctx, s.Listen.Peers, opFree, releaseMessage{digest}, &freed); err != nil {
 		return err
 	}
 	if freed == 0 {
--- a/io/cfnode/quarantine_test.go
+++ b/io/cfnode/quarantine_test.go
@@ -11,11 +11,11 @@
 	"currantford/io/cfguard"
 )
 
-// Symptom: links between instances carry nothing but news of crashes.
-// Sequence: a caller crashes engines by ever other requests; each crash costs all that ran
-// there a strike.
-// Cause guarded against: news without a bound. What is held goes first.
-func TestNewsOfCrashesAreBounded(t *testing.T) {
+// TestStrikeSharingIsRateLimited guards against links between instances that carry nothing but
+// strikes. A caller crashes engines with a different request each time, and each crash adds a
+// strike to every request that ran there. Without a rate limit all of them would be sent; strikes
+// of held requests come first.
+func TestStrikeSharingIsRateLimited(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
 	q.guard = &cfguard.Guard{Table: cfquarantine.New("e")}
 	target := func(n int) cfquarantine.Incarnation {
@@ -31,28 +31,28 @@
 	sent := 0
 	const seconds = 60
 	for now := cf.Millis(0); now < seconds*1000; now += 100 {
-		var news []cfquarantine.Strike
+		var strikes []cfquarantine.Strike
 		for n := range 50 {
 			key := cfquarantine.KeyOf("POST", "h", "/", "c", []byte(fmt.Sprint(now, n)))
-			news = append(news, cfquarantine.Strike{Content: key.Content, Target: target(n)})
+			strikes = append(strikes, cfquarantine.Strike{Content: key.Content, Target: target(n)})
 		}
-		out := q.within(append(news, last[0]), now)
+		out := q.limitRate(append(strikes, last[0]), now)
 		sent += len(out)
-		if len(out) > 0 && len(out) < len(news) && out[0].Content != held.Content {
-			t.Fatal("news of what is held wait behind others")
+		if len(out) > 0 && len(out) < len(strikes) && out[0].Content != held.Content {
+			t.Fatal("a strike of a held request is not sent first")
 		}
 	}
-	if most := strikesBurst + seconds*strikesRate; sent > most {
-		t.Errorf("%d strikes in %d s, want %d at most", sent, seconds, most)
+	if limit := strikesBurst + seconds*strikesRate; sent > limit {
+		t.Errorf("%d strikes sent in %d s, want at most %d", sent, seconds, limit)
 	}
 }
 
-// Guards against: a starting instance that knows no other one and so learns a second late what
-// is held.
-func TestExchangeWithNobodyDelaysNone(t *testing.T) {
+// TestExchangeWithoutPeersDelaysNoLaterOne guards against a starting instance that knows no other
+// one yet and therefore learns the held requests a second late.
+func TestExchangeWithoutPeersDelaysNoLaterOne(t *testing.T) {
 	q := newQuarantine(&Node{log: zap.NewNop()})
-	q.exchange(nil, exchangeEvery)
-	if q.exchanged != 0 {
-		t.Error("the next exchange waits for one that asked nobody")
+	q.exchange(nil, heldExchangeInterval)
+	if q.exchangedAt != 0 {
+		t.Error("an exchange without peers delays the next one")
 	}
 }
