--- a/io/cfcoord/rewards.go
+++ b/io/cfcoord/rewards.go
@@ -18,12 +18,13 @@
 	"currantford/io/cflog"
 )
 
-// rewardTimeout is the deadline of a try of a reward call, here and at its
-// target. The longest answers take 1.5 s; one that is later is asked for elsewhere
-// long before. A target that takes a call and says nothing would hold it for ever.
+// rewardTimeout is the deadline of one attempt at a reward call, at this instance and at the
+// target. The longest answers take 1.5 s; long before the deadline a late call is repeated at
+// another target. Without a deadline, a target that accepts a call and never answers would block
+// the call forever.
 const rewardTimeout cf.Millis = 3000
 
-// rewards are the reward calls of complete texts, with what runs of them.
+// rewards holds the reward calls of complete texts and their attempts in progress.
 type rewards struct {
 	planner *cfreward.Planner
 	works   map[cf.ItemID]*cfrollout.Work
@@ -42,13 +43,13 @@
 	}
 }
 
-// add takes a complete text.
+// add adds the reward call of a complete text.
 func (r *rewards) add(w *cfrollout.Work, now cf.Millis) {
 	r.works[w.Item.ID] = w
 	r.planner.Add(w.Batch, w.Item, now)
 }
 
-// end forgets a call that is over, stops what runs of it, and returns its text.
+// end removes a finished call, cancels its attempts in progress, and returns its text.
 func (r *rewards) end(call *cfreward.Call) *cfrollout.Work {
 	for _, a := range call.Attempts() {
 		r.cancels[a]()
@@ -58,27 +59,26 @@
 	return w
 }
 
-// rewardSite shows the site to the reward planner. c.mu is held.
+// rewardSite implements cfreward.Site on the coordinator's state. c.mu is held.
 type rewardSite struct {
 	c       *Coordinator
 	config  *cfsite.Config
 	missing map[cf.BatchID]map[cf.GroupID]int
 }
 
-// Route implements cfreward.Site. Whatever the route's kind, the call may be
-// repeated.
+// Route implements cfreward.Site. Reward calls may be repeated whatever the kind of the route.
 func (s *rewardSite) Route(call *cf.RewardCall) (cfreward.Route, bool) {
 	route, ok := s.config.Match(call.Host, call.Path)
 	if !ok {
 		return cfreward.Route{}, false
 	}
-	service := route.PickService(drawOf(string(call.ID)))
+	service := route.PickService(hashFraction(string(call.ID)))
 	return cfreward.Route{Service: service, Targets: s.c.Site.Usable(service), MaxAttempts: route.MaxAttempts}, true
 }
 
 // Admit implements cfreward.Site.
 func (s *rewardSite) Admit(call *cf.RewardCall, target cf.Target) bool {
-	return s.c.admitOwed(call.ID, cfquarantine.KeyOfReward(call), target, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()}).Pass
+	return s.c.admitDeferred(call.ID, cfquarantine.KeyOfReward(call), target, cfquarantine.DeferredWork{Isolated: true, WaitingSince: cf.Uptime()}).Pass
 }
 
 // Missing implements cfreward.Site.
@@ -94,16 +94,16 @@
 	return b.GroupRemaining(g)
 }
 
-// drawOf returns a number in [0, 1) that an id decides, so that a successor
-// decides the same.
-func drawOf(id string) float64 {
+// hashFraction maps an ID to a number in [0, 1). It is a pure function of the ID, so that a
+// successor makes the same choices.
+func hashFraction(id string) float64 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash takes everything
+	_, _ = h.Write([]byte(id)) // a hash's Write never fails
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// placeRewards sends the reward calls that are due. c.mu is held.
-func (c *Coordinator) placeRewards(config *cfsite.Config, now cf.Millis) {
+// scheduleRewards sends the reward calls that are due. c.mu is held.
+func (c *Coordinator) scheduleRewards(config *cfsite.Config, now cf.Millis) {
 	for _, call := range c.rewards.planner.DropListed() {
 		c.rewards.end(call)
 	}
@@ -129,12 +129,12 @@
 			ID: reward.ID, Method: http.MethodPost, Host: reward.Host, Path: reward.Path, Header: http.Header{}, Body: reward.Body,
 			Urgency: cfaccess.Urgency(cf.Access{}, cfaccess.LongItem), Ranked: true, Timeout: rewardTimeout,
 		})
-		c.rewarded(a, answer, err, stopped.Err() != nil)
+		c.rewardEnded(a, answer, err, stopped.Err() != nil)
 	})
 }
 
-// followReward tells the guard how an attempt at a reward call ended.
-func (c *Coordinator) followReward(a *cfreward.Attempt, outcome cfreward.Outcome, heard bool, err error) {
+// reportReward tells the guard how an attempt at a reward call ended.
+func (c *Coordinator) reportReward(a *cfreward.Attempt, outcome cfreward.Outcome, heard bool, err error) {
 	reward := a.Call.Item.Reward
 	key := cfquarantine.KeyOfReward(reward)
 	switch {
@@ -147,29 +147,29 @@
 	}
 }
 
-var rewardOutcomes = map[cfreward.Outcome]string{
+var rewardOutcomeNames = map[cfreward.Outcome]string{
 	cfreward.Scored: "scored", cfreward.Failed: "failed", cfreward.Rejected: "not_run", cfreward.NoAnswer: "lost", cfreward.Cancelled: "stopped",
 }
 
-// rewarded takes the end of an attempt at a reward call.
-func (c *Coordinator) rewarded(a *cfreward.Attempt, answer cf.TargetAnswer, err error, stopped bool) {
+// rewardEnded processes the end of an attempt at a reward call.
+func (c *Coordinator) rewardEnded(a *cfreward.Attempt, answer cf.TargetAnswer, err error, stopped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.rewards.cancels, a)
 	if c.ctx.Err() != nil {
-		c.followReward(a, cfreward.Cancelled, false, nil)
-		return // the duty is over; a successor asks again
+		c.reportReward(a, cfreward.Cancelled, false, nil)
+		return // the term has ended; a successor sends the call again
 	}
 	now := cf.Uptime()
 	outcome := classifyReward(answer, err, stopped)
 	call := a.Call
-	c.followReward(a, outcome, answer.Alive, err)
+	c.reportReward(a, outcome, answer.Alive, err)
 	verdict := c.rewards.planner.Done(a, outcome, answer.Load, now)
-	c.Metrics.RewardCalls.WithLabelValues(rewardOutcomes[outcome]).Inc()
+	c.Metrics.RewardCalls.WithLabelValues(rewardOutcomeNames[outcome]).Inc()
 	c.Metrics.RewardDuration.Observe(float64(now-a.StartedAt) / 1000)
 	c.Log.Info("reward_ended", zap.String("request_id", string(call.Item.Reward.ID)), zap.String("item_id", string(call.Item.ID.RequestID())),
 		cflog.Batch(call.Batch.Sub.ID), zap.String("target", string(a.Target.ID)),
-		zap.String("outcome", rewardOutcomes[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
+		zap.String("outcome", rewardOutcomeNames[outcome]), zap.Int("status", answer.Status), zap.Int("failures", call.Failures),
 		zap.Int64("took_ms", int64(now-a.StartedAt)), cflog.Error(err))
 	switch verdict {
 	case cfreward.Accept:
@@ -181,7 +181,7 @@
 	c.Wake()
 }
 
-// classifyReward maps what came of a reward call to what the planner knows.
+// classifyReward maps the result of an attempt at a reward call to the planner's outcome.
 func classifyReward(answer cf.TargetAnswer, err error, stopped bool) cfreward.Outcome {
 	switch {
 	case err == nil && answer.Status/100 == 2 && answer.Signature != "":
@@ -197,17 +197,17 @@
 	}
 }
 
-// dropRewards ends the reward calls of a batch that was ended; their texts may
-// be of use to a later batch. c.mu is held.
+// dropRewards removes the reward calls of an ended batch. Their texts are kept, as a later batch
+// may request the same items. c.mu is held.
 func (c *Coordinator) dropRewards(id cf.BatchID) {
 	for _, call := range c.rewards.planner.DropBatch(id) {
 		w := c.rewards.end(call)
-		delete(c.finished, w.Item.ID)
+		delete(c.unlisted, w.Item.ID)
 		c.planner.KeepText(w)
 	}
 }
 
-// expireRewards gives up the texts whose rewards have taken too long.
+// expireRewards gives up the items whose reward calls have waited too long.
 func (c *Coordinator) expireRewards(now, wall cf.Millis) {
 	late := c.rewards.planner.Expire(func(b *cfbatch.Batch) cf.Millis { return c.planner.GiveUpAfter(b.Sub.ID) }, wall)
 	for _, call := range late {
--- a/io/cfcoord/stepmetrics.go
+++ b/io/cfcoord/stepmetrics.go
@@ -7,15 +7,16 @@
 	"currantford/io/cflog"
 )
 
-// namedKept is how many versions of a model are remembered with the time at
-// which they were named; samples are a version or two behind.
-const namedKept = 16
+// maxVersionTimes is the number of versions of a model whose publication times are remembered.
+// Samples are a version or two behind.
+const maxVersionTimes = 16
 
-// named remembers when versions of models were named, as this instance saw it.
-type named map[cf.ModelName]map[cf.WeightVersion]cf.Millis
+// versionTimes holds the times at which versions of models were published, as observed by this
+// instance.
+type versionTimes map[cf.ModelName]map[cf.WeightVersion]cf.Millis
 
-// note takes a model's newest version.
-func (n named) note(m cf.ModelName, v cf.WeightVersion, now cf.Millis) {
+// record records the latest version of a model.
+func (n versionTimes) record(m cf.ModelName, v cf.WeightVersion, now cf.Millis) {
 	if n[m] == nil {
 		n[m] = map[cf.WeightVersion]cf.Millis{}
 	}
@@ -23,20 +24,20 @@
 		return
 	}
 	n[m][v] = now
-	delete(n[m], v-namedKept)
+	delete(n[m], v-maxVersionTimes)
 }
 
-// supersededFor returns how long ago the version after v was named, false where
-// it was before this instance looked.
-func (n named) supersededFor(m cf.ModelName, v cf.WeightVersion, now cf.Millis) (cf.Millis, bool) {
+// supersededFor returns the time since the version after v was published, or false if that was
+// before this instance began to observe.
+func (n versionTimes) supersededFor(m cf.ModelName, v cf.WeightVersion, now cf.Millis) (cf.Millis, bool) {
 	at, ok := n[m][v+1]
 	return now - at, ok
 }
 
-// served measures what was listed of a batch since the last call: how stale
-// each sample is when its trainer can first read it, and how long the trainer
-// waited for as much as it asked for, which is its idle time. c.mu is held.
-func (c *Coordinator) served(st *state) {
+// measureListed measures the results listed since the last call: the staleness of each sample at
+// the time from which its trainer can read it, and the time that the trainer waited for the results
+// that it asked for, in which it is idle. c.mu is held.
+func (c *Coordinator) measureListed(st *batchState) {
 	now := cf.Uptime()
 	sub := &st.batch.Sub
 	for _, r := range st.batch.ListedFrom(st.measured) {
@@ -49,12 +50,12 @@
 			oldest = min(oldest, v)
 		}
 		behind := c.planner.LatestVersion(sub.Model) - oldest
-		st.stalest = max(st.stalest, behind)
+		st.maxStaleness = max(st.maxStaleness, behind)
 		c.Metrics.StaleVersions.WithLabelValues(string(sub.Model)).Observe(float64(behind))
 		age := cf.Millis(0)
 		if behind > 0 {
 			var known bool
-			if age, known = c.named.supersededFor(sub.Model, oldest, now); !known {
+			if age, known = c.versionTimes.supersededFor(sub.Model, oldest, now); !known {
 				continue
 			}
 		}
@@ -69,5 +70,5 @@
 	c.Metrics.StepWait.WithLabelValues(string(sub.Model)).Observe(float64(waited) / 1000)
 	c.Log.Info("step_served", cflog.Batch(sub.ID), zap.String("model", string(sub.Model)),
 		zap.Int64("step", sub.Step), zap.Int64("waited_ms", int64(waited)), zap.Int("groups_whole", st.batch.CompleteGroups()),
-		zap.Int64("stalest_versions", int64(st.stalest)))
+		zap.Int64("stalest_versions", int64(st.maxStaleness)))
 }
--- a/io/cfcoord/waiting_test.go
+++ b/io/cfcoord/waiting_test.go
@@ -12,12 +12,12 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against: a report of an item that waits, which reads the text that its run appends to.
-// It needs the race detector.
-func TestReportOfASilentRunDoesNotRaceItsEvents(t *testing.T) {
+// Guards against a data race between the report on waiting items and the run that appends to an
+// item's text. The test needs the race detector.
+func TestWaitingReportDoesNotRaceWithEvents(t *testing.T) {
 	site := engineSite(t)
 	c := New(Options{
-		Store: cfstandin.NewMemStore(), Targets: &deadTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: held{},
+		Store: cfstandin.NewMemStore(), Targets: &unreachableTargets{}, Site: site, Codec: cfstandin.Codec{}, Lease: heldLease{},
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop(),
 	})
 	c.mu.Lock()
@@ -27,7 +27,7 @@
 	c.planner.AddBatch(cfbatch.New(sub), cfrollout.Terms{Service: "s", MaxAttempts: 3})
 	works := c.planner.Place(1000)
 	if len(works) != 1 {
-		t.Fatalf("%d items begin", len(works))
+		t.Fatalf("%d items placed, want 1", len(works))
 	}
 	w, done := works[0], make(chan struct{})
 	go func() {
@@ -36,6 +36,6 @@
 		defer w.Mu.Unlock()
 		_ = w.Text.Append(cf.StreamEvent{ID: 1, Version: 1})
 	}()
-	c.noteWaiting(60_000)
+	c.reportWaiting(60_000)
 	<-done
 }
--- a/io/cfcoord/weightorders.go
+++ b/io/cfcoord/weightorders.go
@@ -14,57 +14,55 @@
 )
 
 const (
-	// loadFirst is when a load is first looked for: an undisturbed load
-	// takes 0.9 s.
-	loadFirst = 850 * time.Millisecond
-	// loadPoll is the pause between looks after that.
-	loadPoll = 150 * time.Millisecond
-	// loadMost is when an order counts as lost. A load beside others takes
-	// longer, and an order may be carried out seconds late.
-	loadMost = 6 * time.Second
+	// firstLoadPoll is the time from an order to the first check for its result: a load that
+	// competes with no other takes 0.9 s.
+	firstLoadPoll = 850 * time.Millisecond
+	// loadPollInterval is the pause between further checks.
+	loadPollInterval = 150 * time.Millisecond
+	// loadTimeout is the time after which an order counts as lost. Loads take longer while other
+	// engines load, and an engine may carry an order out seconds after receiving it.
+	loadTimeout = 6 * time.Second
 )
 
 type (
-	// orders carries weight orders out, and keeps what engines said of their order
-	// counters. It is safe for concurrent use; what it starts ends with the contexts
-	// that it is given.
-	orders struct {
+	// orderExecutor carries out weight orders and records the order counters that engines report.
+	// It is safe for concurrent use. Its calls end with the contexts that are passed to them.
+	orderExecutor struct {
 		targets cf.Targets
-		duty    Lease
+		lease   Lease
 		site    *cfsite.Site
 		self    cf.EntryID
 		log     *zap.Logger
-		// reported takes engines' accounts of themselves, in the order of their
-		// starts.
-		reported func(cf.InstanceID, cf.TargetReport)
+		// onReport receives the engines' reports, in the order of the engines' starts.
+		onReport func(cf.InstanceID, cf.TargetReport)
 
-		// mu is held while reported is called.
-		mu     sync.Mutex
-		counts map[cf.InstanceID]orderCount
+		// mu is held during calls of onReport.
+		mu       sync.Mutex
+		counters map[cf.InstanceID]orderCounter
 	}
 
-	// orderCount is an engine's count of the orders that it has taken since its
-	// start.
-	orderCount struct {
+	// orderCounter is the number of orders that an engine has accepted since it started at born.
+	orderCounter struct {
 		born cf.Millis
 		seq  int64
 	}
 )
 
-// errNotTaken: an engine left an order unanswered and shows that it has not taken
-// it, or not yet.
+// errNotTaken is returned for an order that an engine left unanswered and has not accepted so far,
+// according to its report.
 var errNotTaken = errors.New("order not taken")
 
-func newOrders(o Options, reported func(cf.InstanceID, cf.TargetReport)) *orders {
-	return &orders{
-		targets: o.Targets, duty: o.Lease, site: o.Site, self: o.Self, log: o.Log, reported: reported,
-		counts: map[cf.InstanceID]orderCount{},
+func newOrderExecutor(o Options, reported func(cf.InstanceID, cf.TargetReport)) *orderExecutor {
+	return &orderExecutor{
+		targets: o.Targets, lease: o.Lease, site: o.Site, self: o.Self, log: o.Log, onReport: reported,
+		counters: map[cf.InstanceID]orderCounter{},
 	}
 }
 
-// carryOut gives an order under a term, and returns when the engine holds the version.
-func (o *orders) carryOut(ctx context.Context, s cfrollout.Swap, term cf.Revision) error {
-	seq, err := o.count(ctx, s.Target)
+// execute gives an order with term as its fencing token, and returns when the engine has the
+// version.
+func (o *orderExecutor) execute(ctx context.Context, s cfrollout.Swap, term cf.Revision) error {
+	seq, err := o.nextSeq(ctx, s.Target)
 	if err != nil {
 		return err
 	}
@@ -74,86 +72,88 @@
 	order := cf.WeightOrder{
 		Model: s.Model, Version: s.Version, KeepRuns: s.KeepRuns, Holder: o.self, Fence: term, ExpectSeq: seq,
 	}
-	// The lease may have lapsed since the planner decided.
-	if _, ok := o.duty.MayOrder(); !ok {
+	// The lease may have expired since the planner's decision.
+	if _, ok := o.lease.MayOrder(); !ok {
 		return cf.ErrNotLeader
 	}
-	// A successor waits from the last moment at which it may have arrived.
-	o.duty.Ordered()
+	// A successor counts its handover delay from the last moment at which this order may have
+	// arrived, so the order is recorded both before and after the call.
+	o.lease.Ordered()
 	err = o.targets.Order(ctx, s.Target, order)
-	o.duty.Ordered()
+	o.lease.Ordered()
 	switch {
 	case errors.Is(err, cf.ErrConflict):
-		// Another coordinator's orders, or one of ours without an answer,
-		// have moved the engine's counter, or it carries one out now.
-		r, err := o.ask(ctx, s.Target)
+		// Another coordinator's order or an unanswered one of this coordinator has changed the
+		// engine's counter, or the engine is carrying out an order now.
+		r, err := o.fetchReport(ctx, s.Target)
 		if err != nil {
 			return err
 		}
-		if holds(r, s) && !r.Busy {
+		if hasVersion(r, s) && !r.Busy {
 			return nil
 		}
 		return cf.ErrConflict
 	case errors.Is(err, cf.ErrUnavailable):
-		return o.unanswered(ctx, s, seq)
+		return o.resolveUnanswered(ctx, s, seq)
 	case err != nil:
 		return err
 	}
-	return o.await(ctx, s)
+	return o.awaitLoad(ctx, s)
 }
 
-// unanswered follows an order that had no answer. One that the engine has not
-// taken may still be carried out, seconds later; until then the engine serves
-// what it holds, and the order is given again. The counter that both name lets
-// only one of them through.
-func (o *orders) unanswered(ctx context.Context, s cfrollout.Swap, seq int64) error {
+// resolveUnanswered determines the result of an order that was not answered. If the engine has not
+// accepted the order, it may still do so seconds later. Until then it serves its present weights,
+// and the order is repeated. Both copies name the same counter value, so the engine accepts only
+// one of them.
+func (o *orderExecutor) resolveUnanswered(ctx context.Context, s cfrollout.Swap, seq int64) error {
 	r, err := o.targets.Report(ctx, s.Target)
-	if err == nil && (!r.Busy && r.Seq == seq && !holds(r, s) || startedAgain(r, s.Target)) {
-		o.take(s.Target.ID, r)
+	if err == nil && (!r.Busy && r.Seq == seq && !hasVersion(r, s) || hasRestarted(r, s.Target)) {
+		o.applyReport(s.Target.ID, r)
 		return errNotTaken
 	}
-	return o.await(ctx, s)
+	return o.awaitLoad(ctx, s)
 }
 
-// count reads an engine's order counter before the first order to it.
-func (o *orders) count(ctx context.Context, t cf.Target) (int64, error) {
+// nextSeq returns the engine's order counter, which it queries before the first order to the
+// engine.
+func (o *orderExecutor) nextSeq(ctx context.Context, t cf.Target) (int64, error) {
 	o.mu.Lock()
-	count, known := o.counts[t.ID]
+	count, known := o.counters[t.ID]
 	o.mu.Unlock()
 	if known && count.born >= t.Started {
 		return count.seq, nil
 	}
-	r, err := o.ask(ctx, t)
+	r, err := o.fetchReport(ctx, t)
 	return r.Seq, err
 }
 
-// ask asks an engine for its account of itself.
-func (o *orders) ask(ctx context.Context, t cf.Target) (cf.TargetReport, error) {
+// fetchReport queries an engine for its report.
+func (o *orderExecutor) fetchReport(ctx context.Context, t cf.Target) (cf.TargetReport, error) {
 	r, err := o.targets.Report(ctx, t)
 	if err != nil {
 		return cf.TargetReport{}, err
 	}
-	o.take(t.ID, r)
+	o.applyReport(t.ID, r)
 	return r, nil
 }
 
-// await asks an engine for its weights until it holds the version.
-func (o *orders) await(ctx context.Context, s cfrollout.Swap) error {
-	deadline := time.Now().Add(loadMost)
-	if !cf.Sleep(ctx, loadFirst) {
+// awaitLoad polls an engine until it has the version.
+func (o *orderExecutor) awaitLoad(ctx context.Context, s cfrollout.Swap) error {
+	deadline := time.Now().Add(loadTimeout)
+	if !cf.Sleep(ctx, firstLoadPoll) {
 		return ctx.Err()
 	}
 	for {
-		r, err := o.ask(ctx, s.Target)
+		r, err := o.fetchReport(ctx, s.Target)
 		if err == nil {
-			if holds(r, s) && !r.Busy {
+			if hasVersion(r, s) && !r.Busy {
 				return nil
 			}
-			if startedAgain(r, s.Target) {
-				return errNotTaken // it has started again, without the order
+			if hasRestarted(r, s.Target) {
+				return errNotTaken // it has restarted without the order
 			}
 		}
-		if _, up := o.site.Target(s.Target.ID); !up {
+		if _, listed := o.site.Target(s.Target.ID); !listed {
 			return cf.ErrNotFound
 		}
 		if time.Now().After(deadline) {
@@ -162,28 +162,27 @@
 			}
 			return context.DeadlineExceeded
 		}
-		if !cf.Sleep(ctx, loadPoll) {
+		if !cf.Sleep(ctx, loadPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// take takes an engine's account of itself.
-func (o *orders) take(id cf.InstanceID, r cf.TargetReport) {
+// applyReport records an engine's report and passes it on.
+func (o *orderExecutor) applyReport(id cf.InstanceID, r cf.TargetReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r.Started < o.counts[id].born {
-		return // of the start before
+	if r.Started < o.counters[id].born {
+		return // report of an earlier start
 	}
-	o.counts[id] = orderCount{r.Started, r.Seq}
-	o.reported(id, r)
+	o.counters[id] = orderCounter{r.Started, r.Seq}
+	o.onReport(id, r)
 }
 
-// startedAgain says whether a report is of a later start than an order was meant
-// for.
-func startedAgain(r cf.TargetReport, t cf.Target) bool { return t.Started > 0 && r.Started > t.Started }
+// hasRestarted reports whether r is from a later start of the engine than t.
+func hasRestarted(r cf.TargetReport, t cf.Target) bool { return t.Started > 0 && r.Started > t.Started }
 
-func holds(r cf.TargetReport, s cfrollout.Swap) bool {
+func hasVersion(r cf.TargetReport, s cfrollout.Swap) bool {
 	for _, m := range r.Models {
 		if m.Name == s.Model {
 			return m.Version >= s.Version
