--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -65,10 +65,10 @@
 // Guards against a step that waits for engines which are never ordered, or whose order was lost
 // with the previous coordinator, and against two coordinators that send orders alternately.
 //
-// The step needs several times the engines' slots. The control plane's API accepts the orders, has
-// no spot capacity, loses its answers, or gives no answer until the coordinator that has stored its
-// order is killed; in the last case the coordinator is frozen and continues after its successor's
-// first order.
+// The step needs several times the engines' slots. In separate cases the control plane's API
+// accepts the orders, has no spot capacity, loses its answers, or gives no answer until the
+// coordinator that has stored its order is killed; in another case the coordinator is frozen after
+// an order and continues after its successor's first one.
 func TestAutoscalerOrdersEngines(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/systemtest/checks_test.go
+++ b/systemtest/checks_test.go
@@ -149,7 +149,7 @@
 	eventually(s.t, "runs", func() bool { return len(s.engineRuns()) == len(b.Items) })
 }
 
-// checkRanOnce checks that each item ran on exactly one engine, exactly once.
+// checkRanOnce checks that each item ran exactly once.
 func (s *deployment) checkRanOnce() {
 	s.t.Helper()
 	for id, runs := range s.engineRuns() {
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -302,8 +302,7 @@
 	}
 }
 
-// An idle deployment makes few store calls, and their number does not grow with the number of entry
-// instances.
+// An idle deployment makes few store calls, however many entry instances run.
 func TestIdleDeploymentMakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	calls := func(entries int) int {
