--- a/older/cfentry/services.go
+++ b/older/cfentry/services.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// KindAtMostOnce is the kind of the at-most-once markers of non-idempotent
-	// calls, one per service and idempotency key.
+	// KindAtMostOnce is the kind of the marker objects that keep a non-idempotent call from being
+	// sent twice. There is one per service and idempotency key.
 	KindAtMostOnce = "once"
-	// idempotentRetries bounds the tries of an idempotent call.
-	idempotentRetries = 3
-	// resultTTL is how long an answer is kept for repeats of its key.
+	// maxIdempotentAttempts limits the attempts of an idempotent call.
+	maxIdempotentAttempts = 3
+	// resultTTL is how long a response is kept for repeated calls with the same key.
 	resultTTL = 10 * time.Minute
 )
 
-// Marker states.
+// The states of a marker.
 const (
-	onceSending = "sending"
-	onceDone    = "done"
-	// onceNotSent marks a call that failed to connect: no byte left, so
-	// a repeat may take the marker over and send.
-	onceNotSent = "not_sent"
+	markerSending = "sending"
+	markerDone    = "done"
+	// markerNotSent means that the connection failed, so that nothing was sent. A repeated call
+	// takes the marker over.
+	markerNotSent = "not_sent"
 )
 
 type (
@@ -43,18 +43,18 @@
 		entry   *Entry
 		client  *http.Client
 		mu      sync.Mutex
-		results map[string]*result
+		results map[string]*callResult
 	}
 
-	// result is one call's answer, shared by concurrent repeats of its key.
-	result struct {
+	// callResult is the response of one call. Concurrent calls with the same key share it.
+	callResult struct {
 		done    chan struct{}
 		status  int
 		body    []byte
 		expires time.Time
 	}
 
-	onceValue struct {
+	markerValue struct {
 		State  string     `json:"state"`
 		Entry  cf.EntryID `json:"entry"`
 		Status int        `json:"status,omitempty"`
@@ -63,36 +63,35 @@
 )
 
 func newServiceSet(_ cfconfig.Site, e *Entry) *serviceSet {
-	return &serviceSet{entry: e, client: &http.Client{}, results: map[string]*result{}}
+	return &serviceSet{entry: e, client: &http.Client{}, results: map[string]*callResult{}}
 }
 
-// handleService sends a call to a plain service. Repeats of an idempotency
-// key get the first call's answer. A non-idempotent service is sent at most
-// once, across entries too: a marker is created in the platform before the
-// bytes leave, and a repeat that finds a marker without an answer is told
-// that the call may have run, never that it did not.
+// handleService forwards a call to a service. Calls that repeat an idempotency key get the first
+// call's response. A call of a non-idempotent service is sent at most once, over all entries: a
+// marker is written to the platform before anything is sent, and a repeated call that finds a
+// marker without a response is answered that the call may have run, never that it has not.
 func (e *Entry) handleService(ctx iris.Context) {
 	name := ctx.Params().Get("service")
 	sv, err := e.site.Service(name)
 	if err != nil {
-		refuse(ctx, http.StatusNotFound, "unknown_service", "no", err)
+		writeError(ctx, http.StatusNotFound, "unknown_service", "no", err)
 		return
 	}
 	key := ctx.GetHeader("Idempotency-Key")
 	if key == "" {
-		refuse(ctx, http.StatusBadRequest, "no_idempotency_key", "no", eris.New("Idempotency-Key header is required"))
+		writeError(ctx, http.StatusBadRequest, "no_idempotency_key", "no", eris.New("Idempotency-Key header is required"))
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBodyBytes))
 	if err != nil {
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", err)
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", err)
 		return
 	}
-	res, first := e.services.claim(name + "/" + key)
-	if first {
-		// The send outlives the caller: a caller that gives up must not
-		// cancel a bid that may already be at the service, or the outcome
-		// is never recorded and every repeat can only say "may have run".
+	res, isFirst := e.services.lookupOrCreate(name + "/" + key)
+	if isFirst {
+		// Do not cancel the call when the caller disconnects: a bid may already be at the service.
+		// If it were cancelled, its outcome would never be recorded, and every repeated call could
+		// only be answered with "may have run".
 		sendCtx := context.WithoutCancel(ctx.Request().Context())
 		res.status, res.body, err = e.services.send(sendCtx, sv, key, ctx.Params().Get("path"), body)
 		e.services.finish(name+"/"+key, res, err)
@@ -104,7 +103,7 @@
 		}
 	}
 	if res.status == 0 {
-		e.answerFailure(ctx, name, err)
+		e.writeServiceError(ctx, name, err)
 		return
 	}
 	e.metrics.requests.WithLabelValues("service_"+name, "ok").Inc()
@@ -113,23 +112,24 @@
 	_, _ = ctx.Write(res.body)
 }
 
-func (e *Entry) answerFailure(ctx iris.Context, name string, err error) {
+func (e *Entry) writeServiceError(ctx iris.Context, name string, err error) {
 	switch {
 	case errors.Is(err, cf.ErrMaybeRan):
 		e.metrics.requests.WithLabelValues("service_"+name, "maybe_ran").Inc()
-		refuse(ctx, http.StatusConflict, "may_have_run", "unknown", err)
+		writeError(ctx, http.StatusConflict, "may_have_run", "unknown", err)
 	case err == nil:
-		// A concurrent repeat whose first call failed: that call's
-		// outcome is not ours to tell; ask again.
-		refuse(ctx, http.StatusServiceUnavailable, "retry", "unknown", eris.New("an earlier call with this key failed; try again"))
+		// This is a concurrent repeat of a call that failed. Only that call's own caller gets its
+		// outcome; this one has to try again.
+		writeError(ctx, http.StatusServiceUnavailable, "retry", "unknown", eris.New("an earlier call with this key failed; try again"))
 	default:
 		e.metrics.requests.WithLabelValues("service_"+name, "not_run").Inc()
-		refuse(ctx, http.StatusServiceUnavailable, "not_run", "no", err)
+		writeError(ctx, http.StatusServiceUnavailable, "not_run", "no", err)
 	}
 }
 
-// claim returns the result slot of a key and whether the caller must fill it.
-func (s *serviceSet) claim(key string) (*result, bool) {
+// lookupOrCreate returns the result for a key, and true if it is new and the caller must fill it
+// in. It also deletes expired results.
+func (s *serviceSet) lookupOrCreate(key string) (*callResult, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -141,15 +141,15 @@
 	if r, ok := s.results[key]; ok {
 		return r, false
 	}
-	r := &result{done: make(chan struct{})}
+	r := &callResult{done: make(chan struct{})}
 	s.results[key] = r
 	return r, true
 }
 
-// finish publishes a result; a failed call's slot is removed so that a
-// later repeat tries again (for a non-idempotent call the platform marker
-// still stops a second send).
-func (s *serviceSet) finish(key string, r *result, err error) {
+// finish makes a result available to the waiting calls. The result of a failed call is deleted, so
+// that a later call tries again. For a non-idempotent service the marker in the platform still
+// prevents a second send.
+func (s *serviceSet) finish(key string, r *callResult, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.expires = time.Now().Add(resultTTL)
@@ -160,39 +160,37 @@
 	close(r.done)
 }
 
-// send calls the service. For an idempotent service every failure is
-// retried; for a non-idempotent one only a failure to connect, since then
-// no byte has left.
+// send calls the service. Calls of an idempotent service are retried after any failure; a call of a
+// non-idempotent service is sent at most once.
 func (s *serviceSet) send(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
 	if !sv.Idempotent {
-		return s.sendOnce(ctx, sv, key, path, body)
+		return s.sendAtMostOnce(ctx, sv, key, path, body)
 	}
-	var last error
-	for attempt := range idempotentRetries {
+	var lastErr error
+	for attempt := range maxIdempotentAttempts {
 		status, out, err := s.post(ctx, sv, key, path, body)
 		if err == nil {
 			return status, out, nil
 		}
-		last = err
+		lastErr = err
 		time.Sleep(time.Duration(attempt+1) * 50 * time.Millisecond)
 	}
-	return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s: %v", sv.Name, last)
+	return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s: %v", sv.Name, lastErr)
 }
 
-func (s *serviceSet) sendOnce(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
+func (s *serviceSet) sendAtMostOnce(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
 	store := s.entry.store
 	name := sv.Name + "/" + key
-	marker, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, cf.CreateOnly)
+	marker, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, markerValue{State: markerSending, Entry: s.entry.self.ID}, cf.CreateOnly)
 	switch {
 	case errors.Is(err, cf.ErrConflict):
-		return s.replay(ctx, name)
+		return s.answerFromMarker(ctx, name)
 	case errors.Is(err, cf.ErrUnavailable):
-		// The marker may exist even though we did not hear so. Read it:
-		// if it is ours, go on; if it cannot be read, the call has not
-		// been sent, and "not run" is true.
-		var cur onceValue
+		// The marker may have been written although the response was lost. If it is this entry's,
+		// continue. If it cannot be read, the call has not been sent, so "not run" is correct.
+		var cur markerValue
 		obj, gerr := cfplatform.GetJSON(ctx, store, KindAtMostOnce, name, &cur)
-		if gerr != nil || cur.Entry != s.entry.self.ID || cur.State != onceSending {
+		if gerr != nil || cur.Entry != s.entry.self.ID || cur.State != markerSending {
 			return 0, nil, eris.Wrapf(cf.ErrUnavailable, "at-most-once marker for %s: %v", name, err)
 		}
 		marker = obj
@@ -201,36 +199,35 @@
 	}
 	status, out, err := s.post(ctx, sv, key, path, body)
 	if err != nil {
-		var dial *net.OpError
-		if errors.As(err, &dial) && dial.Op == "dial" {
-			// Nothing left this process; still, the marker stays, so a
-			// repeat is answered "may have run" only if we cannot
-			// remove it.
-			if _, derr := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, onceValue{State: onceNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
+			// Nothing was sent, so record that in the marker. Only if this write fails too is the
+			// call reported as one that may have run.
+			if _, derr := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, markerValue{State: markerNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
 				return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s unreachable: %v", sv.Name, err)
 			}
 		}
 		return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "service %s: %v", sv.Name, err)
 	}
-	done := onceValue{State: onceDone, Entry: s.entry.self.ID, Status: status, Body: out}
+	done := markerValue{State: markerDone, Entry: s.entry.self.ID, Status: status, Body: out}
 	if _, err := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, done, marker.Version); err != nil {
 		s.entry.log.Warn("at-most-once answer not recorded", zap.String("key", name), zap.Error(err))
 	}
 	return status, out, nil
 }
 
-// replay answers a repeat of a non-idempotent key from its marker.
-func (s *serviceSet) replay(ctx context.Context, name string) (int, []byte, error) {
-	var cur onceValue
+// answerFromMarker answers a repeated call of a non-idempotent service from its marker.
+func (s *serviceSet) answerFromMarker(ctx context.Context, name string) (int, []byte, error) {
+	var cur markerValue
 	obj, err := cfplatform.GetJSON(ctx, s.entry.store, KindAtMostOnce, name, &cur)
 	switch {
 	case err != nil:
 		return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: marker unreadable: %v", name, err)
-	case cur.State == onceDone:
+	case cur.State == markerDone:
 		return cur.Status, cur.Body, nil
-	case cur.State == onceNotSent:
-		// The earlier try never left its entry: take the marker over.
-		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindAtMostOnce, name, onceValue{State: onceSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
+	case cur.State == markerNotSent:
+		// The earlier attempt sent nothing. Take the marker over and let the caller try again.
+		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindAtMostOnce, name, markerValue{State: markerSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
 			return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: %v", name, err)
 		}
 		return 0, nil, eris.Wrapf(cf.ErrUnavailable, "%s: earlier try was not sent; try again", name)
@@ -253,7 +250,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	out, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/older/cfroute/bench_test.go
+++ b/older/cfroute/bench_test.go
@@ -20,8 +20,8 @@
 	"currantford/testbed/cfengine"
 )
 
-// BenchmarkDecision is the cost of one marginal-cost decision against the
-// number of candidates; docs/CAPACITY.md takes its slope.
+// BenchmarkDecision measures the time of one marginal_cost decision for several numbers of
+// candidates. docs/CAPACITY.md uses the increase per candidate.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{4, 16, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("candidates=%d", n), func(b *testing.B) {
@@ -40,39 +40,38 @@
 	}
 }
 
-// BenchmarkPolicies runs the three policies side by side, in one run, on
-// engine stand-ins served over HTTP, with mixed traffic (short live
-// requests and long rollouts) on engines of two speeds, and reports goodput
-// at the SLO and p99 time to first token as ratios to round-robin.
+// BenchmarkPolicies compares the three policies in one run, on engine stand-ins served over HTTP.
+// The traffic is a mix of short live requests and long rollouts; the engines have two speeds. It
+// reports the goodput at the SLO and the p99 time to first token as ratios to round_robin.
 func BenchmarkPolicies(b *testing.B) {
 	for b.Loop() {
-		res := map[string]result{}
+		res := map[string]policyResult{}
 		for _, p := range []string{cfroute.RoundRobin, cfroute.LeastLoaded, cfroute.MarginalCost} {
 			res[p] = runPolicy(b, p)
 		}
-		rr := res[cfroute.RoundRobin]
-		b.ReportMetric(rr.goodput, "rr_goodput")
+		roundRobin := res[cfroute.RoundRobin]
+		b.ReportMetric(roundRobin.goodput, "rr_goodput")
 		for _, p := range []string{cfroute.LeastLoaded, cfroute.MarginalCost} {
-			b.ReportMetric(res[p].goodput/rr.goodput, p+"_goodput_x_rr")
-			b.ReportMetric(res[p].p99/rr.p99, p+"_p99_ttft_x_rr")
+			b.ReportMetric(res[p].goodput/roundRobin.goodput, p+"_goodput_x_rr")
+			b.ReportMetric(res[p].p99/roundRobin.p99, p+"_p99_ttft_x_rr")
 		}
 	}
 }
 
-type result struct {
-	goodput float64 // fraction of requests that met the SLO
-	p99     float64 // ms
+type policyResult struct {
+	goodput float64 // fraction of requests within the SLO
+	p99     float64 // p99 time to first token in ms
 }
 
 const (
-	benchEngines  = 6
-	benchRequests = 240
-	benchGap      = 4 * time.Millisecond
-	sloTTFT       = 120 // ms
-	sloTPOT       = 12  // ms per output token after the first
+	benchEngines    = 6
+	benchRequests   = 240
+	requestInterval = 4 * time.Millisecond
+	sloTTFT         = 120 // ms
+	sloTPOT         = 12  // ms per output token after the first
 )
 
-func runPolicy(b *testing.B, policy string) result {
+func runPolicy(b *testing.B, policy string) policyResult {
 	b.Helper()
 	type engine struct {
 		id  cf.EngineID
@@ -99,7 +98,7 @@
 	loads := make([]cf.Load, len(engines))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { // the entry's load poller, every 50 ms
+	go func() { // Poll the engine loads like an entry instance, every 50 ms.
 		for ctx.Err() == nil {
 			for i, e := range engines {
 				var l cf.Load
@@ -118,7 +117,7 @@
 	time.Sleep(60 * time.Millisecond)
 	rng := rand.New(rand.NewPCG(7, 7))
 	ttfts := make([]float64, benchRequests)
-	met := make([]bool, benchRequests)
+	metSLO := make([]bool, benchRequests)
 	var wg sync.WaitGroup
 	for i := range benchRequests {
 		prompt, out := 8, cf.Tokens(8)
@@ -136,29 +135,29 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ttft, total := stream(url, prompt, out)
+			ttft, total := streamCompletion(url, prompt, out)
 			mu.Lock()
 			router.Observe(d.Choice, job.PromptTokens, out, cf.Millis(ttft), cf.Millis(total-ttft))
 			mu.Unlock()
 			ttfts[i] = ttft
-			met[i] = ttft <= sloTTFT && (total-ttft)/float64(out) <= sloTPOT
+			metSLO[i] = ttft <= sloTTFT && (total-ttft)/float64(out) <= sloTPOT
 		}()
-		time.Sleep(benchGap)
+		time.Sleep(requestInterval)
 	}
 	wg.Wait()
-	good := 0
-	for _, m := range met {
+	metCount := 0
+	for _, m := range metSLO {
 		if m {
-			good++
+			metCount++
 		}
 	}
 	sort.Float64s(ttfts)
-	return result{goodput: float64(good) / benchRequests, p99: ttfts[benchRequests*99/100]}
+	return policyResult{goodput: float64(metCount) / benchRequests, p99: ttfts[benchRequests*99/100]}
 }
 
-// stream sends one streamed completion and returns the time to first token
-// and the whole time, in milliseconds.
-func stream(url string, prompt int, out cf.Tokens) (float64, float64) {
+// streamCompletion sends one streamed completion and returns the time to the first token and the
+// total time, in milliseconds.
+func streamCompletion(url string, prompt int, out cf.Tokens) (float64, float64) {
 	body, _ := json.Marshal(struct {
 		Prompt    string    `json:"prompt"`
 		MaxTokens cf.Tokens `json:"max_tokens"`
