--- a/systemtest/keepalive_test.go
+++ b/systemtest/keepalive_test.go
@@ -32,7 +32,7 @@
 	// answer.
 	keepAliveCallers struct {
 		mu         sync.Mutex
-		answered   map[int]int // by status
+		answered   map[int]int // the number of answers by status
 		unanswered []unanswered
 	}
 )
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -22,8 +22,8 @@
 	soakSeconds = flag.Int("soak.seconds", 10, "length of each seed")
 )
 
-// firstLinkSeed is the first seed that also holds, slows and resets links. The seeds below it
-// inject the same sequence of faults as before links were added.
+// firstLinkSeed is the first seed that also holds, slows and resets links. Lower seeds inject no
+// link faults, so that each keeps its sequence of faults.
 const firstLinkSeed = 1000
 
 // firstRewardSeed is the first seed in which samples are scored.
@@ -57,12 +57,12 @@
 // scores come from successful answers to calls made after the text was complete; orders of two
 // lease holders are 3 s apart and have increasing numbers.
 //
-// These seeds have failed:
+// Some of the default seeds reproduce a fault:
 //
-//	3, 36: an engine executed an order 0.7 s late; the check took that time
-//	for the order's arrival (2.95 s to the next holder's; arrivals 3.68 s apart)
-//	6011: instances that had just started sent a quarantined request
-//	4112, 6039: harmless requests were quarantined where none had succeeded yet
+//	3, 36: an engine executes an order 0.7 s late; a check by the times of execution
+//	finds 2.95 s to the next holder's order, although the arrivals are 3.68 s apart
+//	6011: instances that have just started send a quarantined request
+//	4112, 6039: harmless requests are quarantined where none has succeeded yet
 func TestSoak(t *testing.T) {
 	for _, seed := range parseSeeds(t, *soakSeeds) {
 		t.Run(fmt.Sprint("seed_", seed), func(t *testing.T) {
