--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -10,34 +10,35 @@
 	"currantford/platform/standin"
 )
 
-// A calm step: accepted at one entry, run on the engines, read at all.
-func TestStepIsServedWhole(t *testing.T) {
+// Without faults, a step that is accepted at one entry instance runs on the engines and can be read
+// at every entry instance.
+func TestStepIsCompleted(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3})
-	b := step("b1", "m0", 4, 4, 10)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 3})
+	b := newStep("b1", "m0", 4, 4, 10)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	body, err := s.other().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[0].ID, "", nil)
+	body, err := s.nonCoordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[0].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
-		t.Errorf("body of an item: %q, %v", body.body, err)
+		t.Errorf("body of an item: %q, want \"prompt\"; error %v", body.body, err)
 	}
 }
 
-// Symptom: a batch is accepted and never runs.
-// Sequence: the store executes writes and loses their answers, or executes
-// them seconds late; the entry that took the batch retries, and the caller
-// hands it in again elsewhere.
-// Cause guarded against: taking a lost answer for a refusal, and a late
-// duplicate of a chunk that lists items twice.
-func TestLostAndLateWrites(t *testing.T) {
-	for _, late := range []time.Duration{0, 700 * time.Millisecond} {
-		t.Run(fmt.Sprint("late_", late), func(t *testing.T) {
+// Guards against a batch that is accepted and never runs.
+//
+// The store executes writes and loses their answers, or executes them 700 ms late. The entry
+// instance that received the batch retries, and the caller submits the batch again at another one.
+// The fault occurs if a lost answer is taken for a refusal, or if a late duplicate write of a chunk
+// of results lists items twice.
+func TestLostAndDelayedWriteResponses(t *testing.T) {
+	for _, delay := range []time.Duration{0, 700 * time.Millisecond} {
+		t.Run(fmt.Sprint("late_", delay), func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 3, engines: 3})
-			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: late})
-			batches := []batch{step("b1", "m0", 4, 4, 15), step("b2", "m0", 4, 4, 25)}
+			s := startDeployment(t, options{entries: 3, engines: 3})
+			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: delay})
+			batches := []batch{newStep("b1", "m0", 4, 4, 15), newStep("b2", "m0", 4, 4, 25)}
 			for _, b := range batches {
-				s.accept(b)
+				s.submitUntilAccepted(b)
 			}
 			time.Sleep(time.Second)
 			s.store.SetFaults(standin.StoreFaults{})
@@ -48,194 +49,196 @@
 	}
 }
 
-// Symptom: a step that is larger than one object of the store is never
-// accepted.
+// Guards against a step that is never accepted because it is larger than one object of the store.
 func TestLargeStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 4, valueBytes: 80 << 10, event: time.Millisecond})
-	b := step("b1", "m0", 60, 4, 3)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 2, engines: 4, valueBytes: 80 << 10, eventInterval: time.Millisecond})
+	b := newStep("b1", "m0", 60, 4, 3)
+	s.submitUntilAccepted(b)
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id) // it reads the parts from the store
+	s.awaitCoordinator(old.id) // the new coordinator reads the parts from the store
 	s.readAll(b)
 	body, err := s.coordinator().do(http.MethodGet, "/currantford/items/b1?id="+b.Items[200].ID, "", nil)
 	if err != nil || string(body.body) != "prompt" {
-		t.Errorf("body of an item: %q, %v", body.body, err)
+		t.Errorf("body of an item: %q, want \"prompt\"; error %v", body.body, err)
 	}
 }
 
-// Symptom: a step is accepted twice and its items are listed twice.
-// Sequence: its submitter gets no answer and hands it in at another entry
-// while the first still works on it.
-// Cause guarded against: acceptance decided by each entry alone.
-func TestBatchHandedInTwice(t *testing.T) {
+// Guards against a step that is accepted twice and whose items are listed twice.
+//
+// The submitter gets no answer and submits the step at another entry instance while the first one
+// is still processing it. The fault occurs if each entry instance decides on acceptance alone.
+func TestDuplicateSubmission(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2})
-	b := step("b1", "m0", 3, 4, 10)
+	s := startDeployment(t, options{entries: 3, engines: 2})
+	b := newStep("b1", "m0", 3, 4, 10)
 	statuses := make(chan int, 6)
 	for i := range 6 {
 		go func() { statuses <- s.entries[i%3].submit(b).status }()
 	}
 	for range 6 {
 		if st := <-statuses; st != http.StatusAccepted {
-			t.Errorf("status %d, want 202", st)
+			t.Errorf("submit: status %d, want 202", st)
 		}
 	}
 	s.readAll(b)
 	if n := len(s.store.Names("currantford-batches")); n != 1 {
-		t.Errorf("%d batches in the store", n)
+		t.Errorf("%d batches in the store, want 1", n)
 	}
 }
 
-// Symptom: a batch refused with 503 runs later.
-// Sequence: the store answers 503 to every call; the batch is handed in and
-// refused; the store comes back.
-// Cause guarded against: a refusal while a write may still take effect.
+// Guards against a batch that is refused with 503 and runs later.
+//
+// The store answers 503 to every call, a batch is submitted and refused, and the store recovers.
+// The fault occurs if a batch is refused while a write may still take effect.
 func TestRefusedBatchNeverRuns(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2})
+	s := startDeployment(t, options{entries: 2, engines: 2})
 	s.store.SetFaults(standin.StoreFaults{Busy: true})
-	b := step("b1", "m0", 2, 2, 5)
-	r := s.other().submit(b)
+	b := newStep("b1", "m0", 2, 2, 5)
+	r := s.nonCoordinator().submit(b)
 	if r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-		t.Errorf("status %d, Retry-After %q; want 503 and a time", r.status, r.header.Get("Retry-After"))
+		t.Errorf("submit during the outage: status %d, Retry-After %q; want 503 and a Retry-After", r.status, r.header.Get("Retry-After"))
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	time.Sleep(1500 * time.Millisecond)
-	if runs := s.runs(); len(runs) != 0 {
-		t.Errorf("%d items of a refused batch ran", len(runs))
+	if runs := s.engineRuns(); len(runs) != 0 {
+		t.Errorf("%d items of a refused batch ran, want 0", len(runs))
 	}
-	if _, r, _ := s.other().read("b1", 0, 0); r.status != http.StatusNotFound {
-		t.Errorf("read of a refused batch: %d, want 404", r.status)
+	if _, r, _ := s.nonCoordinator().readResults("b1", 0, 0); r.status != http.StatusNotFound {
+		t.Errorf("read of a refused batch: status %d, want 404", r.status)
 	}
 }
 
-// Symptom: a batch whose write was not answered is refused as not run.
-// Sequence: the store takes connections and answers nothing.
-// Cause guarded against: mapping "no answer" to 503.
-func TestBatchInDoubtIsNotCalledRefused(t *testing.T) {
+// Guards against a batch that is reported as not run (503) although its write was not answered and
+// may take effect.
+//
+// The store accepts connections and answers no call.
+func TestUnansweredWriteReturnsGatewayTimeout(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2})
+	s := startDeployment(t, options{entries: 2, engines: 2})
 	s.store.SetFaults(standin.StoreFaults{Down: true})
-	if r := s.other().submit(step("b1", "m0", 2, 2, 5)); r.status != http.StatusGatewayTimeout {
-		t.Errorf("status %d, want 504: the write may still take effect", r.status)
+	if r := s.nonCoordinator().submit(newStep("b1", "m0", 2, 2, 5)); r.status != http.StatusGatewayTimeout {
+		t.Errorf("submit: status %d, want 504, since the write may still take effect", r.status)
 	}
 }
 
-// Symptom: an item's text misses an event, or has one twice.
-// Sequence: each run of an item is broken off in mid-event after 4 events;
-// the item is resumed, at any engine, until it is whole.
-// Cause guarded against: counting an event that was not whole, or joining two
-// runs without Last-Event-Id.
-func TestBrokenStreamsAreResumed(t *testing.T) {
+// Guards against an item's text that lacks an event or has one twice.
+//
+// Each run of an item is interrupted in the middle of an event after 4 complete events, and the
+// item is resumed at any engine until its text is complete. The fault occurs if an incomplete event
+// is counted, or if two runs are joined without Last-Event-Id.
+func TestInterruptedStreamsAreResumed(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3})
+	s := startDeployment(t, options{entries: 2, engines: 3})
 	for _, e := range s.engines {
 		e.SetFaults(standin.EngineFaults{AbortAfterEvents: 4})
 	}
-	b := step("b1", "m0", 1, 3, 11)
-	s.accept(b)
+	b := newStep("b1", "m0", 1, 3, 11)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	for id, runs := range s.runs() {
+	for id, runs := range s.engineRuns() {
 		last := 0
 		for _, r := range runs {
 			if r.ResumeAfter != 0 && r.ResumeAfter <= last {
-				t.Errorf("item %s resumed after %d, before after %d", id, r.ResumeAfter, last)
+				t.Errorf("item %s resumed after event %d, its previous run after event %d", id, r.ResumeAfter, last)
 			}
 			last = r.ResumeAfter
 		}
 		if len(runs) < 3 {
-			t.Errorf("item %s of 11 events ran %d times with 4 a run", id, len(runs))
+			t.Errorf("item %s of 11 events ran %d times with 4 events per run, want 3 or more", id, len(runs))
 		}
 	}
 }
 
-// Symptom: an item that can't be done is tried for ever, or given up after
-// one failure.
-// Sequence: every engine answers 500 (an attempt that failed), or 422 (it can
-// never be done).
-func TestFailingItemsAreGivenUp(t *testing.T) {
-	for status, most := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
+// Guards against an item that cannot succeed and is retried forever, or that is abandoned after one
+// failure.
+//
+// Every engine answers 500 (the attempt failed) or 422 (the item can never succeed).
+func TestFailingItemsStopAfterMaxAttempts(t *testing.T) {
+	for status, want := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 2, engines: 4})
+			s := startDeployment(t, options{entries: 2, engines: 4})
 			for _, e := range s.engines {
 				e.SetFaults(standin.EngineFaults{Status: status})
 			}
-			b := step("b1", "m0", 1, 2, 5)
-			s.accept(b)
+			b := newStep("b1", "m0", 1, 2, 5)
+			s.submitUntilAccepted(b)
 			for _, r := range s.readAll(b) {
 				if r.State != "down" {
-					t.Errorf("item %s is %s", r.ID, r.State)
+					t.Errorf("item %s has state %s, want down", r.ID, r.State)
 				}
 			}
-			for id, runs := range s.runs() {
-				if len(runs) != most {
-					t.Errorf("item %s reached engines %d times, want %d", id, len(runs), most)
+			for id, runs := range s.engineRuns() {
+				if len(runs) != want {
+					t.Errorf("item %s reached engines %d times, want %d", id, len(runs), want)
 				}
 			}
 		})
 	}
 }
 
-// Symptom: an item runs after its batch was ended.
-// Sequence: a batch with more items than slots is ended while most wait; then
-// the coordinator is killed, and its successor reads the batch from the store.
-// Cause guarded against: an end known to one process alone.
-func TestEndedBatchStartsNothing(t *testing.T) {
+// Guards against an item that runs after its batch was deleted.
+//
+// A batch with more items than slots is deleted while most items are waiting. Then the coordinator
+// is killed, and its successor reads the batch from the store. The fault occurs if only one process
+// knows of the deletion.
+func TestDeletedBatchStartsNoItems(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1, event: 50 * time.Millisecond})
-	b := step("b1", "m0", 5, 4, 40)
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) > 0 })
-	eventually(t, "the end's answer", func() bool {
-		r, err := s.other().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
+	s := startDeployment(t, options{entries: 3, engines: 1, eventInterval: 50 * time.Millisecond})
+	b := newStep("b1", "m0", 5, 4, 40)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
+	eventually(t, "acknowledgement of the deletion", func() bool {
+		r, err := s.nonCoordinator().do(http.MethodDelete, "/currantford/lots/b1", "", nil)
 		return err == nil && r.status == http.StatusOK
 	})
 	time.Sleep(300 * time.Millisecond)
-	before := len(s.runs())
+	before := len(s.engineRuns())
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id)
-	next := step("b2", "m0", 1, 2, 3)
-	s.accept(next)
+	s.awaitCoordinator(old.id)
+	next := newStep("b2", "m0", 1, 2, 3)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
-	if after := len(s.runs()); after != before+2 {
-		t.Errorf("%d items ran after the end, beside the 2 of the next batch", after-before-2)
+	if after := len(s.engineRuns()); after != before+2 {
+		t.Errorf("%d items of the batch ran after its deletion", after-before-2)
 	}
 }
 
-// Symptom: a sample names weights that did not make it, or is older than its
-// step allows; or an engine never gets the new weights.
-// Sequence: a trainer names version after version and hands in a step that
-// asks for the one before at least.
-func TestStepsFollowNamedVersions(t *testing.T) {
+// Guards against a sample that names weights other than those that generated it, or weights older
+// than its step allows, and against an engine that never gets the new weights.
+//
+// A trainer announces one version after another and submits steps that require at least the
+// previous version.
+func TestStepsUseAnnouncedVersions(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 4, models: []string{"m0", "m1"}})
+	s := startDeployment(t, options{entries: 2, engines: 4, models: []string{"m0", "m1"}})
 	for v := 1; v <= 4; v++ {
 		for _, m := range []string{"m0", "m1"} {
 			if v > 1 {
-				s.name(m, v)
+				s.announceVersion(m, v)
 			}
-			b := step(fmt.Sprintf("%s-s%d", m, v), m, 2, 4, 6)
+			b := newStep(fmt.Sprintf("%s-s%d", m, v), m, 2, 4, 6)
 			b.Step, b.MinVersion = v, max(v-1, 1)
-			s.accept(b)
+			s.submitUntilAccepted(b)
 			results := s.readAll(b)
-			made := map[string]map[int64]bool{}
-			for id, runs := range s.runs() {
-				made[id] = map[int64]bool{}
+			ranWith := map[string]map[int64]bool{}
+			for id, runs := range s.engineRuns() {
+				ranWith[id] = map[int64]bool{}
 				for _, r := range runs {
-					made[id][r.Version] = true
+					ranWith[id][r.Version] = true
 				}
 			}
 			for _, r := range results {
-				if len(r.Versions) == 0 || !made[r.ID][int64(r.Versions[0])] {
-					t.Errorf("item %s names versions %v, engines ran it with %v", r.ID, r.Versions, made[r.ID])
+				if len(r.Versions) == 0 || !ranWith[r.ID][int64(r.Versions[0])] {
+					t.Errorf("item %s reports versions %v, but engines ran it with %v", r.ID, r.Versions, ranWith[r.ID])
 				}
 			}
 			if r, err := s.entries[0].do(http.MethodDelete, "/currantford/lots/"+b.id, "", nil); err != nil || r.status != http.StatusOK {
-				t.Errorf("end: %d %v", r.status, err)
+				t.Errorf("delete: status %d, error %v", r.status, err)
 			}
 		}
 	}
@@ -248,41 +251,41 @@
 	}
 }
 
-// checkOrders checks the orders at each engine: numbers never fall, one number
-// has one owner, and two owners' orders arrive 3 s apart. An order that its
-// engine carries out late was given when it arrived.
-func checkOrders(t *testing.T, s *site) {
+// checkWeightOrders checks the weight orders that each engine received: fencing numbers never
+// decrease, each number has one owner, and the orders of two owners arrive at least 3 s apart. The
+// arrival time counts, because an engine may execute an order late.
+func checkWeightOrders(t *testing.T, s *deployment) {
 	t.Helper()
 	for _, e := range s.engines {
 		orders := e.Orders()
 		for i := 1; i < len(orders); i++ {
 			a, b := orders[i-1], orders[i]
 			if b.Fence < a.Fence {
-				t.Errorf("%s: number %d after %d", e.ID, b.Fence, a.Fence)
+				t.Errorf("%s: fencing number %d after %d", e.ID, b.Fence, a.Fence)
 			}
 			if a.Owner != b.Owner && (a.Fence == b.Fence || b.ReceivedAt.Sub(a.ReceivedAt) < 3*time.Second) {
-				t.Errorf("%s: %+v and %+v are %s apart, their arrivals %s", e.ID, a, b, b.ExecutedAt.Sub(a.ExecutedAt), b.ReceivedAt.Sub(a.ReceivedAt))
+				t.Errorf("%s: orders %+v and %+v: %s between executions, %s between arrivals", e.ID, a, b, b.ExecutedAt.Sub(a.ExecutedAt), b.ReceivedAt.Sub(a.ReceivedAt))
 			}
 		}
 	}
 }
 
-// Symptom: an order that its engine carries out late brings old weights back.
-// Sequence: the engine leaves an order unanswered and carries it out 1.5 s
-// later, when a newer version has been ordered.
-// Cause guarded against: an order without the engine's order count.
-func TestLateOrderDoesNotBringOldWeightsBack(t *testing.T) {
+// Guards against an order that its engine executes late and that restores old weights.
+//
+// The engine leaves an order unanswered and executes it 1.5 s later, when a newer version has been
+// ordered. The fault occurs if an order does not carry the engine's order count.
+func TestDelayedOrderDoesNotRestoreOldWeights(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1, load: 50 * time.Millisecond})
+	s := startDeployment(t, options{entries: 2, engines: 1, weightLoadTime: 50 * time.Millisecond})
 	s.engines[0].SetFaults(standin.EngineFaults{OrderDelay: 1500 * time.Millisecond})
-	s.name("m0", 2)
+	s.announceVersion("m0", 2)
 	time.Sleep(500 * time.Millisecond)
 	s.engines[0].SetFaults(standin.EngineFaults{})
-	s.name("m0", 3)
+	s.announceVersion("m0", 3)
 	eventually(t, "version 3", func() bool { return s.engines[0].Version("m0") == 3 })
 	time.Sleep(2 * time.Second)
 	if v := s.engines[0].Version("m0"); v != 3 {
-		t.Errorf("version %d after a late order, want 3", v)
+		t.Errorf("version %d after a delayed order, want 3", v)
 	}
 	last := int64(0)
 	for _, o := range s.engines[0].Orders() {
@@ -293,12 +296,13 @@
 	}
 }
 
-// Symptom: an instance that is to be emptied waits for ever.
-func TestRetirementIsDoneAtOnce(t *testing.T) {
+// Guards against a retirement that never completes. Instances hold nothing that has to outlive
+// them, so a retirement completes at once.
+func TestRetirementCompletesAtOnce(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1})
+	s := startDeployment(t, options{entries: 2, engines: 1})
 	s.store.Put("retirements", "disk-1", map[string]any{"over-s": 10})
-	eventually(t, "the retirement's end", func() bool {
+	eventually(t, "completion of the retirement", func() bool {
 		var st struct {
 			State string `json:"state"`
 		}
@@ -307,53 +311,55 @@
 	})
 }
 
-// Symptom: an engine that was restarted gets no work and no weights any more.
-// Sequence: engines start again under the ids that they had, with older weights
-// and order counts from zero, one of them while it loads; steps go on.
-// Cause: versions and counts of a start were taken for those of the next.
-func TestEnginesThatStartAgainUnderTheirIDs(t *testing.T) {
+// Guards against an engine that gets no work and no weights after a restart.
+//
+// Engines restart under the same ids, with older weights and with order counts that start from
+// zero, one of them while it loads weights; steps continue meanwhile. The fault occurs if the
+// versions and order counts of the previous process are taken for those of the new one.
+func TestEnginesRestartWithSameIDs(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, load: 300 * time.Millisecond})
+	s := startDeployment(t, options{entries: 2, engines: 2, weightLoadTime: 300 * time.Millisecond})
 	for v := 2; v <= 3; v++ {
-		s.name("m0", v)
+		s.announceVersion("m0", v)
 		eventually(t, "version", func() bool { return s.engines[0].Version("m0") == int64(v) && s.engines[1].Version("m0") == int64(v) })
 	}
 	s.engines[0].Restart(1)
 	s.engines[1].Restart(2)
-	b := step("b1", "m0", 3, 4, 5)
+	b := newStep("b1", "m0", 3, 4, 5)
 	b.MinVersion = 3
-	s.accept(b)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
-	s.name("m0", 4)
-	eventually(t, "an order", func() bool {
+	s.announceVersion("m0", 4)
+	eventually(t, "order of version 4", func() bool {
 		o := s.engines[0].Orders()
 		return o[len(o)-1].Version == 4
 	})
 	s.engines[0].Restart(3)
 	eventually(t, "version 4 at all engines", func() bool { return s.engines[0].Version("m0") == 4 && s.engines[1].Version("m0") == 4 })
-	next := step("b2", "m0", 3, 4, 5)
+	next := newStep("b2", "m0", 3, 4, 5)
 	next.MinVersion = 4
-	s.accept(next)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
 }
 
-// Symptom: calls go to an address that no target has, or a whole service is lost.
-// Sequence: another writer puts entries into the instance list that lack fields,
-// have them of another type, name what is not known, or replace a target's own.
-func TestEntriesOfOtherWritersNameNoTarget(t *testing.T) {
+// Guards against calls to an address that no target has, and against the loss of a whole service.
+//
+// Another writer puts entries into the instance list that lack fields, have fields of the wrong
+// type or unknown values, or replace a target's own entry.
+func TestMalformedInstanceListEntriesAreIgnored(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, plains: 2})
+	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 2})
 	for name, spec := range map[string]any{
 		"x-text":    "not an entry",
 		"x-null":    nil,
 		"x-list":    []int{1, 2},
-		"x-missing": map[string]any{"service": service},
+		"x-missing": map[string]any{"service": engineService},
 		"x-types":   map[string]any{"service": 7, "addr": true, "slots": "many", "state": "ready", "models": "none"},
-		"x-state":   map[string]any{"service": service, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "resting", "models": []any{}},
-		"x-addr":    map[string]any{"service": service, "addr": "nowhere", "zone": "domain-a", "slots": 4, "state": "ready"},
+		"x-state":   map[string]any{"service": engineService, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "resting", "models": []any{}},
+		"x-addr":    map[string]any{"service": engineService, "addr": "nowhere", "zone": "domain-a", "slots": 4, "state": "ready"},
 		"x-service": map[string]any{"service": "unknown", "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "ready"},
-		"x-born":    map[string]any{"service": plain, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "ready", "born": "today"},
-		"i-plain-1": map[string]any{"service": plain, "state": "ready"},
+		"x-born":    map[string]any{"service": plainService, "addr": "127.0.0.1:9", "zone": "domain-a", "slots": 4, "state": "ready", "born": "today"},
+		"i-plain-1": map[string]any{"service": plainService, "state": "ready"},
 	} {
 		s.store.Put("servers", name, spec)
 	}
@@ -361,16 +367,16 @@
 	for i := range 12 {
 		id := fmt.Sprint("r", i)
 		if r := s.entries[i%2].post(plainPrefix+"a", id, "x"); r.status != http.StatusOK {
-			t.Errorf("%s: status %d", id, r.status)
+			t.Errorf("request %s: status %d, want 200", id, r.status)
 		}
 	}
-	b := step("b1", "m0", 3, 4, 5)
-	s.accept(b)
+	b := newStep("b1", "m0", 3, 4, 5)
+	s.submitUntilAccepted(b)
 	old := s.coordinator()
 	old.kill()
-	s.waitCoordinator(old.id) // it reads the whole list
+	s.awaitCoordinator(old.id) // the new coordinator reads the whole instance list
 	s.readAll(b)
-	if n := len(s.plains[1].Runs()); n != 0 {
-		t.Errorf("%d requests went to a target whose entry can't be read", n)
+	if n := len(s.plainTargets[1].Runs()); n != 0 {
+		t.Errorf("%d requests went to a target whose entry is malformed", n)
 	}
 }
--- a/systemtest/link_test.go
+++ b/systemtest/link_test.go
@@ -8,14 +8,13 @@
 	"time"
 )
 
-// Symptom: a bid is recorded twice, or refused although it was recorded or
-// still may be.
-// Sequence: the link between the instance and a service loses answers, loses
-// requests, or resets, while bids are under way; then it heals and delivers what
-// it held.
-// Cause guarded against: a bid sent again at another target, or a promise that
-// it has not run, after its bytes have left the instance.
-func TestBidsOverACutLinkRunAtMostOnce(t *testing.T) {
+// Guards against a bid that is recorded twice, or refused although it was recorded or may still be.
+//
+// While bids are in progress, the link between the instance and a service loses answers, loses
+// requests, or is reset; then it recovers and delivers the bytes that it held. The fault occurs if,
+// after the bid's bytes have left the instance, the bid is sent to another target or reported as
+// not run.
+func TestBidsOverFaultyLinkRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	faults := map[string]linkFaults{
 		"answers held":  {HoldDown: true},
@@ -26,10 +25,10 @@
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 2, engines: 1, plains: 3, links: true})
-			statuses := s.bidsWhile(t, func() {
+			s := startDeployment(t, options{entries: 2, engines: 1, plainTargets: 3, links: true})
+			statuses := s.sendBidsDuring(t, func() {
 				for _, p := range s.plainLinks {
-					p.set(f)
+					p.setFaults(f)
 				}
 				time.Sleep(700 * time.Millisecond)
 				for _, p := range s.plainLinks {
@@ -37,17 +36,17 @@
 				}
 				time.Sleep(700 * time.Millisecond)
 				for _, p := range s.plainLinks {
-					p.set(linkFaults{})
+					p.setFaults(linkFaults{})
 				}
 			})
-			t.Logf("statuses %v", statuses)
+			t.Logf("answers by status: %v", statuses)
 		})
 	}
 }
 
-// bidsWhile sends bids at all instances while do runs and until what was held
-// has arrived, checks each, and returns how many had which status.
-func (s *site) bidsWhile(t *testing.T, do func()) map[int]int {
+// sendBidsDuring sends bids to all instances while fault runs and until the held bytes have
+// arrived. It checks each bid and returns the number of answers by status.
+func (s *deployment) sendBidsDuring(t *testing.T, fault func()) map[int]int {
 	t.Helper()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -72,90 +71,93 @@
 			}
 		})
 	}
-	do()
+	fault()
 	close(stop)
 	wg.Wait()
-	time.Sleep(500 * time.Millisecond) // what the links held has arrived
+	time.Sleep(500 * time.Millisecond) // the bytes that the links held have arrived by then
 	for id, status := range byID {
-		n := ran(s.plains, id)
+		n := countRuns(s.plainTargets, id)
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 		if n > 0 && status == http.StatusServiceUnavailable {
-			t.Errorf("%s was refused as not run, and ran", id)
+			t.Errorf("%s was refused as not run, but ran", id)
 		}
 		if n == 0 && status == http.StatusOK {
-			t.Errorf("%s was answered and has not run", id)
+			t.Errorf("%s was answered with 200, but has not run", id)
 		}
 	}
 	return counts
 }
 
-// Symptom: log readings fail while a service has sound targets.
-// Sequence: the link to one of two targets falls silent; nothing is reset.
-func TestReadingsGoAroundASilentLink(t *testing.T) {
+// Guards against log readings that fail although the service has healthy targets.
+//
+// The link to one of two targets becomes unresponsive, and no connection is reset.
+func TestReadingsAvoidUnresponsiveLink(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 1, plains: 2, links: true})
-	s.plainLinks[0].set(linkFaults{HoldUp: true, HoldDown: true})
+	s := startDeployment(t, options{entries: 2, engines: 1, plainTargets: 2, links: true})
+	s.plainLinks[0].setFaults(linkFaults{HoldUp: true, HoldDown: true})
 	for i := range 20 {
 		id := fmt.Sprintf("r%d", i)
 		if r := s.entries[i%2].post(plainPrefix+"a", id, "x"); r.status != http.StatusOK {
-			t.Errorf("%s: status %d", id, r.status)
+			t.Errorf("request %s: status %d, want 200", id, r.status)
 		}
 	}
 }
 
-// Symptom: orders of two coordinators cross, or a step is lost, when the
-// coordinator alone is cut off from the store.
-// Sequence: the link between the coordinator and the store is cut one way, each
-// way in turn, in the middle of a step, and reaches it through no other instance;
-// another instance takes over; the link heals and delivers late what it held.
-func TestCoordinatorCutFromTheStore(t *testing.T) {
+// Guards against conflicting orders of two coordinators, and against a lost step, if only the
+// coordinator is cut off from the store.
+//
+// During a step the link between the coordinator and the store is cut in one direction, each
+// direction in turn, and the coordinator cannot reach the store through another instance. Another
+// instance takes over; then the link recovers and delivers late the bytes that it held.
+func TestCoordinatorPartitionedFromStore(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]linkFaults{"answers held": {HoldDown: true}, "requests held": {HoldUp: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 3, engines: 3, links: true, event: 20 * time.Millisecond, policy: map[string]any{"no_store_relay": true}})
+			s := startDeployment(t, options{entries: 3, engines: 3, links: true, eventInterval: 20 * time.Millisecond, policy: map[string]any{"no_store_relay": true}})
 			before := s.coordinator()
-			b := step("b1", "m0", 3, 4, 40)
-			s.accept(b)
+			b := newStep("b1", "m0", 3, 4, 40)
+			s.submitUntilAccepted(b)
 			time.Sleep(200 * time.Millisecond)
-			before.storeLink.set(f)
-			after := s.waitCoordinator(before.id)
+			before.storeLink.setFaults(f)
+			after := s.awaitCoordinator(before.id)
 			s.readAll(b)
-			before.storeLink.set(linkFaults{})
-			c := step("b2", "m0", 2, 4, 10)
-			s.accept(c)
+			before.storeLink.setFaults(linkFaults{})
+			c := newStep("b2", "m0", 2, 4, 10)
+			s.submitUntilAccepted(c)
 			s.readAll(c)
-			checkOrders(t, s)
-			t.Logf("from %s to %s", before.id, after.id)
+			checkWeightOrders(t, s)
+			t.Logf("the lease moved from %s to %s", before.id, after.id)
 		})
 	}
 }
 
-// Symptom: a step that was almost done begins anew, though no process and no
-// target failed.
-// Sequence: the coordinator's link to the store is cut in mid-step, for longer
-// than its lease is valid; all other instances reach the store.
-// Cause: the coordinator could not renew its lease and list results through
-// others, so another instance took over, without what had been generated.
-func TestCoordinatorCutFromTheStoreGoesOn(t *testing.T) {
+// Guards against a step that starts again when it is almost done, although no process and no target
+// has failed.
+//
+// During a step the coordinator's link to the store is cut for longer than its lease is valid,
+// while all other instances reach the store. The fault occurs if the coordinator cannot renew its
+// lease and list results through other instances: another instance then takes over without the text
+// generated so far.
+func TestPartitionedCoordinatorKeepsLease(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, plains: 2, event: 30 * time.Millisecond, links: true})
-	b := scored(step("b1", "m0", 4, 4, 30))
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) > 0 })
+	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 30 * time.Millisecond, links: true})
+	b := withRewards(newStep("b1", "m0", 4, 4, 30))
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
 	c := s.coordinator()
-	c.storeLink.set(linkFaults{HoldUp: true, HoldDown: true})
-	s.name("m0", 2)
+	c.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
+	s.announceVersion("m0", 2)
 	s.readAll(b)
-	next := step("b2", "m0", 2, 4, 20)
+	next := newStep("b2", "m0", 2, 4, 20)
 	next.MinVersion = 2
-	s.accept(next)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
 	if s.coordinator() != c {
-		t.Error("the duty moved")
+		t.Error("the lease moved to another entry")
 	}
-	s.checkRunOnce()
-	c.storeLink.set(linkFaults{})
+	s.checkRanOnce()
+	c.storeLink.setFaults(linkFaults{})
 }
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -12,8 +12,8 @@
 	"currantford/platform/standin"
 )
 
-// restartAll kills every process and starts them again.
-func (s *site) restartAll() {
+// restartAll kills all processes and starts them again.
+func (s *deployment) restartAll() {
 	s.t.Helper()
 	for _, e := range s.entries {
 		e.kill()
@@ -22,157 +22,162 @@
 		e.start()
 	}
 	for _, e := range s.entries {
-		e.waitReady()
+		e.awaitReady()
 	}
 }
 
-// Symptom: a step is lost, or an item is listed twice, when the coordinator
-// dies in mid-step.
-// Sequence: a batch is accepted and half run; the coordinator is killed with
-// SIGKILL; another entry takes the lease and runs what is not listed.
-// Cause guarded against: results kept in memory alone, or a successor that
-// lists items without having read the chunks before.
-func TestCoordinatorKilledInMidStep(t *testing.T) {
+// Guards against a step that is lost, or an item that is listed twice, if the coordinator dies
+// during the step.
+//
+// A batch is accepted and half of it has started when the coordinator is killed with SIGKILL;
+// another entry instance acquires the lease and runs the items that are not listed yet. The fault
+// occurs if results exist only in memory, or if the successor lists items before it has read the
+// existing chunks.
+func TestCoordinatorKilledDuringStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 3, event: 30 * time.Millisecond})
-	b := step("b1", "m0", 14, 4, 20)
-	s.accept(b)
-	// Results are listed together, so what has run tells that the step is halfway.
-	begun := func() int { return len(s.runs()) }
-	eventually(t, "half of the step", func() bool { return begun() >= len(b.Items)/2 })
+	s := startDeployment(t, options{entries: 3, engines: 3, eventInterval: 30 * time.Millisecond})
+	b := newStep("b1", "m0", 14, 4, 20)
+	s.submitUntilAccepted(b)
+	// Results are listed in chunks, so the started runs show the progress of the step.
+	begun := func() int { return len(s.engineRuns()) }
+	eventually(t, "start of half of the items", func() bool { return begun() >= len(b.Items)/2 })
 	killed := s.coordinator()
 	killed.kill()
 	if n := begun(); n >= len(b.Items) {
-		t.Fatalf("all %d items had begun when the coordinator was killed", n)
+		t.Fatalf("all %d items had started when the coordinator was killed", n)
 	}
 	s.readAll(b)
 	if c := s.coordinator(); c == killed {
-		t.Errorf("the killed entry still has the lease")
+		t.Errorf("the killed entry still holds the lease")
 	}
 }
 
-// Symptom: after a crash of the coordinator a long text begins anew, and its
-// step is late by all the time it had taken.
-// Sequence: items of many events run; the coordinator is killed in mid-text;
-// its successor finds what a neighbour has copied and resumes there.
-func TestLongTextsSurviveTheCoordinator(t *testing.T) {
+// Guards against long texts that start again after a crash of the coordinator, which delays their
+// step by all the time spent on them.
+//
+// Items with many events are running when the coordinator is killed. Its successor gets the copies
+// that another instance keeps and resumes from them.
+func TestLongTextsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, event: 20 * time.Millisecond})
-	b := step("b1", "m0", 1, 2, 150)
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) == 2 })
+	s := startDeployment(t, options{entries: 3, engines: 2, eventInterval: 20 * time.Millisecond})
+	b := newStep("b1", "m0", 1, 2, 150)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) == 2 })
 	time.Sleep(1500 * time.Millisecond)
 	s.coordinator().kill()
 	s.readAll(b)
 	s.checkResumed(20)
 }
 
-// Symptom: two holders' orders reach one engine within the time that must lie
-// between them, or with falling numbers.
-// Sequence: the coordinator is frozen by SIGSTOP while versions are named;
-// another entry takes over and orders; the frozen one wakes up.
-// Cause guarded against: a holder that trusts its own clock after a pause, and
-// a successor that orders at once.
-func TestFrozenCoordinatorGivesNoLateOrders(t *testing.T) {
+// Guards against orders of two coordinators that reach one engine without the required time between
+// them, or with decreasing fencing numbers.
+//
+// The coordinator is frozen by SIGSTOP while versions are announced; another entry instance takes
+// over and sends orders; the frozen one continues. The fault occurs if a coordinator trusts its own
+// clock after a pause, or if its successor sends orders immediately.
+func TestFrozenCoordinatorSendsNoStaleOrders(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, load: 50 * time.Millisecond})
-	s.name("m0", 2)
+	s := startDeployment(t, options{entries: 3, engines: 2, weightLoadTime: 50 * time.Millisecond})
+	s.announceVersion("m0", 2)
 	eventually(t, "version 2", func() bool { return s.engines[0].Version("m0") == 2 && s.engines[1].Version("m0") == 2 })
 	old := s.coordinator()
 	old.signal(syscall.SIGSTOP)
-	s.name("m0", 3)
-	s.waitCoordinator(old.id)
+	s.announceVersion("m0", 3)
+	s.awaitCoordinator(old.id)
 	eventually(t, "version 3", func() bool { return s.engines[0].Version("m0") == 3 && s.engines[1].Version("m0") == 3 })
 	old.signal(syscall.SIGCONT)
-	s.name("m0", 4)
+	s.announceVersion("m0", 4)
 	eventually(t, "version 4", func() bool { return s.engines[0].Version("m0") == 4 && s.engines[1].Version("m0") == 4 })
-	checkOrders(t, s)
+	checkWeightOrders(t, s)
 }
 
-// Symptom: batches are lost when every process dies at once.
-// Sequence: all entries are killed right after an acceptance, and start again.
-func TestAllKilledRightAfterAcceptance(t *testing.T) {
+// Guards against the loss of batches if all processes die at once: all entry instances are killed
+// right after an acceptance and start again.
+func TestAllInstancesKilledAfterAcceptance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2})
-	b := step("b1", "m0", 3, 4, 10)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 3, engines: 2})
+	b := newStep("b1", "m0", 3, 4, 10)
+	s.submitUntilAccepted(b)
 	s.restartAll()
 	s.readAll(b)
 }
 
-// Symptom: a step waits for the whole of a store's outage and then begins anew.
-// Sequence: the store is down for 4 s in mid-step, longer than the lease is
-// valid, and then back; what the engines finish meanwhile is listed afterwards.
-// Cause: a coordinator that could not renew its lease dropped its runs and what
-// they had finished, though nobody else could take the lease either.
-func TestStoreOutageInMidStep(t *testing.T) {
+// Guards against a step that makes no progress during a store outage and starts again after it.
+//
+// The store is down for 4 s during a step, longer than the lease is valid, and then recovers; the
+// results that engines complete meanwhile are listed afterwards. The fault occurs if a coordinator
+// that cannot renew its lease drops its runs and their results, although no other instance can
+// acquire the lease either.
+func TestStoreOutageDuringStep(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, event: 30 * time.Millisecond})
-	b := step("b1", "m0", 4, 4, 15)
-	s.accept(b)
-	eventually(t, "runs", func() bool { return len(s.runs()) > 0 })
+	s := startDeployment(t, options{entries: 3, engines: 2, eventInterval: 30 * time.Millisecond})
+	b := newStep("b1", "m0", 4, 4, 15)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs", func() bool { return len(s.engineRuns()) > 0 })
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(4 * time.Second)
-	if n := len(s.runs()); n != len(b.Items) {
+	if n := len(s.engineRuns()); n != len(b.Items) {
 		t.Errorf("%d of %d items ran during the outage", n, len(b.Items))
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	s.readAll(b)
-	s.checkRunOnce()
+	s.checkRanOnce()
 }
 
-// Symptom: after the loss of all instances at once a step is late by all the time
-// that its long texts had taken.
-// Sequence: items of many events run; every process is killed in mid-text, the
-// neighbour's copies with them; they start again.
-func TestLongTextsSurviveTheLossOfAll(t *testing.T) {
+// Guards against long texts that start again after the loss of all instances, which delays their
+// step by all the time spent on them.
+//
+// Items with many events are running when all processes are killed, including the instance that
+// keeps the copies; then they start again.
+func TestLongTextsSurviveLossOfAllInstances(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, plains: 2, event: 20 * time.Millisecond})
-	b := scored(step("b1", "m0", 1, 2, 200))
-	s.accept(b)
-	eventually(t, "copies in the store", func() bool { return len(s.store.Names("currantford-texts-b1")) >= 2 })
+	s := startDeployment(t, options{entries: 3, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
+	b := withRewards(newStep("b1", "m0", 1, 2, 200))
+	s.submitUntilAccepted(b)
+	eventually(t, "copies of both texts in the store", func() bool { return len(s.store.Names("currantford-texts-b1")) >= 2 })
 	s.restartAll()
 	s.readAll(b)
 	s.checkResumed(30)
 }
 
-// Symptom: on a site of unlike machines nine steps of ten are lost, though none of
-// its machines fails.
-// Sequence: a weak instance takes the duty first, or after the loss of the strong
-// one; the strong one is there, or comes back.
-// Cause: whoever wrote first kept the coordinator's duty, whatever it can carry.
-func TestDutyGoesToTheStrongInstance(t *testing.T) {
+// Guards against the loss of nine in ten steps in a deployment of machines with different capacity,
+// although no machine fails.
+//
+// An instance of low capacity acquires the lease first, or after the loss of the most capable one,
+// while that one is running or comes back. The fault occurs if the first instance that writes the
+// lease keeps it regardless of its capacity.
+func TestLeaseMovesToMostCapableInstance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 2, cores: []float64{0.1, 0.1, 0.8}})
+	s := startDeployment(t, options{entries: 3, engines: 2, cores: []float64{0.1, 0.1, 0.8}})
 	strong := s.entries[2]
-	eventually(t, "duty at the strong instance", func() bool { return s.coordinator() == strong })
+	eventually(t, "lease at the most capable instance", func() bool { return s.coordinator() == strong })
 	strong.kill()
-	s.waitCoordinator(strong.id)
-	b := step("b1", "m0", 2, 4, 10)
-	s.accept(b)
+	s.awaitCoordinator(strong.id)
+	b := newStep("b1", "m0", 2, 4, 10)
+	s.submitUntilAccepted(b)
 	s.readAll(b)
 	strong.start()
-	eventually(t, "duty back at the strong instance", func() bool { return s.coordinator() == strong })
-	next := step("b2", "m0", 2, 4, 10)
-	s.accept(next)
+	eventually(t, "lease back at the most capable instance", func() bool { return s.coordinator() == strong })
+	next := newStep("b2", "m0", 2, 4, 10)
+	s.submitUntilAccepted(next)
 	s.readAll(next)
-	checkOrders(t, s)
-	handed := 0
+	checkWeightOrders(t, s)
+	handovers := 0
 	for _, e := range s.entries {
 		raw, err := os.ReadFile(e.logPath)
 		if err != nil {
 			t.Fatal(err)
 		}
-		handed += strings.Count(string(raw), `"duty_handed_over"`)
+		handovers += strings.Count(string(raw), `"duty_handed_over"`)
 	}
-	if handed > 2 {
-		t.Errorf("the duty was handed over %d times: once at the start and once after the kill are enough", handed)
+	if handovers > 2 {
+		t.Errorf("the lease was handed over %d times, want at most 2: once at the start and once after the kill", handovers)
 	}
 }
 
-// named returns the addresses that an instance names to callers.
-func named(e *entry) string {
-	resp, err := http.Get("http://" + e.names + "/currantford/resolve?zone=domain-a")
+// resolvedAddrs returns the answer of an instance's directory with the addresses for callers.
+func resolvedAddrs(e *entry) string {
+	resp, err := http.Get("http://" + e.directoryAddr + "/currantford/resolve?zone=domain-a")
 	if err != nil {
 		return ""
 	}
@@ -181,14 +186,14 @@
 	return string(raw)
 }
 
-// Symptom: callers are sent to a machine that has been off for seconds.
-// Sequence: an instance is lost; the coordinator's duty moves to another one and
-// back.
-// Cause: an instance that took the duty again began with the list that the first
-// coordinator had told it, and counted everyone in it as just heard of.
-func TestDirectoryForgetsTheDeadWhenTheDutyReturns(t *testing.T) {
+// Guards against callers that are sent to a machine which has been down for seconds.
+//
+// An instance is lost, and the coordinator's lease moves to another instance and back. The fault
+// occurs if an instance that becomes coordinator again starts from the list of its previous term
+// and treats every instance in it as recently seen.
+func TestDirectoryDropsDeadInstanceWhenLeaseReturns(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1})
+	s := startDeployment(t, options{entries: 3, engines: 1})
 	var others []*entry
 	first := s.coordinator()
 	for _, e := range s.entries {
@@ -197,34 +202,34 @@
 		}
 	}
 	next, dead := others[0], others[1]
-	eventually(t, "all named", func() bool { return strings.Contains(named(next), dead.callers) })
+	eventually(t, "complete list of instances", func() bool { return strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	first.signal(syscall.SIGSTOP)
-	holder := s.waitCoordinator(first.id)
+	holder := s.awaitCoordinator(first.id)
 	first.signal(syscall.SIGCONT)
 	if holder == dead {
 		next, dead = dead, next
 	}
 	dead.kill()
-	eventually(t, "the dead dropped", func() bool { return !strings.Contains(named(next), dead.callers) })
+	eventually(t, "list without the dead instance", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	next.signal(syscall.SIGSTOP)
-	s.waitCoordinator(next.id)
+	s.awaitCoordinator(next.id)
 	next.signal(syscall.SIGCONT)
 	first.signal(syscall.SIGSTOP)
-	s.waitCoordinator(first.id)
+	s.awaitCoordinator(first.id)
 	for range 20 {
-		if strings.Contains(named(next), dead.callers) {
-			t.Fatal("the dead instance is named again")
+		if strings.Contains(resolvedAddrs(next), dead.callerAddr) {
+			t.Fatal("the dead instance is listed again")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	first.signal(syscall.SIGCONT)
 }
 
-// Guards against: an instance that has ended named again by a coordinator that was frozen when
-// it was dropped, and by the next one, which adopts that one's list.
-func TestFrozenSuccessorForgetsTheDead(t *testing.T) {
+// Guards against a dead instance that is listed again by a coordinator which was frozen when the
+// instance was dropped, and by the next coordinator, which adopts that list.
+func TestFrozenInstanceDropsDeadInstance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1})
+	s := startDeployment(t, options{entries: 3, engines: 1})
 	next := s.coordinator()
 	var others []*entry
 	for _, e := range s.entries {
@@ -233,30 +238,30 @@
 		}
 	}
 	frozen, dead := others[0], others[1]
-	eventually(t, "all named", func() bool { return strings.Contains(named(frozen), dead.callers) })
+	eventually(t, "complete list of instances", func() bool { return strings.Contains(resolvedAddrs(frozen), dead.callerAddr) })
 	frozen.signal(syscall.SIGSTOP)
 	dead.kill()
-	eventually(t, "the dead dropped", func() bool { return !strings.Contains(named(next), dead.callers) })
+	eventually(t, "list without the dead instance", func() bool { return !strings.Contains(resolvedAddrs(next), dead.callerAddr) })
 	next.signal(syscall.SIGSTOP)
 	frozen.signal(syscall.SIGCONT)
-	s.waitCoordinator(next.id)
+	s.awaitCoordinator(next.id)
 	next.signal(syscall.SIGCONT)
-	time.Sleep(700 * time.Millisecond) // the list is told
+	time.Sleep(700 * time.Millisecond) // the list reaches the other instances within this time
 	for _, e := range []*entry{frozen, next} {
-		if strings.Contains(named(e), dead.callers) {
-			t.Errorf("%s names the dead instance again", e.id)
+		if strings.Contains(resolvedAddrs(e), dead.callerAddr) {
+			t.Errorf("%s lists the dead instance again", e.id)
 		}
 	}
 }
 
-// An engine whose entry lapses and comes back while its runs are under way ends the
-// coordinator's process.
-func TestEnginesThatLapseWithRunsUnderWay(t *testing.T) {
+// Guards against a crash of the coordinator's process when an engine's entry in the instance list
+// expires and returns while the engine has runs.
+func TestEngineEntriesExpireDuringRuns(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 3, event: 20 * time.Millisecond})
-	held := s.coordinator()
-	b := step("b1", "m0", 14, 4, 20)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 2, engines: 3, eventInterval: 20 * time.Millisecond})
+	initial := s.coordinator()
+	b := newStep("b1", "m0", 14, 4, 20)
+	s.submitUntilAccepted(b)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -265,8 +270,8 @@
 	for n := 0; ; n++ {
 		select {
 		case <-done:
-			if c := s.coordinator(); c != held {
-				t.Error("the coordinator has lost its duty")
+			if c := s.coordinator(); c != initial {
+				t.Error("the coordinator lost its lease")
 			}
 			return
 		default:
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -14,9 +14,9 @@
 	"currantford/platform/standin"
 )
 
-func requestSite(t *testing.T, plains int) *site {
+func startForRequests(t *testing.T, plains int) *deployment {
 	t.Helper()
-	return startSite(t, options{entries: 2, engines: 1, plains: plains})
+	return startDeployment(t, options{entries: 2, engines: 1, plainTargets: plains})
 }
 
 func (e *entry) post(path, id, body string) reply {
@@ -28,7 +28,7 @@
 	return r
 }
 
-func ran(es []*standin.Engine, id string) int {
+func countRuns(es []*standin.Engine, id string) int {
 	n := 0
 	for _, e := range es {
 		for _, r := range e.Runs() {
@@ -40,8 +40,8 @@
 	return n
 }
 
-// stampOf returns the mark of a target's answer to a request that ran once.
-func stampOf(es []*standin.Engine, id string) string {
+// responseStamp returns the stamp of a target's answer to a request that ran once.
+func responseStamp(es []*standin.Engine, id string) string {
 	for _, e := range es {
 		for _, r := range e.Runs() {
 			if r.ID == id {
@@ -52,137 +52,137 @@
 	return ""
 }
 
-func TestRequestIsForwardedAsItIs(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 2)
+	s := startForRequests(t, 2)
 	r := s.entries[0].post(plainPrefix+"a%2Fb?x=1%20", "r1", "reading")
-	if r.status != http.StatusOK || string(r.body) != "echo reading" || r.header.Get("Currantford-Response-Stamp") != stampOf(s.plains, "r1") {
-		t.Errorf("answer %d %q, stamp %q", r.status, r.body, r.header.Get("Currantford-Response-Stamp"))
+	if r.status != http.StatusOK || string(r.body) != "echo reading" || r.header.Get("Currantford-Response-Stamp") != responseStamp(s.plainTargets, "r1") {
+		t.Errorf("answer with status %d %q, stamp %q", r.status, r.body, r.header.Get("Currantford-Response-Stamp"))
 	}
 	if r := s.entries[0].post("/nowhere/", "r2", "x"); r.status != http.StatusNotFound {
-		t.Errorf("no route: %d", r.status)
+		t.Errorf("no route: status %d, want 404", r.status)
 	}
 	if r := s.entries[0].post(plainPrefix+"a", "r3", strings.Repeat("x", 1<<20+1)); r.status != http.StatusRequestEntityTooLarge {
-		t.Errorf("body over the limit: %d", r.status)
+		t.Errorf("body over the limit: status %d, want 413", r.status)
 	}
-	for _, run := range s.plains[0].Runs() {
+	for _, run := range s.plainTargets[0].Runs() {
 		if run.DeadlineMs == "" {
 			t.Error("a request without a deadline reached a target")
 		}
 	}
 }
 
-// Symptom: callers get 404 for what the configuration allows, at an instance
-// that has just started.
-// Sequence: an instance starts while the store is down.
-func TestNoConfigurationIsNotNoRoute(t *testing.T) {
+// Guards against 404 answers for routes that exist, from an instance that has just started and has
+// no configuration yet because the store is down.
+func TestMissingConfigurationReturnsUnavailable(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 1)
+	s := startForRequests(t, 1)
 	s.store.SetFaults(standin.StoreFaults{Busy: true})
 	for _, e := range s.entries {
 		e.kill()
 	}
 	e := s.entries[0]
 	e.start()
-	eventually(t, "an answer", func() bool {
+	eventually(t, "answer", func() bool {
 		r, err := e.do(http.MethodPost, plainPrefix+"a", "r1", []byte("x"))
 		if err == nil && r.status != http.StatusServiceUnavailable {
 			t.Fatalf("status %d before any configuration is known, want 503", r.status)
 		}
 		return err == nil
 	})
-	if r, err := http.Get("http://" + e.ready + "/currantford/ready"); err != nil || r.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("ready without a configuration: %v %v", r, err)
+	if r, err := http.Get("http://" + e.readyAddr + "/currantford/ready"); err != nil || r.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("readiness without a configuration: %v %v, want 503", r, err)
 	} else {
 		r.Body.Close()
 	}
 }
 
-// Symptom: a bid is recorded twice, or refused although it was recorded.
-// Sequence: targets take the bid and break the connection, or answer as if to
-// another request.
-// Cause guarded against: a retry of what may have run, a 503 for it.
+// Guards against a bid that is recorded twice, or refused although it was recorded.
+//
+// Targets accept the bid and answer with the id of another request, or are at capacity. The fault
+// occurs if a bid that may have run is retried, or is answered with 503.
 func TestBidRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 3)
-	for _, e := range s.plains {
+	s := startForRequests(t, 3)
+	for _, e := range s.plainTargets {
 		e.SetFaults(standin.EngineFaults{WrongRequestID: true})
 	}
 	r := s.entries[0].post("/bids/a", "bid1", "100")
-	if n := ran(s.plains, "bid1"); n != 1 {
-		t.Errorf("the bid ran %d times", n)
+	if n := countRuns(s.plainTargets, "bid1"); n != 1 {
+		t.Errorf("the bid ran %d times, want once", n)
 	}
 	if r.status != http.StatusBadGateway {
 		t.Errorf("status %d for a bid that may have run, want 502", r.status)
 	}
-	for _, e := range s.plains {
+	for _, e := range s.plainTargets {
 		e.SetFaults(standin.EngineFaults{AtCapacity: true})
 	}
 	r = s.entries[0].post("/bids/a", "bid2", "100")
-	if n := ran(s.plains, "bid2"); n != 0 || r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-		t.Errorf("full targets: status %d, Retry-After %q, ran %d times", r.status, r.header.Get("Retry-After"), n)
+	if n := countRuns(s.plainTargets, "bid2"); n != 0 || r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
+		t.Errorf("targets at capacity: status %d, Retry-After %q, ran %d times; want 503, a Retry-After and no run", r.status, r.header.Get("Retry-After"), n)
 	}
 }
 
-// Symptom: a caller gets another caller's answer.
-// Sequence: one of two targets sends answers of other requests; log readings
-// may be repeated, so each gets its own from the other target.
-func TestAnswersOfOthersAreNotPassedOn(t *testing.T) {
+// Guards against a caller that gets another caller's answer.
+//
+// One of two targets answers with the ids of other requests. Log readings may be repeated, so each
+// caller gets its own answer from the other target.
+func TestMismatchedAnswersAreNotForwarded(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 2)
-	s.plains[0].SetFaults(standin.EngineFaults{WrongRequestID: true})
+	s := startForRequests(t, 2)
+	s.plainTargets[0].SetFaults(standin.EngineFaults{WrongRequestID: true})
 	for i := range 20 {
 		id, body := fmt.Sprintf("r%d", i), fmt.Sprintf("reading %d", i)
 		r := s.entries[i%2].post(plainPrefix+"a", id, body)
 		if r.status != http.StatusOK || string(r.body) != "echo "+body {
-			t.Errorf("%s: %d %q", id, r.status, r.body)
+			t.Errorf("%s: status %d %q", id, r.status, r.body)
 		}
 	}
 }
 
-// Symptom: a target that is leaving gets new work.
+// Guards against new work for a target that is draining.
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 2)
-	s.plains[0].Drain()
+	s := startForRequests(t, 2)
+	s.plainTargets[0].Drain()
 	time.Sleep(1500 * time.Millisecond)
-	before := len(s.plains[0].Runs())
+	before := len(s.plainTargets[0].Runs())
 	for i := range 20 {
 		s.entries[i%2].post(plainPrefix+"a", fmt.Sprintf("r%d", i), "x")
 	}
-	if after := len(s.plains[0].Runs()); after != before {
+	if after := len(s.plainTargets[0].Runs()); after != before {
 		t.Errorf("%d requests reached a draining target", after-before)
 	}
 }
 
-// Symptom: a request is run by another service whose target has taken over an
-// address.
-// Sequence: a target is gone and its address belongs to another instance,
-// while the instance list still shows the old one.
-func TestAddressReuseRunsNothing(t *testing.T) {
+// Guards against a request that runs at another service whose target has taken over an address.
+//
+// A target is gone and its address belongs to a target of another service, while the instance list
+// still shows the old target.
+func TestReusedAddressRunsNoRequest(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 1)
+	s := startForRequests(t, 1)
 	s.store.Put("servers", "i-ghost", map[string]any{
-		"service": plain, "addr": s.engines[0].Addr, "zone": "domain-a", "slots": 4, "state": "ready",
+		"service": plainService, "addr": s.engines[0].Addr, "zone": "domain-a", "slots": 4, "state": "ready",
 	})
 	time.Sleep(time.Second)
 	for i := range 10 {
 		if r := s.entries[i%2].post(plainPrefix+"a", fmt.Sprintf("r%d", i), "x"); r.status != http.StatusOK {
-			t.Errorf("status %d", r.status)
+			t.Errorf("status %d, want 200", r.status)
 		}
 	}
 	if n := len(s.engines[0].Runs()); n != 0 {
-		t.Errorf("%d requests ran at another service", n)
+		t.Errorf("%d requests ran at another service, want 0", n)
 	}
 }
 
-// Symptom: a target works on for a caller that has gone.
-func TestCallerGoneStopsTheTarget(t *testing.T) {
+// Guards against a target that keeps working for a caller that has disconnected.
+func TestCallerDisconnectCancelsTarget(t *testing.T) {
 	t.Parallel()
-	s := requestSite(t, 1)
-	s.plains[0].SetFaults(standin.EngineFaults{Unresponsive: true})
+	s := startForRequests(t, 1)
+	s.plainTargets[0].SetFaults(standin.EngineFaults{Unresponsive: true})
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.entries[0].callers+"/bids/a", strings.NewReader("x"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.entries[0].callerAddr+"/bids/a", strings.NewReader("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,23 +194,24 @@
 			resp.Body.Close()
 		}
 	}()
-	eventually(t, "the run", func() bool { return ran(s.plains, "r1") == 1 })
+	eventually(t, "run at the target", func() bool { return countRuns(s.plainTargets, "r1") == 1 })
 	cancel()
-	eventually(t, "the target to be free", func() bool { return s.plains[0].Running() == 0 })
+	eventually(t, "idle target", func() bool { return s.plainTargets[0].Running() == 0 })
 }
 
-// Symptom: a configuration is not in force, or an older one comes back.
-// Sequence: the route moves to another service; the store drops its history,
-// then the coordinator is frozen, so that the others must watch by themselves.
-func TestConfigurationComesInForceEverywhere(t *testing.T) {
+// Guards against a configuration that does not come into force, or an older one that returns.
+//
+// The route is removed, and the store drops its history; then the coordinator is frozen, so that
+// the other instances have to watch the store themselves, and the route is added again.
+func TestConfigurationReachesAllInstances(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 3, engines: 1, plains: 1})
-	drop := func(version int, keep bool) {
+	s := startDeployment(t, options{entries: 3, engines: 1, plainTargets: 1})
+	putConfig := func(version int, keepRoutes bool) {
 		c := map[string]any{}
 		raw, _ := json.Marshal(s.config)
 		_ = json.Unmarshal(raw, &c)
 		c["version"] = version
-		if !keep {
+		if !keepRoutes {
 			c["routes"] = c["routes"].([]any)[:1]
 		}
 		s.store.Put("config", "main", c)
@@ -220,39 +221,40 @@
 		return err == nil && r.status == want
 	}
 	s.store.DropHistory()
-	drop(5, false)
+	putConfig(5, false)
 	s.store.DropHistory()
 	for _, e := range s.entries {
-		eventually(t, "the dropped route at "+e.id, func() bool { return inForce(e, http.StatusNotFound) })
+		eventually(t, "removal of the route at "+e.id, func() bool { return inForce(e, http.StatusNotFound) })
 	}
 	frozen := s.coordinator()
 	frozen.signal(syscall.SIGSTOP)
-	drop(9, true)
+	putConfig(9, true)
 	for _, e := range s.entries {
 		if e == frozen {
 			continue
 		}
-		eventually(t, "the added route at "+e.id, func() bool { return inForce(e, http.StatusOK) })
+		eventually(t, "added route at "+e.id, func() bool { return inForce(e, http.StatusOK) })
 	}
 	frozen.signal(syscall.SIGCONT)
-	eventually(t, "the added route at the frozen entry", func() bool { return inForce(frozen, http.StatusOK) })
+	eventually(t, "added route at the frozen entry", func() bool { return inForce(frozen, http.StatusOK) })
 	for range 20 {
 		for _, e := range s.entries {
 			if !inForce(e, http.StatusOK) {
-				t.Errorf("%s went back to an older configuration", e.id)
+				t.Errorf("%s returned to an older configuration", e.id)
 			}
 		}
 	}
 }
 
-// Symptom: a planned stop cuts off requests, or loses the coordinator's work.
-// Sequence: the coordinator gets SIGTERM while requests keep coming on kept
-// connections and a step runs.
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+// Guards against a graceful shutdown that interrupts requests or loses the coordinator's work.
+//
+// The coordinator gets SIGTERM while requests keep arriving on persistent connections and a step is
+// running.
+func TestGracefulShutdownInterruptsNothing(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 2, engines: 2, plains: 2, event: 20 * time.Millisecond})
-	b := step("b1", "m0", 2, 4, 60)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 2, engines: 2, plainTargets: 2, eventInterval: 20 * time.Millisecond})
+	b := newStep("b1", "m0", 2, 4, 60)
+	s.submitUntilAccepted(b)
 	e := s.coordinator()
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -267,13 +269,13 @@
 				id := fmt.Sprintf("r%d-%d", i, n)
 				r, err := e.do(http.MethodPost, "/bids/a", id, []byte("x"))
 				if err != nil {
-					if ran(s.plains, id) > 0 {
-						t.Errorf("%s was cut off: %v", id, err)
+					if countRuns(s.plainTargets, id) > 0 {
+						t.Errorf("%s was interrupted: %v", id, err)
 					}
-					return // it does not listen any more
+					return // the instance does not listen any more
 				}
 				if r.status != http.StatusOK {
-					t.Errorf("%s: %d", id, r.status)
+					t.Errorf("%s: status %d, want 200", id, r.status)
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -281,8 +283,8 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	e.signal(syscall.SIGTERM)
-	eventually(t, "not ready", func() bool {
-		r, err := http.Get("http://" + e.ready + "/currantford/ready")
+	eventually(t, "unready state", func() bool {
+		r, err := http.Get("http://" + e.readyAddr + "/currantford/ready")
 		if err != nil {
 			return true
 		}
@@ -293,18 +295,18 @@
 	<-e.done
 	close(stop)
 	wg.Wait()
-	for id, runs := range s.runs() {
+	for id, runs := range s.engineRuns() {
 		if last := runs[len(runs)-1]; len(runs) > 1 && last.ResumeAfter == 0 {
-			t.Errorf("item %s began again after the planned stop", id)
+			t.Errorf("item %s started again after the graceful shutdown", id)
 		}
 	}
 }
 
-// The store sees few calls while nothing happens, however many entries run.
-func TestIdleSiteAsksTheStoreLittle(t *testing.T) {
+// An idle deployment makes few store calls, however many entry instances run.
+func TestIdleDeploymentMakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	calls := func(entries int) int {
-		s := startSite(t, options{entries: entries, engines: 1})
+		s := startDeployment(t, options{entries: entries, engines: 1})
 		time.Sleep(2 * time.Second)
 		count := func() int {
 			n := 0
@@ -320,6 +322,6 @@
 	two, six := calls(2), calls(6)
 	t.Logf("calls to the store in 3 s: 2 entries %d, 6 entries %d", two, six)
 	if six > 2*two {
-		t.Errorf("calls grow with the entries: %d for 2, %d for 6", two, six)
+		t.Errorf("calls grow with the number of entries: %d for 2, %d for 6", two, six)
 	}
 }
--- a/systemtest/startup_test.go
+++ b/systemtest/startup_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// pressFor is how long a started instance is sent requests from its start on, each
-	// pressEvery: longer than it may take to become ready.
-	pressFor   = 4 * time.Second
-	pressEvery = 15 * time.Millisecond
+	// probeDuration is how long requests are sent to a starting instance, one each probeInterval.
+	// It is longer than an instance may take to become ready.
+	probeDuration = 4 * time.Second
+	probeInterval = 15 * time.Millisecond
 )
 
-// press sends requests with the bodies to an instance in turn, as a client does that keeps an
-// address and asks nobody whether the instance is ready. It returns the statuses by body, and
-// how long it took until a sound request was served.
-func (e *entry) press(bodies []string) (statuses map[int]int, served time.Duration) {
+// probe sends requests with the given bodies in turn, as a client does that has an instance's
+// address and does not check its readiness. It returns the number of answers by status, and the
+// time until another request with a harmless body first succeeded.
+func (e *entry) probe(bodies []string) (statuses map[int]int, served time.Duration) {
 	statuses = map[int]int{}
 	began := time.Now()
-	for n := 0; time.Since(began) < pressFor; n++ {
+	for n := 0; time.Since(began) < probeDuration; n++ {
 		id := fmt.Sprintf("press-%s-%d-%d", e.id, began.UnixNano(), n)
 		if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte(bodies[n%len(bodies)])); err == nil {
 			statuses[r.status]++
@@ -35,84 +35,84 @@
 				served = time.Since(began)
 			}
 		}
-		time.Sleep(pressEvery)
+		time.Sleep(probeInterval)
 	}
 	return statuses, served
 }
 
-// starts are ways in which instances start beside others.
-var starts = map[string]startCase{
-	"one":                     {down: one},
-	"one and the coordinator": {down: func(s *site) []*entry { return append(one(s), s.coordinator()) }},
-	"all":                     {down: all},
-	"most, behind hubs":       {hubsFrom: 4, down: func(s *site) []*entry { return s.others(4) }},
-	"all, behind hubs":        {hubsFrom: 4, down: all},
-	"one, the store slow": {down: one, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, pressFor)
+// startCases are the conditions under which instances start while others run.
+var startCases = map[string]startCase{
+	"one":                     {down: oneInstance},
+	"one and the coordinator": {down: func(s *deployment) []*entry { return append(oneInstance(s), s.coordinator()) }},
+	"all":                     {down: allInstances},
+	"most, with hubs":         {hubThreshold: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
+	"all, with hubs":          {hubThreshold: 4, down: allInstances},
+	"one, store slow": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+		s.withStoreFaults(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, probeDuration)
 	}},
-	"all, the store away": {down: all, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{Down: true}, pressFor/3)
+	"all, store down": {down: allInstances, then: func(s *deployment, _ []*entry) {
+		s.withStoreFaults(standin.StoreFaults{Down: true}, probeDuration/3)
 	}},
-	"one, the store busy": {down: one, then: func(s *site, _ []*entry) {
-		s.storeFor(standin.StoreFaults{Busy: true}, pressFor/3)
+	"one, store busy": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+		s.withStoreFaults(standin.StoreFaults{Busy: true}, probeDuration/3)
 	}},
-	"one, the others frozen": {
-		down: one,
-		before: func(s *site, down []*entry) {
-			s.signalBut(down, syscall.SIGSTOP)
+	"one, others frozen": {
+		down: oneInstance,
+		before: func(s *deployment, down []*entry) {
+			s.signalExcept(down, syscall.SIGSTOP)
 		},
-		then: func(s *site, down []*entry) {
-			time.Sleep(pressFor / 2)
-			s.signalBut(down, syscall.SIGCONT)
+		then: func(s *deployment, down []*entry) {
+			time.Sleep(probeDuration / 2)
+			s.signalExcept(down, syscall.SIGCONT)
 		},
 	},
-	"one, cut off from the store": {down: one, then: func(_ *site, down []*entry) {
+	"one, partitioned from the store": {down: oneInstance, then: func(_ *deployment, down []*entry) {
 		for _, e := range down {
-			e.storeLink.set(linkFaults{HoldUp: true, HoldDown: true})
-			time.Sleep(pressFor / 2)
-			e.storeLink.set(linkFaults{})
+			e.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
+			time.Sleep(probeDuration / 2)
+			e.storeLink.setFaults(linkFaults{})
 		}
 	}},
 }
 
-// startCase is one of them.
+// startCase is one such condition.
 type startCase struct {
-	hubsFrom int
-	// down returns the instances that are killed and start again; before and then are what
-	// happens while they are down, and from their start on.
-	down         func(*site) []*entry
-	before, then func(s *site, down []*entry)
+	hubThreshold int
+	// down returns the instances that are killed and started again. before runs while they are
+	// down, and then runs as soon as they have been started.
+	down         func(*deployment) []*entry
+	before, then func(s *deployment, down []*entry)
 }
 
-func one(s *site) []*entry { return s.others(1) }
-func all(s *site) []*entry { return s.entries }
+func oneInstance(s *deployment) []*entry  { return s.nonCoordinators(1) }
+func allInstances(s *deployment) []*entry { return s.entries }
 
-// others returns so many instances that are not the coordinator.
-func (s *site) others(n int) []*entry {
+// nonCoordinators returns n instances that are not the coordinator.
+func (s *deployment) nonCoordinators(n int) []*entry {
 	c := s.coordinator()
 	return slices.DeleteFunc(slices.Clone(s.entries), func(e *entry) bool { return e == c })[:n]
 }
 
-func (s *site) signalBut(not []*entry, sig syscall.Signal) {
+func (s *deployment) signalExcept(except []*entry, sig syscall.Signal) {
 	for _, e := range s.entries {
-		if !slices.Contains(not, e) {
+		if !slices.Contains(except, e) {
 			e.signal(sig)
 		}
 	}
 }
 
-// options returns those of a site for the case.
+// options returns the options of a deployment for the case.
 func (c startCase) options() options {
-	o := options{entries: 5, engines: 1, plains: 4, crashes: crashDown, links: true}
-	if c.hubsFrom > 0 {
-		o.entries, o.hubsFrom = 7, c.hubsFrom
+	o := options{entries: 5, engines: 1, plainTargets: 4, crashDowntime: crashDowntime, links: true}
+	if c.hubThreshold > 0 {
+		o.entries, o.hubThreshold = 7, c.hubThreshold
 	}
 	return o
 }
 
-// play kills instances and starts them again, and plays use beside each from its start on.
-// Changed is called while they are down.
-func (c startCase) play(s *site, changed func(), use func(e *entry)) {
+// play kills instances and starts them again, and runs afterStart for each, concurrently, as soon
+// as it has been started. If whileDown is not nil, it is called while they are down.
+func (c startCase) play(s *deployment, whileDown func(), afterStart func(e *entry)) {
 	down := slices.Clone(c.down(s))
 	for _, e := range down {
 		e.kill()
@@ -120,13 +120,13 @@
 	if c.before != nil {
 		c.before(s, down)
 	}
-	if changed != nil {
-		changed()
+	if whileDown != nil {
+		whileDown()
 	}
 	var wg sync.WaitGroup
 	for _, e := range down {
 		e.start()
-		wg.Go(func() { use(e) })
+		wg.Go(func() { afterStart(e) })
 	}
 	if c.then != nil {
 		c.then(s, down)
@@ -134,101 +134,101 @@
 	wg.Wait()
 }
 
-// Guards against: an instance that forwards before it knows which requests are held.
-func TestStartingInstanceSendsNothingThatIsHeld(t *testing.T) {
-	const many = 18 // more than are told at once
-	for name, c := range starts {
+// Guards against an instance that forwards requests before it knows which are quarantined.
+func TestStartingInstanceSendsNoQuarantinedRequest(t *testing.T) {
+	const manyHeld = 18 // more than one update contains
+	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			pressHeld(t, c, 1)
+			checkQuarantineAfterStart(t, c, 1)
 		})
 	}
 	for _, name := range []string{"one", "all"} {
-		t.Run(name+", of many held", func(t *testing.T) {
+		t.Run(name+", many quarantined", func(t *testing.T) {
 			t.Parallel()
-			pressHeld(t, starts[name], many)
+			checkQuarantineAfterStart(t, startCases[name], manyHeld)
 		})
 	}
 }
 
-func pressHeld(t *testing.T, c startCase, held int) {
-	s := startSite(t, c.options())
-	s.awaitMembers()
-	bodies := s.holdMany(held)
+func checkQuarantineAfterStart(t *testing.T, c startCase, held int) {
+	s := startDeployment(t, c.options())
+	s.awaitMembership()
+	bodies := s.quarantineMany(held)
 	runs := map[string]int{}
 	for _, b := range bodies {
-		runs[b] = len(s.runsOf(b))
+		runs[b] = len(s.runStartTimes(b))
 	}
 	c.play(s, nil, func(e *entry) {
-		statuses, served := e.press(bodies)
-		t.Logf("%s: a sound request served after %s; answers to held ones: %v", e.id, served, statuses)
+		statuses, served := e.probe(bodies)
+		t.Logf("%s: first harmless request served after %s; answers to quarantined ones by status: %v", e.id, served, statuses)
 		if served == 0 {
-			t.Errorf("%s served no request in %s", e.id, pressFor)
+			t.Errorf("%s served no harmless request in %s", e.id, probeDuration)
 		}
 		if statuses[http.StatusBadGateway] > 0 || statuses[http.StatusOK] > 0 {
-			t.Errorf("%s answered held requests with %v", e.id, statuses)
+			t.Errorf("%s answered quarantined requests by status: %v, want no 200 and no 502", e.id, statuses)
 		}
 	})
 	for _, b := range bodies {
-		if n := len(s.runsOf(b)); n > runs[b] {
-			t.Errorf("%q ran %d times more after the start", b, n-runs[b])
+		if n := len(s.runStartTimes(b)); n > runs[b] {
+			t.Errorf("%q ran %d more times after the start", b, n-runs[b])
 		}
 	}
 }
 
-// Guards against: a key that was taken away and is taken again, or one in force that is
-// denied, by an instance that has just started.
-func TestStartingInstanceKnowsWhichKeysAreInForce(t *testing.T) {
-	for name, c := range starts {
+// Guards against an instance that has just started and accepts a key which was revoked while it was
+// down, or denies a valid key.
+func TestStartingInstanceKnowsValidKeys(t *testing.T) {
+	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := c.options()
-			o.config = twoOrganisations
-			s := startSite(t, o)
-			s.awaitMembers()
+			o.config = addOrganisations
+			s := startDeployment(t, o)
+			s.awaitMembership()
 			c.play(s, func() {
 				s.config["tenants"] = []map[string]any{organisation(orgA, 1, keyA), organisation(orgB, 2, keyB)}
 				s.config["version"] = s.config["version"].(int) + 1
 				s.store.Put("config", "main", s.config)
 			}, func(e *entry) {
-				gone, kept := map[int]int{}, map[int]int{}
-				for n, began := 0, time.Now(); time.Since(began) < pressFor; n++ {
+				revoked, valid := map[int]int{}, map[int]int{}
+				for n, began := 0, time.Now(); time.Since(began) < probeDuration; n++ {
 					id := fmt.Sprintf("key-%s-%d", e.id, n)
-					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte("x"), withKey(keyA2)...); err == nil {
-						gone[r.status]++
+					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id, []byte("x"), keyHeader(keyA2)...); err == nil {
+						revoked[r.status]++
 					}
-					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id+"-kept", []byte("x"), withKey(keyA)...); err == nil {
-						kept[r.status]++
+					if r, err := e.do(http.MethodPost, plainPrefix+"bids", id+"-kept", []byte("x"), keyHeader(keyA)...); err == nil {
+						valid[r.status]++
 					}
-					time.Sleep(pressEvery)
+					time.Sleep(probeInterval)
 				}
-				t.Logf("%s: key taken away %v, key in force %v", e.id, gone, kept)
-				if gone[http.StatusOK] > 0 || gone[http.StatusUnauthorized] == 0 {
-					t.Errorf("%s answered a key that was taken away with %v", e.id, gone)
+				t.Logf("%s: answers by status: revoked key %v, valid key %v", e.id, revoked, valid)
+				if revoked[http.StatusOK] > 0 || revoked[http.StatusUnauthorized] == 0 {
+					t.Errorf("%s: answers to a revoked key by status: %v, want some 401 and no 200", e.id, revoked)
 				}
-				if kept[http.StatusOK] == 0 || kept[http.StatusUnauthorized] > 0 {
-					t.Errorf("%s answered a key in force with %v", e.id, kept)
+				if valid[http.StatusOK] == 0 || valid[http.StatusUnauthorized] > 0 {
+					t.Errorf("%s: answers to a valid key by status: %v, want some 200 and no 401", e.id, valid)
 				}
 			})
 		})
 	}
 }
 
-func (s *site) storeFor(f standin.StoreFaults, span time.Duration) {
+func (s *deployment) withStoreFaults(f standin.StoreFaults, duration time.Duration) {
 	s.store.SetFaults(f)
-	time.Sleep(span)
+	time.Sleep(duration)
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
-// holdMany has so many requests held, and waits until all instances and the store know.
-func (s *site) holdMany(n int) (bodies []string) {
+// quarantineMany quarantines n requests, and waits until all instances and the store know of it.
+func (s *deployment) quarantineMany(n int) (bodies []string) {
 	s.t.Helper()
 	for i := range n {
 		body := fmt.Sprintf("%s at start %d", standin.CrashingBody, i)
 		bodies = append(bodies, body)
-		s.hold(body)
+		s.quarantine(body)
 	}
-	eventually(s.t, "what is held in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
-	time.Sleep(contact)
+	eventually(s.t, "quarantine in the store", func() bool { return s.store.Spec("currantford-quarantine", "held") != nil })
+	time.Sleep(propagationTime)
 	return bodies
 }
--- a/systemtest/storerejection_test.go
+++ b/systemtest/storerejection_test.go
@@ -13,33 +13,34 @@
 	"currantford/platform/standin"
 )
 
-// settle is how long after an acceptance, or a read, all instances must know of it.
-const settle = time.Second
+// visibilityDelay is the time after an acceptance, or after a read of a result, by which all
+// instances must know of it.
+const visibilityDelay = time.Second
 
-// readers read batches at all instances, over and over, and check that nothing which was
-// accepted or read is denied by any.
-type readers struct {
-	*site
+// batchReaders reads batches at all instances repeatedly and checks that no instance denies what
+// was accepted or read before.
+type batchReaders struct {
+	*deployment
 	mu      sync.Mutex
-	batches []*readBatch
+	batches []*observedBatch
 }
 
-// readBatch is a batch with what was read of it.
-type readBatch struct {
+// observedBatch is a batch with the results that were read so far.
+type observedBatch struct {
 	batch
 	accepted time.Time
 	results  []result
 	readAt   []time.Time
 }
 
-func (r *readers) add(b batch) {
+func (r *batchReaders) add(b batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.batches = append(r.batches, &readBatch{batch: b, accepted: time.Now()})
+	r.batches = append(r.batches, &observedBatch{batch: b, accepted: time.Now()})
 }
 
 // run reads at one instance until ctx ends.
-func (r *readers) run(ctx context.Context, e *entry, seed uint64) {
+func (r *batchReaders) run(ctx context.Context, e *entry, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for ctx.Err() == nil {
 		time.Sleep(30 * time.Millisecond)
@@ -52,82 +53,84 @@
 		at := random.IntN(len(b.results) + 1)
 		r.mu.Unlock()
 		if random.IntN(3) == 0 {
-			r.body(e, b, b.Items[random.IntN(len(b.Items))])
+			r.checkBody(e, b, b.Items[random.IntN(len(b.Items))])
 		} else {
-			r.page(e, b, at, time.Duration(random.IntN(2))*300*time.Millisecond)
+			r.checkPage(e, b, at, time.Duration(random.IntN(2))*300*time.Millisecond)
 		}
 	}
 }
 
-func (r *readers) page(e *entry, b *readBatch, at int, wait time.Duration) {
+func (r *batchReaders) checkPage(e *entry, b *observedBatch, at int, wait time.Duration) {
 	sent := time.Now()
-	p, answer, err := e.read(b.id, at, wait)
+	p, answer, err := e.readResults(b.id, at, wait)
 	if err != nil || answer.status == http.StatusServiceUnavailable || answer.status == http.StatusGatewayTimeout {
-		return // it can't be sure
+		return // the instance cannot answer reliably
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case answer.status != http.StatusOK:
-		if sent.Sub(b.accepted) > settle {
-			r.t.Errorf("%s answers %d for %s, accepted %s before", e.id, answer.status, b.id, sent.Sub(b.accepted))
+		if sent.Sub(b.accepted) > visibilityDelay {
+			r.t.Errorf("%s answers with status %d for %s, which was accepted %s before", e.id, answer.status, b.id, sent.Sub(b.accepted))
 		}
 		return
 	case p.Total != len(b.Items) || p.Next != at+len(p.Results):
-		r.t.Errorf("%s: total %d of %d, next %d after %d and %d results", e.id, p.Total, len(b.Items), p.Next, at, len(p.Results))
-	case len(p.Results) == 0 && at < len(b.results) && sent.Sub(b.readAt[at]) > settle:
-		r.t.Errorf("%s has nothing at position %d of %s, which was read %s before", e.id, at, b.id, sent.Sub(b.readAt[at]))
+		r.t.Errorf("%s: total %d, want %d; next position %d after position %d with %d results", e.id, p.Total, len(b.Items), p.Next, at, len(p.Results))
+	case len(p.Results) == 0 && at < len(b.results) && sent.Sub(b.readAt[at]) > visibilityDelay:
+		r.t.Errorf("%s has no result at position %d of %s, which was read %s before", e.id, at, b.id, sent.Sub(b.readAt[at]))
 	}
 	for i, x := range p.Results {
 		switch n := at + i; {
 		case n == len(b.results):
 			b.results, b.readAt = append(b.results, x), append(b.readAt, time.Now())
 		case n < len(b.results) && fmt.Sprint(b.results[n]) != fmt.Sprint(x):
-			r.t.Errorf("%s: position %d of %s is %v, was %v", e.id, n, b.id, x, b.results[n])
+			r.t.Errorf("%s: result at position %d of %s is %v, was %v", e.id, n, b.id, x, b.results[n])
 		}
 	}
 }
 
-func (r *readers) body(e *entry, b *readBatch, it item) {
+func (r *batchReaders) checkBody(e *entry, b *observedBatch, it item) {
 	sent := time.Now()
 	answer, err := e.do(http.MethodGet, "/currantford/items/"+b.id+"?id="+it.ID, "", nil)
 	switch {
-	case err != nil || sent.Sub(b.accepted) < settle:
+	case err != nil || sent.Sub(b.accepted) < visibilityDelay:
 	case answer.status == http.StatusNotFound || answer.status == http.StatusGone:
-		r.t.Errorf("%s answers %d for the body of %s", e.id, answer.status, it.ID)
+		r.t.Errorf("%s answers with status %d for the body of %s", e.id, answer.status, it.ID)
 	case answer.status == http.StatusOK && !bytes.Equal(answer.body, it.Body):
-		r.t.Errorf("%s: another body of %s", e.id, it.ID)
+		r.t.Errorf("%s returned a wrong body of %s", e.id, it.ID)
 	}
 }
 
-// Guards against: an accepted batch, a result that was read, or an item's body that is denied
-// by an instance which the store turns away, or an item that is left when the coordinator is
-// turned away, or lost besides (replaced). The configuration changes meanwhile and an engine leaves.
-func TestBatchesWhileTheStoreTurnsInstancesAway(t *testing.T) {
-	for name, how := range map[string]standin.Rejection{
+// Guards against an accepted batch, a result that was read, or an item's body that is denied by an
+// instance whose store calls are rejected, and against an item that is not completed after the
+// coordinator's store calls are rejected, or after it is killed as well (replaced). Meanwhile the
+// configuration changes and an engine is drained.
+func TestBatchesWhileStoreRejectsInstances(t *testing.T) {
+	for name, rejection := range map[string]standin.Rejection{
 		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectNoResponse,
 	} {
 		for _, replaced := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/replaced=%v", name, replaced), func(t *testing.T) {
 				t.Parallel()
-				o := options{entries: 6, engines: 6, models: []string{"m0", "m1"}, gates: true, event: 15 * time.Millisecond}
+				o := options{entries: 6, engines: 6, models: []string{"m0", "m1"}, storeProxies: true, eventInterval: 15 * time.Millisecond}
 				if replaced {
-					o.cores = weak // they hold streams for each other
+					o.cores = weakCores // instances hold streams for each other
 				} else {
-					o.policy = map[string]any{"no_store_relay": true} // nobody can pass calls on
+					o.policy = map[string]any{"no_store_relay": true} // no instance can relay store calls for another
 				}
-				s := startSite(t, o)
-				rejectedDay(t, s, how, replaced)
+				s := startDeployment(t, o)
+				playRejections(t, s, rejection, replaced)
 			})
 		}
 	}
 }
 
-// rejectedDay hands in a step every 300 ms, turns half of the instances away and then the
-// coordinator alone, which is killed if replaced, and reads all the while.
-func rejectedDay(t *testing.T, s *site, how standin.Rejection, replaced bool) {
-	s.awaitMembers()
-	r := &readers{site: s}
+// playRejections submits a step every 300 ms while batches are read at all instances. It rejects
+// the store calls of half of the instances, and then those of the coordinator alone, which is
+// killed if replaced is set.
+func playRejections(t *testing.T, s *deployment, rejection standin.Rejection, replaced bool) {
+	s.awaitMembership()
+	r := &batchReaders{deployment: s}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i, e := range s.entries {
@@ -135,9 +138,9 @@
 	}
 	n := 0
 	submit := func() {
-		b := step(fmt.Sprintf("b%d", n), fmt.Sprintf("m%d", n%2), 3, 4, 10+n%20)
+		b := newStep(fmt.Sprintf("b%d", n), fmt.Sprintf("m%d", n%2), 3, 4, 10+n%20)
 		for i := range b.Items {
-			b.Items[i].Body = bytes.Repeat([]byte{byte(i)}, 3000) // they lie in parts
+			b.Items[i].Body = bytes.Repeat([]byte{byte(i)}, 3000) // the bodies are stored in parts
 		}
 		for try := range 40 {
 			if s.entries[(n+try)%len(s.entries)].submit(b).status == http.StatusAccepted {
@@ -151,7 +154,7 @@
 	submit()
 	for i, e := range s.entries {
 		if i%2 == 0 {
-			e.storeGate.SetRejection(how)
+			e.storeProxy.SetRejection(rejection)
 		}
 	}
 	for i := range 8 {
@@ -165,10 +168,10 @@
 		submit()
 	}
 	for _, e := range s.entries {
-		e.storeGate.SetRejection(standin.RejectNone)
+		e.storeProxy.SetRejection(standin.RejectNone)
 	}
 	c := s.coordinator()
-	c.storeGate.SetRejection(how)
+	c.storeProxy.SetRejection(rejection)
 	submit()
 	if replaced {
 		c.kill()
@@ -176,7 +179,7 @@
 	for range 5 {
 		submit()
 	}
-	c.storeGate.SetRejection(standin.RejectNone)
+	c.storeProxy.SetRejection(standin.RejectNone)
 	eventually(t, "all results", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -190,31 +193,31 @@
 	cancel()
 	wg.Wait()
 	if len(r.batches) != n {
-		t.Errorf("%d of %d steps accepted", len(r.batches), n)
+		t.Errorf("%d of %d steps were accepted", len(r.batches), n)
 	}
 	for _, b := range r.batches {
-		s.check(b.batch, b.results)
+		s.checkResults(b.batch, b.results)
 	}
 }
 
-// Guards against: a step whose runs begin again, as the duty moves while the store turns the
-// coordinator and most others away.
-func TestCoordinatorFindsTheInstanceThatReachesTheStore(t *testing.T) {
+// Guards against a step whose runs start again because the lease moves while the store rejects the
+// calls of all instances but one, the coordinator's among them.
+func TestCoordinatorRelaysThroughConnectedInstance(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 6, engines: 3, gates: true, event: 60 * time.Millisecond})
-	s.awaitMembers()
-	b := step("b1", "m0", 3, 4, 60)
-	s.accept(b)
+	s := startDeployment(t, options{entries: 6, engines: 3, storeProxies: true, eventInterval: 60 * time.Millisecond})
+	s.awaitMembership()
+	b := newStep("b1", "m0", 3, 4, 60)
+	s.submitUntilAccepted(b)
 	s.awaitRuns(b)
-	c, open := s.coordinator(), s.other()
+	c, connected := s.coordinator(), s.nonCoordinator()
 	for _, e := range s.entries {
-		if e != open {
-			e.storeGate.SetRejection(standin.RejectLimited)
+		if e != connected {
+			e.storeProxy.SetRejection(standin.RejectLimited)
 		}
 	}
 	s.readAll(b)
 	if after := s.coordinator(); after != c {
-		t.Errorf("the duty moved from %s to %s", c.id, after.id)
+		t.Errorf("the lease moved from %s to %s", c.id, after.id)
 	}
-	s.checkRunOnce()
+	s.checkRanOnce()
 }
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -15,13 +15,12 @@
 
 const (
 	usageWindow = time.Second
-	// usageEvery is the pause between the requests that come to each instance.
-	usageEvery = 20 * time.Millisecond
+	// requestInterval is the pause between requests to each instance.
+	requestInterval = 20 * time.Millisecond
 )
 
-// load sends requests of the organisations to all entries until stop is called, and
-// returns how many were sent.
-func (s *site) load(every time.Duration) (stop func()) {
+// sendLoad sends requests of the organisations to all entries until stop is called.
+func (s *deployment) sendLoad(interval time.Duration) (stop func()) {
 	var wg sync.WaitGroup
 	var n atomic.Int64
 	done := make(chan struct{})
@@ -31,11 +30,11 @@
 				select {
 				case <-done:
 					return
-				case <-time.After(every):
+				case <-time.After(interval):
 				}
 				i := n.Add(1)
 				key := []string{keyA, keyA2, keyB, keyA}[i%4]
-				_, _ = e.do(http.MethodPost, plainPrefix+"x", fmt.Sprint("u", i), []byte("reading"), append(withKey(key), "Currantford-Deadline-Ms", "1500")...)
+				_, _ = e.do(http.MethodPost, plainPrefix+"x", fmt.Sprint("u", i), []byte("reading"), append(keyHeader(key), "Currantford-Deadline-Ms", "1500")...)
 			}
 		})
 	}
@@ -45,11 +44,11 @@
 	}
 }
 
-// began returns how many requests of each organisation targets began to run in each
-// window: each once, where it first ran.
-func (s *site) began() map[int64]map[string]int64 {
+// requestsByWindow returns how many requests of each organisation targets started in each window. A
+// request counts once, at its first start.
+func (s *deployment) requestsByWindow() map[int64]map[string]int64 {
 	first := map[string]standin.Run{}
-	for _, e := range s.plains {
+	for _, e := range s.plainTargets {
 		for _, r := range e.Runs() {
 			if f, ran := first[r.ID]; !ran || r.StartedAt.Before(f.StartedAt) {
 				first[r.ID] = r
@@ -67,86 +66,87 @@
 	return out
 }
 
-// holderMisses is how many requests may go uncounted where the holder is lost: those since its
-// last renewal.
-const holderMisses = int64(800 * time.Millisecond / usageEvery)
+// maxMissed is the maximum number of requests that may be missing after the loss of the
+// coordinator: those since its last lease renewal.
+const maxMissed = int64(800 * time.Millisecond / requestInterval)
 
-// loseHolder kills the coordinator, and starts it again once there is another.
-func loseHolder(s *site) {
+// killCoordinator kills the coordinator, and starts it again once there is a new one.
+func killCoordinator(s *deployment) {
 	time.Sleep(2500 * time.Millisecond)
 	c := s.coordinator()
 	c.kill()
-	s.waitCoordinator(c.id)
+	s.awaitCoordinator(c.id)
 	c.start()
 	time.Sleep(5 * time.Second)
 }
 
-// checkUsage checks that the reports of all windows that are over say what ran, but for
-// what came within a moment of a window's end; at most so many requests are missing or
-// too many in all. It waits for the reports.
-func (s *site) checkUsage(most int64) {
+// checkUsage waits for the reports of all completed windows and checks that they contain the
+// requests that ran. A request close to the end of a window may be counted in a neighbouring one.
+// In total, at most tolerance requests may be missing or in excess.
+func (s *deployment) checkUsage(tolerance int64) {
 	s.t.Helper()
-	over := time.Now().UnixMilli() / usageWindow.Milliseconds()
-	truth := s.began()
-	eventually(s.t, "the reports", func() bool {
-		taken := s.control.Usage()
-		for w := range truth {
-			if _, ok := taken[w]; !ok && w < over {
+	current := time.Now().UnixMilli() / usageWindow.Milliseconds()
+	actual := s.requestsByWindow()
+	eventually(s.t, "complete usage reports", func() bool {
+		reports := s.control.Usage()
+		for w := range actual {
+			if _, ok := reports[w]; !ok && w < current {
 				return false
 			}
 		}
 		return true
 	})
-	taken := s.control.Usage()
-	off, total := int64(0), int64(0)
+	reports := s.control.Usage()
+	deviation, total := int64(0), int64(0)
 	reported, ran := map[string]int64{}, map[string]int64{}
-	for w := range truth {
-		if w >= over {
+	for w := range actual {
+		if w >= current {
 			continue
 		}
 		for _, o := range []string{orgA, orgB} {
-			reported[o] += taken[w].Counts[o]
-			ran[o] += truth[w][o]
-			total += truth[w][o]
-			off += max(taken[w].Counts[o]-truth[w][o], truth[w][o]-taken[w].Counts[o])
+			reported[o] += reports[w].Counts[o]
+			ran[o] += actual[w][o]
+			total += actual[w][o]
+			deviation += max(reports[w].Counts[o]-actual[w][o], actual[w][o]-reports[w].Counts[o])
 		}
 	}
 	missing := int64(0)
 	for o := range ran {
 		missing += max(reported[o]-ran[o], ran[o]-reported[o])
 	}
-	s.t.Logf("%d windows, %d requests, %d counted in another window, %d missing or too many", len(truth), total, (off-missing)/2, missing)
-	if missing > most {
-		s.t.Errorf("reported %v, ran %v", reported, ran)
+	s.t.Logf("%d windows, %d requests, %d counted in another window, %d missing or in excess", len(actual), total, (deviation-missing)/2, missing)
+	if missing > tolerance {
+		s.t.Errorf("reported requests %v, actual requests %v", reported, ran)
 	}
 	for _, fault := range s.control.Violations() {
 		s.t.Error(fault)
 	}
 }
 
-// Symptom: an organisation is charged for what it did not use, or a window is reported
-// twice, or not at all.
-// Sequence: while requests come, some of which targets turn away, fail, answer too late
-// or lose the answer of, things are lost: answers of the API and of the store, the
-// holder, another instance; a holder is frozen until it was replaced.
+// Guards against an organisation that is charged for requests which it did not send, and against a
+// window that is reported twice or not at all.
+//
+// While requests arrive, some of which targets reject, fail, answer too late or leave without an
+// answer, faults occur: answers of the API and of the store are lost, the coordinator or another
+// instance is killed, or a coordinator is frozen until it has been replaced.
 func TestUsageIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		cause func(s *site)
-		// missing is how many requests may be missing: those whose instance was lost
-		// before it could tell.
-		missing int64
+		name   string
+		inject func(s *deployment)
+		// tolerance is how many requests may be missing: those whose instance was lost before it
+		// could report them.
+		tolerance int64
 	}{
-		{"calm", func(*site) { time.Sleep(4 * time.Second) }, 0},
-		{"targets", func(s *site) {
+		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
+		{"targets", func(s *deployment) {
 			for _, f := range []standin.EngineFaults{{AtCapacity: true}, {WrongRequestID: true}, {Unresponsive: true}, {Status: http.StatusInternalServerError}} {
-				s.plains[0].SetFaults(f)
+				s.plainTargets[0].SetFaults(f)
 				time.Sleep(1200 * time.Millisecond)
 			}
-			s.plains[0].SetFaults(standin.EngineFaults{})
+			s.plainTargets[0].SetFaults(standin.EngineFaults{})
 		}, 0},
-		{"answers of the API", func(s *site) {
+		{"faults of the API", func(s *deployment) {
 			s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2})
 			time.Sleep(4 * time.Second)
 			s.control.SetFaults(standin.ControlPlaneFaults{Busy: true})
@@ -154,17 +154,17 @@
 			s.control.SetFaults(standin.ControlPlaneFaults{ResponseDelay: 400 * time.Millisecond})
 			time.Sleep(2 * time.Second)
 		}, 0},
-		{"answers of the store", func(s *site) {
+		{"faults of the store", func(s *deployment) {
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3})
 			time.Sleep(3 * time.Second)
 			s.store.SetFaults(standin.StoreFaults{DropResponseEvery: 3, DroppedWriteDelay: 1500 * time.Millisecond})
 			time.Sleep(3 * time.Second)
 			s.store.SetFaults(standin.StoreFaults{})
 		}, 0},
-		// Of the holder itself, what came since its last renewal.
-		{"the holder", loseHolder, holderMisses},
-		// Of all instances, what came since the holder's last renewal.
-		{"all instances", func(s *site) {
+		// The loss covers the coordinator's own requests since its last renewal.
+		{"loss of the coordinator", killCoordinator, maxMissed},
+		// The loss covers the requests of all instances since the coordinator's last renewal.
+		{"loss of all instances", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			for _, e := range s.entries {
 				e.kill()
@@ -173,24 +173,24 @@
 				e.start()
 			}
 			time.Sleep(6 * time.Second)
-		}, 3 * int64(800*time.Millisecond/usageEvery)},
-		{"another instance", func(s *site) {
+		}, 3 * int64(800*time.Millisecond/requestInterval)},
+		{"loss of another instance", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
-			e := s.other()
+			e := s.nonCoordinator()
 			e.kill()
 			e.start()
 			time.Sleep(3 * time.Second)
 		}, 2},
-		{"a holder that is frozen", func(s *site) {
+		{"frozen coordinator", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			c := s.coordinator()
 			c.signal(syscall.SIGSTOP)
-			s.waitCoordinator(c.id)
+			s.awaitCoordinator(c.id)
 			time.Sleep(3 * time.Second)
 			c.signal(syscall.SIGCONT)
 			time.Sleep(4 * time.Second)
 		}, 4},
-		{"a planned stop", func(s *site) {
+		{"graceful shutdown", func(s *deployment) {
 			time.Sleep(2500 * time.Millisecond)
 			c := s.coordinator()
 			c.signal(syscall.SIGTERM)
@@ -201,49 +201,51 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			playUsage(t, options{entries: 3, engines: 1, plains: 3}, c.cause, c.missing)
+			checkUsageDuring(t, options{entries: 3, engines: 1, plainTargets: 3}, c.inject, c.tolerance)
 		})
 	}
 }
 
-// playUsage lets requests come while cause does something; so many may be missing.
-func playUsage(t *testing.T, o options, cause func(*site), missing int64) {
-	o.usage = usageWindow.Seconds()
-	s := organisationSite(t, o)
-	stop := s.load(usageEvery)
-	cause(s)
+// checkUsageDuring checks the usage reports while requests arrive and inject causes faults;
+// tolerance is how many requests may be missing.
+func checkUsageDuring(t *testing.T, o options, inject func(*deployment), tolerance int64) {
+	o.usageWindowS = usageWindow.Seconds()
+	s := startWithOrganisations(t, o)
+	stop := s.sendLoad(requestInterval)
+	inject(s)
 	stop()
 	time.Sleep(2 * usageWindow)
-	s.checkUsage(missing)
-	if at := slowest(s.control.Usage()); at > 10*time.Second {
-		t.Errorf("a report came %s after its window", at)
+	s.checkUsage(tolerance)
+	if at := maxReportDelay(s.control.Usage()); at > 10*time.Second {
+		t.Errorf("a report came %s after the end of its window, want at most 10 s", at)
 	}
 }
 
-// Symptom: the use of most instances of a large deployment is not reported.
-// Sequence: they ask a hub for news, which passes no counts on; a holder is lost.
-func TestUsageIsToldPastHubs(t *testing.T) {
+// Guards against usage of most instances of a large deployment that is not reported. These
+// instances poll a hub for updates, and the hub relays no counts; in one case the coordinator is
+// lost.
+func TestUsageIsReportedBehindHubs(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name    string
-		cause   func(*site)
-		missing int64
+		name      string
+		inject    func(*deployment)
+		tolerance int64
 	}{
-		{"calm", func(*site) { time.Sleep(4 * time.Second) }, 0},
-		{"the holder", loseHolder, holderMisses},
+		{"calm", func(*deployment) { time.Sleep(4 * time.Second) }, 0},
+		{"loss of the coordinator", killCoordinator, maxMissed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			playUsage(t, options{entries: 7, engines: 1, plains: 3, hubsFrom: 4}, c.cause, c.missing)
+			checkUsageDuring(t, options{entries: 7, engines: 1, plainTargets: 3, hubThreshold: 4}, c.inject, c.tolerance)
 		})
 	}
 }
 
-// slowest returns how long after its window's end the latest report came.
-func slowest(taken map[int64]standin.Usage) time.Duration {
-	most := time.Duration(0)
-	for u := range maps.Values(taken) {
-		most = max(most, u.At.Sub(time.UnixMilli((u.Window+1)*usageWindow.Milliseconds())))
+// maxReportDelay returns the longest time between the end of a window and its report.
+func maxReportDelay(reports map[int64]standin.Usage) time.Duration {
+	latest := time.Duration(0)
+	for u := range maps.Values(reports) {
+		latest = max(latest, u.At.Sub(time.UnixMilli((u.Window+1)*usageWindow.Milliseconds())))
 	}
-	return most
+	return latest
 }
