--- a/io/cfcoord/reads.go
+++ b/io/cfcoord/reads.go
@@ -13,25 +13,24 @@
 )
 
 const (
-	// inheritedFor is how long a coordinator before may still list results:
-	// a write of it may take effect seconds late, and it may have been frozen.
-	inheritedFor cf.Millis = 10000
-	// inheritedEvery is how often such a batch's chunks are read again while
-	// somebody waits at its end; what one reader saw must be there for
-	// another within a second.
-	inheritedEvery cf.Millis = 500
+	// predecessorWriteWindow is how long the predecessor may still list results: its writes may
+	// take effect seconds late, and its process may have been suspended.
+	predecessorWriteWindow cf.Millis = 10000
+	// rereadInterval is the minimum time between reads of such a batch's chunks while a reader
+	// waits at the end of the list. A result that one reader has seen must be visible to others
+	// within a second.
+	rereadInterval cf.Millis = 500
 )
 
-// mayLack says whether the store may hold results of the coordinator before
-// that this one does not know, where a reader is about to be told that there
-// are none. c.mu is held.
-func (c *Coordinator) mayLack(st *state, after int, now cf.Millis) bool {
-	return st.shared && !st.batch.Complete() && len(st.batch.Page(after).Results) == 0 &&
-		now-st.loadedAt < inheritedFor && now-st.rereadAt >= inheritedEvery
+// mayMissResults reports whether the store may hold results of the predecessor that are not known
+// here, when a reader is about to be told that there are none. c.mu is held.
+func (c *Coordinator) mayMissResults(st *batchState, after int, now cf.Millis) bool {
+	return st.predecessorMayWrite && !st.batch.Complete() && len(st.batch.Page(after).Results) == 0 &&
+		now-st.loadedAt < predecessorWriteWindow && now-st.rereadAt >= rereadInterval
 }
 
-// takeChunks reads a batch's chunks again.
-func (c *Coordinator) takeChunks(ctx context.Context, st *state) error {
+// rereadChunks reads a batch's chunks from the store again.
+func (c *Coordinator) rereadChunks(ctx context.Context, st *batchState) error {
 	chunks, err := c.Store.List(ctx, cf.KindResults(st.batch.Sub.ID))
 	if err != nil {
 		return err
@@ -45,14 +44,14 @@
 	if st.batch.NextChunk() != before {
 		c.Log.Info("results_inherited", cflog.Batch(st.batch.Sub.ID), zap.Int("groups_whole", st.batch.CompleteGroups()))
 		st.pending.DropListed(st.batch, cf.Uptime())
-		c.served(st)
-		st.wake()
+		c.measureListed(st)
+		st.notifyReaders()
 	}
 	return nil
 }
 
-// Results reads a batch, waiting for a result at position after. It returns
-// ErrNotLeader when only the store can tell.
+// Results returns the results of a batch from position after on. If there are none, it waits for up
+// to wait. It returns ErrNotLeader if only the store can answer.
 func (c *Coordinator) Results(ctx context.Context, id cf.BatchID, after int, wait cf.Millis) (cf.ResultPage, error) {
 	deadline := time.NewTimer(wait.Duration())
 	defer deadline.Stop()
@@ -63,10 +62,10 @@
 			c.mu.Unlock()
 			return cf.ResultPage{}, cf.ErrNotLeader
 		}
-		if c.mayLack(st, after, cf.Uptime()) {
+		if c.mayMissResults(st, after, cf.Uptime()) {
 			st.rereadAt = cf.Uptime()
 			c.mu.Unlock()
-			if err := c.takeChunks(ctx, st); err != nil {
+			if err := c.rereadChunks(ctx, st); err != nil {
 				return cf.ResultPage{}, cf.ErrNotLeader
 			}
 			continue
@@ -74,7 +73,7 @@
 		page, changed := st.batch.Page(after), st.changed
 		if len(page.Results) == 0 && st.pending.InDoubt(cf.Uptime()) {
 			c.mu.Unlock()
-			return cf.ResultPage{}, cf.ErrNotLeader // the store shows it
+			return cf.ResultPage{}, cf.ErrNotLeader // the store can answer
 		}
 		done := st.batch.Complete() || st.batch.Ended
 		c.mu.Unlock()
@@ -93,10 +92,10 @@
 	}
 }
 
-// ReadForPeer reads a batch for another instance: the page, or where its results lie
-// in the store if this instance's link has no room for them. whole asks for the page
-// in any case, and counts like any other.
-func (c *Coordinator) ReadForPeer(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, whole bool) (cf.ResultPage, *cfbatch.PageRef, error) {
+// ReadForPeer reads a batch for another instance. It returns the page, or the results' location in
+// the store if the page exceeds this instance's PageBudget. With forcePage it always returns the
+// page, and still deducts it from the budget.
+func (c *Coordinator) ReadForPeer(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, forcePage bool) (cf.ResultPage, *cfbatch.PageRef, error) {
 	page, err := c.Results(ctx, id, after, wait)
 	if err != nil {
 		return page, nil, err
@@ -105,17 +104,17 @@
 	for _, r := range page.Results {
 		size += len(r.Output)
 	}
-	if c.PageBudget == nil || c.PageBudget.Spend(size, cf.Uptime()) || whole {
+	if c.PageBudget == nil || c.PageBudget.Spend(size, cf.Uptime()) || forcePage {
 		return page, nil, nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	st := c.batches[id]
 	if st == nil {
-		return page, nil, nil // dropped from memory meanwhile
+		return page, nil, nil // dropped from memory in the meantime
 	}
-	places := st.batch.PageRef(after, page)
-	return cf.ResultPage{}, &places, nil
+	ref := st.batch.PageRef(after, page)
+	return cf.ResultPage{}, &ref, nil
 }
 
 // ItemBody returns the body of an item of an open batch.
--- a/io/cfcoord/watchers.go
+++ b/io/cfcoord/watchers.go
@@ -11,7 +11,7 @@
 )
 
 func (c *Coordinator) versionWatcher() *cfwatch.Watcher {
-	take := func(r cf.Record) error {
+	apply := func(r cf.Record) error {
 		changed, err := c.Site.ApplyWeightVersion(r)
 		if changed {
 			c.Log.Info("version_named", zap.String("model", r.Name), zap.Int64("revision", int64(r.Rev)))
@@ -20,13 +20,13 @@
 		return err
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWait, Log: c.Log, OnChange: take,
-		OnList: cfwatch.ForEach(take),
+		Store: c.Store, Kind: c.Codec.Kinds().Versions, Wait: versionWatchTimeout, Log: c.Log, OnChange: apply,
+		OnList: cfwatch.ForEach(apply),
 	}
 }
 
 func (c *Coordinator) retirementWatcher() *cfwatch.Watcher {
-	take := func(r cf.Record) error {
+	apply := func(r cf.Record) error {
 		if r.Deleted {
 			return nil
 		}
@@ -34,23 +34,23 @@
 		if err != nil || string(r.Status) == string(want) {
 			return err
 		}
-		// Nothing that must last lies on an instance, so one that is to go
-		// is empty at once.
+		// Instances hold no durable state, so an instance that is to be retired need not be drained
+		// first.
 		c.Log.Info("retirement_done", zap.String("instance", r.Name))
-		return c.retire(r.Name)
+		return c.confirmRetirement(r.Name)
 	}
 	return &cfwatch.Watcher{
-		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWait, Log: c.Log, OnChange: take,
-		OnList: cfwatch.ForEach(take),
+		Store: c.Store, Kind: c.Codec.Kinds().Retirements, Wait: retirementWatchTimeout, Log: c.Log, OnChange: apply,
+		OnList: cfwatch.ForEach(apply),
 	}
 }
 
-func (c *Coordinator) retire(name string) error {
+func (c *Coordinator) confirmRetirement(name string) error {
 	for {
 		err := c.Store.SetStatus(c.ctx, c.Codec.Kinds().Retirements, name, c.Codec.RetirementDone())
 		if err == nil || errors.Is(err, cf.ErrNotFound) || c.ctx.Err() != nil {
 			return nil
 		}
-		c.pause(chunkRetry)
+		c.sleep(chunkRetryDelay)
 	}
 }
--- a/nodecommands/commands.go
+++ b/nodecommands/commands.go
@@ -1,5 +1,5 @@
-// Package nodecommands is the command line of the deployed processes: flags,
-// wiring, start and stop. The logic lives in the cf* packages.
+// Package nodecommands implements the command line of the deployed processes: flags, setup, start
+// and stop. The logic is in the cf* packages.
 //
 // Usage:
 //
@@ -25,12 +25,12 @@
 	"currantford/platform"
 )
 
-// idlePerTarget bounds the kept connections to one target: as many as a
-// model engine runs items at once.
-const idlePerTarget = 12
+// maxIdleConnsPerTarget limits the idle connections to one target. It is the number of items that a
+// model engine runs concurrently.
+const maxIdleConnsPerTarget = 12
 
 type (
-	// SettingsOption is the settings flag shared by every command.
+	// SettingsOption is the flag for the settings file, which all commands have.
 	SettingsOption struct {
 		Settings string `long:"settings" env:"CURRANTFORD_NODE_FILE" required:"true" description:"settings of this process (JSON)" value-name:"FILE"`
 	}
@@ -44,20 +44,19 @@
 	}
 )
 
-// Execute parses args and runs the command they name. It returns the exit
-// code.
+// Execute parses args and runs the command that they name. It returns the exit code.
 func Execute(args []string) int {
 	p := flags.NewParser(nil, flags.Default)
 	p.Name = "currantford-node"
 	p.LongDescription = "The processes of a currantford deployment."
 	mustAdd(p.AddCommand("entry", "Run an entry instance",
-		"Run an entry instance: callers, targets, batches, and the coordinator's duty when it falls to it. Stops as planned on SIGTERM.", &entryCommand{}))
-	mustAdd(p.AddCommand("standby", "Hold an instance with a disk",
-		"Hold an instance that has a disk. Everything that must last lies in the platform's store, so it keeps nothing.", &standbyCommand{}))
+		"Run an entry instance: it serves callers, calls targets, runs batches, and has the coordinator's duty while it holds that lease. Shuts down gracefully on SIGTERM.", &entryCommand{}))
+	mustAdd(p.AddCommand("standby", "Run an idle process on an instance with a disk",
+		"Run an idle process on an instance that has a disk. All persistent state is in the platform's store, so the process stores nothing.", &standbyCommand{}))
 	mustAdd(p.AddCommand("check", "Check a settings file",
 		"Check a settings file and print each fault with its JSON path. Exits 1 on any fault.", &checkCommand{}))
-	mustAdd(p.AddCommand("free", "Free a request that is held",
-		"Free a request that is held because targets crashed under it, at all instances, by its digest. Exits 1 where nothing is known of it.", &freeCommand{}))
+	mustAdd(p.AddCommand("free", "Release a request that is held",
+		"Release a request that is held because targets crashed while they ran it, on all instances, by its digest. Exits 1 if the request is unknown.", &freeCommand{}))
 	if _, err := p.ParseArgs(args); err != nil {
 		var fe *flags.Error
 		if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
@@ -114,7 +113,7 @@
 	}, func() float64 { return float64(out.Dropped()) }))
 	store := platform.NewStore(s.Store.Addr, reg)
 	defer func() { _ = store.Close() }()
-	targets := platform.NewTargets(idlePerTarget, reg)
+	targets := platform.NewTargets(maxIdleConnsPerTarget, reg)
 	defer func() { _ = targets.Close() }()
 	adapter := cfnode.Adapter{Store: store, Targets: targets, Codec: platform.Codec{}, Relay: platform.NewRelay(store)}
 	if s.Control.Addr != "" {
--- a/older/cfconfig/config_test.go
+++ b/older/cfconfig/config_test.go
@@ -11,8 +11,8 @@
 	"currantford/older/cfconfig"
 )
 
-// TestCheck replays documents through the checker: each fault is printed
-// with its JSON path, as `currantford check` prints it.
+// TestCheck parses the documents in testdata/check and compares the validation errors with their
+// JSON paths, as "currantford check" prints them.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
 		_, err := cfconfig.Parse([]byte(d.Input))
@@ -20,13 +20,13 @@
 			return "ok\n"
 		}
 		if !errors.Is(err, cf.ErrInvalid) {
-			t.Fatalf("fault does not wrap ErrInvalid: %v", err)
+			t.Fatalf("error does not wrap ErrInvalid: %v", err)
 		}
 		return strings.TrimSpace(err.Error()) + "\n"
 	})
 }
 
-// TestDefaultSiteIsValid: the embedded site must pass its own checks.
+// TestDefaultSiteIsValid checks that the embedded default site passes validation.
 func TestDefaultSiteIsValid(t *testing.T) {
 	s := cfconfig.Default()
 	if len(s.Entries) == 0 || s.Routing.Policy == "" {
--- a/older/cfentry/delivery_test.go
+++ b/older/cfentry/delivery_test.go
@@ -13,16 +13,12 @@
 	"currantford/testbed/cfstandin"
 )
 
-// TestSamplesOnceAcrossLeaderLoss: a trainer gets every sample once when
-// the entry leading its pool stops in the middle of a step.
-//
-// Symptom: a trainer trains on the same sample twice, or waits for ever.
-// Sequence: the trainer fetches and acks through the other entry (which
-// forwards over the peer link); the leader stops; its lease lapses; the
-// other entry takes over and goes on from the committed cursor.
-// Cause it guards against: a new leader starting from its own memory
-// instead of the cursor in the platform, or acks that are not idempotent.
-func TestSamplesOnceAcrossLeaderLoss(t *testing.T) {
+// TestSamplesDeliveredOnceAcrossLeaderChange stops the entry that leads a pool in the middle of a
+// trainer's step. The trainer fetches and acknowledges through the other entry, which first
+// forwards over the peer link and then takes over the expired lease. A new leader that starts from
+// its own memory instead of the cursor in the platform, or an acknowledgement that is not
+// idempotent, would make the trainer receive a sample twice or wait for ever.
+func TestSamplesDeliveredOnceAcrossLeaderChange(t *testing.T) {
 	ts := startSite(t, 2, nil)
 	ctx := context.Background()
 	var lease struct {
@@ -47,18 +43,18 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		sctx, cancel := context.WithTimeout(ctx, 5*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		_ = ts.entries[leader].Shutdown(sctx)
+		_ = ts.entries[leader].Shutdown(shutdownCtx)
 	}()
 	settings := cfconfig.Trainer{Name: "t", Pool: "forecast", Claim: "spoilage", StepSamples: 8, Steps: 5, TrainTime: 50}
-	rctx, cancel := context.WithTimeout(ctx, 30*time.Second)
+	trainerCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
-	report, err := cfstandin.RunTrainer(rctx, settings, ts.urls[survivor], zap.NewNop())
+	report, err := cfstandin.RunTrainer(trainerCtx, settings, ts.urls[survivor], zap.NewNop())
 	if err != nil {
 		t.Fatalf("trainer stopped after %d steps: %v", report.Steps, err)
 	}
 	if report.Duplicates != 0 || report.Unattributed != 0 || report.Samples < 40 {
-		t.Fatalf("report %+v: want 0 duplicates, 0 unattributed, at least 40 samples", report)
+		t.Fatalf("report %+v, want no duplicates, no unattributed samples and at least 40 samples", report)
 	}
 }
--- a/older/cfentry/engines.go
+++ b/older/cfentry/engines.go
@@ -23,62 +23,62 @@
 )
 
 const (
-	// Engine priorities: live work goes before rollout work.
+	// Priorities in requests to the engines: live requests run before rollouts.
 	priorityLive    = 10
 	priorityRollout = 0
-	// maxAttempts bounds how many engines one request is tried on.
+	// maxAttempts limits the number of engines that are tried for one request.
 	maxAttempts = 3
-	// pollTimeout bounds one load report read; an engine that does not
-	// answer in time counts as unreachable for that round.
-	pollTimeout = 500 * time.Millisecond
-	// unreachableAfter is the number of failed polls in a row after which
-	// an engine gets no new work: a crashed engine would otherwise keep
-	// receiving requests that fail on connect.
+	// loadPollTimeout limits one read of a load report. An engine that does not answer in time
+	// counts as failed in this poll.
+	loadPollTimeout = 500 * time.Millisecond
+	// unreachableAfter is the number of consecutive failed polls after which an engine gets no new
+	// requests. Without it, a crashed engine would continue to receive requests that fail to
+	// connect.
 	unreachableAfter = 2
-	maxBody          = 1 << 20
+	maxBodyBytes     = 1 << 20
 )
 
 type (
 	engineSet struct {
-		entry   *Entry
-		scorer  string
-		client  *http.Client
-		mu      sync.Mutex
-		engines map[cf.EngineID]*engineState
-		seq     atomic.Int64
+		entry      *Entry
+		scorerURL  string
+		client     *http.Client
+		mu         sync.Mutex
+		engines    map[cf.EngineID]*engineState
+		requestSeq atomic.Int64
 	}
 
 	engineState struct {
-		settings cfconfig.Engine
-		load     cf.Load
-		failures int
+		settings    cfconfig.Engine
+		load        cf.Load
+		failedPolls int
 	}
 )
 
 func newEngineSet(site cfconfig.Site, e *Entry) *engineSet {
-	s := &engineSet{entry: e, scorer: "http://" + site.Scorer.Addr, client: &http.Client{}, engines: map[cf.EngineID]*engineState{}}
+	s := &engineSet{entry: e, scorerURL: "http://" + site.Scorer.Addr, client: &http.Client{}, engines: map[cf.EngineID]*engineState{}}
 	for _, en := range site.Engines {
 		s.engines[en.ID] = &engineState{settings: en, load: cf.Load{Engine: en.ID, Addr: en.Addr, Domain: en.Domain}}
 	}
 	return s
 }
 
-// poll reads every engine's load report once, in parallel.
-func (s *engineSet) poll(ctx context.Context) {
+// pollLoads reads the load reports of all engines once, in parallel.
+func (s *engineSet) pollLoads(ctx context.Context) {
 	var wg sync.WaitGroup
 	for id, st := range s.engines {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			var l cf.Load
-			err := s.getJSON(ctx, "http://"+st.settings.Addr+"/v1/load", &l, pollTimeout)
+			err := s.getJSON(ctx, "http://"+st.settings.Addr+"/v1/load", &l, loadPollTimeout)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if err != nil {
-				st.failures++
+				st.failedPolls++
 				return
 			}
-			st.failures = 0
+			st.failedPolls = 0
 			l.Engine, l.Addr, l.Domain = id, st.settings.Addr, st.settings.Domain
 			st.load = l
 		}()
@@ -86,15 +86,15 @@
 	wg.Wait()
 }
 
-// candidates returns the loads of engines that serve the role and are
-// reachable, marking those the instance list shows as leaving.
+// candidates returns the loads of the engines that accept live requests or rollouts, as asked, and
+// are reachable. Engines that are leaving according to the instance list are marked as such.
 func (s *engineSet) candidates(live bool, skip map[cf.EngineID]bool) []cf.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []cf.Load
 	for id, st := range s.engines {
 		role := st.settings.Role
-		if skip[id] || st.failures >= unreachableAfter ||
+		if skip[id] || st.failedPolls >= unreachableAfter ||
 			(live && role == cfconfig.RoleRollout) || (!live && role == cfconfig.RoleLive) {
 			continue
 		}
@@ -113,7 +113,7 @@
 	return s.engines[id].settings.Addr
 }
 
-// route places a job and logs the decision.
+// route selects an engine for a job and logs the decision.
 func (s *engineSet) route(job cf.Job, skip map[cf.EngineID]bool) (cf.Decision, error) {
 	d, err := s.entry.router.Route(job, s.candidates(job.Live, skip))
 	if err != nil {
@@ -123,17 +123,16 @@
 	if job.Live {
 		kind = "live"
 	}
-	s.entry.decided(d, kind)
+	s.entry.logDecision(d, kind)
 	return d, nil
 }
 
-// Generate implements currantford.Backend: one rollout, non-streamed, at
-// rollout priority. A rollout is safe to run again, so an engine that fails
-// is skipped and another tried.
+// Generate implements currantford.Backend. It runs one rollout without streaming, at rollout
+// priority. A rollout can safely run again, so after a failure it is tried on another engine.
 func (s *engineSet) Generate(ctx context.Context, job cf.Job, prompt string) (cf.Generation, error) {
 	job.PromptTokens = cf.Tokens(len(strings.Fields(prompt)))
 	skip := map[cf.EngineID]bool{}
-	var last error
+	var lastErr error
 	for range maxAttempts {
 		d, err := s.route(job, skip)
 		if err != nil {
@@ -154,15 +153,15 @@
 		}
 		err = s.postJSON(ctx, "http://"+s.addr(d.Choice)+"/v1/completions", body, &out, time.Minute)
 		if err == nil && len(out.Choices) == 1 && len(out.WeightVersions) > 0 {
-			span := cf.MillisOf(time.Since(start))
-			s.entry.router.Observe(d.Choice, job.PromptTokens, job.MaxTokens, 0, span)
+			elapsed := cf.MillisOf(time.Since(start))
+			s.entry.router.Observe(d.Choice, job.PromptTokens, job.MaxTokens, 0, elapsed)
 			return cf.Generation{Text: out.Choices[0].Text, Weights: out.WeightVersions, Engine: d.Choice}, nil
 		}
 		s.entry.router.Observe(d.Choice, 0, 0, 0, 0)
-		last = eris.Wrapf(cf.ErrUnavailable, "rollout on %s: %v", d.Choice, err)
+		lastErr = eris.Wrapf(cf.ErrUnavailable, "rollout on %s: %v", d.Choice, err)
 		skip[d.Choice] = true
 	}
-	return cf.Generation{}, last
+	return cf.Generation{}, lastErr
 }
 
 // Score implements currantford.Backend.
@@ -174,13 +173,13 @@
 	var out struct {
 		Score float64 `json:"score"`
 	}
-	err := s.postJSON(ctx, s.scorer+"/v1/score", body, &out, 10*time.Second)
+	err := s.postJSON(ctx, s.scorerURL+"/v1/score", body, &out, 10*time.Second)
 	return out.Score, err
 }
 
-// LoadWeights implements currantford.Backend: it orders every rollout and
-// shared engine. Engines that ignore fencing numbers get an order only after
-// check confirms the lease is still ours.
+// LoadWeights implements currantford.Backend. It sends the order to every engine that accepts
+// rollouts. For an engine that ignores fencing tokens, it first calls check, which confirms that
+// this entry still holds the lease.
 func (s *engineSet) LoadWeights(ctx context.Context, version cf.WeightVersion, epoch cf.Epoch, check func(context.Context) error) error {
 	var errs []error
 	for _, st := range s.engines {
@@ -242,34 +241,33 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// handleCompletions serves the OpenAI-compatible completions API. The
-// caller's body is passed through with our priority added. Until the first
-// byte of the answer has reached the caller, a failed engine is skipped and
-// another tried: nothing the caller sees has run. Once bytes have gone, an
-// engine failure ends the stream with an error event that says the answer
-// is partial, so the caller never takes a cut answer for a whole one.
+// handleCompletions serves the OpenAI-compatible completions API. The caller's body is forwarded
+// with the priority added. Until the first byte of the response has been sent to the caller, a
+// request is tried on another engine after a failure, since the caller has seen nothing of the
+// failed attempt. After that, an engine failure ends the stream with an error event that says the
+// response is partial, so that the caller does not mistake it for a complete one.
 func (e *Entry) handleCompletions(ctx iris.Context) {
-	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBody))
-	var req map[string]json.RawMessage // the caller's body, passed through whole
+	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBodyBytes))
+	var req map[string]json.RawMessage // the caller's body with all its fields
 	if err != nil || json.Unmarshal(body, &req) != nil {
 		e.metrics.requests.WithLabelValues("completions", "bad_request").Inc()
-		refuse(ctx, http.StatusBadRequest, "invalid", "no", eris.New("body must be a JSON object"))
+		writeError(ctx, http.StatusBadRequest, "invalid", "no", eris.New("body must be a JSON object"))
 		return
 	}
-	var size struct {
+	var params struct {
 		Prompt    json.RawMessage `json:"prompt"`
 		MaxTokens cf.Tokens       `json:"max_tokens"`
 	}
-	_ = json.Unmarshal(body, &size)
-	if size.MaxTokens <= 0 {
-		size.MaxTokens = 16
+	_ = json.Unmarshal(body, &params)
+	if params.MaxTokens <= 0 {
+		params.MaxTokens = 16
 	}
 	req["priority"] = json.RawMessage(fmt.Sprint(priorityLive))
 	body, _ = json.Marshal(req)
 	job := cf.Job{
-		ID:           cf.RequestID(fmt.Sprintf("%s-%d", e.self.ID, e.engines.seq.Add(1))),
-		PromptTokens: cf.Tokens(len(strings.Fields(string(size.Prompt)))),
-		MaxTokens:    size.MaxTokens,
+		ID:           cf.RequestID(fmt.Sprintf("%s-%d", e.self.ID, e.engines.requestSeq.Add(1))),
+		PromptTokens: cf.Tokens(len(strings.Fields(string(params.Prompt)))),
+		MaxTokens:    params.MaxTokens,
 		Live:         true,
 	}
 	skip := map[cf.EngineID]bool{}
@@ -277,7 +275,7 @@
 		d, err := e.engines.route(job, skip)
 		if err != nil {
 			e.metrics.requests.WithLabelValues("completions", "no_engine").Inc()
-			refuse(ctx, http.StatusServiceUnavailable, "no_engine", "no", err)
+			writeError(ctx, http.StatusServiceUnavailable, "no_engine", "no", err)
 			return
 		}
 		sent, err := e.proxyCompletion(ctx, d.Choice, job, body)
@@ -293,11 +291,11 @@
 		skip[d.Choice] = true
 	}
 	e.metrics.requests.WithLabelValues("completions", "engines_failed").Inc()
-	refuse(ctx, http.StatusServiceUnavailable, "engines_failed", "no", eris.New("every engine tried failed before answering"))
+	writeError(ctx, http.StatusServiceUnavailable, "engines_failed", "no", eris.New("every engine tried failed before answering"))
 }
 
-// proxyCompletion sends one attempt and copies the answer to the caller. It
-// reports whether any byte reached the caller.
+// proxyCompletion sends one attempt to an engine and copies the response to the caller. It reports
+// whether the caller may have received a part of it.
 func (e *Entry) proxyCompletion(ctx iris.Context, engine cf.EngineID, job cf.Job, body []byte) (bool, error) {
 	start := time.Now()
 	req, err := http.NewRequestWithContext(ctx.Request().Context(), http.MethodPost,
@@ -324,14 +322,14 @@
 	}
 	w.Header().Set("X-Currantford-Engine", string(engine))
 	w.WriteHeader(resp.StatusCode)
-	var first time.Duration
+	var timeToFirst time.Duration
 	r := bufio.NewReader(resp.Body)
 	buf := make([]byte, 32<<10)
 	for {
 		n, rerr := r.Read(buf)
 		if n > 0 {
-			if first == 0 {
-				first = time.Since(start)
+			if timeToFirst == 0 {
+				timeToFirst = time.Since(start)
 			}
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return true, werr
@@ -343,15 +341,15 @@
 		}
 		if rerr != nil {
 			e.router.Observe(engine, 0, 0, 0, 0)
-			var cut errorBody
-			cut.Error.Message, cut.Error.Code, cut.Error.Ran = "engine failed mid-answer; the answer above is partial", "partial", "partly"
-			event, _ := json.Marshal(cut)
+			var partial errorBody
+			partial.Error.Message, partial.Error.Code, partial.Error.Ran = "engine failed mid-answer; the answer above is partial", "partial", "partly"
+			event, _ := json.Marshal(partial)
 			_, _ = fmt.Fprintf(w, "data: %s\n\n", event)
 			w.Flush()
 			return true, rerr
 		}
 	}
 	total := time.Since(start)
-	e.router.Observe(engine, job.PromptTokens, job.MaxTokens, cf.MillisOf(first), cf.MillisOf(total-first))
+	e.router.Observe(engine, job.PromptTokens, job.MaxTokens, cf.MillisOf(timeToFirst), cf.MillisOf(total-timeToFirst))
 	return true, nil
 }
--- a/older/cfentry/entry_test.go
+++ b/older/cfentry/entry_test.go
@@ -13,9 +13,9 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestOpenAIClient drives the entry with the published client library, so
-// the caller protocol is OpenAI's and not our reading of it.
-func TestOpenAIClient(t *testing.T) {
+// TestCompletionsWithOpenAIClient calls the entry with the published OpenAI client library, so that
+// the protocol is tested against OpenAI's own implementation.
+func TestCompletionsWithOpenAIClient(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	client := openai.NewClient(option.WithBaseURL(ts.urls[0]+"/v1/"), option.WithAPIKey("test"), option.WithMaxRetries(0))
 	params := openai.CompletionNewParams{
@@ -28,12 +28,12 @@
 		_, err := client.Completions.New(ctx, params)
 		return err == nil
 	})
-	whole, err := client.Completions.New(ctx, params)
+	unstreamed, err := client.Completions.New(ctx, params)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := len(strings.Fields(whole.Choices[0].Text)); got != 6 {
-		t.Fatalf("whole answer has %d tokens, want 6: %q", got, whole.Choices[0].Text)
+	if got := len(strings.Fields(unstreamed.Choices[0].Text)); got != 6 {
+		t.Fatalf("unstreamed response has %d tokens, want 6: %q", got, unstreamed.Choices[0].Text)
 	}
 	stream := client.Completions.NewStreaming(ctx, params)
 	var text strings.Builder
@@ -45,18 +45,15 @@
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if text.String() != whole.Choices[0].Text {
-		t.Fatalf("streamed %q, whole %q: the same prompt must give the same answer", text.String(), whole.Choices[0].Text)
+	if text.String() != unstreamed.Choices[0].Text {
+		t.Fatalf("streamed response %q, unstreamed response %q, want the same for the same prompt", text.String(), unstreamed.Choices[0].Text)
 	}
 }
 
-// TestBidRunsAtMostOnce: a bid must never reach the auction twice.
-//
-// Symptom: a buyer is charged twice for one bid.
-// Sequence: the bid service is slow; the caller gives up on entry 1 while
-// the bid is on its way, then sends the same Idempotency-Key to entry 2.
-// Cause: without the platform marker, entry 2 knows nothing of entry 1's
-// send and sends the bid again.
+// TestBidRunsAtMostOnce checks that a bid is never sent to the bid service twice, which would
+// charge the buyer twice. The service is slow; the caller gives up on entry 1 while the bid is
+// being sent, then sends the same Idempotency-Key to entry 2. Without the marker in the platform,
+// entry 2 would not know of the first call and would send the bid again.
 func TestBidRunsAtMostOnce(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
@@ -83,31 +80,27 @@
 		return resp.StatusCode, resp.Header.Get("X-Currantford-Ran")
 	}
 	if status, _ := send(ts.urls[0], 200*time.Millisecond); status != 0 {
-		t.Fatalf("first try answered %d; the test needs it to time out", status)
+		t.Fatalf("first attempt: status %d, want a timeout", status)
 	}
 	status, ran := send(ts.urls[1], 2*time.Second)
 	if status != http.StatusConflict || ran != "unknown" {
-		t.Fatalf("repeat on entry 2: status %d ran %q, want 409 and \"unknown\"", status, ran)
+		t.Fatalf("repeated call on entry 2: status %d, ran %q, want 409 and \"unknown\"", status, ran)
 	}
 	once.Do(func() { close(release) })
 	eventually(t, "the first send to finish", func() bool {
 		status, _ := send(ts.urls[1], 2*time.Second)
 		return status == http.StatusOK
 	})
-	if n := ts.serviceCalls(t, "bid-1"); n != 1 {
+	if n := ts.bidCalls(t, "bid-1"); n != 1 {
 		t.Fatalf("bid-1 reached the service %d times, want 1", n)
 	}
 }
 
-// TestLeavingEngineGetsNoNewWork: once the instance list shows an engine
-// leaving, no new live request goes to it.
-//
-// Symptom: requests keep landing on an engine being taken out, and are cut
-// off when it stops.
-// Sequence: the engine is marked leaving; the list lags; callers keep
-// sending.
-// Cause: routing on load reports alone, which still show it idle.
-func TestLeavingEngineGetsNoNewWork(t *testing.T) {
+// TestLeavingEngineGetsNoNewRequests checks that no live request is routed to an engine that the
+// instance list shows as leaving; it would be aborted when the engine stops. The list is delayed,
+// and the engine's load report still shows it idle, so routing by load reports alone would select
+// it.
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	ts.setInstance(t, "forecast-1", "leaving")
 	post := func() string {
@@ -122,8 +115,8 @@
 		}
 		return resp.Header.Get("X-Currantford-Engine")
 	}
-	// Wait until the lagging list has reached the entry: a request then
-	// goes elsewhere 20 times in a row.
+	// Wait until the delayed list has reached the entry, that is until 20 requests in a row go to
+	// other engines.
 	eventually(t, "the leaving state to reach the entry", func() bool {
 		for range 20 {
 			if e := post(); e == "" || e == "forecast-1" {
@@ -134,21 +127,16 @@
 	})
 	for range 50 {
 		if e := post(); e == "forecast-1" {
-			t.Fatalf("a new request went to the leaving engine")
+			t.Fatalf("a new request was routed to the leaving engine")
 		}
 	}
 }
 
-// TestBidRefusedNotRunDuringOutage: during a platform outage a bid is
-// refused, the refusal says "not run", and that is true.
-//
-// Symptom: a buyer told "not run" finds the bid was taken, or a bid sent
-// with no at-most-once marker is later sent again.
-// Sequence: the platform is down; a bid arrives; then the platform comes
-// back and the caller repeats the same key.
-// Cause it guards against: sending before the marker exists, or saying
-// "not run" after the bytes may have left.
-func TestBidRefusedNotRunDuringOutage(t *testing.T) {
+// TestBidDuringOutageIsRefusedAsNotRun sends a bid during a platform outage, then repeats it with
+// the same key after the outage. The bid must be refused as "not run", and that must be true. An
+// entry that sends before the marker exists, or answers "not run" when the request may have been
+// sent, would report a bid as not run that has run, or send a bid twice.
+func TestBidDuringOutageIsRefusedAsNotRun(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	send := func() (int, string) {
 		req, _ := http.NewRequest(http.MethodPost, ts.urls[0]+"/v1/services/bids/call", strings.NewReader(`{"pen":3,"price":200}`))
@@ -160,15 +148,15 @@
 		defer resp.Body.Close()
 		return resp.StatusCode, resp.Header.Get("X-Currantford-Ran")
 	}
-	calls := func() int { return ts.serviceCalls(t, "bid-outage") }
+	calls := func() int { return ts.bidCalls(t, "bid-outage") }
 	if err := ts.store.InjectFaults(context.Background(), 60000, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	if status, ran := send(); status != http.StatusServiceUnavailable || ran != "no" {
-		t.Fatalf("during the outage: status %d ran %q, want 503 and \"no\"", status, ran)
+		t.Fatalf("during the outage: status %d, ran %q, want 503 and \"no\"", status, ran)
 	}
 	if n := calls(); n != 0 {
-		t.Fatalf("refused as not run, yet the bid reached the service %d times", n)
+		t.Fatalf("the bid was refused as not run but reached the service %d times", n)
 	}
 	if err := ts.store.InjectFaults(context.Background(), 0, 0, 0); err != nil {
 		t.Fatal(err)
--- a/older/cfentry/shutdown_test.go
+++ b/older/cfentry/shutdown_test.go
@@ -11,14 +11,11 @@
 	cf "currantford"
 )
 
-// TestShutdownCutsOffNoRequest: a planned stop lets every answer finish.
-//
-// Symptom: a caller's streamed answer stops halfway during a deploy.
-// Sequence: a long streamed completion is in flight; the entry is told to
-// stop (SIGTERM runs Shutdown).
-// Cause: closing the listener and connections at once instead of marking
-// the entry leaving, draining, and waiting for requests in flight.
-func TestShutdownCutsOffNoRequest(t *testing.T) {
+// TestShutdownCompletesRequestsInFlight shuts an entry down, as SIGTERM does, while a long
+// completion is being streamed. A shutdown that closes the listener and the connections at once,
+// instead of marking the entry as leaving, draining and waiting for the requests in flight, would
+// cut off the response during a deployment.
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	body := `{"model":"forecast","prompt":"tuul west frost","max_tokens":150,"stream":true}`
 	ts.waitRoutable(t)
@@ -41,28 +38,23 @@
 		case line == "data: [DONE]":
 			done = true
 		case strings.Contains(line, `"error"`):
-			t.Fatalf("stream carried an error: %s", line)
+			t.Fatalf("stream contains an error: %s", line)
 		case strings.HasPrefix(line, "data: ") && !strings.Contains(line, `"finish_reason":"length"`):
 			tokens++
 		}
 	}
 	if !done || tokens != 150 {
-		t.Fatalf("answer cut off: %d of 150 tokens, done=%v", tokens, done)
+		t.Fatalf("response cut off after %d of 150 tokens, done=%v", tokens, done)
 	}
 	if err := <-stopped; err != nil {
 		t.Fatalf("shutdown: %v", err)
 	}
 }
 
-// TestEngineDeathMidStreamIsToldPartial: a caller never takes a cut answer
-// for a whole one.
-//
-// Symptom: a forecast is published from half an answer.
-// Sequence: a streamed completion is under way; its engine dies (every
-// connection closed).
-// Cause it guards against: an entry that just ends the stream, which looks
-// to the caller like an answer that ended early on its own.
-func TestEngineDeathMidStreamIsToldPartial(t *testing.T) {
+// TestEngineFailureMidStreamReportsPartialAnswer closes all connections of an engine while it
+// streams a completion. An entry that merely ended the stream would make the response look
+// complete, and the caller would use half an answer, such as half a forecast.
+func TestEngineFailureMidStreamReportsPartialAnswer(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	ts.waitRoutable(t)
 	resp, err := http.Post(ts.urls[0]+"/v1/completions", "application/json",
@@ -73,7 +65,7 @@
 	defer resp.Body.Close()
 	engine := ts.engines[cf.EngineID(resp.Header.Get("X-Currantford-Engine"))]
 	if engine == nil {
-		t.Fatalf("no engine named in the answer")
+		t.Fatalf("the response names no engine")
 	}
 	sc := bufio.NewScanner(resp.Body)
 	lines, done, partial := 0, false, false
@@ -89,6 +81,6 @@
 		partial = partial || strings.Contains(line, `"ran":"partly"`)
 	}
 	if done || !partial {
-		t.Fatalf("after the engine died: done=%v partial-error=%v, want no [DONE] and a partial error event", done, partial)
+		t.Fatalf("after the engine failure: done=%v, partial error=%v, want no [DONE] and a partial error event", done, partial)
 	}
 }
--- a/older/commands/commands.go
+++ b/older/commands/commands.go
@@ -1,5 +1,5 @@
-// Package commands is the command line of currantford: flags, wiring, start
-// and stop. The logic lives in the cf* packages.
+// Package commands implements the command line of currantford: flags, setup, start and stop. The
+// logic is in the cf* packages.
 //
 // Usage:
 //
@@ -7,6 +7,7 @@
 //	currantford check --config site.json
 //	currantford standin engine|platform|service|scorer|trainer ...
 //	currantford load [--plan plan.json] [--config site.json]
+//	currantford trial --plan FILE --group NAME=STORE=ENTRY[,ENTRY]
 package commands
 
 import (
@@ -29,18 +30,17 @@
 	"currantford/older/cfplatform"
 )
 
-// shutdownTimeout bounds a graceful stop after the drain.
+// shutdownTimeout limits a graceful shutdown, including the drain time.
 const shutdownTimeout = 30 * time.Second
 
 type (
-	// SiteOption is the settings flag shared by every command.
+	// SiteOption is the flag for the settings file, which most commands have.
 	SiteOption struct {
 		Config string `long:"config" description:"site settings (JSON); the embedded default site when empty" value-name:"FILE"`
 	}
 )
 
-// Execute parses args and runs the command they name. It returns the exit
-// code.
+// Execute parses args and runs the command that they name. It returns the exit code.
 func Execute(args []string) int {
 	p := flags.NewParser(nil, flags.Default)
 	p.Name = "currantford"
@@ -50,10 +50,10 @@
 		"Run an entry instance: caller API, routing, pools, peers. Stops gracefully on SIGTERM.", &entryCommand{}))
 	mustAdd(p.AddCommand("check", "Validate a settings document",
 		"Validate a settings document and print each fault with its JSON path. Exits 1 on any fault.", &checkCommand{}))
-	mustAdd(p.AddCommand("load", "Drive a load and experiment plan",
-		"Drive live completions and plain-service calls against running entries, apply faults, write a journal and print a report.", &loadCommand{}))
+	mustAdd(p.AddCommand("load", "Run a load and experiment plan",
+		"Send live completions and plain-service calls to running entries, inject faults, write a journal and print a report.", &loadCommand{}))
 	mustAdd(p.AddCommand("trial", "Compare groups of entry processes under one plan",
-		"Run the platform's stand-ins for one or two groups of entry processes, drive both with a plan's load and faults, and write a report.", &trialCommand{}))
+		"Run the platform's stand-ins for one or two groups of entry processes, apply a plan's load and faults to each group, and write a report.", &trialCommand{}))
 	standin, err := p.AddCommand("standin", "Run a stand-in of a system currantford serves",
 		"Run one stand-in process: engine, platform, service, scorer or trainer.", &struct{}{})
 	mustAdd(standin, err)
@@ -82,21 +82,20 @@
 	}
 }
 
-// site loads the settings or returns an error that lists every fault.
-func (o SiteOption) site() (cfconfig.Site, error) {
+// loadSite loads the settings. The error lists all validation errors.
+func (o SiteOption) loadSite() (cfconfig.Site, error) {
 	return cfconfig.Load(o.Config)
 }
 
-// signalled returns a context that ends on SIGTERM or SIGINT.
-func signalled() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled on SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// serveUntilSignal serves h on addr until SIGTERM or SIGINT, then marks the
-// instance leaving (if leave is set), keeps serving for drain so that those
-// who read the lagging instance list stop sending, and shuts down waiting
-// for every request in flight.
-func serveUntilSignal(addr string, h http.Handler, drain cf.Millis, leave func(context.Context), log *zap.Logger) error {
+// serveUntilSignal serves h on addr until SIGTERM or SIGINT, then shuts down after all requests in
+// flight. If markLeaving is set, it is called first, and h is served for the drain time: the
+// instance list is delayed, and its readers need this time to stop sending requests.
+func serveUntilSignal(addr string, h http.Handler, drain cf.Millis, markLeaving func(context.Context), log *zap.Logger) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return eris.Wrapf(err, "listen %s", addr)
@@ -105,7 +104,7 @@
 	errc := make(chan error, 1)
 	go func() { errc <- srv.Serve(l) }()
 	log.Info("serving", zap.String("addr", addr))
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	select {
 	case err := <-errc:
@@ -113,33 +112,33 @@
 	case <-ctx.Done():
 	}
 	log.Info("stopping", zap.Int64("drain_ms", int64(drain)))
-	sctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if leave != nil {
-		leave(sctx)
+	if markLeaving != nil {
+		markLeaving(shutdownCtx)
 		time.Sleep(drain.Duration())
 	}
-	err = srv.Shutdown(sctx)
+	err = srv.Shutdown(shutdownCtx)
 	log.Info("stopped")
 	return err
 }
 
-// registerInstance writes a stand-in's row of the instance list now and
-// every second, until ctx ends; the returned function marks it leaving.
+// registerInstance writes a stand-in's element of the instance list at once and every second until
+// ctx ends. The function that it returns marks the instance as leaving.
 func registerInstance(ctx context.Context, site cfconfig.Site, id, role, addr string, domain cf.FailureDomain) func(context.Context) {
 	store := cfplatform.NewClient(site.PlatformURL())
-	write := func(ctx context.Context, state string) {
+	writeRow := func(ctx context.Context, state string) {
 		row := cfentry.Instance{ID: id, Role: role, Addr: addr, Domain: domain, State: state, Heartbeat: cf.Now()}
 		_, _ = cfplatform.PutJSON(ctx, store, cfplatform.KindInstance, id, row, cf.AnyVersion)
 	}
-	hctx, cancel := context.WithCancel(ctx)
+	heartbeatCtx, cancel := context.WithCancel(ctx)
 	go func() {
 		t := time.NewTicker(time.Second)
 		defer t.Stop()
 		for {
-			write(hctx, cfentry.StateLive)
+			writeRow(heartbeatCtx, cfentry.StateLive)
 			select {
-			case <-hctx.Done():
+			case <-heartbeatCtx.Done():
 				return
 			case <-t.C:
 			}
@@ -147,6 +146,6 @@
 	}()
 	return func(ctx context.Context) {
 		cancel()
-		write(ctx, cfentry.StateLeaving)
+		writeRow(ctx, cfentry.StateLeaving)
 	}
 }
--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -13,16 +13,16 @@
 	"currantford/platform/standin"
 )
 
-// boot is how long after its order an engine is in service.
-const boot = 500 * time.Millisecond
+// bootTime is the delay between an order and the start of the ordered engines.
+const bootTime = 500 * time.Millisecond
 
-// startOrdered returns what starts the engines that an order asks for beyond those that are
-// there; an order for fewer ends none.
-func (s *site) startOrdered(o options) func(standin.EngineOrder) {
+// orderHandler returns the handler of the control plane's engine orders. It starts the engines that
+// are missing to reach the ordered count, and stops none when the ordered count is lower.
+func (s *deployment) orderHandler(o options) func(standin.EngineOrder) {
 	var mu sync.Mutex
 	started := map[bool]int{}
 	return func(order standin.EngineOrder) {
-		time.Sleep(boot)
+		time.Sleep(bootTime)
 		mu.Lock()
 		defer mu.Unlock()
 		if !order.Spot && started[false] == 0 {
@@ -30,64 +30,68 @@
 		}
 		for ; started[order.Spot] < order.Count; started[order.Spot]++ {
 			var e *standin.Engine
-			addr := listen(s.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
+			addr := serve(s.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
 			e = standin.NewEngine(standin.EngineSettings{
-				ID: fmt.Sprintf("i-ordered-%v-%d", order.Spot, started[order.Spot]), Service: service, Domain: order.Zone, Addr: addr, Slots: slots,
-				Models: o.models, EventInterval: o.event, WeightLoadTime: o.load, Spot: order.Spot,
+				ID: fmt.Sprintf("i-ordered-%v-%d", order.Spot, started[order.Spot]), Service: engineService, Domain: order.Zone, Addr: addr, Slots: slots,
+				Models: o.models, EventInterval: o.eventInterval, WeightLoadTime: o.weightLoadTime, Spot: order.Spot,
 			}, s.store)
 		}
 	}
 }
 
-// scalable lets engines of the stand-in deployment be ordered.
-func scalable(config map[string]any) {
+// enableScaling adds the scaling settings of the engine service to a configuration.
+func enableScaling(config map[string]any) {
 	for _, svc := range config["services"].([]map[string]any) {
-		if svc["name"] == service {
-			svc["scaling"] = map[string]any{"min": 1, "max": 12, "boot-s": boot.Seconds(), "spot-price": 0.18, "zone-prices": map[string]any{"domain-a": 1.0}}
+		if svc["name"] == engineService {
+			svc["scaling"] = map[string]any{"min": 1, "max": 12, "boot-s": bootTime.Seconds(), "spot-price": 0.18, "zone-prices": map[string]any{"domain-a": 1.0}}
 		}
 	}
 }
 
-// wantedEngines returns what the store holds of wanted engines.
-func (s *site) wantedEngines() map[bool]int {
-	var kept cfscale.StoredState
+// storedOrders returns the engine counts that the coordinator has stored as its orders, by whether
+// the engines are spot engines.
+func (s *deployment) storedOrders() map[bool]int {
+	var stored cfscale.StoredState
 	out := map[bool]int{}
 	if raw := s.store.Spec("currantford-scaling", "engines"); raw != nil {
-		_ = json.Unmarshal(raw, &kept)
+		_ = json.Unmarshal(raw, &stored)
 	}
-	for _, o := range kept.Orders {
+	for _, o := range stored.Orders {
 		out[o.Spot] = o.Count
 	}
 	return out
 }
 
-// Symptom: a step waits for engines that nobody orders, or that a lost holder wanted; two
-// holders order in turn.
-// Sequence: a step several times the engines' slots; the API takes orders, or gives no answer
-// until the holder that has kept its order is killed.
-func TestEnginesAreOrdered(t *testing.T) {
+// Guards against a step that waits for engines which are never ordered, or whose order was lost
+// with the previous coordinator, and against two coordinators that send orders alternately.
+//
+// The step needs several times the engines' slots. In separate cases the control plane's API
+// accepts the orders, has no spot capacity, loses its answers, or gives no answer until the
+// coordinator that has stored its order is killed; in another case the coordinator is frozen after
+// an order and continues after its successor's first one.
+func TestAutoscalerOrdersEngines(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		cause func(s *site)
+		name   string
+		inject func(s *deployment)
 	}{
-		{"calm", func(*site) {}},
-		{"none reclaimable", func(s *site) { s.control.SetFaults(standin.ControlPlaneFaults{NoSpotCapacity: true}) }},
-		{"answers lost", func(s *site) { s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2}) }},
-		{"holder lost before the answer", func(s *site) {
+		{"calm", func(*deployment) {}},
+		{"no spot capacity", func(s *deployment) { s.control.SetFaults(standin.ControlPlaneFaults{NoSpotCapacity: true}) }},
+		{"answers lost", func(s *deployment) { s.control.SetFaults(standin.ControlPlaneFaults{DropResponseEvery: 2}) }},
+		{"coordinator lost before the answer", func(s *deployment) {
 			s.control.SetFaults(standin.ControlPlaneFaults{Down: true})
-			eventually(s.t, "a kept order", func() bool { return len(s.wantedEngines()) > 0 })
+			eventually(s.t, "stored order", func() bool { return len(s.storedOrders()) > 0 })
 			c := s.coordinator()
 			c.kill()
-			s.waitCoordinator(c.id)
+			s.awaitCoordinator(c.id)
 			s.control.SetFaults(standin.ControlPlaneFaults{})
 		}},
-		{"holder frozen", func(s *site) {
-			eventually(s.t, "an order", func() bool { return len(s.control.Orders()) > 0 })
+		{"coordinator frozen", func(s *deployment) {
+			eventually(s.t, "order", func() bool { return len(s.control.Orders()) > 0 })
 			c := s.coordinator()
 			c.signal(syscall.SIGSTOP)
-			s.waitCoordinator(c.id)
-			eventually(s.t, "an order of the successor", func() bool {
+			s.awaitCoordinator(c.id)
+			eventually(s.t, "order of the successor", func() bool {
 				orders := s.control.Orders()
 				return orders[len(orders)-1].Holder != c.id
 			})
@@ -96,18 +100,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := startSite(t, options{entries: 3, engines: 2, autoscale: true, config: scalable, models: []string{"m0"}, event: 30 * time.Millisecond, load: 100 * time.Millisecond})
-			b := step("b1", "m0", 16, 8, 40)
-			s.accept(b)
-			c.cause(s)
+			s := startDeployment(t, options{entries: 3, engines: 2, autoscale: true, config: enableScaling, models: []string{"m0"}, eventInterval: 30 * time.Millisecond, weightLoadTime: 100 * time.Millisecond})
+			b := newStep("b1", "m0", 16, 8, 40)
+			s.submitUntilAccepted(b)
+			c.inject(s)
 			s.readAll(b)
-			eventually(t, "what is kept to be ordered", func() bool {
+			eventually(t, "agreement of received and stored orders", func() bool {
 				last := map[bool]int{}
 				for _, o := range s.control.Orders() {
 					last[o.Spot] = o.Count
 				}
-				kept := s.wantedEngines()
-				return len(kept) > 0 && (last[true] == kept[true] || c.name == "none reclaimable") && last[false] == kept[false]
+				stored := s.storedOrders()
+				return len(stored) > 0 && (last[true] == stored[true] || c.name == "no spot capacity") && last[false] == stored[false]
 			})
 			for _, fault := range s.control.Violations() {
 				t.Error(fault)
--- a/systemtest/runner_test.go
+++ b/systemtest/runner_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// weak are shares of a core with which no instance holds all streams itself.
-var weak = []float64{0.005, 0.005, 0.005, 0.005}
+// weakCores are CPU shares so low that no instance can hold all streams of a step itself.
+var weakCores = []float64{0.005, 0.005, 0.005, 0.005}
 
-// holders returns the other entries that have held streams, as the coordinator's log
-// shows it.
-func (s *site) holders() []*entry {
+// streamHosts returns the entry instances, other than the coordinator, that have held streams
+// according to the coordinator's log.
+func (s *deployment) streamHosts() []*entry {
 	c := s.coordinator()
 	raw, err := os.ReadFile(c.logPath)
 	if err != nil {
@@ -30,36 +30,37 @@
 	return out
 }
 
-// waitMembers waits until the coordinator knows every entry.
-func (s *site) waitMembers() {
+// awaitCoordinatorMembership waits until the coordinator lists all entry instances.
+func (s *deployment) awaitCoordinatorMembership() {
 	s.t.Helper()
-	eventually(s.t, "all entries in the coordinator's list", func() bool {
-		resp, err := http.Get("http://" + s.coordinator().names + "/currantford/resolve?name=" + host)
+	eventually(s.t, "complete membership at the coordinator", func() bool {
+		resp, err := http.Get("http://" + s.coordinator().directoryAddr + "/currantford/resolve?name=" + host)
 		if err != nil {
 			return false
 		}
 		defer resp.Body.Close()
-		var a struct {
+		var resolved struct {
 			Addrs []string `json:"addrs"`
 		}
-		return json.NewDecoder(resp.Body).Decode(&a) == nil && len(a.Addrs) == len(s.entries)
+		return json.NewDecoder(resp.Body).Decode(&resolved) == nil && len(resolved.Addrs) == len(s.entries)
 	})
 }
 
-// Symptom: a step is never whole, or a text has a gap, where weak instances divide
-// the streams of its runs.
-// Sequence: an instance that holds streams is killed in mid-step, another frozen for
-// longer than its coordinator waits.
-// Cause guarded against: runs that end with their holder, or go on at two engines.
-func TestStreamsSurviveTheInstancesThatHoldThem(t *testing.T) {
+// Guards against a step that never completes, or a text with a gap, where instances of low capacity
+// share the streams of its runs.
+//
+// During a step one instance that holds streams is killed, and another is frozen for longer than
+// the coordinator waits. The fault occurs if runs end with the instance that holds their streams,
+// or continue at two engines.
+func TestStreamsSurviveLossOfStreamHosts(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 4, event: 30 * time.Millisecond, cores: weak})
-	s.waitMembers()
-	b := step("b1", "m0", 8, 4, 60)
-	s.accept(b)
-	eventually(t, "runs elsewhere", func() bool { return len(s.runs()) >= 16 && len(s.holders()) > 0 })
+	s := startDeployment(t, options{entries: 4, engines: 4, eventInterval: 30 * time.Millisecond, cores: weakCores})
+	s.awaitCoordinatorMembership()
+	b := newStep("b1", "m0", 8, 4, 60)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs with streams at other entries", func() bool { return len(s.engineRuns()) >= 16 && len(s.streamHosts()) > 0 })
 	time.Sleep(500 * time.Millisecond)
-	hosts := s.holders()
+	hosts := s.streamHosts()
 	hosts[0].kill()
 	if len(hosts) > 1 {
 		hosts[1].signal(syscall.SIGSTOP)
@@ -68,16 +69,18 @@
 	s.readAll(b)
 }
 
-// Symptom: after a crash of the coordinator the texts whose streams others held begin
-// anew, or run twice.
-// Sequence: weak instances hold the streams; the coordinator is killed in mid-text.
-func TestDividedStreamsSurviveTheCoordinator(t *testing.T) {
+// Guards against texts whose streams are held by other instances and that start again, or run
+// twice, after a crash of the coordinator.
+//
+// Instances of low capacity hold the streams; the coordinator is killed while the texts are
+// generated.
+func TestHostedStreamsSurviveCoordinatorCrash(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, options{entries: 4, engines: 4, event: 20 * time.Millisecond, cores: weak})
-	s.waitMembers()
-	b := step("b1", "m0", 1, 4, 150)
-	s.accept(b)
-	eventually(t, "runs elsewhere", func() bool { return len(s.runs()) == 4 && len(s.holders()) > 0 })
+	s := startDeployment(t, options{entries: 4, engines: 4, eventInterval: 20 * time.Millisecond, cores: weakCores})
+	s.awaitCoordinatorMembership()
+	b := newStep("b1", "m0", 1, 4, 150)
+	s.submitUntilAccepted(b)
+	eventually(t, "runs with streams at other entries", func() bool { return len(s.engineRuns()) == 4 && len(s.streamHosts()) > 0 })
 	time.Sleep(1500 * time.Millisecond)
 	s.coordinator().kill()
 	s.readAll(b)
--- a/systemtest/soak_endless_test.go
+++ b/systemtest/soak_endless_test.go
@@ -11,66 +11,66 @@
 )
 
 const (
-	// endlessSeeds is the first seed in which targets answer without end.
-	endlessSeeds = 7000
-	// memoryMost is what the smallest instances have.
-	memoryMost = 134 << 20
+	// firstEndlessSeed is the first seed in which targets send answers without end.
+	firstEndlessSeed = 7000
+	// maxMemory is the memory that the smallest instances have.
+	maxMemory = 134 << 20
 )
 
-// answerWithoutEnd lets all targets of a kind answer so for a while. Answers that are whole
-// before the bytes without end are left out: they are no fault that a caller could see.
-func (s *soak) answerWithoutEnd() {
+// answerEndlessly lets all targets of a kind send answers without end for a while. Shapes that are
+// complete before the endless bytes are left out, since callers could not see them as a fault.
+func (s *soak) answerEndlessly() {
 	shapes := []standin.EndlessShape{
 		standin.EndlessStatus, standin.EndlessHeader, standin.EndlessHeaders, standin.EndlessInformational, standin.EndlessBody,
 		standin.EndlessChunks, standin.EndlessLine, standin.EndlessEvent, standin.EndlessComments, standin.EndlessUnnumbered,
 	}
-	targets := s.plains
-	if s.draw(2) == 0 {
+	targets := s.plainTargets
+	if s.intN(2) == 0 {
 		targets = s.engines
 	}
-	shape := shapes[s.draw(len(shapes))]
+	shape := shapes[s.intN(len(shapes))]
 	for _, e := range targets {
 		e.SetFaults(standin.EngineFaults{Endless: shape})
 	}
-	time.Sleep(s.span(500, 2000))
+	time.Sleep(s.duration(500, 2000))
 	for _, e := range targets {
 		e.SetFaults(standin.EngineFaults{})
 	}
-	s.noteMemory()
+	s.recordMemory()
 }
 
-// noteMemory looks at what the processes have taken at most.
-func (s *soak) noteMemory() {
+// recordMemory records the peak memory of the processes.
+func (s *soak) recordMemory() {
 	for _, e := range s.entries {
 		s.mu.Lock()
 		down := s.down[e]
 		s.mu.Unlock()
 		if down {
-			continue // it may be about to start
+			continue // the process may be about to start
 		}
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", e.cmd.Process.Pid))
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just ended
 		}
 		_, line, _ := strings.Cut(string(raw), "VmHWM:")
 		var kb int64
 		if _, err := fmt.Sscan(line, &kb); err != nil {
-			continue // it is ending
+			continue // the process is ending
 		}
 		s.mu.Lock()
-		s.mostMemory = max(s.mostMemory, kb<<10)
+		s.peakMemory = max(s.peakMemory, kb<<10)
 		s.mu.Unlock()
 	}
 }
 
-// checkMemory checks that no process took more than the smallest instances have.
+// checkMemory checks that no process took more memory than the smallest instances have.
 func (s *soak) checkMemory(t *testing.T) {
 	t.Helper()
-	if s.mostMemory == 0 {
-		return // no seed of endlessSeeds
+	if s.peakMemory == 0 {
+		return // no seed from firstEndlessSeed on
 	}
-	t.Logf("%d MB were taken by a process at most", s.mostMemory>>20)
-	if s.mostMemory > memoryMost {
-		t.Errorf("a process took %d bytes, over %d", s.mostMemory, memoryMost)
+	t.Logf("peak memory of a process: %d MB", s.peakMemory>>20)
+	if s.peakMemory > maxMemory {
+		t.Errorf("peak memory of a process is %d bytes, over the limit of %d", s.peakMemory, maxMemory)
 	}
 }
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -22,44 +22,47 @@
 	soakSeconds = flag.Int("soak.seconds", 10, "length of each seed")
 )
 
-// linkSeeds is the first seed that also cuts, slows and resets links; those
-// before play what they always did.
-const linkSeeds = 1000
+// firstLinkSeed is the first seed that also holds, slows and resets links. Lower seeds inject no
+// link faults, so that each keeps its sequence of faults.
+const firstLinkSeed = 1000
 
-// rewardSeeds is the first seed in which samples are scored.
-const rewardSeeds = 2000
+// firstRewardSeed is the first seed in which samples are scored.
+const firstRewardSeed = 2000
 
-// weakSeeds is the first seed on weak instances, which divide the streams of runs and
-// read pages of results apart.
-const weakSeeds = 3000
+// firstWeakSeed is the first seed with instances of low capacity, which share the streams of runs
+// and read result pages from the store.
+const firstWeakSeed = 3000
 
-// hubSeeds is the first seed of more entries, of which some pass the coordinator's news on.
-const hubSeeds = 5000
+// firstHubSeed is the first seed with more entries and with hubs, which relay the coordinator's
+// updates.
+const firstHubSeed = 5000
 
-// soak plays random faults on a small site while trainers and callers use it.
+// soak injects random faults into a small deployment while trainers and callers use it.
 type soak struct {
-	*site
+	*deployment
 	random *rand.Rand
 	mu     sync.Mutex
-	bids   map[string][]int // statuses of each bid's tries
-	// heldBids are the answers that say that a bid is held.
+	bids   map[string][]int // statuses of the attempts at each bid
+	// heldBids are the answers that report a bid as quarantined, by bid.
 	heldBids map[string]string
 	down     map[*entry]bool // killed, stopped or frozen by the soak
-	configMu sync.Mutex      // one change of the configuration at a time
-	// mostMemory is the most that a process was seen to take, in bytes.
-	mostMemory int64
+	configMu sync.Mutex      // serializes changes of the configuration
+	// peakMemory is the highest memory use seen in any process, in bytes.
+	peakMemory int64
 }
 
-// TestSoak runs the programs through random faults, injected from outside, and
-// checks while and after it runs: every sample whole and of allowed weights, no
-// position changed, bids at most once and never after a refusal, configurations that only
-// become newer, scores of good answers to calls made when the text was complete, orders of
-// two holders 3 s apart with rising numbers. Seeds that ever failed:
+// TestSoak injects random faults into the programs from outside, and checks while they run and
+// afterwards: every sample is complete and made with allowed weights; no result changes its
+// position; bids run at most once and never after a refusal; configurations only become newer;
+// scores come from successful answers to calls made after the text was complete; orders of two
+// lease holders are 3 s apart and have increasing numbers.
 //
-//	3, 36: an engine carried an order out 0.7 s late; the check took that time
-//	for the order's own (2.95 s to the next holder's; arrivals 3.68 s apart)
-//	6011: instances that had just started sent a held request on
-//	4112, 6039: sound requests held where nobody had served them yet
+// Some of the default seeds reproduce a fault:
+//
+//	3, 36: an engine executes an order 0.7 s late; a check by the times of execution
+//	finds 2.95 s to the next holder's order, although the arrivals are 3.68 s apart
+//	6011: instances that have just started send a quarantined request
+//	4112, 6039: harmless requests are quarantined where none has succeeded yet
 func TestSoak(t *testing.T) {
 	for _, seed := range parseSeeds(t, *soakSeeds) {
 		t.Run(fmt.Sprint("seed_", seed), func(t *testing.T) {
@@ -80,7 +83,7 @@
 		a, err1 := strconv.ParseUint(from, 10, 64)
 		b, err2 := strconv.ParseUint(to, 10, 64)
 		if err1 != nil || err2 != nil {
-			t.Fatalf("bad seeds %q", s)
+			t.Fatalf("malformed seeds %q, want a list such as 1,2,10-20", s)
 		}
 		for ; a <= b; a++ {
 			out = append(out, a)
@@ -91,22 +94,22 @@
 
 func runSoak(t *testing.T, seed uint64) {
 	models := []string{"m0", "m1"}
-	o := options{entries: 4, engines: 5, plains: 3, models: models, load: 150 * time.Millisecond, event: 8 * time.Millisecond, links: true}
-	if seed >= weakSeeds {
-		o.cores, o.linkMbps = weak, 1
+	o := options{entries: 4, engines: 5, plainTargets: 3, models: models, weightLoadTime: 150 * time.Millisecond, eventInterval: 8 * time.Millisecond, links: true}
+	if seed >= firstWeakSeed {
+		o.cores, o.linkMbps = weakCores, 1
 	}
-	if seed >= crashSeeds {
-		o.crashes = crashDown
+	if seed >= firstCrashSeed {
+		o.crashDowntime = crashDowntime
 	}
-	if seed >= hubSeeds {
-		o.entries, o.hubsFrom = 7, 4
+	if seed >= firstHubSeed {
+		o.entries, o.hubThreshold = 7, 4
 	}
-	if seed >= endlessSeeds {
-		o.memoryMB = memoryMost >> 20
+	if seed >= firstEndlessSeed {
+		o.memoryMB = maxMemory >> 20
 	}
 	s := &soak{
-		site:   startSite(t, o),
-		random: rand.New(rand.NewPCG(seed, 9)), bids: map[string][]int{}, heldBids: map[string]string{}, down: map[*entry]bool{},
+		deployment: startDeployment(t, o),
+		random:     rand.New(rand.NewPCG(seed, 9)), bids: map[string][]int{}, heldBids: map[string]string{}, down: map[*entry]bool{},
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(*soakSeconds)*time.Second)
 	defer cancel()
@@ -114,12 +117,12 @@
 	var trainers []*standin.Trainer
 	var addrs []string
 	for _, e := range s.entries {
-		addrs = append(addrs, e.callers)
+		addrs = append(addrs, e.callerAddr)
 	}
 	shape := standin.StepShape{
 		Groups: 6, GroupSize: 4, RequiredFraction: 0.9, MedianEvents: 15, LogStdDev: 0.8, MaxEvents: 80, Interval: 1500, TrainTime: 200, Timeout: 12000,
 	}
-	if seed >= rewardSeeds {
+	if seed >= firstRewardSeed {
 		shape.RewardFraction = 0.8
 	}
 	for i, m := range models {
@@ -129,57 +132,57 @@
 		trainers = append(trainers, tr)
 		wg.Go(func() { tr.Run(ctx, time.Now()) })
 	}
-	wg.Go(func() { s.bid(ctx, seed) })
-	if seed >= crashSeeds {
+	wg.Go(func() { s.sendBids(ctx, seed) })
+	if seed >= firstCrashSeed {
 		wg.Go(func() { s.sendCrashing(ctx) })
 	}
-	s.play(ctx, seed)
+	s.injectFaults(ctx, seed)
 	wg.Wait()
-	s.heal()
-	s.finish(t, trainers)
+	s.clearFaults()
+	s.checkRun(t, trainers)
 }
 
-// play injects one fault after the other; some overlap.
-func (s *soak) play(ctx context.Context, seed uint64) {
+// injectFaults injects one fault after another; some overlap.
+func (s *soak) injectFaults(ctx context.Context, seed uint64) {
 	faults := []func(){
-		s.killOne, s.freezeOne, s.stopOne, s.storeDown, s.storeBusy, s.storeLost, s.storeSlow, s.store.DropHistory, s.engineTrouble, s.lateOrders,
+		s.killOne, s.freezeOne, s.stopOne, s.storeDown, s.storeBusy, s.storeLost, s.storeSlow, s.store.DropHistory, s.targetFault, s.delayOrders,
 	}
-	if seed >= linkSeeds {
+	if seed >= firstLinkSeed {
 		faults = append(faults, s.targetLink, s.storeLink)
 	}
-	if seed >= crashSeeds {
-		faults = append(faults, s.endTarget)
+	if seed >= firstCrashSeed {
+		faults = append(faults, s.crashTarget)
 	}
-	if seed >= configSeeds {
-		faults = append(faults, s.changeConfig, s.changeConfig, s.lapseTargets)
+	if seed >= firstConfigSeed {
+		faults = append(faults, s.changeConfig, s.changeConfig, s.expireTargets)
 	}
-	if seed >= endlessSeeds {
-		faults = append(faults, s.answerWithoutEnd, s.answerWithoutEnd)
+	if seed >= firstEndlessSeed {
+		faults = append(faults, s.answerEndlessly, s.answerEndlessly)
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for ctx.Err() == nil {
-		wg.Go(faults[s.draw(len(faults))])
+		wg.Go(faults[s.intN(len(faults))])
 		select {
 		case <-ctx.Done():
-		case <-time.After(s.span(300, 1800)):
+		case <-time.After(s.duration(300, 1800)):
 		}
 	}
 }
 
-func (s *soak) draw(n int) int {
+func (s *soak) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-func (s *soak) span(low, high int) time.Duration {
-	return time.Duration(low+s.draw(high-low)) * time.Millisecond
+func (s *soak) duration(low, high int) time.Duration {
+	return time.Duration(low+s.intN(high-low)) * time.Millisecond
 }
 
-// take picks an entry to disturb, the coordinator half of the time; two at
-// least stay up.
-func (s *soak) take() *entry {
+// claimEntry picks an entry for a fault, the coordinator half of the time. At most two entries are
+// down at a time, so that at least two stay up.
+func (s *soak) claimEntry() *entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.down) >= 2 {
@@ -196,42 +199,42 @@
 	return e
 }
 
-func (s *soak) back(e *entry) {
+func (s *soak) releaseEntry(e *entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.down, e)
 }
 
 func (s *soak) killOne() {
-	if e := s.take(); e != nil {
+	if e := s.claimEntry(); e != nil {
 		e.kill()
-		time.Sleep(s.span(100, 3000))
+		time.Sleep(s.duration(100, 3000))
 		e.start()
-		s.back(e)
+		s.releaseEntry(e)
 	}
 }
 
 func (s *soak) freezeOne() {
-	if e := s.take(); e != nil {
+	if e := s.claimEntry(); e != nil {
 		e.signal(syscall.SIGSTOP)
-		time.Sleep(s.span(500, 4000))
+		time.Sleep(s.duration(500, 4000))
 		e.signal(syscall.SIGCONT)
-		s.back(e)
+		s.releaseEntry(e)
 	}
 }
 
 func (s *soak) stopOne() {
-	if e := s.take(); e != nil {
+	if e := s.claimEntry(); e != nil {
 		e.signal(syscall.SIGTERM)
 		<-e.done
 		e.start()
-		s.back(e)
+		s.releaseEntry(e)
 	}
 }
 
 func (s *soak) storeFault(f standin.StoreFaults, low, high int) {
 	s.store.SetFaults(f)
-	time.Sleep(s.span(low, high))
+	time.Sleep(s.duration(low, high))
 	s.store.SetFaults(standin.StoreFaults{})
 }
 
@@ -241,77 +244,77 @@
 	s.storeFault(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, 500, 3000)
 }
 func (s *soak) storeLost() {
-	s.storeFault(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: s.span(0, 1500)}, 500, 3000)
+	s.storeFault(standin.StoreFaults{DropResponseEvery: 2, DroppedWriteDelay: s.duration(0, 1500)}, 500, 3000)
 }
 
-func (s *soak) engineTrouble() {
-	targets := append(append([]*standin.Engine{}, s.engines...), s.plains...)
-	e := targets[s.draw(len(targets))]
-	troubles := []standin.EngineFaults{
+func (s *soak) targetFault() {
+	targets := append(append([]*standin.Engine{}, s.engines...), s.plainTargets...)
+	e := targets[s.intN(len(targets))]
+	faults := []standin.EngineFaults{
 		{AbortAfterEvents: 5}, {AtCapacity: true}, {Unresponsive: true}, {WrongRequestID: true}, {SlowFactor: 4}, {Status: http.StatusInternalServerError},
 	}
-	f := troubles[s.draw(len(troubles))]
+	f := faults[s.intN(len(faults))]
 	e.SetFaults(f)
-	time.Sleep(s.span(500, 3000))
+	time.Sleep(s.duration(500, 3000))
 	e.SetFaults(standin.EngineFaults{})
 }
 
-func (s *soak) lateOrders() {
-	late := s.span(500, 3000)
+func (s *soak) delayOrders() {
+	delay := s.duration(500, 3000)
 	for _, e := range s.engines[:2] {
-		e.SetFaults(standin.EngineFaults{OrderDelay: late})
+		e.SetFaults(standin.EngineFaults{OrderDelay: delay})
 	}
-	time.Sleep(s.span(500, 3000))
+	time.Sleep(s.duration(500, 3000))
 	for _, e := range s.engines[:2] {
 		e.SetFaults(standin.EngineFaults{})
 	}
 }
 
-// disturb makes a link slow, holds it one way or both, or resets it.
-func (s *soak) disturb(p *proxy) {
+// disturb slows a link, holds it in one or both directions, or resets it.
+func (s *soak) disturb(p *tcpProxy) {
 	faults := []linkFaults{
-		{HoldUp: true}, {HoldDown: true}, {HoldUp: true, HoldDown: true}, {Delay: s.span(20, 300)}, {},
+		{HoldUp: true}, {HoldDown: true}, {HoldUp: true, HoldDown: true}, {Delay: s.duration(20, 300)}, {},
 	}
-	p.set(faults[s.draw(len(faults))])
-	time.Sleep(s.span(300, 3500))
-	if s.draw(2) == 0 {
+	p.setFaults(faults[s.intN(len(faults))])
+	time.Sleep(s.duration(300, 3500))
+	if s.intN(2) == 0 {
 		p.reset()
 	}
-	p.set(linkFaults{})
+	p.setFaults(linkFaults{})
 }
 
 func (s *soak) targetLink() {
-	links := append(append([]*proxy{}, s.engineLinks...), s.plainLinks...)
-	s.disturb(links[s.draw(len(links))])
+	links := append(append([]*tcpProxy{}, s.engineLinks...), s.plainLinks...)
+	s.disturb(links[s.intN(len(links))])
 }
 
-func (s *soak) storeLink() { s.disturb(s.entries[s.draw(len(s.entries))].storeLink) }
+func (s *soak) storeLink() { s.disturb(s.entries[s.intN(len(s.entries))].storeLink) }
 
-func (s *soak) heal() {
-	for _, p := range append(append([]*proxy{}, s.engineLinks...), s.plainLinks...) {
-		p.set(linkFaults{})
+func (s *soak) clearFaults() {
+	for _, p := range append(append([]*tcpProxy{}, s.engineLinks...), s.plainLinks...) {
+		p.setFaults(linkFaults{})
 	}
 	for _, e := range s.entries {
-		e.storeLink.set(linkFaults{})
+		e.storeLink.setFaults(linkFaults{})
 	}
 	s.store.SetFaults(standin.StoreFaults{})
-	for _, e := range append(append([]*standin.Engine{}, s.engines...), s.plains...) {
+	for _, e := range append(append([]*standin.Engine{}, s.engines...), s.plainTargets...) {
 		e.SetFaults(standin.EngineFaults{})
 	}
 }
 
-// bid sends bids, each try with an id of its own.
-func (s *soak) bid(ctx context.Context, seed uint64) {
+// sendBids sends bids, each with an id of its own.
+func (s *soak) sendBids(ctx context.Context, seed uint64) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := 0; ctx.Err() == nil; n++ {
 		e := s.entries[n%len(s.entries)]
 		id := fmt.Sprintf("bid-%d-%d", seed, n)
 		wg.Go(func() {
-			status, answer := standin.Call(context.WithoutCancel(ctx), e.callers, http.MethodPost, host, "/bids/x", id, []byte("100"))
+			status, answer := standin.Call(context.WithoutCancel(ctx), e.callerAddr, http.MethodPost, host, "/bids/x", id, []byte("100"))
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if saysHeld(answer) {
+			if isHeld(answer) {
 				s.heldBids[id] = string(answer)
 			}
 			s.bids[id] = append(s.bids[id], status)
@@ -320,40 +323,40 @@
 	}
 }
 
-// finish checks what holds over the whole run.
-func (s *soak) finish(t *testing.T, trainers []*standin.Trainer) {
+// checkRun checks what must hold over the whole run.
+func (s *soak) checkRun(t *testing.T, trainers []*standin.Trainer) {
 	t.Helper()
-	steps, whole := 0, 0
+	steps, completed := 0, 0
 	for _, tr := range trainers {
 		for _, st := range tr.Steps() {
 			steps++
 			if st.Completed {
-				whole++
+				completed++
 			}
 			for _, f := range st.Faults {
 				t.Errorf("%s step %d: %s", st.Model, st.Step, f)
 			}
 		}
 	}
-	t.Logf("%d steps, %d whole, %d bids", steps, whole, len(s.bids))
+	t.Logf("%d steps, %d completed, %d bids", steps, completed, len(s.bids))
 	for id, statuses := range s.bids {
-		n := ran(s.plains, id)
+		n := countRuns(s.plainTargets, id)
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 		if n > 0 && statuses[0] == http.StatusServiceUnavailable {
-			t.Errorf("%s was refused as not run, and ran", id)
+			t.Errorf("%s was refused as not run, but ran", id)
 		}
 	}
-	checkOrders(t, s.site)
+	checkWeightOrders(t, s.deployment)
 	s.checkCrashes(t)
 	s.checkConfigs(t)
 	s.checkAccepted(t)
 	s.checkMemory(t)
 }
 
-// checkAccepted reads every batch in the store at an entry that is up: none may
-// be lost, and none may hold an item twice.
+// checkAccepted reads every batch in the store at an entry that is up: no batch may be lost, and
+// none may list an item twice.
 func (s *soak) checkAccepted(t *testing.T) {
 	t.Helper()
 	for _, id := range s.store.Names("currantford-batches") {
@@ -374,16 +377,16 @@
 				items[it.ID] = item{ID: it.ID, Headers: it.Headers, Reward: standin.NewRewardCall(it.ID)}
 			}
 		}
-		eventually(t, "a read of "+id, func() bool {
+		eventually(t, "complete read of "+id, func() bool {
 			for _, e := range s.entries {
-				p, r, err := e.read(id, 0, 0)
+				p, r, err := e.readResults(id, 0, 0)
 				if err != nil || r.status != http.StatusOK {
 					continue
 				}
 				seen := map[string]bool{}
 				for _, res := range p.Results {
 					if seen[res.ID] {
-						t.Errorf("%s: item %s stands twice", id, res.ID)
+						t.Errorf("%s: item %s is listed twice", id, res.ID)
 					}
 					seen[res.ID] = true
 					if res.State == "done" {
