--- a/core/cfadmission/admission.go
+++ b/core/cfadmission/admission.go
@@ -150,7 +150,8 @@
 	// networkTime is the part of an answer's time that is spent outside the target, both ways.
 	networkTime cf.Millis = 15
 	// refusalDivisor divides the objective: callers are to learn of a refusal within that part of
-	// it, less targetRefusalTime, the time that a refusal by a target takes after the wait.
+	// it. targetRefusalTime is subtracted from it: the time that a refusal by a target takes after
+	// the wait.
 	refusalDivisor              = 4
 	targetRefusalTime cf.Millis = 9
 	// maxQueued bounds the queue. With refusals within 37 ms the bound is reached only from about
@@ -166,10 +167,11 @@
 	// throttledSpan is for how long a delayed or refused request counts as a sign that this
 	// instance's demand exceeds its rate.
 	throttledSpan cf.Millis = 500
-	// A request that will be late is sent only if, for lateObjectives times the objective, no
-	// request that could be in time was delayed or refused here, and the bucket holds
-	// lateExtraLevel more tokens than requests over their share need. At twice the capacity an
-	// instance throttles a dozen requests a second.
+	// Unless a target has just reported a free slot, a request that will be late is sent only if,
+	// for lateObjectives times the objective, no target has reported its load and no request that
+	// could be in time was delayed or refused here, and if the bucket holds lateExtraLevel more
+	// tokens than requests over their share need. At twice the capacity an instance throttles a
+	// dozen requests a second.
 	lateObjectives = 2
 	lateExtraLevel = 0.9
 	// freeSlotMaxAge is the age up to which a load report that shows a free slot admits late
@@ -187,7 +189,8 @@
 	choiceTolerance = 1.0
 	// objectiveMaxAge is for how long the shortest objective among a service's requests counts.
 	objectiveMaxAge cf.Millis = 5000
-	// forgetTargetAfter is when the limit of a target that is no longer listed is dropped.
+	// forgetTargetAfter is how long after the last send the limit of a target that is no longer
+	// listed is dropped.
 	forgetTargetAfter cf.Millis = 60000
 )
 
--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -30,7 +30,7 @@
 
 func sum(ts []counts) (all counts) {
 	for _, t := range ts {
-		all.asked += t.asked
+		all.requests += t.requests
 		all.inTime += t.inTime
 		all.late += t.late
 		all.failed += t.failed
@@ -62,8 +62,8 @@
 		if off.inTime > 3700 {
 			t.Errorf("seed %d: %d answered in time without admission control: the scenario is no overload", seed, off.inTime)
 		}
-		if b, a := before.answerTimes/float64(before.inTime), after.answerTimes/float64(after.inTime); after.inTime*20 < after.asked*19 || a > b*1.25 {
-			t.Errorf("seed %d: %d of %d in time after the flood, mean %.1f ms; before the flood %.1f ms", seed, after.inTime, after.asked, a, b)
+		if b, a := before.answerTimes/float64(before.inTime), after.answerTimes/float64(after.inTime); after.inTime*20 < after.requests*19 || a > b*1.25 {
+			t.Errorf("seed %d: %d of %d in time after the flood, mean %.1f ms; before the flood %.1f ms", seed, after.inTime, after.requests, a, b)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 			of = append(of, r.byOrg[org])
 		}
 		x := sum(of)
-		inTime[rank] = float64(x.inTime) / float64(x.asked)
+		inTime[rank] = float64(x.inTime) / float64(x.requests)
 	}
 	t.Logf("fraction in time by priority %.2f", inTime)
 	if inTime[0] < 0.7 || inTime[1] < inTime[2]*1.3 {
@@ -121,7 +121,7 @@
 	}}, {20000, scaled(36)}}}
 	others := func(sim *simulation) float64 {
 		o := sum(sim.byOrg[1:])
-		return float64(o.inTime) / float64(o.asked)
+		return float64(o.inTime) / float64(o.requests)
 	}
 	on := others(simulate(sc))
 	sc.disabled = true
@@ -157,8 +157,8 @@
 	on := sum(simulate(sc).byPhase)
 	sc.disabled = true
 	off := sum(simulate(sc).byPhase)
-	if a, b := on.answerTimes/float64(on.inTime), off.answerTimes/float64(off.inTime); a > b*1.03 || on.inTime*1000 < on.asked*997 {
-		t.Errorf("%d of %d in time, mean %.1f ms; %.1f ms without admission control", on.inTime, on.asked, a, b)
+	if a, b := on.answerTimes/float64(on.inTime), off.answerTimes/float64(off.inTime); a > b*1.03 || on.inTime*1000 < on.requests*997 {
+		t.Errorf("%d of %d in time, mean %.1f ms; %.1f ms without admission control", on.inTime, on.requests, a, b)
 	}
 }
 
--- a/core/cfadmission/budget.go
+++ b/core/cfadmission/budget.go
@@ -2,8 +2,8 @@
 
 import cf "currantford"
 
-// retryBudget limits the sends of an instance to a service beyond first sends, retries and hedges,
-// to a fraction of the first sends.
+// retryBudget limits an instance's repeated sends to a service, that is, its retries and hedges, to
+// a fraction of its first sends.
 type retryBudget struct{ balance float64 }
 
 const (
@@ -46,8 +46,9 @@
 	return c.MayRetry(service, false, now)
 }
 
-// MayRetry reports the same for a retry. mandatory is true if the request can't be refused. The
-// budget is spent by Sent.
+// MayRetry reports whether the retry budget of a service allows a retry. While the service is not
+// full, every retry is allowed. mandatory is true if the request can't be refused. The budget is
+// spent by Sent.
 func (c *Controller) MayRetry(service cf.ServiceName, mandatory bool, now cf.Millis) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/cfadmission/limit.go
+++ b/core/cfadmission/limit.go
@@ -23,8 +23,8 @@
 
 	// serviceTimes are the smoothed time that a service's answers take without queueing and its
 	// mean deviation, both in ms, with the number of samples. They cover all targets of the
-	// service, since an instance receives only a few answers a minute from each; a slower target
-	// shows it by its queue.
+	// service, since an instance receives only a few answers a minute from each; a slower target is
+	// recognised by its longer queue.
 	serviceTimes struct {
 		serviceTime, deviation float64
 		samples                int
@@ -318,8 +318,8 @@
 	weight := max(smoothing, 1/float64(l.samples+initialSamples))
 	switch {
 	case r.Load != nil && r.Load.Waiting > 0:
-		// Queueing is subtracted by the headers, which report it as of the end of the request:
-		// while a queue grows, too much is subtracted.
+		// The queueing time is removed according to the load headers, which report the queue as of
+		// the end of a request: while a queue grows, too much is removed.
 		took /= 1 + min(l.waiting, before)/float64(l.slots)
 		weight = min(weight, smoothing/2)
 	case r.Load == nil && l.active(now):
@@ -327,7 +327,7 @@
 	}
 	l.slowdown += slowdownSmoothing * (min(took/max(l.serviceTime, 1), maxSlowdown) - l.slowdown)
 	if l.effectiveSlowdown() > 1 {
-		weight = min(weight, smoothing/5) // the slowdown may be lasting, or affect the whole service
+		weight = min(weight, smoothing/5) // not ignored: the slowdown may last, or affect the whole service
 	}
 	l.samples++
 	l.deviation += weight * (math.Abs(took-l.serviceTime) - l.deviation)
--- a/core/cfadmission/queue.go
+++ b/core/cfadmission/queue.go
@@ -14,10 +14,10 @@
 	return float64(t.request.Arrived + t.request.Objective - t.request.Spent - networkTime - now)
 }
 
-// lateSendLevel returns the level from which on a request that will be late is sent. It displaces
-// no other request if a target has a free slot by its last load report. If no target has reported,
-// and no request that could be in time was throttled here for a while, a late request is sent to
-// find out.
+// lateSendLevel returns the level from which on a request that will be late is sent. Such a request
+// displaces no other one if a target has a free slot by its last load report. If, for a while, no
+// target has reported and no request that could be in time was throttled here, a late request is
+// sent to find out whether there is capacity.
 func (s *service) lateSendLevel(now cf.Millis) float64 {
 	reported := cf.Millis(0)
 	for _, l := range s.targetLimits {
--- a/core/cfadmission/shares.go
+++ b/core/cfadmission/shares.go
@@ -20,8 +20,8 @@
 		// demand and served are recent rates per ms, as of updatedAt.
 		demand, served float64
 		updatedAt      cf.Millis
-		// capped is true if the class requests more than its share, which is the rate allowed, per
-		// ms. credit is the unused part of that share in requests, as of creditAt.
+		// capped is true if the class requests more than its share. allowed is that share as a rate
+		// per ms, and credit its unused part in requests, as of creditAt.
 		capped   bool
 		rank     int // position of its priority among those present
 		allowed  float64
@@ -56,14 +56,14 @@
 )
 
 const (
-	// rateSpan is the time constant of the rates, in ms: one of 51 instances receives a request of
-	// one of 73 organisations every few seconds.
+	// rateSpan is the time constant of the rates, in ms: with 51 instances and 73 organisations, an
+	// instance receives a request of a given organisation only every few seconds.
 	rateSpan = 2000.0
 	// divideInterval is the interval at which shares are recalculated.
 	divideInterval cf.Millis = 200
 	// maxCredit bounds the credit of a class, in requests.
 	maxCredit = 1.5
-	// forgetClassAfter is when a class without requests is dropped.
+	// forgetClassAfter is how long after the last update of its rates a class is dropped.
 	forgetClassAfter cf.Millis = 10000
 )
 
@@ -126,8 +126,8 @@
 	return overShare
 }
 
-// divide recalculates the shares of the rate per ms that the instance may send, once per
-// divideInterval.
+// divide recalculates the shares once per divideInterval. capacity is the rate per ms at which the
+// instance may send.
 func (s *shares) divide(capacity float64, now cf.Millis) {
 	if s.dividedAt > 0 && now-s.dividedAt < divideInterval {
 		return
--- a/core/cfadmission/simulation_test.go
+++ b/core/cfadmission/simulation_test.go
@@ -59,9 +59,9 @@
 
 	// counts are the results of requests.
 	counts struct {
-		asked, inTime, late, failed int
-		slowestRefusal              float64 // ms until the caller was refused
-		answerTimes                 float64 // sum over the answers in time
+		requests, inTime, late, failed int
+		slowestRefusal                 float64 // ms until the caller was refused
+		answerTimes                    float64 // sum over the answers in time
 	}
 
 	target struct {
@@ -87,7 +87,7 @@
 		listed    []cf.Target
 		instances []*instance
 		byOrg     []counts
-		// byPhase is counted by the phase in which the caller first asked.
+		// byPhase holds the counts by the phase in which the caller first sent its request.
 		byPhase []counts
 	}
 
@@ -96,7 +96,7 @@
 		sim         *simulation
 		entry       *instance
 		org, phase  int
-		firstAsked  float64 // when the caller first asked
+		firstSentAt float64 // when the caller first sent the request
 		received    cf.Millis
 		resubmitted bool
 		attempts    *cfbalance.Attempts
@@ -182,13 +182,13 @@
 }
 
 func (sim *simulation) arrive(org, phase int) {
-	sim.byOrg[org].asked++
-	sim.byPhase[phase].asked++
+	sim.byOrg[org].requests++
+	sim.byPhase[phase].requests++
 	sim.call(org, phase, sim.now, false)
 }
 
 // call sends a caller's request to a random instance.
-func (sim *simulation) call(org, phase int, firstAsked float64, resubmitted bool) {
+func (sim *simulation) call(org, phase int, firstSentAt float64, resubmitted bool) {
 	n := sim.scenario.instances
 	if sim.usedInstances > 0 {
 		n = sim.usedInstances
@@ -197,9 +197,9 @@
 	at := sim.random.IntN(n + n/3)
 	in := sim.instances[at%n]
 	sim.scheduleAfter(callerDelay, func() {
-		left := sim.deadline - cf.Millis(sim.now-callerDelay-firstAsked)
+		left := sim.deadline - cf.Millis(sim.now-callerDelay-firstSentAt)
 		route := cfsite.Route{Kind: cfsite.KindIdempotent, MaxAttempts: 3, SLO: objective}
-		c := &call{sim: sim, entry: in, org: org, phase: phase, firstAsked: firstAsked, resubmitted: resubmitted, received: sim.clock(),
+		c := &call{sim: sim, entry: in, org: org, phase: phase, firstSentAt: firstSentAt, resubmitted: resubmitted, received: sim.clock(),
 			attempts: cfbalance.NewAttempts(route, sim.clock()+left), tried: map[cf.InstanceID]bool{}, notRun: map[cf.InstanceID]bool{}}
 		c.findTarget(false)
 	})
@@ -358,7 +358,7 @@
 	case c.done:
 	case good:
 		c.done = true
-		spent := c.sim.now + callerDelay - c.firstAsked
+		spent := c.sim.now + callerDelay - c.firstSentAt
 		c.count(func(t *counts) {
 			switch {
 			case spent <= float64(objective):
@@ -395,5 +395,5 @@
 		tp = cfbalance.Throughput{PerMs: perMs, ServiceTime: w}
 	}
 	after := float64(c.entry.retries.RetryAfter("s", tp, len(sim.instances), c.attempts.Remaining(now), now))
-	sim.scheduleAfter(callerDelay+min(after, float64(c.attempts.Remaining(now))/3), func() { sim.call(c.org, c.phase, c.firstAsked, true) })
+	sim.scheduleAfter(callerDelay+min(after, float64(c.attempts.Remaining(now))/3), func() { sim.call(c.org, c.phase, c.firstSentAt, true) })
 }
--- a/core/cfbalance/balance_test.go
+++ b/core/cfbalance/balance_test.go
@@ -151,8 +151,8 @@
 }
 
 // One of hundreds of instances sends a request every two seconds to hundreds of targets, which keep
-// connections for eight seconds. It must stay with a few targets as fast as the others, and leave
-// one that turns slow.
+// connections for eight seconds. It must stay with a few targets that are as fast as the others,
+// and leave one that turns slow.
 func TestFewTargetsOfManyAreUsed(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
 	all := make([]cf.Target, 558)
--- a/core/cfbalance/pace_test.go
+++ b/core/cfbalance/pace_test.go
@@ -84,7 +84,7 @@
 			t.Errorf("%.0f requests per second: answers take %.1f ms, %.1f without the pace", perSecond, with, without)
 		}
 		// At lower rates an instance receives an answer from each target only about once a second,
-		// while the speed of a machine lasts for 600 ms.
+		// while the speed of a machine stays the same for 600 ms.
 		if perSecond >= 300 && slowWith > 0.9*slowWithout {
 			t.Errorf("%.0f requests per second: a fraction of %.3f begins at slow targets, %.3f without the pace", perSecond, slowWith, slowWithout)
 		}
--- a/core/cfbalance/retryscheduler.go
+++ b/core/cfbalance/retryscheduler.go
@@ -13,8 +13,8 @@
 	// maxRetryAfter bounds the time where slots become free slowly; the load of a service in three
 	// seconds is not predictable.
 	maxRetryAfter cf.Millis = 3000
-	// timeLeftDivisor divides the time that a caller has left: callers wait as told only if that is
-	// at most this part of it.
+	// timeLeftDivisor divides the time that a caller has left: a caller waits as told only if the
+	// wait is at most that part of it.
 	timeLeftDivisor = 3
 	// firstFreeFraction is the fraction of the service time after which the first slot of a full
 	// service becomes free: on average its requests are half done.
@@ -57,7 +57,8 @@
 	r.next[service] = at + float64(max(instances, 1))/t.PerMs
 	after := cf.Millis(at) - now
 	if most := min(maxRetryAfter, left/timeLeftDivisor); after > most {
-		// The caller comes back at that time in any case, so the slot is assigned to the next one.
+		// The caller does not wait until this slot is free, so the slot is assigned to the next
+		// caller.
 		r.next[service] = at
 		after = most
 	}
--- a/core/cfbatch/startgate.go
+++ b/core/cfbatch/startgate.go
@@ -8,8 +8,8 @@
 // It covers several responses of a slow store, and is a small part of the time that a step has.
 const startTimeout cf.Millis = 1000
 
-// StartGate decides when a batch may start whose items are also in earlier batches, its
-// predecessors, that are not known to have ended. A submitter requests the same items again only
+// StartGate decides when a batch may start that shares items with earlier batches, its
+// predecessors, which are not known to have ended. A submitter requests the same items again only
 // after it has ended the predecessors, but the coordinator may learn of that end later than of the
 // new batch. When a predecessor ends, the texts generated for it are passed on to the new batch. A
 // batch that started earlier would generate them again, while the predecessor's items are still
@@ -49,7 +49,7 @@
 }
 
 // MarkOpen records the store's answer that a predecessor has not ended. The submitter then wants
-// both batches at the same time, and the new one does not wait for it.
+// both batches at the same time, and the new one does not wait for the predecessor.
 func (s *StartGate) MarkOpen(id cf.BatchID) { s.notEnded[id] = true }
 
 // SharesItems reports whether b and other have an item in common.
--- a/core/cfhold/cfhold.go
+++ b/core/cfhold/cfhold.go
@@ -214,10 +214,10 @@
 // Held returns the number of reserved bytes.
 func (l *Ledger) Held() int64 { return l.total }
 
-// Refuses reports whether the next request of a caller is to be refused: its unread answers exceed
-// its part, little memory is left, and answers of half its part are waiting already. Waiting
-// answers cause the slowest to be cut off; a further request would run without getting memory for
-// its answer.
+// Refuses reports whether the next request of a caller is to be refused: its unread answers take at
+// least PerCaller, little memory is left, and answers of the caller that need at least half of
+// PerCaller in total are waiting already. Waiting answers cause the slowest to be cut off; a
+// further request would run without getting memory for its answer.
 func (l *Ledger) Refuses(c Caller) bool {
 	if !l.bounded() || l.callers[c] < l.bounds.PerCaller || l.total < l.bounds.Total-l.bounds.Spare-l.bounds.PerCaller {
 		return false
@@ -283,7 +283,7 @@
 
 // Release releases n bytes of a reservation, first those taken by TakeUnbounded.
 func (l *Ledger) Release(r *Reservation, n int64) {
-	n = min(n, r.bytes) // the first uncountedBytes may not be counted
+	n = min(n, r.bytes) // the first bytes, up to uncountedBytes, may have been granted without being counted
 	unbounded := min(n, r.unbounded)
 	r.unbounded -= unbounded
 	l.unbounded -= unbounded
--- a/core/cfquarantine/deferred_test.go
+++ b/core/cfquarantine/deferred_test.go
@@ -177,7 +177,8 @@
 	}
 }
 
-// Guards against items that wait for an engine without any other item that has lost two engines.
+// Guards against an item that keeps waiting for a target which runs no other item that has lost two
+// targets.
 func TestDeferredWorkDoesNotWaitForOtherSuspects(t *testing.T) {
 	table := New("e")
 	a, b := keyOf("a", "x"), keyOf("a", "y")
--- a/core/cfquarantine/evidence.go
+++ b/core/cfquarantine/evidence.go
@@ -106,8 +106,9 @@
 	return n >= maxCrashes
 }
 
-// Lost ends a send to which the target gave no answer. aliveAfterSend reports that the target
-// showed activity after the request was sent to it. The target must then be checked.
+// Lost ends a send to which the target gave no answer. aliveAfterSend is true if the target showed
+// activity after the request was sent to it. The target must then be checked, and the result passed
+// to Checked.
 func (t *Table) Lost(k Key, target Incarnation, aliveAfterSend bool, now cf.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,8 +188,8 @@
 		case st.state != lossUnchecked:
 			return false
 		case loss == LossUnreachable && !st.aliveAfterSend:
-			// The request was sent on an open connection, so its machine may have been lost before
-			// that.
+			// The request was sent on an open connection, so the target's machine may have been
+			// lost before that.
 			st.state = lossInconclusive
 		case loss != "":
 			st.state, st.Loss = lossConfirmed, loss
--- a/core/cfquarantine/schedules_test.go
+++ b/core/cfquarantine/schedules_test.go
@@ -10,7 +10,8 @@
 
 const (
 	// maxAttempts is the number of targets that one attempt of a caller may be sent to. hedgeDelay
-	// is when a second target is asked in parallel with the first, in ms.
+	// is the time after which the request is sent to a second target while the first is still
+	// working on it, in ms.
 	maxAttempts = 2
 	hedgeDelay  = 82
 	rounds      = 4
--- a/core/cfquarantine/served.go
+++ b/core/cfquarantine/served.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// servedCacheSize bounds the number of requests that are remembered as served, in 64 KB: a
-	// popular request is among the last 4,096 of its instance.
+	// servedCacheSize bounds the number of requests that are remembered as served, which take 64
+	// KB: a popular request is among the last 4,096 of its instance.
 	servedCacheSize = 4096
 	// servedCacheTTL is how long a completion is remembered: as long as the strikes against a
 	// suspect.
--- a/core/cfquarantine/sweep.go
+++ b/core/cfquarantine/sweep.go
@@ -15,7 +15,7 @@
 }
 
 // Sweep drops expired strikes and suspects. It voids the strikes at targets that are alive, and
-// those that a held request accounts for. current reports that the instance list is up to date, so
+// those that a held request accounts for. current is true if the instance list is up to date, so
 // that it would show restarted targets. Sweep returns the strikes that other instances must
 // receive.
 func (t *Table) Sweep(current bool, now cf.Millis) []Strike {
--- a/core/cfquarantine/table.go
+++ b/core/cfquarantine/table.go
@@ -68,11 +68,11 @@
 	maxHold     cf.Millis = 24 * 60 * 60 * 1000
 	// suspectTTL is how long strikes are kept that do not hold a request.
 	suspectTTL cf.Millis = 10 * 60 * 1000
-	// crashWindow is the period in which crashes count as one for a request that has completed here
-	// before: a failure domain is lost at once, with everything that runs in it.
+	// crashWindow is the period in which crashes count as one for a request that was served before:
+	// a failure domain is lost at once, with everything that runs in it.
 	crashWindow cf.Millis = 1000
 	// replacementWindow is how soon after a loss its target must be listed as gone for the loss to
-	// count as a crash: an entry lapses after three missed heartbeats.
+	// count as a crash: a target's entry in the instance list lapses after three missed heartbeats.
 	replacementWindow cf.Millis = 10000
 	// restartDetection is how long after the first answer that follows a loss the target is taken
 	// to be the same incarnation: a restarted target is listed as such within one or two
@@ -262,8 +262,8 @@
 
 // meetsSuspect reports whether a send to target would place a suspect that is one crash from being
 // held beside another such suspect. Two requests that have lost the same targets can't be told
-// apart by a third target that they lose together: the items of a step that fill every engine
-// beside the item that crashes the engines would be held with it. t.mu is held.
+// apart by a third target that they lose together: the items of a step that fill every target
+// beside the item that crashes the targets would be held with it. t.mu is held.
 func (t *Table) meetsSuspect(k Key, target Incarnation) bool {
 	if !t.oneCrashFromHold(k.Content) {
 		return false
@@ -301,7 +301,8 @@
 }
 
 // countCrashes counts the crashes under a caller's requests and returns the time of the last one.
-// It counts confirmed losses, and those not yet checked as well unless confirmedOnly is set.
+// If the requests of at least two callers have crashed targets, it counts the crashes under all of
+// them. It counts confirmed losses, and those not yet checked as well unless confirmedOnly is set.
 // Crashes within one crashWindow count as one if the request was served before.
 func (s *suspect) countCrashes(c CallerDigest, served, confirmedOnly bool) (n int, last cf.Millis) {
 	severalCallers := s.countCallers() > 1
--- a/core/cfquarantine/table_test.go
+++ b/core/cfquarantine/table_test.go
@@ -224,9 +224,9 @@
 	})
 }
 
-// Guards against holding all items of a step while the one item that crashes its engines continues.
-// Many items of equal content fill each engine beside that item, and three engines crash before any
-// item completes. Both contents have then lost the same engines, and the one that is held first
+// Guards against holding all items of a step while the one item that crashes its targets continues.
+// Many items of equal content fill each target beside that item, and three targets crash before any
+// item completes. Both contents have then lost the same targets, and the one that is held first
 // would account for the losses of the other.
 func TestSuspectsWithSameLossesAreSeparated(t *testing.T) {
 	table := New("e")
@@ -398,8 +398,7 @@
 	}
 }
 
-// Guards against a request that other instances hold and that an instance sends which has just
-// started.
+// Guards against an instance that has just started and sends a request that other instances hold.
 func TestUnsyncedInstanceSendsNothing(t *testing.T) {
 	a, b := New("a"), NewUnsynced("b")
 	held, healthy := keyOf("x", "1"), keyOf("y", "1")
--- a/core/cfreward/reward.go
+++ b/core/cfreward/reward.go
@@ -39,7 +39,8 @@
 		// DisableHedging sends no call to a second target while the first may still answer.
 		DisableHedging bool
 		// InitialBackoff is the pause of a target after it rejected a call, and of a call after it
-		// received no answer. Each further one in a row doubles it, up to MaxBackoff.
+		// received no answer. Each further rejection or missing answer in a row doubles it, up to
+		// MaxBackoff.
 		InitialBackoff cf.Millis
 		MaxBackoff     cf.Millis
 		// MaxErrors is the number of failures in a row after which a target is considered faulty. A
