--- a/core/cfaccess/cfaccess.go
+++ b/core/cfaccess/cfaccess.go
@@ -4,8 +4,8 @@
 //
 // It is built for these conditions: keys that are revoked while callers keep using them on open
 // connections; two configurations within a second; instances that are cut off and can't tell
-// whether their configuration is still in force; and ten thousand organisations, with changes that
-// concern one each.
+// whether their configuration is still in force; and ten thousand organisations, where each change
+// of the configuration concerns one of them.
 //
 // Usage:
 //
@@ -23,28 +23,29 @@
 
 	// Use holds the access settings of the route of a request.
 	Use struct {
-		// Public: the route requires no key.
+		// Public says that the route requires no key.
 		Public bool
-		// Priority is the priority of the route, 0 first.
+		// Priority is the priority of the route; 0 is the highest.
 		Priority int
 	}
 
 	// ConfigFreshness tells how far an instance can rely on its configuration.
 	ConfigFreshness struct {
-		// Current: the configuration was known to be the newest a moment ago.
+		// Current says that the configuration was known to be the newest a moment ago.
 		Current bool
-		// KeysTrusted: keys in the configuration are accepted.
+		// KeysTrusted says that keys in the configuration are accepted.
 		KeysTrusted bool
 	}
 )
 
 // Verdicts of Authenticate.
 const (
-	// Accepted: the key belongs to an organisation, or the request needs none.
+	// Accepted means that the key belongs to an organisation, or that the request needs none.
 	Accepted Verdict = iota
-	// Rejected: the request has no key, or one that is not in force.
+	// Rejected means that the request has no key, or one that is not in force.
 	Rejected
-	// Undetermined: this instance can't tell whether the key is in force; another instance may.
+	// Undetermined means that this instance can't tell whether the key is in force; another
+	// instance may be able to.
 	Undetermined
 )
 
--- a/core/cfaccess/cfaccess_test.go
+++ b/core/cfaccess/cfaccess_test.go
@@ -30,8 +30,8 @@
 	return d
 }
 
-// Checks the result for the keys that a request carries, the settings of its route, and the
-// freshness of the instance's configuration.
+// TestAuthenticate checks the result for the keys that a request carries, the settings of its
+// route, and the freshness of the instance's configuration.
 func TestAuthenticate(t *testing.T) {
 	d := directory(t, org("a", "a1", "a2"), org("b", "b1"), org("none"))
 	for _, c := range []struct {
@@ -99,10 +99,10 @@
 	}
 }
 
-// Guards against a request that is attributed to an organisation which does not own its key, or
-// that is refused with a key in force. In a series of configurations keys move, go and come back,
-// names change, and the order changes; the fault would be in the parts that a directory shares with
-// the previous one.
+// TestSuccessiveDirectories guards against a request that is attributed to an organisation which
+// does not own its key, or that is refused with a key in force. In a series of configurations keys
+// move, go and come back, names change, and the order changes; the fault would be in the parts that
+// a directory shares with the previous one.
 func TestSuccessiveDirectories(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -162,7 +162,8 @@
 	}
 }
 
-// Invalid configurations are rejected as a whole, and the error contains no key.
+// TestInvalidDirectoriesAreRejected checks that invalid configurations are rejected as a whole, and
+// that the error contains no key.
 func TestInvalidDirectoriesAreRejected(t *testing.T) {
 	valid := []Organisation{org("a", "secret-a"), org("b", "secret-b")}
 	d := directory(t, valid...)
--- a/core/cfaccess/urgency.go
+++ b/core/cfaccess/urgency.go
@@ -17,14 +17,14 @@
 	classCount
 )
 
-// priorityLevels is the number of priorities that are distinguished at a target. With the classes
-// of each they fit the ten urgency values that targets accept.
+// priorityLevels is the number of priorities that are distinguished at a target. The urgencies of
+// all their classes fit the ten values that targets accept.
 const priorityLevels = 3
 
-// Urgency returns the urgency of a request at a target, from 0 to 9 with 0 first: by its priority,
-// and by its class among requests of the same priority. If the access is not ranked, interactive
-// requests get the urgency that targets assume for requests without one, which is 5, and items
-// follow them.
+// Urgency returns the urgency of a request at a target, from 0, the most urgent, to 9. It depends
+// on the priority, and on the class among requests of the same priority. If the access is not
+// ranked, interactive requests get the urgency that targets assume for requests without one, which
+// is 5, and items follow them.
 func Urgency(a cf.Access, c Class) int {
 	if !a.Ranked {
 		return defaultUrgency + int(c)
--- a/core/cflease/explore_test.go
+++ b/core/cflease/explore_test.go
@@ -47,8 +47,8 @@
 func explore(timing cflease.Timing, ticks int) (states int, broken *[2]order) {
 	ids := []cf.EntryID{"a", "b"}
 	seen := map[modelState]int{}
-	var play func(w modelState, left int)
-	play = func(w modelState, left int) {
+	var visit func(w modelState, left int)
+	visit = func(w modelState, left int) {
 		if broken != nil || left == 0 {
 			return
 		}
@@ -66,13 +66,13 @@
 					broken = o
 					return
 				}
-				if play(next, left-1); broken != nil {
+				if visit(next, left-1); broken != nil {
 					return
 				}
 			}
 		}
 	}
-	play(modelState{leases: [2]cflease.Lease{*cflease.New("a", timing), *cflease.New("b", timing)}}, ticks)
+	visit(modelState{leases: [2]cflease.Lease{*cflease.New("a", timing), *cflease.New("b", timing)}}, ticks)
 	return len(seen), broken
 }
 
--- a/core/cflease/lease.go
+++ b/core/cflease/lease.go
@@ -86,8 +86,8 @@
 )
 
 // DefaultTiming suits a store that answers in milliseconds, and targets that must not receive
-// orders of two holders within 3 s. A holder can miss one renewal; another instance takes over 2.2
-// s after the last successful one.
+// orders of two holders within 3 s. A holder can miss one renewal, since another instance takes
+// over no earlier than 2.2 s after the last successful one.
 var DefaultTiming = Timing{RenewInterval: 700, Validity: 1800, TakeoverDelay: 2200, HandoverDelay: 3000}
 
 // New returns the view of a candidate that has not read the lease yet.
--- a/core/cflease/lease_test.go
+++ b/core/cflease/lease_test.go
@@ -244,11 +244,11 @@
 	}
 }
 
-// TestStoreOutageExtendsLeaseOnlyOfAnsweringHolder guards against two faults. If an outage extended
-// the lease of a coordinator that was lost long before its end, nobody would coordinate for two
-// more seconds. If it extended no lease, each outage would change the coordinator, and its runs
-// would be lost. Here the store is unreachable for 5 s while the holder answers its peers or is
-// silent.
+// TestStoreOutageExtendsLeaseOnlyOfAnsweringHolder guards against two faults. If an outage of the
+// store extended the lease of a coordinator that was lost long before the outage ended, no instance
+// would coordinate for two more seconds. If it extended no lease, each outage would change the
+// coordinator, and its runs would be lost. Here the store is unreachable for 5 s while the holder
+// answers its peers or is silent.
 func TestStoreOutageExtendsLeaseOnlyOfAnsweringHolder(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers, taken bool
--- a/core/cfmember/roster.go
+++ b/core/cfmember/roster.go
@@ -35,7 +35,7 @@
 	}
 )
 
-// Set replaces the content of the roster by the given entries.
+// Set replaces the content of the roster with the given entries.
 func (r *Roster) Set(entries []Entry) {
 	listed := make(map[cf.EntryID]bool, len(entries))
 	changed := false
--- a/core/cfmember/successor_test.go
+++ b/core/cfmember/successor_test.go
@@ -61,9 +61,9 @@
 }
 
 // TestSuccessorHasHighCapacity guards against a planned stop that moves the coordinator's duty to
-// an instance of insufficient capacity. The capacities differ by a factor of about five;
-// the youngest instance of sufficient age has low capacity, and the one with the highest capacity
-// is below the minimum age.
+// an instance of insufficient capacity. The capacities differ by a factor of about five; the
+// youngest instance of sufficient age has low capacity, and the one with the highest capacity is
+// below the minimum age.
 func TestSuccessorHasHighCapacity(t *testing.T) {
 	entries := []cfmember.Entry{
 		{ID: "weak", Age: 1000, Capacity: 0.19}, {ID: "old", Age: 90000, Capacity: 0.8}, {ID: "strong", Age: 5000, Capacity: 0.7},
--- a/core/cfmember/table_test.go
+++ b/core/cfmember/table_test.go
@@ -44,8 +44,8 @@
 	table.Record(cfmember.Entry{ID: "a", PeerAddr: "1", Ready: true}, 0)
 	table.Adopt([]cfmember.Entry{{ID: "a", PeerAddr: "1", Ready: true}, {ID: "b", PeerAddr: "2", Ready: true}, {ID: "c", PeerAddr: "3", Ready: true}}, 1000)
 	table.Record(cfmember.Entry{ID: "c", PeerAddr: "3", Ready: true}, 1010)
-	for _, peers := range []string{"2", "3", "4"} {
-		table.RemoveRefused(peers)
+	for _, peerAddr := range []string{"2", "3", "4"} {
+		table.RemoveRefused(peerAddr)
 	}
 	if live := table.Live(1020); len(live) != 2 || live[0].ID != "a" || live[1].ID != "c" {
 		t.Errorf("live: %v, want a and c, which have reported themselves", live)
--- a/core/cfmember/upstream.go
+++ b/core/cfmember/upstream.go
@@ -37,7 +37,8 @@
 	reviewAt, assignedUntil cf.Millis
 	// bypassedAt is when the coordinator was last polled directly despite a selected hub.
 	bypassedAt cf.Millis
-	// avoided holds the hubs that are not selected, with the end of that period.
+	// avoided holds the hubs that must not be selected, each with the time until which it is
+	// avoided.
 	avoided map[cf.EntryID]cf.Millis
 }
 
--- a/core/cfsite/config.go
+++ b/core/cfsite/config.go
@@ -46,7 +46,7 @@
 		Timeout cf.Millis
 		// SLO is the answer time objective; answers within it are worth most.
 		SLO         cf.Millis
-		MaxAttempts int // limit on the targets that one attempt may be sent to
+		MaxAttempts int // limit on the targets that one request may be sent to
 		// MaxWait and SingleVersion concern batches: when an item may be given up, and whether a
 		// single weight version must have produced a sample.
 		MaxWait       cf.Millis
@@ -58,7 +58,7 @@
 		Resumable bool
 		// Public routes require no key from callers.
 		Public bool
-		// Priority ranks the route's requests, 0 first.
+		// Priority ranks the route's requests; 0 is the highest.
 		Priority int
 	}
 
--- a/core/cfsite/configupdate.go
+++ b/core/cfsite/configupdate.go
@@ -15,8 +15,8 @@
 	// maxConfigs is how many configurations are kept, including the one in force: an instance that
 	// has one of them receives a patch against it.
 	maxConfigs = 4
-	// maxPartBytes is the most bytes of a configuration update in one answer: the answers to all
-	// instances that ask must leave the link of an instance with low bandwidth within the time of a
+	// maxPartBytes is the most bytes of a configuration update in one answer: an instance with low
+	// bandwidth must be able to send the answers to all instances that ask it within the time of a
 	// call.
 	maxPartBytes = 32 << 10
 	// maxConfigBytes bounds the size of a configuration; the store's objects are smaller.
--- a/core/cfsite/configupdate_test.go
+++ b/core/cfsite/configupdate_test.go
@@ -49,9 +49,9 @@
 	return update
 }
 
-// An instance that receives configurations in parts, misses answers, sometimes watches the store
-// itself and changes its source always ends at the newest configuration, and never goes back to an
-// older one.
+// TestConfigurationArrivesDespiteLostAnswers checks that an instance that receives configurations
+// in parts, misses answers, sometimes watches the store itself and changes its source always ends
+// at the newest configuration, and never goes back to an older one.
 func TestConfigurationArrivesDespiteLostAnswers(t *testing.T) {
 	for seed := range uint64(24) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -111,8 +111,8 @@
 	}
 }
 
-// An instance without a configuration must receive one even while a configuration of thousands of
-// routes changes with every other answer.
+// TestConfigurationArrivesDuringFrequentChanges checks that an instance without a configuration
+// receives one even while a configuration of thousands of routes changes with every other answer.
 func TestConfigurationArrivesDuringFrequentChanges(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	config := manyRoutes(1, 5000, 1)
@@ -131,7 +131,8 @@
 	}
 }
 
-// An update that is damaged, or was made for another base, is followed by the full configuration.
+// TestInvalidConfigurationUpdateIsReplaced checks that an update that is damaged, or was made for
+// another base, is followed by the full configuration.
 func TestInvalidConfigurationUpdateIsReplaced(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	apply(t, source, 1, manyRoutes(1, 100, 1))
@@ -149,8 +150,8 @@
 	}
 }
 
-// A configuration that is written again unchanged, or with an older version, makes no instance
-// request it for ever.
+// TestRewrittenConfigurationIsSentOnce checks that a configuration that is written again unchanged,
+// or with an older version, does not make instances request it for ever.
 func TestRewrittenConfigurationIsSentOnce(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	apply(t, source, 1, manyRoutes(5, 10, 1))
--- a/core/cfsite/site_test.go
+++ b/core/cfsite/site_test.go
@@ -8,8 +8,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against removed routes that answer again: after a new configuration is in force, a stale
-// list, or a relay from an instance that was cut off, delivers an older one.
+// TestConfigurationNeverRegresses guards against removed routes that answer again: after a new
+// configuration is in force, a stale list, or a relay from an instance that was cut off, delivers
+// an older one.
 func TestConfigurationNeverRegresses(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	apply := func(rev cf.Revision, v cfsite.ConfigVersion) bool {
@@ -49,7 +50,8 @@
 	}
 }
 
-// Guards against requests that are sent to a target which is draining or gone.
+// TestDrainingTargetsAreNotUsable guards against requests that are sent to a target which is
+// draining or gone.
 func TestDrainingTargetsAreNotUsable(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	up := cf.Target{ID: "a", Service: "x"}
@@ -67,8 +69,8 @@
 	}
 }
 
-// Guards against targets that are gone and come back: an instance lists the targets, and then
-// receives an older list from another instance.
+// TestOlderListIsIgnored guards against targets that are gone and come back: an instance lists the
+// targets, and then receives an older list from another instance.
 func TestOlderListIsIgnored(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	s.ReplaceTargets([]cf.Target{{ID: "a", Service: "x"}}, 10, 0)
@@ -77,9 +79,9 @@
 	}
 }
 
-// Guards against services that have no targets for two seconds after each outage of the store.
-// Entries lapse while the store is unavailable. After its return, live targets are listed again
-// within two seconds; the others are gone.
+// TestLapsedTargetsAreKeptForGracePeriod guards against services that have no targets for two
+// seconds after each outage of the store. Entries lapse while the store is unavailable. After its
+// return, live targets are listed again within two seconds; the others are gone.
 func TestLapsedTargetsAreKeptForGracePeriod(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	a, b := cf.Target{ID: "a", Service: "x"}, cf.Target{ID: "b", Service: "x"}
@@ -101,7 +103,7 @@
 	}
 }
 
-// Weight versions that trainers name only rise.
+// TestWeightVersionsOnlyRise checks that the weight versions that trainers name only rise.
 func TestWeightVersionsOnlyRise(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	for i, v := range []cf.WeightVersion{2, 4, 3} {
@@ -115,8 +117,8 @@
 	}
 }
 
-// A change of weights alone is not sent to the other instances: it would wake all of them several
-// times a second for no use.
+// TestWeightChangesAreNotRelayed checks that a change of weights alone is not sent to the other
+// instances: it would wake all of them several times a second for no use.
 func TestWeightChangesAreNotRelayed(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "x", Models: []cf.ModelState{{Name: "m", Version: 1}}}
--- a/core/cfsite/targetupdate.go
+++ b/core/cfsite/targetupdate.go
@@ -224,7 +224,7 @@
 
 // ApplyTargetUpdate applies an update from an instance that watches the store, or that received it
 // from one that does, unless the update is older than the view. It returns false if the view then
-// differs from the sender's, which must send the full view.
+// differs from the sender's; the sender must then send the full view.
 func (s *Site) ApplyTargetUpdate(u TargetUpdate, now cf.Millis) (same bool) {
 	if u.Full {
 		s.ReplaceTargets(u.Targets, u.Rev, now)
--- a/core/cfsite/targetupdate_test.go
+++ b/core/cfsite/targetupdate_test.go
@@ -25,8 +25,9 @@
 	return true
 }
 
-// An instance that receives only changes, at any times, has the same view as the one that watches
-// the store while targets come, drain, change their address and go.
+// TestTargetUpdatesKeepViewsEqual checks that an instance that receives only changes, at any times,
+// has the same view as the one that watches the store while targets come, drain, change their
+// address and go.
 func TestTargetUpdatesKeepViewsEqual(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -63,8 +64,8 @@
 	}
 }
 
-// Guards against an instance that keeps targets which are gone after it was cut off for long: more
-// targets leave than the change log records.
+// TestUpdateBeyondChangeLogIsFull guards against an instance that keeps targets which are gone
+// after it was cut off for long: more targets leave than the change log records.
 func TestUpdateBeyondChangeLogIsFull(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	var list []cf.Target
@@ -88,8 +89,9 @@
 	}
 }
 
-// An instance that has the same targets from its own watch receives no list from a coordinator that
-// it contacts for the first time; an instance whose targets differ receives all of them.
+// TestEqualViewsNeedNoTargetList checks that an instance that has the same targets from its own
+// watch receives no list from a coordinator that it contacts for the first time, and that an
+// instance whose targets differ receives all of them.
 func TestEqualViewsNeedNoTargetList(t *testing.T) {
 	source, follower := cfsite.New(cfstandin.Codec{}), cfsite.New(cfstandin.Codec{})
 	list := []cf.Target{{ID: "a", Service: "s", Slots: 4}, {ID: "b", Service: "s", Slots: 4}}
@@ -105,8 +107,8 @@
 	}
 }
 
-// Guards against a coordinator that spends processor time on instances without changes: 3,000
-// targets write their entries every second, unchanged.
+// TestHeartbeatIsNotAChange guards against a coordinator that spends processor time on instances
+// without changes: 3,000 targets write their entries every second, unchanged.
 func TestHeartbeatIsNotAChange(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	target := cf.Target{ID: "a", Service: "s", Models: []cf.ModelState{{Name: "m", Version: 1}}}
@@ -129,8 +131,9 @@
 	return c, nil
 }
 
-// An instance receives only the targets to which it forwards requests: with 10,000 engines in the
-// view, it receives none of them and no change of one.
+// TestUpdatesCoverForwardedServicesOnly checks that an instance receives only the targets to which
+// it forwards requests: with 10,000 engines in the view, it receives none of them and no change of
+// one.
 func TestUpdatesCoverForwardedServicesOnly(t *testing.T) {
 	source, follower := cfsite.New(forwardingCodec{}), cfsite.New(forwardingCodec{})
 	list := []cf.Target{{ID: "log-1", Service: "log"}, {ID: "log-2", Service: "log"}, {ID: "mail-1", Service: "mail"}}
@@ -190,8 +193,8 @@
 	}
 }
 
-// The cost of a change does not depend on the number of targets: readers receive only what has
-// changed.
+// TestTargetsSinceReturnsChanges checks that the cost of a change does not depend on the number of
+// targets: readers receive only what has changed.
 func TestTargetsSinceReturnsChanges(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	var list []cf.Target
@@ -217,8 +220,8 @@
 	}
 }
 
-// Guards against targets that nothing keeps current after an instance has stopped watching the
-// store.
+// TestUnrelayedTargetsAreDropped guards against targets that nothing keeps current after an
+// instance has stopped watching the store.
 func TestUnrelayedTargetsAreDropped(t *testing.T) {
 	s := cfsite.New(cfstandin.Codec{})
 	config := cfsite.Config{Version: 1, Routes: []cfsite.Route{
--- a/io/cfguard/guard.go
+++ b/io/cfguard/guard.go
@@ -3,7 +3,8 @@
 // uses it: callers' requests with their retries and hedges, streams, items of batches, and reward
 // calls.
 //
-// When a target gives no answer, the guard checks the target with a new connection. It shares its
+// When a target gives no answer, the guard checks the target with a new connection. If the target
+// has ended, that is a strike: evidence against the requests that it had. The guard shares its
 // strikes with the other instances, and merges theirs.
 //
 // Usage:
@@ -66,7 +67,7 @@
 	}
 
 	// Guard decides which requests may be sent to targets. It is safe for concurrent use; a nil
-	// Guard lets every request pass. Close waits for checks in progress.
+	// Guard lets every request pass.
 	Guard struct {
 		Options
 		// Table holds the strikes.
@@ -113,7 +114,7 @@
 	}
 }
 
-// Close ends the checks in progress.
+// Close cancels the checks in progress and waits for them to end.
 func (g *Guard) Close() error {
 	g.cancel()
 	g.wg.Wait()
@@ -152,7 +153,7 @@
 	return g.Table.Admit(key, cfquarantine.IncarnationOf(target), cf.Uptime())
 }
 
-// AdmitDeferred is Admit for deferred work.
+// AdmitDeferred is Admit for deferred work, such as the items of batches and their reward calls.
 func (g *Guard) AdmitDeferred(key cfquarantine.Key, target cf.Target, w cfquarantine.DeferredWork) cfquarantine.Verdict {
 	if g == nil || g.Disabled {
 		return cfquarantine.Verdict{Pass: true}
--- a/io/cfguard/guard_test.go
+++ b/io/cfguard/guard_test.go
@@ -44,8 +44,8 @@
 	return t, ok
 }
 
-// Three targets are lost, for each cause that the guard can distinguish. The request must be held
-// only if the targets themselves have ended.
+// TestOnlyCrashesHoldRequests loses three targets, for each cause that the guard can distinguish,
+// and checks that the request is held only if the targets themselves have ended.
 func TestOnlyCrashesHoldRequests(t *testing.T) {
 	all := instanceList{}
 	for n := range 3 {
@@ -116,8 +116,9 @@
 	return len(g.checking) > 0
 }
 
-// Guards against a request that crashes a fourth target because the check of the previous one was
-// made while its process was terminating and still accepted connections.
+// TestTerminatingTargetIsNotTakenForAlive guards against a request that crashes a fourth target
+// because the check of the previous one was made while its process was terminating and still
+// accepted connections.
 func TestTerminatingTargetIsNotTakenForAlive(t *testing.T) {
 	g := New(Options{
 		Self: "e", Targets: &targets{reach: cf.ErrNoProcess, acceptedFirst: 1}, Site: instanceList{"t": {ID: "t"}}, Share: func([]cfquarantine.Strike) {},
@@ -139,7 +140,8 @@
 	}
 }
 
-// Many requests lost by one target at the same time must cause only one check.
+// TestConcurrentLossesShareACheck checks that many requests lost by one target at the same time
+// cause only one check.
 func TestConcurrentLossesShareACheck(t *testing.T) {
 	to := &targets{reach: cf.ErrNoProcess}
 	target := cf.Target{ID: "t"}
--- a/io/cfingress/admission_test.go
+++ b/io/cfingress/admission_test.go
@@ -123,9 +123,9 @@
 	return 1000, answeredCount.Load(), refusedCount.Load(), seen, ran
 }
 
-// A hundred callers send requests at once to targets with four slots. Without admission control the
-// targets receive requests that they must refuse. With admission control the instances refuse the
-// requests, and a refused request has not run.
+// TestOverloadIsRefusedBeforeTheTargets sends the requests of a hundred callers at once to targets
+// with four slots. Without admission control the targets receive requests that they must refuse.
+// With admission control the instances refuse the requests, and a refused request has not run.
 func TestOverloadIsRefusedBeforeTheTargets(t *testing.T) {
 	asked, answered, refused, seen, ran := overload(t, false)
 	_, _, _, seenWithout, _ := overload(t, true)
@@ -138,9 +138,10 @@
 	}
 }
 
-// Guards against 502 for a request that a target could still have run. The first target breaks the
-// connection; the second refuses the request once because it is full, and would accept it a moment
-// later. A target that did not run the request was not tried again.
+// TestRequestThatMayHaveRunWaitsForAFullTarget guards against 502 for a request that a target could
+// still have run. The first target breaks the connection; the second refuses the request once
+// because it is full, and would accept it a moment later. The fault arises if a target that did not
+// run the request is not tried again.
 func TestRequestThatMayHaveRunWaitsForAFullTarget(t *testing.T) {
 	var full atomic.Int64
 	first := cf.InstanceID("")
@@ -160,9 +161,10 @@
 	}
 }
 
-// Guards against counting a request as refused whose caller disconnected while it waited. The only
-// target left refuses the request, which then waits for it until the caller disconnects. Every end
-// of the wait was treated as a refusal.
+// TestCallerThatLeavesTheQueueIsNotRefused guards against counting a request as refused whose
+// caller disconnected while it waited. The only target left refuses the request, which then waits
+// for it until the caller disconnects. The fault arises if every end of the wait is treated as a
+// refusal.
 func TestCallerThatLeavesTheQueueIsNotRefused(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
 	lost := false
@@ -184,10 +186,10 @@
 	in.Forward(ctx, &cf.Request{ID: "r", Method: http.MethodPost, Host: host, Route: "/x/a", Path: "/x/a", Received: cf.Uptime()}, w)
 }
 
-// Guards against refusing requests because their service is full although it has an idle target. At
-// the address of another target a different process answers 421. Each answer "not run" counted as a
-// full target, and the idle target was not tried, since callers with a deadline shorter than the
-// route's had no retry budget.
+// TestMisdirectedTargetDoesNotCountAsFull guards against refusing requests because their service is
+// full although it has an idle target. At the address of another target a different process answers
+// 421. The fault arises if each answer "not run" counts as a full target, and the idle target is
+// not tried because callers with a deadline shorter than the route's have no retry budget.
 func TestMisdirectedTargetDoesNotCountAsFull(t *testing.T) {
 	to := targets{send: func(x cf.Target, _ cf.TargetCall) (cf.TargetAnswer, error) {
 		if x.ID == "a" {
@@ -203,8 +205,9 @@
 	}
 }
 
-// Guards against counting answers for which there was no memory as in flight for ever: once the
-// limit of their target is active, nothing more would be sent to it.
+// TestAnswerWithoutRoomIsNotInFlight guards against counting answers for which there was no memory
+// as in flight for ever: once the limit of their target is active, nothing more would be sent to
+// it.
 func TestAnswerWithoutRoomIsNotInFlight(t *testing.T) {
 	noRoom := true
 	to := targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
--- a/io/cfingress/answermemory.go
+++ b/io/cfingress/answermemory.go
@@ -87,7 +87,7 @@
 // slowly does not hold memory that other bodies need.
 func (f *forwarding) releaseBody() {
 	if f.pending > 0 || f.req.ReleaseBody == nil {
-		return // a pending attempt may still send the body
+		return // an abandoned attempt may still send the body
 	}
 	f.req.Body = nil
 	f.req.ReleaseBody()
--- a/io/cfingress/atmostonce_test.go
+++ b/io/cfingress/atmostonce_test.go
@@ -181,8 +181,9 @@
 	return history
 }
 
-// Histories of bids at two instances satisfy the at-most-once specification, although answers are
-// lost, late, of other requests, or refusals.
+// TestBidHistoriesFitAtMostOnce checks that histories of bids at two instances satisfy the
+// at-most-once specification although answers are lost, arrive late, belong to other requests, or
+// are refusals.
 func TestBidHistoriesFitAtMostOnce(t *testing.T) {
 	for seed := range uint64(15) {
 		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, false)) {
@@ -191,7 +192,8 @@
 	}
 }
 
-// An adapter that reports a lost connection as never established must be detected.
+// TestRepeatedBidsAreDetected checks that an adapter that reports a lost connection as never
+// established is detected.
 func TestRepeatedBidsAreDetected(t *testing.T) {
 	for seed := range uint64(15) {
 		if !porcupine.CheckOperations(atMostOnceModel.ToModel(), recordBids(t, seed, true)) {
--- a/io/cfingress/batches.go
+++ b/io/cfingress/batches.go
@@ -22,9 +22,9 @@
 	maxSubmitRefusals = 3
 	// endTimeout is how long an instance tries to record the end of a batch.
 	endTimeout = 2 * time.Second
-	// maxRetriedRead is the longest that a failed read of a batch from the store may have taken to
-	// be repeated. Readers wait for 1.5 s more than the wait that they ask for, and the coordinator
-	// has been asked before.
+	// maxRetriedRead limits which failed reads of a batch from the store are repeated: only those
+	// that failed within this time. Readers wait for 1.5 s more than the wait that they ask for,
+	// and the coordinator has been asked before.
 	maxRetriedRead cf.Millis = 600
 	// storeRetryPause is the pause between attempts to write to the store.
 	storeRetryPause = 120 * time.Millisecond
--- a/io/cfingress/bodymemory_test.go
+++ b/io/cfingress/bodymemory_test.go
@@ -7,8 +7,8 @@
 	cf "currantford"
 )
 
-// Guards against an instance that is killed for its memory use under many large bodies. Bodies of
-// 30 bytes arrive while the limit is 100.
+// TestBodiesBeyondTheMemoryAreRefused guards against an instance that is killed for its memory use
+// under many large bodies. Bodies of 30 bytes arrive while the limit is 100.
 func TestBodiesBeyondTheMemoryAreRefused(t *testing.T) {
 	b := &bodyMemory{limit: 100}
 	var releases []func()
--- a/io/cfingress/fakes_test.go
+++ b/io/cfingress/fakes_test.go
@@ -22,7 +22,7 @@
 	// noMembers lists no instances.
 	noMembers struct{}
 
-	// targets answers by its functions.
+	// targets answers by calling its functions.
 	targets struct {
 		cf.Targets
 		send   func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error)
--- a/io/cfingress/feasibility_test.go
+++ b/io/cfingress/feasibility_test.go
@@ -34,8 +34,8 @@
 	return 3000, true
 }
 
-// Guards against refusing steps that are in the store, and against refusing a step because of an
-// answer of the coordinator that comes too late.
+// TestInfeasibleStepIsRefusedOnlyBeforeItIsWritten guards against refusing steps that are in the
+// store, and against refusing a step because of an answer of the coordinator that comes too late.
 func TestInfeasibleStepIsRefusedOnlyBeforeItIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/io/cfingress/forward_test.go
+++ b/io/cfingress/forward_test.go
@@ -12,10 +12,10 @@
 	"currantford/core/cfsite"
 )
 
-// Guards against refusing a log record as not run although it has been stored. The only target left
-// of a service receives the record, and the connection breaks before the answer. The request may be
-// repeated, but no other target is left to repeat it at. Requests that may be repeated were treated
-// as not run.
+// TestRequestThatMayHaveRunIsNotRefused guards against refusing a log record as not run although it
+// has been stored. The only target left of a service receives the record, and the connection breaks
+// before the answer. The request may be repeated, but no other target is left to repeat it at. The
+// fault arises if requests that may be repeated are treated as not run.
 func TestRequestThatMayHaveRunIsNotRefused(t *testing.T) {
 	to := targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 		return cf.TargetAnswer{}, eris.Wrap(cf.ErrMaybeRan, "connection lost")
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against answering HEAD with the length of the empty body instead of the length that the
-// target stated.
+// TestAnswerToHeadKeepsItsLength guards against answering HEAD with the length of the empty body
+// instead of the length that the target stated.
 func TestAnswerToHeadKeepsItsLength(t *testing.T) {
 	in := newIngress(t, targets{send: func(cf.Target, cf.TargetCall) (cf.TargetAnswer, error) {
 		return cf.TargetAnswer{Status: http.StatusOK, Header: http.Header{"Content-Length": {"42"}}}, nil
@@ -42,8 +42,8 @@
 // hedged is a route whose requests are sent to a second target after a short time.
 var hedged = cfsite.Route{Kind: cfsite.KindIdempotent, MaxAttempts: 3, Timeout: 5000, SLO: 20}
 
-// Guards against failing a request because there was no memory for one of its hedged attempts,
-// although the other one is answered.
+// TestHedgeAnswersIfOtherAttemptHasNoRoom guards against failing a request because there was no
+// memory for one of its hedged attempts, although the other one is answered.
 func TestHedgeAnswersIfOtherAttemptHasNoRoom(t *testing.T) {
 	// marker is the time at which the first attempt claims to have been written. The request is
 	// counted with that time once the attempt has ended.
@@ -69,7 +69,8 @@
 	}
 }
 
-// Guards against sending a request again after there was no memory for any of its hedged attempts.
+// TestRequestWithoutRoomIsNotSentAgain guards against sending a request again after there was no
+// memory for any of its hedged attempts.
 func TestRequestWithoutRoomIsNotSentAgain(t *testing.T) {
 	var sends atomic.Int64
 	second := make(chan struct{})
--- a/io/cfingress/ingress.go
+++ b/io/cfingress/ingress.go
@@ -49,7 +49,8 @@
 	}
 
 	// Feasibility asks the coordinator whether a step that is about to be accepted is infeasible,
-	// so that not one of its groups could be complete in time, and when to retry.
+	// which means that not one of its groups could be complete in time, and when to retry. A step
+	// is a batch whose items form groups.
 	Feasibility interface {
 		Infeasible(ctx context.Context, sub cf.Submission) (retryAfter cf.Millis, infeasible bool)
 	}
@@ -73,8 +74,9 @@
 		// ConfigStatus returns how far this instance can rely on its configuration. If it is nil,
 		// the configuration is taken as the newest.
 		ConfigStatus func() ConfigStatus
-		// CountRequests counts requests of an organisation that began to run at the Uptime began.
-		// It may be nil.
+		// CountRequests adds to the number of requests of an organisation that began to run at
+		// began, a cf.Uptime. A negative number corrects an earlier count. CountRequests may be
+		// nil.
 		CountRequests func(o cf.Organisation, began cf.Millis, requests int64)
 		// Rooms limits the memory taken by answers; nil means no limit.
 		Rooms *cfroom.Rooms
--- a/io/cfingress/reads_test.go
+++ b/io/cfingress/reads_test.go
@@ -39,8 +39,8 @@
 	return s.MemStore.Get(ctx, kind, name)
 }
 
-// Guards against refusing readers because of one late answer of the store, and against readers who
-// wait for a store that is known to be down.
+// TestOneLateStoreAnswerRefusesNoReader guards against refusing readers because of one late answer
+// of the store, and against readers who wait for a store that is known to be down.
 func TestOneLateStoreAnswerRefusesNoReader(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/io/cfingress/ready_test.go
+++ b/io/cfingress/ready_test.go
@@ -12,9 +12,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against an instance that refuses its first requests after the start although all targets
-// are up: it has read the configuration but not yet the list of targets, and the platform treats it
-// as ready and sends callers.
+// TestInstanceIsReadyOnceItKnowsTargets guards against an instance that refuses its first requests
+// after the start although all targets are up: it has read the configuration but not yet the list
+// of targets, and the platform treats it as ready and sends callers.
 func TestInstanceIsReadyOnceItKnowsTargets(t *testing.T) {
 	site := cfsite.New(cfstandin.Codec{})
 	in := cfingress.New(cfingress.Options{Members: noMembers{}, Site: site, Metrics: cfingress.NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
--- a/io/cfingress/stream_test.go
+++ b/io/cfingress/stream_test.go
@@ -33,9 +33,10 @@
 	return answer, sink.Start(answer)
 }
 
-// Guards against a resumed stream without events. The caller's connection breaks after event 3; the
-// caller resumes the stream after that event, and a target continues with event 4. The instance
-// expected every stream to begin with event 1 and treated the answer as malformed.
+// TestCallerResumesItsStream guards against a resumed stream without events. The caller's
+// connection breaks after event 3; the caller resumes the stream after that event, and a target
+// continues with event 4. The fault arises if the instance expects every stream to begin with event
+// 1 and treats the answer as malformed.
 func TestCallerResumesItsStream(t *testing.T) {
 	to := targets{stream: func(_ cf.Target, call cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
 		answer, err := startStream(sink)
@@ -75,9 +76,10 @@
 	}
 }
 
-// Guards against a stream that looks complete with an error message among its events. The stream
-// breaks off after event 2, and the target that is asked to resume it answers that the path does
-// not exist. That failure was passed on to a caller whose answer had begun.
+// TestFailureAfterStreamStartAbortsTheConnection guards against a stream that looks complete with
+// an error message among its events. The stream breaks off after event 2, and the target that is
+// asked to resume it answers that the path does not exist. The fault arises if that failure is
+// passed on to a caller whose answer has begun.
 func TestFailureAfterStreamStartAbortsTheConnection(t *testing.T) {
 	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}, Body: []byte("nothing here")}, nil)
 }
@@ -87,8 +89,9 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("deadline exceeded") }
 
-// Guards against targets that generate a stream again and again, and count as failed, for a caller
-// that does not receive it. A failed write to the caller was treated as a fault of the target.
+// TestStreamIsNotResumedAfterFailedWriteToCaller guards against targets that generate a stream
+// again and again, and count as failed, for a caller that does not receive it. The fault arises if
+// a failed write to the caller is treated as a fault of the target.
 func TestStreamIsNotResumedAfterFailedWriteToCaller(t *testing.T) {
 	sends := 0
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
@@ -109,14 +112,14 @@
 	}, failingWriter{httptest.NewRecorder()})
 }
 
-// Guards against a resumed stream that looks complete, with an error message among its events,
-// after there was no memory for the second target's answer.
+// TestResumedStreamWithoutRoomIsAborted guards against a resumed stream that looks complete, with
+// an error message among its events, after there was no memory for the second target's answer.
 func TestResumedStreamWithoutRoomIsAborted(t *testing.T) {
 	wantAborted(t, cf.TargetAnswer{Status: http.StatusNotFound, Header: http.Header{}}, eris.Wrap(cf.ErrNoRoom, "an answer of 64 MB"))
 }
 
-// Guards against counting a target as failed because callers disconnect between two events of their
-// streams.
+// TestCallerLeavingAStreamIsNotATargetFailure guards against counting a target as failed because
+// callers disconnect between two events of their streams.
 func TestCallerLeavingAStreamIsNotATargetFailure(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	in := newIngress(t, targets{stream: func(_ cf.Target, _ cf.TargetCall, sink cf.StreamSink) (cf.TargetAnswer, error) {
--- a/io/cflog/async_test.go
+++ b/io/cflog/async_test.go
@@ -19,8 +19,8 @@
 	return len(p), nil
 }
 
-// Guards against lost or split lines in a burst, caused by writes larger than a pipe takes
-// atomically.
+// TestBurstIsWrittenInWholeLines guards against lost or split lines in a burst, caused by writes
+// larger than a pipe takes atomically.
 func TestBurstIsWrittenInWholeLines(t *testing.T) {
 	out := &writeRecorder{begin: make(chan struct{})}
 	a := NewAsyncWriter(out)
--- a/io/cflog/crash.go
+++ b/io/cflog/crash.go
@@ -16,7 +16,7 @@
 	// panicExitCode is the exit status after a panic, the same as that of the Go runtime.
 	panicExitCode = 2
 	// flushTimeout is how long a process that ends after a panic waits for its last lines to be
-	// read.
+	// written.
 	flushTimeout = time.Second
 )
 
--- a/io/cflog/crash_test.go
+++ b/io/cflog/crash_test.go
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a process that ends after a panic without the reason in its log.
+// TestPanicIsLogged guards against a process that ends after a panic without the reason in its log.
 func TestPanicIsLogged(t *testing.T) {
 	for _, where := range []string{"goroutine", "handler"} {
 		cmd := exec.Command(os.Args[0])
@@ -57,7 +57,8 @@
 	}
 }
 
-// A handler that aborts an answer must end its connection, not the process.
+// TestAbortHandlerPanicIsPassedOn checks that a handler that aborts an answer ends its connection,
+// not the process.
 func TestAbortHandlerPanicIsPassedOn(t *testing.T) {
 	defer func() {
 		if recover() != http.ErrAbortHandler { //nolint:errorlint // net/http compares the value itself
--- a/io/cflog/library_test.go
+++ b/io/cflog/library_test.go
@@ -9,7 +9,8 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Guards against a log that is flooded with quotes of what targets send after their answers.
+// TestLibraryLogLinesAreLimited guards against a log that is flooded with quotes of what targets
+// send after their answers.
 func TestLibraryLogLinesAreLimited(t *testing.T) {
 	core, lines := observer.New(zap.WarnLevel)
 	std := log.New(NewLibraryWriter(zap.New(core)), "", 0)
--- a/io/cfroom/cfroom_test.go
+++ b/io/cfroom/cfroom_test.go
@@ -21,8 +21,8 @@
 	return cfroom.New(cfroom.Options{MemoryBytes: memoryLimit, Metrics: m, Log: zap.NewNop()}), m
 }
 
-// Guards against answers that keep waiting for memory after others have ended, and against memory
-// that is not released.
+// TestWaitingAnswersGetFreedMemory guards against answers that keep waiting for memory after others
+// have ended, and against memory that is not released.
 func TestWaitingAnswersGetFreedMemory(t *testing.T) {
 	rooms, metrics := newRooms()
 	open := func() *cfroom.Room { return rooms.Open(t.Context(), "a", cfhold.Answer, "r") }
@@ -62,7 +62,8 @@
 func (writingConn) AnswerNumber() uint64    { return 0 }
 func (writingConn) Cut(uint64) bool         { return true }
 
-// Guards against a check that closes the Room which a request's handler has just opened.
+// TestCheckKeepsRoomOfRequestOpen guards against a check that closes the Room which a request's
+// handler has just opened.
 func TestCheckKeepsRoomOfRequestOpen(t *testing.T) {
 	rooms, _ := newRooms()
 	conn := &cfroom.Conn{Delivery: writingConn{}}
@@ -97,7 +98,8 @@
 	}
 }
 
-// Guards against a gauge that grows with small takes, which are granted without being counted.
+// TestHeldGaugeShowsReservedBytes guards against a gauge that grows with small takes, which are
+// granted without being counted.
 func TestHeldGaugeShowsReservedBytes(t *testing.T) {
 	rooms, metrics := newRooms()
 	small, large := rooms.Open(t.Context(), "a", cfhold.Answer, "r"), rooms.Open(t.Context(), "a", cfhold.Answer, "s")
--- a/io/cfroom/waiters_test.go
+++ b/io/cfroom/waiters_test.go
@@ -21,8 +21,8 @@
 	return true
 }
 
-// Guards against a search for slow callers by each of many waiting answers whenever memory becomes
-// free.
+// TestOnlyFirstWaiterSearchesForSlowCallers guards against a search for slow callers by each of
+// many waiting answers whenever memory becomes free.
 func TestOnlyFirstWaiterSearchesForSlowCallers(t *testing.T) {
 	rooms := New(Options{MemoryBytes: 16 << 20, Metrics: NewMetrics(prometheus.NewRegistry()), Log: zap.NewNop()})
 	slowStream := func() (*Conn, *stalledConn) {
