--- a/io/cfautoscale/cfautoscale_test.go
+++ b/io/cfautoscale/cfautoscale_test.go
@@ -59,8 +59,9 @@
 	})
 }
 
-// Guards against orders that a successor cannot know of because they are not stored, orders before
-// the end of the handover, and orders for a service whose engines may not be ordered.
+// TestOrdersAreSentOnlyOnceStored guards against orders that a successor cannot know of because
+// they are not stored, orders before the end of the handover, and orders for a service whose
+// engines may not be ordered.
 func TestOrdersAreSentOnlyOnceStored(t *testing.T) {
 	store, scaling, mayAct, enabled := &unavailableStore{MemStore: cfstandin.NewMemStore(), failWrites: true}, &recordingScaling{}, false, false
 	controller := newController(store, scaling, &mayAct, &enabled)
@@ -82,8 +83,8 @@
 	}
 }
 
-// Guards against an instance that lost the lease and still reports engine gauges in addition to the
-// new holder.
+// TestCloseResetsGauges guards against an instance that lost the lease and still reports engine
+// gauges in addition to the new holder.
 func TestCloseResetsGauges(t *testing.T) {
 	mayAct, enabled := true, true
 	controller := newController(cfstandin.NewMemStore(), &recordingScaling{}, &mayAct, &enabled)
@@ -114,7 +115,8 @@
 	}
 }
 
-// Guards against logging the same warning at each reconciliation while the store is unavailable.
+// TestUnavailableStoreIsLoggedOnce guards against logging the same warning at each reconciliation
+// while the store is unavailable.
 func TestUnavailableStoreIsLoggedOnce(t *testing.T) {
 	store, mayAct, enabled := &unavailableStore{MemStore: cfstandin.NewMemStore()}, true, true
 	controller := newController(store, &recordingScaling{}, &mayAct, &enabled)
--- a/io/cfnode/autoscale.go
+++ b/io/cfnode/autoscale.go
@@ -35,16 +35,16 @@
 	}
 	n := a.node
 	term, _ := n.candidate.MayOrder()
-	d := cfautoscale.New(cfautoscale.Options{
+	controller := cfautoscale.New(cfautoscale.Options{
 		Lease: cf.LeaseToken{Holder: n.settings.Entry, Fence: term}, HasPredecessor: succeeds, Store: n.adapter.Store, Scaling: n.adapter.Scaling,
 		MayAct: func() bool {
-			now, ok := n.candidate.MayOrder()
-			return ok && now == term
+			current, ok := n.candidate.MayOrder()
+			return ok && current == term
 		},
 		NoteOrder: n.candidate.Ordered, Demand: c.Demand, Policies: a.policies, Metrics: a.metrics, Log: n.log,
 	})
-	a.controller.Store(d)
-	d.Start()
+	a.controller.Store(controller)
+	controller.Start()
 }
 
 // policies returns the scaling policies of the configuration in force, by service.
@@ -72,7 +72,7 @@
 	if a == nil {
 		return
 	}
-	if d := a.controller.Swap(nil); d != nil {
-		_ = d.Close()
+	if controller := a.controller.Swap(nil); controller != nil {
+		_ = controller.Close()
 	}
 }
--- a/io/cfnode/candidate.go
+++ b/io/cfnode/candidate.go
@@ -69,9 +69,9 @@
 	handOverToStronger func(held cf.Millis)
 	// dutyState returns what a successor inherits from the holder here: the limit of concurrent
 	// weight loads, the address of the copies of its texts, and further state.
-	dutyState func() (loads int, copies string, left json.RawMessage)
+	dutyState func() (loads int, replicaAddr string, successorState json.RawMessage)
 	// onAcquire and onLose start and end the duty.
-	onAcquire func(before cflease.Holder, left json.RawMessage)
+	onAcquire func(previous cflease.Holder, inherited json.RawMessage)
 	onLose    func()
 
 	mu    sync.Mutex
@@ -80,8 +80,8 @@
 	firstSeenAt cf.Millis
 
 	probedAt cf.Millis
-	// firstReadBegun is set once the lease has been read or is being read for the first time,
-	// firstReadPending while it is.
+	// firstReadBegun is set once the first read of the lease has begun, firstReadPending while that
+	// read is in progress.
 	firstReadBegun   bool
 	firstReadPending atomic.Bool
 	held             bool
@@ -101,19 +101,19 @@
 	holderAnsweredAt atomic.Int64
 	// superseded is set when a successor with a higher term has called.
 	superseded atomic.Bool
-	// leaving is set when the instance stops. It keeps the duty for a while and does not take it
-	// any more.
+	// leaving is set when the instance stops. From then on it keeps the duty for a while if it has
+	// it, and does not take it otherwise.
 	leaving atomic.Bool
 }
 
-// Valid implements cfcoord.Duty.
+// Valid implements cfcoord.Lease.
 func (c *candidate) Valid() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.Valid(cf.Uptime())
 }
 
-// Held implements cfcoord.Duty.
+// Held implements cfcoord.Lease.
 func (c *candidate) Held() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,14 +129,14 @@
 	}
 }
 
-// MayOrder implements cfcoord.Duty.
+// MayOrder implements cfcoord.Lease.
 func (c *candidate) MayOrder() (cf.Revision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.Term(), c.lease.MayOrder(cf.Uptime())
 }
 
-// Ordered implements cfcoord.Duty.
+// Ordered implements cfcoord.Lease.
 func (c *candidate) Ordered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -286,9 +286,9 @@
 	}
 }
 
-// maintain renews the lease. A holder that cannot renew it remains the holder while no other
-// instance has taken the lease: it continues with work that needs no valid lease, such as streams
-// in progress, which each outage of the store would otherwise lose.
+// maintain renews the lease. A holder that cannot renew it remains the holder for up to maxLapse
+// while no other instance has taken the lease: it continues with work that needs no valid lease,
+// such as streams in progress, which each outage of the store would otherwise lose.
 func (c *candidate) maintain(ctx context.Context, now cf.Millis, valid, renewDue bool) {
 	if c.superseded.Load() {
 		c.stepDown("superseded by a successor with a higher term")
@@ -425,7 +425,7 @@
 	if c.held {
 		next.MaxLoads, next.ReplicaAddr, state = c.dutyState()
 	} else if rev == c.successorStateRev {
-		state = c.successorState // It is passed on, as this instance may be lost before its first renewal.
+		state = c.successorState // The state is passed on, as this instance may be lost before its first renewal.
 	}
 	r, err := c.put(ctx, rev, leaseObject{next, state})
 	switch {
--- a/io/cfnode/endless_test.go
+++ b/io/cfnode/endless_test.go
@@ -85,12 +85,12 @@
 // newEndlessSite starts an instance with two targets, one of which sends endless answers.
 func newEndlessSite(t *testing.T, shape standin.EndlessShape, pause time.Duration) (*testSite, *standin.EndlessServer) {
 	t.Helper()
-	sound := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	finite := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Currantford-Request-Id", r.Header.Get("Currantford-Request-Id"))
 		w.Header().Set("Currantford-Response-Stamp", "s")
 		writeSized(w, r)
 	}))
-	t.Cleanup(sound.Close)
+	t.Cleanup(finite.Close)
 	endless, err := standin.NewEndlessServer(shape, pause)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	if _, err := site.ApplyConfig(cfstandin.Record("main", 1, config)); err != nil {
 		t.Fatal(err)
 	}
-	for id, addr := range map[cf.InstanceID]string{"good": strings.TrimPrefix(sound.URL, "http://"), "bad": endless.Addr()} {
+	for id, addr := range map[cf.InstanceID]string{"good": strings.TrimPrefix(finite.URL, "http://"), "bad": endless.Addr()} {
 		target := cf.Target{ID: id, Service: "s", Slots: 99, Addr: addr}
 		if _, _, err := site.ApplyTarget(cfstandin.Record(string(id), 1, target), cf.Uptime()); err != nil {
 			t.Fatal(err)
--- a/io/cfnode/fallback_test.go
+++ b/io/cfnode/fallback_test.go
@@ -198,9 +198,10 @@
 	}
 }
 
-// TestOutageIsConfirmedByAnotherInstance guards against the same with a holder that is cut off from
-// the store and has been replaced: it answers that it has no current view. Another instance first
-// gets no answer from the store, and then has a current view.
+// TestOutageIsConfirmedByAnotherInstance guards against an instance that serves with a
+// configuration that was replaced six seconds before, because its holder is cut off from the store,
+// answers that it has no current view, and has been replaced. Another instance first gets no answer
+// from the store, and then has a current view.
 func TestOutageIsConfirmedByAnotherInstance(t *testing.T) {
 	peer := newTestNode(t, &unavailableStore{MemStore: cfstandin.NewMemStore()})
 	peer.startedAt -= 60_000
--- a/io/cfnode/feed.go
+++ b/io/cfnode/feed.go
@@ -54,8 +54,8 @@
 		// hubs that did not answer.
 		AllowHub    bool         `cbor:"hub,omitempty"`
 		AvoidedHubs []cf.EntryID `cbor:"without,omitempty"`
-		// Origin, TargetUpdates and MembersVersion repeat the last answer. TargetsSum is the
-		// checksum of the caller's view of the targets, MembersSum that of its roster.
+		// Origin, TargetUpdates and MembersVersion repeat the values of the last answer. TargetsSum
+		// is the checksum of the caller's view of the targets, MembersSum that of its roster.
 		Origin         uint64             `cbor:"origin"`
 		TargetUpdates  int64              `cbor:"news"`
 		TargetsSum     uint64             `cbor:"sum"`
--- a/io/cfnode/feedserve.go
+++ b/io/cfnode/feedserve.go
@@ -112,8 +112,8 @@
 	return a
 }
 
-// configUpdate returns the update from the configuration that an instance knows, or nil if it has
-// the newest.
+// configUpdate returns the update that an instance with the known configuration lacks, or nil if
+// that configuration is the newest.
 func (n *Node) configUpdate(known cfsite.ConfigState) (*cfsite.ConfigUpdate, error) {
 	update, err := n.site.ConfigUpdate(known)
 	if update == nil {
@@ -127,7 +127,8 @@
 	return update, nil
 }
 
-// targetUpdate returns the update of the targets that an instance lacks.
+// targetUpdate returns what the calling instance lacks of the targets: the changes since the last
+// answer that it received if that came from this process, and otherwise a full update.
 func (n *Node) targetUpdate(call feedCall, sameOrigin bool) cfsite.TargetUpdate {
 	if sameOrigin {
 		return n.site.TargetUpdateSince(call.TargetUpdates)
--- a/io/cfnode/fleet_test.go
+++ b/io/cfnode/fleet_test.go
@@ -22,8 +22,8 @@
 const (
 	fleetSize    = 150
 	fleetDomains = 3
-	fleetLogs    = 60
-	fleetEngines = 600
+	fleetLogs    = 60  // targets of the service log
+	fleetEngines = 600 // targets of the service engines
 )
 
 // countingStore is a store whose watches wait for changes. It counts all calls, and the lists of
--- a/io/cfnode/freshness.go
+++ b/io/cfnode/freshness.go
@@ -11,8 +11,8 @@
 	// outageAskAge is the age of the configuration from which an instance asks another one whether
 	// it receives updates.
 	outageAskAge cf.Millis = 2000
-	// sharedOutageLifetime is how long another instance's answer counts that the store does not
-	// answer it either.
+	// sharedOutageLifetime is how long a report from another instance counts that says that the
+	// store does not answer it either.
 	sharedOutageLifetime cf.Millis = 5000
 )
 
--- a/io/cfnode/holder.go
+++ b/io/cfnode/holder.go
@@ -118,7 +118,7 @@
 }
 
 // confirmOutage asks a fallback watcher whether the store is unavailable, when the coordinator has
-// no current view. A holder that is cut off from the store gives the same answer and may have been
+// no current view. The coordinator may merely be cut off from the store, and may have been
 // replaced; without another instance's answer, the instances that poll it would wait for seconds
 // with a configuration that is no longer in force.
 func (n *Node) confirmOutage() {
--- a/io/cfnode/node.go
+++ b/io/cfnode/node.go
@@ -160,10 +160,10 @@
 	n.quarantine.guard = n.guard
 	n.candidacy, n.endCandidacy = context.WithCancel(ctx)
 	n.feed.upstream = cfmember.NewUpstream(cfmember.Entry{ID: s.Entry, Domain: s.Domain}, rand.Float64, n.onHubChange)
-	bounds := cflease.DefaultTiming
-	bounds.HandoverDelay = s.Bounds.LeaseMs + handoverMargin
+	timing := cflease.DefaultTiming
+	timing.HandoverDelay = s.Bounds.LeaseMs + handoverMargin
 	n.candidate = &candidate{
-		self: s.Entry, addr: s.Listen.Peers, store: a.Store, log: log, lease: cflease.New(s.Entry, bounds),
+		self: s.Entry, addr: s.Listen.Peers, store: a.Store, log: log, lease: cflease.New(s.Entry, timing),
 		lastUpdate: func() cf.Millis { return cf.Millis(n.feed.asOf.Load()) }, onAcquire: n.beginDuty, onLose: n.endDuty,
 		watchDelay: n.watchDelay, strongerExists: n.strongerExists, handOverToStronger: n.handOverToStronger, dutyState: n.dutyState,
 	}
--- a/io/cfnode/quarantine.go
+++ b/io/cfnode/quarantine.go
@@ -79,7 +79,7 @@
 		storedSum      uint64 // checksum of the stored held requests
 		storedRev      cf.Revision
 		persistAt      cf.Millis // next attempt
-		// selfSyncAt is the last try of a starting instance to learn the held requests by itself;
+		// selfSyncAt is when a starting instance last tried to learn the held requests by itself;
 		// selfSyncConfigured is set if it had a configuration then.
 		selfSyncAt         cf.Millis
 		selfSyncConfigured bool
@@ -240,8 +240,8 @@
 	}
 }
 
-// exchange asks the first of some instances that answers for its strikes, unless an exchange took
-// place within interval.
+// exchange exchanges strikes with the first of the given instances that answers, unless an exchange
+// took place within interval.
 func (q *quarantine) exchange(addrs []string, interval cf.Millis) {
 	if len(addrs) == 0 {
 		return // The first known instance is then asked at once.
--- a/io/cfnode/server.go
+++ b/io/cfnode/server.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// readHeaderTimeout bounds the time to read a request's header; callers are told three seconds.
+	// readHeaderTimeout bounds the time to read a request's header; callers are told to send it
+	// within three seconds.
 	readHeaderTimeout = 10 * time.Second
 	// maxHeaderBytes is larger than any configured limit; targets accept less.
 	maxHeaderBytes = 64 << 10
--- a/io/cfnode/settings.go
+++ b/io/cfnode/settings.go
@@ -103,8 +103,8 @@
 
 	// MachineSettings describes what a process may use of its machine.
 	MachineSettings struct {
-		// CPUShare is the fraction of a core that the process may use, and Cores the speed of that
-		// core.
+		// CPUShare is the fraction of a core that the process may use. Cores is the speed of that
+		// core, as a multiple of the core in which capacities are expressed.
 		CPUShare float64 `json:"cpu_share"`
 		Cores    float64 `json:"cores"`
 		// LinkMbps is the rate of the machine's link in Mbit/s.
@@ -121,8 +121,9 @@
 
 	// ScalingSettings weighs the cost of engines against what they earn, in one unit.
 	ScalingSettings struct {
-		// EnginePrice is the price per second of a firm engine in service in a failure domain with
-		// a price of one. GroupValue is what a group of a step earns that is complete in time.
+		// EnginePrice is the price per second of a firm engine (one that the platform does not
+		// reclaim) in service in a failure domain with a price of one. GroupValue is what a group
+		// of a step earns that is complete in time.
 		EnginePrice float64 `json:"engine_price"`
 		GroupValue  float64 `json:"group_value"`
 	}
--- a/io/cfnode/texts.go
+++ b/io/cfnode/texts.go
@@ -150,9 +150,9 @@
 	}
 }
 
-// gatherTexts collects the unlisted texts of the previous coordinator from the other instances.
-// They need not be generated again: all of them after a planned stop, all but the last moments
-// after a crash.
+// gatherTexts collects from the other instances the texts that the previous coordinator had
+// generated and not yet listed as results. They need not be generated again: all of them after a
+// planned stop, all but the last moments after a crash.
 func (n *Node) gatherTexts(ctx context.Context, previous cflease.Holder, members []cfmember.Entry) map[cf.ItemID]cfrollout.Text {
 	addrs := map[string]bool{}
 	if previous.Entry != "" && previous.Entry != n.settings.Entry {
@@ -202,7 +202,7 @@
 			var a textsAnswer
 			if err := n.peers.Call(ctx, addr, opTexts, call, &a); err != nil {
 				n.removeRefused(addr, err)
-				return // An instance that is not reached counts as a cache miss.
+				return // The texts that are found nowhere are generated again.
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -216,8 +216,9 @@
 	return out
 }
 
-// fetchTexts reads the texts from the source of the newest term, and of these the one with the
-// most. The timeout depends on the size, as other transfers may share the link.
+// fetchTexts reads the texts from the source with the newest term, and among several of that term
+// from the largest one. If that source does not answer, it tries the next. The timeout depends on
+// the size, as other transfers may share the link.
 func (n *Node) fetchTexts(ctx context.Context, sources []textsSource, term cf.Revision) textsSource {
 	slices.SortFunc(sources, func(a, b textsSource) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Size, a.Size))
--- a/io/cfnode/usage.go
+++ b/io/cfnode/usage.go
@@ -19,8 +19,8 @@
 const (
 	opUsage = "usage"
 
-	// usageHandoverReserve is the part of a report's time limit for which a window does not wait
-	// for late instances. It covers a change of the holder, the time between the calls of two
+	// usageHandoverReserve is how long before a report's time limit a window stops waiting for late
+	// instances. It leaves time for a change of the holder, the delay between the calls of two
 	// holders, and one call.
 	usageHandoverReserve cf.Millis = 6000
 	// usageRetryDelay is the delay after a report that was not accepted.
@@ -28,8 +28,8 @@
 	// maxUsageMessages is how many immediate messages per second all instances together may send to
 	// the holder. Other counts are part of the next feed call.
 	maxUsageMessages = 100
-	// maxUsageDelay is the longest time until an instance sends its counts, as its hub does not
-	// relay them.
+	// maxUsageDelay is the longest time for which an instance holds its counts back before it sends
+	// them, as its hub does not relay them.
 	maxUsageDelay cf.Millis = 1000
 	// flushRetryDelay is the delay between the tries of an instance that stops; flushTimeout bounds
 	// all of them.
@@ -111,11 +111,11 @@
 }
 
 func (u *usage) serve(_ context.Context, m usageMessage) (any, error) {
-	d := u.collector.Load()
-	if d == nil || d.Lease.Fence != m.Term {
+	collector := u.collector.Load()
+	if collector == nil || collector.Lease.Fence != m.Term {
 		return false, nil
 	}
-	d.Add(m.Report)
+	collector.Add(m.Report)
 	return true, nil
 }
 
@@ -133,11 +133,11 @@
 	if u == nil || r == nil {
 		return false, 0
 	}
-	d := u.collector.Load()
-	if d == nil {
+	collector := u.collector.Load()
+	if collector == nil {
 		return false, 0
 	}
-	return true, d.Add(*r)
+	return true, collector.Add(*r)
 }
 
 // applyAnswer handles the usage fields of an answer to a feed call.
@@ -149,13 +149,14 @@
 		u.clock.Adjust(a.WallTime, cf.Now(), cf.Uptime())
 	}
 	u.meter.Settle(a.UsageSettled)
-	if call.Usage != nil && a.Holder.Term == call.Term { // Another holder may lack what this one had.
+	if call.Usage != nil && a.Holder.Term == call.Term { // The holder of another term may lack the counts.
 		u.acknowledge(call.Term, *call.Usage, a.UsageTaken)
 	}
 }
 
-// timeOfDay returns the time of day by the clocks of all instances, as the coordinator or as the
-// coordinator has reported it. It returns zero if usage is not reported.
+// timeOfDay returns the time of day by the clocks of all instances. The coordinator computes it;
+// any other instance uses what the coordinator has reported. It returns zero if usage is not
+// reported.
 func (n *Node) timeOfDay(holds bool) cf.Millis {
 	if n.usage == nil {
 		return 0
@@ -171,7 +172,7 @@
 	return now
 }
 
-// acknowledge records that the holder of a term has accepted a report.
+// acknowledge records that the holder of a term has accepted a report, if taken is set.
 func (u *usage) acknowledge(term cf.Revision, r cfusage.MeterReport, taken bool) {
 	if taken {
 		u.meter.Acknowledge(term, r)
@@ -188,7 +189,7 @@
 	term, _ := n.candidate.MayOrder()
 	earliest := cf.Uptime() + n.settings.Bounds.LeaseMs + handoverMargin
 	s := n.settings.Usage
-	d := cfmeter.New(cfmeter.Options{
+	collector := cfmeter.New(cfmeter.Options{
 		Lease: cf.LeaseToken{Holder: n.settings.Entry, Fence: term}, Store: n.adapter.Store, Metering: n.adapter.Metering,
 		Timing: cfusage.WindowTiming{Length: s.window(), MaxWait: max(s.maxDelay()-usageHandoverReserve, 0), RetryDelay: usageRetryDelay},
 		// A previous holder may have called until its lease expired.
@@ -196,8 +197,8 @@
 		Now:    u.now, LocalCounts: func(term cf.Revision) cfusage.MeterReport { return u.ownReport(term) }, OnSettled: u.meter.Settle, Instances: expected, Inherited: inherited,
 		Metrics: u.metrics, Log: n.log,
 	})
-	u.collector.Store(d)
-	d.Start()
+	u.collector.Store(collector)
+	collector.Start()
 }
 
 // snapshot returns the reported usage for a successor, or nil while this instance has no reporting
@@ -206,11 +207,11 @@
 	if u == nil {
 		return nil
 	}
-	d := u.collector.Load()
-	if d == nil {
+	collector := u.collector.Load()
+	if collector == nil {
 		return nil
 	}
-	return d.Snapshot()
+	return collector.Snapshot()
 }
 
 // flush sends the last counts of an instance that stops, until they are accepted or ctx ends.
@@ -249,8 +250,8 @@
 	if u == nil {
 		return
 	}
-	if d := u.collector.Swap(nil); d != nil {
-		_ = d.Close()
+	if collector := u.collector.Swap(nil); collector != nil {
+		_ = collector.Close()
 	}
 }
 
--- a/io/cfpeer/cancel_test.go
+++ b/io/cfpeer/cancel_test.go
@@ -13,10 +13,10 @@
 	"currantford/io/cfpeer"
 )
 
-// Guards against an instance that repeatedly loses the coordinator for half a second although both
-// processes and the link work. The WebSocket library closes a connection when the context of a
-// write is cancelled, so a cancelled call whose context is passed to the library fails all other
-// calls on the same connection.
+// TestCancelledCallDoesNotFailOthers guards against an instance that repeatedly loses the
+// coordinator for half a second although both processes and the link work. The WebSocket library
+// closes a connection when the context of a write is cancelled, so a cancelled call whose context
+// is passed to the library fails all other calls on the same connection.
 func TestCancelledCallDoesNotFailOthers(t *testing.T) {
 	srv := cfpeer.NewServer()
 	release := make(chan struct{})
--- a/io/cfpeer/dial_test.go
+++ b/io/cfpeer/dial_test.go
@@ -11,10 +11,11 @@
 	"currantford/io/cfpeer"
 )
 
-// Guards against a coordinator that, after an outage of the store, neither renews its lease nor
-// receives a new configuration for six seconds although the store works. A call with a timeout of
-// seconds to a peer that accepts connections and never responds must not spend all its time
-// dialling while calls with timeouts of milliseconds wait for the same connection.
+// TestCallsDoNotWaitForAnothersDial guards against a coordinator that, after an outage of the
+// store, neither renews its lease nor receives a new configuration for six seconds although the
+// store works. A call with a timeout of seconds to a peer that accepts connections and never
+// responds must not spend all its time dialling while calls with timeouts of milliseconds wait for
+// the same connection.
 func TestCallsDoNotWaitForAnothersDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/io/cfrunner/assign.go
+++ b/io/cfrunner/assign.go
@@ -86,8 +86,8 @@
 // canRunAll reports whether an instance can execute all runs by itself.
 func canRunAll(runs int, e cfmember.Entry) bool { return float64(runs) <= localRunsPerCore*e.Capacity }
 
-// assign assigns engines to the first members, in the order of high capacity and rendezvous hash,
-// that can together carry their runs.
+// assign assigns engines to as few members as can together carry their runs. Members of high
+// capacity come first; members that are equal in this are ordered by their rendezvous hash.
 func (p Plan) assign(engines []cf.Target, runsPerSlot float64, members []cfmember.Entry, previous Plan) {
 	order, strongest := slices.Clone(members), cfmember.MaxCapacity(members)
 	slices.SortFunc(order, func(a, b cfmember.Entry) int {
--- a/io/cfrunner/assign_test.go
+++ b/io/cfrunner/assign_test.go
@@ -21,9 +21,9 @@
 	return members, targets
 }
 
-// Guards against a coordinator on a weak machine that runs all streams itself. With two steps of
-// 160 items at 33 engines of six slots and 80 instances with a fifth of a core each, such a
-// coordinator handled events a second late.
+// TestWeakCoordinatorAssignsStreamsToHosts guards against a coordinator on a weak machine that runs
+// all streams itself. With two steps of 160 items at 33 engines of six slots and 80 instances with
+// a fifth of a core each, such a coordinator handled events a second late.
 func TestWeakCoordinatorAssignsStreamsToHosts(t *testing.T) {
 	members, engines := newDeployment(6, 13, 6, 6, 0.192)
 	plan := Assign(engines, totalSlots(engines), members, members[0], nil)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against assigning streams to hosts, which costs messages, if the coordinator can run them
-// all itself.
+// TestStrongCoordinatorKeepsItsStreams guards against assigning streams to hosts, which costs
+// messages, if the coordinator can run them all itself.
 func TestStrongCoordinatorKeepsItsStreams(t *testing.T) {
 	members, engines := newDeployment(4, 2, 3, 12, 0.4)
 	if plan := Assign(engines, totalSlots(engines), members, members[0], nil); len(plan) > 0 {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Guards against an assignment that moves other engines when an instance leaves or becomes
-// unreachable. Also checks that instances of high capacity are preferred and that engines in a
-// failure domain without instances get a host.
+// TestAssignmentIsStable guards against an assignment that moves other engines when an instance
+// leaves or becomes unreachable. It also checks that instances of high capacity are preferred and
+// that engines in a failure domain without instances get a host.
 func TestAssignmentIsStable(t *testing.T) {
 	members, engines := newDeployment(6, 13, 6, 6, 0.192)
 	self := members[0]
@@ -92,8 +92,8 @@
 	}
 }
 
-// Guards against an assignment by slots rather than by runs: at 300 engines of six slots, a step of
-// 320 runs fits on a coordinator of high capacity.
+// TestAssignmentDependsOnRunsInProgress guards against an assignment by slots rather than by runs:
+// at 300 engines of six slots, a step of 320 runs fits on a coordinator of high capacity.
 func TestAssignmentDependsOnRunsInProgress(t *testing.T) {
 	members, engines := newDeployment(6, 5, 50, 6, 0.8)
 	if plan := Assign(engines, 320, members, members[0], nil); len(plan) > 0 {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against moving assigned engines when more engines come into use, since their hosts have
-// open connections to them.
+// TestAssignedEnginesStayWhenEnginesAreAdded guards against moving assigned engines when more
+// engines come into use, since their hosts have open connections to them.
 func TestAssignedEnginesStayWhenEnginesAreAdded(t *testing.T) {
 	members, engines := newDeployment(6, 13, 12, 6, 0.192)
 	self := members[0]
@@ -127,8 +127,8 @@
 	}
 }
 
-// Six steps of 224 items at engines with an event each 80 ms fit on a coordinator with 1.6 cores,
-// and not on one with 0.8.
+// TestSlowEventsCostLess checks that six steps of 224 items at engines with an event each 80 ms fit
+// on a coordinator with 1.6 cores, and not on one with 0.8.
 func TestSlowEventsCostLess(t *testing.T) {
 	runs := typicalRuns(6*224, 80)
 	if !canRunAll(runs, cfmember.Entry{Capacity: 1.6}) || canRunAll(runs, cfmember.Entry{Capacity: 0.8}) {
--- a/io/cfrunner/cfrunner_test.go
+++ b/io/cfrunner/cfrunner_test.go
@@ -179,9 +179,9 @@
 	return done
 }
 
-// Guards against missing and duplicate events in a sample's text when half of the host's responses,
-// to orders and polls alike, are lost after the host has acted on the calls. Reports must be sent
-// again but applied once, and repeated orders must be executed once.
+// TestLostResponsesLoseNoEvents guards against missing and duplicate events in a sample's text when
+// half of the host's responses, to orders and polls alike, are lost after the host has acted on the
+// calls. Reports must be sent again but applied once, and repeated orders must be executed once.
 func TestLostResponsesLoseNoEvents(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
@@ -210,8 +210,8 @@
 	}
 }
 
-// Guards against an item that runs at two engines at once because a stopped run counts as ended
-// before its host has ended it.
+// TestStoppedRunEndsWhenHostConfirms guards against an item that runs at two engines at once
+// because a stopped run counts as ended before its host has ended it.
 func TestStoppedRunEndsWhenHostConfirms(t *testing.T) {
 	g := newFake()
 	p, _ := newTestPool(t, g)
@@ -227,9 +227,10 @@
 	}
 }
 
-// Guards against engines kept busy by runs of a coordinator that no longer exists, and against an
-// item that runs at two engines at once. When the link between coordinator and host fails, the host
-// must stop its runs by itself, before the coordinator considers them lost.
+// TestUnreachableHostStopsItsRunsFirst guards against engines kept busy by runs of a coordinator
+// that no longer exists, and against an item that runs at two engines at once. When the link
+// between coordinator and host fails, the host must stop its runs by itself, before the coordinator
+// considers them lost.
 func TestUnreachableHostStopsItsRunsFirst(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
@@ -245,9 +246,10 @@
 	}
 }
 
-// Guards against an item that runs at two engines at once for half a second and more. The link
-// delays polls by 0.9 s and loses the responses; the coordinator counts from when it sent the
-// latest poll, so a host that counts from the poll's arrival keeps the runs too long.
+// TestDelayedPollsDoNotExtendRuns guards against an item that runs at two engines at once for half
+// a second and more. The link delays polls by 0.9 s and loses the responses; the coordinator counts
+// from when it sent the latest poll, so a host that counts from the poll's arrival keeps the runs
+// too long.
 func TestDelayedPollsDoNotExtendRuns(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
@@ -262,8 +264,8 @@
 	}
 }
 
-// Guards against runs that wait forever because a host process that was killed and restarted at
-// once is mistaken for the one that had the runs.
+// TestRunsOfRestartedHostFail guards against runs that wait forever because a host process that was
+// killed and restarted at once is mistaken for the one that had the runs.
 func TestRunsOfRestartedHostFail(t *testing.T) {
 	g := newFake()
 	p, w := newTestPool(t, g)
@@ -277,8 +279,9 @@
 	}
 }
 
-// Guards against an item of an ended batch that reaches an engine seconds after the end, because an
-// order was delayed on the link or comes from a coordinator with an earlier term.
+// TestStaleOrdersStartNothing guards against an item of an ended batch that reaches an engine
+// seconds after the end, because an order was delayed on the link or comes from a coordinator with
+// an earlier term.
 func TestStaleOrdersStartNothing(t *testing.T) {
 	g := newFake()
 	h := NewHost(g, zap.NewNop())
@@ -306,9 +309,10 @@
 	}
 }
 
-// Guards against lost samples after a coordinator process was killed and restarted at once with the
-// same lease. The new process numbers its runs from the beginning while the host still has the runs
-// of the old one, so the host must tell two processes with the same term apart.
+// TestRestartedCoordinatorGetsNewSession guards against lost samples after a coordinator process
+// was killed and restarted at once with the same lease. The new process numbers its runs from the
+// beginning while the host still has the runs of the old one, so the host must tell two processes
+// with the same term apart.
 func TestRestartedCoordinatorGetsNewSession(t *testing.T) {
 	g := newFake()
 	p, _ := newTestPool(t, g)
@@ -332,8 +336,9 @@
 	return cf.TargetAnswer{}, eris.Wrap(cf.ErrNotRun, "connection refused")
 }
 
-// Guards against counting a request that was never sent as one during which a target was lost,
-// because the host's report on the end of the run omits that it was not sent.
+// TestHostReportsThatRunWasNotSent guards against counting a request that was never sent as one
+// during which a target was lost, because the host's report on the end of the run omits that it was
+// not sent.
 func TestHostReportsThatRunWasNotSent(t *testing.T) {
 	p, _ := newTestPool(t, refusingTargets{})
 	_, err := p.Route(engine).Stream(context.Background(), engine, cf.TargetCall{ID: "1"}, &recordingSink{})
@@ -363,8 +368,9 @@
 	return cf.TargetAnswer{}, ctx.Err()
 }
 
-// Guards against an endless stream that exhausts its host's memory and makes a report too large for
-// the link, which fails the runs of all engines of the host.
+// TestUnboundedStreamsStayWithinReportLimit guards against an endless stream that exhausts its
+// host's memory and makes a report too large for the link, which fails the runs of all engines of
+// the host.
 func TestUnboundedStreamsStayWithinReportLimit(t *testing.T) {
 	for _, numbered := range []bool{false, true} {
 		f := floodTargets{numbered: numbered, sentEvents: make(chan int, 100)}
--- a/io/cfrunner/linkmodel_test.go
+++ b/io/cfrunner/linkmodel_test.go
@@ -79,8 +79,8 @@
 	return keepsRuns(lastPoll, lostAt-cf.MillisOf(pollCheckInterval)+offset)
 }
 
-// Guards against a sequence of delayed and lost polls and responses after which a host keeps runs
-// that continue elsewhere.
+// TestHostStopsRunsBeforeTheyCountAsLost guards against a sequence of delayed and lost polls and
+// responses after which a host keeps runs that continue elsewhere.
 func TestHostStopsRunsBeforeTheyCountAsLost(t *testing.T) {
 	simulated, violation := simulateLinks(4, effectivePollTime)
 	t.Logf("%d sequences simulated", simulated)
@@ -89,8 +89,8 @@
 	}
 }
 
-// Checks that the model detects the fault that it is meant to find: polls that count as of their
-// arrival.
+// TestLinkModelDetectsPollsCountedOnArrival checks that the model detects the fault that it is
+// meant to find: polls that count as of their arrival.
 func TestLinkModelDetectsPollsCountedOnArrival(t *testing.T) {
 	if _, violation := simulateLinks(4, func(_, now cf.Millis) cf.Millis { return now }); violation == nil {
 		t.Error("no violation found for polls that count as of their arrival")
--- a/io/cfrunner/unboundedstream_test.go
+++ b/io/cfrunner/unboundedstream_test.go
@@ -30,8 +30,8 @@
 	return cf.TargetAnswer{Status: 200}, nil
 }
 
-// Guards against an endless stream that exhausts a host's memory or makes a report too long for the
-// link.
+// TestUnboundedStreamIsCutOffAtHost guards against an endless stream that exhausts a host's memory
+// or makes a report too long for the link.
 func TestUnboundedStreamIsCutOffAtHost(t *testing.T) {
 	targets := endlessTargets{accepted: make(chan int, 1)}
 	h := NewHost(targets, zap.NewNop())
--- a/organisation_test.go
+++ b/organisation_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Guards against ids of two organisations that become equal for some choice of names and ids, and
-// against scoped ids that do not yield the organisation and the caller's id again.
+// TestIDsAreScopedByOrganisation guards against ids of two organisations that become equal for some
+// choice of names and ids, and against scoped ids that do not yield the organisation and the
+// caller's id again.
 func TestIDsAreScopedByOrganisation(t *testing.T) {
 	ids := []BatchID{"b", "a~b", "~b", "~", "", "a/b", "x y", "a~~b"}
 	organisations := []Organisation{"", "a", "~", "a~b", "a b", "a/b", "%61"}
--- a/target.go
+++ b/target.go
@@ -130,8 +130,9 @@
 		Stream func(ctx context.Context, t Target, call TargetCall, sink StreamSink) (TargetAnswer, error)
 	}
 
-	// WatermarkSink is a StreamSink whose events may be delivered some time after they arrived.
-	// Watermark reports that all events that arrived up to the Uptime at have been delivered.
+	// WatermarkSink is implemented by a StreamSink whose events may be delivered some time after
+	// they arrived. Watermark reports that all events that arrived up to the Uptime at have been
+	// delivered.
 	WatermarkSink interface {
 		Watermark(at Millis)
 	}
