--- a/core/cfrollout/allocation.go
+++ b/core/cfrollout/allocation.go
@@ -19,9 +19,10 @@
 	// rotationFactor is the number of engines of a model relative to the number that a step needs:
 	// while some serve a step, the others load the version that the next step asks for.
 	rotationFactor = 2
-	// slackNeed is by how much the number of engines must exceed the need before spare engines are
-	// left without a model, and slackShare by how much a share must exceed its need before it
-	// releases engines. They keep the division from oscillating with the size of each step.
+	// slackNeed is the factor by which the number of engines must exceed the need before spare
+	// engines are left without a model, and slackShare the factor by which a share must exceed its
+	// need before it releases engines. They keep the division from oscillating with the size of
+	// each step.
 	slackNeed  = 1.25
 	slackShare = 1.5
 )
--- a/core/cfrollout/allocation_test.go
+++ b/core/cfrollout/allocation_test.go
@@ -397,7 +397,7 @@
 }
 
 // TestItemsReuseConnections submits steps of few items to many engines. Their items must go to
-// engines with idle connections instead of to ever new engines.
+// engines with idle connections instead of to engines that were not used before.
 func TestItemsReuseConnections(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	targets := fleet(40, cf.ModelState{Name: "a", Version: 1})
--- a/core/cfrollout/crash_test.go
+++ b/core/cfrollout/crash_test.go
@@ -15,7 +15,7 @@
 const maxUnplaced cf.Millis = 5000
 
 // crashBursts returns nine engines of twelve slots and one trainer, with three bursts of five
-// crashes, 0.4 s apart, of three in ten engines each.
+// crashes, 0.4 s apart, each of which affects three in ten engines.
 func crashBursts(seed uint64) cfreplay.Options {
 	o := cfreplay.Options{
 		Seed: seed, Limits: cfrollout.DefaultLimits,
--- a/core/cfrollout/enginelifecycle_test.go
+++ b/core/cfrollout/enginelifecycle_test.go
@@ -9,8 +9,8 @@
 	"currantford/core/cfbatch"
 )
 
-func newTarget(id cf.InstanceID, service cf.ServiceName, born cf.Millis) cf.Target {
-	return cf.Target{ID: id, Service: service, Slots: 3, Started: born, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
+func newTarget(id cf.InstanceID, service cf.ServiceName, started cf.Millis) cf.Target {
+	return cf.Target{ID: id, Service: service, Slots: 3, Started: started, Models: []cf.ModelState{{Name: cf.ModelName("m-" + service), Version: 1}}}
 }
 
 var lifecycleModels = map[cf.ServiceName][]cf.ModelName{"a": {"m-a"}, "b": {"m-b"}}
@@ -50,7 +50,7 @@
 		p := New(DefaultLimits)
 		p.SetEngines(nil, lifecycleModels)
 		listed := map[cf.InstanceID]cf.Target{}
-		born := map[cf.InstanceID]cf.Millis{"e0": 1, "e1": 1, "e2": 1, "e3": 1}
+		startedAt := map[cf.InstanceID]cf.Millis{"e0": 1, "e1": 1, "e2": 1, "e3": 1}
 		current := map[*Work]cf.Target{} // the current runs, with their targets at the start
 		ids := []cf.InstanceID{"e0", "e1", "e2", "e3"}
 		batches := 0
@@ -65,12 +65,12 @@
 				if random.IntN(4) == 0 {
 					service = "b"
 				}
-				listed[id] = newTarget(id, service, born[id])
+				listed[id] = newTarget(id, service, startedAt[id])
 				p.ChangeEngines([]cf.Target{listed[id]}, nil)
 			case 2: // restarts
 				if t, known := listed[id]; known {
-					born[id] += 100
-					t.Started = born[id]
+					startedAt[id] += 100
+					t.Started = startedAt[id]
 					listed[id] = t
 					p.ChangeEngines([]cf.Target{t}, nil)
 				}
@@ -92,7 +92,7 @@
 					p.AddBatch(newServiceStep(cf.BatchID(fmt.Sprint("s", batches)), []cf.ServiceName{"a", "b"}[random.IntN(2)], 5))
 				}
 			case 6:
-				p.Reported(id, cf.TargetReport{Started: born[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
+				p.Reported(id, cf.TargetReport{Started: startedAt[id], Models: []cf.ModelState{{Name: "m-a", Version: 1}}})
 			default:
 				for w, at := range current {
 					avoid, kept := penalties(p, at.ID)
--- a/core/cfrollout/engines.go
+++ b/core/cfrollout/engines.go
@@ -14,7 +14,7 @@
 	p.models = models
 	seen := make(map[cf.InstanceID]bool, len(targets))
 	for _, t := range targets {
-		seen[t.ID] = p.takeEngine(t)
+		seen[t.ID] = p.upsertEngine(t)
 	}
 	for id := range p.engines {
 		if !seen[id] {
@@ -28,7 +28,7 @@
 // are gone.
 func (p *Planner) ChangeEngines(changed []cf.Target, gone []cf.InstanceID) {
 	for _, t := range changed {
-		if !p.takeEngine(t) {
+		if !p.upsertEngine(t) {
 			p.dropEngine(t.ID)
 		}
 	}
@@ -43,9 +43,9 @@
 	p.divideEngines()
 }
 
-// takeEngine adds or updates an engine. It returns false if the target does not serve models or its
-// weights are not known yet.
-func (p *Planner) takeEngine(t cf.Target) bool {
+// upsertEngine adds or updates an engine. It returns false if the target does not serve models or
+// its weights are not known yet.
+func (p *Planner) upsertEngine(t cf.Target) bool {
 	if len(p.models[t.Service]) == 0 || len(t.Models) == 0 {
 		return false
 	}
@@ -58,11 +58,11 @@
 		e = p.departedOrNew(t)
 		p.engines[t.ID] = e
 	}
-	born := max(e.Started, t.Started)
+	started := max(e.Started, t.Started)
 	p.noteStart(e, t.Started)
 	e.Target = t
-	e.Started = born
-	if t.Started == born || t.Started == 0 { // otherwise the list may still show the previous process
+	e.Started = started
+	if t.Started == started || t.Started == 0 { // otherwise the list may still show the previous process
 		for _, m := range t.Models {
 			p.noteVersion(e, m.Name, m.Version)
 		}
@@ -95,11 +95,12 @@
 	return e
 }
 
-// currentEngine returns the engine of a run, or nil if the engine is no longer listed or has
-// restarted since the run began, so that the run says nothing about it.
+// currentEngine returns the engine of a run. It returns nil if the engine is no longer listed, or
+// has restarted since the run began: the run's progress does not show the pace of the current
+// process.
 func (p *Planner) currentEngine(w *Work) *Engine {
 	e := w.engine
-	if e == nil || p.engines[e.ID] != e || w.engineBorn > 0 && w.engineBorn < e.Started {
+	if e == nil || p.engines[e.ID] != e || w.engineStarted > 0 && w.engineStarted < e.Started {
 		return nil
 	}
 	return e
@@ -129,8 +130,8 @@
 	return e != nil && e.Service == t.Service && (t.Started == 0 || t.Started >= e.Started)
 }
 
-// dropEngine removes an engine. Runs that have not ended stay counted at it, also if it is listed
-// again.
+// dropEngine removes an engine. Runs that have not ended remain counted at it, even if it is listed
+// again later.
 func (p *Planner) dropEngine(id cf.InstanceID) {
 	e := p.engines[id]
 	if e == nil {
@@ -154,12 +155,12 @@
 // noteStart records that the engine's process has restarted under the same id. The new process
 // holds no weights, and what was learned about the old one may not apply. Runs of the old process
 // end by themselves.
-func (p *Planner) noteStart(e *Engine, born cf.Millis) {
-	if born <= e.Started {
+func (p *Planner) noteStart(e *Engine, started cf.Millis) {
+	if started <= e.Started {
 		return
 	}
 	first := e.Started == 0
-	e.Started = born
+	e.Started = started
 	if first {
 		return // the earlier start time was unknown
 	}
@@ -199,13 +200,13 @@
 		}
 		shares = append(shares, assignment{id: id, model: e.Model, moveCost: cost})
 	}
-	timed := p.hasDueTimes(models)
+	hasDueTimes := p.hasDueTimes(models)
 	if len(shares) < len(models) {
 		p.scarce = true
 		models = p.byLongestWait(service, models)[:len(shares)]
 	}
-	need := p.needsOf(models, timed)
-	if timed && sharesCloseEnough(shares, models, need) {
+	need := p.needsOf(models, hasDueTimes)
+	if hasDueTimes && sharesCloseEnough(shares, models, need) {
 		return
 	}
 	for id, m := range assign(shares, models, need) {
--- a/core/cfrollout/estimate.go
+++ b/core/cfrollout/estimate.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// infeasibleFactor is how many times longer than the time left the quickest group of a step
-	// must be expected to take for the step to be infeasible. Lengths are known to within a factor
-	// of 1.6, and a step that fits must never be refused.
+	// infeasibleFactor is the factor by which the expected duration of a step's quickest group must
+	// exceed the time left for the step to be infeasible. Lengths are known to within a factor of
+	// 1.6, and a step that fits must never be refused.
 	infeasibleFactor = 2
 	// minRetry and maxRetry bound the time after which the submitter of an infeasible step should
 	// try again.
@@ -31,9 +31,9 @@
 // EstimateStep returns the expectation for a step. A step is not infeasible if lengths or paces are
 // unknown.
 //
-// A step is infeasible if its shortest group takes longer than the time left, for example because
-// its texts are very long or most engines are lost. It would take slots from the steps after it and
-// be useless.
+// A step is infeasible if its quickest group takes longer than infeasibleFactor times the time
+// left, for example because its texts are very long or most engines are lost. Such a step would
+// take slots from the steps after it and yield no useful result.
 func (p *Planner) EstimateStep(sub cf.Submission, terms Terms, now cf.Millis) Estimate {
 	if p.limits.AllGroups || terms.Due == 0 || !p.lengths.started || len(sub.Items) == 0 {
 		return Estimate{}
--- a/core/cfrollout/export_test.go
+++ b/core/cfrollout/export_test.go
@@ -17,7 +17,7 @@
 // ConnectionKeptAt records that a connection to an engine stays open until the given time.
 func (p *Planner) ConnectionKeptAt(id cf.InstanceID, until cf.Millis) {
 	if e := p.engines[id]; e != nil {
-		p.ConnectionKept(&Work{engine: e, engineBorn: e.Started}, until)
+		p.ConnectionKept(&Work{engine: e, engineStarted: e.Started}, until)
 	}
 }
 
--- a/core/cfrollout/goodput.go
+++ b/core/cfrollout/goodput.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// rankInterval is the minimum time between two rankings of a batch's groups. What remains of a
-	// group changes by an event every 40 ms or more.
+	// rankInterval is the minimum time between two rankings of a batch's groups. The remaining work
+	// of a group changes with the events of its items, which are 40 ms or more apart.
 	rankInterval cf.Millis = 100
 	// lateShare is how long after its due time a step is still useful, as a part of the time that
 	// it was given. Callers pay less for late groups, and nothing for groups that are late by more
@@ -38,13 +38,16 @@
 type groupClass int
 
 const (
-	// groupInTime: expected to be complete by the step's due time or just after it.
+	// groupInTime means that the group is expected to be complete by the step's due time or just
+	// after it.
 	groupInTime groupClass = iota
-	// groupLate: required, and expected to be complete soon after the due time.
+	// groupLate means that the group is required, and expected to be complete soon after the due
+	// time.
 	groupLate
-	// groupTooLate: required, and expected to be complete too late to be useful.
+	// groupTooLate means that the group is required, and expected to be complete too late to be
+	// useful.
 	groupTooLate
-	// groupOptional: not required.
+	// groupOptional means that the group is not required.
 	groupOptional
 )
 
@@ -323,10 +326,10 @@
 }
 
 // awaitedEngines returns the engines whose runs decide when a step with ranked groups ends. They
-// should not load weights before another batch needs it, because a load interrupts a run and the
-// longest texts of a step decide when it is complete. Engines whose runs end a load's duration
-// before the step load as soon as no item waits for them: only a few may load at once, and not all
-// would have loaded by the next step otherwise.
+// should not load weights until another batch needs the new version, because a load interrupts a
+// run and the longest texts of a step decide when it is complete. An engine whose runs end at least
+// one load's duration earlier than the step may load as soon as no item waits for it: only a few
+// may load at once, and otherwise not all would have loaded by the next step.
 func (p *Planner) awaitedEngines() map[*Engine]bool {
 	out := map[*Engine]bool{}
 	if p.limits.LoadUnderRuns {
--- a/core/cfrollout/goodput_test.go
+++ b/core/cfrollout/goodput_test.go
@@ -81,7 +81,7 @@
 }
 
 // TestTrainersProgressBeyondCapacity guards against a closed loop in which each step ends at the
-// trainers' timeout, and against one trainer losing out to the others.
+// trainers' timeout, and against one trainer getting far less than the others.
 func TestTrainersProgressBeyondCapacity(t *testing.T) {
 	for name, disturb := range map[string]func(*cfreplay.Simulation){
 		"undisturbed":  func(*cfreplay.Simulation) {},
--- a/core/cfrollout/isolation.go
+++ b/core/cfrollout/isolation.go
@@ -56,9 +56,9 @@
 
 // isolate returns the engine for an item that may run only with few others or none: the least busy
 // engine, which becomes isolated. If the maximum number of engines is already isolated, the item
-// joins others at one of them. If it cannot, it goes to any engine with room, since it would wait
-// too long otherwise. Two items whose engines crashed together are retried at the same time, and
-// should be kept apart if possible.
+// joins the runs at one of them. If it cannot, it goes to any engine with room, since it would wait
+// too long otherwise. Two items that ran at the same engines when these crashed are retried at the
+// same time, and should be kept apart if possible.
 func (p *Planner) isolate(engines []*Engine, q queue, w *Work, assumed float64, now cf.Millis) *Engine {
 	var joined, leastBusy *Engine
 	isolated := 0
--- a/core/cfrollout/loadcrashes.go
+++ b/core/cfrollout/loadcrashes.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// crashesBeforeBackoff is the number of crashes after which a version is tried only rarely. The
-	// same number of crashes convicts a request.
+	// crashesBeforeBackoff is the number of crashes after which a version is tried only rarely.
+	// Crashes are attributed to a request after the same number.
 	crashesBeforeBackoff = 3
 	// minCrashBackoff is the pause before the next try after that many crashes. It grows by
 	// crashBackoffFactor with each further crash, up to maxCrashBackoff.
--- a/core/cfrollout/loadlimit.go
+++ b/core/cfrollout/loadlimit.go
@@ -6,7 +6,7 @@
 
 const (
 	// slowLoadFactor is how much longer than usual a load must take to count as slowed down by
-	// others. It exceeds what the time between two planning passes may add.
+	// others. The difference exceeds what the time between two planning passes may add.
 	slowLoadFactor = 1.25
 	// outlierLoadFactor is how much longer than usual a load takes that says nothing about
 	// concurrent loads: its order was carried out late, or its engine is slow.
@@ -21,14 +21,14 @@
 	maxLoads = 128
 	// quickGrowthShare is the part of the engines up to which the limit grows by quickGrowthFactor
 	// at a time. A weight store is sized for its fleet, and with slow growth a large fleet would
-	// learn the limit for longer than a version lasts.
+	// need longer to find the limit than a version lasts.
 	quickGrowthShare  = 1.0 / 32
 	quickGrowthFactor = 4
 	// maxUnprovenLoads is how many engines may load a version at once that none has loaded yet,
 	// since such a version may crash each of them.
 	maxUnprovenLoads = 16
-	// maxLoadShare is the part of the engines that may load at once. The others continue to serve,
-	// which a load interrupts for about one second.
+	// maxLoadShare is the part of the engines that may load at once, so that the others continue to
+	// serve. An engine serves nothing during a load, for about one second.
 	maxLoadShare = 0.5
 	// minRetryPause is the pause after a limit was found before a higher one is tried. It doubles
 	// with each failure up to maxRetryPause, since each try slows down a round of loads.
@@ -78,7 +78,7 @@
 func (p *Planner) LearnedLoads() int { return p.loadLimit.proven }
 
 // observe records the duration of a load while the given number of loads ran, this one included.
-// While items wait for loads, more of them run than the limit allows.
+// While items wait for loads, more loads run than the limit allows.
 func (l *loadLimiter) observe(concurrent int, took, now cf.Millis) {
 	ms := float64(took)
 	switch {
--- a/core/cfrollout/loadlimit_test.go
+++ b/core/cfrollout/loadlimit_test.go
@@ -9,8 +9,8 @@
 
 // loadTime returns the duration of a load from a weight store that serves some loads at full speed,
 // while each further one makes all of them longer.
-func loadTime(serves, beside int) cf.Millis {
-	over := max(beside-serves, 0)
+func loadTime(serves, concurrent int) cf.Millis {
+	over := max(concurrent-serves, 0)
 	return cf.Millis(1000 + 300*over)
 }
 
@@ -22,15 +22,15 @@
 		slow, rounds := 0, 0
 		now := cf.Millis(0)
 		for now < 120_000 {
-			beside := l.limit
-			took := loadTime(serves, beside)
+			concurrent := l.limit
+			took := loadTime(serves, concurrent)
 			if l.limit > serves {
 				slow++
 			}
 			rounds++
 			now += took
-			for range beside {
-				l.observe(beside, took, now)
+			for range concurrent {
+				l.observe(concurrent, took, now)
 			}
 		}
 		t.Logf("%d served at full speed: limit %d, %d of %d rounds slow", serves, l.limit, slow, rounds)
@@ -68,9 +68,9 @@
 }
 
 // TestUsualTimeIgnoresConcurrentLoads guards against a limit that stays at three where the store
-// serves two at full speed, so that each load takes twice as long. Loads concurrent with one too
-// many differ by 0.15 s, some of them hardly longer than usual, and each of these raised the usual
-// time slightly.
+// serves two at full speed, so that each load takes twice as long. If one load too many runs, the
+// loads end 0.15 s apart, some of them hardly later than usual. If such loads counted, each would
+// raise the usual time slightly.
 func TestUsualTimeIgnoresConcurrentLoads(t *testing.T) {
 	l := newLoadLimiter(2, 0)
 	l.observe(1, 910, 0)
@@ -111,9 +111,9 @@
 		l.setEngineCount(engines)
 		now := cf.Millis(0)
 		for range 40 {
-			beside := l.allowed()
-			for range beside {
-				l.observe(beside, 1000, now)
+			concurrent := l.allowed()
+			for range concurrent {
+				l.observe(concurrent, 1000, now)
 			}
 			now += 1000
 		}
--- a/core/cfrollout/memory.go
+++ b/core/cfrollout/memory.go
@@ -15,8 +15,8 @@
 	queryInterval cf.Millis = 1000
 	// equalPaceFactor is how much slower than the fastest engine an engine may be to be selected
 	// for a long item because its runs are expected to need less memory. Length hints are often far
-	// off, so the three longest items stay apart only if long items spread over all engines of
-	// about the same pace.
+	// off, so three of the longest items stay off a single engine only if long items spread over
+	// all engines of about the same pace.
 	equalPaceFactor = 1.1
 	// longTextFactor is how many times the usual length a text must have to count as long, that is,
 	// to decide when its step is complete. One text in ten has five times the usual length.
--- a/core/cfrollout/pace.go
+++ b/core/cfrollout/pace.go
@@ -155,7 +155,8 @@
 // fullPace returns the time of an event at an engine with all slots in use.
 func (p *Planner) fullPace(e *Engine) float64 { return e.pace * p.slotCost.factor(e.Slots) }
 
-// Pace returns the time of an event without the slowdown from concurrent runs, in ms, zero until it was observed.
+// Pace returns the time of an event without the slowdown from concurrent runs, in ms, zero until it
+// was observed.
 func (e *Engine) Pace() float64 { return e.pace }
 
 // paceCacheTime is how long the result of assumedPace is reused.
@@ -415,6 +416,6 @@
 	return best
 }
 
-// minGain returns what a move must be expected to save, in ms. It doubles with each earlier
-// move, which did not save what was expected, so that the estimate cannot be trusted.
+// minGain returns what a move must be expected to save, in ms. It doubles with each earlier move of
+// the run: these moves did not save what was expected, so the estimate cannot be trusted.
 func (w *Work) minGain() float64 { return minMoveGain * float64(int(1)<<min(w.moves, maxDoublings)) }
--- a/core/cfrollout/planner.go
+++ b/core/cfrollout/planner.go
@@ -12,7 +12,7 @@
 // Terms: a run is one attempt to generate an item's text at an engine. It yields a stream of
 // events, each of which carries a few tokens. The pace of a run or an engine is the time of one
 // event, in ms, so a higher pace is slower. A group is complete when all of its items are done. A
-// load is an engine's load of a weight version.
+// load is an engine's load of a weight version. A weight order (Swap) makes an engine load one.
 //
 // Usage:
 //
@@ -110,7 +110,8 @@
 		memoryReported bool
 		usedMemory     float64
 		groups         map[cf.GroupID]int
-		// pace is the time of an event without the slowdown from concurrent runs, in ms, zero until it was observed.
+		// pace is the time of an event without the slowdown from concurrent runs, in ms, zero until
+		// it was observed.
 		pace float64
 		// meanPace and meanRuns are moving averages of the engine's pace and of its number of runs,
 		// last updated at meanAt.
@@ -157,11 +158,11 @@
 		Failures int // answers that count as failed attempts
 		Text     Text
 		Engine   cf.InstanceID // where it runs, empty while it waits
-		// engine is the engine that Engine names. engineBorn is the start time of the engine
+		// engine is the engine that Engine names. engineStarted is the start time of the engine
 		// process that the run was given to, zero if it was unknown.
-		engine     *Engine
-		engineBorn cf.Millis
-		Version    cf.WeightVersion
+		engine        *Engine
+		engineStarted cf.Millis
+		Version       cf.WeightVersion
 		// OldestVersion is the oldest weight version in the text, as of the run's start.
 		OldestVersion cf.WeightVersion
 		Started       cf.Millis
@@ -341,7 +342,7 @@
 	p.batches[b.Sub.ID] = o
 	var ready []*Work
 	tokens, hints := 0.0, 0.0
-	guess := meanHint(b.Sub.Items)
+	mean := meanHint(b.Sub.Items)
 	for _, it := range b.Sub.Items {
 		tokens += float64(max(it.MaxTokens, 1))
 		hints += float64(it.LengthHint)
@@ -351,7 +352,7 @@
 		if p.adoptOrphan(o, it) {
 			continue
 		}
-		w := &Work{Batch: b, Item: it, Terms: terms, relativeHint: float64(it.LengthHint) / guess}
+		w := &Work{Batch: b, Item: it, Terms: terms, relativeHint: float64(it.LengthHint) / mean}
 		if old := p.savedTexts[it.ID]; old != nil {
 			delete(p.savedTexts, it.ID)
 			if reusable(old.Text, b.Sub.MinVersion, terms.SingleVersion) {
--- a/core/cfrollout/session_test.go
+++ b/core/cfrollout/session_test.go
@@ -13,7 +13,7 @@
 	"currantford/core/cfrollout"
 )
 
-// session plays a trainer's step from its submission to the next version, without engines or
+// session simulates a trainer's step from its submission to the next version, without engines or
 // network.
 type session struct {
 	planner *cfrollout.Planner
@@ -23,7 +23,7 @@
 	now     cf.Millis
 }
 
-// TestSession plays the sessions in testdata. Their commands are:
+// TestSession runs the sessions in testdata. Their commands are:
 //
 //	engines n=2 model=a version=1    engines that are up
 //	submit id=s model=a least=1 groups=2 size=2 want=2
--- a/core/cfrollout/shares.go
+++ b/core/cfrollout/shares.go
@@ -14,9 +14,9 @@
 	// engines are divided again. An engine that changes its model has to load weights while it
 	// still has runs of the current step.
 	shareTolerance = 0.7
-	// needFadesAfter is how long after its last step a model's need is reduced by idleNeedFactor.
-	// Trainers submit a step every few seconds, but a step may be missing after a change of the
-	// coordinator.
+	// needFadesAfter is how long after its last step a model's need is multiplied by
+	// idleNeedFactor. Trainers submit a step every few seconds, but a step may be missing after a
+	// change of the coordinator.
 	needFadesAfter cf.Millis = 15_000
 	idleNeedFactor float64   = 0.1
 )
@@ -47,8 +47,8 @@
 	}
 )
 
-// SetShareWeights sets the factors by which the models' work counts in the division of the engines. A
-// model without a factor has 1.
+// SetShareWeights sets the factors by which the models' work counts in the division of the engines.
+// A model without a factor has 1.
 func (p *Planner) SetShareWeights(weights map[cf.ModelName]float64) { p.shareWeights = weights }
 
 // noteWork records the work of a model's latest step. The number of groups varies by a third from
@@ -107,8 +107,8 @@
 // hints if all models provide them, because an item's token limit is only an upper bound of its
 // length; otherwise it is the average of the token limits. Without due times it is the token limits
 // of the latest step.
-func (p *Planner) needsOf(models []cf.ModelName, timed bool) modelNeeds {
-	hinted := timed
+func (p *Planner) needsOf(models []cf.ModelName, hasDueTimes bool) modelNeeds {
+	hinted := hasDueTimes
 	for _, m := range models {
 		if w, known := p.work[m]; known && w.hints == 0 {
 			hinted = false
@@ -120,7 +120,7 @@
 		if !known {
 			continue
 		}
-		if !timed {
+		if !hasDueTimes {
 			w.tokens = w.latestTokens
 		} else if p.now-w.lastOpen > needFadesAfter && !p.hasOpenBatch(m) {
 			w.tokens, w.hints = idleNeedFactor*w.tokens, idleNeedFactor*w.hints
--- a/core/cfrollout/singleversion_test.go
+++ b/core/cfrollout/singleversion_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestOrdersBetweenStepsWaitForSingleVersionRuns guards against the same between two steps: no
-// batch is open, and a run continues for the next step, which may ask for its item again. The order
-// must not let such runs continue on the new weights.
+// TestOrdersBetweenStepsWaitForSingleVersionRuns guards against a sample of two versions if no
+// batch is open: a run continues for the next step, which may ask for its item again, and a weight
+// order given between the two steps must not let the run continue on the new weights.
 func TestOrdersBetweenStepsWaitForSingleVersionRuns(t *testing.T) {
 	p := cfrollout.New(cfrollout.DefaultLimits)
 	p.SetEngines(fleet(2, cf.ModelState{Name: "a", Version: 4}), models("a"))
--- a/core/cfrollout/slotcost.go
+++ b/core/cfrollout/slotcost.go
@@ -11,13 +11,14 @@
 	slotCostPrior = 0.02
 	minSlotCost   = 0.003
 	maxSlotCost   = 0.05
-	// slotPriorWeight is the weight of the prior, in squared runs. A step of an engine with 12
-	// slots shows several times as much.
+	// slotPriorWeight is the weight of the prior, in squared runs. One step at an engine with 12
+	// slots contributes observations of several times that weight.
 	slotPriorWeight = 300
 	// slotDecay is the factor on the earlier observations with each new one. With ten engines they
 	// count for about ten seconds.
 	slotDecay = 0.999
-	// meanDecay is the same for an engine's mean pace, about five seconds.
+	// meanDecay is the corresponding factor for an engine's mean pace, which averages over about
+	// five seconds.
 	meanDecay = 0.98
 	// slotInterval is the minimum time between two observations of an engine.
 	slotInterval cf.Millis = 100
--- a/core/cfrollout/slowperiods.go
+++ b/core/cfrollout/slowperiods.go
@@ -15,7 +15,7 @@
 	// burst.
 	minRunTime cf.Millis = 300
 	// minRunEvents and minRunSlowdown are how many events a run must have had, and how many times
-	// slower than the engine's lasting pace they must be, before the run leaves a slow engine: the
+	// slower than the engine's baseline pace they must be, before the run leaves a slow engine: the
 	// engine's pace is that of all its runs.
 	minRunEvents   = 3
 	minRunSlowdown = 1.25
@@ -29,7 +29,8 @@
 	maxPeriodMoves = 6
 	// minRemainingShare is the least remaining length of a run that may move, as a part of the
 	// longest remaining length of its step. Shorter runs end long before their step. In a replay, a
-	// fifth saved a fifth of the moves and cost the step 15 ms; a half cost 90 ms.
+	// share of a fifth saved a fifth of the moves and made the step 15 ms longer; a share of a half
+	// made it 90 ms longer.
 	minRemainingShare = 0.2
 	// reservationTimeout is how long a slot is reserved for a moving run. Stopping the run takes
 	// about ten ms, and up to half a second if the instance that holds its stream is slow.
@@ -40,7 +41,7 @@
 	// stallMargin is how long after a stall of this process events may still be read late.
 	stallMargin cf.Millis = 5
 	// suspectMinEngines is the number of engines from which on a majority of slow ones is
-	// attributed to their reference pace or to a delay in this process.
+	// attributed to wrong baseline paces or to a delay in this process.
 	suspectMinEngines = 4
 	// minNormalTime is how long an engine must not be slow before its smoothed pace is unaffected
 	// by a slow period.
@@ -156,8 +157,8 @@
 }
 
 // notePeriods records the sampled paces, for each engine the median of its runs. If most engines
-// look slow, their events were probably read late by this process or their lasting paces are wrong,
-// so no slow period continues.
+// look slow, their events were probably read late by this process or their baseline paces are
+// wrong, so no slow period continues.
 func (p *Planner) notePeriods(s *paceSamples) {
 	usual := p.usualPace()
 	slow := 0
@@ -176,7 +177,7 @@
 	}
 }
 
-// usualPace returns the median lasting pace of the engines that were busy recently, zero if there
+// usualPace returns the median baseline pace of the engines that were busy recently, zero if there
 // is none.
 func (p *Planner) usualPace() float64 {
 	var paces []float64
@@ -234,7 +235,7 @@
 			continue
 		}
 		// The effect of more runs on the pace is known to within a few percent, which for a long
-		// text amounts to half a second. Only a clearly lower lasting pace counts.
+		// text amounts to half a second. Only a clearly lower baseline pace counts.
 		pace, least := e.state.BaselinePace(), minPeriodGain+gainPerMove*float64(w.moves)
 		if usual := to.state.BaselinePace(); usual > 0 && lastingSlowdown*usual < pace {
 			pace = usual
--- a/core/cfrollout/waiting.go
+++ b/core/cfrollout/waiting.go
@@ -14,8 +14,7 @@
 	silentAfter cf.Millis = 1000
 	// maxReportedItems is the maximum number of items in one report.
 	maxReportedItems = 16
-	// roomShare is the part of a service's slots that must be in use for waiting items to be
-	// normal.
+	// roomShare is the part of a service's slots in use up to which no item should have to wait.
 	roomShare = 0.5
 )
 
--- a/core/cfrollout/waiting_test.go
+++ b/core/cfrollout/waiting_test.go
@@ -20,10 +20,10 @@
 			p.SetEngines(targets, models("m"))
 		}
 	}
-	scenarios := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, sent *bool){
+	scenarios := map[cfrollout.WaitReason]func(p *cfrollout.Planner, targets []cf.Target, pass *bool){
 		cfrollout.WaitRunSilent: func(*cfrollout.Planner, []cf.Target, *bool) {},
 		cfrollout.WaitNoRoute:   func(p *cfrollout.Planner, _ []cf.Target, _ *bool) { p.SetTerms("b", cfrollout.Terms{}, false) },
-		cfrollout.WaitRefused:   func(_ *cfrollout.Planner, _ []cf.Target, sent *bool) { *sent = false },
+		cfrollout.WaitRefused:   func(_ *cfrollout.Planner, _ []cf.Target, pass *bool) { *pass = false },
 		cfrollout.WaitNoEngines: func(p *cfrollout.Planner, targets []cf.Target, _ *bool) {
 			other := fleet(4, cf.ModelState{Name: "other", Version: 1})
 			for i := range other {
--- a/core/cfscale/decider.go
+++ b/core/cfscale/decider.go
@@ -56,8 +56,8 @@
 	// growMargin is the factor by which an order exceeds the need. The need varies with each step,
 	// and each order takes one call to the store and several to the platform's API.
 	growMargin = 1.1
-	// promptGrowMargin replaces growMargin if steps end in time and few engines are missing. It is
-	// half of the reserve for the loss of one of three failure domains.
+	// promptGrowMargin replaces growMargin if steps end in time and few engines are missing. Its
+	// excess over 1 is half of the reserve for the loss of one of three failure domains.
 	promptGrowMargin = 1.25
 	// lateGrowThreshold is the fraction of the need, with its reserve, below which engines are
 	// ordered while steps are late. It is below 1 because the need varies with each step.
--- a/core/cfscale/decider_test.go
+++ b/core/cfscale/decider_test.go
@@ -51,8 +51,8 @@
 	return out
 }
 
-// Guards against an order that names fewer engines than exist, which makes the platform take some
-// away, and against an order that can't be fulfilled and prevents others.
+// TestOrdersForDemand guards against an order that names fewer engines than exist, which makes the
+// platform take some away, and against an order that can't be fulfilled and prevents others.
 func TestOrdersForDemand(t *testing.T) {
 	policy := cfscale.Policy{
 		Service: "s", Min: 1, Max: 20, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2,
@@ -96,8 +96,9 @@
 	}
 }
 
-// Guards against a change of the lease holder after which engines are released that the steps of
-// the previous holder needed, or after which the existing engines are counted again.
+// TestSuccessorKeepsOrders guards against a change of the lease holder after which engines are
+// released that the steps of the previous holder needed, or after which the existing engines are
+// counted again.
 func TestSuccessorKeepsOrders(t *testing.T) {
 	policy := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
 	stored := runDecider(cfscale.NewDecider(policy, 0, false), 0, 3000, demandOf(2, 7500, 5, 5, 5), cfscale.StoredState{}, nil)
@@ -107,7 +108,8 @@
 	}
 }
 
-// Guards against a refused repeat of an order that releases engines in service.
+// TestRefusedRepeatKeepsEnginesInService guards against a refused repeat of an order that releases
+// engines in service.
 func TestRefusedRepeatKeepsEnginesInService(t *testing.T) {
 	policy := cfscale.Policy{Service: "s", Max: 32, BootTime: 4000, SpotPrice: 0.18, EnginePrice: 0.0055, GroupValue: 2}
 	for _, allArrived := range []bool{true, false} { // whether all ordered engines arrived before one was missing
--- a/core/cfscale/modelcheck_test.go
+++ b/core/cfscale/modelcheck_test.go
@@ -255,11 +255,11 @@
 	return len(seen), atRest, nil
 }
 
-// Guards against a platform that has a different number of engines than is stored, or that received
-// a number which was never stored, so that a successor can't know it. The exploration covers every
-// sequence of reading, writing, ordering, changing the wanted count, losing the lease and taking it
-// over, with up to three faults: writes and orders that are lost, whose answer is lost, or that
-// take effect late.
+// TestPlatformCountMatchesStore guards against a platform that has a different number of engines
+// than is stored, or that received a number which was never stored, so that a successor can't know
+// it. The exploration covers every sequence of reading, writing, ordering, changing the wanted
+// count, losing the lease and taking it over, with up to three faults: writes and orders that are
+// lost, whose answer is lost, or that take effect late.
 func TestPlatformCountMatchesStore(t *testing.T) {
 	states, atRest, err := explore(noFault)
 	if err != nil {
--- a/core/cfscale/need.go
+++ b/core/cfscale/need.go
@@ -71,8 +71,9 @@
 		}
 		due := float64(s.Due)
 		longest := s.Longest * d.Pace
-		// The need counted from the acceptance of the step, and from now for the remaining work: a
-		// step that is behind schedule needs more engines than it did at first.
+		// fromStart is the need counted from the acceptance of the step, fromNow that of the
+		// remaining work, counted from now: a step that is behind schedule needs more engines than
+		// it did at first.
 		fromStart := s.Events * d.Pace / max(dueShare*due-longest, minRunShare*due)
 		fromNow := s.Remaining * d.Pace / max(dueShare*due-float64(s.Age), minRunShare*due)
 		minimum := s.Events * d.Pace / max(dueShare*due-longest/2, minRunShare*due)
--- a/core/cfscale/plan.go
+++ b/core/cfscale/plan.go
@@ -122,7 +122,7 @@
 	if _, ordered := p.wanted[pool]; ordered {
 		return true
 	}
-	kindSeen := false // if true, a failure domain in which none are seen may be out of sight
+	kindSeen := false // if true, a failure domain that shows no engines may have some that are not visible
 	for other, n := range p.demand.Engines {
 		kindSeen = kindSeen || other.Spot == pool.Spot && n > 0
 	}
--- a/core/cfscale/reconciler_test.go
+++ b/core/cfscale/reconciler_test.go
@@ -6,9 +6,10 @@
 	cf "currantford"
 )
 
-// Guards against a platform that keeps an old count, because an order of the previous holder takes
-// effect after its successor has repeated an order that was not answered. The state exploration of
-// TestPlatformCountMatchesStore contains no repeat as early as this one.
+// TestRepeatedFirstOrderIsConfirmed guards against a platform that keeps an old count, because an
+// order of the previous holder takes effect after its successor has repeated an order that was not
+// answered. The state exploration of TestPlatformCountMatchesStore contains no repeat as early as
+// this one.
 func TestRepeatedFirstOrderIsConfirmed(t *testing.T) {
 	r := NewReconciler(2, 0)
 	order := cf.EngineOrder{EnginePool: modelPool, Count: 2}
--- a/core/cfscale/simulation_test.go
+++ b/core/cfscale/simulation_test.go
@@ -262,7 +262,8 @@
 
 func (r *sim) servedShare() float64 { return float64(r.groupsInTime) / float64(max(r.targetGroups, 1)) }
 
-// Guards against too few engines for the whole day, with which almost no group is complete in time.
+// TestTooFewEnginesGrow guards against too few engines for the whole day, with which almost no
+// group is complete in time.
 func TestTooFewEnginesGrow(t *testing.T) {
 	for _, engines := range []int{5, 8} {
 		disabled, enabled := newSim(engines, 1, true), newSim(engines, 1, false)
@@ -278,8 +279,8 @@
 	}
 }
 
-// Guards against paying for engines that no step needs on a quiet day, and against steps that are
-// late because engines were released.
+// TestTooManyEnginesShrink guards against paying for engines that no step needs on a quiet day, and
+// against steps that are late because engines were released.
 func TestTooManyEnginesShrink(t *testing.T) {
 	disabled, enabled := newSim(30, 0.8, true), newSim(30, 0.8, false)
 	disabled.runUntil(300_000)
@@ -293,7 +294,8 @@
 	}
 }
 
-// Guards against engines that are ordered and released in turn, as steps begin and end.
+// TestPeriodicStepsDoNotOscillate guards against engines that are ordered and released in turn, as
+// steps begin and end.
 func TestPeriodicStepsDoNotOscillate(t *testing.T) {
 	for _, engines := range []int{5, 12, 16} {
 		r := newSim(engines, 1, false)
@@ -315,8 +317,8 @@
 	}
 }
 
-// Guards against late steps after a failure domain's reclaimable engines are reclaimed in the
-// middle of a step.
+// TestReclaimedEnginesAreReplaced guards against late steps after a failure domain's reclaimable
+// engines are reclaimed in the middle of a step.
 func TestReclaimedEnginesAreReplaced(t *testing.T) {
 	disabled, enabled := newSim(3, 1, false), newSim(3, 1, false)
 	for _, r := range []*sim{disabled, enabled} {
--- a/core/cfslow/periods.go
+++ b/core/cfslow/periods.go
@@ -71,7 +71,7 @@
 // Reliable reports whether enough periods have been observed for decisions to rely on the
 // estimates.
 func (p *Periods) Reliable(now cf.Millis) bool {
-	// This is called for each engine considered in a choice.
+	// The result is cached because it is needed for each engine considered in a choice.
 	if p.recent < minPeriods {
 		return false
 	}
--- a/core/cfslow/periods_test.go
+++ b/core/cfslow/periods_test.go
@@ -29,8 +29,8 @@
 	return &engines[0]
 }
 
-// Guards against decisions based on a wrong mean length, fraction of time or slowdown of slow
-// periods.
+// TestPeriodsAreLearned guards against decisions based on a wrong mean length, fraction of time or
+// slowdown of slow periods.
 func TestPeriodsAreLearned(t *testing.T) {
 	for _, noise := range []float64{0, 0.08} {
 		p := &cfslow.Periods{}
@@ -44,7 +44,8 @@
 	}
 }
 
-// Guards against bursts and late events lowering the baseline pace until every engine appears slow.
+// TestBurstsDoNotChangeTheBaselinePace guards against bursts and late events lowering the baseline
+// pace until every engine appears slow.
 func TestBurstsDoNotChangeTheBaselinePace(t *testing.T) {
 	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(0); now < 60000; now += 20 {
@@ -62,7 +63,8 @@
 	}
 }
 
-// Guards against expecting a permanently slow engine to become fast again.
+// TestLastingSlownessBecomesTheBaselinePace guards against expecting a permanently slow engine to
+// become fast again.
 func TestLastingSlownessBecomesTheBaselinePace(t *testing.T) {
 	p, s := &cfslow.Periods{}, &cfslow.EngineState{}
 	for now := cf.Millis(20); now < 20000; now += 20 {
@@ -77,8 +79,8 @@
 	}
 }
 
-// Guards against moves near the end of a period (the planner requires a saving of 100 ms), of runs
-// with little left, or to an engine that is equally slow.
+// TestTimeSavedByMove guards against moves near the end of a period (the planner requires a saving
+// of 100 ms), of runs with little left, or to an engine that is equally slow.
 func TestTimeSavedByMove(t *testing.T) {
 	p := &cfslow.Periods{}
 	now := cf.Millis(120100)
