--- a/io/cfcoord/checkpoint_test.go
+++ b/io/cfcoord/checkpoint_test.go
@@ -14,9 +14,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against texts that have a gap or are joined from two runs. Two successive coordinators
-// store texts; one write of the first is lost, and another takes effect after the second
-// coordinator has restarted the text.
+// TestJoinCheckpointsDropsTextsWithGaps guards against texts that have a gap or are joined from two
+// runs. Two successive coordinators store texts; one write of the first is lost, and another takes
+// effect after the second coordinator has restarted the text.
 func TestJoinCheckpointsDropsTextsWithGaps(t *testing.T) {
 	record := func(name string, texts map[cf.ItemID]cfrollout.Text) cf.Record {
 		raw, err := json.Marshal(checkpoint{Texts: texts})
@@ -47,7 +47,8 @@
 	}
 }
 
-// Each text is stored once, in consecutive parts, and only while its batch is open.
+// TestCheckpointsHoldOnlyNewEventsOfLongTexts checks that each text is stored once, in consecutive
+// parts, and only while its batch is open.
 func TestCheckpointsHoldOnlyNewEventsOfLongTexts(t *testing.T) {
 	c := New(Options{Lease: heldLease{}})
 	open := c.testBatch("b", 1)
@@ -87,9 +88,10 @@
 	return s.MemStore.List(ctx, kind)
 }
 
-// Guards against restarting stored texts after all instances have lost power, which makes a step
-// take 11 s although its texts of up to 7 s are in the store. While the coordinator reads these
-// texts, the watch delivers a change of a batch, which must not end the takeover.
+// TestTakeoverWaitsForStoredTexts guards against generating stored texts again from the start after
+// all instances have lost power, which makes a step take 11 s although its texts of up to 7 s are
+// in the store. While the coordinator reads these texts, the watch delivers a change of a batch,
+// which must not end the takeover.
 func TestTakeoverWaitsForStoredTexts(t *testing.T) {
 	store := blockingTextStore{cfstandin.NewMemStore(), make(chan struct{})}
 	if _, err := store.Create(context.Background(), cf.KindTexts("b"), "1", checkpoint{Texts: map[cf.ItemID]cfrollout.Text{"a": textOf(1, 0, 40)}}); err != nil {
@@ -98,7 +100,7 @@
 	c := New(Options{Lease: heldLease{}, Store: store, Log: zap.NewNop()})
 	t.Cleanup(func() { _ = c.Close() })
 	c.testBatch("b", 1).inherited = true
-	loaded := func() bool {
+	takenOver := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.takeover.done
@@ -110,11 +112,11 @@
 	c.mu.Lock()
 	c.advanceTakeover() // as after a change of a batch
 	c.mu.Unlock()
-	if loaded() {
+	if takenOver() {
 		t.Error("the takeover ends before the stored texts are read")
 	}
 	close(store.release)
-	for !loaded() {
+	for !takenOver() {
 		time.Sleep(time.Millisecond)
 	}
 	if got := c.UnlistedTexts()["a"]; got.Last != 40 {
--- a/io/cfcoord/chunks_test.go
+++ b/io/cfcoord/chunks_test.go
@@ -14,7 +14,7 @@
 
 type (
 	// unansweredStore does not answer the first two writes of results. The first of them has no
-	// effect, and the second one has. From then on it counts the lists of results.
+	// effect, and the second one takes effect. From then on it counts the lists of results.
 	unansweredStore struct {
 		*cfstandin.MemStore
 		writes atomic.Int64
@@ -60,10 +60,11 @@
 	return c.takeover.listed
 }
 
-// Guards against listing the results of a complete step two seconds late while the coordinator
-// reaches the store through another instance. A chunk's write is not answered and has no effect;
-// the next one is not answered either but takes effect. After each of them, all chunks of the batch
-// must not be read again: these are a megabyte or more, over a link that is already congested.
+// TestUnansweredWriteRereadsOnlyItsChunk guards against listing the results of a complete step two
+// seconds late while the coordinator reaches the store through another instance. A chunk's write is
+// not answered and has no effect; the next one is not answered either but takes effect. After each
+// of them, only the chunk of that write may be read again: all chunks of the batch together are a
+// megabyte or more, over a link that is already congested.
 func TestUnansweredWriteRereadsOnlyItsChunk(t *testing.T) {
 	ctx := context.Background()
 	store := &unansweredStore{MemStore: cfstandin.NewMemStore()}
--- a/io/cfcoord/completion.go
+++ b/io/cfcoord/completion.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// batchIfUnlisted returns the batch of an item whose result has no position yet, or nil.
+// batchIfUnlisted returns the batch of an item whose result is not listed yet, or nil.
 func (c *Coordinator) batchIfUnlisted(w *cfrollout.Work) *batchState {
 	st := c.batches[w.Batch.Sub.ID]
 	if st == nil || st.batch.Listed(w.Item.ID) {
--- a/io/cfcoord/coordinator.go
+++ b/io/cfcoord/coordinator.go
@@ -139,7 +139,7 @@
 		seenConfig  cfsite.ConfigVersion
 		prepared    preparedBatches
 		history     history
-		// pace holds the typical time of an event at an engine, as the bits of a float64.
+		// pace holds the typical time per event at an engine, as the bits of a float64.
 		pace atomic.Uint64
 		// loggedPauses holds the end of the last logged pause of each request. Its size is limited
 		// by maxLoggedPauses.
@@ -377,7 +377,7 @@
 	return c.planner.LearnedLoads()
 }
 
-// Pace returns the typical time of an event at an engine in ms, or zero while it is not known.
+// Pace returns the typical time per event at an engine in ms, or zero while it is not known.
 func (c *Coordinator) Pace() float64 { return math.Float64frombits(c.pace.Load()) }
 
 // Busy reports whether items wait or run.
@@ -398,7 +398,7 @@
 		switch {
 		case st.batch.Ended && !st.planned:
 			st.planned = true
-			c.planner.AddBatch(st.batch, cfrollout.Terms{}) // ended batches tell the planner what steps usually look like
+			c.planner.AddBatch(st.batch, cfrollout.Terms{}) // the planner expects the next step of a model to be of similar size
 		case st.batch.Ended:
 		case !st.planned:
 			c.openBatch(config, st)
--- a/io/cfcoord/history.go
+++ b/io/cfcoord/history.go
@@ -26,7 +26,8 @@
 	closed map[cf.BatchID]bool
 	// endedInMemory lists the ended batches that are in memory, oldest first.
 	endedInMemory []cf.BatchID
-	// groups holds the groups of ended batches, each with the value of ends at that batch's end.
+	// ends counts the ended batches. groups maps each of their groups to the value of ends when the
+	// last batch with that group had ended.
 	groups map[cf.GroupID]int
 	ends   int
 }
--- a/io/cfcoord/linkbudget_test.go
+++ b/io/cfcoord/linkbudget_test.go
@@ -6,10 +6,10 @@
 	cf "currantford"
 )
 
-// Guards against result pages that delay a coordinator's lease renewals on a link of 60 Mbit/s. Two
-// steps of 1.2 MB are listed within a second, and each is read by its trainer and by two other
-// readers in pages of 700 KB. Without a budget, 5 MB of pages are sent over the coordinator's link
-// in a second.
+// TestLinkBudgetLimitsPageTraffic guards against result pages that delay a coordinator's lease
+// renewals on a link of 60 Mbit/s. Two steps of 1.2 MB are listed within a second, and each is read
+// by its trainer and by two other readers in pages of 700 KB. Without a budget, 5 MB of pages are
+// sent over the coordinator's link in a second.
 func TestLinkBudgetLimitsPageTraffic(t *testing.T) {
 	const page, mbps = 700 << 10, 60
 	b := NewLinkBudget(mbps)
--- a/io/cfcoord/mirror.go
+++ b/io/cfcoord/mirror.go
@@ -38,8 +38,9 @@
 
 	// copyProgress tracks how much of each text is known to be stored at one place. Texts with
 	// fewer than minEvents events are not copied. A part that is not acknowledged is sent again as
-	// a portion of the next one. Restarting all texts after each unacknowledged part would send ten
-	// times as much over a link that is already congested, and so keep it congested.
+	// a portion of the next one. If all texts were copied from their beginnings again after each
+	// unacknowledged part, ten times as much would be sent over a link that is already congested,
+	// which would keep it congested.
 	copyProgress struct {
 		minEvents cf.EventID
 		texts     map[cf.ItemID]copiedText
--- a/io/cfcoord/mirror_test.go
+++ b/io/cfcoord/mirror_test.go
@@ -25,8 +25,9 @@
 	return Mirror{Term: term, Texts: map[cf.ItemID]cfrollout.Text{id: t}}
 }
 
-// Guards against resumed texts with missing events. A part of a copy is lost, and the next one
-// begins after an event that the peer does not have; the two must not be joined.
+// TestMirrorDropsTextWithGap guards against resumed texts with missing events. A part of a copy is
+// lost, and the next one begins after an event that the peer does not have; the two must not be
+// joined.
 func TestMirrorDropsTextWithGap(t *testing.T) {
 	var m Mirror
 	m.Apply(mirrorPart(1, "a", text(0, 10)))
@@ -48,10 +49,10 @@
 	}
 }
 
-// Guards against joining the texts of two runs. Between two copies, a step ends while an item of it
-// runs, and the next step requests the item again; the old text does not meet that step's terms, so
-// the item is restarted. Then the coordinator is suspended, and its successor uses the copies. The
-// copy must not continue from the last event of the earlier run.
+// TestMirrorDoesNotJoinTwoRuns guards against joining the texts of two runs. Between two copies, a
+// step ends while an item of it runs, and the next step requests the item again; the old text does
+// not meet that step's terms, so the item is restarted. Then the coordinator is suspended, and its
+// successor uses the copies. The copy must not continue from the last event of the earlier run.
 func TestMirrorDoesNotJoinTwoRuns(t *testing.T) {
 	var m Mirror
 	m.Apply(mirrorPart(1, "a", textOf(1, 0, 40)))
@@ -87,10 +88,10 @@
 func (heldLease) MayOrder() (cf.Revision, bool) { return 1, true }
 func (heldLease) Ordered()                      {}
 
-// Guards against a resumed text that contains events of another run. An instance that holds a
-// peer's copies becomes the coordinator and resumes a text; then its predecessor, which was
-// suspended, sends one more part of its own run. If the resumed text and the mirror shared an
-// array, that part would overwrite events of the new run.
+// TestLatePartDoesNotOverwriteResumedText guards against a resumed text that contains events of
+// another run. An instance that holds a peer's copies becomes the coordinator and resumes a text;
+// then its predecessor, which was suspended, sends one more part of its own run. If the resumed
+// text and the mirror shared an array, that part would overwrite events of the new run.
 func TestLatePartDoesNotOverwriteResumedText(t *testing.T) {
 	var m Mirror
 	m.Apply(mirrorPart(1, "a", text(0, 10)))
@@ -107,10 +108,10 @@
 	}
 }
 
-// Guards against requesting a complete text from an engine again after the loss of a coordinator. A
-// text is copied including its last event while the run's stream is still open; the run ends, the
-// reward call is sent, and the coordinator fails. Although no event is new, the copy must learn
-// that the text is complete.
+// TestMirrorReceivesCompletionWithoutNewEvents guards against requesting a complete text from an
+// engine again after the loss of a coordinator. A text is copied including its last event while the
+// run's stream is still open; the run ends, the reward call is sent, and the coordinator fails.
+// Although no event is new, the copy must learn that the text is complete.
 func TestMirrorReceivesCompletionWithoutNewEvents(t *testing.T) {
 	c := New(Options{Lease: heldLease{}})
 	w := &cfrollout.Work{Batch: cfbatch.New(cf.Submission{ID: "b"}), Item: cf.Item{ID: "a"}, Text: text(0, 10)}
@@ -171,11 +172,12 @@
 	return missing, nil
 }
 
-// Guards against copies that keep a link congested. On instances with a link of 60 Mbit/s, steps
-// then take 10 s and more, and lease renewals and chunk writes time out: a burst of texts delays
-// one copy, the link is busy with it, so the next copy is late too, and so on for the rest of the
-// step. If all texts were copied from their beginnings after each unacknowledged copy, that would
-// be 2 to 8 MB per second over a link of 7.5 MB per second.
+// TestUnacknowledgedCopiesAreNotRestarted guards against copies that keep a link congested. On
+// instances with a link of 60 Mbit/s, steps then take 10 s and more, and lease renewals and chunk
+// writes time out: a burst of texts delays one copy, the link is busy with it, so the next copy is
+// late too, and so on for the rest of the step. If all texts were copied from their beginnings
+// after each unacknowledged copy, that would be 2 to 8 MB per second over a link of 7.5 MB per
+// second.
 func TestUnacknowledgedCopiesAreNotRestarted(t *testing.T) {
 	n := &mirrorPeer{dropAcks: true}
 	c := New(Options{Lease: heldLease{}, MirrorPeers: n})
@@ -218,9 +220,10 @@
 	}
 }
 
-// Guards against restarting long texts that were copied before a coordinator's loss. Either an
-// acknowledgement is lost and the part is sent again together with new events, which must not count
-// as a gap; or the peer has restarted without the copies and must report the missing beginning.
+// TestMirrorAcceptsOverlapAndReportsMissingStart guards against restarting long texts that were
+// copied before a coordinator's loss. Either an acknowledgement is lost and the part is sent again
+// together with new events, which must not count as a gap; or the peer has restarted without the
+// copies and must report the missing beginning.
 func TestMirrorAcceptsOverlapAndReportsMissingStart(t *testing.T) {
 	var m Mirror
 	m.Apply(mirrorPart(1, "a", text(0, 10)))
--- a/io/cfcoord/pauses_test.go
+++ b/io/cfcoord/pauses_test.go
@@ -14,7 +14,8 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against logging all pauses in each planning pass while many items pause at the same time.
+// TestEachPauseIsLoggedOnce guards against logging all pauses in each planning pass while many
+// items pause at the same time.
 func TestEachPauseIsLoggedOnce(t *testing.T) {
 	const items, passes = 2000, 3
 	core, logs := observer.New(zap.InfoLevel)
--- a/io/cfcoord/prepared.go
+++ b/io/cfcoord/prepared.go
@@ -9,8 +9,9 @@
 	// maxPrepared limits the number of batches that wait for their acceptance. Each one takes half
 	// a megabyte of memory, and a tenth of a second to write to the store.
 	maxPrepared = 16
-	// maxAcceptanceAge is the maximum age of an acceptance on which a batch is opened without a
-	// read of the store. An older notification was delayed, and its batch may have ended since.
+	// maxAcceptanceAge is the maximum age of an acceptance at which its batch is opened without
+	// being read from the store. An older notification was delayed, and its batch may have ended
+	// since.
 	maxAcceptanceAge cf.Millis = 1500
 )
 
@@ -36,7 +37,7 @@
 	return at, known
 }
 
-// recordAcceptance records that a batch was accepted at a time.
+// recordAcceptance records the time at which a batch was accepted.
 func (p *preparedBatches) recordAcceptance(id cf.BatchID, at cf.Millis) {
 	if len(p.accepted) >= maxPrepared {
 		clear(p.accepted)
@@ -44,9 +45,9 @@
 	p.accepted[id] = at
 }
 
-// take removes and returns the batch that was accepted at a time. It returns false if the batch has
-// not arrived, or if the prepared one has another acceptance time, which means that it comes from
-// another instance that received the same batch.
+// take removes and returns the batch that was accepted at the given time. It returns false if the
+// batch has not arrived, or if the prepared one has another acceptance time, which means that it
+// comes from another instance that received the same batch.
 func (p *preparedBatches) take(id cf.BatchID, at cf.Millis) (cf.Submission, bool) {
 	sub, known := p.batches[id]
 	if !known || sub.Accepted != at {
@@ -92,8 +93,8 @@
 	}
 }
 
-// openPrepared opens the prepared batch that was accepted at a time. It returns false if there is
-// none. c.mu is held.
+// openPrepared opens the prepared batch that was accepted at the given time. It returns false if
+// there is none. c.mu is held.
 func (c *Coordinator) openPrepared(id cf.BatchID, at cf.Millis) bool {
 	sub, ok := c.prepared.take(id, at)
 	if !ok {
--- a/io/cfcoord/quarantine_test.go
+++ b/io/cfcoord/quarantine_test.go
@@ -66,8 +66,8 @@
 	return guard, sub
 }
 
-// Guards against a coordinator that has just started and runs items before it knows which of them
-// are quarantined.
+// TestNoItemRunsBeforeQuarantineIsSynced guards against a coordinator that has just started and
+// runs items before it knows which of them are quarantined.
 func TestNoItemRunsBeforeQuarantineIsSynced(t *testing.T) {
 	targets := &unreachableTargets{}
 	guard, _ := startWithGuard(t, targets, zap.NewNop())
@@ -83,10 +83,10 @@
 	}
 }
 
-// Guards against quarantining items that no engine has run, whose step is then never complete. A
-// third of the engines fail; they remain listed for three more seconds, in which items are placed
-// there again and again and their connections are refused. Such an attempt must not count as the
-// loss of a run.
+// TestOnlyItemsSentToAnEngineAreQuarantined guards against quarantining items that no engine has
+// run, whose step is then never complete. A third of the engines fail; they remain listed for three
+// more seconds, in which items are placed there again and again and their connections are refused.
+// Such an attempt must not count as the loss of a run.
 func TestOnlyItemsSentToAnEngineAreQuarantined(t *testing.T) {
 	for _, sent := range []bool{false, true} {
 		t.Run(fmt.Sprint("sent ", sent), func(t *testing.T) {
@@ -131,8 +131,8 @@
 	return cf.ErrNoProcess
 }
 
-// Guards against an item that is not placed again after three of its engines have crashed, and
-// against log lines from which its attempts cannot be followed.
+// TestItemIsRetriedAfterCrashes guards against an item that is not placed again after three of its
+// engines have crashed, and against log lines from which its attempts cannot be followed.
 func TestItemIsRetriedAfterCrashes(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
 	targets := &crashingTargets{}
--- a/io/cfcoord/reads.go
+++ b/io/cfcoord/reads.go
@@ -16,9 +16,9 @@
 	// predecessorWriteWindow is how long the predecessor may still list results: its writes may
 	// take effect seconds late, and its process may have been suspended.
 	predecessorWriteWindow cf.Millis = 10000
-	// rereadInterval is the minimum time between reads of such a batch's chunks while a reader
-	// waits at the end of the list. A result that one reader has seen must be visible to others
-	// within a second.
+	// rereadInterval is the minimum time between reads of the chunks of a batch for which the
+	// predecessor may still list results, while a reader waits at the end of the list. A result
+	// that one reader has seen must be visible to others within a second.
 	rereadInterval cf.Millis = 500
 )
 
@@ -94,7 +94,7 @@
 
 // ReadForPeer reads a batch for another instance. It returns the page, or the results' location in
 // the store if the page exceeds this instance's PageBudget. With forcePage it always returns the
-// page, and still deducts it from the budget.
+// page, and deducts it from the budget unless the budget is used up.
 func (c *Coordinator) ReadForPeer(ctx context.Context, id cf.BatchID, after int, wait cf.Millis, forcePage bool) (cf.ResultPage, *cfbatch.PageRef, error) {
 	page, err := c.Results(ctx, id, after, wait)
 	if err != nil {
--- a/io/cfcoord/reads_test.go
+++ b/io/cfcoord/reads_test.go
@@ -32,10 +32,11 @@
 	return st
 }
 
-// Guards against results that disappear after they have been read. A coordinator loses the lease
-// while the write of a chunk is in progress; its successor adopts the batch, and the trainer ends
-// the batch before it is complete. Then the chunk takes effect. A read of the store returns it, so
-// a later read must not be answered from the successor's memory.
+// TestEndedInheritedBatchIsReadFromStore guards against results that disappear after they have been
+// read. A coordinator loses the lease while the write of a chunk is in progress; its successor
+// adopts the batch, and the trainer ends the batch before it is complete. Then the chunk takes
+// effect. A read of the store returns it, so a later read must not be answered from the successor's
+// memory.
 func TestEndedInheritedBatchIsReadFromStore(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
@@ -54,11 +55,11 @@
 	}
 }
 
-// Guards against results that disappear after they have been read: 56 results were read, and then
-// there was none at position 55. A suspended coordinator resumes and lists one more result before
-// it learns of its successor, and a read of the store returns that result. The successor has
-// finished the same item, and waits for further items before it lists them. It must not rely on the
-// chunks from before its term alone.
+// TestResultsOfPredecessorAreSeen guards against results that disappear after they have been read:
+// 56 results were read, and then there was none at position 55. A suspended coordinator resumes and
+// lists one more result before it learns of its successor, and a read of the store returns that
+// result. The successor has finished the same item, and waits for further items before it lists
+// them. It must not rely on the chunks from before its term alone.
 func TestResultsOfPredecessorAreSeen(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
@@ -79,8 +80,9 @@
 	}
 }
 
-// Guards against an empty answer to a reader although another one has read a result from the store,
-// for a batch that the predecessor was notified of after this coordinator's initial list.
+// TestResultsOfBatchStartedByTwoCoordinatorsAreSeen guards against an empty answer to a reader
+// although another one has read a result from the store, for a batch that the predecessor was
+// notified of after this coordinator's initial list.
 func TestResultsOfBatchStartedByTwoCoordinatorsAreSeen(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
--- a/io/cfcoord/refusal_test.go
+++ b/io/cfcoord/refusal_test.go
@@ -13,8 +13,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against unjustified refusals: of a step that an instance may already be writing, or by a
-// coordinator that does not know what was announced to its predecessor.
+// TestStepIsRefusedOnlyWithFullKnowledge guards against unjustified refusals: of a step that an
+// instance may already be writing, or by a coordinator that does not know what was announced to its
+// predecessor.
 func TestStepIsRefusedOnlyWithFullKnowledge(t *testing.T) {
 	site := engineSite(t)
 	config := *site.Config()
--- a/io/cfcoord/startgate_test.go
+++ b/io/cfcoord/startgate_test.go
@@ -44,8 +44,8 @@
 	return cf.TargetAnswer{Status: 503, NotRun: true}, nil
 }
 
-// Guards against generating items twice because a step is opened before the coordinator learns of
-// the previous step's end, which is already in the store.
+// TestStepOpenedBeforePreviousEndIsKnown guards against generating items twice because a step is
+// opened before the coordinator learns of the previous step's end, which is already in the store.
 func TestStepOpenedBeforePreviousEndIsKnown(t *testing.T) {
 	ctx := context.Background()
 	store := delayedWatch{cfstandin.NewMemStore(), &atomic.Bool{}}
--- a/io/cfcoord/stepmetrics_test.go
+++ b/io/cfcoord/stepmetrics_test.go
@@ -12,8 +12,8 @@
 	"currantford/core/cfbatch"
 )
 
-// A trainer's wait and the staleness of its samples are logged and measured once, when as many
-// groups as it waits for are complete.
+// TestServedStepIsMeasuredOnce checks that a trainer's wait and the staleness of its samples are
+// logged and measured once, when as many groups as it waits for are complete.
 func TestServedStepIsMeasuredOnce(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	reg := prometheus.NewRegistry()
--- a/io/cfcoord/sweeper_test.go
+++ b/io/cfcoord/sweeper_test.go
@@ -11,8 +11,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against a store that grows without limit, and against removing batches that must still be
-// readable. Batches of different ages, some of them ended, are swept.
+// TestSweepRemovesOnlyExpiredBatches guards against a store that grows without limit, and against
+// removing batches that must still be readable. Batches of different ages, some of them ended, are
+// swept.
 func TestSweepRemovesOnlyExpiredBatches(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
--- a/io/cfcoord/takeover.go
+++ b/io/cfcoord/takeover.go
@@ -1,6 +1,6 @@
 package cfcoord
 
-// The next step of a takeover.
+// These are the possible next steps of a takeover.
 const (
 	// takeoverWait means that some of the predecessor's state has not arrived yet.
 	takeoverWait takeoverStep = iota
--- a/io/cfcoord/takeover_test.go
+++ b/io/cfcoord/takeover_test.go
@@ -97,10 +97,10 @@
 	return site
 }
 
-// Guards against running items of a batch after its end was acknowledged, by up to 3.6 s. All
-// machines lose power; the new coordinator lists the batches and reads their results for seconds,
-// and in the meantime a trainer ends one of them. No listed batch may run before the changes since
-// the list have been processed.
+// TestBatchEndedDuringTakeoverIsNotRun guards against running items of a batch up to 3.6 s after
+// its end was acknowledged. All machines lose power; the new coordinator lists the batches and
+// reads their results for seconds, and in the meantime a trainer ends one of them. No listed batch
+// may run before the changes since the list have been processed.
 func TestBatchEndedDuringTakeoverIsNotRun(t *testing.T) {
 	ctx := context.Background()
 	store := slowStore{cfstandin.NewMemStore(), make(chan struct{}, 1), make(chan struct{})}
@@ -131,9 +131,9 @@
 	}
 }
 
-// Guards against starting a batch on a notification alone. An instance accepts a batch, and the
-// notification arrives before the batch, which is run and ended. Then both arrive once more, at
-// once or seconds later, and the items must not run again.
+// TestLateAcceptanceDoesNotStartBatch guards against starting a batch on a notification alone. An
+// instance accepts a batch, and the notification arrives before the batch, which is run and ended.
+// Then both arrive once more, at once or seconds later, and the items must not run again.
 func TestLateAcceptanceDoesNotStartBatch(t *testing.T) {
 	ctx := context.Background()
 	store := cfstandin.NewMemStore()
@@ -188,8 +188,9 @@
 	}
 }
 
-// For every order in which the predecessor's state may arrive: no item runs before all of it has
-// arrived, and the stored texts are read exactly once, and only if no instance had any texts.
+// TestTakeoverWaitsForEverything checks, for every order in which the predecessor's state may
+// arrive, that no item runs before all of it has arrived. The stored texts must be read exactly
+// once if there may be any and no instance had texts, and otherwise not at all.
 func TestTakeoverWaitsForEverything(t *testing.T) {
 	type event int
 	const (
--- a/io/cfcoord/textlimit_test.go
+++ b/io/cfcoord/textlimit_test.go
@@ -36,8 +36,8 @@
 	return answer, cf.ErrBadAnswer
 }
 
-// Guards against collecting the text of a target that sends events without end until the run times
-// out.
+// TestOversizedTextIsCutOff guards against collecting the text of a target that sends events
+// without end until the run times out.
 func TestOversizedTextIsCutOff(t *testing.T) {
 	for name, data := range map[string]string{"empty events": "", "events": "0123456789", "large events": strings.Repeat("x", 100<<10)} {
 		t.Run(name, func(t *testing.T) {
--- a/io/cfcoord/waiting_test.go
+++ b/io/cfcoord/waiting_test.go
@@ -12,8 +12,8 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against a data race between the report on waiting items and the run that appends to an
-// item's text. The test needs the race detector.
+// TestWaitingReportDoesNotRaceWithEvents guards against a data race between the report on waiting
+// items and the run that appends to an item's text. The test needs the race detector.
 func TestWaitingReportDoesNotRaceWithEvents(t *testing.T) {
 	site := engineSite(t)
 	c := New(Options{
--- a/io/cfcoord/weightorders.go
+++ b/io/cfcoord/weightorders.go
@@ -25,8 +25,9 @@
 )
 
 type (
-	// orderExecutor carries out weight orders and records the order counters that engines report.
-	// It is safe for concurrent use. Its calls end with the contexts that are passed to them.
+	// orderExecutor sends weight orders to engines and waits for their results, and records the
+	// order counters that engines report. It is safe for concurrent use. Its calls end with the
+	// contexts that are passed to them.
 	orderExecutor struct {
 		targets cf.Targets
 		lease   Lease
--- a/io/cfcoord/weightorders_test.go
+++ b/io/cfcoord/weightorders_test.go
@@ -27,10 +27,11 @@
 	return t.report, nil
 }
 
-// Guards against engines that run nothing for 7.5 s in the middle of a step. An engine neither
-// answers nor accepts an order: its order counter does not change and it loads nothing. The
-// coordinator must not wait for the load until the order counts as lost. Repeating the order is
-// safe: the engine's counter accepts only one of the order and its delayed copy.
+// TestOrderNotTakenReturnsAtOnce guards against engines that run nothing for 7.5 s in the middle of
+// a step. An engine neither answers nor accepts an order: its order counter does not change and it
+// loads nothing. The coordinator must not wait for the load until the order counts as lost.
+// Repeating the order is safe: the engine's counter accepts only one of the order and its delayed
+// copy.
 func TestOrderNotTakenReturnsAtOnce(t *testing.T) {
 	targets := &unansweringTargets{report: cf.TargetReport{Models: []cf.ModelState{{Name: "m", Version: 1}}, Seq: 4}}
 	o := newOrderExecutor(Options{Targets: targets, Site: engineSite(t), Lease: heldLease{}, Log: zap.NewNop()}, func(cf.InstanceID, cf.TargetReport) {})
@@ -61,8 +62,8 @@
 	return cf.ErrConflict
 }
 
-// A report of an earlier start must neither reach the planner nor set the expected order counter:
-// the counter starts again with the engine.
+// TestReportsOfEarlierStartAreIgnored checks that a report of an earlier start neither reaches the
+// planner nor sets the expected order counter: the counter starts again with the engine.
 func TestReportsOfEarlierStartAreIgnored(t *testing.T) {
 	targets := &reportingTargets{reports: []cf.TargetReport{
 		{Started: 20, Seq: 3}, // before the first order
--- a/systemtest/autoscale_test.go
+++ b/systemtest/autoscale_test.go
@@ -62,8 +62,9 @@
 	return out
 }
 
-// Guards against a step that waits for engines which are never ordered, or whose order was lost
-// with the previous coordinator, and against two coordinators that send orders alternately.
+// TestAutoscalerOrdersEngines guards against a step that waits for engines which are never ordered,
+// or whose order was lost with the previous coordinator, and against two coordinators that send
+// orders alternately.
 //
 // The step needs several times the engines' slots. In separate cases the control plane's API
 // accepts the orders, has no spot capacity, loses its answers, or gives no answer until the
--- a/systemtest/batch_test.go
+++ b/systemtest/batch_test.go
@@ -10,8 +10,8 @@
 	"currantford/platform/standin"
 )
 
-// Without faults, a step that is accepted at one entry instance runs on the engines and can be read
-// at every entry instance.
+// TestStepIsCompleted checks that, without faults, a step that is accepted at one entry instance
+// runs on the engines and can be read at every entry instance.
 func TestStepIsCompleted(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3})
@@ -24,7 +24,7 @@
 	}
 }
 
-// Guards against a batch that is accepted and never runs.
+// TestLostAndDelayedWriteResponses guards against a batch that is accepted and never runs.
 //
 // The store executes writes and loses their answers, or executes them 700 ms late. The entry
 // instance that received the batch retries, and the caller submits the batch again at another one.
@@ -49,7 +49,8 @@
 	}
 }
 
-// Guards against a step that is never accepted because it is larger than one object of the store.
+// TestLargeStep guards against a step that is never accepted because it is larger than one object
+// of the store.
 func TestLargeStep(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, valueBytes: 80 << 10, eventInterval: time.Millisecond})
@@ -65,7 +66,8 @@
 	}
 }
 
-// Guards against a step that is accepted twice and whose items are listed twice.
+// TestDuplicateSubmission guards against a step that is accepted twice and whose items are listed
+// twice.
 //
 // The submitter gets no answer and submits the step at another entry instance while the first one
 // is still processing it. The fault occurs if each entry instance decides on acceptance alone.
@@ -88,7 +90,7 @@
 	}
 }
 
-// Guards against a batch that is refused with 503 and runs later.
+// TestRefusedBatchNeverRuns guards against a batch that is refused with 503 and runs later.
 //
 // The store answers 503 to every call, a batch is submitted and refused, and the store recovers.
 // The fault occurs if a batch is refused while a write may still take effect.
@@ -111,8 +113,8 @@
 	}
 }
 
-// Guards against a batch that is reported as not run (503) although its write was not answered and
-// may take effect.
+// TestUnansweredWriteReturnsGatewayTimeout guards against a batch that is reported as not run (503)
+// although its write was not answered and may take effect.
 //
 // The store accepts connections and answers no call.
 func TestUnansweredWriteReturnsGatewayTimeout(t *testing.T) {
@@ -124,7 +126,8 @@
 	}
 }
 
-// Guards against an item's text that lacks an event or has one twice.
+// TestInterruptedStreamsAreResumed guards against an item's text that lacks an event or has one
+// twice.
 //
 // Each run of an item is interrupted in the middle of an event after 4 complete events, and the
 // item is resumed at any engine until its text is complete. The fault occurs if an incomplete event
@@ -152,8 +155,8 @@
 	}
 }
 
-// Guards against an item that cannot succeed and is retried forever, or that is abandoned after one
-// failure.
+// TestFailingItemsStopAfterMaxAttempts guards against an item that cannot succeed and is retried
+// forever, or that is abandoned after one failure.
 //
 // Every engine answers 500 (the attempt failed) or 422 (the item can never succeed).
 func TestFailingItemsStopAfterMaxAttempts(t *testing.T) {
@@ -180,7 +183,7 @@
 	}
 }
 
-// Guards against an item that runs after its batch was deleted.
+// TestDeletedBatchStartsNoItems guards against an item that runs after its batch was deleted.
 //
 // A batch with more items than slots is deleted while most items are waiting. Then the coordinator
 // is killed, and its successor reads the batch from the store. The fault occurs if only one process
@@ -208,8 +211,9 @@
 	}
 }
 
-// Guards against a sample that names weights other than those that generated it, or weights older
-// than its step allows, and against an engine that never gets the new weights.
+// TestStepsUseAnnouncedVersions guards against a sample that names weights other than those that
+// generated it, or weights older than its step allows, and against an engine that never gets the
+// new weights.
 //
 // A trainer announces one version after another and submits steps that require at least the
 // previous version.
@@ -270,7 +274,8 @@
 	}
 }
 
-// Guards against an order that its engine executes late and that restores old weights.
+// TestDelayedOrderDoesNotRestoreOldWeights guards against an order that its engine executes late
+// and that restores old weights.
 //
 // The engine leaves an order unanswered and executes it 1.5 s later, when a newer version has been
 // ordered. The fault occurs if an order does not carry the engine's order count.
@@ -296,8 +301,8 @@
 	}
 }
 
-// Guards against a retirement that never completes. Instances hold nothing that has to outlive
-// them, so a retirement completes at once.
+// TestRetirementCompletesAtOnce guards against a retirement that never completes. Instances hold
+// nothing that has to outlive them, so a retirement completes at once.
 func TestRetirementCompletesAtOnce(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1})
@@ -311,7 +316,8 @@
 	})
 }
 
-// Guards against an engine that gets no work and no weights after a restart.
+// TestEnginesRestartWithSameIDs guards against an engine that gets no work and no weights after a
+// restart.
 //
 // Engines restart under the same ids, with older weights and with order counts that start from
 // zero, one of them while it loads weights; steps continue meanwhile. The fault occurs if the
@@ -342,7 +348,8 @@
 	s.readAll(next)
 }
 
-// Guards against calls to an address that no target has, and against the loss of a whole service.
+// TestMalformedInstanceListEntriesAreIgnored guards against calls to an address that no target has,
+// and against the loss of a whole service.
 //
 // Another writer puts entries into the instance list that lack fields, have fields of the wrong
 // type or unknown values, or replace a target's own entry.
--- a/systemtest/crash_test.go
+++ b/systemtest/crash_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against a request that crashes one target after another.
+// TestCrashingRequestIsQuarantined guards against a request that crashes one target after another.
 //
 // The same bid comes again and again, each time under a new id and at any entry instance. Every
 // target that starts it crashes about 80 ms later and is down for three seconds, then the bid comes
@@ -124,9 +124,9 @@
 	}
 }
 
-// Guards against crashes that continue if several callers send a crashing request to all instances
-// at the same moment. The first sends are unavoidable, since no instance can know of a crash yet;
-// later ones must stop.
+// TestCrashingRequestSentToAllInstancesAtOnce guards against crashes that continue if several
+// callers send a crashing request to all instances at the same moment. The first sends are
+// unavoidable, since no instance can know of a crash yet; later ones must stop.
 func TestCrashingRequestSentToAllInstancesAtOnce(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 4, crashDowntime: crashDowntime, keepIDs: true})
--- a/systemtest/keepalive_test.go
+++ b/systemtest/keepalive_test.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// Guards against persistent connections that close while a request is in progress, during rapid
-// configuration changes, reloads, and graceful stops of instances one after another and at the same
-// time.
+// TestPlannedChangesCloseNoConnectionInUse guards against persistent connections that close while a
+// request is in progress, during rapid configuration changes, reloads, and graceful stops of
+// instances one after another and at the same time.
 func TestPlannedChangesCloseNoConnectionInUse(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 4, engines: 1, plainTargets: 4, eventInterval: 10 * time.Millisecond})
@@ -169,7 +169,8 @@
 	callers.checkNoneLost(s)
 }
 
-// Guards against a reload signal that ends a process which is still starting.
+// TestReloadDuringStartup guards against a reload signal that ends a process which is still
+// starting.
 func TestReloadDuringStartup(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 1})
--- a/systemtest/link_test.go
+++ b/systemtest/link_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Guards against a bid that is recorded twice, or refused although it was recorded or may still be.
+// TestBidsOverFaultyLinkRunAtMostOnce guards against a bid that is recorded twice, or refused
+// although it was recorded or may still be.
 //
 // While bids are in progress, the link between the instance and a service loses answers, loses
 // requests, or is reset; then it recovers and delivers the bytes that it held. The fault occurs if,
@@ -90,7 +91,8 @@
 	return counts
 }
 
-// Guards against log readings that fail although the service has healthy targets.
+// TestReadingsAvoidUnresponsiveLink guards against log readings that fail although the service has
+// healthy targets.
 //
 // The link to one of two targets becomes unresponsive, and no connection is reset.
 func TestReadingsAvoidUnresponsiveLink(t *testing.T) {
@@ -105,8 +107,8 @@
 	}
 }
 
-// Guards against conflicting orders of two coordinators, and against a lost step, if only the
-// coordinator is cut off from the store.
+// TestCoordinatorPartitionedFromStore guards against conflicting orders of two coordinators, and
+// against a lost step, if only the coordinator is cut off from the store.
 //
 // During a step the link between the coordinator and the store is cut in one direction, each
 // direction in turn, and the coordinator cannot reach the store through another instance. Another
@@ -134,8 +136,8 @@
 	}
 }
 
-// Guards against a step that starts again when it is almost done, although no process and no target
-// has failed.
+// TestPartitionedCoordinatorKeepsLease guards against a step that starts again when it is almost
+// done, although no process and no target has failed.
 //
 // During a step the coordinator's link to the store is cut for longer than its lease is valid,
 // while all other instances reach the store. The fault occurs if the coordinator cannot renew its
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -100,8 +100,8 @@
 	return out
 }
 
-// Guards against a request that runs for an organisation other than its caller's, that runs without
-// a key, or that carries the key to a target.
+// TestRequestsCarryTheirOrganisation guards against a request that runs for an organisation other
+// than its caller's, that runs without a key, or that carries the key to a target.
 //
 // Each kind of caller sends to each instance, on routes that require a key and on public ones; some
 // callers name an organisation themselves.
@@ -151,10 +151,10 @@
 	}
 }
 
-// Every path by which a request reaches a target carries the organisation found from its key, and
-// no key: first attempts, retries at other targets, hedged requests, streams and resumed streams,
-// items, resumed items and items taken over by another coordinator, items whose streams other
-// instances hold, and reward calls.
+// TestAllPathsCarryTheOrganisation checks that every path by which a request reaches a target
+// carries the organisation found from its key, and no key: first attempts, retries at other
+// targets, hedged requests, streams and resumed streams, items, resumed items and items taken over
+// by another coordinator, items whose streams other instances hold, and reward calls.
 func TestAllPathsCarryTheOrganisation(t *testing.T) {
 	t.Parallel()
 	key := []string{"X-Api-Key", keyA, "Currantford-Tenant", orgB}
@@ -242,8 +242,8 @@
 	}
 }
 
-// Guards against an organisation that reads, deletes or learns of another organisation's batch, or
-// gets the text of another organisation's item.
+// TestBatchesAreIsolatedByOrganisation guards against an organisation that reads, deletes or learns
+// of another organisation's batch, or gets the text of another organisation's item.
 //
 // Two organisations choose the same ids. Each asks for the other's batch and items, and a caller
 // without a key asks for those of both.
@@ -292,7 +292,7 @@
 	}
 }
 
-// A batch on a public route is read without a key, by its id alone.
+// TestPublicBatches checks that a batch on a public route is read without a key, by its id alone.
 func TestPublicBatches(t *testing.T) {
 	t.Parallel()
 	s := startWithOrganisations(t, options{entries: 1, engines: 1})
@@ -310,7 +310,8 @@
 	}
 }
 
-// Guards against a caller that can still use a revoked key, or that is refused with a new one.
+// TestKeyChangesTakeEffect guards against a caller that can still use a revoked key, or that is
+// refused with a new one.
 //
 // On a persistent connection, configurations revoke the key, assign it to another organisation, and
 // restore it; an organisation loses all its keys and gets them back; one configuration is rejected.
@@ -405,8 +406,9 @@
 	return resp.StatusCode
 }
 
-// Guards against an instance without a connection to the store that permanently refuses callers
-// with a key that was added meanwhile, or that accepts a revoked key forever.
+// TestPartitionedInstanceDoesNotRejectKeys guards against an instance without a connection to the
+// store that permanently refuses callers with a key that was added meanwhile, or that accepts a
+// revoked key forever.
 //
 // The only instance loses its link to the store. It must answer 503 for a key that it does not
 // know, accept a known key only for the time set by key_trust_ms, and answer 401 again once the
--- a/systemtest/quarantine_test.go
+++ b/systemtest/quarantine_test.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// Guards against a quarantined request that crashes targets again after a restart.
+// TestQuarantineSurvivesRestarts guards against a quarantined request that crashes targets again
+// after a restart.
 //
 // The instances that observed its crashes are stopped and started one after another, then all are
 // killed at once; the request is sent to each instance that has just started. The fault occurs if
@@ -113,7 +114,8 @@
 	}
 }
 
-// Guards against a quarantined request that crashes targets again during a store outage.
+// TestQuarantineDuringStoreOutage guards against a quarantined request that crashes targets again
+// during a store outage.
 //
 // The store is down while the request crashes its targets, one instance is frozen meanwhile, and
 // then the coordinator is killed. The fault occurs if an observation reaches other instances only
@@ -172,9 +174,9 @@
 	}
 }
 
-// Guards against an item, or its reward call, that crashes target after target without a delay, and
-// against one that is not retried for as long as its batch waits for it. A caller's request with
-// the same body must still be quarantined.
+// TestCrashingItemsAreRetriedWithBackoff guards against an item, or its reward call, that crashes
+// target after target without a delay, and against one that is not retried for as long as its batch
+// waits for it. A caller's request with the same body must still be quarantined.
 func TestCrashingItemsAreRetriedWithBackoff(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, plainTargets: 4, crashDowntime: crashDowntime, config: func(c map[string]any) {
@@ -210,7 +212,8 @@
 	}
 }
 
-// Guards against the refusal of a request that many callers send.
+// TestIdenticalRequestsAreNotQuarantined guards against the refusal of a request that many callers
+// send.
 //
 // Most targets crash at once, each while it runs many identical requests, and this happens three
 // times. The fault occurs if the crashes are attributed to the request.
@@ -231,8 +234,8 @@
 	}
 }
 
-// Guards against the same refusal by an instance that has restarted since the request last
-// succeeded.
+// TestIdenticalRequestsAreNotQuarantinedAfterRestart guards against the refusal of a request that
+// many callers send, by an instance that has restarted since the request last succeeded.
 func TestIdenticalRequestsAreNotQuarantinedAfterRestart(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 3, 1, 3)
@@ -303,7 +306,8 @@
 	return a
 }
 
-// An operator can release a quarantined request by its digest at any instance.
+// TestOperatorReleasesQuarantinedRequest checks that an operator can release a quarantined request
+// by its digest at any instance.
 func TestOperatorReleasesQuarantinedRequest(t *testing.T) {
 	t.Parallel()
 	s := startWithCrashes(t, 2, 1, 3)
@@ -324,7 +328,8 @@
 	}
 }
 
-// A stream that crashes each engine is quarantined like other requests; other streams are complete.
+// TestCrashingStreamIsQuarantined checks that a stream that crashes each engine is quarantined like
+// other requests, and that other streams are complete.
 func TestCrashingStreamIsQuarantined(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 4, plainTargets: 1, crashDowntime: crashDowntime, config: func(c map[string]any) {
--- a/systemtest/recovery_test.go
+++ b/systemtest/recovery_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against a step that is lost, or an item that is listed twice, if the coordinator dies
-// during the step.
+// TestCoordinatorKilledDuringStep guards against a step that is lost, or an item that is listed
+// twice, if the coordinator dies during the step.
 //
 // A batch is accepted and half of it has started when the coordinator is killed with SIGKILL;
 // another entry instance acquires the lease and runs the items that are not listed yet. The fault
@@ -52,8 +52,8 @@
 	}
 }
 
-// Guards against long texts that start again after a crash of the coordinator, which delays their
-// step by all the time spent on them.
+// TestLongTextsSurviveCoordinatorCrash guards against long texts that start again after a crash of
+// the coordinator, which delays their step by all the time spent on them.
 //
 // Items with many events are running when the coordinator is killed. Its successor gets the copies
 // that another instance keeps and resumes from them.
@@ -69,8 +69,8 @@
 	s.checkResumed(20)
 }
 
-// Guards against orders of two coordinators that reach one engine without the required time between
-// them, or with decreasing fencing numbers.
+// TestFrozenCoordinatorSendsNoStaleOrders guards against orders of two coordinators that reach one
+// engine without the required time between them, or with decreasing fencing numbers.
 //
 // The coordinator is frozen by SIGSTOP while versions are announced; another entry instance takes
 // over and sends orders; the frozen one continues. The fault occurs if a coordinator trusts its own
@@ -91,8 +91,8 @@
 	checkWeightOrders(t, s)
 }
 
-// Guards against the loss of batches if all processes die at once: all entry instances are killed
-// right after an acceptance and start again.
+// TestAllInstancesKilledAfterAcceptance guards against the loss of batches if all processes die at
+// once: all entry instances are killed right after an acceptance and start again.
 func TestAllInstancesKilledAfterAcceptance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 2})
@@ -102,7 +102,8 @@
 	s.readAll(b)
 }
 
-// Guards against a step that makes no progress during a store outage and starts again after it.
+// TestStoreOutageDuringStep guards against a step that makes no progress during a store outage and
+// starts again after it.
 //
 // The store is down for 4 s during a step, longer than the lease is valid, and then recovers; the
 // results that engines complete meanwhile are listed afterwards. The fault occurs if a coordinator
@@ -124,8 +125,8 @@
 	s.checkRanOnce()
 }
 
-// Guards against long texts that start again after the loss of all instances, which delays their
-// step by all the time spent on them.
+// TestLongTextsSurviveLossOfAllInstances guards against long texts that start again after the loss
+// of all instances, which delays their step by all the time spent on them.
 //
 // Items with many events are running when all processes are killed, including the instance that
 // keeps the copies; then they start again.
@@ -140,8 +141,8 @@
 	s.checkResumed(30)
 }
 
-// Guards against the loss of nine in ten steps in a deployment of machines with different capacity,
-// although no machine fails.
+// TestLeaseMovesToMostCapableInstance guards against the loss of nine in ten steps in a deployment
+// of machines with different capacity, although no machine fails.
 //
 // An instance of low capacity acquires the lease first, or after the loss of the most capable one,
 // while that one is running or comes back. The fault occurs if the first instance that writes the
@@ -186,7 +187,8 @@
 	return string(raw)
 }
 
-// Guards against callers that are sent to a machine which has been down for seconds.
+// TestDirectoryDropsDeadInstanceWhenLeaseReturns guards against callers that are sent to a machine
+// which has been down for seconds.
 //
 // An instance is lost, and the coordinator's lease moves to another instance and back. The fault
 // occurs if an instance that becomes coordinator again starts from the list of its previous term
@@ -225,8 +227,9 @@
 	first.signal(syscall.SIGCONT)
 }
 
-// Guards against a dead instance that is listed again by a coordinator which was frozen when the
-// instance was dropped, and by the next coordinator, which adopts that list.
+// TestFrozenInstanceDropsDeadInstance guards against a dead instance that is listed again by a
+// coordinator which was frozen when the instance was dropped, and by the next coordinator, which
+// adopts that list.
 func TestFrozenInstanceDropsDeadInstance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 1})
@@ -254,8 +257,8 @@
 	}
 }
 
-// Guards against a crash of the coordinator's process when an engine's entry in the instance list
-// expires and returns while the engine has runs.
+// TestEngineEntriesExpireDuringRuns guards against a crash of the coordinator's process when an
+// engine's entry in the instance list expires and returns while the engine has runs.
 func TestEngineEntriesExpireDuringRuns(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 2, engines: 3, eventInterval: 20 * time.Millisecond})
--- a/systemtest/request_test.go
+++ b/systemtest/request_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against 404 answers for routes that exist, from an instance that has just started and has
-// no configuration yet because the store is down.
+// TestMissingConfigurationReturnsUnavailable guards against 404 answers for routes that exist, from
+// an instance that has just started and has no configuration yet because the store is down.
 func TestMissingConfigurationReturnsUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 1)
@@ -97,7 +97,8 @@
 	}
 }
 
-// Guards against a bid that is recorded twice, or refused although it was recorded.
+// TestBidRunsAtMostOnce guards against a bid that is recorded twice, or refused although it was
+// recorded.
 //
 // Targets accept the bid and answer with the id of another request, or are at capacity. The fault
 // occurs if a bid that may have run is retried, or is answered with 503.
@@ -123,7 +124,7 @@
 	}
 }
 
-// Guards against a caller that gets another caller's answer.
+// TestMismatchedAnswersAreNotForwarded guards against a caller that gets another caller's answer.
 //
 // One of two targets answers with the ids of other requests. Log readings may be repeated, so each
 // caller gets its own answer from the other target.
@@ -140,7 +141,7 @@
 	}
 }
 
-// Guards against new work for a target that is draining.
+// TestDrainingTargetGetsNoNewWork guards against new work for a target that is draining.
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 2)
@@ -155,7 +156,8 @@
 	}
 }
 
-// Guards against a request that runs at another service whose target has taken over an address.
+// TestReusedAddressRunsNoRequest guards against a request that runs at another service whose target
+// has taken over an address.
 //
 // A target is gone and its address belongs to a target of another service, while the instance list
 // still shows the old target.
@@ -176,7 +178,8 @@
 	}
 }
 
-// Guards against a target that keeps working for a caller that has disconnected.
+// TestCallerDisconnectCancelsTarget guards against a target that keeps working for a caller that
+// has disconnected.
 func TestCallerDisconnectCancelsTarget(t *testing.T) {
 	t.Parallel()
 	s := startForRequests(t, 1)
@@ -199,7 +202,8 @@
 	eventually(t, "idle target", func() bool { return s.plainTargets[0].Running() == 0 })
 }
 
-// Guards against a configuration that does not come into force, or an older one that returns.
+// TestConfigurationReachesAllInstances guards against a configuration that does not come into
+// force, or an older one that returns.
 //
 // The route is removed, and the store drops its history; then the coordinator is frozen, so that
 // the other instances have to watch the store themselves, and the route is added again.
@@ -246,7 +250,8 @@
 	}
 }
 
-// Guards against a graceful shutdown that interrupts requests or loses the coordinator's work.
+// TestGracefulShutdownInterruptsNothing guards against a graceful shutdown that interrupts requests
+// or loses the coordinator's work.
 //
 // The coordinator gets SIGTERM while requests keep arriving on persistent connections and a step is
 // running.
@@ -302,7 +307,8 @@
 	}
 }
 
-// An idle deployment makes few store calls, however many entry instances run.
+// TestIdleDeploymentMakesFewStoreCalls checks that an idle deployment makes few store calls,
+// however many entry instances run.
 func TestIdleDeploymentMakesFewStoreCalls(t *testing.T) {
 	t.Parallel()
 	calls := func(entries int) int {
--- a/systemtest/resultpages_test.go
+++ b/systemtest/resultpages_test.go
@@ -9,8 +9,8 @@
 	"currantford/platform/standin"
 )
 
-// Guards against late result chunks and lease renewals on machines with slow links while other
-// callers read results.
+// TestResultPagesBypassCoordinatorLink guards against late result chunks and lease renewals on
+// machines with slow links while other callers read results.
 //
 // A step is listed and read by many callers, each from the first result on, and the coordinator's
 // link cannot carry all these pages. Above a share of its link, the coordinator therefore answers
--- a/systemtest/reward_test.go
+++ b/systemtest/reward_test.go
@@ -9,7 +9,8 @@
 	"currantford/platform/standin"
 )
 
-// Without faults, each result of a step with rewards has the score of its own text.
+// TestScoredStepIsCompleted checks that, without faults, each result of a step with rewards has the
+// score of its own text.
 func TestScoredStepIsCompleted(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 3, engines: 3, plainTargets: 3})
@@ -23,7 +24,8 @@
 	}
 }
 
-// Guards against complete texts that are generated again after the loss of a coordinator.
+// TestCompleteTextsSurviveCoordinatorCrash guards against complete texts that are generated again
+// after the loss of a coordinator.
 //
 // The reward service is at capacity, so complete texts wait for their scores; the coordinator is
 // killed; the service recovers. The fault occurs if a text counts as complete only once it is
@@ -52,8 +54,8 @@
 	s.checkRanOnce()
 }
 
-// Guards against a step that makes no progress because one of its reward calls always fails, and
-// against an item that is abandoned after a single failure.
+// TestFailingRewardStopsAfterMaxAttempts guards against a step that makes no progress because one
+// of its reward calls always fails, and against an item that is abandoned after a single failure.
 //
 // The reward call of one item fails at every target; those of the other items succeed.
 func TestFailingRewardStopsAfterMaxAttempts(t *testing.T) {
@@ -73,8 +75,8 @@
 	}
 }
 
-// Guards against a sample with the score of another sample, or with a score that no answer
-// contains.
+// TestScoreMatchesItsRewardCall guards against a sample with the score of another sample, or with a
+// score that no answer contains.
 //
 // While a batch waits for its rewards, the targets answer with the ids of other requests, do not
 // answer, answer with 502, or are at capacity, one fault after the other. The fault occurs if an
@@ -96,7 +98,8 @@
 	}
 }
 
-// Guards against reward calls of a batch that run after its deletion was acknowledged.
+// TestDeletedBatchSendsNoRewardCalls guards against reward calls of a batch that run after its
+// deletion was acknowledged.
 //
 // Complete texts wait for a service that is at capacity; the trainer deletes the batch; the service
 // recovers, and the coordinator is killed.
@@ -124,7 +127,8 @@
 	}
 }
 
-// Guards against a group that is generated and scored again when a later step contains it again.
+// TestCompleteTextsAreReusedInNextStep guards against a group that is generated and scored again
+// when a later step contains it again.
 //
 // A batch is deleted while complete texts wait for their rewards, and the next batch contains the
 // same items.
@@ -146,7 +150,8 @@
 	s.checkRanOnce()
 }
 
-// Guards against reward calls that go to a service which their route no longer names, or that stop.
+// TestRewardCallsFollowRouteChanges guards against reward calls that go to a service which their
+// route no longer names, or that stop.
 //
 // The route of reward calls is removed while texts wait for their rewards, and is added again with
 // another path.
@@ -179,7 +184,8 @@
 	s.readAll(b)
 }
 
-// A batch with a reward call that could not be sent is refused.
+// TestMalformedRewardIsRejected checks that a batch with a reward call that could not be sent is
+// refused.
 func TestMalformedRewardIsRejected(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 1, engines: 1, plainTargets: 1})
--- a/systemtest/runner_test.go
+++ b/systemtest/runner_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// Guards against a step that never completes, or a text with a gap, where instances of low capacity
-// share the streams of its runs.
+// TestStreamsSurviveLossOfStreamHosts guards against a step that never completes, or a text with a
+// gap, where instances of low capacity share the streams of its runs.
 //
 // During a step one instance that holds streams is killed, and another is frozen for longer than
 // the coordinator waits. The fault occurs if runs end with the instance that holds their streams,
@@ -69,8 +69,8 @@
 	s.readAll(b)
 }
 
-// Guards against texts whose streams are held by other instances and that start again, or run
-// twice, after a crash of the coordinator.
+// TestHostedStreamsSurviveCoordinatorCrash guards against texts whose streams are held by other
+// instances and that start again, or run twice, after a crash of the coordinator.
 //
 // Instances of low capacity hold the streams; the coordinator is killed while the texts are
 // generated.
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -57,7 +57,7 @@
 // scores come from successful answers to calls made after the text was complete; orders of two
 // lease holders are 3 s apart and have increasing numbers.
 //
-// Some of the default seeds reproduce a fault:
+// Some of the default seeds create the conditions of one particular fault:
 //
 //	3, 36: an engine executes an order 0.7 s late; a check by the times of execution
 //	finds 2.95 s to the next holder's order, although the arrivals are 3.68 s apart
--- a/systemtest/startup_test.go
+++ b/systemtest/startup_test.go
@@ -47,26 +47,26 @@
 	"all":                     {down: allInstances},
 	"most, with hubs":         {hubThreshold: 4, down: func(s *deployment) []*entry { return s.nonCoordinators(4) }},
 	"all, with hubs":          {hubThreshold: 4, down: allInstances},
-	"one, store slow": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+	"one, store slow": {down: oneInstance, onStart: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond}, probeDuration)
 	}},
-	"all, store down": {down: allInstances, then: func(s *deployment, _ []*entry) {
+	"all, store down": {down: allInstances, onStart: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{Down: true}, probeDuration/3)
 	}},
-	"one, store busy": {down: oneInstance, then: func(s *deployment, _ []*entry) {
+	"one, store busy": {down: oneInstance, onStart: func(s *deployment, _ []*entry) {
 		s.withStoreFaults(standin.StoreFaults{Busy: true}, probeDuration/3)
 	}},
 	"one, others frozen": {
 		down: oneInstance,
-		before: func(s *deployment, down []*entry) {
+		beforeStart: func(s *deployment, down []*entry) {
 			s.signalExcept(down, syscall.SIGSTOP)
 		},
-		then: func(s *deployment, down []*entry) {
+		onStart: func(s *deployment, down []*entry) {
 			time.Sleep(probeDuration / 2)
 			s.signalExcept(down, syscall.SIGCONT)
 		},
 	},
-	"one, partitioned from the store": {down: oneInstance, then: func(_ *deployment, down []*entry) {
+	"one, partitioned from the store": {down: oneInstance, onStart: func(_ *deployment, down []*entry) {
 		for _, e := range down {
 			e.storeLink.setFaults(linkFaults{HoldUp: true, HoldDown: true})
 			time.Sleep(probeDuration / 2)
@@ -78,10 +78,10 @@
 // startCase is one such condition.
 type startCase struct {
 	hubThreshold int
-	// down returns the instances that are killed and started again. before runs while they are
-	// down, and then runs as soon as they have been started.
-	down         func(*deployment) []*entry
-	before, then func(s *deployment, down []*entry)
+	// down returns the instances that are killed and started again. beforeStart is called while
+	// they are down, and onStart as soon as they have been started.
+	down                 func(*deployment) []*entry
+	beforeStart, onStart func(s *deployment, down []*entry)
 }
 
 func oneInstance(s *deployment) []*entry  { return s.nonCoordinators(1) }
@@ -117,8 +117,8 @@
 	for _, e := range down {
 		e.kill()
 	}
-	if c.before != nil {
-		c.before(s, down)
+	if c.beforeStart != nil {
+		c.beforeStart(s, down)
 	}
 	if whileDown != nil {
 		whileDown()
@@ -128,13 +128,14 @@
 		e.start()
 		wg.Go(func() { afterStart(e) })
 	}
-	if c.then != nil {
-		c.then(s, down)
+	if c.onStart != nil {
+		c.onStart(s, down)
 	}
 	wg.Wait()
 }
 
-// Guards against an instance that forwards requests before it knows which are quarantined.
+// TestStartingInstanceSendsNoQuarantinedRequest guards against an instance that forwards requests
+// before it knows which are quarantined.
 func TestStartingInstanceSendsNoQuarantinedRequest(t *testing.T) {
 	const manyHeld = 18 // more than one update contains
 	for name, c := range startCases {
@@ -176,8 +177,8 @@
 	}
 }
 
-// Guards against an instance that has just started and accepts a key which was revoked while it was
-// down, or denies a valid key.
+// TestStartingInstanceKnowsValidKeys guards against an instance that has just started and accepts a
+// key which was revoked while it was down, or denies a valid key.
 func TestStartingInstanceKnowsValidKeys(t *testing.T) {
 	for name, c := range startCases {
 		t.Run(name, func(t *testing.T) {
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Guards against an organisation that is charged for requests which it did not send, and against a
-// window that is reported twice or not at all.
+// TestUsageIsReportedOnce guards against an organisation that is charged for requests which it did
+// not send, and against a window that is reported twice or not at all.
 //
 // While requests arrive, some of which targets reject, fail, answer too late or leave without an
 // answer, faults occur: answers of the API and of the store are lost, the coordinator or another
@@ -221,9 +221,9 @@
 	}
 }
 
-// Guards against usage of most instances of a large deployment that is not reported. These
-// instances poll a hub for updates, and the hub relays no counts; in one case the coordinator is
-// lost.
+// TestUsageIsReportedBehindHubs guards against usage of most instances of a large deployment that
+// is not reported. These instances poll a hub for updates, and the hub relays no counts; in one
+// case the coordinator is lost.
 func TestUsageIsReportedBehindHubs(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
