--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -280,12 +280,12 @@
 func (s *deployment) newTarget(id, svc string, models []string, o options) *standin.Engine {
 	var e *standin.Engine
 	addr := serve(s.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
-	var power func(bool)
+	var setListening func(bool)
 	if o.links || o.crashDowntime > 0 {
 		link := newTCPProxy(s.t, addr)
 		addr = link.addr()
 		if o.crashDowntime > 0 {
-			power = link.setListening
+			setListening = link.setListening
 		}
 		if svc == plainService {
 			s.plainLinks = append(s.plainLinks, link)
@@ -295,7 +295,7 @@
 	}
 	e = standin.NewEngine(standin.EngineSettings{
 		ID: id, Service: svc, Domain: "domain-a", Addr: addr, Slots: slots, Models: models, EventInterval: o.eventInterval, WeightLoadTime: o.weightLoadTime,
-		SetListening: power, RestartDelay: o.crashDowntime, KeepID: o.keepIDs,
+		SetListening: setListening, RestartDelay: o.crashDowntime, KeepID: o.keepIDs,
 	}, s.store)
 	return e
 }
--- a/systemtest/organisation_test.go
+++ b/systemtest/organisation_test.go
@@ -166,7 +166,7 @@
 	}
 	for _, c := range []struct {
 		name    string
-		site    options
+		options options
 		inject  func(t *testing.T, s *deployment)
 		want    string // the expected organisation of each run
 		minRuns int    // the minimum number of runs
@@ -220,7 +220,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := startWithOrganisations(t, c.site)
+			s := startWithOrganisations(t, c.options)
 			c.inject(t, s)
 			runs := 0
 			for _, e := range slices.Concat(s.engines, s.plainTargets) {
--- a/systemtest/proxy_test.go
+++ b/systemtest/proxy_test.go
@@ -191,12 +191,12 @@
 func (p *tcpProxy) awaitFlow(held func(linkFaults) bool) {
 	for {
 		p.mu.Lock()
-		f, healed := p.faults, p.faultsChanged
+		f, changed := p.faults, p.faultsChanged
 		p.mu.Unlock()
 		if !held(f) {
 			time.Sleep(f.Delay)
 			return
 		}
-		<-healed
+		<-changed
 	}
 }
--- a/systemtest/storerejection_test.go
+++ b/systemtest/storerejection_test.go
@@ -102,9 +102,10 @@
 }
 
 // TestBatchesWhileStoreRejectsInstances guards against an accepted batch, a result that was read,
-// or an item's body that is denied by an instance whose store calls are rejected, and against an
-// item that is not completed after the coordinator's store calls are rejected, or after it is
-// killed as well (replaced). Meanwhile the configuration changes and an engine is drained.
+// or an item's body that is denied by an instance whose store calls are rejected. It also guards
+// against an item that is not completed after the coordinator's store calls are rejected and, in
+// the cases with replaced set, the coordinator is killed as well. Meanwhile the configuration
+// changes and an engine is drained.
 func TestBatchesWhileStoreRejectsInstances(t *testing.T) {
 	for name, rejection := range map[string]standin.Rejection{
 		"busy": standin.RejectBusy, "limited": standin.RejectLimited, "reset": standin.RejectReset, "silent": standin.RejectNoResponse,
@@ -201,8 +202,8 @@
 }
 
 // TestCoordinatorRelaysThroughConnectedInstance guards against a step whose runs start again
-// because the lease moves while the store rejects the calls of all instances but one, the
-// coordinator's among them.
+// because the lease moves while the store rejects the calls of the coordinator and of all other
+// instances but one.
 func TestCoordinatorRelaysThroughConnectedInstance(t *testing.T) {
 	t.Parallel()
 	s := startDeployment(t, options{entries: 6, engines: 3, storeProxies: true, eventInterval: 60 * time.Millisecond})
--- a/systemtest/usage_test.go
+++ b/systemtest/usage_test.go
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestUsageIsReportedBehindHubs guards against usage of most instances of a large deployment that
-// is not reported. These instances poll a hub for updates, and the hub relays no counts; in one
-// case the coordinator is lost.
+// TestUsageIsReportedBehindHubs guards against unreported usage of most instances of a large
+// deployment. These instances poll a hub for updates, and the hub relays no counts; in one case the
+// coordinator is lost.
 func TestUsageIsReportedBehindHubs(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
