--- a/core/cfadmission/limit_test.go
+++ b/core/cfadmission/limit_test.go
@@ -40,8 +40,9 @@
 	return a
 }
 
-// Guards against limits that prolong themselves: a target without recent reports was limited for
-// longer than its service, and its next answer prolonged the limits of the service.
+// TestLimitsEndWhenTargetsAreIdle guards against limits that prolong themselves: a target without
+// recent reports was limited for longer than its service, and its next answer prolonged the limits
+// of the service.
 func TestLimitsEndWhenTargetsAreIdle(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b", "c", "d", "e", "f")
 	for now := cf.Millis(1000); now < 3000; now += 100 {
@@ -68,7 +69,8 @@
 	}
 }
 
-// Guards against a waiting retry that blocks other requests from the target that has failed it.
+// TestRetryDoesNotBlockTargetItHasTried guards against a waiting retry that blocks other requests
+// from the target that has failed it.
 func TestRetryDoesNotBlockTargetItHasTried(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b")
 	refuseOne(c, list, "b", 1000)
@@ -84,8 +86,8 @@
 	}
 }
 
-// Guards against a request that may have run blocking other requests from a target while it waits
-// for that target's long queue to shorten.
+// TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget guards against a request that may have run
+// blocking other requests from a target while it waits for that target's long queue to shorten.
 func TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
@@ -100,7 +102,8 @@
 	}
 }
 
-// Guards against spending the retry budget on retries that are not sent.
+// TestOnlySendsSpendRetryBudget guards against spending the retry budget on retries that are not
+// sent.
 func TestOnlySendsSpendRetryBudget(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b")
 	refuseOne(c, list, "a", 1000)
@@ -120,7 +123,8 @@
 	}
 }
 
-// Guards against a hedge that takes a place in the queue, or displaces a waiting request.
+// TestHedgeDoesNotEnterTheQueue guards against a hedge that takes a place in the queue, or
+// displaces a waiting request.
 func TestHedgeDoesNotEnterTheQueue(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	refuseWithLoad(c, list, 1000)
@@ -142,7 +146,8 @@
 	}
 }
 
-// Guards against a refused hedge counting as a throttled request, which raises the rate.
+// TestRefusedHedgeDoesNotRaiseTheRate guards against a refused hedge counting as a throttled
+// request, which raises the rate.
 func TestRefusedHedgeDoesNotRaiseTheRate(t *testing.T) {
 	perMs := func(hedges bool) float64 {
 		c, list := cfadmission.New(), targetsOf("a")
@@ -161,7 +166,8 @@
 	}
 }
 
-// Guards against immediate failures lowering the measured service time, which raises the rate.
+// TestFailuresDoNotCountAsServiceTime guards against immediate failures lowering the measured
+// service time, which raises the rate.
 func TestFailuresDoNotCountAsServiceTime(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	answer := func(status int, took cf.Millis) {
@@ -181,7 +187,8 @@
 	}
 }
 
-// Guards against a target keeping a single slot because it was sent a request before it was listed.
+// TestListingSetsSlotsOfKnownTarget guards against a target keeping a single slot because it was
+// sent a request before it was listed.
 func TestListingSetsSlotsOfKnownTarget(t *testing.T) {
 	perMs := func(seen bool) float64 {
 		c, list := cfadmission.New(), targetsOf("a")
--- a/core/cfbalance/pace_test.go
+++ b/core/cfbalance/pace_test.go
@@ -72,9 +72,9 @@
 	return mean / float64(n), slow / float64(n)
 }
 
-// Guards against requests waiting at a target whose machine has just turned slow while other
-// targets are fast: the reported pace must be used, and must not keep requests away from a target
-// long after the report.
+// TestRequestsAvoidTargetsThatAreSlowNow guards against requests waiting at a target whose machine
+// has just turned slow while other targets are fast: the reported pace must be used, and must not
+// keep requests away from a target long after the report.
 func TestRequestsAvoidTargetsThatAreSlowNow(t *testing.T) {
 	for _, perSecond := range []float64{12, 108, 300, 600} {
 		without, slowWithout := simulateSharedMachines(perSecond, true)
--- a/core/cfbalance/retryscheduler_test.go
+++ b/core/cfbalance/retryscheduler_test.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// Guards against counting a lost target's share of the throughput again 300 ms after each loss.
+// TestThroughputExcludesLostTargets guards against counting a lost target's share of the throughput
+// again 300 ms after each loss.
 func TestThroughputExcludesLostTargets(t *testing.T) {
 	b := cfbalance.New()
 	for _, x := range targets(2) {
--- a/core/cfbatch/batch_test.go
+++ b/core/cfbatch/batch_test.go
@@ -50,10 +50,10 @@
 	return out
 }
 
-// Guards against an item that is listed at two positions, and against a position that changes.
-// Either happens if a chunk is written without having read the chunks before it. Two coordinators
-// finish the same items and write chunks, each having read more or less of the other's, and some
-// writes take effect late.
+// TestTwoCoordinatorsListEachItemOnce guards against an item that is listed at two positions, and
+// against a position that changes. Either happens if a chunk is written without having read the
+// chunks before it. Two coordinators finish the same items and write chunks, each having read more
+// or less of the other's, and some writes take effect late.
 func TestTwoCoordinatorsListEachItemOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 60 {
@@ -181,11 +181,11 @@
 	}
 }
 
-// Guards against a trainer that learns half a second late that its step is complete, because any
-// groups were counted as those that it waits for. As many groups are complete as it requested, but
-// not the one carried over from its previous step, which it also waits for. If each further group
-// were listed on its own, the trainer would just have read one, and would not be polling when the
-// last group is listed.
+// TestChunkIsDueWhenCarriedOverGroupIsComplete guards against a trainer that learns half a second
+// late that its step is complete, because any groups were counted as those that it waits for. As
+// many groups are complete as it requested, but not the one carried over from its previous step,
+// which it also waits for. If each further group were listed on its own, the trainer would just
+// have read one, and would not be polling when the last group is listed.
 func TestChunkIsDueWhenCarriedOverGroupIsComplete(t *testing.T) {
 	sub := submission(5, 1)
 	sub.TargetGroups = 3
@@ -204,11 +204,11 @@
 	}
 }
 
-// Guards against a trainer that learns half a second late that its step is complete, because
-// results were listed every 1.5 s without regard to those still to come. The last groups of a step
-// complete one after the other, shortly before the trainer needs them; it reads whatever is listed
-// and polls again half a second later. If the deadline is known, results are collected until
-// shortly before it.
+// TestResultsAreCollectedUntilNearDeadline guards against a trainer that learns half a second late
+// that its step is complete, because results were listed every 1.5 s without regard to those still
+// to come. The last groups of a step complete one after the other, shortly before the trainer needs
+// them; it reads whatever is listed and polls again half a second later. If the deadline is known,
+// results are collected until shortly before it.
 func TestResultsAreCollectedUntilNearDeadline(t *testing.T) {
 	sub := submission(4, 1)
 	b := cfbatch.New(sub)
@@ -245,9 +245,9 @@
 	}
 }
 
-// Guards against a page resolved from chunks that differs from the page that the coordinator
-// returned. Two coordinators list the same item, whose second result has no position, and pages
-// begin in the middle of a chunk.
+// TestPageRefResolvesToSamePage guards against a page resolved from chunks that differs from the
+// page that the coordinator returned. Two coordinators list the same item, whose second result has
+// no position, and pages begin in the middle of a chunk.
 func TestPageRefResolvesToSamePage(t *testing.T) {
 	sub := submission(6, 1)
 	b := cfbatch.New(sub)
--- a/core/cfbatch/parts_test.go
+++ b/core/cfbatch/parts_test.go
@@ -11,9 +11,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// Guards against a batch that is refused for good because it is larger than an object in the store
-// may be: a step of 4,096 samples, while the store accepts values of up to 1 MB. Submitted twice,
-// it is still one batch.
+// TestLargeBatchIsSplitIntoParts guards against a batch that is refused for good because it is
+// larger than an object in the store may be: a step of 4,096 samples, while the store accepts
+// values of up to 1 MB. Submitted twice, it is still one batch.
 func TestLargeBatchIsSplitIntoParts(t *testing.T) {
 	sub := submission(1024, 4)
 	for i := range sub.Items {
--- a/core/cfbatch/startgate_test.go
+++ b/core/cfbatch/startgate_test.go
@@ -7,8 +7,8 @@
 	"currantford/core/cfbatch"
 )
 
-// Guards against a batch that starts while it is not yet known that its predecessor, which has the
-// same items, has ended.
+// TestStartGateWaitsForPredecessors guards against a batch that starts while it is not yet known
+// that its predecessor, which has the same items, has ended.
 func TestStartGateWaitsForPredecessors(t *testing.T) {
 	const startTimeout cf.Millis = 1000
 	for _, c := range []struct {
--- a/core/cfhold/cfhold_test.go
+++ b/core/cfhold/cfhold_test.go
@@ -114,9 +114,9 @@
 	return kept
 }
 
-// Guards against an instance being killed for its memory while callers read a kilobyte a second.
-// Five such callers arrive per second for a minute, along with others. Without the limits the bound
-// is exceeded.
+// TestSlowReadersLeaveRoomForOthers guards against an instance being killed for its memory while
+// callers read a kilobyte a second. Five such callers arrive per second for a minute, along with
+// others. Without the limits the bound is exceeded.
 func TestSlowReadersLeaveRoomForOthers(t *testing.T) {
 	bounds := cfhold.BoundsFor(memory)
 	got := simulate(cfhold.Policy{}, 200, 60000)
@@ -129,7 +129,8 @@
 	}
 }
 
-// Guards against callers being cut off for their read rate alone, while memory is left.
+// TestSteadyReadersAreServedWhileThereIsRoom guards against callers being cut off for their read
+// rate alone, while memory is left.
 func TestSteadyReadersAreServedWhileThereIsRoom(t *testing.T) {
 	if got := simulate(cfhold.Policy{}, 30000, 300000); got.slowCut > 0 || got.failed > 0 || got.slowLeft < 10 {
 		t.Errorf("%+v; want no caller cut off", got)
--- a/core/cfhold/pool_test.go
+++ b/core/cfhold/pool_test.go
@@ -6,10 +6,10 @@
 	"currantford/core/cfhold"
 )
 
-// Guards against endless answers that together take an instance's memory or leave none for others.
-// 200 of them are read at a time, each in steps that double its size, and started again after
-// failing. Meanwhile reports of 12 KB are read, and one of 200 KB after the endless answers have
-// ended.
+// TestUnboundedAnswersLeaveRoomInThePool guards against endless answers that together take an
+// instance's memory or leave none for others. 200 of them are read at a time, each in steps that
+// double its size, and started again after failing. Meanwhile reports of 12 KB are read, and one of
+// 200 KB after the endless answers have ended.
 func TestUnboundedAnswersLeaveRoomInThePool(t *testing.T) {
 	p := cfhold.NewPool(cfhold.PoolBytes)
 	unbounded := make([]int64, 200)
--- a/core/cfhold/sizetracker_test.go
+++ b/core/cfhold/sizetracker_test.go
@@ -8,10 +8,10 @@
 	"currantford/core/cfhold"
 )
 
-// Guards against endless answers of a target taking the memory for other answers. 150 of them are
-// read at a time; each grows by 60 KB every 0.1 s and is started again after it is given up.
-// Meanwhile answers of 300 KB arrive from another target, each of which its caller has read two
-// steps later.
+// TestUnboundedAnswersLeaveRoomForOthers guards against endless answers of a target taking the
+// memory for other answers. 150 of them are read at a time; each grows by 60 KB every 0.1 s and is
+// started again after it is given up. Meanwhile answers of 300 KB arrive from another target, each
+// of which its caller has read two steps later.
 func TestUnboundedAnswersLeaveRoomForOthers(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		l, sizes := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
@@ -65,8 +65,9 @@
 	}
 }
 
-// Guards against rejecting the answers of a service that declare no length and are larger than
-// usual: they are read if they fit, and from then on answers of that size count as usual.
+// TestLargeAnswersWithoutALengthAreRead guards against rejecting the answers of a service that
+// declare no length and are larger than usual: they are read if they fit, and from then on answers
+// of that size count as usual.
 func TestLargeAnswersWithoutALengthAreRead(t *testing.T) {
 	l, sizes := cfhold.New(cfhold.BoundsFor(memory), cfhold.Policy{}), cfhold.NewSizeTracker()
 	read := func(size int64) (unbounded bool) {
--- a/core/cfquarantine/deferred_test.go
+++ b/core/cfquarantine/deferred_test.go
@@ -16,8 +16,8 @@
 	table.Checked(dst, now, LossRefused, now)
 }
 
-// Guards against an item that is never sent again because targets crashed under it, and against one
-// that crashes target after target without a pause.
+// TestDeferredWorkIsRetriedAfterPauses guards against an item that is never sent again because
+// targets crashed under it, and against one that crashes target after target without a pause.
 func TestDeferredWorkIsRetriedAfterPauses(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -55,8 +55,9 @@
 	}
 }
 
-// Guards against pauses that restart, or are forgotten, when another instance continues the work.
-// The item crashes every target and is sent again as soon as it is admitted.
+// TestDeferredPausesSurviveInstanceChange guards against pauses that restart, or are forgotten,
+// when another instance continues the work. The item crashes every target and is sent again as soon
+// as it is admitted.
 func TestDeferredPausesSurviveInstanceChange(t *testing.T) {
 	const runTime, propagation = 100, 20
 	tables := []*Table{New("a"), New("b"), New("c")}
@@ -96,8 +97,8 @@
 	}
 }
 
-// Guards against equal items of a step that wait for one another although one of them keeps
-// running.
+// TestEqualDeferredWorkDoesNotWaitForCompletion guards against equal items of a step that wait for
+// one another although one of them keeps running.
 func TestEqualDeferredWorkDoesNotWaitForCompletion(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -117,8 +118,8 @@
 	}
 }
 
-// Guards against an item that is never retried because short requests of another caller with the
-// same content are always in flight.
+// TestDeferredWorkDoesNotWaitForOtherCallers guards against an item that is never retried because
+// short requests of another caller with the same content are always in flight.
 func TestDeferredWorkDoesNotWaitForOtherCallers(t *testing.T) {
 	const runTime, interval = 300, 100
 	table := New("e")
@@ -141,9 +142,9 @@
 	t.Error("the item was not retried within 5 s")
 }
 
-// Guards against equal, innocent items that are at no target for 5 s. They lose their targets one
-// after the other; the wait of items that were lost earlier than burstWindow before the last crash
-// is counted from burstWindow before it.
+// TestEqualDeferredWorkIsResentWithinFiveSeconds guards against equal, innocent items that are at
+// no target for 5 s. They lose their targets one after the other; the wait of items that were lost
+// earlier than burstWindow before the last crash is counted from burstWindow before it.
 func TestEqualDeferredWorkIsResentWithinFiveSeconds(t *testing.T) {
 	const interval, items, burstWindow = 50, 16, 3 * second
 	for crashes := maxCrashes; crashes <= items; crashes++ {
@@ -177,8 +178,8 @@
 	}
 }
 
-// Guards against an item that keeps waiting for a target which runs no other item that has lost two
-// targets.
+// TestDeferredWorkDoesNotWaitForOtherSuspects guards against an item that keeps waiting for a
+// target which runs no other item that has lost two targets.
 func TestDeferredWorkDoesNotWaitForOtherSuspects(t *testing.T) {
 	table := New("e")
 	a, b := keyOf("a", "x"), keyOf("a", "y")
--- a/core/cfquarantine/fulltable_test.go
+++ b/core/cfquarantine/fulltable_test.go
@@ -10,8 +10,8 @@
 	"currantford/core/cfquarantine"
 )
 
-// Guards against strikes that circulate between instances for ever: each instance with a full table
-// drops one strike for another, and later accepts the first again.
+// TestStrikePropagationTerminates guards against strikes that circulate between instances for ever:
+// each instance with a full table drops one strike for another, and later accepts the first again.
 func TestStrikePropagationTerminates(t *testing.T) {
 	const instances, strikes, maxMessages = 20, 24, 20_000
 	type message struct {
--- a/core/cfquarantine/table_test.go
+++ b/core/cfquarantine/table_test.go
@@ -54,9 +54,10 @@
 	}
 }
 
-// Guards against a service that loses all its targets to one request because the request is sent to
-// each of them at once: retries and hedges of equal requests are in flight when the first one
-// crashes its target. A count of past crashes alone does not include those to come.
+// TestInFlightSendsAreBoundedByRemainingCrashes guards against a service that loses all its targets
+// to one request because the request is sent to each of them at once: retries and hedges of equal
+// requests are in flight when the first one crashes its target. A count of past crashes alone does
+// not include those to come.
 func TestInFlightSendsAreBoundedByRemainingCrashes(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -91,8 +92,9 @@
 	}
 }
 
-// Guards against an innocent request that is refused because its targets were lost three times: the
-// targets are killed, and the request completes between the losses or after them.
+// TestCompletionVoidsStrikes guards against an innocent request that is refused because its targets
+// were lost three times: the targets are killed, and the request completes between the losses or
+// after them.
 func TestCompletionVoidsStrikes(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -109,9 +111,9 @@
 	}
 }
 
-// Guards against a popular request that is refused everywhere after a whole failure domain is lost
-// with three targets that run it. The three crashes are one event, and the request was served
-// before.
+// TestPopularRequestSurvivesFailureDomainLoss guards against a popular request that is refused
+// everywhere after a whole failure domain is lost with three targets that run it. The three crashes
+// are one event, and the request was served before.
 func TestPopularRequestSurvivesFailureDomainLoss(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "GET /popular")
@@ -137,9 +139,9 @@
 	}
 }
 
-// Guards against requests that are refused because the links to three targets were cut, or their
-// connections reset: connections end without an answer, new ones fail, and later the targets
-// answer.
+// TestLiveTargetsAreNotEvidence guards against requests that are refused because the links to three
+// targets were cut, or their connections reset: connections end without an answer, new ones fail,
+// and later the targets answer.
 func TestLiveTargetsAreNotEvidence(t *testing.T) {
 	t.Run("reached at once", func(t *testing.T) {
 		table := New("e")
@@ -224,10 +226,10 @@
 	})
 }
 
-// Guards against holding all items of a step while the one item that crashes its targets continues.
-// Many items of equal content fill each target beside that item, and three targets crash before any
-// item completes. Both contents have then lost the same targets, and the one that is held first
-// would account for the losses of the other.
+// TestSuspectsWithSameLossesAreSeparated guards against holding all items of a step while the one
+// item that crashes its targets continues. Many items of equal content fill each target beside that
+// item, and three targets crash before any item completes. Both contents have then lost the same
+// targets, and the one that is held first would account for the losses of the other.
 func TestSuspectsWithSameLossesAreSeparated(t *testing.T) {
 	table := New("e")
 	culprit, bystanders := keyOf("a", "x"), keyOf("a", "y")
@@ -262,8 +264,9 @@
 	}
 }
 
-// Guards against holding a request that ran beside one that crashes targets: both lose two targets
-// together, and the third target is lost under the other one alone.
+// TestCrashesAreAttributedToHeldRequest guards against holding a request that ran beside one that
+// crashes targets: both lose two targets together, and the third target is lost under the other one
+// alone.
 func TestCrashesAreAttributedToHeldRequest(t *testing.T) {
 	table := New("e")
 	culprit, bystander := keyOf("a", "x"), keyOf("b", "y")
@@ -284,8 +287,8 @@
 	}
 }
 
-// Guards against refusing a caller's request because of another caller's: the same content crashes
-// targets for one caller and completes for another.
+// TestStrikesOfOtherCallers guards against refusing a caller's request because of another caller's:
+// the same content crashes targets for one caller and completes for another.
 func TestStrikesOfOtherCallers(t *testing.T) {
 	table := New("e")
 	a, b, c := keyOf("a", "x"), keyOf("b", "x"), keyOf("c", "x")
@@ -328,8 +331,8 @@
 	}
 }
 
-// Guards against a wrongly held request that is refused for ever, and against a rightly held one
-// that costs a target every minute.
+// TestHoldDuration guards against a wrongly held request that is refused for ever, and against a
+// rightly held one that costs a target every minute.
 func TestHoldDuration(t *testing.T) {
 	table := New("e")
 	k := keyOf("a", "x")
@@ -364,8 +367,8 @@
 	}
 }
 
-// Guards against memory or links that fill up, and against a held request that is dropped, when a
-// caller crashes targets with bodies that differ in one byte each.
+// TestTableStaysBounded guards against memory or links that fill up, and against a held request
+// that is dropped, when a caller crashes targets with bodies that differ in one byte each.
 func TestTableStaysBounded(t *testing.T) {
 	table := New("e")
 	held := keyOf("a", "held")
@@ -398,7 +401,8 @@
 	}
 }
 
-// Guards against an instance that has just started and sends a request that other instances hold.
+// TestUnsyncedInstanceSendsNothing guards against an instance that has just started and sends a
+// request that other instances hold.
 func TestUnsyncedInstanceSendsNothing(t *testing.T) {
 	a, b := New("a"), NewUnsynced("b")
 	held, healthy := keyOf("x", "1"), keyOf("y", "1")
@@ -425,8 +429,8 @@
 	}
 }
 
-// Guards against a popular request that is refused by instances that have not served it since their
-// start, when several targets are lost at once.
+// TestServedStateIsSharedWithStrikes guards against a popular request that is refused by instances
+// that have not served it since their start, when several targets are lost at once.
 func TestServedStateIsSharedWithStrikes(t *testing.T) {
 	const lossTime = second
 	for _, c := range []struct {
@@ -524,8 +528,8 @@
 	}
 }
 
-// Guards against instances that never converge because each exchange contains the same few
-// requests.
+// TestPartialExchangesConverge guards against instances that never converge because each exchange
+// contains the same few requests.
 func TestPartialExchangesConverge(t *testing.T) {
 	const held, limit = 40, 16
 	a, b := New("a"), New("b")
--- a/core/cfreward/reward_test.go
+++ b/core/cfreward/reward_test.go
@@ -188,9 +188,10 @@
 	}
 }
 
-// Guards against thousands of attempts within seconds at a service that rejects everything, so that
-// it also rejects callers' requests when it has recovered. This happens if rejected calls are
-// repeated at once. All targets reject for 4 s while 208 calls wait, and then serve.
+// TestRejectingServiceIsNotFlooded guards against thousands of attempts within seconds at a service
+// that rejects everything, so that it also rejects callers' requests when it has recovered. This
+// happens if rejected calls are repeated at once. All targets reject for 4 s while 208 calls wait,
+// and then serve.
 func TestRejectingServiceIsNotFlooded(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), 1)
 	for _, x := range s.targets {
@@ -207,9 +208,10 @@
 	}
 }
 
-// Guards against a step that waits 3 s for rewards from targets that accepted the calls and died.
-// This happens if a call waits for the whole timeout of an attempt, and if an unresponsive target
-// gets more calls. Here 3 of 14 targets accept calls and do not answer.
+// TestUnresponsiveTargetsAreHedged guards against a step that waits 3 s for rewards from targets
+// that accepted the calls and died. This happens if a call waits for the whole timeout of an
+// attempt, and if an unresponsive target gets more calls. Here 3 of 14 targets accept calls and do
+// not answer.
 func TestUnresponsiveTargetsAreHedged(t *testing.T) {
 	for seed := range uint64(10) {
 		p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), seed)
@@ -224,9 +226,9 @@
 	}
 }
 
-// Guards against samples that are given up because one target fails every call. This happens if all
-// attempts of a call go to the target that seems least loaded. Here 2 of 14 targets answer that
-// each call failed, and do so as fast as the others.
+// TestFailingTargetCostsNoSample guards against samples that are given up because one target fails
+// every call. This happens if all attempts of a call go to the target that seems least loaded. Here
+// 2 of 14 targets answer that each call failed, and do so as fast as the others.
 func TestFailingTargetCostsNoSample(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(14, 6), 3)
 	s.failing["t00"], s.failing["t07"] = true, true
@@ -236,7 +238,8 @@
 	}
 }
 
-// Guards against a call that fails at every target and is repeated without end.
+// TestFailingCallIsGivenUpAfterMaxAttempts guards against a call that fails at every target and is
+// repeated without end.
 func TestFailingCallIsGivenUpAfterMaxAttempts(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newService(newEnv(3, 6), 1)
 	for _, x := range s.targets {
@@ -272,9 +275,10 @@
 	}
 }
 
-// Guards against a reward call of an ended batch that is sent, and against its late answer, which
-// must not score the item in another batch. A call is in flight when its batch is ended, a later
-// batch contains the same item, and then the answer to the first call arrives.
+// TestLateAnswerOfAnEndedBatchScoresNothing guards against a reward call of an ended batch that is
+// sent, and against its late answer, which must not score the item in another batch. A call is in
+// flight when its batch is ended, a later batch contains the same item, and then the answer to the
+// first call arrives.
 func TestLateAnswerOfAnEndedBatchScoresNothing(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(2, 3)
 	first := newBatch("s", 0, 1, 1)
@@ -293,8 +297,8 @@
 	}
 }
 
-// Guards against a call that is kept without end although it has no route, or although the time of
-// its batch is over.
+// TestCallsExpire guards against a call that is kept without end although it has no route, or
+// although the time of its batch is over.
 func TestCallsExpire(t *testing.T) {
 	p, s := cfreward.New(cfreward.DefaultLimits), newEnv(2, 3)
 	s.noRoute = true
