--- a/core/cfadmission/admission_test.go
+++ b/core/cfadmission/admission_test.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// TestSpentTimeFollowsFromLongerDeadlines guards against measuring the time that a caller has used
-// by the route's timeout: where all callers allow less time than the route, every request counted
-// as resubmitted, and as too late.
+// TestSpentTimeFollowsFromLongerDeadlines guards against deriving the time that a caller has
+// already spent from the route's timeout. If all callers allow less time than the route, every
+// request then counts as resubmitted, and as too late.
 func TestSpentTimeFollowsFromLongerDeadlines(t *testing.T) {
 	c := cfadmission.NewDeadlineTracker()
 	for i, want := range []struct{ deadline, spent, at cf.Millis }{{800, 0, 0}, {800, 0, 10}, {540, 260, 20}, {0, 0, 30}, {500, 0, 40000}} {
--- a/core/cfadmission/limit_test.go
+++ b/core/cfadmission/limit_test.go
@@ -40,9 +40,9 @@
 	return a
 }
 
-// TestLimitsEndWhenTargetsAreIdle guards against limits that prolong themselves: a target without
-// recent reports was limited for longer than its service, and its next answer prolonged the limits
-// of the service.
+// TestLimitsEndWhenTargetsAreIdle guards against limits that prolong themselves. The fault arises
+// if a target without recent reports is limited for longer than its service: its next answer then
+// prolongs the limits of the service.
 func TestLimitsEndWhenTargetsAreIdle(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a", "b", "c", "d", "e", "f")
 	for now := cf.Millis(1000); now < 3000; now += 100 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget guards against a request that may have run
-// blocking other requests from a target while it waits for that target's long queue to shorten.
+// TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget guards against a request that may have run and
+// keeps other requests from a target while it waits for that target's long queue to shorten.
 func TestRequestThatMayHaveRunDoesNotBlockCrowdedTarget(t *testing.T) {
 	c, list := cfadmission.New(), targetsOf("a")
 	c.Sent(c.Enter(request(list, 1000), 1000), "a", 1000)
--- a/io/cfrunner/host.go
+++ b/io/cfrunner/host.go
@@ -54,8 +54,8 @@
 		lastPoll    cf.Millis // effective time of the latest poll
 		runs        map[RunID]*hostedRun
 		lastStarted RunID // the latest run that was started
-		// unheldEnds are outcomes of runs that are not in runs.
-		unheldEnds []RunUpdate
+		// endsWithoutRun are outcomes of runs that are not in runs.
+		endsWithoutRun []RunUpdate
 		// lastReport is the latest report, acked the number of the latest report that has certainly
 		// arrived.
 		lastReport Report
@@ -234,7 +234,7 @@
 // reportEnd adds the outcome of a run that the host does not execute to the next report. s.mu must
 // be held.
 func (s *session) reportEnd(id RunID, end RunEnd) {
-	s.unheldEnds = append(s.unheldEnds, RunUpdate{Run: id, End: &end})
+	s.endsWithoutRun = append(s.endsWithoutRun, RunUpdate{Run: id, End: &end})
 	s.wake()
 }
 
@@ -295,8 +295,8 @@
 	if r, resend := s.unacknowledged(); resend {
 		return r
 	}
-	out := Report{Session: s.id, Number: s.lastReport.Number + 1, HostClock: cf.Uptime(), Runs: s.unheldEnds}
-	s.unheldEnds = nil
+	out := Report{Session: s.id, Number: s.lastReport.Number + 1, HostClock: cf.Uptime(), Runs: s.endsWithoutRun}
+	s.endsWithoutRun = nil
 	size := int64(0)
 	for id, r := range s.runs {
 		if len(r.events) == 0 && r.end == nil {
--- a/older/cfroute/route.go
+++ b/older/cfroute/route.go
@@ -10,9 +10,12 @@
 // the request would exceed the engine's KV cache, and, for live requests, a penalty for a backlog
 // beyond the SLO. The limits that the paper states apply here too:
 //
-//   - The costs per token are calibrated from measured durations (Observe). With wrong costs the score is no better than counting queued requests (§V-B).
-//   - If all engines have a long backlog, two random candidates are compared instead of all, because always taking the lowest score fails under scarcity (§V-C).
-//   - With few candidates the policy is least_loaded, because the score has an advantage only with four candidates or more (§VI).
+//   - The costs per token are calibrated from measured durations (Observe). With wrong costs the
+//     score is no better than counting queued requests (§V-B).
+//   - If all engines have a long backlog, two random candidates are compared instead of all,
+//     because always taking the lowest score fails under scarcity (§V-C).
+//   - With few candidates the policy is least_loaded, because the score has an advantage only with
+//     four candidates or more (§VI).
 //
 // Load reports are outdated when they arrive. The router therefore records the requests that it has
 // assigned to each engine and that have not finished, and uses the report or its own record,
