--- a/cmd/currantford-node/main.go
+++ b/cmd/currantford-node/main.go
@@ -1,5 +1,5 @@
-// Command currantford-node is the program of a currantford deployment. Run
-// "currantford-node --help" for its commands.
+// Command currantford-node is the program of the deployed processes. Run "currantford-node --help"
+// for its commands.
 package main
 
 import (
--- a/cmd/currantford/main.go
+++ b/cmd/currantford/main.go
@@ -1,6 +1,6 @@
-// Command currantford is the one binary of the rollout service: entry
-// instances, the settings checker, the stand-ins and the load tool. Run
-// "currantford --help" for the commands.
+// Command currantford is the program of the rollout service under older/: entry instances, the
+// settings check, the stand-ins, and the tools for load and trials. Run "currantford --help" for
+// its commands.
 package main
 
 import (
--- a/nodecommands/commands.go
+++ b/nodecommands/commands.go
@@ -1,5 +1,5 @@
-// Package nodecommands is the command line of the deployed processes: flags,
-// wiring, start and stop. The logic lives in the cf* packages.
+// Package nodecommands implements the command line of the deployed processes: flags, setup, start
+// and stop. The logic is in the cf* packages.
 //
 // Usage:
 //
@@ -25,12 +25,12 @@
 	"currantford/platform"
 )
 
-// maxIdleConnsPerTarget bounds the kept connections to one target: as many as a
-// model engine runs items at once.
+// maxIdleConnsPerTarget limits the idle connections to one target. It is the number of items that a
+// model engine runs concurrently.
 const maxIdleConnsPerTarget = 12
 
 type (
-	// SettingsOption is the settings flag shared by every command.
+	// SettingsOption is the flag for the settings file, which all commands have.
 	SettingsOption struct {
 		Settings string `long:"settings" env:"CURRANTFORD_NODE_FILE" required:"true" description:"settings of this process (JSON)" value-name:"FILE"`
 	}
@@ -44,8 +44,7 @@
 	}
 )
 
-// Execute parses args and runs the command they name. It returns the exit
-// code.
+// Execute parses args and runs the command that they name. It returns the exit code.
 func Execute(args []string) int {
 	p := flags.NewParser(nil, flags.Default)
 	p.Name = "currantford-node"
--- a/older/cfconfig/config.go
+++ b/older/cfconfig/config.go
@@ -1,11 +1,11 @@
-// Package cfconfig is the settings tree of a site: one JSON document,
-// decoded into typed settings with defaults in one place, and validated so
-// that each fault names its JSON path ("$.engines[2].addr: ...").
+// Package cfconfig reads the settings of a site: one JSON document, which is decoded into typed
+// settings, completed with defaults and validated. Each validation error names its JSON path
+// ("$.engines[2].addr: ...").
 //
-// Every process of a site reads the same document and finds itself in it by
-// id: an entry instance learns its address and failure domain from its row
-// in "entries", an engine stand-in from "engines", and so on. With no
-// document the embedded default site is used: a small site on loopback.
+// All processes of a site read the same document. Each finds its own settings in it by its id: an
+// entry instance reads its address and failure domain from its element of "entries", an engine
+// stand-in from "engines", and so on. Without a document, an embedded default site is used, a small
+// site on the loopback interface.
 //
 // Usage:
 //
@@ -34,7 +34,7 @@
 	"currantford/testbed/cfengine"
 )
 
-// Engine roles.
+// The roles of an engine, by the requests that it accepts.
 const (
 	RoleLive    = "live"
 	RoleRollout = "rollout"
@@ -45,7 +45,7 @@
 var defaultSite []byte
 
 type (
-	// Site is the whole settings tree.
+	// Site holds all settings of a site.
 	Site struct {
 		Platform Platform         `json:"platform"`
 		Entries  []Entry          `json:"entries"`
@@ -56,31 +56,31 @@
 		Trainers []Trainer        `json:"trainers"`
 		Routing  cfroute.Settings `json:"routing"`
 		Lease    Lease            `json:"lease"`
-		// EntriesTTL is how long callers may keep the answer of
-		// GET /v1/entries.
+		// EntriesTTL is how long callers may cache the response of GET /v1/entries.
 		EntriesTTL cf.Millis `json:"entries_ttl_ms"`
-		// LoadPoll is how often an entry reads each engine's load report.
+		// LoadPoll is the interval at which an entry reads the engines' load reports.
 		LoadPoll cf.Millis `json:"load_poll_ms"`
-		// Drain is how long a stopping process stays up as "leaving"
-		// before it stops taking work, so that callers and entries notice
-		// through the lagging instance list.
+		// Drain is how long a stopping process still accepts work while the instance list shows it
+		// as "leaving". The instance list is delayed, so callers and entries need this time to
+		// notice.
 		Drain cf.Millis `json:"drain_ms"`
 	}
 
-	// Platform locates the object API.
+	// Platform is the address of the object API, and the delay with which its stand-in shows
+	// changes of the instance list.
 	Platform struct {
 		Addr        string    `json:"addr"`
 		InstanceLag cf.Millis `json:"instance_lag_ms"`
 	}
 
-	// Entry is one entry instance.
+	// Entry is an entry instance.
 	Entry struct {
 		ID     cf.EntryID       `json:"id"`
 		Addr   string           `json:"addr"`
 		Domain cf.FailureDomain `json:"failure_domain"`
 	}
 
-	// Engine is one model engine target.
+	// Engine is a model engine.
 	Engine struct {
 		ID           cf.EngineID      `json:"id"`
 		Addr         string           `json:"addr"`
@@ -92,42 +92,41 @@
 		CheckFencing bool             `json:"check_fencing"`
 	}
 
-	// Service is one plain service target, such as bids or log readings.
+	// Service is a target other than a model engine, such as bids or log readings.
 	Service struct {
 		Name string `json:"name"`
 		Addr string `json:"addr"`
-		// Idempotent services may be retried; others are sent at most once.
+		// Idempotent allows retries. Calls of other services are sent at most once.
 		Idempotent bool      `json:"idempotent"`
 		Timeout    cf.Millis `json:"timeout_ms"`
 	}
 
-	// Scorer locates the scoring service.
+	// Scorer is the address of the scoring service.
 	Scorer struct {
 		Addr string `json:"addr"`
 	}
 
-	// Pool is one rollout pool and the claims trainers hold on it.
+	// Pool is a rollout pool with the trainers' claims on it.
 	Pool struct {
 		Name      cf.PoolName `json:"name"`
 		GroupSize int         `json:"group_size"`
 		MaxTokens cf.Tokens   `json:"max_tokens"`
-		// MaxVersionLag and MaxSampleAge bound a sample's staleness: behind
-		// the pool's current weights by at most this many versions, and
-		// at most this old when delivered.
+		// MaxVersionLag and MaxSampleAge limit how stale a delivered sample may be: how many weight
+		// versions it may be behind the pool's current one, and how old it may be.
 		MaxVersionLag cf.WeightVersion `json:"staleness_versions"`
 		MaxSampleAge  cf.Millis        `json:"staleness_ms"`
 		Prompts       []string         `json:"prompts"`
 		Claims        []Claim          `json:"claims"`
 	}
 
-	// Claim is one trainer's claim on a pool.
+	// Claim is a trainer's claim on a pool.
 	Claim struct {
 		Name cf.ClaimName `json:"name"`
-		// Buffer is how many scored samples the pool keeps ready.
+		// Buffer is the number of scored samples that the pool keeps ready for the claim.
 		Buffer int `json:"buffer"`
 	}
 
-	// Trainer is one trainer stand-in.
+	// Trainer is a trainer stand-in.
 	Trainer struct {
 		Name        string       `json:"name"`
 		Pool        cf.PoolName  `json:"pool"`
@@ -137,20 +136,21 @@
 		TrainTime   cf.Millis    `json:"train_ms"`
 	}
 
-	// Lease times the controllers' leases in the object API.
+	// Lease holds the lifetime and the renewal interval of the pools' leases. Entries write their
+	// heartbeat at the renewal interval too.
 	Lease struct {
 		TTL   cf.Millis `json:"ttl_ms"`
 		Renew cf.Millis `json:"renew_ms"`
 	}
 
-	// Fault is one validation fault at a JSON path.
+	// Fault is a validation error at a JSON path.
 	Fault struct {
 		Path    string
 		Message string
 	}
 
-	// Faults is every fault of one document; it is the error Load returns
-	// for a bad document, and it wraps ErrInvalid.
+	// Faults lists all validation errors of a document. Load and Parse return it for an invalid
+	// document. It wraps ErrInvalid.
 	Faults []Fault
 )
 
@@ -164,7 +164,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap lets errors.Is(err, currantford.ErrInvalid) hold.
+// Unwrap makes errors.Is(err, currantford.ErrInvalid) true.
 func (fs Faults) Unwrap() error { return cf.ErrInvalid }
 
 // Default returns the embedded default site.
@@ -176,7 +176,7 @@
 	return s
 }
 
-// Load reads and checks a document; path "" means the embedded default.
+// Load reads and validates the document at path, or the embedded default if path is empty.
 func Load(path string) (Site, error) {
 	if path == "" {
 		return Parse(defaultSite)
@@ -188,8 +188,8 @@
 	return Parse(data)
 }
 
-// Parse decodes a document, applies defaults and validates it. A bad
-// document returns Faults.
+// Parse decodes a document, sets defaults and validates it. The error for an invalid document is a
+// Faults.
 func Parse(data []byte) (Site, error) {
 	var raw any
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -212,7 +212,7 @@
 	return s, nil
 }
 
-// applyDefaults is the one place where defaults are set.
+// applyDefaults sets the defaults of all fields that the document leaves out.
 func (s *Site) applyDefaults() {
 	d := cfroute.DefaultSettings()
 	if s.Routing.Policy == "" {
@@ -258,7 +258,7 @@
 	}
 }
 
-// Validate returns every fault of a decoded site.
+// Validate returns all validation errors of a decoded site.
 func (s *Site) Validate() Faults {
 	var fs Faults
 	add := func(path, format string, args ...any) {
@@ -349,8 +349,8 @@
 	return fs
 }
 
-// collectUnknownFields walks a decoded document beside the settings type and
-// records every key the type does not have, with its path.
+// collectUnknownFields compares a decoded document with the settings type t and adds an error to fs
+// for each key that t has no field for.
 func collectUnknownFields(t reflect.Type, v any, path string, fs *Faults) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -393,7 +393,7 @@
 	}
 }
 
-// Entry returns the row of an entry instance.
+// Entry returns the settings of an entry instance.
 func (s *Site) Entry(id cf.EntryID) (Entry, error) {
 	for _, e := range s.Entries {
 		if e.ID == id {
@@ -403,7 +403,7 @@
 	return Entry{}, eris.Wrapf(cf.ErrNotFound, "entry %q is not in the settings", id)
 }
 
-// Engine returns the row of an engine.
+// Engine returns the settings of an engine.
 func (s *Site) Engine(id cf.EngineID) (Engine, error) {
 	for _, e := range s.Engines {
 		if e.ID == id {
@@ -413,7 +413,7 @@
 	return Engine{}, eris.Wrapf(cf.ErrNotFound, "engine %q is not in the settings", id)
 }
 
-// Service returns the row of a plain service.
+// Service returns the settings of a service.
 func (s *Site) Service(name string) (Service, error) {
 	for _, sv := range s.Services {
 		if sv.Name == name {
@@ -423,7 +423,7 @@
 	return Service{}, eris.Wrapf(cf.ErrNotFound, "service %q is not in the settings", name)
 }
 
-// Trainer returns the row of a trainer.
+// Trainer returns the settings of a trainer.
 func (s *Site) Trainer(name string) (Trainer, error) {
 	for _, t := range s.Trainers {
 		if t.Name == name {
@@ -433,7 +433,7 @@
 	return Trainer{}, eris.Wrapf(cf.ErrNotFound, "trainer %q is not in the settings", name)
 }
 
-// Pool returns the row of a pool.
+// Pool returns the settings of a pool.
 func (s *Site) Pool(name cf.PoolName) (Pool, error) {
 	for _, p := range s.Pools {
 		if p.Name == name {
@@ -443,5 +443,5 @@
 	return Pool{}, eris.Wrapf(cf.ErrNotFound, "pool %q is not in the settings", name)
 }
 
-// PlatformURL is the object API's base URL.
+// PlatformURL returns the base URL of the object API.
 func (s *Site) PlatformURL() string { return "http://" + s.Platform.Addr }
--- a/older/cfconfig/config_test.go
+++ b/older/cfconfig/config_test.go
@@ -11,8 +11,8 @@
 	"currantford/older/cfconfig"
 )
 
-// TestCheck replays documents through the checker: each fault is printed
-// with its JSON path, as `currantford check` prints it.
+// TestCheck parses the documents in testdata/check and compares the validation errors with their
+// JSON paths, as "currantford check" prints them.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
 		_, err := cfconfig.Parse([]byte(d.Input))
@@ -26,7 +26,7 @@
 	})
 }
 
-// TestDefaultSiteIsValid: the embedded site must pass its own checks.
+// TestDefaultSiteIsValid checks that the embedded default site passes validation.
 func TestDefaultSiteIsValid(t *testing.T) {
 	s := cfconfig.Default()
 	if len(s.Entries) == 0 || s.Routing.Policy == "" {
--- a/older/cfentry/claims.go
+++ b/older/cfentry/claims.go
@@ -21,8 +21,8 @@
 )
 
 type (
-	// poolCall is the peer message of a fetch, an ack or a weights order,
-	// forwarded from any entry to the pool's leader.
+	// poolCall is the peer message with which an entry forwards a fetch, an acknowledgement or a
+	// weight update to the pool's leader.
 	poolCall struct {
 		Pool    cf.PoolName      `cbor:"pool"`
 		Claim   cf.ClaimName     `cbor:"claim,omitempty"`
@@ -33,8 +33,8 @@
 	}
 )
 
-// registerPeerHandlers answers the calls other entries forward to this one
-// while it leads a pool.
+// registerPeerHandlers registers the handlers for calls that other entries forward to this one
+// because it leads a pool.
 func (e *Entry) registerPeerHandlers() {
 	e.peerSrv.Handle("fetch", func(ctx context.Context, body cbor.RawMessage) (any, error) {
 		c, p, err := e.decodeCall(body)
@@ -76,9 +76,8 @@
 	return p, nil
 }
 
-// leaderOf returns the pool and, when another entry leads it, that
-// entry's address; "" means this entry leads. ErrNotLeader means the lease
-// is changing hands.
+// leaderOf returns the pool and the address of the entry that leads it; the address is "" if that
+// is this entry. The error is ErrNotLeader while no leader is known.
 func (e *Entry) leaderOf(name cf.PoolName) (*cfpool.Pool, string, error) {
 	p, err := e.pool(name)
 	if err != nil {
@@ -94,7 +93,7 @@
 	return p, addr, nil
 }
 
-// callLeader forwards c to the leading entry at addr over the peer link.
+// callLeader forwards c over the peer link to the entry at addr, which leads the pool.
 func (e *Entry) callLeader(ctx context.Context, addr, op string, c poolCall, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait.Duration()+peerTimeout)
 	defer cancel()
@@ -179,8 +178,8 @@
 	}{body.Version})
 }
 
-// writePoolError maps a pool error to an answer. A trainer that is told to
-// come back gets Retry-After at once; no answer is held back.
+// writePoolError answers a request with the status for a pool's error. It responds at once, with
+// Retry-After where the trainer may try again; responses are not delayed.
 func (e *Entry) writePoolError(ctx iris.Context, route string, err error) {
 	e.metrics.requests.WithLabelValues(route, "error").Inc()
 	switch {
--- a/older/cfentry/delivery_test.go
+++ b/older/cfentry/delivery_test.go
@@ -13,15 +13,11 @@
 	"currantford/testbed/cfstandin"
 )
 
-// TestSamplesDeliveredOnceAcrossLeaderChange: a trainer gets every sample once when
-// the entry leading its pool stops in the middle of a step.
-//
-// Symptom: a trainer trains on the same sample twice, or waits for ever.
-// Sequence: the trainer fetches and acks through the other entry (which
-// forwards over the peer link); the leader stops; its lease lapses; the
-// other entry takes over and goes on from the committed cursor.
-// Cause it guards against: a new leader starting from its own memory
-// instead of the cursor in the platform, or acks that are not idempotent.
+// TestSamplesDeliveredOnceAcrossLeaderChange stops the entry that leads a pool in the middle of a
+// trainer's step. The trainer fetches and acknowledges through the other entry, which first
+// forwards over the peer link and then takes over the expired lease. A new leader that starts from
+// its own memory instead of the cursor in the platform, or an acknowledgement that is not
+// idempotent, would make the trainer receive a sample twice or wait for ever.
 func TestSamplesDeliveredOnceAcrossLeaderChange(t *testing.T) {
 	ts := startSite(t, 2, nil)
 	ctx := context.Background()
--- a/older/cfentry/engines.go
+++ b/older/cfentry/engines.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	// Engine priorities: live work goes before rollout work.
+	// Priorities in requests to the engines: live requests run before rollouts.
 	priorityLive    = 10
 	priorityRollout = 0
-	// maxAttempts bounds how many engines one request is tried on.
+	// maxAttempts limits the number of engines that are tried for one request.
 	maxAttempts = 3
-	// loadPollTimeout bounds one load report read; an engine that does not
-	// answer in time counts as unreachable for that round.
+	// loadPollTimeout limits one read of a load report. An engine that does not answer in time
+	// counts as failed in this poll.
 	loadPollTimeout = 500 * time.Millisecond
-	// unreachableAfter is the number of failed polls in a row after which
-	// an engine gets no new work: a crashed engine would otherwise keep
-	// receiving requests that fail on connect.
+	// unreachableAfter is the number of consecutive failed polls after which an engine gets no new
+	// requests. Without it, a crashed engine would continue to receive requests that fail to
+	// connect.
 	unreachableAfter = 2
 	maxBodyBytes     = 1 << 20
 )
@@ -63,7 +63,7 @@
 	return s
 }
 
-// pollLoads reads every engine's load report once, in parallel.
+// pollLoads reads the load reports of all engines once, in parallel.
 func (s *engineSet) pollLoads(ctx context.Context) {
 	var wg sync.WaitGroup
 	for id, st := range s.engines {
@@ -86,8 +86,8 @@
 	wg.Wait()
 }
 
-// candidates returns the loads of engines that serve the role and are
-// reachable, marking those the instance list shows as leaving.
+// candidates returns the loads of the engines that accept live requests or rollouts, as asked, and
+// are reachable. Engines that are leaving according to the instance list are marked as such.
 func (s *engineSet) candidates(live bool, skip map[cf.EngineID]bool) []cf.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return s.engines[id].settings.Addr
 }
 
-// route places a job and logs the decision.
+// route selects an engine for a job and logs the decision.
 func (s *engineSet) route(job cf.Job, skip map[cf.EngineID]bool) (cf.Decision, error) {
 	d, err := s.entry.router.Route(job, s.candidates(job.Live, skip))
 	if err != nil {
@@ -127,9 +127,8 @@
 	return d, nil
 }
 
-// Generate implements currantford.Backend: one rollout, non-streamed, at
-// rollout priority. A rollout is safe to run again, so an engine that fails
-// is skipped and another tried.
+// Generate implements currantford.Backend. It runs one rollout without streaming, at rollout
+// priority. A rollout can safely run again, so after a failure it is tried on another engine.
 func (s *engineSet) Generate(ctx context.Context, job cf.Job, prompt string) (cf.Generation, error) {
 	job.PromptTokens = cf.Tokens(len(strings.Fields(prompt)))
 	skip := map[cf.EngineID]bool{}
@@ -178,9 +177,9 @@
 	return out.Score, err
 }
 
-// LoadWeights implements currantford.Backend: it orders every rollout and
-// shared engine. Engines that ignore fencing numbers get an order only after
-// check confirms the lease is still ours.
+// LoadWeights implements currantford.Backend. It sends the order to every engine that accepts
+// rollouts. For an engine that ignores fencing tokens, it first calls check, which confirms that
+// this entry still holds the lease.
 func (s *engineSet) LoadWeights(ctx context.Context, version cf.WeightVersion, epoch cf.Epoch, check func(context.Context) error) error {
 	var errs []error
 	for _, st := range s.engines {
@@ -242,15 +241,14 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// handleCompletions serves the OpenAI-compatible completions API. The
-// caller's body is passed through with our priority added. Until the first
-// byte of the answer has reached the caller, a failed engine is skipped and
-// another tried: nothing the caller sees has run. Once bytes have gone, an
-// engine failure ends the stream with an error event that says the answer
-// is partial, so the caller never takes a cut answer for a whole one.
+// handleCompletions serves the OpenAI-compatible completions API. The caller's body is forwarded
+// with the priority added. Until the first byte of the response has been sent to the caller, a
+// request is tried on another engine after a failure, since the caller has seen nothing of the
+// failed attempt. After that, an engine failure ends the stream with an error event that says the
+// response is partial, so that the caller does not mistake it for a complete one.
 func (e *Entry) handleCompletions(ctx iris.Context) {
 	body, err := io.ReadAll(io.LimitReader(ctx.Request().Body, maxBodyBytes))
-	var req map[string]json.RawMessage // the caller's body, passed through whole
+	var req map[string]json.RawMessage // the caller's body with all its fields
 	if err != nil || json.Unmarshal(body, &req) != nil {
 		e.metrics.requests.WithLabelValues("completions", "bad_request").Inc()
 		writeError(ctx, http.StatusBadRequest, "invalid", "no", eris.New("body must be a JSON object"))
@@ -296,8 +294,8 @@
 	writeError(ctx, http.StatusServiceUnavailable, "engines_failed", "no", eris.New("every engine tried failed before answering"))
 }
 
-// proxyCompletion sends one attempt and copies the answer to the caller. It
-// reports whether any byte reached the caller.
+// proxyCompletion sends one attempt to an engine and copies the response to the caller. It reports
+// whether the caller may have received a part of it.
 func (e *Entry) proxyCompletion(ctx iris.Context, engine cf.EngineID, job cf.Job, body []byte) (bool, error) {
 	start := time.Now()
 	req, err := http.NewRequestWithContext(ctx.Request().Context(), http.MethodPost,
--- a/older/cfentry/entry.go
+++ b/older/cfentry/entry.go
@@ -1,20 +1,20 @@
-// Package cfentry is the entry instance: the process callers, trainers and
-// operators reach. It answers GET /v1/entries so that callers can pick an
-// entry themselves (there is no balancer); routes live completions to
-// engines and streams the answers back; sends plain-service calls, a
-// non-idempotent one at most once; and serves trainers' claims on rollout
-// pools, forwarding to the pool's leading entry over the peer link.
+// Package cfentry implements an entry instance, the process that callers, trainers and operators
+// connect to. It lists the entries under GET /v1/entries, so that callers can select one themselves
+// (there is no load balancer). It routes live completions to engines and streams the responses
+// back. It forwards calls to services, at most once if the service is not idempotent. It also
+// serves the trainers' claims on rollout pools and forwards their requests over the peer link to
+// the entry that leads the pool.
 //
-// An entry keeps in memory only what it can rebuild: engines' load reports,
-// the instance list, the samples of the pools it leads. Leases, claim
-// cursors and weight versions live in the platform's object API.
+// An entry keeps only state in memory that it can rebuild: the engines' load reports, the instance
+// list, and the samples of the pools it leads. Leases, claim cursors and weight versions are stored
+// in the platform's object API.
 //
 // Usage:
 //
 //	e, err := cfentry.New(site, "entry-1", log)
-//	go e.Run(ctx)          // leases, load polls, instance list
+//	e.Run(ctx)              // starts leases, load polls and the instance list
 //	err = e.Serve(listener) // until Shutdown
-//	e.Shutdown(ctx)         // leaving, drain, stop: cuts off no request
+//	e.Shutdown(ctx)         // drains and stops without aborting requests
 package cfentry
 
 import (
@@ -41,7 +41,7 @@
 	"currantford/older/cfroute"
 )
 
-// Instance roles and states in the instance list.
+// Roles and states of instances in the instance list.
 const (
 	RoleEntry         = "entry"
 	RoleEngine        = "engine"
@@ -51,7 +51,7 @@
 )
 
 type (
-	// Entry is one entry instance. Shutdown stops it gracefully and waits.
+	// Entry is an entry instance.
 	Entry struct {
 		site   cfconfig.Site
 		self   cfconfig.Entry
@@ -75,8 +75,8 @@
 		cancel context.CancelFunc
 	}
 
-	// Instance is one row of the instance list, as written by the
-	// instance itself and read by entries.
+	// Instance is an element of the instance list. Each instance writes its own, and the entries
+	// read them.
 	Instance struct {
 		ID        string           `json:"id"`
 		Role      string           `json:"role"`
@@ -93,7 +93,7 @@
 	}
 )
 
-// New returns an entry for the settings row id.
+// New returns the entry instance with the given id in the settings.
 func New(site cfconfig.Site, id cf.EntryID, log *zap.Logger) (*Entry, error) {
 	self, err := site.Entry(id)
 	if err != nil {
@@ -138,8 +138,8 @@
 	return m
 }
 
-// Handler returns the entry's HTTP API: iris for callers, net/http for the
-// peer link's WebSocket upgrade.
+// Handler returns the HTTP API of the entry: an iris application, and a net/http handler for the
+// WebSocket upgrade of the peer link.
 func (e *Entry) Handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -159,8 +159,8 @@
 	return mux, nil
 }
 
-// Run starts the background work: the instance heartbeat, the instance
-// list watch, engine load polls and the pools' leases. It returns at once.
+// Run starts the background work: the heartbeat, the watch of the instance list, the polling of
+// engine loads and the pools' leases. It returns at once.
 func (e *Entry) Run(ctx context.Context) {
 	ctx, e.cancel = context.WithCancel(ctx)
 	e.runEvery(ctx, e.site.Lease.Renew, e.heartbeat)
@@ -196,7 +196,7 @@
 	}()
 }
 
-// Serve answers on l until Shutdown.
+// Serve answers requests on l until Shutdown is called.
 func (e *Entry) Serve(l net.Listener) error {
 	h, err := e.Handler()
 	if err != nil {
@@ -209,11 +209,10 @@
 	return nil
 }
 
-// Shutdown is the planned stop. The entry first shows itself as leaving in
-// the instance list and in GET /v1/entries, keeps answering for the drain
-// span so that callers holding the old list are still served, then stops
-// taking connections and waits for every request in flight. Cutting a
-// request off would break "every planned stop is a graceful shutdown".
+// Shutdown stops the entry without aborting requests, as every planned stop must. The entry first
+// marks itself as leaving in the instance list and in GET /v1/entries. It continues to answer for
+// the drain time, because callers may still use an older list. It then stops accepting connections
+// and waits for all requests in flight.
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.mu.Lock()
 	e.leaving = true
@@ -239,8 +238,8 @@
 	return err
 }
 
-// heartbeat writes this entry's row of the instance list. In production the
-// instance list is the platform's own; the stand-in learns of us this way.
+// heartbeat writes this entry's element of the instance list. The real platform maintains the
+// instance list itself; its stand-in learns of the entries from these writes.
 func (e *Entry) heartbeat(ctx context.Context) {
 	e.mu.Lock()
 	state := StateLive
@@ -254,7 +253,7 @@
 	}
 }
 
-// watchInstances follows the instance list with one waiting watch.
+// watchInstances updates the instance list from a long-polling watch until ctx ends.
 func (e *Entry) watchInstances(ctx context.Context) {
 	var rev int64
 	for ctx.Err() == nil {
@@ -278,7 +277,7 @@
 	}
 }
 
-// instance returns the last known row of an instance.
+// instance returns the last known state of an instance.
 func (e *Entry) instance(id string) (Instance, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -286,8 +285,9 @@
 	return in, ok
 }
 
-// liveEntries lists entries whose heartbeat is fresh and that are not
-// leaving, sorted by id. This entry is listed unless it is leaving.
+// liveEntries returns the entries that are not leaving and whose heartbeat is recent, sorted by id:
+// at most three renewal intervals old, plus the delay of the instance list. This entry is included
+// unless it is leaving.
 func (e *Entry) liveEntries() []Instance {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -321,7 +321,7 @@
 	}{rows, e.site.EntriesTTL})
 }
 
-// logDecision logs one routing decision as one JSON line and counts it.
+// logDecision counts a routing decision and logs it as one JSON line.
 func (e *Entry) logDecision(d cf.Decision, kind string) {
 	e.metrics.decisions.WithLabelValues(d.Policy, d.Reason).Inc()
 	e.log.Info("decision", zap.String("kind", kind), zap.String("request_id", string(d.Request)),
@@ -329,9 +329,8 @@
 		zap.String("policy", d.Policy))
 }
 
-// errorBody is the body of every refusal. Ran is "no" only when the
-// request certainly did not run, "unknown" when it may have, "partly" for
-// a cut answer.
+// errorBody is the body of every error response. Ran is "no" only if the request has certainly not
+// run, "unknown" if it may have run, and "partly" if the response was cut off.
 type errorBody struct {
 	Error struct {
 		Message string `json:"message"`
@@ -340,7 +339,7 @@
 	} `json:"error"`
 }
 
-// writeError answers with an error body that says whether the request ran.
+// writeError responds with an error body that says whether the request ran.
 func writeError(ctx iris.Context, status int, code, ran string, err error) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		ctx.Header("Retry-After", retryAfterSeconds)
--- a/older/cfentry/entry_test.go
+++ b/older/cfentry/entry_test.go
@@ -13,8 +13,8 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestCompletionsWithOpenAIClient drives the entry with the published client library, so
-// the caller protocol is OpenAI's and not our reading of it.
+// TestCompletionsWithOpenAIClient calls the entry with the published OpenAI client library, so that
+// the protocol is tested against OpenAI's own implementation.
 func TestCompletionsWithOpenAIClient(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	client := openai.NewClient(option.WithBaseURL(ts.urls[0]+"/v1/"), option.WithAPIKey("test"), option.WithMaxRetries(0))
@@ -50,13 +50,10 @@
 	}
 }
 
-// TestBidRunsAtMostOnce: a bid must never reach the auction twice.
-//
-// Symptom: a buyer is charged twice for one bid.
-// Sequence: the bid service is slow; the caller gives up on entry 1 while
-// the bid is on its way, then sends the same Idempotency-Key to entry 2.
-// Cause: without the platform marker, entry 2 knows nothing of entry 1's
-// send and sends the bid again.
+// TestBidRunsAtMostOnce checks that a bid is never sent to the bid service twice, which would
+// charge the buyer twice. The service is slow; the caller gives up on entry 1 while the bid is
+// being sent, then sends the same Idempotency-Key to entry 2. Without the marker in the platform,
+// entry 2 would not know of the first call and would send the bid again.
 func TestBidRunsAtMostOnce(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
@@ -99,14 +96,10 @@
 	}
 }
 
-// TestLeavingEngineGetsNoNewRequests: once the instance list shows an engine
-// leaving, no new live request goes to it.
-//
-// Symptom: requests keep landing on an engine being taken out, and are cut
-// off when it stops.
-// Sequence: the engine is marked leaving; the list lags; callers keep
-// sending.
-// Cause: routing on load reports alone, which still show it idle.
+// TestLeavingEngineGetsNoNewRequests checks that no live request is routed to an engine that the
+// instance list shows as leaving; it would be aborted when the engine stops. The list is delayed,
+// and the engine's load report still shows it idle, so routing by load reports alone would select
+// it.
 func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	ts.setInstance(t, "forecast-1", "leaving")
@@ -122,8 +115,8 @@
 		}
 		return resp.Header.Get("X-Currantford-Engine")
 	}
-	// Wait until the lagging list has reached the entry: a request then
-	// goes elsewhere 20 times in a row.
+	// Wait until the delayed list has reached the entry, that is until 20 requests in a row go to
+	// other engines.
 	eventually(t, "the leaving state to reach the entry", func() bool {
 		for range 20 {
 			if e := post(); e == "" || e == "forecast-1" {
@@ -139,15 +132,10 @@
 	}
 }
 
-// TestBidDuringOutageIsRefusedAsNotRun: during a platform outage a bid is
-// refused, the refusal says "not run", and that is true.
-//
-// Symptom: a buyer told "not run" finds the bid was taken, or a bid sent
-// with no at-most-once marker is later sent again.
-// Sequence: the platform is down; a bid arrives; then the platform comes
-// back and the caller repeats the same key.
-// Cause it guards against: sending before the marker exists, or saying
-// "not run" after the bytes may have left.
+// TestBidDuringOutageIsRefusedAsNotRun sends a bid during a platform outage, then repeats it with
+// the same key after the outage. The bid must be refused as "not run", and that must be true. An
+// entry that sends before the marker exists, or answers "not run" when the request may have been
+// sent, would report a bid as not run that has run, or send a bid twice.
 func TestBidDuringOutageIsRefusedAsNotRun(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	send := func() (int, string) {
--- a/older/cfentry/services.go
+++ b/older/cfentry/services.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	// KindAtMostOnce is the kind of the at-most-once markers of non-idempotent
-	// calls, one per service and idempotency key.
+	// KindAtMostOnce is the kind of the marker objects that keep a non-idempotent call from being
+	// sent twice. There is one per service and idempotency key.
 	KindAtMostOnce = "once"
-	// maxIdempotentAttempts bounds the tries of an idempotent call.
+	// maxIdempotentAttempts limits the attempts of an idempotent call.
 	maxIdempotentAttempts = 3
-	// resultTTL is how long an answer is kept for repeats of its key.
+	// resultTTL is how long a response is kept for repeated calls with the same key.
 	resultTTL = 10 * time.Minute
 )
 
-// Marker states.
+// The states of a marker.
 const (
 	markerSending = "sending"
 	markerDone    = "done"
-	// markerNotSent marks a call that failed to connect: no byte left, so
-	// a repeat may take the marker over and send.
+	// markerNotSent means that the connection failed, so that nothing was sent. A repeated call
+	// takes the marker over.
 	markerNotSent = "not_sent"
 )
 
@@ -46,7 +46,7 @@
 		results map[string]*callResult
 	}
 
-	// callResult is one call's answer, shared by concurrent repeats of its key.
+	// callResult is the response of one call. Concurrent calls with the same key share it.
 	callResult struct {
 		done    chan struct{}
 		status  int
@@ -66,11 +66,10 @@
 	return &serviceSet{entry: e, client: &http.Client{}, results: map[string]*callResult{}}
 }
 
-// handleService sends a call to a plain service. Repeats of an idempotency
-// key get the first call's answer. A non-idempotent service is sent at most
-// once, across entries too: a marker is created in the platform before the
-// bytes leave, and a repeat that finds a marker without an answer is told
-// that the call may have run, never that it did not.
+// handleService forwards a call to a service. Calls that repeat an idempotency key get the first
+// call's response. A call of a non-idempotent service is sent at most once, over all entries: a
+// marker is written to the platform before anything is sent, and a repeated call that finds a
+// marker without a response is answered that the call may have run, never that it has not.
 func (e *Entry) handleService(ctx iris.Context) {
 	name := ctx.Params().Get("service")
 	sv, err := e.site.Service(name)
@@ -90,9 +89,9 @@
 	}
 	res, isFirst := e.services.lookupOrCreate(name + "/" + key)
 	if isFirst {
-		// The send outlives the caller: a caller that gives up must not
-		// cancel a bid that may already be at the service, or the outcome
-		// is never recorded and every repeat can only say "may have run".
+		// Do not cancel the call when the caller disconnects: a bid may already be at the service.
+		// If it were cancelled, its outcome would never be recorded, and every repeated call could
+		// only be answered with "may have run".
 		sendCtx := context.WithoutCancel(ctx.Request().Context())
 		res.status, res.body, err = e.services.send(sendCtx, sv, key, ctx.Params().Get("path"), body)
 		e.services.finish(name+"/"+key, res, err)
@@ -119,8 +118,8 @@
 		e.metrics.requests.WithLabelValues("service_"+name, "maybe_ran").Inc()
 		writeError(ctx, http.StatusConflict, "may_have_run", "unknown", err)
 	case err == nil:
-		// A concurrent repeat whose first call failed: that call's
-		// outcome is not ours to tell; ask again.
+		// This is a concurrent repeat of a call that failed. Only that call's own caller gets its
+		// outcome; this one has to try again.
 		writeError(ctx, http.StatusServiceUnavailable, "retry", "unknown", eris.New("an earlier call with this key failed; try again"))
 	default:
 		e.metrics.requests.WithLabelValues("service_"+name, "not_run").Inc()
@@ -128,7 +127,8 @@
 	}
 }
 
-// lookupOrCreate returns the result slot of a key and whether the caller must fill it.
+// lookupOrCreate returns the result for a key, and true if it is new and the caller must fill it
+// in. It also deletes expired results.
 func (s *serviceSet) lookupOrCreate(key string) (*callResult, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,9 +146,9 @@
 	return r, true
 }
 
-// finish publishes a result; a failed call's slot is removed so that a
-// later repeat tries again (for a non-idempotent call the platform marker
-// still stops a second send).
+// finish makes a result available to the waiting calls. The result of a failed call is deleted, so
+// that a later call tries again. For a non-idempotent service the marker in the platform still
+// prevents a second send.
 func (s *serviceSet) finish(key string, r *callResult, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,9 +160,8 @@
 	close(r.done)
 }
 
-// send calls the service. For an idempotent service every failure is
-// retried; for a non-idempotent one only a failure to connect, since then
-// no byte has left.
+// send calls the service. Calls of an idempotent service are retried after any failure; a call of a
+// non-idempotent service is sent at most once.
 func (s *serviceSet) send(ctx context.Context, sv cfconfig.Service, key, path string, body []byte) (int, []byte, error) {
 	if !sv.Idempotent {
 		return s.sendAtMostOnce(ctx, sv, key, path, body)
@@ -187,9 +186,8 @@
 	case errors.Is(err, cf.ErrConflict):
 		return s.answerFromMarker(ctx, name)
 	case errors.Is(err, cf.ErrUnavailable):
-		// The marker may exist even though we did not hear so. Read it:
-		// if it is ours, go on; if it cannot be read, the call has not
-		// been sent, and "not run" is true.
+		// The marker may have been written although the response was lost. If it is this entry's,
+		// continue. If it cannot be read, the call has not been sent, so "not run" is correct.
 		var cur markerValue
 		obj, gerr := cfplatform.GetJSON(ctx, store, KindAtMostOnce, name, &cur)
 		if gerr != nil || cur.Entry != s.entry.self.ID || cur.State != markerSending {
@@ -203,9 +201,8 @@
 	if err != nil {
 		var opErr *net.OpError
 		if errors.As(err, &opErr) && opErr.Op == "dial" {
-			// Nothing left this process; still, the marker stays, so a
-			// repeat is answered "may have run" only if we cannot
-			// remove it.
+			// Nothing was sent, so record that in the marker. Only if this write fails too is the
+			// call reported as one that may have run.
 			if _, derr := cfplatform.PutJSON(ctx, store, KindAtMostOnce, name, markerValue{State: markerNotSent, Entry: s.entry.self.ID}, marker.Version); derr == nil {
 				return 0, nil, eris.Wrapf(cf.ErrUnavailable, "service %s unreachable: %v", sv.Name, err)
 			}
@@ -219,7 +216,7 @@
 	return status, out, nil
 }
 
-// answerFromMarker answers a repeat of a non-idempotent key from its marker.
+// answerFromMarker answers a repeated call of a non-idempotent service from its marker.
 func (s *serviceSet) answerFromMarker(ctx context.Context, name string) (int, []byte, error) {
 	var cur markerValue
 	obj, err := cfplatform.GetJSON(ctx, s.entry.store, KindAtMostOnce, name, &cur)
@@ -229,7 +226,7 @@
 	case cur.State == markerDone:
 		return cur.Status, cur.Body, nil
 	case cur.State == markerNotSent:
-		// The earlier try never left its entry: take the marker over.
+		// The earlier attempt sent nothing. Take the marker over and let the caller try again.
 		if _, err := cfplatform.PutJSON(ctx, s.entry.store, KindAtMostOnce, name, markerValue{State: markerSending, Entry: s.entry.self.ID}, obj.Version); err != nil {
 			return 0, nil, eris.Wrapf(cf.ErrMaybeRan, "%s: %v", name, err)
 		}
--- a/older/cfentry/shutdown_test.go
+++ b/older/cfentry/shutdown_test.go
@@ -11,13 +11,10 @@
 	cf "currantford"
 )
 
-// TestShutdownCompletesRequestsInFlight: a planned stop lets every answer finish.
-//
-// Symptom: a caller's streamed answer stops halfway during a deploy.
-// Sequence: a long streamed completion is in flight; the entry is told to
-// stop (SIGTERM runs Shutdown).
-// Cause: closing the listener and connections at once instead of marking
-// the entry leaving, draining, and waiting for requests in flight.
+// TestShutdownCompletesRequestsInFlight shuts an entry down, as SIGTERM does, while a long
+// completion is being streamed. A shutdown that closes the listener and the connections at once,
+// instead of marking the entry as leaving, draining and waiting for the requests in flight, would
+// cut off the response during a deployment.
 func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	body := `{"model":"forecast","prompt":"tuul west frost","max_tokens":150,"stream":true}`
@@ -54,14 +51,9 @@
 	}
 }
 
-// TestEngineFailureMidStreamReportsPartialAnswer: a caller never takes a cut answer
-// for a whole one.
-//
-// Symptom: a forecast is published from half an answer.
-// Sequence: a streamed completion is under way; its engine dies (every
-// connection closed).
-// Cause it guards against: an entry that just ends the stream, which looks
-// to the caller like an answer that ended early on its own.
+// TestEngineFailureMidStreamReportsPartialAnswer closes all connections of an engine while it
+// streams a completion. An entry that merely ended the stream would make the response look
+// complete, and the caller would use half an answer, such as half a forecast.
 func TestEngineFailureMidStreamReportsPartialAnswer(t *testing.T) {
 	ts := startSite(t, 1, nil)
 	ts.waitRoutable(t)
--- a/older/cfentry/site_test.go
+++ b/older/cfentry/site_test.go
@@ -20,9 +20,9 @@
 	"currantford/testbed/cfstandin"
 )
 
-// testSite is a small site in one test process: the platform, engines, the
-// services and the scorer stand-ins, and entries, each on its own loopback
-// port and reached over HTTP as in production.
+// testSite is a small site in the test process: entries, and stand-ins for the platform, the
+// engines, the services and the scorer. Each has its own port on the loopback interface and is
+// called over HTTP as in production.
 type testSite struct {
 	site     cfconfig.Site
 	platform *cfobjects.Server
@@ -50,8 +50,8 @@
 	return srv
 }
 
-// startSite starts a site with n entries. wrap may put a fault in front of
-// a service's handler, by service name.
+// startSite starts a site with n entries. wrap can inject a fault before a service's handler; its
+// keys are the names of the services.
 func startSite(t testing.TB, n int, wrap map[string]func(http.Handler) http.Handler) *testSite {
 	t.Helper()
 	ts := &testSite{site: cfconfig.Default(), services: map[string]*cfstandin.Service{}, engines: map[cf.EngineID]*http.Server{}, wrap: wrap}
@@ -113,8 +113,8 @@
 	return ts
 }
 
-// eventually polls cond every 20 ms for up to 5 s. It bounds waiting for
-// background work (load polls, watches); it asserts nothing about speed.
+// eventually polls cond every 20 ms for up to 5 s, to wait for background work such as load polls
+// and watches. The limit is not an assertion about speed.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -125,7 +125,7 @@
 	t.Fatalf("timed out waiting for %s", what)
 }
 
-// setInstance writes an instance-list row as the platform would.
+// setInstance writes an element of the instance list, as the platform would.
 func (ts *testSite) setInstance(t testing.TB, id, state string) {
 	t.Helper()
 	_, err := cfplatform.PutJSON(context.Background(), ts.store, cfplatform.KindInstance, id,
@@ -135,7 +135,7 @@
 	}
 }
 
-// bidCalls returns how many times key reached the bids service.
+// bidCalls returns how many calls with key the bids service has received.
 func (ts *testSite) bidCalls(t testing.TB, key string) int {
 	t.Helper()
 	resp, err := http.Get("http://" + ts.site.Services[0].Addr + "/calls")
@@ -150,8 +150,8 @@
 	return counts.Calls[key]
 }
 
-// waitRoutable waits until the entry answers a one-token completion, that
-// is until its first load poll has made an engine routable.
+// waitRoutable waits until the entry answers a completion of one token, that is until its first
+// load poll has made an engine routable.
 func (ts *testSite) waitRoutable(t testing.TB) {
 	t.Helper()
 	eventually(t, "an engine to be routable", func() bool {
--- a/older/cfplatform/client.go
+++ b/older/cfplatform/client.go
@@ -1,6 +1,6 @@
-// Package cfplatform is the older interface's client of the platform's object
-// API and instance list: versioned JSON objects by kind and name, conditional
-// writes, and watches that are long polls.
+// Package cfplatform is the client of the platform's object API and instance list, as the packages
+// under older/ use them: versioned JSON objects identified by kind and name, conditional writes,
+// and watches by long polling.
 //
 // Usage:
 //
@@ -23,16 +23,16 @@
 	cf "currantford"
 )
 
-// KindInstance is the kind of instance-list objects.
+// KindInstance is the kind of the objects that form the instance list.
 const KindInstance = "instance"
 
-// callTimeout bounds one unary call. The platform answers in milliseconds;
-// a call that takes seconds is treated as an outage so that a slow platform
-// delays a controller instead of wedging it.
+// callTimeout limits one call; a watch may take its wait in addition. The platform answers in
+// milliseconds; a call that takes seconds is treated as an outage, so that a slow platform delays a
+// controller but does not block it.
 const callTimeout = 3 * time.Second
 
-// Client reaches the object API over HTTP. It implements
-// currantford.ObjectStore and is safe for concurrent use.
+// Client calls the object API over HTTP. It implements currantford.ObjectStore and is safe for
+// concurrent use.
 type Client struct {
 	base string
 	http *http.Client
@@ -40,22 +40,22 @@
 
 var _ cf.ObjectStore = (*Client)(nil)
 
-// NewClient returns a client of the object API at base, such as
-// "http://127.0.0.1:7000".
+// NewClient returns a client of the object API at the URL base, such as "http://127.0.0.1:7000".
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{}}
 }
 
-// Get returns one object, ErrNotFound, or ErrUnavailable.
+// Get returns one object. The error is ErrNotFound if the object does not exist, and ErrUnavailable
+// if the platform does not answer.
 func (c *Client) Get(ctx context.Context, kind, name string) (cf.Object, error) {
 	var obj cf.Object
 	err := c.do(ctx, http.MethodGet, c.objectURL(kind, name, nil), nil, &obj, callTimeout)
 	return obj, err
 }
 
-// Put writes one object conditionally. On ErrConflict the returned object is
-// the current one. When the answer is lost (ErrUnavailable) the write may
-// have taken effect: callers re-read before they conclude anything.
+// Put writes one object if its version is ifVersion. On ErrConflict the returned object is the
+// current one. ErrUnavailable leaves the outcome open: the response may have been lost after the
+// write took effect, so the caller must read the object again.
 func (c *Client) Put(ctx context.Context, kind, name string, value []byte, ifVersion int64) (cf.Object, error) {
 	q := url.Values{}
 	if ifVersion != cf.AnyVersion {
@@ -66,7 +66,8 @@
 	return obj, err
 }
 
-// Watch long-polls for objects of kind written after revision after.
+// Watch waits up to wait for objects of kind that were written after revision after. It returns
+// them with the revision to pass to the next call.
 func (c *Client) Watch(ctx context.Context, kind string, after int64, wait time.Duration) ([]cf.Object, int64, error) {
 	q := url.Values{}
 	q.Set("after", strconv.FormatInt(after, 10))
@@ -80,8 +81,8 @@
 	return body.Objects, body.Revision, err
 }
 
-// InjectFaults sets the stand-in's faults; it exists for tests and the load
-// tool and has no counterpart on the real platform.
+// InjectFaults configures the faults that the platform stand-in simulates. Tests and the load
+// generator use it; the real platform has no such call.
 func (c *Client) InjectFaults(ctx context.Context, outage, slow cf.Millis, loseAnswers int) error {
 	body, _ := json.Marshal(struct {
 		Outage      cf.Millis `json:"outage_ms"`
@@ -144,7 +145,7 @@
 	return obj, nil
 }
 
-// PutJSON encodes v and writes it conditionally.
+// PutJSON encodes v as JSON and writes it like Put.
 func PutJSON(ctx context.Context, s cf.ObjectStore, kind, name string, v any, ifVersion int64) (cf.Object, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
@@ -153,7 +154,7 @@
 	return s.Put(ctx, kind, name, value, ifVersion)
 }
 
-// DecodeValue decodes an object's value into v.
+// DecodeValue decodes the value of obj into v.
 func DecodeValue(obj cf.Object, v any) error {
 	if err := json.Unmarshal(obj.Value, v); err != nil {
 		return eris.Wrapf(cf.ErrInvalid, "object %s/%s: %v", obj.Kind, obj.Name, err)
--- a/older/cfpool/claim.go
+++ b/older/cfpool/claim.go
@@ -14,12 +14,12 @@
 	"currantford/older/cfplatform"
 )
 
-// groupRetryDelay is the wait after a failed group before the next try, so that
-// an engine outage does not turn into a busy loop of failing rollouts.
+// groupRetryDelay is the delay after a group has failed, so that an engine outage does not cause a
+// busy loop of failing rollouts.
 const groupRetryDelay = 200 * time.Millisecond
 
-// generate keeps one claim's buffer filled with whole, scored groups while
-// this entry leads the pool.
+// generate keeps the buffer of one claim filled with complete, scored groups until ctx ends or this
+// entry no longer leads the pool.
 func (p *Pool) generate(ctx context.Context, name cf.ClaimName) {
 	defer p.wg.Done()
 	for ctx.Err() == nil {
@@ -29,9 +29,9 @@
 			p.mu.Unlock()
 			return
 		}
-		// Stale samples are dropped before the buffer is judged full: a
-		// buffer full of samples made by old weights would otherwise
-		// stop generation, and the trainer would wait for ever.
+		// Drop stale samples before checking whether the buffer is full. A buffer full of samples
+		// from old weights would otherwise stop the generation, and the trainer would wait for
+		// ever.
 		p.dropStaleLocked(claim)
 		full := len(claim.buffered) >= claim.settings.Buffer
 		wait := p.changed
@@ -60,9 +60,8 @@
 	}
 }
 
-// generateGroup runs one group of rollouts on one prompt and scores them. A group is
-// kept whole: one failed member fails the group, because a trainer's step
-// needs whole groups.
+// generateGroup runs the rollouts of one group on one prompt and scores them. If one rollout fails,
+// the whole group fails, because a trainer's step needs complete groups.
 func (p *Pool) generateGroup(ctx context.Context, name cf.ClaimName, groupNum int64) ([]cf.Sample, error) {
 	prompt := p.settings.Prompts[int(groupNum)%len(p.settings.Prompts)]
 	groupID := fmt.Sprintf("%s/%s/g%d-e%d", p.settings.Name, name, groupNum, p.currentEpoch())
@@ -89,8 +88,8 @@
 	return out, errors.Join(errs...)
 }
 
-// appendGroup numbers a finished group and appends it, unless leadership was
-// lost meanwhile or the group is already stale.
+// appendGroup numbers the samples of a group and adds them to the claim's buffer. It drops the
+// group if this entry no longer leads the pool or a sample is already stale.
 func (p *Pool) appendGroup(name cf.ClaimName, samples []cf.Sample) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +112,8 @@
 	p.broadcastLocked()
 }
 
-// isStaleLocked applies the pool's staleness bound in versions and in age.
+// isStaleLocked reports whether a sample exceeds the pool's limit on weight versions or on age. The
+// caller must hold p.mu.
 func (p *Pool) isStaleLocked(s cf.Sample) bool {
 	if len(s.Weights) == 0 {
 		return true
@@ -121,11 +121,10 @@
 	return p.weights-s.Weights[0] > p.settings.MaxVersionLag || s.Created.Since() > p.settings.MaxSampleAge
 }
 
-// Fetch returns up to max samples after the claim's committed cursor, whole
-// groups only (at least one group even if max is smaller), waiting up to
-// wait for one. It returns ErrNotLeader on an entry that does not lead the
-// pool and ErrNotFound for an unknown claim. Samples that have grown stale
-// while waiting are dropped, never delivered.
+// Fetch returns complete groups of samples after the claim's committed cursor, at least one group,
+// until they are limit samples or more. It waits up to wait for the first group. Samples that
+// became stale in the buffer are dropped, never delivered. The error is ErrNotLeader on an entry
+// that does not lead the pool, and ErrNotFound for an unknown claim.
 func (p *Pool) Fetch(ctx context.Context, name cf.ClaimName, limit int, wait time.Duration) (cf.Batch, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -180,11 +179,10 @@
 	}
 }
 
-// Ack commits cursor for a claim in the platform. It is idempotent: a cursor
-// at or below the committed one succeeds at once. It returns ErrNotLeader
-// when this entry does not hold the lease, ErrFenced when a newer leader has
-// stamped the claim, and ErrUnavailable when the platform did not answer and
-// the outcome is unknown (the trainer acks again).
+// Ack commits a claim's cursor in the platform. It is idempotent: a cursor that is not above the
+// committed one succeeds at once. The error is ErrNotLeader if this entry does not hold the lease,
+// ErrFenced if a newer leader has stamped the claim, and ErrUnavailable if the platform did not
+// answer and the outcome is unknown; the trainer then acknowledges again.
 func (p *Pool) Ack(ctx context.Context, name cf.ClaimName, cursor int64) error {
 	p.mu.Lock()
 	if !p.isLeaderLocked() {
@@ -229,12 +227,11 @@
 	return nil
 }
 
-// commitCursor writes cursor for epoch, on condition that the claim object
-// is still at version, the one this leader last wrote or read. It returns
-// the new version. A newer leader's stamp moves the version, so an old
-// leader's commit fails here (ErrFenced) instead of overwriting the cursor.
-// When the answer is lost, it reads the object back: the write may have
-// taken effect (then it succeeds) or not (ErrUnavailable, ack again).
+// commitCursor writes cursor and epoch to the claim object if the object still has the version that
+// this leader last read or wrote, and returns the new version. A newer leader's stamp changes the
+// version, so the commit of an old leader fails with ErrFenced and does not overwrite the cursor.
+// If the write fails, commitCursor reads the object again: a lost response counts as success if the
+// write took effect, and as ErrUnavailable otherwise, after which the trainer acknowledges again.
 func commitCursor(ctx context.Context, store cf.ObjectStore, name string, epoch cf.Epoch, version, cursor int64) (int64, error) {
 	obj, err := cfplatform.PutJSON(ctx, store, KindClaim, name, claimValue{Cursor: cursor, Epoch: epoch}, version)
 	if err == nil {
@@ -253,9 +250,8 @@
 	return obj.Version, nil
 }
 
-// SetWeights records a new weight version for the pool and orders the
-// engines to load it. A version lower than the current one is refused with
-// ErrConflict: weights never go back.
+// SetWeights records a new weight version of the pool and orders the engines to load it. It returns
+// ErrConflict for a version below the current one, since weight versions must not decrease.
 func (p *Pool) SetWeights(ctx context.Context, version cf.WeightVersion) error {
 	p.mu.Lock()
 	if !p.isLeaderLocked() {
@@ -291,9 +287,9 @@
 	return nil
 }
 
-// checkLease re-reads the lease before an order to an engine that ignores
-// fencing numbers: such an engine cannot refuse a paused old leader, so the
-// leader must find out itself that it is one.
+// checkLease returns an error if this entry no longer holds the lease. It is called before an order
+// to an engine that ignores fencing tokens: such an engine cannot refuse the order of an old leader
+// that was paused, so the leader must check for itself.
 func (p *Pool) checkLease(ctx context.Context) error {
 	var cur leaseValue
 	if _, err := cfplatform.GetJSON(ctx, p.opts.Store, KindLease, p.leaseName(), &cur); err != nil {
--- a/older/cfpool/linearizability_test.go
+++ b/older/cfpool/linearizability_test.go
@@ -17,24 +17,23 @@
 )
 
 type (
-	// cursorOp is one stamp or commit as a leader issued it.
+	// cursorOp is a stamp or a commit, as a leader called it.
 	cursorOp struct {
 		Stamp  bool
 		Epoch  cf.Epoch
 		Cursor int64
 	}
 
-	// cursorState is the specification's state of one claim.
+	// cursorState is the specified state of a claim.
 	cursorState struct {
 		Epoch  cf.Epoch
 		Cursor int64
 	}
 )
 
-// cursorModel is the core protocol's specification of a claim: a stamp by
-// epoch e succeeds only if no newer epoch has stamped; a commit by epoch e
-// succeeds only while e is the latest stamp, and never moves the cursor
-// back. Failed operations change nothing.
+// cursorModel specifies a claim. A stamp with epoch e succeeds only if no stamp had a higher epoch.
+// A commit with epoch e succeeds only if e is the epoch of the last stamp, and never decreases the
+// cursor. A failed operation changes nothing.
 var cursorModel = porcupine.Model{
 	Init: func() any { return cursorState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -54,15 +53,11 @@
 	},
 }
 
-// TestCursorProtocolLinearizable checks recorded histories of the claim
-// protocol against its specification with porcupine.
-//
-// Symptom guarded against: a trainer receives samples twice, or a cursor
-// goes back, after a leader change.
-// Sequence: three leaders of rising epochs stamp the claim and commit
-// cursors concurrently, as when a paused leader wakes beside its successor.
-// Cause it would catch: a commit that is not conditional on the version the
-// leader last saw (no fencing), which lets a fenced epoch overwrite.
+// TestCursorProtocolLinearizable checks recorded histories of the claim protocol against
+// cursorModel with porcupine. Three leaders with increasing epochs stamp the claim and commit
+// cursors concurrently, as when a paused leader resumes while its successor runs. If a commit did
+// not depend on the version that the leader last saw, an outdated leader could overwrite the
+// cursor: the cursor would decrease, or a trainer would receive samples twice.
 func TestCursorProtocolLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		ops := runLeaders(t, seed)
--- a/older/cfpool/pool.go
+++ b/older/cfpool/pool.go
@@ -1,24 +1,22 @@
-// Package cfpool runs rollout pools: the lease that makes one entry
-// instance the leader of a pool, the generation of whole groups of scored
-// samples on the engines, and each claim's log, which delivers samples to a
-// trainer once by a cursor committed in the platform's object API.
+// Package cfpool runs rollout pools. A lease makes one entry instance the leader of a pool. The
+// leader generates groups of scored samples on the engines and delivers them to the trainers. Each
+// trainer has a claim on the pool with a buffer of samples and a cursor, which is stored in the
+// platform's object API.
 //
-// Every entry runs every pool; only the lease holder generates and answers.
-// The lease is an object ("lease", "pool/NAME") with an epoch, the fencing
-// number. On taking a lease, the new leader stamps each claim object with
-// its epoch; an old leader that was paused and wakes finds the claim
-// object's version moved and its own epoch lower, and steps down instead of
-// committing over the new leader's cursor.
+// Every entry runs every pool, but only the holder of the lease generates samples and answers. The
+// lease is the object ("lease", "pool/NAME"). Its epoch is the fencing token. A new leader writes
+// its epoch into each claim object (it stamps the claim). If the previous leader was paused and
+// resumes, its next commit fails because the claim object has a newer version and a higher epoch;
+// it then steps down and does not overwrite the new leader's cursor.
 //
-// Delivery: a fetch returns the samples after the committed cursor, whole
-// groups only, never older than the pool's staleness bound; a trainer acks
-// the batch's cursor after it has used it. A fetch that is never acked is
-// delivered again; an ack of a cursor already committed succeeds again. A
-// sample is delivered once: it is acknowledged once.
+// A fetch returns the samples after the stored cursor: only complete groups, and none that exceeds
+// the pool's staleness limits. The trainer acknowledges the cursor of a batch after it has used the
+// batch. A batch that is not acknowledged is delivered again. To acknowledge a cursor again
+// succeeds. Each sample is thus acknowledged once.
 //
 // Usage:
 //
-//	p := cfpool.New(settings, cfpool.Options{Store: store, Backend: backend, Holder: "entry-1"})
+//	p := cfpool.New(settings, cfpool.Options{Store: store, Backend: backend, Entry: "entry-1"})
 //	go p.Run(ctx)
 //	batch, err := p.Fetch(ctx, "spoilage", 16, 2*time.Second)
 //	err = p.Ack(ctx, "spoilage", batch.Cursor)
@@ -40,7 +38,7 @@
 	"currantford/older/cfplatform"
 )
 
-// Object kinds in the platform.
+// Kinds of the pools' objects in the platform's object API.
 const (
 	KindLease   = "lease"
 	KindClaim   = "claim"
@@ -48,27 +46,27 @@
 )
 
 type (
-	// Options wire a pool to its surroundings.
+	// Options holds the dependencies of a pool and the identity of its entry instance.
 	Options struct {
 		Store   cf.ObjectStore
 		Backend cf.Backend
-		// Entry names this entry instance; Addr is where peers reach it.
+		// Entry is the id of this entry instance, and Addr the address at which other entries reach
+		// it.
 		Entry cf.EntryID
 		Addr  string
 		Lease cfconfig.Lease
 		Log   *zap.Logger
 	}
 
-	// Pool is one rollout pool as seen by one entry. Close waits for its
-	// goroutines.
+	// Pool is a rollout pool on one entry instance.
 	Pool struct {
 		settings cfconfig.Pool
 		opts     Options
-		holder   string // Holder plus a start nonce, unique per process
+		holder   string // Options.Entry and the start time, unique per process
 
 		mu             sync.Mutex
 		epoch          cf.Epoch
-		validUntil     time.Time // the lease is ours until then, by our own clock
+		validUntil     time.Time // end of this entry's lease by its own clock
 		leader         leaseValue
 		weights        cf.WeightVersion
 		claims         map[cf.ClaimName]*claimState
@@ -99,14 +97,14 @@
 	claimState struct {
 		settings        cfconfig.Claim
 		committedCursor int64
-		objectVersion   int64 // the claim object's version we last wrote or read
+		objectVersion   int64 // version of the claim object as last read or written here
 		nextSeq         int64
 		groupsStarted   int64
 		buffered        []cf.Sample
 	}
 )
 
-// New returns a pool that is not yet running.
+// New returns a pool that does not run yet.
 func New(settings cfconfig.Pool, opts Options) *Pool {
 	if opts.Log == nil {
 		opts.Log = zap.NewNop()
@@ -120,8 +118,7 @@
 	}
 }
 
-// Run keeps the lease (taking it when free, renewing it when held) until ctx
-// ends or Close is called.
+// Run acquires the lease when it is free and renews it until ctx ends or Close is called.
 func (p *Pool) Run(ctx context.Context) {
 	ctx, p.stop = context.WithCancel(ctx)
 	p.wg.Add(1)
@@ -144,14 +141,15 @@
 	if p.stop != nil {
 		p.stop()
 	}
-	// Generation may have been started by a UpdateLease outside Run; stop
-	// it too, or Close would wait for it for ever.
+	// UpdateLease may have started the generation without Run. Without this call, Close would then
+	// wait for ever.
 	p.stepDown("closing")
 	p.wg.Wait()
 	return nil
 }
 
-// Leader returns the entry that holds the pool's lease, as last read.
+// Leader returns the id and the address of the entry that holds the pool's lease, as last read, and
+// whether one is known.
 func (p *Pool) Leader() (cf.EntryID, string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,9 +158,9 @@
 
 func (p *Pool) leaseName() string { return "pool/" + string(p.settings.Name) }
 
-// UpdateLease runs one round of the lease protocol: take the lease when it is
-// free or lapsed, renew it when held, follow the holder otherwise. Run calls
-// it every renew_ms; tests call it to step the protocol.
+// UpdateLease runs one round of the lease protocol: it acquires a free or expired lease, renews a
+// lease of this entry, and otherwise records the holder. Run calls it at the renewal interval
+// (renew_ms); tests call it to control the protocol.
 func (p *Pool) UpdateLease(ctx context.Context) {
 	start := time.Now()
 	ttl := p.opts.Lease.TTL
@@ -174,12 +172,12 @@
 		next.Epoch = 1
 		obj, err = cfplatform.PutJSON(ctx, p.opts.Store, KindLease, p.leaseName(), next, cf.CreateOnly)
 	case err != nil:
-		// Platform down or slow: we stay leader only until our own
-		// clock says the lease has lapsed (checked in isLeader).
+		// The platform does not answer. This entry stays leader only until its lease has expired by
+		// its own clock (see isLeaderLocked).
 		p.opts.Log.Warn("lease read failed", zap.String("pool", string(p.settings.Name)), zap.Error(err))
 		return
 	case cur.Holder == p.holder:
-		// Ours, including a takeover whose answer was lost.
+		// This entry holds the lease, perhaps by a write whose response was lost.
 		next.Epoch = cur.Epoch
 		obj, err = cfplatform.PutJSON(ctx, p.opts.Store, KindLease, p.leaseName(), next, obj.Version)
 	case cf.Now() > cur.Expires:
@@ -201,8 +199,8 @@
 	gained := p.epoch != next.Epoch
 	p.epoch = next.Epoch
 	p.leader = next
-	// A tenth of the TTL is kept back for clock drift and the time the
-	// answer took to arrive.
+	// A tenth of the TTL is subtracted to allow for clock drift and the time that the response
+	// took.
 	p.validUntil = start.Add(ttl.Duration() * 9 / 10)
 	p.mu.Unlock()
 	if gained {
@@ -210,7 +208,7 @@
 	}
 }
 
-// followLeader records another entry as leader and stops any generation of ours.
+// followLeader records another entry as leader and stops the generation on this one.
 func (p *Pool) followLeader(cur leaseValue) {
 	p.mu.Lock()
 	wasLeader := p.epoch != 0
@@ -221,8 +219,8 @@
 	}
 }
 
-// stepDown forgets leadership: samples not yet delivered are dropped, and
-// the next leader generates fresh ones.
+// stepDown ends the leadership. Samples that have not been delivered are dropped; the next leader
+// generates new ones.
 func (p *Pool) stepDown(reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,8 +238,8 @@
 	p.broadcastLocked()
 }
 
-// startLeading stamps each claim object with the new epoch, reads the cursors
-// and starts generating.
+// startLeading writes the new epoch into each claim object, reads the cursors and starts the
+// generation.
 func (p *Pool) startLeading(ctx context.Context, epoch cf.Epoch) {
 	claims := map[cf.ClaimName]*claimState{}
 	for _, c := range p.settings.Claims {
@@ -282,9 +280,9 @@
 	return &claimState{settings: c, committedCursor: cur.Cursor, objectVersion: version, nextSeq: cur.Cursor + 1}, nil
 }
 
-// stampEpoch writes a new leader's epoch into a claim object, keeping its
-// cursor, and returns the cursor and the new version. It refuses
-// (ErrFenced) when a newer epoch has stamped it already.
+// stampEpoch writes a new leader's epoch into a claim object and leaves the cursor as it is. It
+// returns the claim and the object's new version, or ErrFenced if the object has a higher epoch
+// already.
 func stampEpoch(ctx context.Context, store cf.ObjectStore, name string, epoch cf.Epoch) (claimValue, int64, error) {
 	var cur claimValue
 	obj, err := cfplatform.GetJSON(ctx, store, KindClaim, name, &cur)
@@ -304,8 +302,8 @@
 	return claimValue{Cursor: cur.Cursor, Epoch: epoch}, obj.Version, nil
 }
 
-// isLeaderLocked is true while our lease is valid by our own clock. A holder
-// that was paused past its lease finds this false before it acts.
+// isLeaderLocked reports whether this entry's lease is valid by its own clock. A holder that was
+// paused until after the end of its lease gets false before it acts. The caller must hold p.mu.
 func (p *Pool) isLeaderLocked() bool {
 	return p.epoch != 0 && time.Now().Before(p.validUntil)
 }
@@ -322,8 +320,8 @@
 	return p.weights
 }
 
-// Buffered returns how many scored samples of a claim wait for delivery
-// here; it is zero on an entry that does not lead the pool.
+// Buffered returns the number of scored samples of a claim that wait for delivery on this entry. It
+// is 0 on an entry that does not lead the pool.
 func (p *Pool) Buffered(name cf.ClaimName) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/older/cfpool/session_test.go
+++ b/older/cfpool/session_test.go
@@ -19,8 +19,7 @@
 	"currantford/testbed/cfobjects"
 )
 
-// fakeBackend is an in-memory engine fleet: every rollout is produced by the
-// weights most recently loaded.
+// fakeBackend is a Backend in memory. Each rollout has the weight version that was loaded last.
 type fakeBackend struct {
 	mu      sync.Mutex
 	version cf.WeightVersion
@@ -48,9 +47,9 @@
 	return nil
 }
 
-// TestPoolSession replays whole sessions of two entries sharing one pool: lease
-// takeover, delivery by cursor, weight swaps and staleness, a lost answer
-// and a paused leader fenced by its successor.
+// TestPoolSession runs the scripts in testdata on two entries that share a pool: lease takeover,
+// delivery by cursor, new weights and staleness, a lost response, and a paused leader that is
+// fenced by its successor.
 func TestPoolSession(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		srv := httptest.NewServer(cfobjects.NewServer(cfobjects.ServerSettings{}).Handler())
@@ -79,8 +78,8 @@
 				leader, _, _ := p.Leader()
 				return fmt.Sprintf("leader %s\n", leader)
 			case "settle":
-				// Wait until the leader's buffer is full: the generator
-				// is then idle and the session's next step is repeatable.
+				// Wait until the leader's buffer is full. Generation is idle then, which makes the
+				// next step of the script deterministic.
 				for deadline := time.Now().Add(5 * time.Second); p.Buffered("spoilage") < 4 && time.Now().Before(deadline); {
 					time.Sleep(5 * time.Millisecond)
 				}
@@ -113,8 +112,8 @@
 				}
 				return "ok\n"
 			case "expire":
-				// The holder is paused past its lease: its lease lapses
-				// in the platform while it still believes it holds it.
+				// Let the lease expire in the platform while its holder still considers it valid,
+				// as if the holder had been paused.
 				obj, _ := store.Get(ctx, cfpool.KindLease, "pool/forecast")
 				value := strings.Replace(string(obj.Value), `"expires_ms":`, `"expires_ms":0,"was":`, 1)
 				if _, err := store.Put(ctx, cfpool.KindLease, "pool/forecast", []byte(value), obj.Version); err != nil {
--- a/older/cfroute/route.go
+++ b/older/cfroute/route.go
@@ -1,21 +1,22 @@
-// Package cfroute places requests on engines. It has three policies behind
-// currantford.Router, chosen by setting: round_robin, least_loaded, and
-// marginal_cost, the calibrated marginal-cost scorer of "Calibrate, Then
-// Route: A Measured Study of Learned Request Routing for Disaggregated LLM
-// Serving" (PAPER-calibrate-then-route-measured-fb1f, §III).
+// Package cfroute selects the engine for each request. It implements currantford.Router with three
+// policies, chosen in the settings: round_robin, least_loaded, and marginal_cost, which is the
+// calibrated marginal-cost score of the paper "Calibrate, Then Route: A Measured Study of Learned
+// Request Routing for Disaggregated LLM Serving" (§III). The section numbers below refer to this
+// paper.
 //
-// The marginal-cost score of a candidate is the completion time the request
-// would see there: seconds of backlog + the request's own priced work
-// (prefill and decode cost per token, predicted output length) + cache
-// pressure after admission + SLO tightness for live work. The paper's own
-// bounds are kept: the per-token costs are calibrated from measured spans
-// (Observe), not taken from a guess (§V-B: a mispriced scorer degrades to
-// queue counting); under scarcity two random candidates are priced instead
-// of all (§V-C: greedy argmin collapses there); and narrow pools fall back
-// to least-loaded (§VI: the advantage needs width of four or more).
+// The marginal-cost score of a candidate is an estimate of the completion time of the request on
+// that engine. It is the sum of the engine's backlog, the cost of the request itself (prefill and
+// decode cost per token, with the output length taken from the request's token limit), a penalty if
+// the request would exceed the engine's KV cache, and, for live requests, a penalty for a backlog
+// beyond the SLO. The limits that the paper states apply here too:
 //
-// Load reports lag, so each router keeps a ledger of the work it has placed
-// and not yet seen finish, and prices backlog from whichever is larger.
+//   - The costs per token are calibrated from measured durations (Observe). With wrong costs the score is no better than counting queued requests (§V-B).
+//   - If all engines have a long backlog, two random candidates are compared instead of all, because always taking the lowest score fails under scarcity (§V-C).
+//   - With few candidates the policy is least_loaded, because the score has an advantage only with four candidates or more (§VI).
+//
+// Load reports are outdated when they arrive. The router therefore records the requests that it has
+// assigned to each engine and that have not finished, and uses the report or its own record,
+// whichever shows more load.
 //
 // Usage:
 //
@@ -34,14 +35,14 @@
 	cf "currantford"
 )
 
-// Policy names.
+// The policies that Settings.Policy selects from.
 const (
 	RoundRobin   = "round_robin"
 	LeastLoaded  = "least_loaded"
 	MarginalCost = "marginal_cost"
 )
 
-// Reasons written in decision log lines.
+// Reasons for a decision, as written to the log.
 const (
 	reasonRoundRobin    = "round_robin"
 	reasonLeastLoaded   = "least_loaded"
@@ -50,30 +51,32 @@
 	reasonFewCandidates = "least_loaded_narrow_pool"
 )
 
-// Settings choose and tune the policy. Zero values take DefaultSettings.
+// Settings selects the routing policy and its parameters. New replaces costs and a DecodeBatch that
+// are not positive by those of DefaultSettings.
 type Settings struct {
 	Policy string `json:"policy"`
-	// PrefillMicrosPerToken and DecodeMillisPerToken are the starting
-	// costs, replaced by measured ones as spans are observed.
+	// PrefillMicrosPerToken and DecodeMillisPerToken are the initial costs per token. With
+	// Calibrate they are adjusted to the measured costs.
 	PrefillMicrosPerToken float64 `json:"prefill_us_per_token"`
 	DecodeMillisPerToken  float64 `json:"decode_ms_per_token"`
-	// Calibrate fits the costs from observed spans; off, the starting costs
-	// stay, which is the paper's uncalibrated variant.
+	// Calibrate adjusts the costs per token to the observed durations. Without it the initial costs
+	// stay in use, which is the uncalibrated variant of the paper.
 	Calibrate bool `json:"calibrate"`
-	// DecodeBatch is the engines' decode batch, to turn ledger work into backlog.
+	// DecodeBatch is the number of requests that an engine decodes at once. The cost of the
+	// requests assigned to an engine is divided by it to estimate the engine's backlog.
 	DecodeBatch int `json:"batch"`
-	// MinCandidates: pools narrower than this use least-loaded.
+	// MinCandidates is the number of engines below which marginal_cost uses the least_loaded score.
 	MinCandidates int `json:"min_width"`
-	// ScarcityBacklog: when every candidate's backlog exceeds it, two random
-	// candidates are priced instead of all.
+	// ScarcityBacklog is the backlog from which an engine counts as overloaded. If all candidates
+	// are, marginal_cost compares two random ones instead of all. 0 turns this off.
 	ScarcityBacklog cf.Millis `json:"scarcity_backlog_ms"`
-	// LiveSLO is the time to first token promised to live requests; the
-	// SLO term makes a live request avoid engines that would miss it.
+	// LiveSLO is the promised time to the first token of live requests. A backlog beyond it adds to
+	// the score for a live request, so that such engines are avoided. 0 turns this off.
 	LiveSLO cf.Millis `json:"live_ttft_slo_ms"`
 	Seed    uint64    `json:"seed"`
 }
 
-// DefaultSettings returns the defaults used in the embedded site.
+// DefaultSettings returns the settings used if a site's settings name no policy.
 func DefaultSettings() Settings {
 	return Settings{
 		Policy:                MarginalCost,
@@ -95,17 +98,17 @@
 		next              int
 		rng               *rand.Rand
 		engines           map[cf.EngineID]*engineLedger
-		prefillMsPerToken float64 // ms per prompt token
-		decodeMsPerToken  float64 // ms per output token
+		prefillMsPerToken float64 // cost of one prompt token in ms
+		decodeMsPerToken  float64 // cost of one output token in ms
 	}
 
 	engineLedger struct {
 		inflight   int
-		costMillis float64 // ms of priced work placed and not yet observed
+		costMillis float64 // estimated total cost of the requests in flight, in ms
 	}
 )
 
-// New returns the router the settings name.
+// New returns a router with the policy that s selects.
 func New(s Settings) (cf.Router, error) {
 	switch s.Policy {
 	case RoundRobin, LeastLoaded, MarginalCost:
@@ -180,16 +183,16 @@
 	return d, nil
 }
 
-// Observe implements currantford.Router: it settles the ledger and, when
-// calibrating, moves the per-token costs toward the measured ones.
+// Observe implements currantford.Router. It removes one finished request from the engine's record
+// and, with Calibrate, moves the costs per token towards the measured ones.
 func (r *router) Observe(engine cf.EngineID, prompt, output cf.Tokens, prefill, decode cf.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.ledgerOf(engine)
-	// A failed request reports no tokens, so the ledger settles an
-	// average share of its work rather than the request's own: pricing by
-	// tokens would leave a failed request's work in the ledger for ever,
-	// and the engine would look busier after each failure.
+	// A failed request reports no tokens, so the average cost of the requests in flight is
+	// subtracted, not the request's own cost. A cost computed from the reported tokens would leave
+	// the cost of failed requests in the record for ever, and the engine would seem busier after
+	// each failure.
 	if l.inflight > 0 {
 		l.costMillis -= l.costMillis / float64(l.inflight)
 		l.inflight--
@@ -223,26 +226,26 @@
 	return out
 }
 
-// queueLength is the least-loaded score: sequences running and waiting, from the
-// report or from our own ledger, whichever is larger.
+// queueLength is the least_loaded score: the number of running and queued requests according to the
+// load report, or the number of requests in flight from this router if that is larger.
 func (r *router) queueLength(_ cf.Job, l cf.Load) float64 {
 	return float64(max(l.Active+l.Queued, r.ledgerOf(l.Engine).inflight))
 }
 
-// requestCost is the request's own priced work in milliseconds.
+// requestCost returns the estimated cost of the request itself, in milliseconds.
 func (r *router) requestCost(job cf.Job) float64 {
 	return r.prefillMsPerToken*float64(job.PromptTokens) + r.decodeMsPerToken*float64(job.MaxTokens)
 }
 
-// marginalCost is the marginal-cost score in milliseconds.
+// marginalCost returns the marginal-cost score in milliseconds.
 func (r *router) marginalCost(job cf.Job, l cf.Load) float64 {
 	backlog := max(float64(l.Backlog), r.ledgerOf(l.Engine).costMillis/float64(r.settings.DecodeBatch))
 	score := backlog + r.requestCost(job)
 	if l.KVBudget > 0 {
 		after := float64(l.KVUsed+job.PromptTokens+job.MaxTokens) / float64(l.KVBudget)
 		if after > 1 {
-			// Admission would wait for KV room: price the wait as a
-			// whole extra request's worth.
+			// The request would wait for KV cache memory. The wait is estimated as the cost of one
+			// more request of this size, multiplied by the fill level.
 			score += r.requestCost(job) * after
 		}
 	}
--- a/older/commands/commands.go
+++ b/older/commands/commands.go
@@ -1,5 +1,5 @@
-// Package commands is the command line of currantford: flags, wiring, start
-// and stop. The logic lives in the cf* packages.
+// Package commands implements the command line of currantford: flags, setup, start and stop. The
+// logic is in the cf* packages.
 //
 // Usage:
 //
@@ -7,6 +7,7 @@
 //	currantford check --config site.json
 //	currantford standin engine|platform|service|scorer|trainer ...
 //	currantford load [--plan plan.json] [--config site.json]
+//	currantford trial --plan FILE --group NAME=STORE=ENTRY[,ENTRY]
 package commands
 
 import (
@@ -29,18 +30,17 @@
 	"currantford/older/cfplatform"
 )
 
-// shutdownTimeout bounds a graceful stop after the drain.
+// shutdownTimeout limits a graceful shutdown, including the drain time.
 const shutdownTimeout = 30 * time.Second
 
 type (
-	// SiteOption is the settings flag shared by every command.
+	// SiteOption is the flag for the settings file, which most commands have.
 	SiteOption struct {
 		Config string `long:"config" description:"site settings (JSON); the embedded default site when empty" value-name:"FILE"`
 	}
 )
 
-// Execute parses args and runs the command they name. It returns the exit
-// code.
+// Execute parses args and runs the command that they name. It returns the exit code.
 func Execute(args []string) int {
 	p := flags.NewParser(nil, flags.Default)
 	p.Name = "currantford"
@@ -82,20 +82,19 @@
 	}
 }
 
-// loadSite loads the settings or returns an error that lists every fault.
+// loadSite loads the settings. The error lists all validation errors.
 func (o SiteOption) loadSite() (cfconfig.Site, error) {
 	return cfconfig.Load(o.Config)
 }
 
-// signalContext returns a context that ends on SIGTERM or SIGINT.
+// signalContext returns a context that is cancelled on SIGTERM or SIGINT.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// serveUntilSignal serves h on addr until SIGTERM or SIGINT, then marks the
-// instance leaving (if leave is set), keeps serving for drain so that those
-// who read the lagging instance list stop sending, and shuts down waiting
-// for every request in flight.
+// serveUntilSignal serves h on addr until SIGTERM or SIGINT, then shuts down after all requests in
+// flight. If markLeaving is set, it is called first, and h is served for the drain time: the
+// instance list is delayed, and its readers need this time to stop sending requests.
 func serveUntilSignal(addr string, h http.Handler, drain cf.Millis, markLeaving func(context.Context), log *zap.Logger) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -124,8 +123,8 @@
 	return err
 }
 
-// registerInstance writes a stand-in's row of the instance list now and
-// every second, until ctx ends; the returned function marks it leaving.
+// registerInstance writes a stand-in's element of the instance list at once and every second until
+// ctx ends. The function that it returns marks the instance as leaving.
 func registerInstance(ctx context.Context, site cfconfig.Site, id, role, addr string, domain cf.FailureDomain) func(context.Context) {
 	store := cfplatform.NewClient(site.PlatformURL())
 	writeRow := func(ctx context.Context, state string) {
